--- a/tealrill/lab/troubles.py
+++ b/tealrill/lab/troubles.py
@@ -11,6 +11,10 @@
 
 Undo = Callable[[], None]
 
+FROZEN, GONE, CUT, REFUSED = LOSSES = ("frozen", "gone", "cut", "refused")
+"""How a leader is lost: it stands still, its machine is gone, nothing reaches it, or the state
+service refuses it alone."""
+
 
 class Troubles:
     """Draws meetings: one trouble after the other begins, and each lasts for a while."""
@@ -27,7 +31,7 @@
             self.ends, self.volley, self.reset_links, self.machine_dies, self.cancel_now,
             self.cancel_now, self.cancel_at_end, self.lost_answers, self.for_next, self.mute,
             self.close_looks, self.odd_requests, self.up_at_once, self.zone_away, self.parted,
-            self.refused_and_called_off,
+            self.refused_and_called_off, self.flapping,
         ]  # fmt: skip
         tasks: list[asyncio.Task[None]] = []
         while self.world.now() < until:
@@ -169,6 +173,58 @@
         await self._for("an outage", seconds, lambda: state.outage(False))
         state.refused.discard(host.name)
 
+    async def flapping(self, way: str = "", for_s: float = 0.0) -> None:
+        """The state service goes away again and again, and the leader is lost meanwhile.
+
+        `way` is how it is lost: one of `LOSSES`, drawn if empty; `for_s` is how long both last.
+        """
+        shape, host = self.world.shape, self._busiest()
+        for_s = for_s or shape.cancel_s * self.rng.choice([0.5, 1.2, 1.8])
+        loss = self.world.begin(self._lose(host, way or self.rng.choice(LOSSES), for_s))
+        cancellations = self.world.begin(self._cancellations(for_s))
+        until = self.world.now() + for_s
+        longest_s = self.rng.choice([0.8, 1.5, 2.5])
+        self.world.note(f"the state service flaps for {for_s:.1f} s, {longest_s} s at a time")
+        while self.world.now() < until:
+            await self._flap(self.rng.uniform(0.4, 1.0) * longest_s)
+        self.world.note("the state service is stable")
+        await asyncio.gather(loss, cancellations)
+
+    async def _flap(self, down_s: float) -> None:
+        """One outage; right before and after it answers are lost, and writes are late."""
+        state = self.world.state
+        state.lost, state.late = 0.3, 0.1
+        await asyncio.sleep(0.1)
+        state.outage(True)
+        await asyncio.sleep(down_s)
+        state.outage(False)
+        await asyncio.sleep(0.1)
+        state.lost = state.late = 0.0
+        await asyncio.sleep(self.rng.uniform(0.2, 1.4))
+
+    async def _lose(self, host: Host, way: str, for_s: float) -> None:
+        frozen = self.world.frozen
+        members = self._members(host)
+        if way == FROZEN:
+            frozen.add(host.name)
+            await self._for(f"{host.name} stands still", for_s, lambda: frozen.discard(host.name))
+        elif way == GONE:
+            self.world.end(host, for_s)
+            await self._links("is gone", host, ["workers", "state", *members], for_s)
+        elif way == CUT:
+            await self._links("is cut off", host, ["workers", "state", *members], for_s)
+        elif way == REFUSED:
+            refused = self.world.state.refused
+            refused.add(host.name)
+            await self._for(f"{host.name} is refused", for_s, lambda: refused.discard(host.name))
+
+    async def _cancellations(self, for_s: float) -> None:
+        """Users call off what runs: right at the beginning, and some more in the first half."""
+        for pause_s in (0.2, 1.0, *(self.rng.uniform(0.1, 0.25) * for_s for _ in range(2))):
+            await asyncio.sleep(pause_s)
+            self.world.note("jobs are called off")
+            await self.world.cancel_now(self.rng.choice([2, 4]))
+
     async def cancel_at_end(self) -> None:
         seconds = self.rng.choice([10.0, 40.0])
         await self._level("jobs are called off at their ends", self.world, "at_end", 0.7, seconds)
--- a/tealrill/lab/world.py
+++ b/tealrill/lab/world.py
@@ -190,6 +190,8 @@
         self.by_address: dict[str, str] = {}
         self.cut: set[frozenset[str]] = set()
         """Links that lose everything; "workers" stands for all machines."""
+        self.frozen: set[str] = set()
+        """Controllers that stand still: what they are sent, and what comes back to them, waits."""
         self.away: set[str] = set()
         """Zones that reach nothing outside."""
         self.parted = False
@@ -275,6 +277,10 @@
         pair = frozenset("workers" if name.startswith("m-") else name for name in (one, other))
         return pair in self.cut
 
+    async def _thawed(self, name: str) -> None:
+        while name in self.frozen:
+            await asyncio.sleep(0.05)
+
     async def _way(self) -> None:
         await asyncio.sleep(self.rng.uniform(0.0003, 0.002) + self.rng.uniform(0.0, self.links_s))
 
@@ -288,14 +294,32 @@
         check: Callable[[], None] | None,
     ) -> Answer:
         """One request of a node's, as `http.Client.request` makes it."""
-        source, place = _PROCESS.get().name, self._place(address)
+        source = _PROCESS.get().name
+        await self._thawed(source)
+        try:
+            return await self._exchange(
+                source, self._place(address), method, path, body, timeout_s, check
+            )
+        finally:
+            await self._thawed(source)
+
+    async def _exchange(
+        self,
+        source: str,
+        place: str,
+        method: str,
+        path: str,
+        body: bytes | None,
+        timeout_s: float,
+        check: Callable[[], None] | None,
+    ) -> Answer:
         await self._way()
         host = self.hosts.get(place)
-        if host is not None and host.node is None:
-            raise NoAnswer("refused", False, refused=True)
         if self.apart(source, place) or (place in self.deaf and place.startswith("m-")):
             await asyncio.sleep(timeout_s)
             raise NoAnswer("TimeoutError", self.rng.random() < 0.5, silent=True)
+        if host is not None and host.node is None:
+            raise NoAnswer("refused", False, refused=True)
         if check is not None:
             check()
         if place.startswith("m-"):
@@ -335,6 +359,7 @@
             elif place == _CLOUD:
                 reply = await self.cloud(source, method, path, body)
             elif place in self.hosts:
+                await self._thawed(place)
                 reply = await self._peer(self.hosts[place], method, path, body)
             else:
                 worker = self.workers.get(place)
@@ -493,7 +518,7 @@
         await self._way()
         if self.hosts[name].node is None:
             return None
-        if self.apart(machine, name) or machine in self.mute:
+        if self.apart(machine, name) or machine in self.mute or name in self.frozen:
             await asyncio.sleep(_REPORT_S)
             return None
         reply = self._take(message, name)
@@ -558,6 +583,9 @@
         node = host.node
         if node is None:
             return None
+        if host.name in self.frozen:
+            await asyncio.sleep(patience_s)
+            return None
         raw = orjson.dumps(body) if body is not None else None
         task = self.begin(self._ask(node._relay, method, path, raw), host.context)
         done, _ = await asyncio.wait({task}, timeout=patience_s)
--- /dev/null
+++ b/tests/test_flapping.py
@@ -0,0 +1,33 @@
+"""Cancelled tasks while the state service flaps and the leader is lost.
+
+Incident: a task of a cancelled job was still on its machine when `cancel_s` had passed. The leader
+had just frozen (in a second case its machine was lost), and the state service went away for a
+second or two again and again. Every outage gives the leader's lease its full time again, so its key
+stood for 45 s and nobody was elected. The other controllers renewed its workers all that time by
+their permits, without looking whether a worker held a task of a cancelled job: only the leader
+did that, whose absence gave the right. Proof: the workers' reports were answered with 200 until the
+leader was back, and the stop was first sent then.
+"""
+
+from __future__ import annotations
+
+import pytest
+
+from tealrill.lab.troubles import CUT, FROZEN, GONE, REFUSED, Troubles
+from tealrill.lab.world import Shape, World, play
+
+LONG_JOBS = ((2, 70.0), (3, 90.0), (1, 120.0))
+"""Tasks and run times in seconds: none ends by itself before its time to be gone."""
+FLAPPING_S = 52.0
+
+
+@pytest.mark.parametrize("way", [FROZEN, GONE, CUT, REFUSED])
+def test_cancelled_tasks_end_in_time_while_the_state_service_flaps(way: str) -> None:
+    async def script(world: World) -> None:
+        await Troubles(world).flapping(way, FLAPPING_S)
+
+    for seed, nodes in ((1, 3), (2, 5)):
+        shape = Shape(nodes=nodes, jobs=LONG_JOBS, cancelled=0.0)
+        world = play(seed, shape, FLAPPING_S, script=script, calm_s=5.0)
+        assert not world.broken, [*world.events, *world.broken]
+        assert sum(job.cancelled_at is not None for job in world.jobs.values()) >= 2
