--- a/tealrill/controller.py
+++ b/tealrill/controller.py
@@ -217,8 +217,8 @@
         self._giveway.took(now)
         mine = self.election.leading(now)
         if mine is None or self.leader is None or not self.leader.informed(now):
-            term = self._deputy.term(now)
-            if term is not None and report.token <= term:
+            term = self._deputy.renews(report, machine_id, now)
+            if term is not None:
                 # The leader can't hear this worker, and waits for it.
                 return 200, wire.report_answer(term, [])
             known = self.election.known
@@ -332,6 +332,9 @@
             "leader": known.host if known is not None else None,
             "term": known.term if known is not None else None,
         }
+        delegated = self._deputy.describe(steady_now())
+        if delegated is not None:
+            shown["renews"] = delegated
         leader = self.leader
         if leader is not None:
             plan = leader.dispatcher.last
--- a/tealrill/leader.py
+++ b/tealrill/leader.py
@@ -43,7 +43,8 @@
 from tealrill.state.election import Election, Leadership
 from tealrill.state.exclusion import Exclusions
 from tealrill.state.keeper import Deposed, Keeper
-from tealrill.state.truce import Seen, unseen_s
+from tealrill.state.open_jobs import renewal_bound_s
+from tealrill.state.truce import Seen
 from tealrill.types import (
     JobId,
     MachineId,
@@ -150,7 +151,7 @@
         """How far changes of jobs are known by the watch."""
         self._vouched_at = Steady(-math.inf)
         """What was acknowledged before this moment the other members have told."""
-        self._unseen_s = unseen_s(params.workers)
+        self._unseen_s = renewal_bound_s(params.workers)
         term = Term(
             settings,
             client,
--- a/tealrill/state/book.py
+++ b/tealrill/state/book.py
@@ -35,6 +35,8 @@
 RUN_PREFIX: Final = "run/"
 OVER_PREFIX: Final = "over/"
 _DONE: Final = -1
+_BACKFILLED_FLAG: Final = 1
+_DONE_FLAG: Final = 2
 _ENTRY_BYTES: Final = 100
 """Most that one bound task takes in a record: the machine's name is at most 64 bytes."""
 _MOST_IN_CHUNK: Final = 128
@@ -456,7 +458,7 @@
                         binding.machine,
                         binding.session,
                         binding.attempt,
-                        int(binding.backfilled) + 2 * job.done[index],
+                        _BACKFILLED_FLAG * binding.backfilled + _DONE_FLAG * job.done[index],
                         round(binding.bound_at),
                     ]
                 )
@@ -520,14 +522,14 @@
         if machine is None or len(entry) != 6:
             raise BadRecord(f"{job.id}/{index}: {entry!r}")
         flags = int(entry[4])
-        if flags & 2:
+        if flags & _DONE_FLAG:
             self._load_done(job, index)
         binding = Binding(
             TaskId(job.id, index),
             machine,
             Session(int(entry[2])),
             Attempt(int(entry[3])),
-            bool(flags & 1),
+            bool(flags & _BACKFILLED_FLAG),
             Wall(float(entry[5])),
             chunk,
             1,
@@ -542,6 +544,25 @@
         counts[zone] = counts.get(zone, 0) + 1
 
 
+def chunk_bindings(value: Any) -> Iterator[tuple[MachineId, Session]]:
+    """The machines and sessions to which a chunk's unfinished tasks are bound.
+
+    Raises `BadRecord` if this version can't read it.
+    """
+    try:
+        record = msgspec.convert(value, _ChunkRecord)
+        for entry in record.tasks:
+            if isinstance(entry, int) or len(entry) == 1:
+                continue
+            machine = parse_machine_id(str(entry[1]))
+            if machine is None:
+                raise BadRecord(f"{entry!r}")
+            if not int(entry[4]) & _DONE_FLAG:
+                yield machine, Session(int(entry[2]))
+    except (msgspec.ValidationError, IndexError, TypeError, ValueError) as error:
+        raise BadRecord(str(error)) from None
+
+
 class _ChunkRecord(msgspec.Struct):
     n: int
     tasks: list[int | list[Any]]
--- a/tealrill/state/deputy.py
+++ b/tealrill/state/deputy.py
@@ -4,7 +4,10 @@
 run is lost, though a node beside them and the state service are reached by both sides. That node
 may answer their reports, without any command, while it holds a permit: a key that it keeps writing
 anew, guarded by the leader's own key. The leader reads these keys before it calls any machine
-lapsed, and closes a permit that it does not want to wait for. docs/design.md has the argument.
+lapsed, and closes a permit that it does not want to wait for.
+
+The leader may also be lost, and its key may stand for any time. So a node renews only workers whose
+tasks it knows itself to be those of open jobs (`open_jobs.py`). docs/design.md has the argument.
 """
 
 from __future__ import annotations
@@ -22,8 +25,9 @@
 from tealrill.state.client import Committed, Refused, StateClient, StateError
 from tealrill.state.duty import LEADER_KEY, Fence
 from tealrill.state.election import Election, KnownLeader
+from tealrill.state.open_jobs import OpenJobs, renewal_bound_s
 from tealrill.state.truce import PING_PATH
-from tealrill.types import ABSENT, Revision, Steady, Token, steady_now, surely_until
+from tealrill.types import ABSENT, MachineId, Revision, Steady, Token, steady_now, surely_until
 
 log = logging.getLogger(__name__)
 
@@ -47,6 +51,15 @@
     beat: int = 0
 
 
+def read_permit(entry: wire.Entry) -> Permit | None:
+    """The record, or None if this version can't read it."""
+    try:
+        return msgspec.convert(entry.value, Permit)
+    except msgspec.ValidationError as error:
+        log.error("record %s: %s", entry.key, error)
+        return None
+
+
 class Deputy:
     """One node's part."""
 
@@ -62,6 +75,9 @@
         self._now = now
         self._key = DEPUTY_PREFIX + settings.host_name
         self._peers = peer_clients(settings)
+        workers = settings.params.workers
+        self._warn_after_s = workers.cancel_s
+        self._jobs = OpenJobs(client, renewal_bound_s(workers), now)
         self._misses = 0
         self._cut_since: Steady | None = None
         self._asked_at = Steady(-1e9)
@@ -69,19 +85,42 @@
         self._valid_until = Steady(-1e9)
         self._leader: KnownLeader | None = None
         self._beat = 0
+        self._spell: _Spell | None = None
 
-    def term(self, now: Steady) -> Token | None:
-        """The term whose token may be given to a worker at this very moment."""
+    def renews(self, report: wire.Report, machine: MachineId, now: Steady) -> Token | None:
+        """The term whose token may be given to this worker at this very moment."""
         self._asked_at = now
-        if self._cut_since is None or self._leader is None or self._leader != self._election.known:
+        spell = self._spell
+        if (
+            spell is None
+            or self._cut_since is None
+            or spell.leader != self._election.known
+            or now >= self._valid_until
+            or report.token > spell.leader.term
+        ):
             return None
-        return self._leader.term if now < self._valid_until else None
+        if not self._jobs.may_renew(report, machine, now):
+            # It runs, or may be about to start, what its user was told is cancelled, or may have
+            # been: its lease ends that, and the others' work goes on.
+            spell.withhold(machine, now)
+            return None
+        spell.renewed.add(machine)
+        return spell.leader.term
 
     @property
     def leader_silent(self) -> bool:
         """The leader has not answered this node for about a second."""
         return self._cut_since is not None
 
+    def describe(self, now: Steady) -> dict[str, object] | None:
+        """For operators: for whom workers are renewed, since when, and by which knowledge."""
+        if self._spell is None:
+            return None
+        return {
+            **self._spell.describe(now),
+            "known_s_ago": round(now - self._jobs.known_through, 1),
+        }
+
     async def run(self) -> None:
         while True:
             await asyncio.sleep(_EVERY_S)
@@ -112,6 +151,8 @@
     def _heard(self) -> None:
         self._misses = 0
         self._cut_since = None
+        self._end_spell("the leader answers, or nobody leads")
+        self._jobs.clear()
 
     def _wanted(self, now: Steady) -> bool:
         return (
@@ -121,12 +162,17 @@
         )
 
     async def confirm(self, leader: KnownLeader) -> None:
-        """Writes the permit anew. It holds only while the leader's key stands as it was read."""
+        """Writes the permit anew. It holds only while the leader's key stands as it was read.
+
+        Cancellations are read first: without knowing them nobody is renewed.
+        """
         entry = await self._client.get(self._key)
         if entry is not None:
-            kept = msgspec.convert(entry.value, Permit)
-            if kept.closed and kept.term == leader.term:
+            kept = read_permit(wire.Entry(key=self._key, value=entry.value, version=entry.version))
+            if kept is None or (kept.closed and kept.term == leader.term):
+                self._end_spell("the leader has closed its permit, or it can't be read")
                 return
+        await self._jobs.refresh()
         self._beat += 1
         sent = self._now()
         result = await self._client.commit(
@@ -138,11 +184,75 @@
         )
         if not isinstance(result, Committed):
             return
-        if self._valid_until < sent or self._leader != leader:
-            log.info("term %d: renews workers that the leader can't hear", leader.term)
-        self._leader = leader
+        if self._spell is None or self._spell.leader != leader:
+            self._end_spell("another one leads")
+            self._spell = _Spell(leader, sent, self._warn_after_s)
         self._confirmed_at = sent
         self._valid_until = surely_until(sent, PERMIT_S, _MARGIN_S)
+        self._spell.confirmed(result.revision, sent)
+
+    def _end_spell(self, why: str) -> None:
+        if self._spell is not None:
+            self._spell.end(why, self._now())
+            self._spell = None
+
+
+class _Spell:
+    """Renewals for one leader from the first confirmation on, as the log and operators see them."""
+
+    def __init__(self, leader: KnownLeader, since: Steady, warn_after_s: float) -> None:
+        self.leader = leader
+        self.renewed: set[MachineId] = set()
+        self._since = since
+        self._warn_after_s = warn_after_s
+        self._warned = False
+        self._withheld: set[MachineId] = set()
+        log.info("term %d: renews workers that %s can't hear", leader.term, leader.host)
+
+    def confirmed(self, revision: Revision, now: Steady) -> None:
+        """Warns once when the leader has been lost for longer than any cut should last."""
+        if not self._warned and now - self._since > self._warn_after_s:
+            self._warned = True
+            log.warning(
+                "term %d: %s has not answered for %.0f s, its key stands at revision %d and nobody "
+                "can be elected; %d workers renewed, %d left to their leases",
+                self.leader.term,
+                self.leader.host,
+                now - self._since,
+                revision,
+                len(self.renewed),
+                len(self._withheld),
+            )
+
+    def withhold(self, machine: MachineId, now: Steady) -> None:
+        if machine not in self._withheld:
+            self._withheld.add(machine)
+            log.info(
+                "term %d: machine %s is left to its lease, %.0f s after the first renewal: "
+                "its tasks may be cancelled ones",
+                self.leader.term,
+                machine,
+                now - self._since,
+            )
+
+    def end(self, why: str, now: Steady) -> None:
+        log.info(
+            "term %d: %d workers were renewed for %.0f s, %d left to their leases: %s",
+            self.leader.term,
+            len(self.renewed),
+            now - self._since,
+            len(self._withheld),
+            why,
+        )
+
+    def describe(self, now: Steady) -> dict[str, object]:
+        return {
+            "term": self.leader.term,
+            "for": self.leader.host,
+            "since_s": round(now - self._since, 1),
+            "renewed": len(self.renewed),
+            "withheld": len(self._withheld),
+        }
 
 
 class Permits:
@@ -171,12 +281,13 @@
         entries, _ = await self._client.scan(DEPUTY_PREFIX)
         standing = False
         for entry in entries:
-            permit = msgspec.convert(entry.value, Permit)
-            if permit.term != self._term or permit.closed:
+            permit = read_permit(entry)
+            if permit is not None and (permit.term != self._term or permit.closed):
                 # The guard on the leader's key ended an older term's permits with that term.
                 continue
             standing = True
-            if self._outdated(entry, now) or close:
+            # One that can't be read may be this term's: it is waited for, and closed.
+            if permit is None or self._outdated(entry, now) or close:
                 log.info("permit %s is closed", entry.key)
                 await self._change(entry, wire.put(entry.key, wire.plain(Permit(self._term, True))))
         return standing
--- a/tealrill/state/truce.py
+++ b/tealrill/state/truce.py
@@ -19,10 +19,11 @@
 
 from tealrill import wire
 from tealrill.http import Client, NoAnswer, peer_clients
-from tealrill.settings import Settings, Workers
+from tealrill.settings import Settings
 from tealrill.state.acknowledged import Acknowledged
 from tealrill.state.client import StateClient, StateError
 from tealrill.state.election import SOLE_S, TTL_S, Leadership
+from tealrill.state.open_jobs import cancel_spare_s, renewal_bound_s
 from tealrill.types import Revision, Steady, Token, steady_now, surely_until
 
 log = logging.getLogger(__name__)
@@ -35,25 +36,8 @@
 _ASK_EVERY_S: Final = 0.7
 _ASK_TIMEOUT_S: Final = 0.6
 _PROBE_S: Final = 0.3
-_CANCEL_SPARE_S: Final = 5.0
 _SOLE_MARGIN_S: Final = 0.5
 _FOREVER: Final = Steady(math.inf)
-_LEAST_UNSEEN_S: Final = 6.0
-"""A watch that is answered in its ordinary time comes well within this."""
-
-
-def unseen_s(workers: Workers) -> float:
-    """How long a leader may renew workers without knowing of a cancellation.
-
-    A worker that is renewed at the end of it runs on for its lease. Where `cancel_s` leaves less
-    than a watch takes, nothing but the watch's ordinary pace can be asked for.
-    """
-    return max(_LEAST_UNSEEN_S, _spare_s(workers))
-
-
-def _spare_s(workers: Workers) -> float:
-    """What `cancel_s` leaves beside a worker's lease."""
-    return workers.cancel_s - workers.lease_s - _CANCEL_SPARE_S
 
 
 class Request(msgspec.Struct, frozen=True):
@@ -137,8 +121,8 @@
         workers = settings.params.workers
         # A cancellation can be acknowledged right after a promise was given. The leader may then
         # go on for as long as the promise holds, and the worker for a lease longer.
-        self._unseen_s = unseen_s(workers)
-        self.possible = _spare_s(workers) >= PROMISE_S
+        self._unseen_s = renewal_bound_s(workers)
+        self.possible = cancel_spare_s(workers) >= PROMISE_S
         self._in_truce = False
         self._bounded = False
 
--- a/tests/test_deputy.py
+++ b/tests/test_deputy.py
@@ -16,8 +16,9 @@
 from tealrill.state.duty import LEADER_KEY
 from tealrill.state.election import Election, KnownLeader
 from tealrill.types import MachineId, Revision, Steady, Token
-from tests.samples import SETTINGS
+from tests.samples import SETTINGS, report
 
+MACHINE = MachineId("m-1")
 LEADER = KnownLeader("node-1", Token(3), Revision(7))
 
 
@@ -40,6 +41,9 @@
             if k.startswith(prefix)
         ], Revision(self.epoch)
 
+    async def watch(self, prefix: str, since: Revision, hold_s: float) -> wire.WatchResult | None:
+        return wire.WatchResult(revision=self.epoch, events=[])
+
     async def commit(
         self, guards: list[Any], changes: list[Any], paid: bool = False
     ) -> Committed | Failed:
@@ -85,7 +89,11 @@
                 await self.deputy.confirm(LEADER)
 
         asyncio.run(run())
-        return self.deputy.term(self.now)
+        return self.term()
+
+    def term(self) -> Token | None:
+        """For a worker without tasks."""
+        return self.deputy.renews(report(MACHINE, 1, 1, 0), MACHINE, self.now)
 
 
 def _permits(store: Store) -> Permits:
@@ -96,7 +104,7 @@
     side = _Side(Store())
     assert [side.tick(), side.tick()] == [None, 3]
     side.now = Steady(side.now + PERMIT_S)
-    assert side.deputy.term(side.now) is None
+    assert side.term() is None
     assert side.tick() == 3
     side.leader.error = None
     assert side.tick() is None
@@ -115,7 +123,7 @@
     store.keys[LEADER_KEY] = ({}, 7)
     assert side.tick() == 3
     side.election.known = KnownLeader("node-1", Token(4), Revision(9))
-    assert side.deputy.term(side.now) is None
+    assert side.term() is None
 
 
 def test_nothing_lapses_while_a_permit_stands_or_can_not_be_looked_for() -> None:
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -39,7 +39,8 @@
 from tealrill.state.client import Refused, StateClient, StateError, Unknown
 from tealrill.state.election import TTL_S, Election, Leadership
 from tealrill.state.intake import Intake
-from tealrill.state.truce import PROMISE_S, Answer, Request, Seen, Truce, unseen_s
+from tealrill.state.open_jobs import renewal_bound_s
+from tealrill.state.truce import PROMISE_S, Answer, Request, Seen, Truce
 from tealrill.types import JobId, LeaseId, MachineId, Revision, Steady, Token, Wall
 from tests.samples import SETTINGS, report, spec
 from tests.test_bindings import Worker
@@ -368,8 +369,8 @@
 
 
 def test_where_cancel_s_is_short_a_watch_in_its_ordinary_pace_is_enough() -> None:
-    assert unseen_s(_settings(8.0, 9.0).params.workers) == 6.0
-    assert unseen_s(_settings(8.0, 20.0).params.workers) == 7.0
+    assert renewal_bound_s(_settings(8.0, 9.0).params.workers) == 6.0
+    assert renewal_bound_s(_settings(8.0, 20.0).params.workers) == 7.0
 
 
 # -- jobs that end, and starts that may still arrive ----------------------------------------------
