--- /dev/null
+++ b/tests/test_open_jobs.py
@@ -0,0 +1,435 @@
+"""Workers are renewed for a lost leader only while their jobs are known to be open.
+
+Incident: while the state service flapped, the key of a lost leader stood for 45 s, and controllers
+with a permit renewed workers that ran cancelled jobs until `cancel_s` had passed.
+
+The model plays two such controllers with the real `Deputy` and `OpenJobs`, one worker with its
+lease, a start that may arrive at any time, cancellations of jobs and of graphs, restarts, and a
+state service that goes away, refuses one of them or loses answers. The leader is gone for ever and
+its key stands for ever: nothing but the renewing controllers' own knowledge bounds anything.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import random
+from collections.abc import Callable
+from typing import Any, cast
+
+import orjson
+import pytest
+from hypothesis import given
+from hypothesis import strategies as st
+
+from tealrill import settings, wire
+from tealrill.state import deputy as deputy_module
+from tealrill.state.client import Committed, Failed, Refused, StateClient, StateError, Unknown
+from tealrill.state.deputy import DEPUTY_PREFIX, Deputy
+from tealrill.state.duty import LEADER_KEY
+from tealrill.state.election import Election, KnownLeader
+from tealrill.state.open_jobs import OpenJobs, _LeftBinding, renewal_bound_s
+from tealrill.types import MachineId, Revision, Session, Steady, Token
+from tests.samples import SETTINGS, report
+
+MACHINE = MachineId("m-1")
+LEADER = KnownLeader("node-1", Token(3), Revision(1))
+WORKERS = settings.parse(orjson.dumps(SETTINGS)).params.workers
+JOBS = tuple(f"wk-{number:06d}" for number in range(4))
+GRAPH = "dag7"
+OWNED = f"{GRAPH}-1"
+LATE = "wk-000009"
+"""Its only task is bound, and its start is on its way."""
+STEP_S = 0.25
+DAY_S = 70.0
+
+
+class Store:
+    """The state service: keys with versions, and a log of changes."""
+
+    def __init__(self) -> None:
+        self.keys: dict[str, tuple[Any, int]] = {}
+        self.log: list[wire.WatchEvent] = []
+        self.revision = 0
+        self.put(LEADER_KEY, {})
+
+    def put(self, key: str, value: Any) -> None:
+        self.revision += 1
+        self.keys[key] = (value, self.revision)
+        self.log.append(wire.WatchEvent(put=key, value=value, version=self.revision))
+
+    def delete(self, key: str) -> None:
+        self.revision += 1
+        del self.keys[key]
+        self.log.append(wire.WatchEvent(delete=key, version=self.revision))
+
+    def bind(self, job: str, session: int = 1, done: bool = False) -> None:
+        entry = [2, MACHINE, session, 1, 2 * done, 100]
+        self.put(f"run/{job}/0", {"n": 8, "tasks": [entry, [2], 0, -1]})
+
+
+class Reach:
+    """The state service as one controller reaches it."""
+
+    def __init__(self, store: Store, rng: random.Random) -> None:
+        self.store, self.rng = store, rng
+        self.down = False
+        self.lost = 0.0
+        self.compacted = False
+        self.requests = 0
+
+    def _request(self) -> None:
+        self.requests += 1
+        if self.down:
+            raise Refused("status 503")
+        if self.rng.random() < self.lost:
+            raise Unknown("no answer")
+
+    async def get(self, key: str) -> wire.KeyValue | None:
+        self._request()
+        entry = self.store.keys.get(key)
+        return None if entry is None else wire.KeyValue(value=entry[0], version=entry[1])
+
+    async def scan(self, prefix: str) -> tuple[list[wire.Entry], Revision]:
+        self._request()
+        found = [
+            wire.Entry(key=key, value=value, version=version)
+            for key, (value, version) in sorted(self.store.keys.items())
+            if key.startswith(prefix)
+        ]
+        return found, Revision(self.store.revision)
+
+    async def watch(self, prefix: str, since: Revision, hold_s: float) -> wire.WatchResult | None:
+        self._request()
+        if self.compacted:
+            return None
+        events = [
+            event
+            for event in self.store.log
+            if event.version > since and (event.put or event.delete or "").startswith(prefix)
+        ]
+        return wire.WatchResult(revision=self.store.revision, events=events)
+
+    async def commit(self, guards: list[Any], changes: list[Any]) -> Committed | Failed:
+        self._request()
+        keys = self.store.keys
+        failed = [g["path"] for g in guards if keys.get(g["path"], (0, 0))[1] != g["stamp"]]
+        if failed:
+            return Failed(failed)
+        for change in changes:
+            self.store.put(change["set"], change["value"])
+        return Committed(Revision(self.store.revision))
+
+
+class World:
+    """Time goes on in small steps."""
+
+    def __init__(self, seed: int) -> None:
+        self.rng = random.Random(seed)
+        self.now = Steady(100.0)
+        self.store = Store()
+        self.store.put(f"job/{GRAPH}", {"v": 1})
+        self.store.put(f"job/{OWNED}", {"owner": GRAPH})
+        for job in (*JOBS, LATE):
+            self.store.put(f"job/{job}", {})
+        for job in (*JOBS, OWNED, LATE):
+            self.store.bind(job)
+        self.cancelled_at: dict[str, Steady] = {}
+        self.session, self.renewed_at = 1, self.now
+        self.running = {*JOBS, OWNED}
+        self.start_arrives_at = self.now + self.rng.uniform(0.0, DAY_S)
+        self.reach = [Reach(self.store, self.rng) for _ in range(2)]
+        self.deputies = [self._process(reach) for reach in self.reach]
+        self.renewals = 0
+        self.late: list[str] = []
+
+    def _process(self, reach: Reach) -> Deputy:
+        client = cast(StateClient, reach)
+        election = Election(client, "node-0", lambda: None)
+        election.known = LEADER
+        found = Deputy(settings.parse(orjson.dumps(SETTINGS)), client, election, lambda: self.now)
+        found._cut_since = self.now
+        return found
+
+    async def play(self, seconds: float = DAY_S) -> None:
+        until = self.now + seconds
+        while self.now < until:
+            self._draw()
+            for deputy in self.deputies:
+                if deputy._wanted(self.now):
+                    try:
+                        await deputy.confirm(LEADER)
+                    except StateError:
+                        continue
+            self._work()
+            self.now = Steady(self.now + STEP_S)
+
+    def _draw(self) -> None:
+        for number, reach in enumerate(self.reach):
+            if self.rng.random() < 0.12:
+                # The one or the other is away for a second again and again, or for long.
+                reach.down = not reach.down and self.rng.random() < 0.7
+            reach.lost = self.rng.choice([0.0, 0.0, 0.1])
+            reach.compacted = self.rng.random() < 0.01
+            if self.rng.random() < 0.01:
+                self.deputies[number] = self._process(reach)
+        if self.rng.random() < 0.06:
+            self.cancel(self.rng.choice([*JOBS, LATE, GRAPH]))
+
+    def cancel(self, name: str) -> None:
+        """Some controller reaches the state service, and tells the user."""
+        if name in self.cancelled_at:
+            return
+        self.cancelled_at[name] = self.now
+        if name == GRAPH:
+            self.cancelled_at[OWNED] = self.now
+        self.store.delete(f"job/{name}")
+
+    def _work(self) -> None:
+        if self.now - self.renewed_at > WORKERS.lease_s:
+            self.session += 1
+            self.renewed_at = self.now
+            self.running.clear()
+        if self.now >= self.start_arrives_at:
+            self.start_arrives_at = 1e9
+            if self.session == 1:
+                self.running.add(LATE)
+        for job in self.running:
+            if self.now > self.cancelled_at.get(job, 1e9) + WORKERS.cancel_s:
+                self.late.append(f"{job} at {self.now}, cancelled at {self.cancelled_at[job]}")
+        if self.rng.random() < STEP_S / WORKERS.report_s:
+            self.report(self.rng.choice(self.deputies))
+
+    def report(self, deputy: Deputy) -> None:
+        tasks: list[tuple[str, int, str, str | None]] = [
+            (f"{job}/0", 1, "running", None) for job in sorted(self.running)
+        ]
+        message = report(MACHINE, self.session, 1, LEADER.term, tasks)
+        if deputy.renews(message, MACHINE, self.now) is not None:
+            self.renewals += 1
+            self.renewed_at = self.now
+
+
+def play(seed: int) -> World:
+    world = World(seed)
+    asyncio.run(world.play())
+    return world
+
+
+@given(st.integers(0, 10**9))
+def test_cancelled_tasks_end_in_time_though_the_leader_is_gone_for_ever(seed: int) -> None:
+    assert not play(seed).late
+
+
+# -- clauses taken away ---------------------------------------------------------------------------
+
+
+def _reported_tasks(patch: pytest.MonkeyPatch) -> None:
+    """What a worker runs is not looked at."""
+    patch.setattr(OpenJobs, "_job_open_through", lambda self, _: self._read_through)
+
+
+def _left_bindings(patch: pytest.MonkeyPatch) -> None:
+    """A start that is still on its way is forgotten."""
+    patch.setattr(OpenJobs, "_keep_bindings", lambda *_: None)
+
+
+def _end_of_the_owner(patch: pytest.MonkeyPatch) -> None:
+    """A graph's end is not that of its jobs."""
+
+    def closed(self: OpenJobs, name: str, last_open: Steady) -> None:
+        if self._owners.pop(name, "none") != "none":
+            self._last_open[name] = last_open
+            self._bindings_unread.add(name)
+
+    patch.setattr(OpenJobs, "_closed", closed)
+
+
+def _time_of_the_reading_before(patch: pytest.MonkeyPatch) -> None:
+    """A job counts as open until its end was learnt, however long that took."""
+    whole = OpenJobs._closed
+
+    def closed(self: OpenJobs, name: str, _: Steady) -> None:
+        whole(self, name, self._now())
+
+    patch.setattr(OpenJobs, "_closed", closed)
+
+
+def _unknown_jobs(patch: pytest.MonkeyPatch) -> None:
+    """A process that has just started takes what it never saw open for just ended."""
+    whole, load = OpenJobs._job_open_through, OpenJobs._load
+
+    def open_through(self: OpenJobs, name: str) -> Steady:
+        return max(whole(self, name), Steady(self._read_through - 1.0))
+
+    async def loaded(self: OpenJobs) -> None:
+        await load(self)
+        for machine, found in self._left.items():
+            self._left[machine] = [_LeftBinding(left.session, self._now()) for left in found]
+
+    patch.setattr(OpenJobs, "_job_open_through", open_through)
+    patch.setattr(OpenJobs, "_load", loaded)
+
+
+def _age_and_reading(patch: pytest.MonkeyPatch) -> None:
+    """Neither is a permit confirmed only after a reading, nor does what was read grow old."""
+    whole = OpenJobs.refresh
+
+    async def refresh(self: OpenJobs) -> None:
+        if self._revision is None or self._now() % 20.0 < 1.0:
+            await whole(self)
+
+    patch.setattr(OpenJobs, "refresh", refresh)
+    patch.setattr(OpenJobs, "known_through", property(lambda self: self._now()))
+    patch.setattr(
+        OpenJobs,
+        "_job_open_through",
+        lambda self, name: self._now() if name in self._owners else Steady(-1e9),
+    )
+
+
+@pytest.mark.parametrize(
+    "clause",
+    [
+        _left_bindings,
+        _end_of_the_owner,
+        _time_of_the_reading_before,
+        _unknown_jobs,
+        _age_and_reading,
+    ],
+)
+def test_each_clause_is_needed(
+    clause: Callable[[pytest.MonkeyPatch], None], monkeypatch: pytest.MonkeyPatch
+) -> None:
+    clause(monkeypatch)
+    assert any(play(seed).late for seed in range(400))
+
+
+def test_what_a_worker_runs_is_found_by_its_report_and_by_its_binding(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """Either is enough for a task that runs; a start on its way is found by its binding alone."""
+
+    def late_ones() -> set[str]:
+        return {line.split()[0] for seed in range(100) for line in play(seed).late}
+
+    with monkeypatch.context() as patch:
+        _left_bindings(patch)
+        assert late_ones() == {LATE}
+        _reported_tasks(patch)
+        assert late_ones() >= {*JOBS, LATE}
+    with monkeypatch.context() as patch:
+        _reported_tasks(patch)
+        assert not late_ones()
+
+
+# -- only machines with such a task pay -----------------------------------------------------------
+
+
+def _calm(seed: int = 1) -> World:
+    world = World(seed)
+    world._draw = lambda: None  # type: ignore[method-assign]
+    world.start_arrives_at = 1e9
+    return world
+
+
+def test_a_worker_of_open_jobs_is_renewed_for_as_long_as_they_are_open() -> None:
+    world = _calm()
+    asyncio.run(world.play())
+    assert world.session == 1 and world.renewals > DAY_S / 2
+
+
+def test_a_worker_is_renewed_again_once_its_lease_has_ended_the_cancelled_task() -> None:
+    world = _calm()
+    asyncio.run(world.play(5.0))
+    world.cancel(JOBS[0])
+    asyncio.run(world.play(renewal_bound_s(WORKERS) - 2.0))
+    assert world.renewed_at > world.cancelled_at[JOBS[0]], "not before the bound is near"
+    asyncio.run(world.play(40.0))
+    assert world.session == 2 and not world.running and not world.late
+
+
+def test_what_ended_by_itself_and_exited_tasks_hold_up_nothing() -> None:
+    world = _calm()
+    world.store.delete(f"job/{JOBS[1]}")
+    world.store.bind(JOBS[1], done=True)
+    world.running.discard(JOBS[1])
+    world.store.bind(JOBS[1], session=0)
+    asyncio.run(world.play(5.0))
+    exited: list[tuple[str, int, str, str | None]] = [(f"{JOBS[1]}/0", 1, wire.EXITED, "done")]
+    message = report(MACHINE, 1, 9, LEADER.term, exited)
+    assert world.deputies[0].renews(message, MACHINE, world.now) == LEADER.term
+
+
+# -- what can't be read ---------------------------------------------------------------------------
+
+
+@pytest.mark.parametrize("value", [None, [], {"tasks": 3}, {"n": 1, "tasks": [[1, "m-1"]]}])
+def test_bindings_that_can_not_be_read_renew_nobody(value: Any) -> None:
+    world = _calm()
+    world.store.put("run/wk-000099/0", value)
+    asyncio.run(world.play(5.0))
+    assert world.renewals == 0
+    world.store.delete("run/wk-000099/0")
+    asyncio.run(world.play(5.0))
+    assert world.renewals > 0
+
+
+@pytest.mark.parametrize("value", [None, [], {"term": "three"}, {"closed": True}])
+def test_a_permit_that_can_not_be_read_renews_nobody_and_ends_no_node(value: Any) -> None:
+    world = _calm()
+    world.store.put(DEPUTY_PREFIX + "node-0", value)
+    asyncio.run(world.play(5.0))
+    assert world.renewals == 0
+    permits = deputy_module.Permits(
+        cast(StateClient, _Fenced(world)), LEADER.term, LEADER.stamp, lambda: None
+    )
+    # The leader waits for it, since it may be of its term, and closes it.
+    assert asyncio.run(permits.stand(Steady(1.0), False)) is True
+    assert asyncio.run(permits.stand(Steady(2.0), False)) is False
+
+
+class _Fenced(Reach):
+    """The state service as the leader's fence calls it."""
+
+    def __init__(self, world: World) -> None:
+        super().__init__(world.store, world.rng)
+
+    async def commit(
+        self, guards: list[Any], changes: list[Any], paid: bool = False
+    ) -> Committed | Failed:
+        return await super().commit(guards, changes)
+
+
+def test_an_absurd_report_costs_no_reading() -> None:
+    world = _calm()
+    asyncio.run(world.play(5.0))
+    before = [reach.requests for reach in world.reach]
+    strangers: list[tuple[str, int, str, str | None]] = [
+        (f"wk-{number:06d}/0", 1, "running", None) for number in range(5000, 7000)
+    ]
+    strangers.append(("no task", 1, "running", None))
+    deputy = world.deputies[0]
+    assert deputy.renews(report(MACHINE, 1, 9, 3, strangers), MACHINE, world.now) is None
+    assert deputy.renews(report(MACHINE, 1, 9, LEADER.term + 1), MACHINE, world.now) is None
+    assert [reach.requests for reach in world.reach] == before
+
+
+def test_cancelled_jobs_whose_bindings_are_not_read_yet_count_as_unknown() -> None:
+    world = _calm()
+    jobs = OpenJobs(cast(StateClient, world.reach[0]), 7.0, lambda: world.now)
+    many = [f"wk-{number:06d}" for number in range(100, 120)]
+    for job in many:
+        world.store.put(f"job/{job}", {})
+        world.store.bind(job, session=2)
+    asyncio.run(jobs.refresh())
+    opened = world.now
+    world.now = Steady(world.now + 1.0)
+    for job in many:
+        world.store.delete(f"job/{job}")
+    asyncio.run(jobs.refresh())
+    assert jobs.known_through == opened
+    asyncio.run(jobs.refresh())
+    asyncio.run(jobs.refresh())
+    assert jobs.known_through == world.now
+    machine_left = jobs._left[MACHINE]
+    assert sum(left.session == Session(2) for left in machine_left) == len(many)
