--- a/tealrill/state/budget.py
+++ b/tealrill/state/budget.py
@@ -59,8 +59,7 @@
     def available(self, rank: Rank = Rank.FIRST) -> float:
         """What one of this rank may take now."""
         self._refill()
-        kept = self.burst * self._KEPT_FOR_URGENT if rank is Rank.LATER else 0.0
-        return self._tokens - kept
+        return self._tokens - self._kept_from(rank)
 
     def spend(self, amount: float) -> None:
         """Takes tokens that `available` has shown."""
@@ -100,9 +99,14 @@
         self.spend(amount)
         return True
 
+    def _kept_from(self, rank: Rank) -> float:
+        """The part of a full bucket that this rank leaves alone."""
+        return self.burst * self._KEPT_FOR_URGENT if rank is Rank.LATER else 0.0
+
     def _need(self, amount: float, rank: Rank) -> float:
-        part = 1.0 if rank < Rank.LATER else 1 - self._KEPT_FOR_URGENT
-        return min(amount, self.burst * part)
+        # The very difference that `available` has with a full bucket: rounded otherwise it was
+        # never reached, and who needed it waited for ever, looking every 2 ms.
+        return min(amount, self.burst - self._kept_from(rank))
 
     def _serve(self) -> None:
         """Lets go all whose turn has come, and sets the timer for the next."""
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -20,6 +20,8 @@
 from tests.standins import JumpingLoop
 
 T = TypeVar("T")
+RATES = (271.2, 145.6, 278.7, 140.0, 35.0)
+"""Of the first three, 0.6 of the rate and the rate less 0.4 of it are rounded differently."""
 
 
 def _run(monkeypatch: pytest.MonkeyPatch, work: Coroutine[Any, Any, T]) -> tuple[T, JumpingLoop]:
@@ -89,6 +91,23 @@
     assert at == pytest.approx(1.0, abs=0.01)
 
 
+@pytest.mark.parametrize("rate", RATES)
+def test_one_of_the_lowest_rank_that_needs_all_it_may_take_gets_it(
+    rate: float, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """Two roundings of the same part of the bucket differed, and it waited for ever."""
+
+    async def wait() -> float:
+        found = Budget(rate)
+        await found.take(1.0)
+        await found.take(10 * rate, Rank.LATER)
+        return asyncio.get_running_loop().time()
+
+    at, loop = _run(monkeypatch, wait())
+    assert at <= 1.0 / rate + 0.01
+    assert loop.turns < 50
+
+
 @given(
     st.floats(1, 500),
     st.lists(
