--- a/tealrill/api/front.py
+++ b/tealrill/api/front.py
@@ -23,7 +23,7 @@
 
 from tealrill import wire
 from tealrill.http import send_at_once
-from tealrill.types import MachineId, Steady, parse_machine_id, steady_now
+from tealrill.types import MachineId, Monotonic, monotonic_now, parse_machine_id
 
 log = logging.getLogger(__name__)
 
@@ -110,7 +110,7 @@
     def connections(self) -> int:
         return len(self._requests)
 
-    async def close_idle(self, now: Steady) -> None:
+    async def close_idle(self, now: Monotonic) -> None:
         """tornado's own time-out would set a timer for every request."""
         for connection, request in list(self._requests.items()):
             if not request.began and now - request.since > _IDLE_S:
@@ -197,7 +197,7 @@
     def __init__(
         self, front: Front, server_conn: object, connection: httputil.HTTPConnection
     ) -> None:
-        self.since = steady_now()
+        self.since = monotonic_now()
         self.began = False
         self._front = front
         self._server_conn = server_conn
--- a/tealrill/api/peers.py
+++ b/tealrill/api/peers.py
@@ -6,32 +6,32 @@
 
 from tealrill import wire
 from tealrill.api.base import JsonHandler
-from tealrill.state.truce import Request, Truce
+from tealrill.leadership.lease_extension import ExtensionRequest, LeaseExtension
 
 
-class TruceHandler(JsonHandler):
+class LeaseExtensionHandler(JsonHandler):
     """A leader asks this node not to stand for election while the state service is down."""
 
-    def initialize(self, truce: Truce) -> None:
-        self._truce = truce
+    def initialize(self, extension: LeaseExtension) -> None:
+        self._extension = extension
 
     async def post(self) -> None:
         try:
-            request = wire.decode(self.request.body, Request)
+            request = wire.decode(self.request.body, ExtensionRequest)
         except wire.Malformed as error:
             self.reply(400, {"error": str(error)})
             return
-        self.reply(200, await self._truce.asked(request))
+        self.reply(200, await self._extension.asked(request))
 
 
 class PingHandler(JsonHandler):
     """Whether this node can be reached from another, and whether it leads."""
 
-    def initialize(self, truce: Truce) -> None:
-        self._truce = truce
+    def initialize(self, extension: LeaseExtension) -> None:
+        self._extension = extension
 
     def get(self) -> None:
-        self.reply(200, self._truce.presence())
+        self.reply(200, self._extension.presence())
 
 
 class CatalogueHandler(JsonHandler):
--- a/tealrill/api/relay.py
+++ b/tealrill/api/relay.py
@@ -18,7 +18,7 @@
 from tealrill.http import NoAnswer, peer_clients
 from tealrill.settings import Settings
 from tealrill.state.intake import Reply
-from tealrill.types import Steady, steady_now
+from tealrill.types import Monotonic, monotonic_now
 
 log = logging.getLogger(__name__)
 
@@ -48,7 +48,7 @@
         self._peers = list(peer_clients(settings, most=2).values())
         self._in_vain = 0
         """So many requests in a row, handed on, were settled by nobody."""
-        self._in_vain_at = Steady(-math.inf)
+        self._in_vain_at = Monotonic(-math.inf)
 
     async def submit(self, body: bytes) -> Reply:
         there = (wire.JOBS_PATH, "POST", body)
@@ -96,7 +96,7 @@
         if not self._peers:
             return False
         some = self._in_vain < 2 * len(self._peers)
-        return some or steady_now() - self._in_vain_at >= _AGAIN_S
+        return some or monotonic_now() - self._in_vain_at >= _AGAIN_S
 
     async def _ask(
         self, path: str, method: str, body: bytes | None, timeout_s: float
@@ -113,7 +113,7 @@
             # The next request goes to the next node.
             self._peers = [*self._peers[1:], peer]
             self._in_vain += 1
-            self._in_vain_at = steady_now()
+            self._in_vain_at = monotonic_now()
             return None
         self._in_vain = 0
         return reply
--- a/tealrill/controller.py
+++ b/tealrill/controller.py
@@ -17,7 +17,7 @@
 from tealrill.api.admin import AdminStateHandler
 from tealrill.api.base import NotFound, no_access_log
 from tealrill.api.front import Front, Server
-from tealrill.api.peers import CatalogueHandler, PingHandler, TruceHandler
+from tealrill.api.peers import CatalogueHandler, LeaseExtensionHandler, PingHandler
 from tealrill.api.relay import PEER_PREFIX, Relay, Users
 from tealrill.api.users import CancelHandler, HealthHandler, JobHandler, JobsHandler
 from tealrill.features import Features
@@ -25,17 +25,24 @@
 from tealrill.fleet.cloud import Cloud
 from tealrill.fleet.giveway import GiveWay
 from tealrill.leader import Leader
+from tealrill.leadership.election import Election
+from tealrill.leadership.lease_extension import (
+    EXTENSION_PATH,
+    PING_PATH,
+    PROMISE_S,
+    LeaseExtension,
+    Seen,
+)
+from tealrill.leadership.lease_revocation import LeaseRevocation
+from tealrill.leadership.renewal_delegation import RenewalDelegate
 from tealrill.scheduler import silence
 from tealrill.scheduler.estimates import Estimates
 from tealrill.seam import Subsystem
 from tealrill.settings import Settings, parse_address
 from tealrill.state.client import StateClient
-from tealrill.state.deputy import Deputy
-from tealrill.state.election import Election, Leadership
+from tealrill.state.fencing import Leadership
 from tealrill.state.intake import Intake
-from tealrill.state.lease_revocation import LeaseRevocation
-from tealrill.state.truce import PING_PATH, PROMISE_S, TRUCE_PATH, Seen, Truce
-from tealrill.types import JobId, MachineId, Steady, steady_now
+from tealrill.types import JobId, MachineId, Monotonic, monotonic_now
 
 log = logging.getLogger(__name__)
 
@@ -73,22 +80,24 @@
         self._catalogues = Catalogues(settings, self._cloud)
         self.intake = Intake(self._client, settings, lambda: self._catalogues.known)
         self.intake.counts = self._counts
-        self._truce = Truce(settings, self._client, self.election, self.intake.acknowledged)
-        self.election.nobody_leads = self._truce.nobody_leads
-        self.election.others_up = self._truce.others_up
-        self._deputy = Deputy(settings, self._client, self.election)
+        self._extension = LeaseExtension(
+            settings, self._client, self.election, self.intake.acknowledged
+        )
+        self.election.nobody_leads = self._extension.nobody_leads
+        self.election.others_up = self._extension.others_up
+        self._delegate = RenewalDelegate(settings, self._client, self.election)
         self._revocation = LeaseRevocation(
-            settings, self._client, self.election, lambda: self._deputy.unheard_since
+            settings, self._client, self.election, lambda: self._delegate.unheard_since
         )
-        self._truce.lost_term = lambda: self._revocation.lost_term
-        self._truce.seen = lambda: self.leader.known if self.leader is not None else Seen()
-        self._truce.vouched = self._vouched
-        self._truce.cancelled = self._cancelled_elsewhere
-        self._truce.kept_out = self._kept_out
-        self._truce.relied = self._relied
-        self._last_report: Steady | None = None
+        self._extension.lost_term = lambda: self._revocation.lost_term
+        self._extension.seen = lambda: self.leader.known if self.leader is not None else Seen()
+        self._extension.vouched = self._vouched
+        self._extension.cancelled = self._cancelled_elsewhere
+        self._extension.is_excluded = self._is_excluded
+        self._extension.prolonged = self._prolonged
+        self._last_report: Monotonic | None = None
         self._giveway = GiveWay(settings)
-        self._truce.reports = lambda: self._giveway.recent(steady_now())
+        self._extension.reports = lambda: self._giveway.recent(monotonic_now())
         self._fronts: list[Front] = []
         self.servers: list[Server] = []
         self._relay = Relay(self.intake, settings, lambda: self._client.failing)
@@ -122,8 +131,8 @@
         self._listen()
         async with asyncio.TaskGroup() as group:
             group.create_task(self.election.run())
-            group.create_task(self._truce.run())
-            group.create_task(self._deputy.run())
+            group.create_task(self._extension.run())
+            group.create_task(self._delegate.run())
             group.create_task(self._revocation.run())
             group.create_task(self._terms())
             group.create_task(self._catalogues.run())
@@ -142,8 +151,8 @@
         ]
         operators: list[Any] = [
             (r"/admin/state", AdminStateHandler, {"node": self}),
-            (TRUCE_PATH, TruceHandler, {"truce": self._truce}),
-            (PING_PATH, PingHandler, {"truce": self._truce}),
+            (EXTENSION_PATH, LeaseExtensionHandler, {"extend": self._extension}),
+            (PING_PATH, PingHandler, {"extend": self._extension}),
             (CATALOGUE_PATH, CatalogueHandler, {"known": lambda: self._catalogues.known}),
             *_user_rules(PEER_PREFIX, self.intake),
         ]
@@ -170,7 +179,7 @@
         while True:
             await asyncio.sleep(_CLOSE_IDLE_S)
             for front in self._fronts:
-                await front.close_idle(steady_now())
+                await front.close_idle(monotonic_now())
 
     async def _terms(self) -> None:
         """Runs a `Leader` for as long as the election says so."""
@@ -218,18 +227,18 @@
     def take_report(self, report: wire.Report, machine_id: MachineId) -> tuple[int, dict[str, Any]]:
         """A worker's report, answered with 200 only by a leader that is valid at this moment, and
         that knows what users were told is cancelled."""
-        now = steady_now()
+        now = monotonic_now()
         self._last_report = now
         self._giveway.took(now)
         mine = self.election.leading(now)
         if mine is None or self.leader is None or not self.leader.informed(now):
-            term = self._deputy.renews(report, machine_id, now)
+            term = self._delegate.renews(report, machine_id, now)
             if term is not None:
                 # The leader can't hear this worker, and waits for it.
                 return 200, wire.report_answer(term, [])
             known = self.election.known
             host = known.host if known is not None else None
-            if host == self._settings.host_name or self._deputy.leader_silent:
+            if host == self._settings.host_name or self._delegate.leader_silent:
                 # Sent to a leader that does not answer this node either, a worker loses 4 s of its
                 # lease there; asking the next node costs 1 s.
                 host = None
@@ -246,7 +255,7 @@
         zone; one that has machines beside it keeps at least those.
         """
         last = self._last_report
-        if last is not None and steady_now() - last > self._silent_s:
+        if last is not None and monotonic_now() - last > self._silent_s:
             return False
         catalogue = self._catalogues.known
         return catalogue is not None and any(
@@ -264,10 +273,10 @@
     async def _check_hearing(self) -> None:
         """A leader that no worker reaches any more lets somebody else lead."""
         while True:
-            due = steady_now() + _TERM_CHECK_S
+            due = monotonic_now() + _TERM_CHECK_S
             await asyncio.sleep(_TERM_CHECK_S)
             leader, mine, last = self.leader, self.election.mine, self._last_report
-            now = steady_now()
+            now = monotonic_now()
             if leader is None or mine is None or last is None or now - due > _STOOD_STILL_S:
                 # After a standstill of this node the workers' reports wait to be read.
                 continue
@@ -293,8 +302,8 @@
         if leader is None or self.election.mine is None:
             return
         leader.wind_up()
-        until = steady_now() + _HAND_OVER_S
-        while leader.under_way and steady_now() < until and self.election.mine is not None:
+        until = monotonic_now() + _HAND_OVER_S
+        while leader.under_way and monotonic_now() < until and self.election.mine is not None:
             await asyncio.sleep(_HAND_OVER_LOOK_S)
         await self.election.resign(why, _RESIGN_PAUSE_S)
 
@@ -303,16 +312,16 @@
         leader = self.leader
         return leader if leader is not None and leader.leads(mine) else None
 
-    def _kept_out(self, mine: Leadership, host: str) -> bool:
+    def _is_excluded(self, mine: Leadership, host: str) -> bool:
         leader = self._leader_in(mine)
-        return leader is not None and leader.exclusions.stands(host)
+        return leader is not None and leader.exclusions.is_excluded(host)
 
-    def _relied(self, mine: Leadership, until: Steady) -> None:
+    def _prolonged(self, mine: Leadership, until: Monotonic) -> None:
         leader = self._leader_in(mine)
         if leader is not None:
-            leader.exclusions.rely(until)
+            leader.exclusions.hold_until(until)
 
-    def _vouched(self, mine: Leadership, at: Steady) -> None:
+    def _vouched(self, mine: Leadership, at: Monotonic) -> None:
         leader = self._leader_in(mine)
         if leader is not None:
             leader.vouched(at)
@@ -338,7 +347,7 @@
             "leader": known.host if known is not None else None,
             "term": known.term if known is not None else None,
         }
-        delegated = self._deputy.describe(steady_now())
+        delegated = self._delegate.describe(monotonic_now())
         if delegated is not None:
             shown["renews"] = delegated
         leader = self.leader
@@ -434,7 +443,7 @@
         machines = leader.fleet.machines.values()
         jobs = leader.book.jobs.values()
         return Size(
-            steady_now(),
+            monotonic_now(),
             len(machines),
             sum(m.lapsed or m.id in leader.prober.hearing.verdicts for m in machines),
             sum(job.waiting > 0 for job in jobs),
--- a/tealrill/fleet/dispatch.py
+++ b/tealrill/fleet/dispatch.py
@@ -30,7 +30,7 @@
 from tealrill.scheduler.silence import Hearing, Verdict
 from tealrill.settings import Params
 from tealrill.state.book import Binding, Book, Job
-from tealrill.types import JobId, MachineId, Revision, Steady, Wall
+from tealrill.types import JobId, MachineId, Monotonic, Revision, Wall
 
 log = logging.getLogger(__name__)
 
@@ -54,6 +54,10 @@
 placement: in an overload they are the dearest part of a pass."""
 
 
+_Upcoming = Callable[[Monotonic, float], Iterable[tuple[JobView, int]]]
+"""Jobs that are about to wait, with their tasks, seen from a moment within so many seconds."""
+
+
 class Dispatcher:
     """One term's placement passes."""
 
@@ -83,8 +87,8 @@
         self._times = _deadline_times(params)
         self._prompt = {o.job_class for o in params.objectives if o.kind == "wait" and o.job_class}
         self._prompt_rank = 0
-        self._prompt_at = Steady(0.0)
-        self._rent_at = Steady(-math.inf)
+        self._prompt_at = Monotonic(0.0)
+        self._rent_at = Monotonic(-math.inf)
         self._paces: dict[str, Pace] = {}
         self._steady_pace = Pace()
         self._catalogue: wire.Catalogue | None = None
@@ -93,11 +97,11 @@
         """A wish for machines waits for a pass soon after this one."""
         self.sizes = Sizes()
         self.policy = Policy()
-        self.upcoming: Callable[[Steady, float], Iterable[tuple[JobView, int]]] = lambda _, __: ()
+        self.upcoming: _Upcoming = lambda _, __: ()
         """Tasks that will wait for machines within so many seconds."""
         self.last: Plan = Plan()
 
-    def run(self, now: Steady, wall: Wall) -> None:
+    def run(self, now: Monotonic, wall: Wall) -> None:
         """One pass."""
         self._restore(now)
         view = self.view(now, wall)
@@ -112,7 +116,7 @@
 
     # -- the view -------------------------------------------------------------------------------
 
-    def view(self, now: Steady, wall: Wall) -> View:
+    def view(self, now: Monotonic, wall: Wall) -> View:
         """What a pass looks at. Machines in which nothing changed are taken as they were."""
         for team, pace in self._paces.items():
             pace.ratio = self._estimates.ratio(team)
@@ -131,7 +135,7 @@
             self._under_way(now) + self._returning(silent, now),
         )
 
-    def _survey(self, now: Steady) -> tuple[list[MachineView], list[Machine]]:
+    def _survey(self, now: Monotonic) -> tuple[list[MachineView], list[Machine]]:
         """One look at every machine: those that placement may count on, and the silent ones.
 
         A machine that is heard and all right is told from its own fields: of hundreds hardly any is
@@ -162,14 +166,14 @@
                 views.append(found)
         return views, silent
 
-    def _expected(self, now: Steady) -> Expected | None:
+    def _expected(self, now: Monotonic) -> Expected | None:
         """The next job of a class that is to start within seconds, by the size of recent ones."""
         if now - self._prompt_at > _EXPECTED_FOR_S:
             return None
         cpus = max((self.sizes.large(name) for name in self._prompt), default=0.0)
         return Expected(self._prompt_rank, cpus) if cpus > 0 else None
 
-    def submitted(self, spec: wire.JobSpec, now: Steady) -> None:
+    def submitted(self, spec: wire.JobSpec, now: Monotonic) -> None:
         """Takes note of a new job."""
         if spec.job_class in self._prompt:
             self.sizes.submitted(spec.job_class, spec.cpus * spec.tasks)
@@ -179,7 +183,7 @@
     def _machines(self) -> list[Machine]:
         return list(self._fleet.machines.values())
 
-    def _machine(self, machine: Machine, now: Steady) -> MachineView | None:
+    def _machine(self, machine: Machine, now: Monotonic) -> MachineView | None:
         kind = self._renter.type_of(machine.type)
         if kind is None or machine.releasing or machine.draining or machine.lapsed:
             return None
@@ -188,21 +192,21 @@
         if machine.heard_at is None:
             if not _boots(machine, self._verdict(machine)):
                 return None
-            ready_at = Steady(max(machine.since + kind.boot_s, now + 1.0))
+            ready_at = Monotonic(max(machine.since + kind.boot_s, now + 1.0))
         elif machine.placeable(now, self._silence_s) and not self._gone(machine):
             ready_at = now
         else:
             return None
         return self._seen(machine, kind, ready_at)
 
-    def _seen(self, machine: Machine, kind: wire.MachineType, ready_at: Steady) -> MachineView:
+    def _seen(self, machine: Machine, kind: wire.MachineType, ready_at: Monotonic) -> MachineView:
         view = machine.view
         if view is None or view.used:
             view = machine.view = self._fresh(machine, kind)
         view.ready_at = ready_at
         return view
 
-    def _returning(self, silent: list[Machine], now: Steady) -> list[MachineView]:
+    def _returning(self, silent: list[Machine], now: Monotonic) -> list[MachineView]:
         """Silent machines that are likely to be back before a replacement would be up.
 
         Nothing is placed on them. But what they will take again is not rented a second time, and
@@ -220,7 +224,7 @@
             kind = self._renter.type_of(machine.type)
             back_s = silence.back_in_s(verdict, silent_s)
             if kind is not None and back_s is not None and back_s <= kind.boot_s:
-                found.append(self._seen(machine, kind, Steady(now + back_s)))
+                found.append(self._seen(machine, kind, Monotonic(now + back_s)))
         return found
 
     def _fresh(self, machine: Machine, kind: wire.MachineType) -> MachineView:
@@ -233,7 +237,7 @@
             kind.gpus - machine.gpus,
             kind.memory_gb - machine.memory_gb,
             kind.cpus,
-            Steady(0.0),
+            Monotonic(0.0),
             max(0.01, kind.fetch_gb_per_s),
             set(machine.images),
             self._is_dear(machine.type, machine.spot),
@@ -269,11 +273,11 @@
             return _SERVICE_RUN_S
         return self._estimates.run_s(spec.team, spec.estimate_s)
 
-    def _queue(self, now: Steady, wall: Wall) -> list[JobView]:
+    def _queue(self, now: Monotonic, wall: Wall) -> list[JobView]:
         found = ((job, self._waiting(job, now)) for job in self._book.jobs.values())
         return [self._job(job, waiting, now, wall) for job, waiting in found if waiting > 0]
 
-    def _waiting(self, job: Job, now: Steady) -> int:
+    def _waiting(self, job: Job, now: Monotonic) -> int:
         """How many of the job's tasks wait and may be placed."""
         if job.waiting <= 0:
             return 0
@@ -287,7 +291,7 @@
             return 0
         return job.waiting if tries is None or spec.is_gang else min(job.waiting, tries)
 
-    def _job(self, job: Job, waiting: int, now: Steady, wall: Wall) -> JobView:
+    def _job(self, job: Job, waiting: int, now: Monotonic, wall: Wall) -> JobView:
         spec = job.spec
         waited_s = max(0.0, wall - job.submitted)
         run_s = self._run_s(spec)
@@ -322,9 +326,9 @@
         """A job that is not in the queue, as if it had just come."""
         job = Job(JobId(spec.id), spec, Wall(0.0), Revision(0), 1, bytearray())
         job.due_s = spec.deadline_s
-        return self._job(job, waiting, Steady(0.0), Wall(0.0))
+        return self._job(job, waiting, Monotonic(0.0), Wall(0.0))
 
-    def remaining_s(self, job: Job, now: Steady) -> float:
+    def remaining_s(self, job: Job, now: Monotonic) -> float:
         """How long the job's tasks are expected to take from now on."""
         run_s = self._run_s(job.spec)
         if job.waiting > 0:
@@ -358,7 +362,7 @@
 
     # -- the plan -------------------------------------------------------------------------------
 
-    def _start(self, result: Plan, now: Steady, wall: Wall) -> None:
+    def _start(self, result: Plan, now: Monotonic, wall: Wall) -> None:
         for start in result.starts:
             job = self._book.jobs.get(start.job)
             machine = self._fleet.machines.get(start.machine)
@@ -369,7 +373,7 @@
                 note = " as backfill" if start.backfilled else ""
                 log.debug("task %s bound to %s%s", binding.task, machine.id, note)
 
-    def _stop(self, result: Plan, now: Steady) -> None:
+    def _stop(self, result: Plan, now: Monotonic) -> None:
         told: dict[Machine, None] = {}
         for stop in result.stops:
             job = self._book.jobs.get(stop.task.job)
@@ -381,7 +385,7 @@
             self._want_stopped(binding, "preemption", stop.grace_s, now, told)
         self._tell(told)
 
-    def cancel(self, job: Job, now: Steady) -> None:
+    def cancel(self, job: Job, now: Monotonic) -> None:
         """Stops every task of a cancelled job; nothing that it still does is of use."""
         told: dict[Machine, None] = {}
         for binding in list(job.bindings()):
@@ -389,7 +393,12 @@
         self._tell(told)
 
     def _want_stopped(
-        self, binding: Binding, reason: str, grace_s: float, now: Steady, told: dict[Machine, None]
+        self,
+        binding: Binding,
+        reason: str,
+        grace_s: float,
+        now: Monotonic,
+        told: dict[Machine, None],
     ) -> None:
         """Adds to `told` the machine that has to hear of it."""
         machine = self._fleet.machines.get(binding.machine)
@@ -402,7 +411,7 @@
 
     # -- the fleet ------------------------------------------------------------------------------
 
-    def _rent(self, result: Plan, view: View, now: Steady) -> None:
+    def _rent(self, result: Plan, view: View, now: Monotonic) -> None:
         offers = self._renter.offers
         self.put_off = now < self._rent_at and bool(result.unplaced)
         if not offers or now < self._rent_at:
@@ -414,7 +423,7 @@
             if not self._acquainted:
                 self.put_off = True
                 return
-        self._rent_at = Steady(now + RENT_EVERY_S)
+        self._rent_at = Monotonic(now + RENT_EVERY_S)
         available = self._available(now)
         if all(self._renter.asked_for(offer.kind) for offer in available):
             # Whatever would be wished for is not asked for before those requests are answered. (In
@@ -434,7 +443,7 @@
         for rental in wanted:
             self._renter.rent(rental, now)
 
-    def _available(self, now: Steady) -> list[Offer]:
+    def _available(self, now: Monotonic) -> list[Offer]:
         """Not refused a short while ago, and not in a zone that is cut off from here.
 
         A machine booted into a cut costs its price and takes no task. Zones are chosen by where we
@@ -445,7 +454,7 @@
 
     # -- after a fall -----------------------------------------------------------------------------
 
-    def _restore(self, now: Steady) -> None:
+    def _restore(self, now: Monotonic) -> None:
         """Asks at once for what a fall took, in parts over all cheap kinds of the same type."""
         if now < self._rent_at:
             return
@@ -463,14 +472,14 @@
             if offers and missing > 0:
                 self._ask_for(offers, math.ceil(missing / offers[0].cpus), now)
 
-    def _ask_for(self, offers: list[Offer], count: int, now: Steady) -> None:
+    def _ask_for(self, offers: list[Offer], count: int, now: Monotonic) -> None:
         """So many machines, in even parts: who has how many to give is not known beforehand."""
         for number, offer in enumerate(offers):
             part = count // len(offers) + (number < count % len(offers))
             if part > 0:
                 self._renter.rent(Rental(offer.type, offer.zone, offer.spot, part), now)
 
-    def _count_losses(self, now: Steady) -> None:
+    def _count_losses(self, now: Monotonic) -> None:
         verdicts = self.hearing().verdicts
         heard_from = now - self._silence_s
         some_lost = self._losses.some
@@ -537,7 +546,7 @@
         )
         return [(job, missing)]
 
-    def _under_way(self, now: Steady) -> list[MachineView]:
+    def _under_way(self, now: Monotonic) -> list[MachineView]:
         """Machines that were asked for and not yet granted count like those that boot."""
         found: list[MachineView] = []
         for rental in self._renter.under_way():
@@ -553,7 +562,7 @@
                 kind.gpus,
                 kind.memory_gb,
                 kind.cpus,
-                Steady(now + kind.boot_s),
+                Monotonic(now + kind.boot_s),
                 kind.fetch_gb_per_s,
                 set(),
                 self._is_dear(rental.type, rental.spot),
@@ -563,7 +572,7 @@
             found += [view] * rental.count
         return found
 
-    def _drain_noticed(self, now: Steady) -> None:
+    def _drain_noticed(self, now: Monotonic) -> None:
         """On a machine with notice, what can save and won't end in time saves at once."""
         for machine in self._fleet.machines.values():
             if machine.notice_until is None or not machine.bindings:
@@ -580,7 +589,7 @@
             if told:
                 self._command_now(machine)
 
-    def _return(self, result: Plan, view: View, now: Steady) -> None:
+    def _return(self, result: Plan, view: View, now: Monotonic) -> None:
         """Gives back machines that have nothing to do.
 
         Tasks that wait are no reason to keep an idle machine: if they fitted it, they would run.
@@ -628,17 +637,17 @@
                 spare -= size
                 self._release(machine, "idle")
 
-    def _may_be_released(self, machine: Machine, now: Steady) -> bool:
+    def _may_be_released(self, machine: Machine, now: Monotonic) -> bool:
         """Once its lease is over anyway, or at once if the cloud shows that it has taken it.
 
-        The release is the proof that its tasks are gone. Where a deputy or an unread permit keeps
-        every silent machine from lapsing, it is the only one: 109 machines' tasks once waited for
-        35 s behind a partition that did not concern them.
+        The release is the proof that its tasks are gone. Where a delegate or an unread delegation
+        keeps every silent machine from lapsing, it is the only one: 109 machines' tasks once waited
+        for 35 s behind a partition that did not concern them.
         """
         silent_s = self._fleet.unheard_s(machine, now)
         return machine.unlisted >= silence.LISTS or silent_s > self._params.workers.lease_s
 
-    def _return_unheard(self, machine: Machine, now: Steady) -> None:
+    def _return_unheard(self, machine: Machine, now: Monotonic) -> None:
         """The cloud says that it runs, its worker has not come, and its zone is heard."""
         kind = self._renter.type_of(machine.type)
         if kind is None or not machine.up or machine.zone in self.hearing().cut_zones:
--- a/tealrill/fleet/giveway.py
+++ b/tealrill/fleet/giveway.py
@@ -13,9 +13,9 @@
 from typing import Final
 
 from tealrill.http import Client, peer_clients
+from tealrill.leadership.lease_extension import ask_presence
 from tealrill.settings import Settings
-from tealrill.state.truce import ask_presence
-from tealrill.types import Steady
+from tealrill.types import Monotonic
 
 _PERIODS: Final = 2.0
 _FEWEST: Final = 2
@@ -32,17 +32,17 @@
         self._window = 0
         self._counts = [0, 0]
 
-    def took(self, now: Steady) -> None:
+    def took(self, now: Monotonic) -> None:
         """A worker's report came to this node."""
         self._turn(now)
         self._counts[1] += 1
 
-    def recent(self, now: Steady) -> int:
+    def recent(self, now: Monotonic) -> int:
         """How many reports came within the last one to two windows of two report periods."""
         self._turn(now)
         return sum(self._counts)
 
-    def _turn(self, now: Steady) -> None:
+    def _turn(self, now: Monotonic) -> None:
         window = int(now // self._window_s)
         if window != self._window:
             self._counts = [self._counts[1] if window == self._window + 1 else 0, 0]
--- a/tealrill/fleet/intents.py
+++ b/tealrill/fleet/intents.py
@@ -28,12 +28,12 @@
 from tealrill.types import (
     ABSENT,
     MachineId,
+    Monotonic,
     Revision,
-    Steady,
     Token,
     Wall,
+    monotonic_now,
     parse_machine_id,
-    steady_now,
     wall_now,
 )
 
@@ -101,7 +101,7 @@
         term: Token,
         value_kb: float,
         wall: Callable[[], Wall] = wall_now,
-        now: Callable[[], Steady] = steady_now,
+        now: Callable[[], Monotonic] = monotonic_now,
     ) -> None:
         self._join = join
         self._term = term
@@ -230,7 +230,7 @@
 
         change = wire.delete(kept.key) if value is None else wire.put(kept.key, value)
         # Nobody waits for what only tidies up.
-        ahead_at = Steady(self._now() + _AHEAD_S) if kept.recorded else None
+        ahead_at = Monotonic(self._now() + _AHEAD_S) if kept.recorded else None
         self._join(
             Joined(
                 {kept.key: kept.stamp},
--- a/tealrill/fleet/machines.py
+++ b/tealrill/fleet/machines.py
@@ -30,9 +30,9 @@
 from tealrill.types import (
     Attempt,
     MachineId,
+    Monotonic,
     Seq,
     Session,
-    Steady,
     TaskId,
     Token,
     Wall,
@@ -85,7 +85,7 @@
     type: str
     zone: str
     spot: bool
-    since: Steady
+    since: Monotonic
     """When it was rented, or as near to that as is known."""
     booted: bool = False
     """It was rented in this term, so `since` is when its boot began."""
@@ -94,14 +94,14 @@
     seq: Seq = Seq(-1)
     current: bool = False
     """Its last report carried this term's token, so nothing older than it can still arrive."""
-    begun_at: Steady | None = None
+    begun_at: Monotonic | None = None
     """When its session was first heard of, in this term; the worker's lease runs from before."""
-    answered_at: Steady | None = None
+    answered_at: Monotonic | None = None
     """Its last report that was answered: only that renews it, so one that is mute gets no work
     however well it answers. It took tasks in each new session, and lost them with its lease."""
-    heard_at: Steady | None = None
+    heard_at: Monotonic | None = None
     """The last that was heard of it, by a report or by the answer to a direct command."""
-    notice_until: Steady | None = None
+    notice_until: Monotonic | None = None
     deaf: bool = False
     """What is sent to it seems not to arrive, though its reports do."""
     lapsed: bool = False
@@ -126,10 +126,10 @@
     memory_gb: float = 0.0
     """What its bindings use."""
     images: dict[str, None] = field(default_factory=dict)
-    idle_since: Steady | None = None
-    refused_until: Steady = Steady(0.0)
+    idle_since: Monotonic | None = None
+    refused_until: Monotonic = Monotonic(0.0)
     listed: str = ""
-    listed_at: Steady | None = None
+    listed_at: Monotonic | None = None
     listed_addr: str = ""
     unlisted: int = 0
     """Of the cloud's lists, the last so many did not show it though an earlier one did."""
@@ -176,7 +176,7 @@
             and self.notice_until is None
         )
 
-    def placeable(self, now: Steady, silence_s: float) -> bool:
+    def placeable(self, now: Monotonic, silence_s: float) -> bool:
         """Whether a task may be bound to it at this moment."""
         return (
             self.in_order
@@ -201,17 +201,17 @@
         self,
         book: Book,
         term: Token,
-        elected_at: Steady,
+        elected_at: Monotonic,
         lease_s: float,
-        permit_s: float = 0.0,
+        delegation_s: float = 0.0,
         report_s: float = 0.0,
     ) -> None:
         self.machines: dict[MachineId, Machine] = {}
-        self.gone: dict[MachineId, Steady] = {}
+        self.gone: dict[MachineId, Monotonic] = {}
         """Machines whose release was confirmed; lists and late reports may still show them."""
         self.changed: Callable[[], None] = lambda: None
         self.finished: Callable[[Finished], None] = lambda _: None
-        self.came: Callable[[Machine, Steady], None] = lambda _, __: None
+        self.came: Callable[[Machine, Monotonic], None] = lambda _, __: None
         """A machine is heard for the first time in this term."""
         self.dropped: Callable[[MachineId], None] = lambda _: None
         """A machine is gone or not known any more: nothing of it is to be kept."""
@@ -227,13 +227,13 @@
         # Where reports come more rarely than a worker asks again, the next sequence number alone
         # tells that it stayed here; a deaf machine stayed deaf for ever there.
         self._hears_s = max(_HEARS_S, _REPORT_JITTER * report_s + _LEASE_MARGIN_S)
-        self._permit_s = permit_s
-        # A permit of an earlier term may have been acted on for a moment after the election.
-        self._elsewhere_until = Steady(elected_at + permit_s)
+        self._delegation_s = delegation_s
+        # A delegation of an earlier term may have been acted on for a moment after the election.
+        self._elsewhere_until = Monotonic(elected_at + delegation_s)
 
     # -- inherited records ----------------------------------------------------------------------
 
-    def inherit(self, bindings: Iterable[Binding], now: Steady) -> None:
+    def inherit(self, bindings: Iterable[Binding], now: Monotonic) -> None:
         """Bindings of earlier terms: they stand until one of the four proofs."""
         for binding in bindings:
             machine = self.machines.get(binding.machine)
@@ -254,7 +254,7 @@
     # -- reports --------------------------------------------------------------------------------
 
     def report(
-        self, report: wire.Report, machine_id: MachineId, now: Steady, wall: Wall
+        self, report: wire.Report, machine_id: MachineId, now: Monotonic, wall: Wall
     ) -> list[dict[str, Any]] | None:
         """Takes in a worker's report; the commands for its response, or None for no 200."""
         if report.token > self._term:
@@ -294,7 +294,7 @@
             and all(b.seen and b.stop is None for b in machine.bindings.values())
         )
 
-    def _must_lapse(self, machine: Machine, now: Steady) -> bool:
+    def _must_lapse(self, machine: Machine, now: Monotonic) -> bool:
         """Whether a start of a cancelled job that left directly may still arrive, long after.
 
         Nothing takes it back but a new session: a stop of an attempt that the worker does not have
@@ -308,7 +308,7 @@
                 return True
         return False
 
-    def _overdue(self, binding: Binding, now: Steady) -> bool:
+    def _overdue(self, binding: Binding, now: Monotonic) -> bool:
         """Whether a cancelled job's task should have been stopped by now."""
         stop = binding.stop
         return (
@@ -317,7 +317,7 @@
             and now - stop.since > self.stop_within_s
         )
 
-    def _listen(self, machine: Machine, report: wire.Report, now: Steady) -> None:
+    def _listen(self, machine: Machine, report: wire.Report, now: Monotonic) -> None:
         """Whether the worker hears: it sends its next report here only once it got an answer.
 
         One that hears nothing lapses though every report of it was answered, again and again, and
@@ -335,7 +335,7 @@
             machine.call_deaf(False)
             self.changed()
 
-    def unstopped(self, now: Steady) -> bool:
+    def unstopped(self, now: Monotonic) -> bool:
         """Whether a task of a cancelled job may be kept running where this leader is not heard."""
         return any(
             self._overdue(b, now)
@@ -347,7 +347,7 @@
         )
 
     def direct_report(
-        self, report: wire.Report, machine_id: MachineId, now: Steady, wall: Wall
+        self, report: wire.Report, machine_id: MachineId, now: Monotonic, wall: Wall
     ) -> None:
         """The report in the answer to a direct command; it renews nothing."""
         machine = self.machines.get(machine_id)
@@ -355,7 +355,7 @@
             return
         self._take_in(machine, report, now, wall, direct=True)
 
-    def _machine_of(self, report: wire.Report, machine_id: MachineId, now: Steady) -> Machine:
+    def _machine_of(self, report: wire.Report, machine_id: MachineId, now: Monotonic) -> Machine:
         machine = self.machines.get(machine_id)
         if machine is None:
             machine = Machine(machine_id, report.type, report.zone, report.spot, now)
@@ -372,7 +372,7 @@
         return (report.session, report.seq) <= (machine.session, machine.seq)
 
     def _take_in(
-        self, machine: Machine, report: wire.Report, now: Steady, wall: Wall, direct: bool
+        self, machine: Machine, report: wire.Report, now: Monotonic, wall: Wall, direct: bool
     ) -> bool:
         """True if the report's list counts: it carries this term's token."""
         self._identify(machine, report)
@@ -395,7 +395,7 @@
             if machine.notice_until is None:
                 log.info("machine %s has notice: %.0f s", machine.id, report.notice_s)
                 self.changed()
-            machine.notice_until = Steady(now + report.notice_s)
+            machine.notice_until = Monotonic(now + report.notice_s)
         was_current = machine.current
         machine.current = report.token == self._term
         if not machine.current:
@@ -421,7 +421,7 @@
             machine.touch()
             machine.type, machine.zone, machine.spot = type_name, zone, spot
 
-    def _new_session(self, machine: Machine, session: Session, now: Steady) -> None:
+    def _new_session(self, machine: Machine, session: Session, now: Monotonic) -> None:
         log.info("machine %s begins session %d", machine.id, session)
         for binding in list(machine.bindings.values()):
             self._release(machine, binding, now, "later session")
@@ -433,7 +433,7 @@
         self.changed()
 
     def _take_list(
-        self, machine: Machine, report: wire.Report, now: Steady, wall: Wall, direct: bool
+        self, machine: Machine, report: wire.Report, now: Monotonic, wall: Wall, direct: bool
     ) -> None:
         strangers = 0
         loose: list[tuple[TaskId, Attempt, wire.TaskReport]] = []
@@ -472,7 +472,7 @@
                 del machine.exited[key]
 
     def _progress(
-        self, machine: Machine, binding: Binding, line: wire.TaskReport, now: Steady, wall: Wall
+        self, machine: Machine, binding: Binding, line: wire.TaskReport, now: Monotonic, wall: Wall
     ) -> None:
         binding.seen = True
         binding.state = line.state
@@ -480,7 +480,7 @@
         if line.state in (wire.RUNNING, wire.SAVING) and binding.running_since is None:
             ago = max(0.0, wall - binding.bound_at) if binding.inherited else 0.0
             machine.touch()
-            binding.running_since = Steady(now - ago)
+            binding.running_since = Monotonic(now - ago)
             self._has_image(machine, job.spec.image)
         if line.state == wire.EXITED:
             self._exit(machine, binding, line, now)
@@ -491,7 +491,9 @@
         while len(machine.images) > _IMAGES_KEPT:
             del machine.images[next(iter(machine.images))]
 
-    def _exit(self, machine: Machine, binding: Binding, line: wire.TaskReport, now: Steady) -> None:
+    def _exit(
+        self, machine: Machine, binding: Binding, line: wire.TaskReport, now: Monotonic
+    ) -> None:
         job = binding.chunk.job
         if line.why == wire.WHY_DONE and not job.spec.is_service:
             self._call_faulty(self.blame.succeeded(job.id, machine.id, now))
@@ -504,13 +506,13 @@
         elif line.why in wire.REFUSALS:
             # The machine refused it: something there is not as it was thought to be.
             log.info("machine %s refused %s: %s", machine.id, binding.task, line.why)
-            machine.refused_until = Steady(now + 2.0)
+            machine.refused_until = Monotonic(now + 2.0)
         self._release(machine, binding, now, f"exited ({line.why})")
         key = (binding.task, binding.attempt)
         machine.exited[key] = Exit(binding.chunk, binding.chunk.version, binding)
         self.changed()
 
-    def _failed(self, machine: Machine, binding: Binding, now: Steady) -> None:
+    def _failed(self, machine: Machine, binding: Binding, now: Monotonic) -> None:
         """Counts an error, against the job or the machine."""
         job = binding.chunk.job
         ran_s = now - binding.running_since if binding.running_since is not None else 0.0
@@ -534,7 +536,7 @@
             machine.touch()
             self.changed()
 
-    def tries(self, job: Job, now: Steady) -> int | None:
+    def tries(self, job: Job, now: Monotonic) -> int | None:
         """How many tasks of a job that has failed may start now; None: as many as there are."""
         if not self.blame.on_trial(job.id):
             return None
@@ -544,7 +546,12 @@
         return self.blame.most(job.id, job.bound_count, longest_s, now)
 
     def _stray_exit(
-        self, machine: Machine, task: TaskId, attempt: Attempt, line: wire.TaskReport, now: Steady
+        self,
+        machine: Machine,
+        task: TaskId,
+        attempt: Attempt,
+        line: wire.TaskReport,
+        now: Monotonic,
     ) -> None:
         """An exited attempt that no binding covers. That it is done is true all the same."""
         if (task, attempt) in machine.exited:
@@ -564,7 +571,7 @@
         machine: Machine,
         binding: Binding,
         report: wire.Report,
-        now: Steady,
+        now: Monotonic,
         direct: bool,
     ) -> None:
         """A bound task that a report with this term's token does not list."""
@@ -591,7 +598,9 @@
 
     # -- commands -------------------------------------------------------------------------------
 
-    def _commands(self, machine: Machine, report: wire.Report, now: Steady) -> list[dict[str, Any]]:
+    def _commands(
+        self, machine: Machine, report: wire.Report, now: Monotonic
+    ) -> list[dict[str, Any]]:
         commands = self.stops(machine, now)
         for task, attempt, line in machine.loose:
             if line.state != wire.EXITED:
@@ -651,7 +660,7 @@
             and not binding.chunk.job.cancelled
         )
 
-    def stops(self, machine: Machine, now: Steady) -> list[dict[str, Any]]:
+    def stops(self, machine: Machine, now: Monotonic) -> list[dict[str, Any]]:
         """Stops that are wanted and, as far as is known, not yet carried out."""
         commands: list[dict[str, Any]] = []
         for binding in machine.bindings.values():
@@ -665,7 +674,7 @@
             commands.append(wire.stop(str(binding.task), binding.attempt, grace_s))
         return commands
 
-    def stop(self, binding: Binding, reason: str, grace_s: float, now: Steady) -> bool:
+    def stop(self, binding: Binding, reason: str, grace_s: float, now: Monotonic) -> bool:
         """Wants a task stopped. True if its machine has to be told, False if it never started."""
         if binding.stop is not None:
             if grace_s < binding.stop.grace_s:
@@ -684,7 +693,7 @@
     # -- bindings -------------------------------------------------------------------------------
 
     def bind(
-        self, job: Job, machine: Machine, backfilled: bool, wall: Wall, now: Steady
+        self, job: Job, machine: Machine, backfilled: bool, wall: Wall, now: Monotonic
     ) -> Binding | None:
         assert machine.session is not None
         index = self._book.take_task(job)
@@ -706,7 +715,7 @@
         machine.memory_gb += spec.memory_gb
         machine.idle_since = None
 
-    def _release(self, machine: Machine, binding: Binding, now: Steady, proof: str) -> None:
+    def _release(self, machine: Machine, binding: Binding, now: Monotonic, proof: str) -> None:
         if machine.bindings.get(binding.task) is not binding:
             return
         spec = binding.chunk.job.spec
@@ -725,12 +734,12 @@
 
     # -- silence, and the cloud's word ----------------------------------------------------------
 
-    def permit_ended(self, now: Steady) -> None:
-        """A deputy's permit was closed; it may have acted on it for a moment longer."""
-        self._elsewhere_until = Steady(max(self._elsewhere_until, now + self._permit_s))
+    def delegation_ended(self, now: Monotonic) -> None:
+        """A delegate's delegation was closed; it may have acted on it for a moment longer."""
+        self._elsewhere_until = Monotonic(max(self._elsewhere_until, now + self._delegation_s))
 
-    def silent(self, now: Steady) -> list[Machine]:
-        """Machines whose lease has certainly run out, unless a deputy renewed it."""
+    def silent(self, now: Monotonic) -> list[Machine]:
+        """Machines whose lease has certainly run out, unless a delegate renewed it."""
         return [
             machine
             for machine in self.machines.values()
@@ -739,12 +748,12 @@
             and now - self._renewed_at(machine) > self._silence_s
         ]
 
-    def _renewed_at(self, machine: Machine) -> Steady:
+    def _renewed_at(self, machine: Machine) -> Monotonic:
         own = machine.answered_at if machine.answered_at is not None else self._elected_at
         begun = machine.begun_at if machine.begun_at is not None else own
         return max(own, begun, self._elsewhere_until)
 
-    def still_coming(self, now: Steady, share: float, within_s: float) -> bool:
+    def still_coming(self, now: Monotonic, share: float, within_s: float) -> bool:
         """Whether a new leader has yet to hear from most of the machines that are up.
 
         Until `within_s` after the election, or until so large a `share` of them was heard.
@@ -754,17 +763,17 @@
         up = [m for m in self.machines.values() if m.up]
         return sum(m.heard_at is not None for m in up) < share * len(up)
 
-    def unheard_s(self, machine: Machine, now: Steady) -> float:
+    def unheard_s(self, machine: Machine, now: Monotonic) -> float:
         """For how long nothing was heard of a machine that has reported, or is said to have."""
         if machine.heard_at is not None:
             return now - machine.heard_at
         # Rented in this term and listed as running, it may have come up just now.
         return now - max(self._elected_at, machine.since)
 
-    def check_silence(self, now: Steady) -> None:
+    def check_silence(self, now: Monotonic) -> None:
         """Proof 3: a worker whose lease has certainly run out has killed all its tasks.
 
-        With deputies about, `now` must lie before it was seen that none of them has a permit.
+        With delegates about, `now` must lie before it was seen that none of them has a delegation.
         """
         for machine in self.silent(now):
             log.info(
@@ -782,7 +791,7 @@
             machine.strangers = 0
             self.changed()
 
-    def released(self, machine_id: MachineId, now: Steady) -> None:
+    def released(self, machine_id: MachineId, now: Monotonic) -> None:
         """Proof 4: the cloud has confirmed that the machine is gone."""
         self.gone[machine_id] = now
         machine = self._forget(machine_id)
@@ -792,7 +801,7 @@
             self._release(machine, binding, now, "machine released")
         self.changed()
 
-    def forget_gone(self, now: Steady) -> None:
+    def forget_gone(self, now: Monotonic) -> None:
         for machine_id in [i for i, at in self.gone.items() if now - at > _GONE_KEPT_S]:
             del self.gone[machine_id]
 
--- a/tealrill/fleet/prober.py
+++ b/tealrill/fleet/prober.py
@@ -20,7 +20,7 @@
 from tealrill.scheduler import silence
 from tealrill.scheduler.silence import Hearing, Sign, Verdict
 from tealrill.settings import Address, BadSettings, parse_address
-from tealrill.types import MachineId, Steady, steady_now
+from tealrill.types import MachineId, Monotonic, monotonic_now
 
 log = logging.getLogger(__name__)
 
@@ -44,7 +44,7 @@
         report_s: float,
         spare: Callable[[], int],
         reach: Reach = accepts,
-        now: Callable[[], Steady] = steady_now,
+        now: Callable[[], Monotonic] = monotonic_now,
         valid: Callable[[], bool] = lambda: True,
     ) -> None:
         self._fleet = fleet
@@ -53,7 +53,7 @@
         self._valid = valid
         self._reach = reach
         self._now = now
-        self._tried: dict[MachineId, Steady] = {}
+        self._tried: dict[MachineId, Monotonic] = {}
         self._under_way: dict[MachineId, asyncio.Task[None]] = {}
         self.hearing = Hearing({}, frozenset())
         self.judged: Callable[[], None] = lambda: None
@@ -75,7 +75,7 @@
             for task in self._under_way.values():
                 task.cancel()
 
-    def look(self, now: Steady) -> list[Machine]:
+    def look(self, now: Monotonic) -> list[Machine]:
         """Judges what is known by now; the machines to be tried next, the longest untried first."""
         known = [m for m in self._fleet.machines.values() if m.up and m.zone]
         missed_s = silence.live_within_s(self._report_s)
@@ -93,12 +93,12 @@
             # Inherited machines have no address until the first list or report brings it.
             if (machine.addr or machine.listed_addr)
             and machine.id not in self._under_way
-            and now - self._tried.get(machine.id, Steady(-_AGAIN_S)) >= _AGAIN_S
+            and now - self._tried.get(machine.id, Monotonic(-_AGAIN_S)) >= _AGAIN_S
         ]
-        due.sort(key=lambda m: self._tried.get(m.id, Steady(-_AGAIN_S)))
+        due.sort(key=lambda m: self._tried.get(m.id, Monotonic(-_AGAIN_S)))
         return due[: max(0, max(_FEWEST, min(_MOST, self._spare())) - len(self._under_way))]
 
-    def _judge(self, known: list[Machine], now: Steady) -> None:
+    def _judge(self, known: list[Machine], now: Monotonic) -> None:
         hearing = silence.judge((self._sign(m, now) for m in known), self._report_s)
         healed = self.hearing.cut_zones - hearing.cut_zones
         if healed:
@@ -114,7 +114,7 @@
         self.hearing = hearing
         self.judged()
 
-    def _sign(self, machine: Machine, now: Steady) -> Sign:
+    def _sign(self, machine: Machine, now: Monotonic) -> Sign:
         return Sign(
             machine.id,
             machine.zone,
@@ -136,7 +136,7 @@
 
     # -- attempts -------------------------------------------------------------------------------
 
-    def _try(self, machine: Machine, now: Steady) -> None:
+    def _try(self, machine: Machine, now: Monotonic) -> None:
         self._tried[machine.id] = now
         try:
             address = parse_address(machine.addr or machine.listed_addr)
--- a/tealrill/fleet/refusals.py
+++ b/tealrill/fleet/refusals.py
@@ -14,7 +14,7 @@
 from typing import Final
 
 from tealrill.scheduler.capacity import Kind
-from tealrill.types import Steady
+from tealrill.types import Monotonic
 
 _FIRST_S: Final = 10.0
 _PARTLY_S: Final = 5.0
@@ -23,7 +23,7 @@
 
 @dataclass(slots=True)
 class _Refusal:
-    until: Steady
+    until: Monotonic
     back_off_s: float
 
 
@@ -33,11 +33,11 @@
     def __init__(self) -> None:
         self._kinds: dict[Kind, _Refusal] = {}
 
-    def refused(self, kind: Kind, now: Steady) -> bool:
+    def refused(self, kind: Kind, now: Monotonic) -> bool:
         known = self._kinds.get(kind)
         return known is not None and now < known.until
 
-    def answered(self, kind: Kind, asked: int, given: int, now: Steady) -> None:
+    def answered(self, kind: Kind, asked: int, given: int, now: Monotonic) -> None:
         """The cloud gave `given` of `asked` machines."""
         if given >= asked:
             self._kinds.pop(kind, None)
@@ -49,7 +49,7 @@
             back_off_s = _FIRST_S
         else:
             back_off_s = min(_MOST_S, 2 * last.back_off_s)
-        self._kinds[kind] = _Refusal(Steady(now + back_off_s), back_off_s)
+        self._kinds[kind] = _Refusal(Monotonic(now + back_off_s), back_off_s)
 
     def hopeful(self, kind: Kind) -> None:
         """Machines of this kind seem to be lost: the cloud has places again if they were taken.
@@ -59,7 +59,7 @@
         """
         known = self._kinds.get(kind)
         if known is not None:
-            known.until = min(known.until, Steady(known.until - known.back_off_s + _PARTLY_S))
+            known.until = min(known.until, Monotonic(known.until - known.back_off_s + _PARTLY_S))
             known.back_off_s = min(known.back_off_s, _PARTLY_S)
 
     def freed(self, kind: Kind) -> None:
--- a/tealrill/fleet/rental.py
+++ b/tealrill/fleet/rental.py
@@ -23,8 +23,8 @@
 from tealrill.fleet.refusals import Refusals
 from tealrill.scheduler.boots import Boots
 from tealrill.scheduler.capacity import Kind, Offer, Rental
-from tealrill.state.duty import Duty, Replaced
-from tealrill.types import MachineId, Steady, Token, Wall, parse_machine_id, steady_now
+from tealrill.state.fencing import Duty, Replaced
+from tealrill.types import MachineId, Monotonic, Token, Wall, monotonic_now, parse_machine_id
 
 log = logging.getLogger(__name__)
 
@@ -42,7 +42,7 @@
 
     name: str
     rental: Rental
-    since: Steady
+    since: Monotonic
 
 
 class Renter:
@@ -83,7 +83,7 @@
 
     # -- what may be rented ---------------------------------------------------------------------
 
-    def available(self, now: Steady) -> list[Offer]:
+    def available(self, now: Monotonic) -> list[Offer]:
         """What was not refused a short while ago."""
         return [offer for offer in self.offers if not self.refusals.refused(offer.kind, now)]
 
@@ -122,7 +122,7 @@
 
     # -- renting --------------------------------------------------------------------------------
 
-    def rent(self, rental: Rental, now: Steady) -> None:
+    def rent(self, rental: Rental, now: Monotonic) -> None:
         """Asks for machines, in the fewest requests; no more of a kind until all are answered.
 
         While jobs arrive every moment brings another wish; asked for one by one, they would use
@@ -171,8 +171,8 @@
 
         With 3 calls a second, 40 requests in vain went before the releases of 220 dead machines.
         """
-        until = steady_now() + _RELEASES_FIRST_S
-        while steady_now() < until and any(m.releasing for m in self._fleet.machines.values()):
+        until = monotonic_now() + _RELEASES_FIRST_S
+        while monotonic_now() < until and any(m.releasing for m in self._fleet.machines.values()):
             await asyncio.sleep(0.1)
 
     async def _rent(self, request: Request) -> int:
@@ -205,7 +205,7 @@
                 log.debug("rental %s: %s", request.name, error)
                 await asyncio.sleep(_RETRY_S)
         del self.requests[request.name]
-        now = steady_now()
+        now = monotonic_now()
         names = self._usable(names, rental.count)
         if names:
             self.intents.granted(request.name, names)
@@ -255,12 +255,12 @@
             log.warning("a rental of %d brought %d names, %d good", asked, len(names), len(found))
         return found
 
-    def came(self, machine: Machine, now: Steady) -> None:
+    def came(self, machine: Machine, now: Monotonic) -> None:
         """A machine reports for the first time in this term."""
         if machine.booted:
             self.boots.came((machine.type, machine.zone), now - machine.since, now)
 
-    def _rented(self, name: str, rental: Rental, since: Steady, booted: bool = False) -> None:
+    def _rented(self, name: str, rental: Rental, since: Monotonic, booted: bool = False) -> None:
         machine_id = parse_machine_id(name)
         if machine_id is None or machine_id in self._fleet.gone:
             return
@@ -276,7 +276,7 @@
 
     # -- what former terms left open ------------------------------------------------------------
 
-    def inherit(self, entries: Sequence[wire.Entry], now: Steady, wall: Wall) -> None:
+    def inherit(self, entries: Sequence[wire.Entry], now: Monotonic, wall: Wall) -> None:
         """Takes over what was recorded and is not over, before anything is placed.
 
         Machines under a recorded return are no room from here on: a request for them may be on its
@@ -285,7 +285,7 @@
         for name in self.intents.read(entries):
             record = self.intents.rents[name]
             rental = Rental(record.type, record.zone, record.spot, record.count)
-            since = Steady(now - max(0.0, wall - record.at))
+            since = Monotonic(now - max(0.0, wall - record.at))
             if record.names is not None:
                 for machine in record.names:
                     self._rented(machine, rental, since)
@@ -343,7 +343,7 @@
                 self.intents.gone(key)
             for machine_id in names:
                 self._freed(self._fleet.machines.get(machine_id))
-                self._fleet.released(machine_id, steady_now())
+                self._fleet.released(machine_id, monotonic_now())
 
     def _next_release(self) -> tuple[list[str], list[MachineId]]:
         """As many whole records as one request takes, the oldest first."""
@@ -379,16 +379,16 @@
     # -- the list and the catalogue -------------------------------------------------------------
 
     async def run_lists(self) -> None:
-        fetched: Steady | None = None
+        fetched: Monotonic | None = None
         while True:
             try:
                 # What the node knew before its term will do for placing; machines come first then.
                 if self.catalogue is not None:
-                    self._take_list(await self._cloud.machines(), steady_now())
-                if fetched is None or steady_now() - fetched > _CATALOGUE_EVERY_S:
+                    self._take_list(await self._cloud.machines(), monotonic_now())
+                if fetched is None or monotonic_now() - fetched > _CATALOGUE_EVERY_S:
                     known = self.catalogue is not None
                     self.take_catalogue(await self._cloud.catalogue())
-                    fetched = steady_now()
+                    fetched = monotonic_now()
                     self.changed()
                     if not known:
                         continue
@@ -398,7 +398,7 @@
                 continue
             await asyncio.sleep(_LIST_EVERY_S)
 
-    def _take_list(self, listed: list[wire.ListedMachine], now: Steady) -> None:
+    def _take_list(self, listed: list[wire.ListedMachine], now: Monotonic) -> None:
         present: set[MachineId] = set()
         for line in listed:
             machine_id = parse_machine_id(line.id)
@@ -427,23 +427,23 @@
         machine = self._fleet.machines.get(machine_id) if machine_id is not None else None
         return machine is not None and machine.listed_at is None and machine.heard_at is None
 
-    def _relisted(self, machine_id: MachineId, now: Steady) -> None:
+    def _relisted(self, machine_id: MachineId, now: Monotonic) -> None:
         """The list lags, so a released machine may stand on it for a while."""
         if now - self._fleet.gone[machine_id] > 4 * self._lag_s + 10:
             log.info("machine %s is still listed long after its release", machine_id)
             del self._fleet.gone[machine_id]
 
-    def _take_line(self, machine_id: MachineId, line: wire.ListedMachine, now: Steady) -> None:
+    def _take_line(self, machine_id: MachineId, line: wire.ListedMachine, now: Monotonic) -> None:
         machine = self._fleet.machines.get(machine_id)
         if machine is None:
             # Rented by an earlier leader, or by a request that took effect late.
             log.info("machine %s is listed, not known before", machine_id)
-            since = Steady(now - line.age_s)
+            since = Monotonic(now - line.age_s)
             machine = Machine(machine_id, line.type, line.zone, line.spot, since)
             self._fleet.machines[machine_id] = machine
             self.changed()
         elif machine.listed_at is None:
-            machine.since = Steady(min(machine.since, now - line.age_s))
+            machine.since = Monotonic(min(machine.since, now - line.age_s))
         if not machine.type:
             self._fleet.locate(machine, line.type, line.zone, line.spot)
         machine.listed, machine.listed_at = line.state, now
@@ -456,7 +456,7 @@
         if line.state == wire.MACHINE_BOOTING and machine.heard_at is None:
             self._still_starting(machine, now)
 
-    def _still_starting(self, machine: Machine, now: Steady) -> None:
+    def _still_starting(self, machine: Machine, now: Monotonic) -> None:
         """Some machines never come up, and are charged until they are returned.
 
         Only what the list calls starting is one of them. A new leader has not heard machines that
@@ -473,7 +473,7 @@
             log.info("machine %s did not come up in %.0f s", machine.id, waited_s)
             machine.releasing = True
 
-    def _not_listed(self, machine: Machine, now: Steady) -> None:
+    def _not_listed(self, machine: Machine, now: Monotonic) -> None:
         """Absence proves nothing about tasks: a machine is dropped only when nothing is bound."""
         if machine.bindings or machine.releasing:
             return
--- a/tealrill/graphs/subsystem.py
+++ b/tealrill/graphs/subsystem.py
@@ -9,12 +9,12 @@
 from tealrill.graphs.intake import GraphIntake
 from tealrill.graphs.term import GraphTerm
 from tealrill.http import NoAnswer, peer_clients
+from tealrill.leadership.election import Election
 from tealrill.seam import Subsystem, Term, TermPart
 from tealrill.settings import Settings
 from tealrill.state.client import StateClient
-from tealrill.state.election import Election
 from tealrill.state.intake import Intake
-from tealrill.types import steady_now
+from tealrill.types import monotonic_now
 
 _ASK_S = 0.5
 
@@ -28,7 +28,7 @@
         self.term: GraphTerm | None = None
 
     def here(self, graph: str) -> dict[str, int] | None:
-        if self.term is None or self._election.leading(steady_now()) is None:
+        if self.term is None or self._election.leading(monotonic_now()) is None:
             return None
         return self.term.counts(graph)
 
--- a/tealrill/graphs/term.py
+++ b/tealrill/graphs/term.py
@@ -48,7 +48,7 @@
 )
 from tealrill.state.client import StateError
 from tealrill.state.keeper import Joined
-from tealrill.types import ABSENT, JobId, Revision, Steady, parse_job_id, steady_now, wall_now
+from tealrill.types import ABSENT, JobId, Monotonic, Revision, monotonic_now, parse_job_id, wall_now
 
 log = logging.getLogger(__name__)
 
@@ -271,7 +271,7 @@
             self._term.book.give_up(job, OUTCOME_SKIPPED)
         live.jobs[index] = job
         if progress.is_followed(index):
-            done = self._term.book.follow(job, steady_now())
+            done = self._term.book.follow(job, monotonic_now())
             self._opened(live, progress.tasks_done(index, done))
         if job.opened is not None:
             self._open(live, index, job)
@@ -585,7 +585,7 @@
 
     # -- what others ask ------------------------------------------------------------------------
 
-    def upcoming(self, now: Steady, within_s: float) -> Iterator[tuple[JobView, int]]:
+    def upcoming(self, now: Monotonic, within_s: float) -> Iterator[tuple[JobView, int]]:
         """Nodes that wait for released ones only, all of which end within `within_s`.
 
         Nodes that need the same are one wish: looked at one by one, the nodes behind a wide layer
@@ -600,7 +600,7 @@
                     found[view] = found.get(view, 0) + live.progress.shape.tasks[index]
             yield from found.items()
 
-    def _awaited_s(self, live: Live, index: int, left_s: dict[int, float], now: Steady) -> float:
+    def _awaited_s(self, live: Live, index: int, left_s: dict[int, float], now: Monotonic) -> float:
         """Until all that a node waits for is expected to have ended; `left_s` remembers."""
         longest = 0.0
         for up, _ in live.progress.shape.awaited(index):
--- a/tealrill/lab/world.py
+++ b/tealrill/lab/world.py
@@ -31,9 +31,9 @@
     Worker,
     job_of,
 )
+from tealrill.leadership.lease_extension import EXTENSION_PATH, PING_PATH, ExtensionRequest
 from tealrill.settings import Address, Settings
 from tealrill.state.intake import Reply as UserReply
-from tealrill.state.truce import PING_PATH, TRUCE_PATH, Request
 from tealrill.types import JobId, MachineId
 
 _PROCESS: contextvars.ContextVar[Process] = contextvars.ContextVar("process")
@@ -379,11 +379,11 @@
         node = host.node
         if node is None:
             raise NoReply
-        if path == TRUCE_PATH:
-            found = await node._truce.asked(wire.decode(body or b"", Request))
+        if path == EXTENSION_PATH:
+            found = await node._extension.asked(wire.decode(body or b"", ExtensionRequest))
             return 200, orjson.loads(wire.encode(found))
         if path == PING_PATH:
-            return 200, orjson.loads(wire.encode(node._truce.presence()))
+            return 200, orjson.loads(wire.encode(node._extension.presence()))
         if path == CATALOGUE_PATH:
             known = node._catalogues.known
             return (503, {}) if known is None else (200, orjson.loads(wire.encode(known)))
--- a/tealrill/leader.py
+++ b/tealrill/leader.py
@@ -20,6 +20,11 @@
 from tealrill.fleet.prober import Prober
 from tealrill.fleet.rental import Renter
 from tealrill.http import NoAnswer
+from tealrill.leadership.election import Election
+from tealrill.leadership.exclusion import Exclusions
+from tealrill.leadership.lease_extension import Seen
+from tealrill.leadership.open_jobs import renewal_bound_s
+from tealrill.leadership.renewal_delegation import DELEGATION_S, Delegations
 from tealrill.scheduler.estimates import Estimates
 from tealrill.scheduler.model import JobView
 from tealrill.seam import Term, TermPart
@@ -38,21 +43,16 @@
     over_key,
 )
 from tealrill.state.client import StateClient, StateError
-from tealrill.state.deputy import PERMIT_S, Permits
-from tealrill.state.duty import Duty
-from tealrill.state.election import Election, Leadership
-from tealrill.state.exclusion import Exclusions
+from tealrill.state.fencing import Duty, Leadership
 from tealrill.state.keeper import Deposed, Keeper
-from tealrill.state.open_jobs import renewal_bound_s
-from tealrill.state.truce import Seen
 from tealrill.types import (
     JobId,
     MachineId,
+    Monotonic,
     Revision,
-    Steady,
     Wall,
+    monotonic_now,
     parse_job_id,
-    steady_now,
     wall_now,
 )
 
@@ -118,12 +118,12 @@
         self.book = Book(params.state.value_kb)
         workers = params.workers
         self.fleet = Fleet(
-            self.book, mine.term, mine.elected_at, workers.lease_s, PERMIT_S, workers.report_s
+            self.book, mine.term, mine.elected_at, workers.lease_s, DELEGATION_S, workers.report_s
         )
         spare_s = workers.cancel_s - workers.lease_s
         self.fleet.stop_within_s = max(_STOP_S, spare_s / 2)
-        self._permits = Permits(
-            client, mine.term, mine.stamp, lambda: self.fleet.permit_ended(steady_now())
+        self._delegations = Delegations(
+            client, mine.term, mine.stamp, lambda: self.fleet.delegation_ended(monotonic_now())
         )
         self.fleet.changed = self.wake
         self.fleet.finished = self._finished
@@ -149,7 +149,7 @@
         )
         self.seen = Seen()
         """How far changes of jobs are known by the watch."""
-        self._vouched_at = Steady(-math.inf)
+        self._vouched_at = Monotonic(-math.inf)
         """What was acknowledged before this moment the other members have told."""
         self._unseen_s = renewal_bound_s(params.workers)
         term = Term(
@@ -244,7 +244,7 @@
 
     def duties(self) -> dict[str, Any]:
         """The duties that this node holds, for operators."""
-        now = steady_now()
+        now = monotonic_now()
         intents = self.intents
         return {
             duty.name: duty.describe(now, count)
@@ -254,7 +254,7 @@
             )
         }
 
-    def vouched(self, at: Steady) -> None:
+    def vouched(self, at: Monotonic) -> None:
         """All others have told what they had acknowledged before `at`; its own this node knows."""
         self._vouched_at = max(self._vouched_at, at)
 
@@ -264,10 +264,10 @@
         return Seen(self.seen.revision, self._known_at)
 
     @property
-    def _known_at(self) -> Steady:
+    def _known_at(self) -> Monotonic:
         return max(self.seen.at, self._vouched_at)
 
-    def informed(self, now: Steady) -> bool:
+    def informed(self, now: Monotonic) -> bool:
         """Whether workers may be renewed: what this leader does not know of is recent enough.
 
         Not before the records are read. Leaders that ended one after the other while they read
@@ -285,14 +285,14 @@
         return self._mine is mine
 
     def _valid(self) -> bool:
-        return self._election.leading(steady_now()) is self._mine
+        return self._election.leading(monotonic_now()) is self._mine
 
     # -- records --------------------------------------------------------------------------------
 
     async def _load(self) -> Seen:
         """Reads all jobs and bindings; returns the revision from which to watch the jobs."""
         while True:
-            began = steady_now()
+            began = monotonic_now()
             try:
                 jobs, revision = await self._client.scan(JOB_PREFIX)
                 chunks, _ = await self._client.scan(RUN_PREFIX)
@@ -309,7 +309,7 @@
                 log.info("reading the records: %s", error)
                 await asyncio.sleep(_RETRY_S)
                 self.book.clear()
-        now = steady_now()
+        now = monotonic_now()
         self.fleet.inherit(bindings, now)
         self.renter.inherit(asked, now, wall_now())
         for job in list(self.book.jobs.values()):
@@ -334,7 +334,7 @@
             log.error("record of job %s: %s", job_id, error)
             self._unread.add(job_id)
             return None
-        self.dispatcher.submitted(record.spec, steady_now())
+        self.dispatcher.submitted(record.spec, monotonic_now())
         job = self.book.add(record.spec, Wall(record.at), stamp)
         if record.owner is not None:
             self._give_to_owner(job, value)
@@ -357,7 +357,7 @@
 
     def _stop(self, job: Job) -> None:
         self.book.cancel(job)
-        self.dispatcher.cancel(job, steady_now())
+        self.dispatcher.cancel(job, monotonic_now())
         self.wake()
 
     def _over(self, job: Job) -> None:
@@ -365,7 +365,7 @@
         for part in self.parts:
             part.over(job)
 
-    def _upcoming(self, now: Steady, within_s: float) -> list[tuple[JobView, int]]:
+    def _upcoming(self, now: Monotonic, within_s: float) -> list[tuple[JobView, int]]:
         return [found for part in self.parts for found in part.upcoming(now, within_s)]
 
     def _tasks_done(self, job: Job, tasks: list[int]) -> None:
@@ -423,7 +423,7 @@
         while True:
             self.seen = seen
             # What a watch answers is as of its answer, and so no older than its sending.
-            sent = steady_now()
+            sent = monotonic_now()
             try:
                 result = await self._client.watch(JOB_PREFIX, seen.revision, hold_s)
                 if result is None:
@@ -483,7 +483,7 @@
             # it fails and finds out. That may take as long as an outage, and of a job that ends
             # without being done tasks may run: they are stopped at its end in any case.
             if job.outcome != OUTCOME_DONE:
-                self.dispatcher.cancel(job, steady_now())
+                self.dispatcher.cancel(job, monotonic_now())
             return
         log.info("job %s was cancelled; %d of its tasks are bound", job.id, job.bound_count)
         job.outcome = OUTCOME_CANCELLED
@@ -511,7 +511,7 @@
         else:
             log.info("job %s is over: %s", job.id, job.outcome)
         if job.cancelled:
-            self.dispatcher.cancel(job, steady_now())
+            self.dispatcher.cancel(job, monotonic_now())
         self._over(job)
 
     def _finished(self, finished: Finished) -> None:
@@ -523,11 +523,11 @@
     async def _passes(self) -> None:
         while True:
             self._wake.clear()
-            began = steady_now()
+            began = monotonic_now()
             if self._valid() and not self._winding_up:
                 self.dispatcher.run(began, wall_now())
                 self.keeper.wake()
-            gap_s = pass_gap_s(steady_now() - began)
+            gap_s = pass_gap_s(monotonic_now() - began)
             await asyncio.sleep(gap_s)
             pause_s = RENT_EVERY_S if self.dispatcher.put_off else _PASS_EVERY_S
             with contextlib.suppress(TimeoutError):
@@ -540,27 +540,28 @@
             try:
                 await self._check_silence()
             except StateError as error:
-                log.debug("looking for deputies: %s", error)
+                log.debug("looking for delegates: %s", error)
 
     async def _check_silence(self) -> None:
         """Machines lapse only once it is seen that no other node could have renewed them."""
-        now = steady_now()
+        now = monotonic_now()
         silent = self.fleet.silent(now)
-        # What its user was told is cancelled must not be kept running by a deputy, nor what this
-        # leader may not know of. Once its machine would have lapsed without deputies is too late:
-        # the permit's end and the worker's lease come after it, and left a second of `cancel_s`.
+        # What its user was told is cancelled must not be kept running by a delegate, nor what this
+        # leader may not know of. Once its machine would have lapsed without delegates is too late:
+        # the delegation's end and the worker's lease come after it, and left a second of
+        # `cancel_s`.
         unstopped = self.fleet.unstopped(now) or not self.informed(now)
         if not silent and not unstopped:
-            await self._permits.clear()
+            await self._delegations.clear()
             return
         unstopped |= any(b.chunk.job.cancelled for m in silent for b in m.bindings.values())
-        if not await self._permits.stand(now, close=unstopped):
+        if not await self._delegations.stand(now, revoke=unstopped):
             self.fleet.check_silence(now)
 
     # -- workers --------------------------------------------------------------------------------
 
     def report(
-        self, report: wire.Report, machine_id: MachineId, now: Steady
+        self, report: wire.Report, machine_id: MachineId, now: Monotonic
     ) -> list[dict[str, object]] | None:
         """Commands for the response; None if the worker is to go elsewhere."""
         try:
@@ -587,7 +588,7 @@
             await self._send_all(machine)
 
     async def _send_all(self, machine: Machine) -> None:
-        stops = self.fleet.stops(machine, steady_now())
+        stops = self.fleet.stops(machine, monotonic_now())
         while self._valid() and machine.session is not None:
             starts = self.fleet.direct_starts(machine)
             commands = stops + [wire.start(str(b.task), b.attempt) for b in starts]
@@ -602,7 +603,7 @@
 
     async def _send_directly(self, machine: Machine, body: bytes, starts: list[Binding]) -> bool:
         """True if the commands were executed. Without an answer the starts stay unaccounted for."""
-        began = steady_now()
+        began = monotonic_now()
         try:
             answer = await self._lines.request(
                 machine.id, machine.addr, wire.COMMANDS_PATH, body, _DIRECT_TIMEOUT_S
@@ -610,7 +611,7 @@
             report = wire.decode(answer.body, wire.Report) if answer.status in (200, 409) else None
         except (NoAnswer, BadSettings, wire.Malformed) as error:
             log.info("commands for %s: %s", machine.id, error)
-            late = steady_now() - began > _DIRECT_TIMEOUT_S + _LATE_S
+            late = monotonic_now() - began > _DIRECT_TIMEOUT_S + _LATE_S
             if isinstance(error, NoAnswer) and error.silent and not late:
                 # Two reports in a row show that it hears. Where this node itself was late the
                 # answer may be waiting unread.
@@ -625,7 +626,7 @@
             return False
         # The report goes first: with its sequence number known, an older report that does not
         # list the task yet can't be taken for proof that it is gone.
-        self.fleet.direct_report(report, machine.id, steady_now(), wall_now())
+        self.fleet.direct_report(report, machine.id, monotonic_now(), wall_now())
         if answer.status == 200:
             self.fleet.direct_executed(starts)
         return answer.status == 200
--- a/tealrill/state/election.py
+++ b/tealrill/leadership/election.py
@@ -11,7 +11,6 @@
 import asyncio
 import contextlib
 import logging
-import math
 import random
 import secrets
 from collections.abc import Awaitable, Callable
@@ -28,27 +27,26 @@
     StateError,
     Unknown,
 )
-from tealrill.state.duty import LEADER_KEY
+from tealrill.state.fencing import LEADER_KEY, Leadership
 from tealrill.types import (
     ABSENT,
-    LeaseId,
+    Monotonic,
     Revision,
-    Steady,
     Token,
     Wall,
-    steady_now,
-    surely_until,
+    lower_bound_deadline,
+    monotonic_now,
     wall_now,
 )
 
 log = logging.getLogger(__name__)
 
 TERM_KEY: Final = "term"
-OUT_PREFIX: Final = "out/"
-"""Members that may not stand, because they were silent (`state/exclusion.py`)."""
-SOLE_S: Final = 15.0
+EXCLUSION_PREFIX: Final = "out/"
+"""Members that may not stand, because they were silent (`leadership/exclusion.py`)."""
+READMISSION_S: Final = 15.0
 """For so long a member that was kept out sees that nobody leads before it lets itself in."""
-_SOLE_DRIFT: Final = 1.001
+_READMISSION_DRIFT: Final = 1.001
 TTL_S: Final = 3.0
 _MARGIN_S: Final = 0.2
 _RENEW_S: Final = TTL_S / 4
@@ -60,26 +58,8 @@
 _YIELD_S: Final = 2.0
 
 
-@dataclass(slots=True)
-class Leadership:
-    """One term of this node."""
-
-    term: Token
-    stamp: Revision
-    lease: LeaseId
-    elected_at: Steady
-    valid_until: Steady
-    troubled: bool = False
-    """Its last renewal failed."""
-    renewed_at: Steady = Steady(-math.inf)
-    """When its last successful renewal was sent: the lease stood for `TTL_S` from then."""
-
-    def valid(self, now: Steady) -> bool:
-        return now < self.valid_until
-
-
-def out_key(host: str) -> str:
-    return OUT_PREFIX + host
+def exclusion_key(host: str) -> str:
+    return EXCLUSION_PREFIX + host
 
 
 @dataclass(frozen=True, slots=True)
@@ -102,8 +82,8 @@
     return again + 1 if abs(now - elected) <= _SOON_S else 0
 
 
-def _validity(sent: Steady) -> Steady:
-    return surely_until(sent, TTL_S, _MARGIN_S)
+def _validity(sent: Monotonic) -> Monotonic:
+    return lower_bound_deadline(sent, TTL_S, _MARGIN_S)
 
 
 class Election:
@@ -118,9 +98,9 @@
     ) -> None:
         self._client = client
         self._host = host
-        self._promised_until = steady_now()
-        # A promise of this host's former process (`state.truce`) is not known to this one.
-        self._restarted_until = Steady(steady_now() + promised_s)
+        self._promised_until = monotonic_now()
+        # This process does not know what its former one promised (`lease_extension.py`).
+        self._restarted_until = Monotonic(monotonic_now() + promised_s)
         self.nobody_leads: Callable[[], Awaitable[bool]] = _not_known
         """Whether every other member has just said that it does not lead."""
         self.others_up: Callable[[], Awaitable[bool]] = _not_known
@@ -132,8 +112,8 @@
         at any later time."""
         self._incarnation = secrets.token_hex(8)
         self._changed = changed
-        self._not_before = Steady(0.0)
-        self._alone: tuple[Revision, Steady] | None = None
+        self._not_before = Monotonic(0.0)
+        self._alone: tuple[Revision, Monotonic] | None = None
         """While this host may not stand: that nobody led was seen in this version of the term's
         key, and when first."""
         self.mine: Leadership | None = None
@@ -141,17 +121,17 @@
         self.well_placed: Callable[[], bool] = lambda: True
         """Whether workers reach this node well; one that they don't reach lets others go first."""
 
-    def leading(self, now: Steady) -> Leadership | None:
+    def leading(self, now: Monotonic) -> Leadership | None:
         """The current term if this node may act on it at this very moment."""
         mine = self.mine
         return mine if mine is not None and mine.valid(now) else None
 
     @property
-    def promised_until(self) -> Steady:
+    def promised_until(self) -> Monotonic:
         """Until when this node may be bound by promises, its former process's included."""
         return max(self._promised_until, self._restarted_until)
 
-    def promise(self, term: Token, until: Steady) -> str:
+    def promise(self, term: Token, until: Monotonic) -> str:
         """Not to stand before `until`; or why that can't be promised."""
         if self.mine is not None and term > self.mine.term:
             # Whoever asks was elected later, so the key of this node's term has gone. While the
@@ -167,7 +147,7 @@
         if self._standing is not None and self._standing > term:
             # Its transaction may be executed late, after the leader's key has gone.
             return f"stands for term {self._standing}"
-        self._promised_until = Steady(max(self._promised_until, until))
+        self._promised_until = Monotonic(max(self._promised_until, until))
         return ""
 
     async def run(self) -> None:
@@ -193,14 +173,14 @@
     async def resign(self, why: str, pause_s: float) -> None:
         """Hands leadership to somebody better placed."""
         mine = self.mine
-        self._not_before = Steady(steady_now() + pause_s)
+        self._not_before = Monotonic(monotonic_now() + pause_s)
         self.step_down(why)
         if mine is not None:
             with contextlib.suppress(StateError):
                 await self._client.end_lease(mine.lease)
 
     async def _hold(self, mine: Leadership) -> None:
-        sent = steady_now()
+        sent = monotonic_now()
         try:
             alive = await self._client.extend_lease(mine.lease, timeout_s=0.6)
         except StateError as error:
@@ -213,7 +193,7 @@
         if not alive:
             self.step_down("its lease ended")
             return
-        was_valid = mine.valid(steady_now())
+        was_valid = mine.valid(monotonic_now())
         # A lease that answers has never ended, so the key attached to it has stood all the time
         # and nobody else can have led: a term that went silent in an outage may go on.
         mine.valid_until = max(mine.valid_until, _validity(sent))
@@ -241,7 +221,7 @@
                 # It ends again and again, perhaps by leading. At once back each time, it would keep
                 # the lease from all others: one that ended every second was elected 12 times.
                 log.info("this host has led %d times in a row: others go first", again)
-                self._not_before = Steady(steady_now() + _YIELD_S)
+                self._not_before = Monotonic(monotonic_now() + _YIELD_S)
                 await self._withdraw(entry)
             else:
                 await self._stand(Revision(entry.version), again)
@@ -259,7 +239,7 @@
         )
 
     async def _stand(self, stamp: Revision, again: int = 0) -> None:
-        pause = self._not_before - steady_now()
+        pause = self._not_before - monotonic_now()
         if stamp == ABSENT:
             pause = max(pause, 0.0 if self.well_placed() else _OTHERS_FIRST_S) + random.uniform(
                 0, 0.05
@@ -269,7 +249,7 @@
             if pause > 1.0:
                 return
         last = await self._client.get(TERM_KEY)
-        sent = steady_now()
+        sent = monotonic_now()
         lease = await self._client.create_lease(TTL_S)
         term = Token((last.value if last is not None else 0) + 1)
         value = {
@@ -283,7 +263,7 @@
         guards = [
             wire.guard(LEADER_KEY, stamp),
             wire.guard(TERM_KEY, last.version if last is not None else ABSENT),
-            wire.guard(out_key(self._host), ABSENT),
+            wire.guard(exclusion_key(self._host), ABSENT),
         ]
         changes = [wire.put(LEADER_KEY, value, lease), wire.put(TERM_KEY, term)]
         # A key that this host's former process left is no other leader's, and a service without a
@@ -291,7 +271,7 @@
         bound = stamp == ABSENT and last is not None
         # Looked at last of all: a promise may have been given while the rest was awaited.
         if bound and (
-            not await self._free_of_former_promises() or steady_now() < self._promised_until
+            not await self._free_of_former_promises() or monotonic_now() < self._promised_until
         ):
             await asyncio.sleep(0.05)
             return
@@ -300,8 +280,8 @@
             result = await self._client.commit(guards, changes)
             revision = result.revision if isinstance(result, Committed) else None
             self._standing = None
-            if isinstance(result, Failed) and out_key(self._host) in result.keys:
-                await self._let_itself_in()
+            if isinstance(result, Failed) and exclusion_key(self._host) in result.keys:
+                await self._readmit_itself()
         except (Rejected, Refused):
             revision = self._standing = None
         except Unknown:
@@ -310,35 +290,35 @@
             with contextlib.suppress(StateError):
                 await self._client.end_lease(lease)
             return
-        now = steady_now()
+        now = monotonic_now()
         self._won(Leadership(term, revision, lease, now, _validity(sent), renewed_at=sent))
 
-    async def _let_itself_in(self) -> None:
-        """This host was kept out while it was silent, and may be the only one that is left.
+    async def _readmit_itself(self) -> None:
+        """This host was excluded while it was silent, and may be the only one that is left.
 
-        A leader that keeps it out may go on without its promise until `SOLE_S` after its lease has
-        ended. Only an election changes the term's key: as it is the one that was read before
-        nobody was seen to lead, nobody has led since.
+        A leader that excludes it may go on without its promise until `READMISSION_S` after its
+        lease has ended. Only an election changes the term's key: as it is the one that was read
+        before nobody was seen to lead, nobody has led since.
         """
         term = await self._client.get(TERM_KEY)
         leader = await self._client.get(LEADER_KEY)
         stamp = Revision(term.version) if term is not None else ABSENT
-        now = steady_now()
+        now = monotonic_now()
         if leader is not None:
             self._alone = None
         elif self._alone is None or self._alone[0] != stamp:
             log.info("this host may not stand: it was silent")
             self._alone = (stamp, now)
-        elif now - self._alone[1] >= SOLE_S * _SOLE_DRIFT:
-            entry = await self._client.get(out_key(self._host))
+        elif now - self._alone[1] >= READMISSION_S * _READMISSION_DRIFT:
+            entry = await self._client.get(exclusion_key(self._host))
             if entry is not None:
                 log.info("this host has seen nobody lead for %.0f s", now - self._alone[1])
                 guards = [
                     wire.guard(LEADER_KEY, ABSENT),
                     wire.guard(TERM_KEY, stamp),
-                    wire.guard(out_key(self._host), entry.version),
+                    wire.guard(exclusion_key(self._host), entry.version),
                 ]
-                await self._client.commit(guards, [wire.delete(out_key(self._host))])
+                await self._client.commit(guards, [wire.delete(exclusion_key(self._host))])
         await asyncio.sleep(0.25)
 
     async def _free_of_former_promises(self) -> bool:
@@ -347,9 +327,9 @@
         Only a leader could go on by it. When all controllers crash together, their workers' leases
         do not leave the time to wait for the promise's end.
         """
-        if steady_now() < self._restarted_until and await self.nobody_leads():
-            self._restarted_until = steady_now()
-        return steady_now() >= self._restarted_until
+        if monotonic_now() < self._restarted_until and await self.nobody_leads():
+            self._restarted_until = monotonic_now()
+        return monotonic_now() >= self._restarted_until
 
     async def _read_back(self, term: Token) -> Revision | None:
         """After an election without an answer: whether it took place."""
--- a/tealrill/state/exclusion.py
+++ b/tealrill/leadership/exclusion.py
@@ -1,11 +1,11 @@
 """Members that have fallen silent: kept from being elected while the state service is away.
 
-A leader goes on through an outage by the others' promises not to stand (`state/truce.py`). One that
-does not answer promises nothing, and could be elected if it alone reached the state service. So the
-leader writes down, while it can, that a silent member may not stand: its election requires that
-record to be absent. The leader takes it back when the member answers again. A member that finds
-itself alone takes it back itself, but only after it has seen for `SOLE_S` that nobody leads: until
-then the leader may go on without its promise. docs/design.md has the argument.
+A leader goes on through an outage by the others' promises not to stand (`lease_extension.py`). One
+that does not answer promises nothing, and could be elected if it alone reached the state service.
+So the leader writes down, while it can, that a silent member may not stand: its election requires
+that record to be absent. The leader takes it back when the member answers again. A member that
+finds itself alone takes it back itself, but only after it has seen for `READMISSION_S` that nobody
+leads: until then the leader may go on without its promise. docs/design.md has the argument.
 """
 
 from __future__ import annotations
@@ -20,12 +20,12 @@
 
 from tealrill import wire
 from tealrill.http import Client, peer_clients
+from tealrill.leadership.election import EXCLUSION_PREFIX, exclusion_key
+from tealrill.leadership.lease_extension import ask_presence
 from tealrill.settings import Settings
 from tealrill.state.client import Committed, StateClient, StateError
-from tealrill.state.duty import Fence
-from tealrill.state.election import OUT_PREFIX, out_key
-from tealrill.state.truce import ask_presence
-from tealrill.types import ABSENT, Revision, Steady, Token, steady_now
+from tealrill.state.fencing import Fence
+from tealrill.types import ABSENT, Monotonic, Revision, Token, monotonic_now
 
 log = logging.getLogger(__name__)
 
@@ -36,7 +36,7 @@
 """Looks between two readings of all records: one without an answer may be written late."""
 
 
-class OutRecord(msgspec.Struct, frozen=True):
+class ExclusionRecord(msgspec.Struct, frozen=True):
     """A member that may not stand."""
 
     term: int
@@ -58,7 +58,7 @@
         term: Token,
         stamp: Revision,
         valid: Callable[[], bool],
-        now: Callable[[], Steady] = steady_now,
+        now: Callable[[], Monotonic] = monotonic_now,
         revoked: Callable[[], None] = lambda: None,
     ) -> None:
         self._revoked = revoked
@@ -79,18 +79,18 @@
         """Hosts whose record stands and that nothing under way removes."""
         self._given_up = False
         """The term ends because another member is ending its lease."""
-        self._relied_until = Steady(-math.inf)
+        self._relied_until = Monotonic(-math.inf)
         self._looks = 0
         self._read_before = False
         """A record found from now on may be this leader's own, with a removal under way."""
 
-    def stands(self, host: str) -> bool:
-        """Whether that member certainly can't be elected before it saw nobody lead for `SOLE_S`."""
+    def is_excluded(self, host: str) -> bool:
+        """Whether that member can't be elected before `READMISSION_S` without a leader."""
         return host in self._certain
 
-    def rely(self, until: Steady) -> None:
-        """The term is prolonged until then by what `stands` said: nobody is let in before."""
-        self._relied_until = Steady(max(self._relied_until, until))
+    def hold_until(self, until: Monotonic) -> None:
+        """The term is prolonged until then by what `is_excluded` said: nobody is let in before."""
+        self._relied_until = Monotonic(max(self._relied_until, until))
 
     async def run(self) -> None:
         while True:
@@ -114,9 +114,9 @@
 
     async def _read(self) -> None:
         """All records. At a term's start they are former leaders', whose fence is gone: certain."""
-        entries, _ = await self._client.scan(OUT_PREFIX)
+        entries, _ = await self._client.scan(EXCLUSION_PREFIX)
         for entry in entries:
-            host = entry.key.removeprefix(OUT_PREFIX)
+            host = entry.key.removeprefix(EXCLUSION_PREFIX)
             if host in self._peers and host not in self._certain:
                 self._found(host, entry.value, entry.version)
                 if not self._read_before and not self._given_up:
@@ -135,34 +135,34 @@
             if not self._valid() or self._given_up:
                 continue
             if answers and host in self._records and now >= self._relied_until:
-                await self._let_in(host)
+                await self._readmit(host)
             elif (
                 host not in self._certain
                 and now - self._heard[host] >= SILENT_S
                 and len(self._records.keys() - {host}) < self._most
             ):
-                await self._keep_out(host)
+                await self._exclude(host)
 
     @staticmethod
     async def _answers(peer: Client) -> bool:
         return await ask_presence(peer) is not None
 
-    async def _let_in(self, host: str) -> None:
+    async def _readmit(self, host: str) -> None:
         # Sent, it may be executed at any later time: nothing is built on the record any more.
         self._certain.discard(host)
         log.info("term %d: %s answers again", self._term, host)
-        await self._change(host, wire.delete(out_key(host)))
+        await self._change(host, wire.delete(exclusion_key(host)))
 
-    async def _keep_out(self, host: str) -> None:
+    async def _exclude(self, host: str) -> None:
         """Written anew if it is there: a removal under way names its former version."""
         log.info("term %d: %s is silent and may not stand", self._term, host)
-        record = wire.plain(OutRecord(self._term))
-        if await self._change(host, wire.put(out_key(host), record)):
+        record = wire.plain(ExclusionRecord(self._term))
+        if await self._change(host, wire.put(exclusion_key(host), record)):
             self._certain.add(host)
 
     async def _change(self, host: str, change: dict[str, Any]) -> bool:
         """True if it certainly was made; otherwise the record is read."""
-        guards = {out_key(host): self._records.get(host, ABSENT)}
+        guards = {exclusion_key(host): self._records.get(host, ABSENT)}
         try:
             result = await self._fence.commit(guards, [change])
         except StateError as error:
@@ -174,7 +174,7 @@
             else:
                 self._records[host] = result.revision
             return True
-        entry = await self._client.get(out_key(host))
+        entry = await self._client.get(exclusion_key(host))
         if entry is None:
             self._records.pop(host, None)
         else:
--- a/tealrill/state/truce.py
+++ b/tealrill/leadership/lease_extension.py
@@ -19,34 +19,35 @@
 
 from tealrill import wire
 from tealrill.http import Client, NoAnswer, peer_clients
+from tealrill.leadership.election import READMISSION_S, TTL_S
+from tealrill.leadership.open_jobs import cancel_spare_s, renewal_bound_s
 from tealrill.settings import Settings
-from tealrill.state.acknowledged import Acknowledged
+from tealrill.state.acknowledged_cancellations import AcknowledgedCancellations
 from tealrill.state.client import StateClient, StateError
-from tealrill.state.election import SOLE_S, TTL_S, Leadership
-from tealrill.state.open_jobs import cancel_spare_s, renewal_bound_s
-from tealrill.types import Revision, Steady, Token, steady_now, surely_until
+from tealrill.state.fencing import Leadership
+from tealrill.types import Monotonic, Revision, Token, lower_bound_deadline, monotonic_now
 
 log = logging.getLogger(__name__)
 
 PROMISE_S: Final = 4.0
 """How long a promise holds on the clock of the member that gives it."""
-TRUCE_PATH: Final = "/peer/truce"
+EXTENSION_PATH: Final = "/peer/truce"
 PING_PATH: Final = "/peer/ping"
 _MARGIN_S: Final = 0.2
 _ASK_EVERY_S: Final = 0.7
 _ASK_TIMEOUT_S: Final = 0.6
 _PROBE_S: Final = 0.3
-_SOLE_MARGIN_S: Final = 0.5
-_FOREVER: Final = Steady(math.inf)
+_READMISSION_MARGIN_S: Final = 0.5
+_FOREVER: Final = Monotonic(math.inf)
 
 
-class Request(msgspec.Struct, frozen=True):
+class ExtensionRequest(msgspec.Struct, frozen=True):
     term: int
     seen: int = 0
     """The revision up to which the leader has seen changes of jobs."""
 
 
-class Answer(msgspec.Struct, frozen=True):
+class ExtensionAnswer(msgspec.Struct, frozen=True):
     promised: bool
     why: str = ""
     cancelled: list[str] = []
@@ -79,7 +80,7 @@
 
     mine: Leadership | None
 
-    def promise(self, term: Token, until: Steady) -> str:
+    def promise(self, term: Token, until: Monotonic) -> str:
         """Empty if this node will not stand before `until`; else why it can't promise that."""
 
 
@@ -89,11 +90,11 @@
 
     revision: Revision = Revision(0)
     """It knows all up to this one."""
-    at: Steady = Steady(-math.inf)
+    at: Monotonic = Monotonic(-math.inf)
     """Whatever was acknowledged before this moment is among them."""
 
 
-class Truce:
+class LeaseExtension:
     """Asks for promises while this node leads, and gives them while another does."""
 
     def __init__(
@@ -101,24 +102,24 @@
         settings: Settings,
         client: StateClient,
         election: Standing,
-        acknowledged: Acknowledged | None = None,
-        now: Callable[[], Steady] = steady_now,
+        acknowledged: AcknowledgedCancellations | None = None,
+        now: Callable[[], Monotonic] = monotonic_now,
     ) -> None:
         self._client = client
         self._election = election
-        self._acknowledged = acknowledged or Acknowledged(lambda: Revision(0))
+        self._acknowledged = acknowledged or AcknowledgedCancellations(lambda: Revision(0))
         self._now = now
         self.seen: Callable[[], Seen] = Seen
         """What this node, when it leads, knows of cancellations."""
         self.cancelled: Callable[[str], None] = lambda _: None
         """Tells this node's leader of a cancellation that another node has acknowledged."""
-        self.vouched: Callable[[Leadership, Steady], None] = lambda _, __: None
+        self.vouched: Callable[[Leadership, Monotonic], None] = lambda _, __: None
         """All that was acknowledged before that moment has been told."""
         self.reports: Callable[[], int] = lambda: 0
         self.lost_term: Callable[[], Token | None] = lambda: None
-        self.kept_out: Callable[[Leadership, str], bool] = lambda _, __: False
+        self.is_excluded: Callable[[Leadership, str], bool] = lambda _, __: False
         """Whether a member that does not answer certainly can't be elected for a while."""
-        self.relied: Callable[[Leadership, Steady], None] = lambda _, __: None
+        self.prolonged: Callable[[Leadership, Monotonic], None] = lambda _, __: None
         """The term is prolonged until then by that."""
         self._peers = peer_clients(settings)
         workers = settings.params.workers
@@ -126,7 +127,7 @@
         # go on for as long as the promise holds, and the worker for a lease longer.
         self._unseen_s = renewal_bound_s(workers)
         self.possible = cancel_spare_s(workers) >= PROMISE_S
-        self._in_truce = False
+        self._extending = False
         self._bounded = False
 
     # -- the leader's side ----------------------------------------------------------------------
@@ -137,7 +138,7 @@
             if mine is not None and mine.troubled and self.possible:
                 await self._seek(mine)
             else:
-                self._in_truce = False
+                self._extending = False
             await asyncio.sleep(_ASK_EVERY_S)
 
     async def _seek(self, mine: Leadership) -> None:
@@ -145,7 +146,7 @@
         if not mine.valid(sent):
             return
         seen = self.seen()
-        request = Request(mine.term, seen.revision)
+        request = ExtensionRequest(mine.term, seen.revision)
         answers = await asyncio.gather(*(self._ask(c, request) for c in self._peers.values()))
         # What this node itself acknowledged may not have come back by its watch either.
         told = [self._acknowledged.since(seen.revision)]
@@ -154,10 +155,10 @@
             self.cancelled(job)
         by_name = dict(zip(self._peers, answers, strict=True))
         silent = [name for name, answer in by_name.items() if answer is None]
-        refused = [f"{n}: no answer" for n in silent if not self.kept_out(mine, n)]
+        refused = [f"{n}: no answer" for n in silent if not self.is_excluded(mine, n)]
         refused += [f"{n}: {a.why}" for n, a in by_name.items() if a is not None and not a.promised]
         if refused:
-            log.info("term %d: no truce: %s", mine.term, "; ".join(refused))
+            log.info("term %d: lease not extended: %s", mine.term, "; ".join(refused))
             return
         latest = _FOREVER
         unknown = [n for n, a in by_name.items() if a is None or not a.vouches]
@@ -167,45 +168,48 @@
             self.vouched(mine, sent)
         else:
             # They, or their former processes, may have acknowledged what nobody here has seen.
-            latest = Steady(seen.at + self._unseen_s)
+            latest = Monotonic(seen.at + self._unseen_s)
         if silent:
-            latest = min(latest, surely_until(mine.renewed_at, TTL_S + SOLE_S, _SOLE_MARGIN_S))
-            self.relied(mine, latest)
-        if not self._in_truce:
+            latest = min(
+                latest,
+                lower_bound_deadline(mine.renewed_at, TTL_S + READMISSION_S, _READMISSION_MARGIN_S),
+            )
+            self.prolonged(mine, latest)
+        if not self._extending:
             log.info(
                 "term %d: goes on without the state service, by all others' promise", mine.term
             )
-        if unknown and (not self._in_truce or not self._bounded):
+        if unknown and (not self._extending or not self._bounded):
             log.info(
                 "term %d: for %.1f s at most, since %s can't vouch for cancellations",
                 mine.term,
                 max(0.0, latest - sent),
                 ", ".join(unknown),
             )
-        self._in_truce = True
+        self._extending = True
         self._bounded = bool(unknown)
         self.extend(mine, sent, latest)
 
-    def extend(self, mine: Leadership, sent: Steady, latest: Steady = _FOREVER) -> None:
-        """All others have promised, after `sent`; `latest` is how far they may be relied on.
+    def extend(self, mine: Leadership, sent: Monotonic, latest: Monotonic = _FOREVER) -> None:
+        """All others have promised, after `sent`; `latest` is how far they may be prolonged on.
 
         Only a term that was valid all the time is prolonged. After a gap somebody else may have
         been elected, and promises given afterwards would not undo that.
         """
         if mine.valid(self._now()):
-            until = surely_until(sent, PROMISE_S, _MARGIN_S)
+            until = lower_bound_deadline(sent, PROMISE_S, _MARGIN_S)
             mine.valid_until = max(mine.valid_until, min(until, latest))
 
-    async def _ask(self, client: Client, request: Request) -> Answer | None:
+    async def _ask(self, client: Client, request: ExtensionRequest) -> ExtensionAnswer | None:
         """A member's answer; None if it says nothing."""
         try:
             body = wire.encode(request)
-            answer = await client.request("POST", TRUCE_PATH, body, _ASK_TIMEOUT_S)
-            return wire.decode(answer.body, Answer)
+            answer = await client.request("POST", EXTENSION_PATH, body, _ASK_TIMEOUT_S)
+            return wire.decode(answer.body, ExtensionAnswer)
         except NoAnswer:
             return None
         except wire.Malformed as error:
-            return Answer(False, str(error))
+            return ExtensionAnswer(False, str(error))
 
     # -- a restarted member -----------------------------------------------------------------------
 
@@ -226,7 +230,7 @@
 
     # -- the others' side -----------------------------------------------------------------------
 
-    async def asked(self, request: Request) -> Answer:
+    async def asked(self, request: ExtensionRequest) -> ExtensionAnswer:
         """A promise is given only by a member that can't reach the state service either.
 
         Were it reachable from here, the leader alone would be cut off, and another leader serves
@@ -234,11 +238,11 @@
         acknowledged here, which it would otherwise let run on.
         """
         if await self._state_answers():
-            return Answer(False, "the state service answers here")
-        why = self._election.promise(Token(request.term), Steady(self._now() + PROMISE_S))
+            return ExtensionAnswer(False, "the state service answers here")
+        why = self._election.promise(Token(request.term), Monotonic(self._now() + PROMISE_S))
         seen = Revision(request.seen)
         known = self._acknowledged
-        return Answer(not why, why, known.since(seen), known.all_since(seen))
+        return ExtensionAnswer(not why, why, known.since(seen), known.all_since(seen))
 
     async def _state_answers(self) -> bool:
         try:
--- a/tealrill/state/lease_revocation.py
+++ b/tealrill/leadership/lease_revocation.py
@@ -15,9 +15,9 @@
    member's own promises, it removes its own exclusion if that is still the one it wrote and nobody
    was elected. It is elected then, and lets the others in.
 
-A process that ends in between leaves all excluded, who let themselves in after `SOLE_S` without a
-leader, as always. A leader that finds such a record written against its own term steps down: its
-lease may be ended at any later moment. docs/design.md has the argument.
+A process that ends in between leaves all excluded, who let themselves in after `READMISSION_S`
+without a leader, as always. A leader that finds such a record written against its own term steps
+down: its lease may be ended at any later moment. docs/design.md has the argument.
 """
 
 from __future__ import annotations
@@ -32,13 +32,13 @@
 
 from tealrill import wire
 from tealrill.http import peer_clients
+from tealrill.leadership.election import TERM_KEY, TTL_S, Election, KnownLeader, exclusion_key
+from tealrill.leadership.exclusion import ExclusionRecord
+from tealrill.leadership.lease_extension import Presence, ask_presence
 from tealrill.settings import Settings
 from tealrill.state.client import Committed, Failed, StateClient, StateError, Unknown
-from tealrill.state.duty import LEADER_KEY
-from tealrill.state.election import TERM_KEY, TTL_S, Election, KnownLeader, out_key
-from tealrill.state.exclusion import OutRecord
-from tealrill.state.truce import Presence, ask_presence
-from tealrill.types import ABSENT, LeaseId, Revision, Steady, Token, steady_now
+from tealrill.state.fencing import LEADER_KEY
+from tealrill.types import ABSENT, LeaseId, Monotonic, Revision, Token, monotonic_now
 
 log = logging.getLogger(__name__)
 
@@ -61,7 +61,7 @@
     term_version: Revision
     exclusion: Revision
     """The version of this member's own record."""
-    may_stand_at: Steady = Steady(math.inf)
+    may_stand_at: Monotonic = Monotonic(math.inf)
     """From then on the former leader is certainly not valid; known once its lease has ended."""
 
 
@@ -73,8 +73,8 @@
         settings: Settings,
         client: StateClient,
         election: Election,
-        unheard_since: Callable[[], Steady | None],
-        now: Callable[[], Steady] = steady_now,
+        unheard_since: Callable[[], Monotonic | None],
+        now: Callable[[], Monotonic] = monotonic_now,
     ) -> None:
         self._client = client
         self._election = election
@@ -122,7 +122,7 @@
         elif attempt.may_stand_at == math.inf:
             await self._end_lease(attempt)
         elif self._now() >= max(attempt.may_stand_at, self._election.promised_until):
-            await self._let_itself_in(attempt)
+            await self._readmit_itself(attempt)
 
     def _is_over(self, attempt: _Attempt) -> bool:
         known = self._election.known
@@ -158,15 +158,15 @@
         # Before the transaction leaves: a promise given after it could prolong the leader's term.
         self._election.revoking = leader.term
         mark = secrets.token_hex(8)
-        record = wire.plain(OutRecord(leader.term, ends_term=leader.term, mark=mark))
+        record = wire.plain(ExclusionRecord(leader.term, ends_term=leader.term, mark=mark))
         guards = [
             wire.guard(LEADER_KEY, leader.stamp),
             wire.guard(TERM_KEY, term.version),
             # A member that is excluded already was perhaps excluded by this leader, which then
             # goes on without its promise.
-            wire.guard(out_key(self._host), ABSENT),
+            wire.guard(exclusion_key(self._host), ABSENT),
         ]
-        changes = [wire.put(out_key(host), record) for host in hosts]
+        changes = [wire.put(exclusion_key(host), record) for host in hosts]
         try:
             result = await self._client.commit(guards, changes)
             revision = result.revision if isinstance(result, Committed) else None
@@ -183,7 +183,7 @@
 
     async def _read_back(self, mark: str) -> Revision | None:
         """After no answer: the version of this member's record if it was written just now."""
-        entry = await self._client.get(out_key(self._host))
+        entry = await self._client.get(exclusion_key(self._host))
         ours = entry is not None and isinstance(entry.value, dict)
         if not ours or entry is None or entry.value.get("mark") != mark:
             return None
@@ -192,7 +192,7 @@
     async def _end_lease(self, attempt: _Attempt) -> None:
         await self._client.end_lease(attempt.lease)
         # It was renewed for the last time before this answer.
-        attempt.may_stand_at = Steady(self._now() + TTL_S * _DRIFT + _MARGIN_S)
+        attempt.may_stand_at = Monotonic(self._now() + TTL_S * _DRIFT + _MARGIN_S)
         log.info(
             "term %d: the lease of %s is ended, nobody leads for %.1f s",
             attempt.leader.term,
@@ -200,8 +200,8 @@
             attempt.may_stand_at - self._now(),
         )
 
-    async def _let_itself_in(self, attempt: _Attempt) -> None:
-        own = out_key(self._host)
+    async def _readmit_itself(self, attempt: _Attempt) -> None:
+        own = exclusion_key(self._host)
         guards = [
             wire.guard(LEADER_KEY, ABSENT),
             wire.guard(TERM_KEY, attempt.term_version),
--- a/tealrill/state/open_jobs.py
+++ b/tealrill/leadership/open_jobs.py
@@ -22,11 +22,11 @@
 from tealrill.settings import Workers
 from tealrill.state.book import JOB_PREFIX, RUN_PREFIX, BadRecord, chunk_bindings
 from tealrill.state.client import StateClient, StateError
-from tealrill.types import MachineId, Revision, Session, Steady, parse_task_id, steady_now
+from tealrill.types import MachineId, Monotonic, Revision, Session, monotonic_now, parse_task_id
 
 log = logging.getLogger(__name__)
 
-_NEVER: Final = Steady(-math.inf)
+_NEVER: Final = Monotonic(-math.inf)
 _LEAST_BOUND_S: Final = 6.0
 """A watch that is answered in its ordinary time comes well within this."""
 _CANCEL_MARGIN_S: Final = 5.0
@@ -57,14 +57,14 @@
     """A task of a job that is over, bound to a machine's session."""
 
     session: Session
-    last_open: Steady
+    last_open: Monotonic
 
 
 class OpenJobs:
     """The jobs that are open, and what those that are not have left on machines."""
 
     def __init__(
-        self, client: StateClient, bound_s: float, now: Callable[[], Steady] = steady_now
+        self, client: StateClient, bound_s: float, now: Callable[[], Monotonic] = monotonic_now
     ) -> None:
         self._client = client
         self._bound_s = bound_s
@@ -73,7 +73,7 @@
         self._read_through = _NEVER
         self._owners: dict[str, str | None] = {}
         """Open jobs and graphs, each with the record that it belongs to."""
-        self._last_open: dict[str, Steady] = {}
+        self._last_open: dict[str, Monotonic] = {}
         """Jobs that have ended since, with the last moment at which each was known to be open."""
         self._bindings_unread: set[str] = set()
         self._left: dict[MachineId, list[_LeftBinding]] = {}
@@ -88,16 +88,16 @@
         self._left.clear()
 
     @property
-    def known_through(self) -> Steady:
+    def known_through(self) -> Monotonic:
         """Every cancellation that was committed before this moment is known, with its bindings."""
         unread = (self._last_open[name] for name in self._bindings_unread)
         return min((self._read_through, *unread))
 
-    def may_renew(self, report: wire.Report, machine: MachineId, now: Steady) -> bool:
+    def may_renew(self, report: wire.Report, machine: MachineId, now: Monotonic) -> bool:
         """Whether all that the worker runs, or may be about to start, was open recently enough."""
         return now < self._open_through(report, machine) + self._bound_s
 
-    def _open_through(self, report: wire.Report, machine: MachineId) -> Steady:
+    def _open_through(self, report: wire.Report, machine: MachineId) -> Monotonic:
         """The last moment at which every job on the machine was known to be open."""
         through = self.known_through
         for task in report.tasks:
@@ -111,7 +111,7 @@
                 through = min(through, left.last_open)
         return through
 
-    def _job_open_through(self, name: str) -> Steady:
+    def _job_open_through(self, name: str) -> Monotonic:
         if name in self._owners:
             return self._read_through
         return self._last_open.get(name, _NEVER)
@@ -147,7 +147,7 @@
         await self._follow(revision, sent)
         self._keep_bindings(chunks)
 
-    async def _follow(self, revision: Revision, last_open: Steady) -> None:
+    async def _follow(self, revision: Revision, last_open: Monotonic) -> None:
         """Changes after that revision; what has ended was open at `last_open`."""
         sent = self._now()
         result = await self._client.watch(JOB_PREFIX, revision, 0.0)
@@ -169,7 +169,7 @@
         else:
             self._owners[name] = owner
 
-    def _closed(self, name: str, last_open: Steady) -> None:
+    def _closed(self, name: str, last_open: Monotonic) -> None:
         """Its record is gone, or that of its owner; it was there at `last_open`."""
         if name not in self._owners:
             return
--- a/tealrill/state/deputy.py
+++ b/tealrill/leadership/renewal_delegation.py
@@ -2,9 +2,9 @@
 
 In a cut between zones the leader's workers on the far side fall silent, and after a lease all they
 run is lost, though a node beside them and the state service are reached by both sides. That node
-may answer their reports, without any command, while it holds a permit: a key that it keeps writing
-anew, guarded by the leader's own key. The leader reads these keys before it calls any machine
-lapsed, and closes a permit that it does not want to wait for.
+may answer their reports, without any command, while it holds a delegation: a key that it keeps
+writing anew, guarded by the leader's own key. The leader reads these keys before it calls any
+machine lapsed, and revokes a delegation that it does not want to wait for.
 
 The leader may also be lost, and its key may stand for any time. So a node renews only workers whose
 tasks it knows itself to be those of open jobs (`open_jobs.py`). docs/design.md has the argument.
@@ -21,19 +21,27 @@
 
 from tealrill import wire
 from tealrill.http import Client, NoAnswer, peer_clients
+from tealrill.leadership.election import Election, KnownLeader
+from tealrill.leadership.lease_extension import PING_PATH
+from tealrill.leadership.open_jobs import OpenJobs, renewal_bound_s
 from tealrill.settings import Settings
 from tealrill.state.client import Committed, Refused, StateClient, StateError
-from tealrill.state.duty import LEADER_KEY, Fence
-from tealrill.state.election import Election, KnownLeader
-from tealrill.state.open_jobs import OpenJobs, renewal_bound_s
-from tealrill.state.truce import PING_PATH
-from tealrill.types import ABSENT, MachineId, Revision, Steady, Token, steady_now, surely_until
+from tealrill.state.fencing import LEADER_KEY, Fence
+from tealrill.types import (
+    ABSENT,
+    MachineId,
+    Monotonic,
+    Revision,
+    Token,
+    lower_bound_deadline,
+    monotonic_now,
+)
 
 log = logging.getLogger(__name__)
 
-DEPUTY_PREFIX: Final = "deputy/"
-PERMIT_S: Final = 2.5
-"""How long a node may act on a permit after it sent the write that confirmed it."""
+DELEGATION_PREFIX: Final = "deputy/"
+DELEGATION_S: Final = 2.5
+"""How long a node may act on a delegation after it sent the write that confirmed it."""
 _MARGIN_S: Final = 0.1
 _EVERY_S: Final = 0.5
 _PING_TIMEOUT_S: Final = 0.7
@@ -44,23 +52,23 @@
 _ASKED_S: Final = 4.0
 
 
-class Permit(msgspec.Struct, frozen=True):
+class Delegation(msgspec.Struct, frozen=True):
     term: int
-    closed: bool = False
+    revoked: bool = msgspec.field(default=False, name="closed")
     """The leader does not wait for this node any more."""
     beat: int = 0
 
 
-def read_permit(entry: wire.Entry) -> Permit | None:
+def read_delegation(entry: wire.Entry) -> Delegation | None:
     """The record, or None if this version can't read it."""
     try:
-        return msgspec.convert(entry.value, Permit)
+        return msgspec.convert(entry.value, Delegation)
     except msgspec.ValidationError as error:
         log.error("record %s: %s", entry.key, error)
         return None
 
 
-class Deputy:
+class RenewalDelegate:
     """One node's part."""
 
     def __init__(
@@ -68,58 +76,58 @@
         settings: Settings,
         client: StateClient,
         election: Election,
-        now: Callable[[], Steady] = steady_now,
+        now: Callable[[], Monotonic] = monotonic_now,
     ) -> None:
         self._client = client
         self._election = election
         self._now = now
-        self._key = DEPUTY_PREFIX + settings.host_name
+        self._key = DELEGATION_PREFIX + settings.host_name
         self._peers = peer_clients(settings)
         workers = settings.params.workers
         self._warn_after_s = workers.cancel_s
         self._jobs = OpenJobs(client, renewal_bound_s(workers), now)
         self._misses = 0
-        self._cut_since: Steady | None = None
-        self.unheard_since: Steady | None = None
+        self._cut_since: Monotonic | None = None
+        self.unheard_since: Monotonic | None = None
         """Since when the known leader has not answered, a refused connection counted as well."""
-        self._asked_at = Steady(-1e9)
-        self._confirmed_at = Steady(-1e9)
-        self._valid_until = Steady(-1e9)
+        self._asked_at = Monotonic(-1e9)
+        self._confirmed_at = Monotonic(-1e9)
+        self._valid_until = Monotonic(-1e9)
         self._leader: KnownLeader | None = None
         self._beat = 0
-        self._spell: _Spell | None = None
+        self._renewals: _DelegatedRenewals | None = None
 
-    def renews(self, report: wire.Report, machine: MachineId, now: Steady) -> Token | None:
+    def renews(self, report: wire.Report, machine: MachineId, now: Monotonic) -> Token | None:
         """The term whose token may be given to this worker at this very moment."""
         self._asked_at = now
-        spell = self._spell
+        renewals = self._renewals
         if (
-            spell is None
+            renewals is None
             or self._cut_since is None
-            or spell.leader != self._election.known
+            or renewals.leader != self._election.known
             or now >= self._valid_until
-            or report.token > spell.leader.term
+            or report.token > renewals.leader.term
         ):
             return None
         if not self._jobs.may_renew(report, machine, now):
             # It runs, or may be about to start, what its user was told is cancelled, or may have
             # been: its lease ends that, and the others' work goes on.
-            spell.withhold(machine, now)
+            renewals.withhold(machine, now)
             return None
-        spell.renewed.add(machine)
-        return spell.leader.term
+        renewals.renewed.add(machine)
+        return renewals.leader.term
 
     @property
     def leader_silent(self) -> bool:
         """The leader has not answered this node for about a second."""
         return self._cut_since is not None
 
-    def describe(self, now: Steady) -> dict[str, object] | None:
+    def describe(self, now: Monotonic) -> dict[str, object] | None:
         """For operators: for whom workers are renewed, since when, and by which knowledge."""
-        if self._spell is None:
+        if self._renewals is None:
             return None
         return {
-            **self._spell.describe(now),
+            **self._renewals.describe(now),
             "known_s_ago": round(now - self._jobs.known_through, 1),
         }
 
@@ -136,7 +144,7 @@
                 try:
                     await self.confirm(known)
                 except StateError as error:
-                    log.debug("permit: %s", error)
+                    log.debug("delegation: %s", error)
 
     async def _ping(self, leader: Client) -> None:
         try:
@@ -157,10 +165,10 @@
     def _heard(self) -> None:
         self._misses = 0
         self._cut_since = None
-        self._end_spell("the leader answers, or nobody leads")
+        self._end_renewals("the leader answers, or nobody leads")
         self._jobs.clear()
 
-    def _wanted(self, now: Steady) -> bool:
+    def _wanted(self, now: Monotonic) -> bool:
         return (
             self._cut_since is not None
             and (now - self._cut_since < _READY_S or now - self._asked_at < _ASKED_S)
@@ -168,15 +176,17 @@
         )
 
     async def confirm(self, leader: KnownLeader) -> None:
-        """Writes the permit anew. It holds only while the leader's key stands as it was read.
+        """Writes the delegation anew. It holds only while the leader's key stands as it was read.
 
         Cancellations are read first: without knowing them nobody is renewed.
         """
         entry = await self._client.get(self._key)
         if entry is not None:
-            kept = read_permit(wire.Entry(key=self._key, value=entry.value, version=entry.version))
-            if kept is None or (kept.closed and kept.term == leader.term):
-                self._end_spell("the leader has closed its permit, or it can't be read")
+            kept = read_delegation(
+                wire.Entry(key=self._key, value=entry.value, version=entry.version)
+            )
+            if kept is None or (kept.revoked and kept.term == leader.term):
+                self._end_renewals("the leader has revoked its delegation, or it can't be read")
                 return
         await self._jobs.refresh()
         self._beat += 1
@@ -186,27 +196,27 @@
                 wire.guard(LEADER_KEY, leader.stamp),
                 wire.guard(self._key, entry.version if entry is not None else ABSENT),
             ],
-            [wire.put(self._key, wire.plain(Permit(leader.term, beat=self._beat)))],
+            [wire.put(self._key, wire.plain(Delegation(leader.term, beat=self._beat)))],
         )
         if not isinstance(result, Committed):
             return
-        if self._spell is None or self._spell.leader != leader:
-            self._end_spell("another one leads")
-            self._spell = _Spell(leader, sent, self._warn_after_s)
+        if self._renewals is None or self._renewals.leader != leader:
+            self._end_renewals("another one leads")
+            self._renewals = _DelegatedRenewals(leader, sent, self._warn_after_s)
         self._confirmed_at = sent
-        self._valid_until = surely_until(sent, PERMIT_S, _MARGIN_S)
-        self._spell.confirmed(result.revision, sent)
+        self._valid_until = lower_bound_deadline(sent, DELEGATION_S, _MARGIN_S)
+        self._renewals.confirmed(result.revision, sent)
 
-    def _end_spell(self, why: str) -> None:
-        if self._spell is not None:
-            self._spell.end(why, self._now())
-            self._spell = None
+    def _end_renewals(self, why: str) -> None:
+        if self._renewals is not None:
+            self._renewals.end(why, self._now())
+            self._renewals = None
 
 
-class _Spell:
+class _DelegatedRenewals:
     """Renewals for one leader from the first confirmation on, as the log and operators see them."""
 
-    def __init__(self, leader: KnownLeader, since: Steady, warn_after_s: float) -> None:
+    def __init__(self, leader: KnownLeader, since: Monotonic, warn_after_s: float) -> None:
         self.leader = leader
         self.renewed: set[MachineId] = set()
         self._since = since
@@ -215,7 +225,7 @@
         self._withheld: set[MachineId] = set()
         log.info("term %d: renews workers that %s can't hear", leader.term, leader.host)
 
-    def confirmed(self, revision: Revision, now: Steady) -> None:
+    def confirmed(self, revision: Revision, now: Monotonic) -> None:
         """Warns once when the leader has been lost for longer than any cut should last."""
         if not self._warned and now - self._since > self._warn_after_s:
             self._warned = True
@@ -230,7 +240,7 @@
                 len(self._withheld),
             )
 
-    def withhold(self, machine: MachineId, now: Steady) -> None:
+    def withhold(self, machine: MachineId, now: Monotonic) -> None:
         if machine not in self._withheld:
             self._withheld.add(machine)
             log.info(
@@ -241,7 +251,7 @@
                 now - self._since,
             )
 
-    def end(self, why: str, now: Steady) -> None:
+    def end(self, why: str, now: Monotonic) -> None:
         log.info(
             "term %d: %d workers were renewed for %.0f s, %d left to their leases: %s",
             self.leader.term,
@@ -251,7 +261,7 @@
             why,
         )
 
-    def describe(self, now: Steady) -> dict[str, object]:
+    def describe(self, now: Monotonic) -> dict[str, object]:
         return {
             "term": self.leader.term,
             "for": self.leader.host,
@@ -261,11 +271,11 @@
         }
 
 
-class Permits:
-    """The leader's part: whose permits stand, before any machine is called lapsed."""
+class Delegations:
+    """The leader's part: whose delegations stand, before any machine is called lapsed."""
 
     _STALE_S = 4.0
-    """A permit that was not written anew for so long serves no worker."""
+    """A delegation that was not written anew for so long serves no worker."""
     _LONGEST_S = 60.0
 
     def __init__(
@@ -275,30 +285,32 @@
         self._fence = Fence(client, stamp)
         self._term = term
         self._ended = ended
-        """Called when a permit has ended, or may have."""
-        self._since: dict[str, Steady] = {}
-        self._written: dict[str, tuple[int, Steady]] = {}
+        """Called when a delegation has ended, or may have."""
+        self._since: dict[str, Monotonic] = {}
+        self._written: dict[str, tuple[int, Monotonic]] = {}
 
-    async def stand(self, now: Steady, close: bool) -> bool:
+    async def stand(self, now: Monotonic, revoke: bool) -> bool:
         """Whether any node may have renewed workers a moment ago.
 
         Raises `StateError` where that can't be learnt, and then nothing may be called lapsed.
         """
-        entries, _ = await self._client.scan(DEPUTY_PREFIX)
+        entries, _ = await self._client.scan(DELEGATION_PREFIX)
         standing = False
         for entry in entries:
-            permit = read_permit(entry)
-            if permit is not None and (permit.term != self._term or permit.closed):
-                # The guard on the leader's key ended an older term's permits with that term.
+            delegation = read_delegation(entry)
+            if delegation is not None and (delegation.term != self._term or delegation.revoked):
+                # The guard on the leader's key ended an older term's delegations with that term.
                 continue
             standing = True
             # One that can't be read may be this term's: it is waited for, and closed.
-            if permit is None or self._outdated(entry, now) or close:
-                log.info("permit %s is closed", entry.key)
-                await self._change(entry, wire.put(entry.key, wire.plain(Permit(self._term, True))))
+            if delegation is None or self._outdated(entry, now) or revoke:
+                log.info("delegation %s is revoked", entry.key)
+                await self._change(
+                    entry, wire.put(entry.key, wire.plain(Delegation(self._term, True)))
+                )
         return standing
 
-    def _outdated(self, entry: wire.Entry, now: Steady) -> bool:
+    def _outdated(self, entry: wire.Entry, now: Monotonic) -> bool:
         since = self._since.setdefault(entry.key, now)
         version, at = self._written.get(entry.key, (-1, now))
         if version != entry.version:
@@ -307,10 +319,10 @@
         return now - at > self._STALE_S or now - since > self._LONGEST_S
 
     async def clear(self) -> None:
-        """Removes all permits once every machine is heard again."""
+        """Removes all delegations once every machine is heard again."""
         if not self._since:
             return
-        entries, _ = await self._client.scan(DEPUTY_PREFIX)
+        entries, _ = await self._client.scan(DELEGATION_PREFIX)
         for entry in entries:
             await self._change(entry, wire.delete(entry.key))
         self._since.clear()
--- a/tealrill/scheduler/blame.py
+++ b/tealrill/scheduler/blame.py
@@ -23,7 +23,7 @@
 from dataclasses import dataclass, field
 from typing import Final, TypeVar
 
-from tealrill.types import JobId, MachineId, Steady
+from tealrill.types import JobId, MachineId, Monotonic
 
 _FIRST_GAP_S: Final = 1.0
 _MOST_GAP_S: Final = 60.0
@@ -69,7 +69,7 @@
     """A machine on which a job failed."""
 
     times: int
-    until: Steady
+    until: Monotonic
 
 
 @dataclass(slots=True)
@@ -79,7 +79,7 @@
     well: bool = False
     rounds: int = 0
     """Moments at which it was tried and failed, with none that went well between them."""
-    next_at: Steady = Steady(-math.inf)
+    next_at: Monotonic = Monotonic(-math.inf)
     longest_s: float = 0.0
     """The longest that any of its tasks ran before it failed."""
     failed_on: dict[MachineId, _Avoided] = field(default_factory=dict)
@@ -94,14 +94,14 @@
 
     def __init__(self) -> None:
         self._jobs: dict[JobId, _Trial] = {}
-        self._machines: dict[MachineId, dict[JobId, Steady]] = {}
+        self._machines: dict[MachineId, dict[JobId, Monotonic]] = {}
         """Per machine the jobs that failed there since one last succeeded, and when."""
-        self._faulty: dict[MachineId, Steady] = {}
+        self._faulty: dict[MachineId, Monotonic] = {}
 
     # -- what happens ---------------------------------------------------------------------------
 
     def failed(
-        self, job: JobId, machine: MachineId, ran_s: float, well: bool, now: Steady
+        self, job: JobId, machine: MachineId, ran_s: float, well: bool, now: Monotonic
     ) -> list[MachineId]:
         """A task failed after `ran_s` seconds; machines that are faulty by what is known now.
 
@@ -112,22 +112,22 @@
         trial.longest_s = max(trial.longest_s, ran_s)
         if not trial.well and now >= trial.next_at:
             # Tasks that were started together fail together: that is one round.
-            trial.next_at = Steady(now + _gap_s(trial.rounds, _MOST_GAP_S))
+            trial.next_at = Monotonic(now + _gap_s(trial.rounds, _MOST_GAP_S))
             trial.rounds += 1
         self._avoid(trial, machine, now)
         _keep_latest(self._machines.setdefault(machine, {}), job, now, _JOBS_KEPT)
         return self._judge([machine], now)
 
     @staticmethod
-    def _avoid(trial: _Trial, machine: MachineId, now: Steady) -> None:
+    def _avoid(trial: _Trial, machine: MachineId, now: Monotonic) -> None:
         """For longer each time; it may be the only machine that there is."""
-        known = trial.failed_on.get(machine) or _Avoided(0, Steady(-math.inf))
+        known = trial.failed_on.get(machine) or _Avoided(0, Monotonic(-math.inf))
         if now >= known.until:
-            until = Steady(now + _gap_s(known.times, _MOST_AVOIDED_S))
+            until = Monotonic(now + _gap_s(known.times, _MOST_AVOIDED_S))
             known = _Avoided(known.times + 1, until)
         _keep_latest(trial.failed_on, machine, known, _MACHINES_KEPT)
 
-    def succeeded(self, job: JobId, machine: MachineId, now: Steady) -> list[MachineId]:
+    def succeeded(self, job: JobId, machine: MachineId, now: Monotonic) -> list[MachineId]:
         """A task is done; machines that are faulty by what is known now."""
         self._machines.pop(machine, None)
         return self._does_well(job, now)
@@ -163,7 +163,7 @@
         trial = self._jobs.get(job)
         return trial if trial is not None and not trial.well else None
 
-    def most(self, job: JobId, bound: int, longest_s: float, now: Steady) -> int | None:
+    def most(self, job: JobId, bound: int, longest_s: float, now: Monotonic) -> int | None:
         """How many tasks of a job on trial may start now; None: as many as there are.
 
         `bound` of its tasks are on machines, and the one that has run longest did so for
@@ -174,14 +174,14 @@
             return None
         return 1 if bound == 0 and now >= trial.next_at else 0
 
-    def survived(self, job: JobId, longest_s: float, now: Steady) -> list[MachineId]:
+    def survived(self, job: JobId, longest_s: float, now: Monotonic) -> list[MachineId]:
         """A task has run for so long; machines that are faulty if that settles it."""
         trial = self._trial(job)
         if trial is None or longest_s < trial.survives_s:
             return []
         return self._does_well(job, now)
 
-    def avoided(self, job: JobId, now: Steady) -> frozenset[MachineId]:
+    def avoided(self, job: JobId, now: Monotonic) -> frozenset[MachineId]:
         """Machines on which the job failed a short while ago."""
         trial = self._jobs.get(job)
         if trial is None:
@@ -190,7 +190,7 @@
 
     # -- judging --------------------------------------------------------------------------------
 
-    def _does_well(self, job: JobId, now: Steady) -> list[MachineId]:
+    def _does_well(self, job: JobId, now: Monotonic) -> list[MachineId]:
         trial = self._jobs.get(job)
         if trial is None:
             return []
@@ -199,7 +199,7 @@
         trial.rounds = 0
         return self._judge(list(trial.failed_on), now) if news else []
 
-    def _judge(self, machines: list[MachineId], now: Steady) -> list[MachineId]:
+    def _judge(self, machines: list[MachineId], now: Monotonic) -> list[MachineId]:
         for machine in [m for m, at in self._faulty.items() if now - at > _EVIDENCE_S]:
             del self._faulty[machine]
         found = [m for m in machines if m not in self._faulty and self._is_faulty(m, now)]
@@ -207,7 +207,7 @@
             self._faulty[machine] = now
         return found
 
-    def _is_faulty(self, machine: MachineId, now: Steady) -> bool:
+    def _is_faulty(self, machine: MachineId, now: Monotonic) -> bool:
         against = self._machines.get(machine, {})
         for job in [j for j, at in against.items() if now - at > _EVIDENCE_S]:
             del against[job]
--- a/tealrill/scheduler/boots.py
+++ b/tealrill/scheduler/boots.py
@@ -12,7 +12,7 @@
 from statistics import median
 from typing import Final
 
-from tealrill.types import Steady
+from tealrill.types import Monotonic
 
 _RECENT_S: Final = 90.0
 """A boot that ended longer ago says nothing about today's."""
@@ -29,13 +29,13 @@
     """Boots that ended in this term, by type and zone."""
 
     def __init__(self) -> None:
-        self._took: dict[tuple[str, str], deque[tuple[Steady, float]]] = {}
+        self._took: dict[tuple[str, str], deque[tuple[Monotonic, float]]] = {}
 
-    def came(self, kind: tuple[str, str], took_s: float, now: Steady) -> None:
+    def came(self, kind: tuple[str, str], took_s: float, now: Monotonic) -> None:
         """A machine reported for the first time, so long after it was rented."""
         self._took.setdefault(kind, deque(maxlen=_KEPT)).append((now, took_s))
 
-    def patience_s(self, kind: tuple[str, str], nominal_s: float, now: Steady) -> float:
+    def patience_s(self, kind: tuple[str, str], nominal_s: float, now: Monotonic) -> float:
         """For how long after its rental a machine is waited for."""
         recent = [took for at, took in self._took.get(kind, ()) if now - at <= _RECENT_S]
         if len(recent) < _ENOUGH:
--- a/tealrill/scheduler/capacity.py
+++ b/tealrill/scheduler/capacity.py
@@ -14,7 +14,7 @@
 
 from tealrill.scheduler.model import JobView, MachineView, Policy, ends_at
 from tealrill.scheduler.reservation import slots
-from tealrill.types import Steady
+from tealrill.types import Monotonic
 
 _SHORTEST_S: Final = 1.0
 _ROUNDED: Final = 1e-4
@@ -67,7 +67,7 @@
 class _Horizon:
     """What all rooms have to give by one moment, a list entry a room."""
 
-    def __init__(self, until: Steady) -> None:
+    def __init__(self, until: Monotonic) -> None:
         self.until = until
         self.cpus: list[float] = []
         """Processors that come free by then."""
@@ -78,7 +78,7 @@
         self.shortest_s: list[float] = []
         """Tasks that run for less surely find no place there by then."""
 
-    def add(self, free: Sequence[tuple[Steady, float]], least: float | None) -> None:
+    def add(self, free: Sequence[tuple[Monotonic, float]], least: float | None) -> None:
         cpus = cpu_s = longest_s = 0.0
         for at, count in free:
             if at <= self.until:
@@ -127,7 +127,7 @@
         self,
         kinds: Sequence[Kind],
         jobs: Sequence[Sequence[float | None]],
-        common: Container[Steady],
+        common: Container[Monotonic],
     ) -> None:
         """`kinds` of machines; `jobs`: of every job to be laid, its task's part of each of them, as
         `_parts` gives it. `common`: moments that many jobs ask for.
@@ -141,14 +141,14 @@
         ]
         """The least part that any of the jobs takes; None where none of them may run."""
         self._kind: list[int] = []
-        self._free: list[Sequence[tuple[Steady, float]]] = []
+        self._free: list[Sequence[tuple[Monotonic, float]]] = []
         """Per room the processors that come free, and when."""
         self._used_cpu_s: list[float] = []
-        self._horizons: dict[Steady, _Horizon] = {}
+        self._horizons: dict[Monotonic, _Horizon] = {}
         self.looks = 0
         """Rooms looked at more closely than by a comparison."""
 
-    def add(self, kind: Kind, free: Sequence[tuple[Steady, float]]) -> int:
+    def add(self, kind: Kind, free: Sequence[tuple[Monotonic, float]]) -> int:
         """Another room, behind the others; its number."""
         number = self._kinds[kind]
         self._kind.append(number)
@@ -158,7 +158,7 @@
             horizon.add(free, self._least[number])
         return len(self._kind) - 1
 
-    def _horizon(self, until: Steady) -> _Horizon:
+    def _horizon(self, until: Monotonic) -> _Horizon:
         found = self._horizons.get(until)
         if found is None:
             found = self._horizons[until] = _Horizon(until)
@@ -171,7 +171,7 @@
         job: JobView,
         most: int,
         parts: Sequence[float | None],
-        until: Steady,
+        until: Monotonic,
         first: int = 0,
     ) -> int:
         """Lays up to `most` tasks of the job that can start by `until`; how many fitted.
@@ -211,7 +211,7 @@
                 self._use(number, laid * need * run_s)
         return most - left
 
-    def _supply(self, number: int, run_s: float, until: Steady) -> float:
+    def _supply(self, number: int, run_s: float, until: Monotonic) -> float:
         """Processors for tasks of that length, those counted twice that serve two in turn."""
         supply = 0.0
         for at, cpus in self._free[number]:
@@ -255,7 +255,7 @@
     return part * max(size.cpus, 1e-6)
 
 
-def _free(machine: MachineView, now: Steady) -> list[tuple[Steady, float]]:
+def _free(machine: MachineView, now: Monotonic) -> list[tuple[Monotonic, float]]:
     """A machine's free processors now (or once it is up) and as its tasks end."""
     free = [(max(now, machine.ready_at), max(0.0, machine.cpus))]
     ends = ends_at(machine.running, now)
@@ -348,7 +348,7 @@
     machines: list[MachineView],
     catalogue: list[Offer],
     available: list[Offer],
-    now: Steady,
+    now: Monotonic,
     policy: Policy,
     affordable: Container[JobView] = (),
 ) -> list[Rental]:
@@ -367,7 +367,7 @@
     known = [m for m in machines if m.type in sizes]
     kinds = list({(m.type, m.zone, m.spot) for m in known} | {o.kind for o in catalogue})
     all_parts = [_parts(wish.job, kinds, sizes) for wish in wishes]
-    boots = {Steady(now + offer.boot_s) for offer in catalogue}
+    boots = {Monotonic(now + offer.boot_s) for offer in catalogue}
     rooms = Rooms(kinds, all_parts, boots)
     for machine in known:
         rooms.add((machine.type, machine.zone, machine.spot), _free(machine, now))
@@ -378,13 +378,13 @@
     wanted: dict[Offer, int] = {}
     for wish, parts in zip(wishes, all_parts, strict=True):
         job = wish.job
-        left = wish.waiting - rooms.lay(job, wish.waiting, parts, Steady(now + wish.wait_s))
+        left = wish.waiting - rooms.lay(job, wish.waiting, parts, Monotonic(now + wish.wait_s))
         while left > 0:
             offer = _choose(left, wish.offers, counts)
             if offer is None:
                 break
-            number = rooms.add(offer.kind, [(Steady(now + offer.boot_s), offer.cpus)])
-            until = Steady(now + max(wish.wait_s, offer.boot_s))
+            number = rooms.add(offer.kind, [(Monotonic(now + offer.boot_s), offer.cpus)])
+            until = Monotonic(now + max(wish.wait_s, offer.boot_s))
             laid = rooms.lay(job, left, parts, until, number)
             if laid <= 0:
                 break
--- a/tealrill/scheduler/losses.py
+++ b/tealrill/scheduler/losses.py
@@ -17,7 +17,7 @@
 from dataclasses import dataclass
 from typing import Final
 
-from tealrill.types import MachineId, Steady
+from tealrill.types import MachineId, Monotonic
 
 _TOGETHER_S: Final = 20.0
 _FEWEST: Final = 5
@@ -33,7 +33,7 @@
     type: str
     cpus: float
     """Processors that tasks used there and that nothing has replaced yet."""
-    at: Steady
+    at: Monotonic
 
 
 class Losses:
@@ -43,7 +43,7 @@
         self._open: deque[_Loss] = deque()
         self._known: dict[MachineId, _Loss] = {}
 
-    def lost(self, machine: MachineId, type_name: str, cpus: float, now: Steady) -> bool:
+    def lost(self, machine: MachineId, type_name: str, cpus: float, now: Monotonic) -> bool:
         """A machine is gone, or going, with tasks on so many of its processors.
 
         Counted once a machine; True if it was not known before.
@@ -76,7 +76,7 @@
                 loss.cpus -= paid
                 cpus -= paid
 
-    def owed(self, now: Steady, fleet: int) -> dict[str, float]:
+    def owed(self, now: Monotonic, fleet: int) -> dict[str, float]:
         """Processors to be replaced, by machine type; empty if it was no fall.
 
         `fleet` is the number of machines there are, those lost included as long as they are known.
--- a/tealrill/scheduler/model.py
+++ b/tealrill/scheduler/model.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Iterable, Sequence
 from dataclasses import dataclass, field
 
-from tealrill.types import JobId, MachineId, Steady, TaskId
+from tealrill.types import JobId, MachineId, Monotonic, TaskId
 
 _OVERDUE_S = 5.0
 """A task that outlived its estimate is expected to end within this or a part of its run time."""
@@ -36,7 +36,7 @@
     memory_gb: float
     backfilled: bool
     stopping: bool
-    since: Steady | None
+    since: Monotonic | None
     """When it began to run; None while it waits for its image."""
     guess_s: float
     """Its owner's estimate."""
@@ -44,27 +44,27 @@
     saves: bool
     save_s: float
 
-    def ran_s(self, now: Steady) -> float:
+    def ran_s(self, now: Monotonic) -> float:
         return now - self.since if self.since is not None else 0.0
 
 
-def ends_at(tasks: Iterable[RunningTask], now: Steady) -> list[Steady]:
+def ends_at(tasks: Iterable[RunningTask], now: Monotonic) -> list[Monotonic]:
     """When tasks are expected to end; those that are being stopped at once.
 
     Asked for every task of a full fleet in a pass, so one call answers for a machine's.
     """
-    found: list[Steady] = []
+    found: list[Monotonic] = []
     for task in tasks:
         since = task.since
         if task.stopping:
             found.append(now)
         elif since is None:
-            found.append(Steady(now + task.guess_s * task.pace.ratio))
+            found.append(Monotonic(now + task.guess_s * task.pace.ratio))
         else:
             overdue_s = _OVERDUE_PART * (now - since)
             soonest = now + (overdue_s if overdue_s < _OVERDUE_S else _OVERDUE_S)
             end = since + task.guess_s * task.pace.ratio
-            found.append(Steady(end if end > soonest else soonest))
+            found.append(Monotonic(end if end > soonest else soonest))
     return found
 
 
@@ -81,7 +81,7 @@
     memory_gb: float
     size: float
     """Processors of the whole machine."""
-    ready_at: Steady
+    ready_at: Monotonic
     """Now for a machine that takes tasks at once, later for one that boots."""
     fetch_gb_per_s: float
     images: set[str]
@@ -279,7 +279,7 @@
     """Room kept on one machine for tasks of the head job."""
 
     machine: MachineId
-    at: Steady
+    at: Monotonic
     tasks: int
 
 
--- a/tealrill/scheduler/plan.py
+++ b/tealrill/scheduler/plan.py
@@ -24,11 +24,11 @@
 )
 from tealrill.scheduler.queue import affordable, order
 from tealrill.scheduler.reservation import Window, reserve, slots
-from tealrill.types import MachineId, Steady
+from tealrill.types import MachineId, Monotonic
 
 
 class _Pass:
-    def __init__(self, view: View, now: Steady, policy: Policy) -> None:
+    def __init__(self, view: View, now: Monotonic, policy: Policy) -> None:
         self.view = view
         self.now = now
         self.policy = policy
@@ -281,6 +281,6 @@
             wanted -= 1
 
 
-def plan(view: View, now: Steady, policy: Policy) -> Plan:
+def plan(view: View, now: Monotonic, policy: Policy) -> Plan:
     """Plans one pass. The view's rooms and counts are used up by it."""
     return _Pass(view, now, policy).run()
--- a/tealrill/scheduler/preemption.py
+++ b/tealrill/scheduler/preemption.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 
 from tealrill.scheduler.model import SLACK, JobView, MachineView, RunningTask, TeamView
-from tealrill.types import Steady
+from tealrill.types import Monotonic
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,7 +41,7 @@
 
 
 def _victims_on(
-    machine: MachineView, job: JobView, candidates: list[RunningTask], now: Steady
+    machine: MachineView, job: JobView, candidates: list[RunningTask], now: Monotonic
 ) -> Victims | None:
     """Least run time first until the room is there, less those that turn out not to be needed."""
     chosen: list[RunningTask] = []
@@ -65,7 +65,7 @@
     teams: dict[str, TeamView],
     taken: set[RunningTask],
     guaranteed: bool,
-    now: Steady,
+    now: Monotonic,
 ) -> Victims | None:
     """The victims whose stop makes room for one task of the job at the least loss."""
     best: Victims | None = None
--- a/tealrill/scheduler/reservation.py
+++ b/tealrill/scheduler/reservation.py
@@ -10,14 +10,14 @@
 from dataclasses import dataclass
 
 from tealrill.scheduler.model import SLACK, JobView, MachineView, ends_at
-from tealrill.types import Steady
+from tealrill.types import Monotonic
 
 
 @dataclass(slots=True)
 class Window:
     """A machine on which room is reserved from `at` on."""
 
-    at: Steady
+    at: Monotonic
     tasks: int
     spare_cpus: float
     spare_gpus: float
@@ -38,11 +38,11 @@
         self.spare_memory_gb -= job.memory_gb
 
 
-Room = tuple[Steady, float, float, float]
+Room = tuple[Monotonic, float, float, float]
 """When it is there, and how much: processors, accelerators, memory."""
 
 
-def first_room(job: JobView, machine: MachineView, now: Steady, by: Steady) -> Room | None:
+def first_room(job: JobView, machine: MachineView, now: Monotonic, by: Monotonic) -> Room | None:
     """The earliest moment at which a task of the job fits, as running tasks end.
 
     None if it never does, or surely only after `by`.
@@ -67,7 +67,7 @@
     return None
 
 
-RoomAt = tuple[Steady, int, MachineView, tuple[float, float, float]]
+RoomAt = tuple[Monotonic, int, MachineView, tuple[float, float, float]]
 """When a room is there, its place among equals, its machine, and how much it is."""
 
 
@@ -81,7 +81,7 @@
 
 
 def reserve(
-    job: JobView, machines: list[MachineView], now: Steady, most: int
+    job: JobView, machines: list[MachineView], now: Monotonic, most: int
 ) -> dict[MachineView, Window]:
     """The earliest room for up to `most` of the job's waiting tasks, one machine after another.
 
@@ -95,7 +95,7 @@
     found: list[RoomAt] = []
     latest: list[float] = []
     """The earliest moments so far, as many as there are tasks, the last of them on top."""
-    by = Steady(math.inf)
+    by = Monotonic(math.inf)
     for number, machine in enumerate(machines):
         if not machine.allows(job) or job.zone_room(machine.zone) <= 0:
             continue
@@ -108,7 +108,7 @@
         else:
             heapq.heappushpop(latest, -room[0])
         if len(latest) == wanted:
-            by = Steady(-latest[0])
+            by = Monotonic(-latest[0])
     return windows(job, found, wanted)
 
 
--- a/tealrill/seam.py
+++ b/tealrill/seam.py
@@ -15,10 +15,10 @@
 from tealrill.settings import Settings
 from tealrill.state.book import Book, Job, Owner
 from tealrill.state.client import StateClient
-from tealrill.state.election import Leadership
+from tealrill.state.fencing import Leadership
 from tealrill.state.intake import Names
 from tealrill.state.keeper import Keeper
-from tealrill.types import Revision, Steady
+from tealrill.types import Monotonic, Revision
 
 
 @dataclass(frozen=True, slots=True)
@@ -34,7 +34,7 @@
     """Whether the leader may act at this moment."""
     stop: Callable[[Job], None]
     """A job's record is over, or is certain to be: nothing of it starts, what runs is stopped."""
-    remaining_s: Callable[[Job, Steady], float]
+    remaining_s: Callable[[Job, Monotonic], float]
     """How long a job's tasks are expected to take from now on."""
     job_view: Callable[[wire.JobSpec, int], JobView]
     """A job that is not in the queue as the planner would see it, with so many waiting tasks."""
@@ -65,7 +65,7 @@
     def tasks_done(self, job: Job, tasks: list[int]) -> None:
         """Tasks of a job that others follow are written down as done."""
 
-    def upcoming(self, now: Steady, within_s: float) -> Iterable[tuple[JobView, int]]:
+    def upcoming(self, now: Monotonic, within_s: float) -> Iterable[tuple[JobView, int]]:
         """Tasks that will wait for machines within so many seconds."""
 
     def describe(self) -> dict[str, Any]:
--- a/tealrill/state/acknowledged.py
+++ b/tealrill/state/acknowledged_cancellations.py
@@ -1,6 +1,7 @@
 """Cancellations that this node has told a user of, and from when on it knows of all of them.
 
-A leader that goes on through an outage learns them with each promise (`state/truce.py`). A process
+A leader that goes on through an outage learns them with each promise
+(`leadership/lease_extension.py`). A process
 that was started again knows nothing of what its former process acknowledged a moment before: it
 can vouch only for what came after its first look at the state service. No I/O here.
 """
@@ -15,7 +16,7 @@
 _KEPT: Final = 500
 
 
-class Acknowledged:
+class AcknowledgedCancellations:
     """The latest cancellations by the revision that made them true."""
 
     def __init__(self, first_seen: Callable[[], Revision | None]) -> None:
--- a/tealrill/state/book.py
+++ b/tealrill/state/book.py
@@ -20,10 +20,10 @@
     Attempt,
     JobId,
     MachineId,
+    Monotonic,
     Revision,
     Seq,
     Session,
-    Steady,
     TaskId,
     Wall,
     parse_machine_id,
@@ -89,7 +89,7 @@
     shown_in: Seq | None = None
     """The last list of this session that showed it."""
     state: str | None = None
-    running_since: Steady | None = None
+    running_since: Monotonic | None = None
     stop: Stop | None = None
 
     @property
@@ -108,7 +108,7 @@
 
     reason: str
     grace_s: float
-    since: Steady
+    since: Monotonic
 
 
 @dataclass(slots=True, eq=False)
@@ -138,7 +138,7 @@
     stamp: Revision = ABSENT
     version: int = 0
     committed: int = 0
-    dirty_since: Steady | None = None
+    dirty_since: Monotonic | None = None
     new_bindings: int = 0
     news: list[tuple[int, int]] = field(default_factory=list)
     """For a job whose followers wait for single tasks: versions and the tasks they made done."""
@@ -238,7 +238,7 @@
             heapq.heappush(job.requeued, index)
         return True
 
-    def follow(self, job: Job, now: Steady) -> list[int]:
+    def follow(self, job: Job, now: Monotonic) -> list[int]:
         """From here on others wait for its single tasks; those that are written down as done."""
         job.followed = True
         kept: list[int] = []
@@ -295,7 +295,7 @@
         zone: str,
         backfilled: bool,
         wall: Wall,
-        now: Steady,
+        now: Monotonic,
     ) -> Binding:
         task = job.tasks.setdefault(index, Task())
         assert task.binding is None and not job.cancelled and not job.done[index]
@@ -327,7 +327,7 @@
         rank = job.spec.rank
         self.rank_cpus[rank] = self.rank_cpus.get(rank, 0.0) + job.spec.cpus
 
-    def release(self, binding: Binding, zone: str, now: Steady) -> None:
+    def release(self, binding: Binding, zone: str, now: Monotonic) -> None:
         """Ends a binding. The caller has the proof that the task is gone from its machine."""
         job = binding.chunk.job
         index = binding.task.index
@@ -354,7 +354,7 @@
         if not job.done[index]:
             heapq.heappush(job.requeued, index)
 
-    def complete(self, job: Job, index: int, now: Steady) -> bool:
+    def complete(self, job: Job, index: int, now: Monotonic) -> bool:
         """Counts a task as done, whichever attempt said so; True the first time."""
         if job.done[index] or job.spec.is_service:
             return False
@@ -422,7 +422,9 @@
             chunk = job.chunks[number] = Chunk(job, number)
         return chunk
 
-    def _mark(self, chunk: Chunk, now: Steady, urgent: bool = False, hurry: bool = False) -> None:
+    def _mark(
+        self, chunk: Chunk, now: Monotonic, urgent: bool = False, hurry: bool = False
+    ) -> None:
         """A chunk has to be written: `urgent` for a new binding, `hurry` for what others await."""
         if chunk.dirty_since is None:
             chunk.dirty_since = now
--- a/tealrill/state/budget.py
+++ b/tealrill/state/budget.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-from tealrill.types import Steady, steady_now
+from tealrill.types import Monotonic, monotonic_now
 
 
 class Rank(IntEnum):
@@ -43,7 +43,7 @@
         self._rate = rate
         self._depth = depth
         self._tokens = self.burst
-        self._at: Steady = steady_now()
+        self._at: Monotonic = monotonic_now()
         self._lines: dict[Rank, deque[_Waiter]] = {rank: deque() for rank in Rank}
         self._timer: asyncio.TimerHandle | None = None
 
@@ -129,6 +129,6 @@
                     waiter.turn.set_result(None)
 
     def _refill(self) -> None:
-        now = steady_now()
+        now = monotonic_now()
         self._tokens = min(self.burst, self._tokens + (now - self._at) * self._rate)
         self._at = now
--- a/tealrill/state/client.py
+++ b/tealrill/state/client.py
@@ -15,7 +15,7 @@
 from tealrill.http import Answer, Client, NoAnswer
 from tealrill.settings import StateLimits, parse_address
 from tealrill.state.budget import Budget, Rank
-from tealrill.types import LeaseId, Revision, steady_now
+from tealrill.types import LeaseId, Revision, monotonic_now
 
 _PAGE = 500
 _MOST_POLL_WAIT_S = 1.0
@@ -192,7 +192,7 @@
     def away(self) -> bool:
         """Several exchanges in a row have just failed; the election's own tries go on and say when
         that is over."""
-        return self._failures >= _FAILURES and steady_now() - self._failed_at < _AWAY_S
+        return self._failures >= _FAILURES and monotonic_now() - self._failed_at < _AWAY_S
 
     @property
     def failing(self) -> bool:
@@ -203,7 +203,7 @@
         if failed:
             self.interruptions += self._failures == 0
             self._failures += 1
-            self._failed_at = steady_now()
+            self._failed_at = monotonic_now()
         else:
             self._failures = 0
 
--- a/tealrill/state/duty.py
+++ b/tealrill/state/fencing.py
@@ -15,17 +15,36 @@
 
 from __future__ import annotations
 
+import math
 from collections.abc import Callable
 from dataclasses import dataclass
 from typing import Any, Final
 
 from tealrill import wire
 from tealrill.state.client import Committed, Failed, StateClient
-from tealrill.types import Revision, Steady, Token
+from tealrill.types import LeaseId, Monotonic, Revision, Token
 
 LEADER_KEY: Final = "leader"
 
 
+@dataclass(slots=True)
+class Leadership:
+    """One term of this node."""
+
+    term: Token
+    stamp: Revision
+    lease: LeaseId
+    elected_at: Monotonic
+    valid_until: Monotonic
+    troubled: bool = False
+    """Its last renewal failed."""
+    renewed_at: Monotonic = Monotonic(-math.inf)
+    """When its last successful renewal was sent: the lease stood for `TTL_S` from then."""
+
+    def valid(self, now: Monotonic) -> bool:
+        return now < self.valid_until
+
+
 class Replaced(Exception):
     """The holder may not act at this moment; perhaps it never may again."""
 
@@ -55,7 +74,7 @@
 
     name: str
     epoch: Token
-    since: Steady
+    since: Monotonic
     valid: Callable[[], bool]
     """Whether its holder may act at this very moment."""
     alone: Callable[[], bool] = lambda: False
@@ -71,7 +90,7 @@
     def did(self, what: str) -> None:
         self.last = what
 
-    def describe(self, now: Steady, open_count: int) -> dict[str, Any]:
+    def describe(self, now: Monotonic, open_count: int) -> dict[str, Any]:
         """For operators: epoch, since when in seconds, what is open and what was done last."""
         return {
             "epoch": self.epoch,
--- a/tealrill/state/intake.py
+++ b/tealrill/state/intake.py
@@ -18,7 +18,7 @@
 
 from tealrill import wire
 from tealrill.settings import Settings, Team
-from tealrill.state.acknowledged import Acknowledged
+from tealrill.state.acknowledged_cancellations import AcknowledgedCancellations
 from tealrill.state.book import (
     JOB_PREFIX,
     OUTCOME_CANCELLED,
@@ -106,7 +106,7 @@
         self._value_bytes = int(settings.params.state.value_kb * 1024)
         self._catalogue = catalogue
         self._over: OrderedDict[JobId, wire.KeyValue] = OrderedDict()
-        self.acknowledged = Acknowledged(lambda: client.first_seen)
+        self.acknowledged = AcknowledgedCancellations(lambda: client.first_seen)
         self.names: Names | None = None
         self.counts: Callable[[JobId], tuple[int, int] | None] = lambda _: None
         """Done and running tasks as the leader's memory has them; None elsewhere."""
--- a/tealrill/state/keeper.py
+++ b/tealrill/state/keeper.py
@@ -33,9 +33,8 @@
     StateError,
     Unknown,
 )
-from tealrill.state.duty import LEADER_KEY, Fence
-from tealrill.state.election import Leadership
-from tealrill.types import ABSENT, Revision, Steady, steady_now
+from tealrill.state.fencing import LEADER_KEY, Fence, Leadership
+from tealrill.types import ABSENT, Monotonic, Revision, monotonic_now
 
 log = logging.getLogger(__name__)
 
@@ -63,7 +62,7 @@
     """They were executed, in this revision."""
     refused: Callable[[dict[str, wire.KeyValue | None]], None]
     """They were not, and will not be; with the guards' keys as they were read back since."""
-    ahead_at: Steady | None = None
+    ahead_at: Monotonic | None = None
     """For what somebody waits for: right behind new bindings, and from this moment on before them,
     whatever else there is to write. None: when there is room for what can wait."""
 
@@ -126,7 +125,7 @@
     async def run(self) -> None:
         """Ends with `Deposed`."""
         while True:
-            batch = self._gather(steady_now())
+            batch = self._gather(monotonic_now())
             self.under_way = bool(batch.changes)
             if batch.changes:
                 await self._commit(batch)
@@ -140,7 +139,7 @@
 
     # -- what goes into the next transaction ----------------------------------------------------
 
-    def _gather(self, now: Steady) -> _Batch:
+    def _gather(self, now: Monotonic) -> _Batch:
         """What users wait for by urgency class, then the rest.
 
         Within a class ends of jobs go first, then new bindings in the order in which they came:
@@ -315,7 +314,7 @@
             elif not chunk.new_bindings:
                 self._book.urgent.pop(chunk, None)
                 self._book.lazy[chunk] = None
-                chunk.dirty_since = steady_now()
+                chunk.dirty_since = monotonic_now()
         for key in batch.garbage:
             self._book.garbage.pop(key, None)
         for chunk in batch.dropped.values():
--- a/tealrill/types.py
+++ b/tealrill/types.py
@@ -18,7 +18,7 @@
 Seq = NewType("Seq", int)
 Revision = NewType("Revision", int)
 LeaseId = NewType("LeaseId", int)
-Steady = NewType("Steady", float)
+Monotonic = NewType("Monotonic", float)
 """Seconds on this process's steady clock; means nothing to any other process."""
 Wall = NewType("Wall", float)
 """Seconds since 1970; differs between machines by the bound in the settings."""
@@ -59,16 +59,16 @@
     return None if job_id is None else TaskId(job_id, int(index))
 
 
-def surely_until(since: Steady, length_s: float, margin_s: float) -> Steady:
+def lower_bound_deadline(since: Monotonic, length_s: float, margin_s: float) -> Monotonic:
     """Until when something that another clock measures has certainly not ended.
 
     Two clocks that each run up to 0.05% off differ by at most 0.1%.
     """
-    return Steady(since + length_s * 0.999 - margin_s)
+    return Monotonic(since + length_s * 0.999 - margin_s)
 
 
-def steady_now() -> Steady:
-    return Steady(time.monotonic())
+def monotonic_now() -> Monotonic:
+    return Monotonic(time.monotonic())
 
 
 def wall_now() -> Wall:
--- a/tests/plain.py
+++ b/tests/plain.py
@@ -25,16 +25,16 @@
 from tealrill.scheduler.plan import _Pass
 from tealrill.scheduler.preemption import Victims, _victims_on, stoppable
 from tealrill.scheduler.reservation import Window, windows
-from tealrill.types import Steady
+from tealrill.types import Monotonic
 
 
-def end_at(task: RunningTask, now: Steady) -> Steady:
+def end_at(task: RunningTask, now: Monotonic) -> Monotonic:
     run_s = task.guess_s * task.pace.ratio
     if task.stopping:
         return now
     if task.since is None:
-        return Steady(now + run_s)
-    return Steady(max(task.since + run_s, now + min(5.0, 0.25 * (now - task.since))))
+        return Monotonic(now + run_s)
+    return Monotonic(max(task.since + run_s, now + min(5.0, 0.25 * (now - task.since))))
 
 
 # -- placing --------------------------------------------------------------------------------------
@@ -88,12 +88,12 @@
             wanted -= 1
 
 
-def plan(view: View, now: Steady, policy: Policy) -> Plan:
+def plan(view: View, now: Monotonic, policy: Policy) -> Plan:
     return PlainPass(view, now, policy).run()
 
 
 def reserve(
-    job: JobView, machines: list[MachineView], now: Steady, most: int
+    job: JobView, machines: list[MachineView], now: Monotonic, most: int
 ) -> dict[MachineView, Window]:
     rooms = []
     for number, machine in enumerate(machines):
@@ -106,8 +106,8 @@
 
 
 def _first_room(
-    job: JobView, machine: MachineView, now: Steady
-) -> tuple[Steady, float, float, float] | None:
+    job: JobView, machine: MachineView, now: Monotonic
+) -> tuple[Monotonic, float, float, float] | None:
     cpus, gpus, memory = machine.cpus, machine.gpus, machine.memory_gb
     at = max(now, machine.ready_at)
     if machine.fits(job):
@@ -129,7 +129,7 @@
     teams: dict[str, TeamView],
     taken: set[RunningTask],
     guaranteed: bool,
-    now: Steady,
+    now: Monotonic,
 ) -> Victims | None:
     best: Victims | None = None
     for machine in machines:
@@ -149,12 +149,12 @@
 
 
 class _Room:
-    def __init__(self, kind: Kind, free: list[tuple[Steady, float]]) -> None:
+    def __init__(self, kind: Kind, free: list[tuple[Monotonic, float]]) -> None:
         self.kind = kind
         self.free = free
         self.used_cpu_s = 0.0
 
-    def lay(self, need: float, run_s: float, most: int, until: Steady) -> int:
+    def lay(self, need: float, run_s: float, most: int, until: Monotonic) -> int:
         supply = 0.0
         for at, cpus in self.free:
             if at <= until:
@@ -165,7 +165,7 @@
 
 
 def _lay(
-    job: JobView, most: int, rooms: list[_Room], sizes: dict[str, Offer], until: Steady
+    job: JobView, most: int, rooms: list[_Room], sizes: dict[str, Offer], until: Monotonic
 ) -> int:
     left = most
     for room in rooms:
@@ -195,7 +195,7 @@
     machines: list[MachineView],
     catalogue: list[Offer],
     available: list[Offer],
-    now: Steady,
+    now: Monotonic,
     policy: Policy,
     affordable: Container[JobView] = (),
 ) -> list[Rental]:
@@ -222,15 +222,15 @@
         wait_s = min(o.boot_s for o in fitting)
         if not cheap and job in affordable:
             wait_s = max(wait_s, job.latest_s[0])
-        left = waiting - _lay(job, waiting, rooms, sizes, Steady(now + wait_s))
+        left = waiting - _lay(job, waiting, rooms, sizes, Monotonic(now + wait_s))
         if not cheap and job in affordable:
             continue
         while left > 0:
             offer = _choose(job, left, cheap or ready, counts)
             if offer is None:
                 break
-            room = _Room(offer.kind, [(Steady(now + offer.boot_s), offer.cpus)])
-            laid = _lay(job, left, [room], sizes, Steady(now + max(wait_s, offer.boot_s)))
+            room = _Room(offer.kind, [(Monotonic(now + offer.boot_s), offer.cpus)])
+            laid = _lay(job, left, [room], sizes, Monotonic(now + max(wait_s, offer.boot_s)))
             if laid <= 0:
                 break
             left -= laid
--- a/tests/samples.py
+++ b/tests/samples.py
@@ -9,9 +9,9 @@
 from tealrill import wire
 from tealrill.fleet.intents import Intents
 from tealrill.scheduler.model import JobView, MachineView, Pace, RunningTask
-from tealrill.state.duty import Duty
+from tealrill.state.fencing import Duty
 from tealrill.state.keeper import Joined
-from tealrill.types import JobId, MachineId, Revision, Steady, TaskId, Token
+from tealrill.types import JobId, MachineId, Monotonic, Revision, TaskId, Token
 
 SETTINGS: dict[str, Any] = {
     "host_name": "node-0",
@@ -120,7 +120,7 @@
         "gpus": 0.0,
         "memory_gb": 64.0,
         "size": 8.0,
-        "ready_at": Steady(0.0),
+        "ready_at": Monotonic(0.0),
         "fetch_gb_per_s": 1.0,
         "images": set(),
         "dear": False,
@@ -142,7 +142,7 @@
         "memory_gb": 1.0,
         "backfilled": False,
         "stopping": False,
-        "since": Steady(now - ran_s),
+        "since": Monotonic(now - ran_s),
         "guess_s": ran_s + end_at - now,
         "pace": Pace(),
         "saves": False,
@@ -158,6 +158,6 @@
         joined.applied(Revision(1))
 
     def duty(name: str) -> Duty:
-        return Duty(name, Token(1), Steady(0.0), lambda: True)
+        return Duty(name, Token(1), Monotonic(0.0), lambda: True)
 
     return Intents(join, Token(1), 8.0), duty("renting"), duty("returning")
--- a/tests/test_acknowledged.py
+++ b/tests/test_acknowledged_cancellations.py
@@ -19,12 +19,18 @@
 from hypothesis import strategies as st
 
 from tealrill import settings
-from tealrill.state import acknowledged as acknowledged_module
-from tealrill.state.acknowledged import Acknowledged
+from tealrill.leadership.lease_extension import (
+    PROMISE_S,
+    ExtensionAnswer,
+    ExtensionRequest,
+    LeaseExtension,
+    Seen,
+)
+from tealrill.state import acknowledged_cancellations as acknowledged_module
+from tealrill.state.acknowledged_cancellations import AcknowledgedCancellations
 from tealrill.state.client import Refused, StateClient
-from tealrill.state.election import Leadership
-from tealrill.state.truce import PROMISE_S, Answer, Request, Seen, Truce
-from tealrill.types import LeaseId, Revision, Steady, Token
+from tealrill.state.fencing import Leadership
+from tealrill.types import LeaseId, Monotonic, Revision, Token
 from tests.samples import SETTINGS
 
 _WORKERS = SETTINGS["params"]["workers"]
@@ -49,8 +55,8 @@
 
     def __init__(self, world: _World) -> None:
         self.first: Revision | None = None
-        self.known = Acknowledged(lambda: self.first)
-        self.truce = Truce(
+        self.known = AcknowledgedCancellations(lambda: self.first)
+        self.extension = LeaseExtension(
             settings.parse(orjson.dumps(SETTINGS)),
             cast(StateClient, world.state),
             self,
@@ -58,7 +64,7 @@
             lambda: world.now,
         )
 
-    def promise(self, term: Token, until: Steady) -> str:
+    def promise(self, term: Token, until: Monotonic) -> str:
         return ""
 
 
@@ -66,10 +72,10 @@
     def __init__(self, seed: int, without: str = "") -> None:
         self.rng = random.Random(seed)
         self.without = without
-        self.now = Steady(100.0)
+        self.now = Monotonic(100.0)
         self.state = _State()
         self.members = [_Member(self) for _ in range(3)]
-        self.told: dict[str, Steady] = {}
+        self.told: dict[str, Monotonic] = {}
         self.at: dict[str, int] = {}
         self.known: set[str] = set()
         self.seen = Seen(Revision(10), self.now)
@@ -79,17 +85,17 @@
         self._lead()
 
     def _lead(self) -> None:
-        truce = self.members[0].truce
-        truce.seen = lambda: self.seen
-        truce.cancelled = self.known.add
-        truce._peers = {"1": cast(Any, 1), "2": cast(Any, 2)}
+        extension = self.members[0].extension
+        extension.seen = lambda: self.seen
+        extension.cancelled = self.known.add
+        extension._peers = {"1": cast(Any, 1), "2": cast(Any, 2)}
 
-        async def ask(number: Any, request: Request) -> Answer:
-            answer: Answer = await self.members[number].truce.asked(request)
+        async def ask(number: Any, request: ExtensionRequest) -> ExtensionAnswer:
+            answer: ExtensionAnswer = await self.members[number].extension.asked(request)
             vouches = answer.vouches or self.without == "vouching"
-            return Answer(answer.promised, answer.why, answer.cancelled, vouches)
+            return ExtensionAnswer(answer.promised, answer.why, answer.cancelled, vouches)
 
-        truce._ask = ask  # type: ignore[method-assign,assignment]
+        extension._ask = ask  # type: ignore[method-assign,assignment]
 
     def run(self, steps: int) -> None:
         actions = [self.cancel, self.poll, self.ask, self.ask, self.restart, self.turn, self.look]
@@ -140,13 +146,15 @@
     def ask(self) -> None:
         if not self.state.up and self.mine.valid(self.now):
             if self.without == "own":
-                self.members[0].truce._acknowledged = Acknowledged(lambda: Revision(0))
-            asyncio.run(self.members[0].truce._seek(self.mine))
+                self.members[0].extension._acknowledged = AcknowledgedCancellations(
+                    lambda: Revision(0)
+                )
+            asyncio.run(self.members[0].extension._seek(self.mine))
 
     def pass_time(self, seconds: float) -> None:
-        self.now = Steady(self.now + seconds)
+        self.now = Monotonic(self.now + seconds)
         if self.state.up:
-            self.mine.valid_until = Steady(self.now + _RENEWED_S)
+            self.mine.valid_until = Monotonic(self.now + _RENEWED_S)
             if self.now - self.seen.at > self.rng.uniform(0.0, _WATCH_LAG_S):
                 self.seen = Seen(Revision(self.state.revision), self.now)
                 self.known |= {n for n, at in self.at.items() if at <= self.seen.revision}
@@ -185,11 +193,11 @@
 def test_what_was_let_go_is_not_vouched_for(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(acknowledged_module, "_KEPT", 1)
 
-    def all_since(self: Acknowledged, revision: Revision) -> bool:
+    def all_since(self: AcknowledgedCancellations, revision: Revision) -> bool:
         first = self._first_seen()
         return first is not None and first <= revision
 
-    monkeypatch.setattr(Acknowledged, "all_since", all_since)
+    monkeypatch.setattr(AcknowledgedCancellations, "all_since", all_since)
     with pytest.raises(AssertionError, match="runs on"):
         for seed in range(3000):
             _World(seed).run(80)
@@ -197,7 +205,7 @@
 
 def test_a_restarted_member_vouches_for_what_came_after_its_first_look() -> None:
     first: list[Revision] = []
-    known = Acknowledged(lambda: first[0] if first else None)
+    known = AcknowledgedCancellations(lambda: first[0] if first else None)
     assert not known.all_since(Revision(100))
     first.append(Revision(50))
     assert known.all_since(Revision(50))
@@ -206,7 +214,7 @@
 
 def test_too_many_cancellations_are_not_vouched_for(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(acknowledged_module, "_KEPT", 3)
-    known = Acknowledged(lambda: Revision(0))
+    known = AcknowledgedCancellations(lambda: Revision(0))
     for at in (7, 9, 8, 10):
         known.add(f"wk-{at}", Revision(at))
     assert known.since(Revision(0)) == ["wk-9", "wk-8", "wk-10"]
@@ -219,12 +227,12 @@
     world = _World(0)
     world.members[1] = _Member(world)
     world.seen = Seen(Revision(10), world.now)
-    world.mine.valid_until = Steady(world.now + _RENEWED_S)
+    world.mine.valid_until = Monotonic(world.now + _RENEWED_S)
     world.state.up = False
     began = world.now
     while world.mine.valid(world.now):
         world.ask()
-        world.now = Steady(world.now + 0.5)
+        world.now = Monotonic(world.now + 0.5)
     # Longer than one promise, and no longer than what nobody here knows of may run.
     spare = _WORKERS["cancel_s"] - _WORKERS["lease_s"]
     assert PROMISE_S < world.now - began < spare
--- a/tests/test_bindings.py
+++ b/tests/test_bindings.py
@@ -22,11 +22,11 @@
 from tealrill import wire
 from tealrill.fleet.machines import Exit, Fleet, Machine
 from tealrill.state.book import Binding, Book, Chunk
-from tealrill.types import MachineId, Revision, Steady, Token, Wall
+from tealrill.types import MachineId, Monotonic, Revision, Token, Wall
 from tests.samples import report, spec
 
 LEASE_S = 8.0
-PERMIT_S = 2.0
+DELEGATION_S = 2.0
 MACHINES = ("m-1", "m-2")
 TASKS = 2
 
@@ -105,10 +105,10 @@
         self.workers = {name: Worker(name, renewed_at=self.now) for name in MACHINES}
         self.store: dict[int, Any] = {}
         self.term = 0
-        self.permit: tuple[int, bool] | None = None
-        """The deputy's key: its term, and whether the leader has closed it."""
+        self.delegation: tuple[int, bool] | None = None
+        """The delegate's key: its term, and whether the leader has closed it."""
         self.permitted = (0, -1e9)
-        """The term that the deputy may answer for, and until when."""
+        """The term that the delegate may answer for, and until when."""
         self.beats: list[Beat] = []
         self.responses: list[tuple[Beat, int, list[dict[str, Any]]]] = []
         self.directs: list[Direct] = []
@@ -140,17 +140,17 @@
         self.book = Book(4.0)
         self.job = self.book.add(spec(pieces=TASKS), Wall(0.0), Revision(1))
         self.fleet = self.fleet_class(
-            self.book, Token(self.term), Steady(self.now), LEASE_S, PERMIT_S
+            self.book, Token(self.term), Monotonic(self.now), LEASE_S, DELEGATION_S
         )
         bindings = [
             binding
             for number, value in self.store.items()
             for binding in self.book.load(self.job, number, copy.deepcopy(value), Revision(2))
         ]
-        self.fleet.inherit(bindings, Steady(self.now))
+        self.fleet.inherit(bindings, Monotonic(self.now))
 
     def bind(self) -> None:
-        now = Steady(self.now)
+        now = Monotonic(self.now)
         usable = [m for m in self.fleet.machines.values() if m.placeable(now, LEASE_S)]
         if usable and self.job.waiting > 0:
             machine = self.random.choice(usable)
@@ -164,7 +164,7 @@
     def stop(self) -> None:
         bindings = list(self.job.bindings())
         if bindings:
-            self.fleet.stop(self.random.choice(bindings), "test", 0.0, Steady(self.now))
+            self.fleet.stop(self.random.choice(bindings), "test", 0.0, Monotonic(self.now))
 
     # -- reports --------------------------------------------------------------------------------
 
@@ -181,7 +181,7 @@
         if beat is None or beat.report.token > self.term:
             return
         machine_id = MachineId(beat.report.machine)
-        commands = self.fleet.report(beat.report, machine_id, Steady(self.now), Wall(0.0))
+        commands = self.fleet.report(beat.report, machine_id, Monotonic(self.now), Wall(0.0))
         if commands is not None:
             self.responses.append((beat, self.term, commands))
 
@@ -200,26 +200,26 @@
         worker.renewed_at = max(worker.renewed_at, beat.sent_at)
         worker.execute(commands)
 
-    def deputy_confirms(self) -> None:
-        """A node in a cut zone writes its permit, guarded by the key of the leader of this term."""
-        if self.permit != (self.term, True):
-            self.permit = (self.term, False)
-            self.permitted = (self.term, self.now + PERMIT_S)
+    def delegate_confirms(self) -> None:
+        """A node in a cut zone writes its delegation, guarded by the key of this term's leader."""
+        if self.delegation != (self.term, True):
+            self.delegation = (self.term, False)
+            self.permitted = (self.term, self.now + DELEGATION_S)
 
-    def deputy_answers(self) -> None:
+    def delegate_answers(self) -> None:
         """It renews a worker, without commands. Its term may be over, for a moment."""
         term, until = self.permitted
         beat = self._take(self.beats)
         if beat is not None and self.now <= until and beat.report.token <= term:
             self.responses.append((beat, term, []))
 
-    def deputy_round_trip(self) -> None:
+    def delegate_round_trip(self) -> None:
         """A worker in a cut zone is renewed by the node beside it."""
-        self.deputy_confirms()
+        self.delegate_confirms()
         self.worker_reports()
         self.beats[:], rest = self.beats[-1:], self.beats[:-1]
         before = len(self.responses)
-        self.deputy_answers()
+        self.delegate_answers()
         self.beats[:] = rest
         if len(self.responses) > before:
             kept, self.responses = self.responses[:-1], self.responses[-1:]
@@ -252,7 +252,7 @@
         if machine is None or machine.session is None:
             return
         starts = self.fleet.direct_starts(machine)
-        commands = self.fleet.stops(machine, Steady(self.now))
+        commands = self.fleet.stops(machine, Monotonic(self.now))
         commands += [wire.start(str(b.task), b.attempt) for b in starts]
         if commands:
             self.fleet.direct_sent(starts)
@@ -284,7 +284,7 @@
             return
         if refused:
             self.fleet.direct_refused(direct.starts)
-        self.fleet.direct_report(answer, MachineId(worker.id), Steady(self.now), Wall(0.0))
+        self.fleet.direct_report(answer, MachineId(worker.id), Monotonic(self.now), Wall(0.0))
         if not refused:
             self.fleet.direct_executed(direct.starts)
 
@@ -294,12 +294,12 @@
         self.now += self.random.choice([0.5, 1.5, 3.0, 5.0])
         for worker in self.workers.values():
             worker.lapse(self.now)
-        if self.permit != (self.term, False):
-            self.fleet.check_silence(Steady(self.now))
+        if self.delegation != (self.term, False):
+            self.fleet.check_silence(Monotonic(self.now))
         elif self.random.random() < 0.5:
-            # The leader closes a permit, or has removed it because all machines were heard.
-            self.permit = (self.term, True) if self.random.random() < 0.5 else None
-            self.fleet.permit_ended(Steady(self.now))
+            # The leader closes a delegation, or has removed it because all machines were heard.
+            self.delegation = (self.term, True) if self.random.random() < 0.5 else None
+            self.fleet.delegation_ended(Monotonic(self.now))
 
     def a_task_exits(self) -> None:
         worker = self.random.choice(list(self.workers.values()))
@@ -317,7 +317,7 @@
             worker.session += 1
             worker.waiting_for = None
             worker.renewed_at = self.now
-            self.fleet.released(machine.id, Steady(self.now))
+            self.fleet.released(machine.id, Monotonic(self.now))
             self.fleet.gone.clear()
 
     ACTIONS: ClassVar[dict[Callable[[Cluster], None], int]] = {
@@ -332,9 +332,9 @@
         command_directly: 3,
         direct_arrives: 3,
         direct_round_trip: 4,
-        deputy_confirms: 1,
-        deputy_answers: 2,
-        deputy_round_trip: 4,
+        delegate_confirms: 1,
+        delegate_answers: 2,
+        delegate_round_trip: 4,
         time_passes: 3,
         a_task_exits: 2,
         released: 1,
@@ -342,7 +342,7 @@
 
 
 class Outages(Cluster):
-    """Leases run out while the leader, which can't read who has a permit, calls nobody lapsed."""
+    """Leases run out while the leader, which can't read the delegations, calls nobody lapsed."""
 
     def outage(self) -> None:
         """The first that it does afterwards is to send what it had wanted before."""
@@ -375,7 +375,7 @@
         if self.old:
             found = self.random.choice(self.old[-12:])
             if found.token <= self.term:
-                self.fleet.report(found, MachineId(found.machine), Steady(self.now), Wall(0.0))
+                self.fleet.report(found, MachineId(found.machine), Monotonic(self.now), Wall(0.0))
 
     def kept_for_the_next(self) -> None:
         """Copies reach a new leader first, and then it acts."""
@@ -421,7 +421,7 @@
 
 
 class TrustsReportsOfOlderTerms(Fleet):
-    def report(self, report: wire.Report, machine_id: MachineId, now: Steady, wall: Wall) -> Any:
+    def report(self, report: wire.Report, machine_id: MachineId, now: Monotonic, wall: Wall) -> Any:
         newer = wire.Report(
             **{**{f: getattr(report, f) for f in report.__struct_fields__}, "token": self._term}
         )
@@ -448,15 +448,15 @@
 class CountsSilenceFromNothing(Fleet):
     """A new leader that does not count its election as a possible renewal."""
 
-    def check_silence(self, now: Steady) -> None:
-        self._elected_at = self._elsewhere_until = Steady(0.0)
+    def check_silence(self, now: Monotonic) -> None:
+        self._elected_at = self._elsewhere_until = Monotonic(0.0)
         super().check_silence(now)
 
 
 def work_for_who_answers(patch: pytest.MonkeyPatch) -> None:
     """A machine that answers direct commands may be given work, whether or not it reports."""
 
-    def placeable(self: Machine, now: Steady, silence_s: float) -> bool:
+    def placeable(self: Machine, now: Monotonic, silence_s: float) -> bool:
         return (
             self.in_order
             and self.heard_at is not None
@@ -471,20 +471,20 @@
     """A session that only a direct command's answer has shown. Nothing is bound in one before its
     first report, so this clause shows only with that one taken away as well."""
 
-    def _renewed_at(self, machine: Machine) -> Steady:
+    def _renewed_at(self, machine: Machine) -> Monotonic:
         machine.begun_at = None
         return super()._renewed_at(machine)
 
 
-class ForgetsClosedPermits(Fleet):
-    """A deputy may act on its permit for a moment after it was closed."""
+class ForgetsRevokedDelegations(Fleet):
+    """A delegate may act on its delegation for a moment after it was closed."""
 
-    def permit_ended(self, now: Steady) -> None:
+    def delegation_ended(self, now: Monotonic) -> None:
         return
 
 
-class ForgetsPermitsOfEarlierTerms(Fleet):
-    """A deputy may act on an older leader's permit for a moment after the election."""
+class ForgetsDelegationsOfEarlierTerms(Fleet):
+    """A delegate may act on an older leader's delegation for a moment after the election."""
 
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
@@ -542,12 +542,12 @@
 @pytest.mark.parametrize("new_leader", [False, True])
 @pytest.mark.parametrize(
     ("fleet_class", "kept"),
-    [(Fleet, True), (ForgetsClosedPermits, False), (ForgetsPermitsOfEarlierTerms, False)],
+    [(Fleet, True), (ForgetsRevokedDelegations, False), (ForgetsDelegationsOfEarlierTerms, False)],
 )
-def test_a_worker_renewed_by_a_deputy_does_not_lapse(
+def test_a_worker_renewed_by_a_delegate_does_not_lapse(
     fleet_class: type[Fleet], kept: bool, new_leader: bool
 ) -> None:
-    """The last that a deputy does on its permit is to renew a worker, and then the permit ends."""
+    """The last that a delegate does is to renew a worker, and then its delegation ends."""
     cluster = Cluster(0, fleet_class)
     for _ in range(40):
         cluster.round_trip()
@@ -559,24 +559,24 @@
     (binding,) = cluster.job.bindings()
     worker = cluster.workers[binding.machine]
     assert worker.tasks
-    cluster.deputy_confirms()
+    cluster.delegate_confirms()
     if new_leader:
         cluster.elect()
     else:
-        cluster.fleet.permit_ended(Steady(cluster.now))
-    asked, ends = cluster.now + PERMIT_S, cluster.now
-    # The worker's report is answered at the end of the permit, and renews it from its sending.
+        cluster.fleet.delegation_ended(Monotonic(cluster.now))
+    asked, ends = cluster.now + DELEGATION_S, cluster.now
+    # The worker's report is answered at the end of the delegation, and renews it from its sending.
     term, until = cluster.permitted
     assert asked <= until and term == cluster.term - new_leader
     worker.renewed_at = asked
     cluster.now = ends + LEASE_S + 1.0
-    cluster.fleet.check_silence(Steady(cluster.now))
+    cluster.fleet.check_silence(Monotonic(cluster.now))
     assert cluster.now - worker.renewed_at < LEASE_S
     still_bound = bool(list(cluster.job.bindings()))
-    forgotten = ForgetsPermitsOfEarlierTerms if new_leader else ForgetsClosedPermits
+    forgotten = ForgetsDelegationsOfEarlierTerms if new_leader else ForgetsRevokedDelegations
     assert still_bound is (kept or fleet_class is not forgotten)
     cluster.now = asked + LEASE_S + 1.0
-    cluster.fleet.check_silence(Steady(cluster.now))
+    cluster.fleet.check_silence(Monotonic(cluster.now))
     assert not list(cluster.job.bindings())
 
 
@@ -594,12 +594,12 @@
     machine = cluster.workers["m-1"]
     for seq in (1, 2):
         beat = report("m-1", 1, seq, cluster.term)
-        cluster.fleet.report(beat, MachineId("m-1"), Steady(cluster.now), Wall(0.0))
-    cluster.now += LEASE_S + PERMIT_S + 2.0
+        cluster.fleet.report(beat, MachineId("m-1"), Monotonic(cluster.now), Wall(0.0))
+    cluster.now += LEASE_S + DELEGATION_S + 2.0
     machine.lapse(cluster.now)
     machine.seq, machine.token = 3, cluster.term
     answer = report("m-1", machine.session, machine.seq, cluster.term)
-    cluster.fleet.direct_report(answer, MachineId("m-1"), Steady(cluster.now), Wall(0.0))
+    cluster.fleet.direct_report(answer, MachineId("m-1"), Monotonic(cluster.now), Wall(0.0))
     cluster.bind()
     if reports_first:
         # It has not reported in this session: nothing is bound there.
@@ -608,11 +608,11 @@
     cluster.commit()
     while not machine.tasks:
         cluster.direct_round_trip()
-    cluster.fleet.check_silence(Steady(cluster.now))
+    cluster.fleet.check_silence(Monotonic(cluster.now))
     assert bool(list(cluster.job.bindings())) is (fleet_class is Fleet)
     # Nothing more is heard: its lease, counted from then, ends the binding.
     cluster.now += LEASE_S + 1.0
-    cluster.fleet.check_silence(Steady(cluster.now))
+    cluster.fleet.check_silence(Monotonic(cluster.now))
     assert not list(cluster.job.bindings())
 
 
@@ -621,20 +621,20 @@
     cluster = Cluster(0, Fleet)
     for name in MACHINES:
         beat = report(name, 1, 1, cluster.term)
-        cluster.fleet.report(beat, MachineId(name), Steady(100.0), Wall(0.0))
+        cluster.fleet.report(beat, MachineId(name), Monotonic(100.0), Wall(0.0))
     cluster.bind()
     (binding,) = cluster.job.bindings()
     cluster.commit()
     machine = binding.machine
     commands = cluster.fleet.report(
-        report(machine, 1, 2, cluster.term), machine, Steady(100.0), Wall(0.0)
+        report(machine, 1, 2, cluster.term), machine, Monotonic(100.0), Wall(0.0)
     )
     assert commands == [wire.start("wk-000412/0", 1)]
-    cluster.fleet.stop(binding, "test", 0.0, Steady(100.0))
+    cluster.fleet.stop(binding, "test", 0.0, Monotonic(100.0))
     answer = report(machine, 1, 3, cluster.term)
-    cluster.fleet.direct_report(answer, machine, Steady(100.0), Wall(0.0))
+    cluster.fleet.direct_report(answer, machine, Monotonic(100.0), Wall(0.0))
     assert list(cluster.job.bindings()) == [binding]
-    cluster.fleet.report(report(machine, 1, 4, cluster.term), machine, Steady(100.0), Wall(0.0))
+    cluster.fleet.report(report(machine, 1, 4, cluster.term), machine, Monotonic(100.0), Wall(0.0))
     assert list(cluster.job.bindings()) == []
 
 
@@ -645,11 +645,11 @@
     assert not Exit(chunk, 3).settled
     chunk.committed = 3
     assert Exit(chunk, 3).settled
-    fleet = Fleet(book, Token(1), Steady(0.0), LEASE_S)
-    fleet.inherit([], Steady(0.0))
-    assert fleet.report(report("m-1", 1, 1, 1), MachineId("m-1"), Steady(0.0), Wall(0.0)) == []
+    fleet = Fleet(book, Token(1), Monotonic(0.0), LEASE_S)
+    fleet.inherit([], Monotonic(0.0))
+    assert fleet.report(report("m-1", 1, 1, 1), MachineId("m-1"), Monotonic(0.0), Wall(0.0)) == []
     machine = fleet.machines[MachineId("m-1")]
-    binding = fleet.bind(job, machine, False, Wall(0.0), Steady(0.0))
+    binding = fleet.bind(job, machine, False, Wall(0.0), Monotonic(0.0))
     assert binding is not None
     fleet.direct_sent([binding])
     # A direct start that may still arrive would run a forgotten attempt again.
