--- a/tests/test_blame.py
+++ b/tests/test_blame.py
@@ -11,7 +11,7 @@
 
 from tealrill.scheduler import blame as blame_module
 from tealrill.scheduler.blame import Blame
-from tealrill.types import JobId, MachineId, Steady
+from tealrill.types import JobId, MachineId, Monotonic
 
 _STEP_S = 0.1
 _SLOTS = 4
@@ -54,7 +54,7 @@
                 self.drained.add(machine)
 
     def _ends(self, job: _Job) -> None:
-        now = Steady(self.now)
+        now = Monotonic(self.now)
         for machine, since in list(job.running):
             faulty = self.machines[machine][1]
             ran_s = self.now - since
@@ -70,7 +70,7 @@
                 self._called(self.blame.succeeded(job.id, machine, now))
 
     def _starts(self, job: _Job) -> None:
-        now = Steady(self.now)
+        now = Monotonic(self.now)
         waiting = job.tasks - job.done - len(job.running)
         if self.blame.on_trial(job.id):
             longest = max((self.now - since for _, since in job.running), default=0.0)
@@ -155,15 +155,15 @@
 def test_a_take_over_begins_with_one_try() -> None:
     blame = Blame()
     blame.inherited(JobId("wk-1"), 3)
-    now = Steady(10.0)
+    now = Monotonic(10.0)
     assert blame.most(JobId("wk-1"), 0, 0.0, now) == 1
     assert blame.most(JobId("wk-1"), 1, 0.5, now) == 0
     # It may have been stopped only: then it goes on as soon as one has run for a moment.
     assert blame.most(JobId("wk-1"), 1, 2.5, now) is None
     # And a failure goes on where the former leader's gaps had come to.
     blame.failed(JobId("wk-1"), MachineId("m-1"), 0.0, False, now)
-    assert blame.most(JobId("wk-1"), 0, 0.0, Steady(now + 3.9)) == 0
-    assert blame.most(JobId("wk-1"), 0, 0.0, Steady(now + 4.1)) == 1
+    assert blame.most(JobId("wk-1"), 0, 0.0, Monotonic(now + 3.9)) == 0
+    assert blame.most(JobId("wk-1"), 0, 0.0, Monotonic(now + 4.1)) == 1
     # What was bound once was neither stopped nor lost.
     blame.inherited(JobId("wk-2"), 1)
     assert not blame.on_trial(JobId("wk-2"))
@@ -172,13 +172,13 @@
 def test_old_evidence_and_what_is_over_are_dropped() -> None:
     blame = Blame()
     machine = MachineId("m-1")
-    assert not blame.failed(JobId("wk-1"), machine, 0.0, True, Steady(0.0))
+    assert not blame.failed(JobId("wk-1"), machine, 0.0, True, Monotonic(0.0))
     # Long after it, another job's failure is the first one again.
-    assert not blame.failed(JobId("wk-2"), machine, 0.0, True, Steady(301.0))
-    assert blame.failed(JobId("wk-3"), machine, 0.0, True, Steady(302.0)) == [machine]
+    assert not blame.failed(JobId("wk-2"), machine, 0.0, True, Monotonic(301.0))
+    assert blame.failed(JobId("wk-3"), machine, 0.0, True, Monotonic(302.0)) == [machine]
     for number in range(1000):
         job = JobId(f"wk-{number}")
-        blame.failed(job, MachineId(f"m-{number}"), 0.0, False, Steady(400.0))
+        blame.failed(job, MachineId(f"m-{number}"), 0.0, False, Monotonic(400.0))
         blame.forget_job(job)
         blame.forget_machine(MachineId(f"m-{number}"))
     assert len(blame._jobs) <= 1 and len(blame._machines) <= 2
@@ -187,9 +187,9 @@
 def test_a_success_clears_a_machine() -> None:
     blame = Blame()
     machine = MachineId("m-1")
-    blame.failed(JobId("wk-1"), machine, 0.0, True, Steady(0.0))
-    blame.succeeded(JobId("wk-9"), machine, Steady(1.0))
-    assert not blame.failed(JobId("wk-2"), machine, 0.0, True, Steady(2.0))
+    blame.failed(JobId("wk-1"), machine, 0.0, True, Monotonic(0.0))
+    blame.succeeded(JobId("wk-9"), machine, Monotonic(1.0))
+    assert not blame.failed(JobId("wk-2"), machine, 0.0, True, Monotonic(2.0))
 
 
 def test_no_more_than_a_part_of_the_fleet_is_called_faulty() -> None:
@@ -198,7 +198,7 @@
     for number in range(100):
         machine = MachineId(f"m-{number}")
         for job in range(2):
-            found = blame.failed(JobId(f"wk-{job}"), machine, 0.0, True, Steady(1.0))
+            found = blame.failed(JobId(f"wk-{job}"), machine, 0.0, True, Monotonic(1.0))
             drained += bool(found) and blame.may_drain(100)
     assert drained == 5
 
@@ -231,10 +231,10 @@
     """They waited beside room until one task had run for twice as long as the one that failed."""
     blame = Blame()
     job, faulty = JobId("wk-1"), MachineId("m-1")
-    blame.failed(job, faulty, 100.0, False, Steady(100.0))
+    blame.failed(job, faulty, 100.0, False, Monotonic(100.0))
     # Others of it have run as long without failing, or one that was begun since for a while.
-    assert blame.most(job, 9, 100.0, Steady(102.0)) is None
-    assert blame.most(job, 1, 40.0, Steady(150.0)) == 0
-    assert blame.most(job, 1, 45.0, Steady(150.0)) is None
+    assert blame.most(job, 9, 100.0, Monotonic(102.0)) is None
+    assert blame.most(job, 1, 40.0, Monotonic(150.0)) == 0
+    assert blame.most(job, 1, 45.0, Monotonic(150.0)) is None
     # It is not called sound for that, and the machine not faulty.
-    assert not blame.survived(job, 100.0, Steady(160.0)) and blame.on_trial(job)
+    assert not blame.survived(job, 100.0, Monotonic(160.0)) and blame.on_trial(job)
--- a/tests/test_boots.py
+++ b/tests/test_boots.py
@@ -14,7 +14,7 @@
 from tealrill.scheduler.boots import Boots
 from tealrill.scheduler.capacity import Rental
 from tealrill.state.book import Book
-from tealrill.types import MachineId, Steady, Token
+from tealrill.types import MachineId, Monotonic, Token
 from tests.samples import recorded_at_once
 
 _KIND = ("m8", "north")
@@ -24,12 +24,12 @@
 def _seen(*took_s: float, at: float = 100.0) -> Boots:
     boots = Boots()
     for each in took_s:
-        boots.came(_KIND, each, Steady(at))
+        boots.came(_KIND, each, Monotonic(at))
     return boots
 
 
 def _patience(boots: Boots, now: float = 100.0) -> float:
-    return boots.patience_s(_KIND, _NOMINAL_S, Steady(now))
+    return boots.patience_s(_KIND, _NOMINAL_S, Monotonic(now))
 
 
 def test_without_others_to_compare_with_a_machine_is_waited_for_long() -> None:
@@ -37,7 +37,7 @@
     # Boots of another zone say nothing, and neither do those of long ago.
     other = Boots()
     for _ in range(9):
-        other.came(("m8", "south"), 30.0, Steady(100.0))
+        other.came(("m8", "south"), 30.0, Monotonic(100.0))
     assert _patience(other) == 120.0
     assert _patience(_seen(*[30.0] * 9), now=191.0) == 120.0
 
@@ -64,32 +64,32 @@
 
 
 def test_nothing_is_late_in_a_zone_that_is_not_heard() -> None:
-    fleet = Fleet(Book(8.0), Token(3), Steady(0.0), 8.0)
+    fleet = Fleet(Book(8.0), Token(3), Monotonic(0.0), 8.0)
     renter = _renter(fleet)
     kind = wire.MachineType(name="m8", cpus=8.0, gpus=0.0, memory_gb=32.0, price=1.0,
                             spot_price=0.4, boot_s=_NOMINAL_S, zones=["north"])  # fmt: skip
     renter.take_catalogue(wire.Catalogue(types=[kind]))
     for number in range(7):
-        renter._rented(f"m-{number}", Rental("m8", "north", False, 7), Steady(0.0), booted=True)
+        renter._rented(f"m-{number}", Rental("m8", "north", False, 7), Monotonic(0.0), booted=True)
     machines = list(fleet.machines.values())
     for machine in machines[:6]:
-        renter.came(machine, Steady(30.0))
+        renter.came(machine, Monotonic(30.0))
     late = machines[6]
     late.listed = wire.MACHINE_BOOTING
     renter.cut_zones = lambda: frozenset({"north"})
-    renter._still_starting(late, Steady(70.0))
+    renter._still_starting(late, Monotonic(70.0))
     assert not late.releasing
     renter.cut_zones = frozenset
-    renter._still_starting(late, Steady(59.0))
+    renter._still_starting(late, Monotonic(59.0))
     assert not late.releasing
-    renter._still_starting(late, Steady(70.0))
+    renter._still_starting(late, Monotonic(70.0))
     assert late.releasing
 
 
 def test_machines_of_a_former_term_say_nothing_about_boots() -> None:
-    fleet = Fleet(Book(8.0), Token(3), Steady(0.0), 8.0)
+    fleet = Fleet(Book(8.0), Token(3), Monotonic(0.0), 8.0)
     renter = _renter(fleet)
     for number in range(9):
-        known = Machine(MachineId(f"m-{number}"), "m8", "north", False, Steady(-500.0))
-        renter.came(known, Steady(5.0))
-    assert renter.boots.patience_s(_KIND, _NOMINAL_S, Steady(5.0)) == 4 * _NOMINAL_S
+        known = Machine(MachineId(f"m-{number}"), "m8", "north", False, Monotonic(-500.0))
+        renter.came(known, Monotonic(5.0))
+    assert renter.boots.patience_s(_KIND, _NOMINAL_S, Monotonic(5.0)) == 4 * _NOMINAL_S
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -16,7 +16,7 @@
 from tealrill.state import budget
 from tealrill.state.budget import Budget, Rank
 from tealrill.state.client import Busy, StateClient
-from tealrill.types import Steady
+from tealrill.types import Monotonic
 from tests.standins import JumpingLoop
 
 T = TypeVar("T")
@@ -26,7 +26,7 @@
 
 def _run(monkeypatch: pytest.MonkeyPatch, work: Coroutine[Any, Any, T]) -> tuple[T, JumpingLoop]:
     loop = JumpingLoop()
-    monkeypatch.setattr(budget, "steady_now", lambda: Steady(loop.at))
+    monkeypatch.setattr(budget, "monotonic_now", lambda: Monotonic(loop.at))
     try:
         return loop.run_until_complete(work), loop
     finally:
--- a/tests/test_cost.py
+++ b/tests/test_cost.py
@@ -28,12 +28,12 @@
     View,
 )
 from tealrill.scheduler.plan import plan
-from tealrill.types import MachineId, Revision, Steady, Wall
+from tealrill.types import MachineId, Monotonic, Revision, Wall
 from tests import plain
 from tests.samples import job_view, machine_view, report, running_task, spec
 from tests.test_dispatch import _dispatcher
 
-NOW = Steady(1000.0)
+NOW = Monotonic(1000.0)
 
 
 def _world(seed: int, machines: int, jobs: int) -> View:
@@ -78,7 +78,7 @@
                 cpus=left,
                 size=size,
                 memory_gb=size * 4 - sum(t.memory_gb for t in running),
-                ready_at=NOW if running or dice.random() < 0.8 else Steady(NOW + 20.0),
+                ready_at=NOW if running or dice.random() < 0.8 else Monotonic(NOW + 20.0),
                 dear=dice.random() < 0.2,
                 images={f"img-{dice.randrange(5)}" for _ in range(3)},
                 running=running,
@@ -381,7 +381,7 @@
         for job in self.jobs:
             for name in self.names:
                 machine = self.fleet.machines[name]
-                bound = self.fleet.bind(job, machine, False, Wall(0.0), Steady(self.now))
+                bound = self.fleet.bind(job, machine, False, Wall(0.0), Monotonic(self.now))
                 assert bound is not None
         for name in self.names:
             self.beat(name)
@@ -397,10 +397,10 @@
         ]
         heard = report(name, 1, self.seq, 1, lines)
         heard = msgspec.structs.replace(heard, type="huge")
-        self.fleet.report(heard, name, Steady(self.now), Wall(self.now))
+        self.fleet.report(heard, name, Monotonic(self.now), Wall(self.now))
 
     def survey(self) -> list[MachineView]:
-        return self.dispatcher._survey(Steady(self.now))[0]
+        return self.dispatcher._survey(Monotonic(self.now))[0]
 
 
 _RUNS: tuple[str, str | None] = ("running", None)
@@ -458,9 +458,9 @@
     world.now += 9.0
     for name in world.names[500:]:
         world.beat(name)
-    world.fleet.check_silence(Steady(world.now))
+    world.fleet.check_silence(Monotonic(world.now))
     assert all(world.fleet.machines[name].lapsed for name in gone)
     assert sum(job.waiting for job in world.jobs) == 2000
     looks = _counted(monkeypatch, planner._Pass, "_candidates", lambda *_: 1)
-    world.dispatcher.run(Steady(world.now), Wall(world.now))
+    world.dispatcher.run(Monotonic(world.now), Wall(world.now))
     assert len(looks) == 4
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -26,8 +26,8 @@
 from tealrill.state.book import Book, Job
 from tealrill.types import (
     MachineId,
+    Monotonic,
     Revision,
-    Steady,
     TaskId,
     Token,
     Wall,
@@ -44,7 +44,7 @@
 
 
 class _NoRentals(Renter):
-    def rent(self, rental: Any, now: Steady) -> None:
+    def rent(self, rental: Any, now: Monotonic) -> None:
         self.asked = getattr(self, "asked", 0) + rental.count
 
 
@@ -53,8 +53,8 @@
 ) -> tuple[Dispatcher, Fleet, Book, _NoRentals]:
     params = settings.parse(orjson.dumps(SETTINGS)).params
     book = Book(8.0)
-    fleet = Fleet(book, Token(1), Steady(0.0), params.workers.lease_s, 0.0, report_s)
-    fleet.inherit([], Steady(0.0))
+    fleet = Fleet(book, Token(1), Monotonic(0.0), params.workers.lease_s, 0.0, report_s)
+    fleet.inherit([], Monotonic(0.0))
     renter = _NoRentals(cast(Cloud, None), fleet, Token(1), 2.0, *recorded_at_once())
     renter.take_catalogue(wire.decode(orjson.dumps({"builds": list(types)}), wire.Catalogue))
     dispatcher = Dispatcher(book, fleet, renter, Estimates(), params, lambda _: None)
@@ -62,7 +62,7 @@
 
 
 def _beat(fleet: Fleet, seq: int, now: float) -> None:
-    fleet.report(report("m-1", 1, seq, 1), MachineId("m-1"), Steady(now), Wall(now))
+    fleet.report(report("m-1", 1, seq, 1), MachineId("m-1"), Monotonic(now), Wall(now))
 
 
 def test_an_idle_machine_goes_back_though_tasks_wait_that_do_not_fit_it() -> None:
@@ -70,7 +70,7 @@
     book.add(spec(vcpus=32.0), Wall(0.0), Revision(1))
     for second in range(100):
         _beat(fleet, second + 1, float(second))
-        dispatcher.run(Steady(float(second)), Wall(float(second)))
+        dispatcher.run(Monotonic(float(second)), Wall(float(second)))
     assert renter.asked > 0
     assert fleet.machines[MachineId("m-1")].releasing
 
@@ -79,7 +79,7 @@
     dispatcher, fleet, book, _ = _dispatcher()
     job = book.add(spec(pieces=2), Wall(0.0), Revision(1))
     _beat(fleet, 1, 0.0)
-    dispatcher.run(Steady(0.0), Wall(0.0))
+    dispatcher.run(Monotonic(0.0), Wall(0.0))
     assert job.bound_count == 2
     machine = fleet.machines[MachineId("m-1")]
     assert fleet.direct_starts(machine) == []
@@ -92,12 +92,12 @@
     """The reckoning is not made in every pass, and a burst must not wait for the next idle one."""
     dispatcher, _, book, renter = _dispatcher()
     book.add(spec(vcpus=32.0), Wall(0.0), Revision(1))
-    dispatcher.run(Steady(0.0), Wall(0.0))
+    dispatcher.run(Monotonic(0.0), Wall(0.0))
     asked = renter.asked
     book.add(spec(id="wk-000413", vcpus=32.0), Wall(0.0), Revision(2))
-    dispatcher.run(Steady(0.1), Wall(0.1))
+    dispatcher.run(Monotonic(0.1), Wall(0.1))
     assert dispatcher.put_off and renter.asked == asked
-    dispatcher.run(Steady(RENT_EVERY_S), Wall(RENT_EVERY_S))
+    dispatcher.run(Monotonic(RENT_EVERY_S), Wall(RENT_EVERY_S))
     assert not dispatcher.put_off and renter.asked > asked
 
 
@@ -115,7 +115,7 @@
         changes: dict[str, Any] = {"id": f"wk-{self.jobs:06d}", "bundle": f"img-{self.jobs % 3}"}
         changes["urgency"] = "urgent" if self.jobs % 2 else "standard"
         changes["lineup"] = "quick" if self.jobs % 2 else "train"
-        self.dispatcher.submitted(spec(**changes), Steady(self.now))
+        self.dispatcher.submitted(spec(**changes), Monotonic(self.now))
         self.book.add(spec(**changes), Wall(self.now), Revision(1))
 
     def beat(self, name: str, state: str, session: int = 1, **changes: Any) -> None:
@@ -126,20 +126,20 @@
         why = "done" if state == "ended" else None
         lines = [(str(b.task), int(b.attempt), state, why) for b in bound]
         heard = msgspec.structs.replace(report(name, session, self.seq, 1, lines), **changes)
-        self.fleet.report(heard, MachineId(name), Steady(self.now), Wall(self.now))
+        self.fleet.report(heard, MachineId(name), Monotonic(self.now), Wall(self.now))
 
     def stop(self) -> None:
         for job in list(self.book.jobs.values()):
             for binding in list(job.bindings())[:1]:
-                self.fleet.stop(binding, "preemption", 5.0, Steady(self.now))
+                self.fleet.stop(binding, "preemption", 5.0, Monotonic(self.now))
 
     def check(self) -> None:
-        kept = _plain(self.dispatcher.view(Steady(self.now), Wall(self.now)).machines)
+        kept = _plain(self.dispatcher.view(Monotonic(self.now), Wall(self.now)).machines)
         for machine in self.fleet.machines.values():
             machine.touch()
             if isinstance(machine, _Sticky):
                 machine.forget()
-        assert kept == _plain(self.dispatcher.view(Steady(self.now), Wall(self.now)).machines)
+        assert kept == _plain(self.dispatcher.view(Monotonic(self.now), Wall(self.now)).machines)
 
     def run(self, steps: list[int]) -> None:
         for step in steps:
@@ -149,7 +149,7 @@
                 case 0 | 1:
                     self.submit()
                 case 2 | 3 | 4:
-                    self.dispatcher.run(Steady(self.now), Wall(self.now))
+                    self.dispatcher.run(Monotonic(self.now), Wall(self.now))
                 case 5 | 6:
                     self.beat(name, "running")
                 case 7:
@@ -199,7 +199,7 @@
     play.now += 10.0
     larger = {"builds": [{**_TYPE, "vcpus": 12}]}
     play.renter.take_catalogue(wire.decode(orjson.dumps(larger), wire.Catalogue))
-    assert not play.dispatcher.view(Steady(play.now), Wall(play.now)).machines
+    assert not play.dispatcher.view(Monotonic(play.now), Wall(play.now)).machines
     play.beat("m-1", "running")
     play.check()
 
@@ -215,13 +215,13 @@
         made.append(machine.id)
         return fresh(machine, kind)
 
-    play.dispatcher.view(Steady(play.now), Wall(play.now))
+    play.dispatcher.view(Monotonic(play.now), Wall(play.now))
     monkeypatch.setattr(play.dispatcher, "_fresh", counted)
     play.beat("m-1", "running")
-    play.dispatcher.view(Steady(play.now), Wall(play.now))
+    play.dispatcher.view(Monotonic(play.now), Wall(play.now))
     assert made == ["m-1"]
     play.beat("m-1", "running")
-    play.dispatcher.view(Steady(play.now), Wall(play.now))
+    play.dispatcher.view(Monotonic(play.now), Wall(play.now))
     assert made == ["m-1"]
 
 
@@ -264,7 +264,7 @@
     machine = fleet.machines[MachineId("m-1")]
     job = book.add(spec(pieces=100, vcpus=0.01, memoryGb=0.01), Wall(0.0), Revision(1))
     for _ in range(100):
-        assert fleet.bind(job, machine, False, Wall(0.0), Steady(play.now)) is not None
+        assert fleet.bind(job, machine, False, Wall(0.0), Monotonic(play.now)) is not None
     play.beat("m-1", "running")
     parsed: list[str] = []
     taken: list[TaskId] = []
@@ -288,7 +288,7 @@
         for b in machine.bindings.values()
     ]  # fmt: skip
     heard = report("m-1", 1, play.seq, 1, lines)
-    fleet.report(heard, machine.id, Steady(play.now), Wall(play.now))
+    fleet.report(heard, machine.id, Monotonic(play.now), Wall(play.now))
     assert taken == [ended] and not parsed
     assert len(machine.bindings) == 99 and job.done_count == 1
 
@@ -303,11 +303,11 @@
 
     def beat(seq: int) -> list[dict[str, Any]] | None:
         heard = report("m-2", 1, 1000 + seq, 1, lines)
-        return play.fleet.report(heard, machine.id, Steady(play.now), Wall(play.now))
+        return play.fleet.report(heard, machine.id, Monotonic(play.now), Wall(play.now))
 
     assert lines and beat(1) == [] and beat(2) == []
     binding = next(iter(machine.bindings.values()))
-    play.fleet.stop(binding, "preemption", 0.0, Steady(play.now))
+    play.fleet.stop(binding, "preemption", 0.0, Monotonic(play.now))
     stop = wire.stop(str(binding.task), binding.attempt, 0.0)
     # Repeated until it is seen to be carried out.
     assert (beat(3), beat(4)) == ([stop], [stop])
@@ -328,7 +328,7 @@
         job = play.book.add(spec(id=f"wk-{play.jobs:06d}", pieces=1), Wall(play.now), Revision(1))
         play.jobs += 1
         play.beat("m-1", "ended")  # nothing is bound: an empty report
-        play.dispatcher.run(Steady(play.now), Wall(play.now))
+        play.dispatcher.run(Monotonic(play.now), Wall(play.now))
         for chunk in job.chunks.values():
             chunk.committed = chunk.version
         play.beat("m-1", "ended")
@@ -375,7 +375,7 @@
         for _ in range(5):
             play.submit()
             play.now += 1.0
-            play.dispatcher.run(Steady(play.now), Wall(play.now))
+            play.dispatcher.run(Monotonic(play.now), Wall(play.now))
         assert play.dispatcher.last.head is not None
         assert not any(isinstance(found, _Pass | View) for found in gc.get_objects())
     finally:
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -23,21 +23,20 @@
 from tealrill.fleet.machines import Fleet
 from tealrill.fleet.rental import Renter
 from tealrill.scheduler.capacity import Rental
-from tealrill.state import budget, duty, keeper
+from tealrill.state import budget, fencing, keeper
 from tealrill.state.book import Book
 from tealrill.state.client import Failed, StateClient
-from tealrill.state.duty import LEADER_KEY, Duty, Fence, Replaced
-from tealrill.state.election import Leadership
+from tealrill.state.fencing import LEADER_KEY, Duty, Fence, Leadership, Replaced
 from tealrill.state.keeper import Deposed, Joined, Keeper
 from tealrill.types import (
     ABSENT,
     LeaseId,
     MachineId,
+    Monotonic,
     Revision,
-    Steady,
     Token,
     Wall,
-    steady_now,
+    monotonic_now,
 )
 from tests.samples import report, spec
 from tests.standins import JumpingLoop
@@ -142,15 +141,17 @@
         self.world, self.number = world, number
         stamp = world.store.keys[LEADER_KEY][1]
         mine = Leadership(
-            Token(number), Revision(stamp), LeaseId(1), Steady(world.now), Steady(1e9)
+            Token(number), Revision(stamp), LeaseId(1), Monotonic(world.now), Monotonic(1e9)
         )
         book = Book(8.0)
-        self.fleet = Fleet(book, Token(number), Steady(world.now), 8.0)
+        self.fleet = Fleet(book, Token(number), Monotonic(world.now), 8.0)
         self.keeper = Keeper(
             cast(StateClient, world.store), book, mine, 12, lambda _: None, lambda _: None
         )
         self.intents = Intents(self.keeper.join, Token(number), 8.0)
-        duties = [Duty(n, Token(number), Steady(world.now), self.valid) for n in ("rent", "return")]
+        duties = [
+            Duty(n, Token(number), Monotonic(world.now), self.valid) for n in ("rent", "return")
+        ]
         cloud = cast(Cloud, _Cloud(world, number))
         self.renter = Renter(cloud, self.fleet, Token(number), 2.0, self.intents, *duties)
         self.tasks: list[asyncio.Task[None]] = []
@@ -160,8 +161,8 @@
 
     async def start(self) -> None:
         entries, _ = await self.world.store.scan(CLOUD_PREFIX)
-        self.fleet.inherit([], Steady(self.world.now))
-        self.renter.inherit(entries, Steady(self.world.now), Wall(self.world.now))
+        self.fleet.inherit([], Monotonic(self.world.now))
+        self.renter.inherit(entries, Monotonic(self.world.now), Wall(self.world.now))
         loops = (self.keeper.run, self.renter.run_returns, self.renter.run_releases)
         self.tasks = [asyncio.create_task(self._ends(loop)) for loop in loops]
 
@@ -179,7 +180,7 @@
             self.world.seq += 1
             machine_id = MachineId(name)
             heard = report(name, 1, self.world.seq, self.number)
-            at = Steady(self.world.now)
+            at = Monotonic(self.world.now)
             self.fleet.report(heard, machine_id, at, Wall(at))
             machine = self.fleet.machines.get(machine_id)
             if machine is not None and machine.placeable(at, 8.0):
@@ -188,7 +189,7 @@
     def wish(self) -> None:
         rng = self.world.rng
         if rng.random() < 0.5:
-            self.renter.rent(Rental(*_KIND, rng.randrange(1, 60)), Steady(self.world.now))
+            self.renter.rent(Rental(*_KIND, rng.randrange(1, 60)), Monotonic(self.world.now))
         known = [m for m in self.fleet.machines.values() if m.heard_at and not m.releasing]
         for machine in rng.sample(known, min(len(known), rng.randrange(30))):
             machine.releasing = True
@@ -261,7 +262,7 @@
         for _ in range(60):
             await asyncio.sleep(2.0)
             last.act()
-            last.renter._take_list(self.cloud.listed(), Steady(self.now))
+            last.renter._take_list(self.cloud.listed(), Monotonic(self.now))
         if self.broken:
             raise self.broken[0]
         alive = set(self.cloud.alive)
@@ -284,7 +285,7 @@
     loop = JumpingLoop()
     with pytest.MonkeyPatch.context() as patch:
         for module in (rental, intents, keeper, budget):
-            patch.setattr(module, "steady_now", lambda: Steady(loop.time()))
+            patch.setattr(module, "monotonic_now", lambda: Monotonic(loop.time()))
         patch.setattr(intents, "wall_now", lambda: Wall(loop.time()))
         world = World(seed, loop)
         world.checked = checked
@@ -374,7 +375,7 @@
 
 def test_nothing_leaves_once_the_duty_may_be_over() -> None:
     """After every wait: for its releases, for its record, for the budget, for a connection."""
-    held = Duty("renting", Token(3), Steady(0.0), lambda: False)
+    held = Duty("renting", Token(3), Monotonic(0.0), lambda: False)
     with pytest.raises(Replaced):
         held.check()
 
@@ -401,7 +402,7 @@
 def _open(value_kb: float = 8.0) -> tuple[Intents, list[Joined]]:
     joined: list[Joined] = []
     return Intents(
-        joined.append, Token(3), value_kb, lambda: Wall(5.0), lambda: Steady(0.0)
+        joined.append, Token(3), value_kb, lambda: Wall(5.0), lambda: Monotonic(0.0)
     ), joined
 
 
@@ -428,12 +429,12 @@
         assert second.rents["tr-3-1"].names == ["m-1", "m-2"]
         assert second.rents["tr-3-2"].names is None and second.rents["tr-3-2"].count == 9
         assert list(second.returns.values()) == [("m-7", "m-8")]
-        fleet = Fleet(Book(8.0), Token(4), steady_now(), 8.0)
+        fleet = Fleet(Book(8.0), Token(4), monotonic_now(), 8.0)
         cloud = cast(Cloud, None)
-        holds = [Duty(n, Token(4), Steady(0.0), lambda: True) for n in ("a", "b")]
+        holds = [Duty(n, Token(4), Monotonic(0.0), lambda: True) for n in ("a", "b")]
         renter = Renter(cloud, fleet, Token(4), 2.0, second, *holds)
         renter._ask = lambda request: asyncio.sleep(0, 0)  # type: ignore[method-assign]
-        renter.inherit([], steady_now(), Wall(5.0))
+        renter.inherit([], monotonic_now(), Wall(5.0))
         assert set(fleet.machines) == {"m-7", "m-8"}
         assert all(m.releasing and m.returned for m in fleet.machines.values())
 
@@ -503,19 +504,21 @@
     """A fall's bindings use every change for seconds, and its replacements boot meanwhile."""
     store = Store(random.Random(1), True)
     book = Book(8.0)
-    mine = Leadership(Token(1), Revision(1), LeaseId(1), Steady(0.0), Steady(9.0))
+    mine = Leadership(Token(1), Revision(1), LeaseId(1), Monotonic(0.0), Monotonic(9.0))
     found = Keeper(cast(StateClient, store), book, mine, 3, lambda _: None, lambda _: None)
     for number in range(5):
         job = book.add(spec(id=f"wk-{number:06d}"), Wall(0.0), Revision(1))
-        book.bind(job, 0, MachineId("m-1"), cast(Any, 1), "north", False, Wall(0.0), Steady(0.0))
+        book.bind(job, 0, MachineId("m-1"), cast(Any, 1), "north", False, Wall(0.0), Monotonic(0.0))
     put = wire.put("cloud/rent/tr-1-1", {})
-    rent = Joined({"cloud/rent/tr-1-1": ABSENT}, [put], lambda _: None, lambda _: None, Steady(1.0))
+    rent = Joined(
+        {"cloud/rent/tr-1-1": ABSENT}, [put], lambda _: None, lambda _: None, Monotonic(1.0)
+    )
     found.join(rent)
-    early = [c.get("set", "") for c in found._gather(Steady(0.5)).changes]
-    late = [c.get("set", "") for c in found._gather(Steady(1.0)).changes]
+    early = [c.get("set", "") for c in found._gather(Monotonic(0.5)).changes]
+    late = [c.get("set", "") for c in found._gather(Monotonic(1.0)).changes]
     assert all(key.startswith("run/") for key in early) and len(early) == 3
     assert late[0] == "cloud/rent/tr-1-1" and len(late) == 3
-    assert duty.LEADER_KEY in found._fence.guards({})
+    assert fencing.LEADER_KEY in found._fence.guards({})
 
 
 @pytest.mark.parametrize("alone", [False, True])
@@ -531,11 +534,11 @@
 
     async def scenario() -> tuple[int, list[Joined], Intents]:
         found, joined = _open()
-        fleet = Fleet(Book(8.0), Token(3), steady_now(), 8.0)
-        holds = [Duty(n, Token(3), Steady(0.0), lambda: True, lambda: alone) for n in ("a", "b")]
+        fleet = Fleet(Book(8.0), Token(3), monotonic_now(), 8.0)
+        holds = [Duty(n, Token(3), Monotonic(0.0), lambda: True, lambda: alone) for n in ("a", "b")]
         cloud = _Granting()
         renter = Renter(cast(Cloud, cloud), fleet, Token(3), 2.0, found, *holds)
-        renter.rent(Rental(*_KIND, 2), steady_now())
+        renter.rent(Rental(*_KIND, 2), monotonic_now())
         await asyncio.sleep(5.0)
         assert renter.asked_for(_KIND) == (not alone) and len(fleet.machines) == 2 * alone
         # It comes back: the record is written, and then what the cloud has answered meanwhile.
--- a/tests/test_exclusion.py
+++ b/tests/test_exclusion.py
@@ -1,10 +1,10 @@
 """At no moment two leaders, whoever is silent, cut off, restarted or late.
 
-Three hosts with real elections, truces and exclusions stand around one store with leases. Links
-between hosts, and of each host to the store, come and go; transactions are executed late or without
-an answer; processes are started again; time passes at the hosts' own slightly different paces.
-After each step at most one of the leaders may be valid. `test_each_clause_is_needed` takes the
-clauses of the exception for silent members away.
+Three hosts with real elections, lease extensions and exclusions stand around one store with leases.
+Links between hosts, and of each host to the store, come and go; transactions are executed late or
+without an answer; processes are started again; time passes at the hosts' own slightly different
+paces. After each step at most one of the leaders may be valid. `test_each_clause_is_needed` takes
+the clauses of the exception for silent members away.
 """
 
 from __future__ import annotations
@@ -24,15 +24,21 @@
 from tealrill import settings, wire
 from tealrill.http import Answer as HttpAnswer
 from tealrill.http import Client, NoAnswer
-from tealrill.state import election as election_module
-from tealrill.state import exclusion as exclusion_module
-from tealrill.state import truce as truce_module
+from tealrill.leadership import election as election_module
+from tealrill.leadership import exclusion as exclusion_module
+from tealrill.leadership import lease_extension as extension_module
+from tealrill.leadership.election import EXCLUSION_PREFIX, TTL_S, Election, exclusion_key
+from tealrill.leadership.exclusion import SILENT_S, Exclusions
+from tealrill.leadership.lease_extension import (
+    PING_PATH,
+    PROMISE_S,
+    ExtensionRequest,
+    LeaseExtension,
+    Seen,
+)
 from tealrill.state.client import Committed, Failed, Refused, StateClient, Unknown
-from tealrill.state.duty import LEADER_KEY
-from tealrill.state.election import OUT_PREFIX, TTL_S, Election, out_key
-from tealrill.state.exclusion import SILENT_S, Exclusions
-from tealrill.state.truce import PING_PATH, PROMISE_S, Request, Seen, Truce
-from tealrill.types import LeaseId, Revision, Steady, Token
+from tealrill.state.fencing import LEADER_KEY
+from tealrill.types import LeaseId, Monotonic, Revision, Token
 from tests.samples import SETTINGS
 
 _HOSTS = ("host-0", "host-1", "host-2")
@@ -158,11 +164,11 @@
         answer = HttpAnswer()
         answer.status = 200
         if path == PING_PATH:
-            answer.body = wire.encode(there.truce.presence())
+            answer.body = wire.encode(there.extension.presence())
         else:
             assert body is not None
-            request = wire.decode(body, Request)
-            answer.body = wire.encode(await there.truce.asked(request))
+            request = wire.decode(body, ExtensionRequest)
+            answer.body = wire.encode(await there.extension.asked(request))
         return answer
 
 
@@ -177,22 +183,22 @@
         values = {**SETTINGS, "host_name": host, "members": others}
         self.settings = settings.parse(orjson.dumps(values))
         self.election = Election(self.client, host, lambda: None, PROMISE_S)
-        self.truce = Truce(self.settings, self.client, self.election, None, self.now)
+        self.extension = LeaseExtension(self.settings, self.client, self.election, None, self.now)
         peers = {h: cast(Client, _Peer(world, host, h)) for h in _HOSTS if h != host}
-        self.truce._peers = peers
-        self.election.nobody_leads = self.truce.nobody_leads
-        self.election.others_up = self.truce.others_up
-        self.truce.kept_out = lambda mine, other: self._exclusions(mine).stands(other)
+        self.extension._peers = peers
+        self.election.nobody_leads = self.extension.nobody_leads
+        self.election.others_up = self.extension.others_up
+        self.extension.is_excluded = lambda mine, other: self._exclusions(mine).is_excluded(other)
         if world.without != "relying":
-            self.truce.relied = lambda mine, until: self._exclusions(mine).rely(until)
+            self.extension.prolonged = lambda mine, until: self._exclusions(mine).hold_until(until)
         # Cancellations bound it more tightly; what is looked for here is two leaders.
-        self.truce.seen = lambda: Seen(Revision(1 << 40), Steady(1e9))
+        self.extension.seen = lambda: Seen(Revision(1 << 40), Monotonic(1e9))
         self.peers = peers
         self.of: Any = None
         self.exclusions: Exclusions | None = None
 
-    def now(self) -> Steady:
-        return Steady(self.world.true * self.world.pace[self.host] + 1000.0)
+    def now(self) -> Monotonic:
+        return Monotonic(self.world.true * self.world.pace[self.host] + 1000.0)
 
     def _exclusions(self, mine: Any) -> Exclusions:
         if self.of is not mine or self.exclusions is None:
@@ -210,9 +216,9 @@
         try:
             if what == "look" and mine is not None:
                 await self._exclusions(mine).turn()
-            elif what == "truce" and mine is not None:
+            elif what == "extend" and mine is not None:
                 if mine.troubled:
-                    await self.truce._seek(mine)
+                    await self.extension._seek(mine)
             elif mine is None:
                 await self.election._follow()
             else:
@@ -224,7 +230,7 @@
 class World:
     client_type: type[_Client] = _Client
     node_type: type[_Node] = _Node
-    steps: tuple[str, ...] = ("hold", "truce", "look")
+    steps: tuple[str, ...] = ("hold", "extend", "look")
 
     def __init__(self, seed: int, without: str = "") -> None:
         self.rng = random.Random(seed)
@@ -236,9 +242,9 @@
         self.cut: set[str] = set()
         self.apart: set[frozenset[str]] = set()
         self.nodes = {host: self.node_type(self, host) for host in _HOSTS}
-        self.longest_truce = 0.0
+        self.longest_extension = 0.0
 
-    def clock(self) -> Steady:
+    def clock(self) -> Monotonic:
         return self.nodes[self.acting].now()
 
     async def run(self, rounds: int) -> None:
@@ -284,7 +290,7 @@
             if mine is not None and mine.valid(node.now()):
                 valid.append((node.host, mine.term))
                 away = self.true * self.pace[node.host] + 1000.0 - mine.renewed_at
-                self.longest_truce = max(self.longest_truce, away)
+                self.longest_extension = max(self.longest_extension, away)
         if len(valid) > 1:
             raise TwoLeaders(f"at {self.true:.1f} s: {valid}")
 
@@ -294,21 +300,21 @@
     async def sleep(_: float) -> None: ...
 
     quick = SimpleNamespace(sleep=sleep, gather=asyncio.gather, timeout=asyncio.timeout)
-    for module in (election_module, truce_module, exclusion_module):
+    for module in (election_module, extension_module, exclusion_module):
         monkeypatch.setattr(module, "asyncio", quick)
 
 
 def _play(seed: int, without: str = "", rounds: int = 14, world_type: type[World] = World) -> World:
     with pytest.MonkeyPatch.context() as patch:
         world = world_type.__new__(world_type)
-        patch.setattr(election_module, "steady_now", lambda: world.clock())
+        patch.setattr(election_module, "monotonic_now", lambda: world.clock())
         world.acting = _HOSTS[0]
         world.nodes = {}
         world.true = 0.0
         world.pace = dict.fromkeys(_HOSTS, 1.0)
 
-        def clock() -> Steady:
-            return Steady(world.true * world.pace[world.acting] + 1000.0)
+        def clock() -> Monotonic:
+            return Monotonic(world.true * world.pace[world.acting] + 1000.0)
 
         world.clock = clock  # type: ignore[method-assign]
         world.__init__(seed, without)  # type: ignore[misc]
@@ -329,7 +335,7 @@
 
 def test_a_leader_goes_on_without_a_silent_member() -> None:
     # 15 s and three of the lease, while one of three was silent and the state service away.
-    assert max(_play(seed).longest_truce for seed in range(60)) > TTL_S + 6.0
+    assert max(_play(seed).longest_extension for seed in range(60)) > TTL_S + 6.0
 
 
 def _unguarded(patch: pytest.MonkeyPatch) -> None:
@@ -338,7 +344,7 @@
 
     async def commit(self: _Client, guards: Any, changes: Any, paid: bool = False) -> Any:
         if any(c.get("set") == LEADER_KEY for c in changes):
-            guards = [g for g in guards if not g["path"].startswith(OUT_PREFIX)]
+            guards = [g for g in guards if not g["path"].startswith(EXCLUSION_PREFIX)]
         return await whole(self, guards, changes, paid)
 
     patch.setattr(_Client, "commit", commit)
@@ -346,12 +352,12 @@
 
 def _impatient(patch: pytest.MonkeyPatch) -> None:
     """A member lets itself in as soon as it sees nobody lead."""
-    patch.setattr(election_module, "_SOLE_DRIFT", 0.0)
+    patch.setattr(election_module, "_READMISSION_DRIFT", 0.0)
 
 
 def _unbounded(patch: pytest.MonkeyPatch) -> None:
     """The leader goes on for as long as the record stands by what it knows."""
-    patch.setattr(truce_module, "SOLE_S", 1e6)
+    patch.setattr(extension_module, "READMISSION_S", 1e6)
 
 
 def _never_written(patch: pytest.MonkeyPatch) -> None:
@@ -363,9 +369,9 @@
     """A record counts though its removal is under way."""
 
     async def let_in(self: Exclusions, host: str) -> None:
-        await self._change(host, wire.delete(out_key(host)))
+        await self._change(host, wire.delete(exclusion_key(host)))
 
-    patch.setattr(Exclusions, "_let_in", let_in)
+    patch.setattr(Exclusions, "_readmit", let_in)
 
 
 @pytest.mark.parametrize("clause", [_unguarded, _impatient, _unbounded, _never_written, _hasty])
@@ -397,27 +403,27 @@
         found._answers = answered  # type: ignore[method-assign,assignment]
         world.rng.random = lambda: 1.0  # type: ignore[method-assign]
         await found.look()
-        assert not found.stands("host-1")
+        assert not found.is_excluded("host-1")
         world.true += SILENT_S
         await found.look()
-        assert found.stands("host-1") and out_key("host-1") in store.keys
+        assert found.is_excluded("host-1") and exclusion_key("host-1") in store.keys
         # It answers; its removal gets no answer and is not executed yet.
         answers["value"] = True
         world.rng.random = lambda: 0.0  # type: ignore[method-assign]
         with contextlib.suppress(Unknown):
             await found.look()
-        assert not found.stands("host-1") and out_key("host-1") in store.keys
+        assert not found.is_excluded("host-1") and exclusion_key("host-1") in store.keys
         answers["value"] = False
         world.rng.random = lambda: 1.0  # type: ignore[method-assign]
         world.true += SILENT_S
         await found.look()
-        assert found.stands("host-1")
+        assert found.is_excluded("host-1")
         return found
 
     asyncio.run(scenario())
     (late,) = store.late
     assert isinstance(store.execute(*late), Failed)
-    assert out_key("host-1") in store.keys
+    assert exclusion_key("host-1") in store.keys
 
 
 @pytest.mark.parametrize("guarded", [True, False])
@@ -427,7 +433,7 @@
     world = World(0)
     store = world.store
     store.keys[LEADER_KEY] = ({}, 1, None)
-    store.keys[out_key("host-1")] = ({"term": 1, "v": 1}, 1, None)
+    store.keys[exclusion_key("host-1")] = ({"term": 1, "v": 1}, 1, None)
 
     async def scenario() -> None:
         node = world.nodes["host-0"]
@@ -449,12 +455,12 @@
         # It falls silent again.
         world.apart = {frozenset(("host-0", "host-1"))}
         await found.turn()
-        assert found.stands("host-1") is not guarded
+        assert found.is_excluded("host-1") is not guarded
 
     asyncio.run(scenario())
     (late,) = store.late
     assert isinstance(store.execute(*late), Committed)
-    assert out_key("host-1") not in store.keys
+    assert exclusion_key("host-1") not in store.keys
 
 
 def test_some_are_left_who_need_not_wait() -> None:
@@ -473,8 +479,8 @@
         for _ in range(5):
             world.true += SILENT_S
             await found.look()
-        assert [found.stands(host) for host in _HOSTS[1:]] == [True, False]
-        assert sum(key.startswith(OUT_PREFIX) for key in world.store.keys) == 1
+        assert [found.is_excluded(host) for host in _HOSTS[1:]] == [True, False]
+        assert sum(key.startswith(EXCLUSION_PREFIX) for key in world.store.keys) == 1
 
     asyncio.run(scenario())
 
@@ -482,7 +488,7 @@
 def test_an_answering_member_is_let_in_once_nothing_relies_on_its_record() -> None:
     world = World(0)
     world.store.keys[LEADER_KEY] = ({}, 1, None)
-    world.store.keys[out_key("host-1")] = ({"term": 1, "v": 1}, 1, None)
+    world.store.keys[exclusion_key("host-1")] = ({"term": 1, "v": 1}, 1, None)
     world.rng.random = lambda: 1.0  # type: ignore[method-assign]
 
     async def scenario() -> None:
@@ -493,14 +499,14 @@
         found._peers = {"host-1": node.peers["host-1"]}
         await found._read()
         # Found at the term's start: its writer's fence has gone.
-        assert found.stands("host-1")
-        found.rely(Steady(node.now() + 5.0))
+        assert found.is_excluded("host-1")
+        found.hold_until(Monotonic(node.now() + 5.0))
         await found.look()
-        assert found.stands("host-1")
+        assert found.is_excluded("host-1")
         world.true += 5.1
         await found.look()
-        assert not found.stands("host-1")
-        assert out_key("host-1") not in world.store.keys
+        assert not found.is_excluded("host-1")
+        assert exclusion_key("host-1") not in world.store.keys
 
     asyncio.run(scenario())
 
--- a/tests/test_falls.py
+++ b/tests/test_falls.py
@@ -27,7 +27,7 @@
 from tealrill.scheduler.estimates import Estimates
 from tealrill.scheduler.silence import Verdict
 from tealrill.state.book import Book
-from tealrill.types import MachineId, Revision, Steady, Token, Wall
+from tealrill.types import MachineId, Monotonic, Revision, Token, Wall
 from tests.samples import SETTINGS, recorded_at_once, spec
 
 _BOOT_S, _LEASE_S, _RUN_S = 12, 8.0, 15
@@ -68,7 +68,7 @@
         )
         self._world = world
 
-    def rent(self, rental: Rental, now: Steady) -> None:
+    def rent(self, rental: Rental, now: Monotonic) -> None:
         kind = (rental.type, rental.zone, rental.spot)
         names = self._world.rent(rental, now)
         self.refusals.answered(kind, rental.count, len(names), now)
@@ -103,7 +103,7 @@
         params = daemon_settings.parse(orjson.dumps(SETTINGS)).params
         self.term += 1
         former, self.book = self.book, Book(8.0)
-        now = Steady(self.now)
+        now = Monotonic(self.now)
         self.fleet = Fleet(self.book, Token(self.term), now, _LEASE_S)
         bindings = []
         for job in former.jobs.values():
@@ -131,7 +131,7 @@
 
     # -- the cloud ------------------------------------------------------------------------------
 
-    def rent(self, rental: Rental, now: Steady) -> list[str]:
+    def rent(self, rental: Rental, now: Monotonic) -> list[str]:
         held = [w for w in self.workers.values() if w.zone == rental.zone and not w.taken]
         places = 0 if self.refuses or not rental.spot else _PLACES - len(held)
         if self.one_at_a_time:
@@ -156,13 +156,13 @@
             ]
         )  # fmt: skip
         if int(self.now) % 3 == 0:
-            self.renter._take_list(self.lists[max(0, len(self.lists) - 3)], Steady(self.now))
+            self.renter._take_list(self.lists[max(0, len(self.lists) - 3)], Monotonic(self.now))
 
     def _releases(self) -> None:
         for machine in [m for m in self.fleet.machines.values() if m.releasing]:
             self.workers.pop(machine.id, None)
             self.renter._freed(machine)
-            self.fleet.released(machine.id, Steady(self.now))
+            self.fleet.released(machine.id, Monotonic(self.now))
 
     # -- workers --------------------------------------------------------------------------------
 
@@ -193,7 +193,7 @@
             spot=worker.spot, session=worker.session, seq=worker.seq, token=worker.token,
             tasks=lines,
         )  # fmt: skip
-        now = Steady(self.now)
+        now = Monotonic(self.now)
         commands = self.fleet.report(heard, worker.name, now, Wall(self.now))
         if commands is None:
             return
@@ -232,7 +232,7 @@
                 self._runs(worker)
             if self.heard(worker):
                 self._reports(worker)
-        now = Steady(self.now)
+        now = Monotonic(self.now)
         self.fleet.check_silence(now)
         for machine in self.prober.look(now):
             there = self.workers.get(machine.id)
--- a/tests/test_flapping.py
+++ b/tests/test_flapping.py
@@ -4,7 +4,7 @@
 had just frozen (in a second case its machine was lost), and the state service went away for a
 second or two again and again. Every outage gives the leader's lease its full time again, so its key
 stood for 45 s and nobody was elected. The other controllers renewed its workers all that time by
-their permits, without looking whether a worker held a task of a cancelled job: only the leader
+their delegations, without looking whether a worker held a task of a cancelled job: only the leader
 did that, whose absence gave the right. Proof: the workers' reports were answered with 200 until the
 leader was back, and the stop was first sent then.
 """
@@ -18,7 +18,7 @@
 from tealrill.lab.clock import STEADY_AT
 from tealrill.lab.troubles import CUT, FROZEN, GONE, REFUSED, Troubles
 from tealrill.lab.world import Shape, World, play
-from tealrill.types import Steady
+from tealrill.types import Monotonic
 
 LONG_JOBS = ((2, 70.0), (3, 90.0), (1, 120.0))
 """Tasks and run times in seconds: none ends by itself before its time to be gone."""
@@ -65,6 +65,6 @@
     assert led_after_s and led_after_s[0] < SUCCEEDED_WITHIN_S
 
 
-def _steady(world: World) -> Steady:
+def _steady(world: World) -> Monotonic:
     """The processes' own clock."""
-    return Steady(STEADY_AT + world.now())
+    return Monotonic(STEADY_AT + world.now())
--- a/tests/test_formats.py
+++ b/tests/test_formats.py
@@ -11,10 +11,19 @@
 
 from tealrill import settings, wire
 from tealrill.state.book import Book, chunk_size
-from tealrill.types import JobId, MachineId, Revision, Session, Steady, TaskId, Wall, parse_task_id
+from tealrill.types import (
+    JobId,
+    MachineId,
+    Monotonic,
+    Revision,
+    Session,
+    TaskId,
+    Wall,
+    parse_task_id,
+)
 from tests.samples import SETTINGS, SUBMISSION, spec
 
-NOW = Steady(5.0)
+NOW = Monotonic(5.0)
 
 
 def test_a_submission_keeps_every_field() -> None:
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -17,7 +17,7 @@
 from tealrill.api import front
 from tealrill.http import Answer, Client
 from tealrill.settings import Address
-from tealrill.types import MachineId, Steady, steady_now
+from tealrill.types import MachineId, Monotonic, monotonic_now
 from tests.standins import Worker
 
 _MOST = 200_000
@@ -125,8 +125,8 @@
             busy = world.send("/slow", b"{}")
             while not world.sizes or not world.front.connections >= 2:
                 await asyncio.sleep(0.01)
-            await world.front.close_idle(steady_now())
-            await world.front.close_idle(Steady(steady_now() + 1e4))
+            await world.front.close_idle(monotonic_now())
+            await world.front.close_idle(Monotonic(monotonic_now() + 1e4))
             assert await reader.read() == b""
             writer.close()
             world.go.set()
--- a/tests/test_graphs.py
+++ b/tests/test_graphs.py
@@ -22,21 +22,22 @@
 from tealrill.graphs.term import GraphTerm
 from tealrill.graphs.tracker import OVER_DONE, OVER_FAILED, RELEASED, Progress
 from tealrill.leader import Leader
+from tealrill.leadership.election import Election
 from tealrill.scheduler.estimates import Estimates
 from tealrill.scheduler.model import JobView, Policy
 from tealrill.scheduler.queue import order
 from tealrill.state.book import Book, job_key
 from tealrill.state.client import Failed, StateClient
-from tealrill.state.election import Election, Leadership
+from tealrill.state.fencing import Leadership
 from tealrill.types import (
     LeaseId,
     MachineId,
+    Monotonic,
     Revision,
     Session,
-    Steady,
     Token,
     Wall,
-    steady_now,
+    monotonic_now,
     wall_now,
 )
 from tests.samples import SETTINGS, SUBMISSION, job_view, report, spec
@@ -229,9 +230,9 @@
         index = book.take_task(job)
         assert index == 0 and job.outcome == "done"
         machine = MachineId("m-1")
-        binding = book.bind(job, 0, machine, Session(1), "", False, Wall(0.0), Steady(0.0))
+        binding = book.bind(job, 0, machine, Session(1), "", False, Wall(0.0), Monotonic(0.0))
         book.task_failed(job, 0)
-        book.release(binding, "", Steady(0.0))
+        book.release(binding, "", Monotonic(0.0))
         value = orjson.loads(orjson.dumps(book.value(job.chunks[0])))
     # The third failure of one task is one too many, whoever led at the first.
     assert job.outcome == "failed" and job.id in book.ending and job.waiting == 0
@@ -258,7 +259,7 @@
 
 
 def _leader(store: CheckedStore) -> tuple[Leader, GraphTerm]:
-    mine = Leadership(Token(1), Revision(1), LeaseId(1), steady_now(), Steady(1e12))
+    mine = Leadership(Token(1), Revision(1), LeaseId(1), monotonic_now(), Monotonic(1e12))
     leader = Leader(
         settings.parse(orjson.dumps(SETTINGS)),
         cast(StateClient, store),
@@ -296,19 +297,19 @@
         asked: list[Any] = []
         leader.renter.take_catalogue(wire.decode(orjson.dumps({"builds": [_TYPE]}), wire.Catalogue))
         leader.renter.rent = lambda rental, now: asked.append(rental)  # type: ignore[method-assign]
-        batch = leader.keeper._gather(steady_now())
+        batch = leader.keeper._gather(monotonic_now())
         await leader.keeper._commit(batch)
         leader._add_job("job/fam1-00000", store.keys["job/fam1-00000"][0], Revision(store.epoch))
-        leader.fleet.report(report("m-1", 1, 1, 1), MachineId("m-1"), steady_now(), wall_now())
+        leader.fleet.report(report("m-1", 1, 1, 1), MachineId("m-1"), monotonic_now(), wall_now())
         # The first node runs on the only machine and ends within a boot: what is behind it boots.
-        leader.dispatcher.run(steady_now(), wall_now())
+        leader.dispatcher.run(monotonic_now(), wall_now())
         asked.clear()
-        leader.dispatcher._rent_at = Steady(0.0)
-        leader.dispatcher.run(steady_now(), wall_now())
+        leader.dispatcher._rent_at = Monotonic(0.0)
+        leader.dispatcher.run(monotonic_now(), wall_now())
         assert sum(rental.count for rental in asked) == 2
-        (wish,) = leader._upcoming(steady_now(), 20.0)
+        (wish,) = leader._upcoming(monotonic_now(), 20.0)
         assert wish[1] == 3
-        assert not leader._upcoming(steady_now(), 10.0)
+        assert not leader._upcoming(monotonic_now(), 10.0)
 
     asyncio.run(scenario())
 
@@ -345,7 +346,7 @@
         for name in [n for n, (head, _) in part._drafts.items() if head.status == "expired"]:
             await part._clear_up(name)
         part._advance()
-        batch = leader.keeper._gather(Steady(steady_now() + 10.0))
+        batch = leader.keeper._gather(Monotonic(monotonic_now() + 10.0))
         if batch.changes:
             await leader.keeper._commit(batch)
         for at, event in store.log:
@@ -409,7 +410,7 @@
             assert counts["ready"] + counts["released"] == 10
             batch_sizes = []
             part._advance()
-            while (batch := leader.keeper._gather(steady_now())).changes:
+            while (batch := leader.keeper._gather(monotonic_now())).changes:
                 batch_sizes.append(len(batch.changes))
                 await leader.keeper._commit(batch)
             # Before the first of them is heard of, the next leader takes over.
@@ -430,12 +431,12 @@
         await leader._load()
         await part._load("fam1")
         part._advance()
-        await leader.keeper._commit(leader.keeper._gather(steady_now()))
+        await leader.keeper._commit(leader.keeper._gather(monotonic_now()))
         record = store.keys["job/fam1-00000"][0]
         assert record["due_s"] == pytest.approx(70.0, abs=5.0) and record["tail_s"] == 30.0
         job = leader._add_job("job/fam1-00000", record, Revision(store.epoch))
         assert job is not None and job.due_s == record["due_s"]
-        (view,) = leader.dispatcher.view(steady_now(), wall_now()).jobs
+        (view,) = leader.dispatcher.view(monotonic_now(), wall_now()).jobs
         assert isinstance(view, JobView) and view.graph == "fam1" and view.latest_s[0] > 50.0
         assert job_key(job.id) in store.keys
 
--- a/tests/test_graphs_records.py
+++ b/tests/test_graphs_records.py
@@ -27,23 +27,23 @@
 from tealrill.graphs.term import GraphTerm
 from tealrill.graphs.tracker import Progress
 from tealrill.leader import Leader
+from tealrill.leadership.election import Election
 from tealrill.scheduler.estimates import Estimates
 from tealrill.state import keeper
 from tealrill.state.book import Binding, Book
 from tealrill.state.budget import Rank
 from tealrill.state.client import Committed, Failed, StateClient
-from tealrill.state.duty import LEADER_KEY
-from tealrill.state.election import Election, Leadership
+from tealrill.state.fencing import LEADER_KEY, Leadership
 from tealrill.state.intake import Intake, Reply
 from tealrill.state.keeper import Deposed, Keeper
 from tealrill.types import (
     LeaseId,
     MachineId,
+    Monotonic,
     Revision,
     Session,
-    Steady,
     Token,
-    steady_now,
+    monotonic_now,
     wall_now,
 )
 from tests.samples import SETTINGS, SUBMISSION
@@ -58,7 +58,7 @@
     def __init__(self, mine: Leadership) -> None:
         self.mine = mine
 
-    def leading(self, _: Steady) -> Leadership:
+    def leading(self, _: Monotonic) -> Leadership:
         return self.mine
 
 
@@ -211,7 +211,7 @@
     def __init__(self, service: Service, stamp: Revision) -> None:
         self.service = service
         parsed = settings.parse(orjson.dumps(SETTINGS))
-        mine = Leadership(Token(int(stamp)), stamp, LeaseId(1), steady_now(), Steady(1e12))
+        mine = Leadership(Token(int(stamp)), stamp, LeaseId(1), monotonic_now(), Monotonic(1e12))
         client = cast(StateClient, service.store)
         self.leader = Leader(
             parsed,
@@ -265,11 +265,11 @@
                 if index is None:
                     break
                 self.leader.book.bind(
-                    job, index, MachineId("m-1"), Session(1), "", False, wall_now(), steady_now()
+                    job, index, MachineId("m-1"), Session(1), "", False, wall_now(), monotonic_now()
                 )
 
     async def commit(self) -> None:
-        batch = self.leader.keeper._gather(Steady(steady_now() + 10.0))
+        batch = self.leader.keeper._gather(Monotonic(monotonic_now() + 10.0))
         if batch.changes:
             await self.leader.keeper._commit(batch)
 
@@ -280,15 +280,15 @@
                 if not binding.committed or self.service.rng.random() < rest:
                     continue
                 if job.cancelled or job.outcome != "done":
-                    self.leader.book.release(binding, "", steady_now())
+                    self.leader.book.release(binding, "", monotonic_now())
                     continue
                 index = binding.task.index
                 if self.service.rng.random() < fail:
                     self.leader.book.task_failed(job, index)
                 else:
                     self.service.store.completed.setdefault(job.id, set()).add(index)
-                    self.leader.book.complete(job, index, steady_now())
-                self.leader.book.release(binding, "", steady_now())
+                    self.leader.book.complete(job, index, monotonic_now())
+                self.leader.book.release(binding, "", monotonic_now())
 
 
 class Service:
@@ -577,13 +577,13 @@
 def _hasty_followers(patch: pytest.MonkeyPatch) -> None:
     """Tells followers of tasks that are done before that is written down."""
 
-    def follow(self: Book, job: Any, now: Steady) -> list[int]:
+    def follow(self: Book, job: Any, now: Monotonic) -> list[int]:
         job.followed = True
         return [index for index, done in enumerate(job.done) if done]
 
     whole = Book.complete
 
-    def complete(self: Book, job: Any, index: int, now: Steady) -> bool:
+    def complete(self: Book, job: Any, index: int, now: Monotonic) -> bool:
         first = whole(self, job, index, now)
         for other in self.jobs.values():
             if first and job.followed and other.opened is not None and other.owner is job.owner:
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -20,13 +20,13 @@
 from tealrill.fleet.cloud import Cloud
 from tealrill.fleet.lines import Lines
 from tealrill.leader import Leader
+from tealrill.leadership.election import Election
 from tealrill.scheduler.capacity import Rental
 from tealrill.scheduler.estimates import Estimates
 from tealrill.state.book import job_key
 from tealrill.state.client import StateClient
-from tealrill.state.duty import LEADER_KEY
-from tealrill.state.election import Election, Leadership
-from tealrill.types import LeaseId, MachineId, Revision, Steady, Token, steady_now, wall_now
+from tealrill.state.fencing import LEADER_KEY, Leadership
+from tealrill.types import LeaseId, MachineId, Monotonic, Revision, Token, monotonic_now, wall_now
 from tests.samples import SETTINGS, report, spec
 from tests.test_dispatch import _TYPE
 from tests.test_records import Store
@@ -43,7 +43,7 @@
     def __init__(self, mine: Leadership) -> None:
         self.mine = mine
 
-    def leading(self, _: Steady) -> Leadership:
+    def leading(self, _: Monotonic) -> Leadership:
         return self.mine
 
 
@@ -83,7 +83,7 @@
         self.settings = settings.parse(orjson.dumps(values))
         self.store = Store(random.Random(0), True)
         self.store.calm = True
-        mine = Leadership(Token(1), Revision(1), LeaseId(1), steady_now(), Steady(1e12))
+        mine = Leadership(Token(1), Revision(1), LeaseId(1), monotonic_now(), Monotonic(1e12))
         self.leader = Leader(
             self.settings,
             cast(StateClient, self.store),
@@ -92,7 +92,7 @@
             mine,
             Estimates(),
         )
-        self.leader.fleet.inherit([], steady_now())
+        self.leader.fleet.inherit([], monotonic_now())
         catalogue = wire.decode(orjson.dumps({"builds": [{**_TYPE, "vcpus": 16}]}), wire.Catalogue)
         self.leader.renter.take_catalogue(catalogue)
         self.leader.renter.rent = lambda *_: None  # type: ignore[method-assign]
@@ -115,12 +115,12 @@
 
     def beat(self, name: str) -> None:
         heard = wire.decode(orjson.dumps(self.report(name)), wire.Report)
-        for order in self.leader.report(heard, MachineId(name), steady_now()) or []:
+        for order in self.leader.report(heard, MachineId(name), monotonic_now()) or []:
             if order["verb"] == wire.FORGET:
                 self.tasks[name].pop((str(order["piece"]), cast(int, order["try"])))
 
     async def commit_all(self) -> None:
-        while (batch := self.leader.keeper._gather(Steady(steady_now() + 10.0))).changes:
+        while (batch := self.leader.keeper._gather(Monotonic(monotonic_now() + 10.0))).changes:
             await self.leader.keeper._commit(batch)
 
     async def wave(self) -> None:
@@ -132,7 +132,7 @@
             name = f"m-127.{1 + number // 62500}.{number // 250 % 250}.{1 + number % 250}"
             names.append(name)
             self.tasks[name], self.seqs[name] = {}, 0
-            self.leader.renter._rented(name, Rental("big", "north", False, 1), steady_now())
+            self.leader.renter._rented(name, Rental("big", "north", False, 1), monotonic_now())
             self.beat(name)
         for _ in range(_WAVE * _JOBS):
             self.jobs += 1
@@ -144,7 +144,7 @@
                 {"spec": wire.plain(job), "at": wall_now()},
                 stamp,
             )
-        self.leader.dispatcher.run(steady_now(), wall_now())
+        self.leader.dispatcher.run(monotonic_now(), wall_now())
         await self.commit_all()
         while self.leader._orders:
             await asyncio.gather(*self.leader._orders.values())
@@ -156,10 +156,10 @@
         for name in names:
             self.beat(name)
             assert not self.tasks[name]
-            self.leader.fleet.released(MachineId(name), steady_now())
+            self.leader.fleet.released(MachineId(name), monotonic_now())
             del self.tasks[name], self.seqs[name]
         self.store.keys = {LEADER_KEY: ({}, 1)}
-        self.leader.fleet.forget_gone(Steady(steady_now() + 1000.0))
+        self.leader.fleet.forget_gone(Monotonic(monotonic_now() + 1000.0))
 
 
 def test_a_long_term_keeps_nothing_of_machines_and_jobs_that_are_gone() -> None:
--- a/tests/test_keeper.py
+++ b/tests/test_keeper.py
@@ -14,13 +14,13 @@
 from tealrill.state.book import Book, Job, job_key, over_key
 from tealrill.state.budget import Rank
 from tealrill.state.client import StateClient
-from tealrill.state.election import Leadership
+from tealrill.state.fencing import Leadership
 from tealrill.state.keeper import Keeper
-from tealrill.types import LeaseId, MachineId, Revision, Session, Steady, Token, Wall
+from tealrill.types import LeaseId, MachineId, Monotonic, Revision, Session, Token, Wall
 from tests.samples import SUBMISSION
 from tests.test_records import Store
 
-NOW = Steady(1.0)
+NOW = Monotonic(1.0)
 
 
 class _Rate:
@@ -43,7 +43,7 @@
         self.rate = _Rate(tokens)
         self.store.writes = self.rate  # type: ignore[assignment]
         self.book = Book(8.0)
-        mine = Leadership(Token(1), Revision(1), LeaseId(1), NOW, Steady(1e9))
+        mine = Leadership(Token(1), Revision(1), LeaseId(1), NOW, Monotonic(1e9))
         self.keeper = Keeper(
             cast(StateClient, self.store), self.book, mine, txn_ops, lambda _: None, lambda _: None
         )
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -22,7 +22,7 @@
 from tealrill.state.client import StateClient
 from tealrill.state.intake import Intake
 from tealrill.state.intake import Reply as UserReply
-from tealrill.types import JobId, Steady
+from tealrill.types import JobId, Monotonic
 
 _SHORT_S = 60.0
 _LONG_JOBS = ((2, 70.0), (3, 90.0), (1, 120.0))
@@ -49,7 +49,7 @@
 def _lapses_at_once(patch: pytest.MonkeyPatch) -> None:
     """A machine that is silent for a moment has its tasks given away."""
 
-    def silent(self: Fleet, now: Steady) -> list[Machine]:
+    def silent(self: Fleet, now: Monotonic) -> list[Machine]:
         known = self.machines.values()
         return [m for m in known if m.heard_at is not None and now - m.heard_at > 0.8]
 
@@ -81,7 +81,7 @@
     """The first task's end is the job's."""
     whole = Book.complete
 
-    def complete(self: Book, job: Job, index: int, now: Steady) -> bool:
+    def complete(self: Book, job: Job, index: int, now: Monotonic) -> bool:
         for other in range(job.spec.tasks):
             whole(self, job, other, now)
         return whole(self, job, index, now)
@@ -114,7 +114,7 @@
     """Every third job is never placed, and the machines that it could use stay."""
     whole = Dispatcher._waiting
 
-    def waiting(self: Dispatcher, job: Job, now: Steady) -> int:
+    def waiting(self: Dispatcher, job: Job, now: Monotonic) -> int:
         return 0 if job.id.endswith(("3", "6", "9")) else whole(self, job, now)
 
     patch.setattr(Dispatcher, "_waiting", waiting)
--- a/tests/test_truce.py
+++ b/tests/test_lease_extension.py
@@ -11,13 +11,20 @@
 from tealrill import settings, wire
 from tealrill.http import Answer as HttpAnswer
 from tealrill.http import NoAnswer
-from tealrill.state import election as election_module
-from tealrill.state.acknowledged import Acknowledged
+from tealrill.leadership import election as election_module
+from tealrill.leadership.election import TERM_KEY, Election, KnownLeader
+from tealrill.leadership.lease_extension import (
+    PROMISE_S,
+    ExtensionAnswer,
+    ExtensionRequest,
+    LeaseExtension,
+    Presence,
+    Seen,
+)
+from tealrill.state.acknowledged_cancellations import AcknowledgedCancellations
 from tealrill.state.client import Committed, Failed, Refused, StateClient, Unknown
-from tealrill.state.duty import LEADER_KEY
-from tealrill.state.election import TERM_KEY, Election, KnownLeader, Leadership
-from tealrill.state.truce import PROMISE_S, Answer, Presence, Request, Seen, Truce
-from tealrill.types import LeaseId, Revision, Steady, Token
+from tealrill.state.fencing import LEADER_KEY, Leadership
+from tealrill.types import LeaseId, Monotonic, Revision, Token
 from tests.samples import SETTINGS
 
 
@@ -55,16 +62,16 @@
 
 class _Clock:
     def __init__(self) -> None:
-        self.now = Steady(100.0)
+        self.now = Monotonic(100.0)
 
-    def __call__(self) -> Steady:
+    def __call__(self) -> Monotonic:
         return self.now
 
 
 @pytest.fixture
 def clock(monkeypatch: pytest.MonkeyPatch) -> _Clock:
     clock = _Clock()
-    monkeypatch.setattr(election_module, "steady_now", clock)
+    monkeypatch.setattr(election_module, "monotonic_now", clock)
     return clock
 
 
@@ -79,9 +86,9 @@
 
 def test_who_has_promised_does_not_stand_before_the_promise_is_over(clock: _Clock) -> None:
     election = _election(_State())
-    assert election.promise(Token(4), Steady(clock.now + PROMISE_S)) == ""
+    assert election.promise(Token(4), Monotonic(clock.now + PROMISE_S)) == ""
     assert not _stand(election)
-    clock.now = Steady(clock.now + PROMISE_S)
+    clock.now = Monotonic(clock.now + PROMISE_S)
     assert _stand(election)
 
 
@@ -96,7 +103,7 @@
 def test_a_restarted_member_stands_at_once_if_nobody_leads(clock: _Clock) -> None:
     # All controllers crashed together, and the wait for the promise's end cost every task.
     election = _election(_State(), PROMISE_S)
-    truce = _truce(_State(), election, clock)
+    extension = _extension(_State(), election, clock)
     said: dict[str, NoAnswer | bytes] = {"answer": NoAnswer("refused", False, refused=True)}
 
     async def request(*_: object, timeout_s: float) -> HttpAnswer:
@@ -107,17 +114,17 @@
         found.body = answer
         return found
 
-    for peer in truce._peers.values():
+    for peer in extension._peers.values():
         peer.request = request  # type: ignore[method-assign,assignment]
-    election.nobody_leads = truce.nobody_leads
+    election.nobody_leads = extension.nobody_leads
     assert not _stand(election)
     said["answer"] = wire.encode(Presence(leads=True))
     assert not _stand(election)
     said["answer"] = wire.encode(Presence(leads=False))
     # A promise of this very process still holds.
-    assert election.promise(Token(4), Steady(clock.now + 1.0)) == ""
+    assert election.promise(Token(4), Monotonic(clock.now + 1.0)) == ""
     assert not _stand(election)
-    clock.now = Steady(clock.now + 1.0)
+    clock.now = Monotonic(clock.now + 1.0)
     assert _stand(election)
 
 
@@ -129,20 +136,20 @@
 ) -> None:
     election = _election(_State(outcome=outcome))
     assert not _stand(election)
-    assert (election.promise(Token(4), Steady(200.0)) == "") is promised
+    assert (election.promise(Token(4), Monotonic(200.0)) == "") is promised
     # The guard on the term makes the late one fail once a later term is there.
-    assert election.promise(Token(5), Steady(200.0)) == ""
+    assert election.promise(Token(5), Monotonic(200.0)) == ""
 
 
 def test_no_promise_to_a_leader_of_the_past(clock: _Clock) -> None:
     election = _election(_State())
     election.known = KnownLeader("host-1", Token(5))
-    assert election.promise(Token(4), Steady(200.0)) != ""
+    assert election.promise(Token(4), Monotonic(200.0)) != ""
     election.known = None
     assert _stand(election)
     assert election.mine is not None
     # Asked by its own term's number, it is not asked by a later leader.
-    assert election.promise(election.mine.term, Steady(200.0)) == "leads itself"
+    assert election.promise(election.mine.term, Monotonic(200.0)) == "leads itself"
 
 
 def test_who_was_followed_promises_to_the_one_that_follows(clock: _Clock) -> None:
@@ -152,30 +159,30 @@
     assert _stand(election)
     mine = election.mine
     assert mine is not None
-    assert election.promise(Token(mine.term - 1), Steady(200.0)) == "leads itself"
+    assert election.promise(Token(mine.term - 1), Monotonic(200.0)) == "leads itself"
     assert election.mine is mine
-    assert election.promise(Token(mine.term + 1), Steady(200.0)) == ""
-    assert election.mine is None and not mine.valid(Steady(500.0))
+    assert election.promise(Token(mine.term + 1), Monotonic(200.0)) == ""
+    assert election.mine is None and not mine.valid(Monotonic(500.0))
 
 
-def _truce(state: _State, election: Election, clock: _Clock, **changes: Any) -> Truce:
+def _extension(state: _State, election: Election, clock: _Clock, **changes: Any) -> LeaseExtension:
     values = {**SETTINGS, **changes}
     parsed = settings.parse(orjson.dumps(values))
 
-    known = Acknowledged(lambda: state.first_seen)
+    known = AcknowledgedCancellations(lambda: state.first_seen)
     known.add("wk-1", Revision(50))
-    return Truce(parsed, cast(StateClient, state), election, known, clock)
+    return LeaseExtension(parsed, cast(StateClient, state), election, known, clock)
 
 
 def test_only_a_term_without_a_gap_is_prolonged(clock: _Clock) -> None:
-    truce = _truce(_State(), _election(_State()), clock)
-    mine = Leadership(Token(4), Revision(1), LeaseId(1), Steady(90.0), Steady(101.0))
+    extension = _extension(_State(), _election(_State()), clock)
+    mine = Leadership(Token(4), Revision(1), LeaseId(1), Monotonic(90.0), Monotonic(101.0))
     sent = clock.now
-    clock.now = Steady(100.5)
-    truce.extend(mine, sent)
+    clock.now = Monotonic(100.5)
+    extension.extend(mine, sent)
     assert 103.0 < mine.valid_until < sent + PROMISE_S
-    clock.now = Steady(110.0)
-    truce.extend(mine, Steady(109.9))
+    clock.now = Monotonic(110.0)
+    extension.extend(mine, Monotonic(109.9))
     assert not mine.valid(clock.now)
 
 
@@ -183,12 +190,14 @@
     state = _State()
     state.keys[LEADER_KEY] = ({"host": "host-1"}, 8)
     election = _election(state)
-    truce = _truce(state, election, clock)
-    assert not asyncio.run(truce.asked(Request(4))).promised
+    extension = _extension(state, election, clock)
+    assert not asyncio.run(extension.asked(ExtensionRequest(4))).promised
     state.down = True
-    assert asyncio.run(truce.asked(Request(4, seen=60))) == Answer(True)
+    assert asyncio.run(extension.asked(ExtensionRequest(4, seen=60))) == ExtensionAnswer(True)
     # What was cancelled here without the leader's knowledge goes with the promise.
-    assert asyncio.run(truce.asked(Request(4, seen=40))) == Answer(True, cancelled=["wk-1"])
+    assert asyncio.run(extension.asked(ExtensionRequest(4, seen=40))) == ExtensionAnswer(
+        True, cancelled=["wk-1"]
+    )
     state.down = False
     assert not _stand(election)
 
@@ -196,32 +205,32 @@
 def test_one_missing_promise_is_silence(clock: _Clock, monkeypatch: pytest.MonkeyPatch) -> None:
     election = _election(_State())
     members = [{"host_name": f"n-{n}", "zone": "north", "peer_addr": "x:1"} for n in range(2)]
-    truce = _truce(_State(), election, clock, members=members)
+    extension = _extension(_State(), election, clock, members=members)
     # Its own process's first look lies before what it has seen as a leader.
-    truce.seen = lambda: Seen(Revision(30), clock.now)
+    extension.seen = lambda: Seen(Revision(30), clock.now)
     told: list[str] = []
-    truce.cancelled = told.append
+    extension.cancelled = told.append
 
-    def prolonged(last: Answer) -> bool:
-        left = iter([Answer(True, cancelled=["wk-2"]), last])
+    def prolonged(last: ExtensionAnswer) -> bool:
+        left = iter([ExtensionAnswer(True, cancelled=["wk-2"]), last])
 
-        async def ask(*_: object) -> Answer:
+        async def ask(*_: object) -> ExtensionAnswer:
             return next(left)
 
-        monkeypatch.setattr(truce, "_ask", ask)
-        mine = Leadership(Token(4), Revision(1), LeaseId(1), Steady(90.0), Steady(101.0))
-        asyncio.run(truce._seek(mine))
+        monkeypatch.setattr(extension, "_ask", ask)
+        mine = Leadership(Token(4), Revision(1), LeaseId(1), Monotonic(90.0), Monotonic(101.0))
+        asyncio.run(extension._seek(mine))
         return mine.valid_until > 101.0
 
-    assert prolonged(Answer(True))
-    assert not prolonged(Answer(False, "no answer"))
+    assert prolonged(ExtensionAnswer(True))
+    assert not prolonged(ExtensionAnswer(False, "no answer"))
     # With what this node itself acknowledged, which may not have come back to it.
     assert set(told) == {"wk-1", "wk-2"}
 
 
-def test_no_truce_where_a_cancellation_would_come_too_late(clock: _Clock) -> None:
+def test_no_extension_where_a_cancellation_would_come_too_late(clock: _Clock) -> None:
     workers = SETTINGS["params"]["workers"]
     short = {**workers, "cancel_s": workers["lease_s"] + PROMISE_S}
     params = {**SETTINGS["params"], "workers": short}
-    assert not _truce(_State(), _election(_State()), clock, params=params).possible
-    assert _truce(_State(), _election(_State()), clock).possible
+    assert not _extension(_State(), _election(_State()), clock, params=params).possible
+    assert _extension(_State(), _election(_State()), clock).possible
--- a/tests/test_lease_revocation.py
+++ b/tests/test_lease_revocation.py
@@ -4,9 +4,9 @@
 For 45 s nobody could be elected and nothing new was started.
 
 The worlds of `tests/test_exclusion.py` are played with the real `LeaseRevocation` beside elections,
-truces and exclusions: the state service goes away often and renews all leases, a leader is not
-heard by the others though it holds its lease, requests to end a lease arrive late or without an
-answer. Each clause taken away leaves two valid leaders in some world.
+lease extensions and exclusions: the state service goes away often and renews all leases, a leader
+is not heard by the others though it holds its lease, requests to end a lease arrive late or without
+an answer. Each clause taken away leaves two valid leaders in some world.
 """
 
 from __future__ import annotations
@@ -22,16 +22,16 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
-from tealrill.state import election as election_module
-from tealrill.state import exclusion as exclusion_module
-from tealrill.state import lease_revocation as revocation_module
-from tealrill.state import truce as truce_module
+from tealrill.leadership import election as election_module
+from tealrill.leadership import exclusion as exclusion_module
+from tealrill.leadership import lease_extension as extension_module
+from tealrill.leadership import lease_revocation as revocation_module
+from tealrill.leadership.election import TTL_S, KnownLeader, exclusion_key
+from tealrill.leadership.exclusion import Exclusions
+from tealrill.leadership.lease_revocation import LOST_S, LeaseRevocation
 from tealrill.state.client import Refused, Unknown
-from tealrill.state.duty import LEADER_KEY
-from tealrill.state.election import TTL_S, KnownLeader, out_key
-from tealrill.state.exclusion import Exclusions
-from tealrill.state.lease_revocation import LOST_S, LeaseRevocation
-from tealrill.types import LeaseId, Revision, Steady, Token
+from tealrill.state.fencing import LEADER_KEY
+from tealrill.types import LeaseId, Monotonic, Revision, Token
 from tests import test_exclusion as model
 from tests.test_exclusion import TwoLeaders, World, _Client, _Node, _play
 
@@ -58,12 +58,12 @@
 class _Member(_Node):
     def __init__(self, world: World, host: str) -> None:
         super().__init__(world, host)
-        self.unheard_since: Steady | None = None
+        self.unheard_since: Monotonic | None = None
         self.revocation = LeaseRevocation(
             self.settings, self.client, self.election, lambda: self.unheard_since, self.now
         )
         self.revocation._peers = self.peers
-        self.truce.lost_term = lambda: self.revocation.lost_term
+        self.extension.lost_term = lambda: self.revocation.lost_term
 
     def _exclusions(self, mine: Any) -> Exclusions:
         found = super()._exclusions(mine)
@@ -95,7 +95,7 @@
 
     client_type = _Interrupted
     node_type = _Member
-    steps = ("hold", "truce", "look", "revoke")
+    steps = ("hold", "extend", "look", "revoke")
 
     def __init__(self, seed: int, without: str = "") -> None:
         self.late_ends: list[LeaseId] = []
@@ -139,7 +139,7 @@
         await whole(0)
 
     quick = SimpleNamespace(sleep=sleep, gather=asyncio.gather, timeout=asyncio.timeout)
-    for module in (election_module, truce_module, exclusion_module, revocation_module):
+    for module in (election_module, extension_module, exclusion_module, revocation_module):
         monkeypatch.setattr(module, "asyncio", quick)
 
 
@@ -171,7 +171,7 @@
     async def end_lease(self: LeaseRevocation, attempt: Any) -> None:
         with contextlib.suppress(Unknown):
             await self._client.end_lease(attempt.lease)
-        attempt.may_stand_at = Steady(self._now() + TTL_S * 1.001 + 0.2)
+        attempt.may_stand_at = Monotonic(self._now() + TTL_S * 1.001 + 0.2)
 
     patch.setattr(LeaseRevocation, "_end_lease", end_lease)
 
@@ -182,7 +182,7 @@
 
     async def commit(self: Any, guards: Any, changes: Any, paid: bool = False) -> Any:
         if len(changes) > 1 and all(c.get("set", "").startswith("out/") for c in changes):
-            changes = [c for c in changes if c["set"] == out_key(self.host)]
+            changes = [c for c in changes if c["set"] == exclusion_key(self.host)]
         return await whole(self, guards, changes, paid)
 
     patch.setattr(_Interrupted, "commit", commit)
@@ -194,7 +194,7 @@
 
     async def commit(self: Any, guards: Any, changes: Any, paid: bool = False) -> Any:
         if len(changes) > 1 and all(c.get("set", "").startswith("out/") for c in changes):
-            changes = [c for c in changes if c["set"] != out_key(self.host)]
+            changes = [c for c in changes if c["set"] != exclusion_key(self.host)]
         return await whole(self, guards, changes, paid)
 
     patch.setattr(_Interrupted, "commit", commit)
@@ -238,7 +238,7 @@
             election = self.member(host).election
             election.known = self.leader
             # These processes have run for long, and have promised nothing lately.
-            election._promised_until = election._restarted_until = Steady(0.0)
+            election._promised_until = election._restarted_until = Monotonic(0.0)
         self.ender = self.member(HOSTS[1])
 
     def member(self, host: str) -> _Member:
@@ -273,17 +273,20 @@
         assert lost.world.true - ended >= TTL_S * 0.5
 
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(election_module, "steady_now", lambda: lost.ender.now())
+        patch.setattr(election_module, "monotonic_now", lambda: lost.ender.now())
         asyncio.run(scenario())
-    assert out_key(HOSTS[1]) not in lost.store.keys and out_key(HOSTS[2]) in lost.store.keys
+    assert (
+        exclusion_key(HOSTS[1]) not in lost.store.keys
+        and exclusion_key(HOSTS[2]) in lost.store.keys
+    )
 
 
 def test_a_leader_whose_lease_is_being_ended_gets_no_promise() -> None:
     lost = _Lost()
     asyncio.run(lost.lose())
-    assert "ends" in lost.ender.election.promise(Token(5), Steady(lost.ender.now() + 4.0))
+    assert "ends" in lost.ender.election.promise(Token(5), Monotonic(lost.ender.now() + 4.0))
     # A later leader gets one.
-    assert not lost.ender.election.promise(Token(6), Steady(lost.ender.now() + 4.0))
+    assert not lost.ender.election.promise(Token(6), Monotonic(lost.ender.now() + 4.0))
 
 
 def test_a_promise_given_before_is_kept() -> None:
@@ -291,14 +294,14 @@
     asyncio.run(lost.lose())
     attempt = lost.ender.revocation._attempt
     assert attempt is not None
-    until = Steady(attempt.may_stand_at + 2.0)
+    until = Monotonic(attempt.may_stand_at + 2.0)
     lost.ender.election._promised_until = until
     lost.world.true += until - lost.ender.now() - 0.1
     asyncio.run(lost.ender.step("revoke"))
-    assert out_key(HOSTS[1]) in lost.store.keys
+    assert exclusion_key(HOSTS[1]) in lost.store.keys
     lost.world.true += 0.2
     asyncio.run(lost.ender.step("revoke"))
-    assert out_key(HOSTS[1]) not in lost.store.keys
+    assert exclusion_key(HOSTS[1]) not in lost.store.keys
 
 
 def test_an_exclusion_that_the_leader_wrote_anew_stays() -> None:
@@ -306,17 +309,17 @@
     lost = _Lost()
     asyncio.run(lost.lose())
     lost.store.epoch += 1
-    lost.store.keys[out_key(HOSTS[1])] = ({"term": 5, "v": 1}, lost.store.epoch, None)
+    lost.store.keys[exclusion_key(HOSTS[1])] = ({"term": 5, "v": 1}, lost.store.epoch, None)
     lost.world.true += TTL_S * 2
     asyncio.run(lost.ender.step("revoke"))
-    assert out_key(HOSTS[1]) in lost.store.keys
+    assert exclusion_key(HOSTS[1]) in lost.store.keys
     assert lost.ender.revocation._attempt is None
 
 
 def test_a_member_that_is_excluded_already_ends_no_lease() -> None:
     lost = _Lost()
     for host in HOSTS[1:]:
-        lost.store.keys[out_key(host)] = ({"term": 5, "v": 1}, 1, None)
+        lost.store.keys[exclusion_key(host)] = ({"term": 5, "v": 1}, 1, None)
     asyncio.run(lost.lose())
     assert LEADER_KEY in lost.store.keys
 
@@ -329,7 +332,7 @@
     """
     lost = _Lost()
     record = {"term": 5, "v": 1, "ends_term": 5, "mark": "a"}
-    lost.store.keys[out_key(HOSTS[1])] = (record, 2, None)
+    lost.store.keys[exclusion_key(HOSTS[1])] = (record, 2, None)
     lost.world.apart.clear()
     told: list[str] = []
     node = lost.member(HOSTS[0])
@@ -342,8 +345,8 @@
         record["ends_term"] = 4
     asyncio.run(found.turn())
     assert bool(told) is given_up
-    assert (out_key(HOSTS[1]) in lost.store.keys) is given_up
-    assert not (given_up and found.stands(HOSTS[1]))
+    assert (exclusion_key(HOSTS[1]) in lost.store.keys) is given_up
+    assert not (given_up and found.is_excluded(HOSTS[1]))
 
 
 # -- when a leader is lost ------------------------------------------------------------------------
@@ -360,14 +363,14 @@
             lost.pass_s(LOST_S / 8)
 
     asyncio.run(scenario())
-    assert LEADER_KEY in lost.store.keys and out_key(HOSTS[1]) not in lost.store.keys
+    assert LEADER_KEY in lost.store.keys and exclusion_key(HOSTS[1]) not in lost.store.keys
 
 
 def test_a_minority_that_does_not_hear_the_leader_ends_no_lease() -> None:
     lost = _Lost()
     lost.world.apart = {frozenset((HOSTS[0], HOSTS[1]))}
     asyncio.run(lost.lose())
-    assert LEADER_KEY in lost.store.keys and out_key(HOSTS[1]) not in lost.store.keys
+    assert LEADER_KEY in lost.store.keys and exclusion_key(HOSTS[1]) not in lost.store.keys
 
 
 @pytest.mark.parametrize("value", [None, [], {"host": HOSTS[0], "term": 5}, {"revocable": "yes"}])
@@ -375,4 +378,4 @@
     lost = _Lost()
     lost.store.keys[LEADER_KEY] = (value, 1, 1)
     asyncio.run(lost.lose())
-    assert LEADER_KEY in lost.store.keys and out_key(HOSTS[1]) not in lost.store.keys
+    assert LEADER_KEY in lost.store.keys and exclusion_key(HOSTS[1]) not in lost.store.keys
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -1,11 +1,11 @@
 """Where two troubles meet: what users were told is cancelled ends in time, whoever renews workers.
 
-The model plays the chain of moments of docs/design.md ("Cancellations"): real leaders, truces and
-acknowledgements of three hosts; a worker and the state service as the protocol describes them. The
-state service refuses one host or all, a watch stands still, hosts end one after the other, also
-before they have read the records, workers hear nothing. No task may be on its machine longer than
-`cancel_s` after anybody was told. `test_each_link_is_needed` takes links away; those of the
-promises are taken away in `tests/test_acknowledged.py`.
+The model plays the chain of moments of docs/design.md ("Cancellations"): real leaders, lease
+extensions and acknowledgements of three hosts; a worker and the state service as the protocol
+describes them. The state service refuses one host or all, a watch stands still, hosts end one after
+the other, also before they have read the records, workers hear nothing. No task may be on its
+machine longer than `cancel_s` after anybody was told. `test_each_link_is_needed` takes links away;
+those of the promises are taken away in `tests/test_acknowledged_cancellations.py`.
 """
 
 from __future__ import annotations
@@ -31,17 +31,24 @@
 from tealrill.http import Answer as HttpAnswer
 from tealrill.http import NoAnswer
 from tealrill.leader import Leader
+from tealrill.leadership.election import TTL_S, Election
+from tealrill.leadership.lease_extension import (
+    PROMISE_S,
+    ExtensionAnswer,
+    ExtensionRequest,
+    LeaseExtension,
+    Seen,
+)
+from tealrill.leadership.open_jobs import renewal_bound_s
 from tealrill.scheduler.estimates import Estimates
 from tealrill.state import client as client_module
-from tealrill.state.acknowledged import Acknowledged
+from tealrill.state.acknowledged_cancellations import AcknowledgedCancellations
 from tealrill.state.book import OUTCOME_FAILED, RUN_PREFIX, Binding, Book, Job, over_key
 from tealrill.state.budget import Budget, Rank
 from tealrill.state.client import Refused, StateClient, StateError, Unknown
-from tealrill.state.election import TTL_S, Election, Leadership
+from tealrill.state.fencing import Leadership
 from tealrill.state.intake import Intake
-from tealrill.state.open_jobs import renewal_bound_s
-from tealrill.state.truce import PROMISE_S, Answer, Request, Seen, Truce
-from tealrill.types import JobId, LeaseId, MachineId, Revision, Steady, Token, Wall
+from tealrill.types import JobId, LeaseId, MachineId, Monotonic, Revision, Token, Wall
 from tests.samples import SETTINGS, report, spec
 from tests.test_bindings import Worker
 
@@ -56,8 +63,8 @@
     return settings.parse(orjson.dumps(values))
 
 
-def _leader(parsed: settings.Settings, term: int, now: Steady) -> Leader:
-    mine = Leadership(Token(term), Revision(term), LeaseId(term), now, Steady(now + TTL_S - 0.2))
+def _leader(parsed: settings.Settings, term: int, now: Monotonic) -> Leader:
+    mine = Leadership(Token(term), Revision(term), LeaseId(term), now, Monotonic(now + TTL_S - 0.2))
     client = cast(StateClient, _Client(None, 0))
     found = Leader(parsed, client, cast(Cloud, None), cast(Election, None), mine, Estimates())
     found.dispatcher._command_now = lambda _: None
@@ -82,22 +89,22 @@
 
     def __init__(self, world: _World, number: int, first: Revision | None) -> None:
         self.world, self.number, self.first = world, number, first
-        self.waits_until = Steady(world.now + PROMISE_S)
-        self.known = Acknowledged(lambda: self.first)
+        self.waits_until = Monotonic(world.now + PROMISE_S)
+        self.known = AcknowledgedCancellations(lambda: self.first)
         client = cast(StateClient, _Client(world, number))
-        self.truce = Truce(world.settings, client, self, self.known, lambda: world.now)
-        self.truce._peers = {str(n): cast(Any, n) for n in range(_HOSTS) if n != number}
-        self.truce._ask = self._ask  # type: ignore[method-assign,assignment]
-        self.truce.seen = lambda: world.leader.known if world.leader is not None else Seen()
-        self.truce.cancelled = lambda job: world.learns(job)
-        self.truce.vouched = lambda _, at: world.vouched(at)
-
-    async def _ask(self, number: Any, request: Request) -> Answer:
-        answer: Answer = await self.world.hosts[number].truce.asked(request)
+        self.extension = LeaseExtension(world.settings, client, self, self.known, lambda: world.now)
+        self.extension._peers = {str(n): cast(Any, n) for n in range(_HOSTS) if n != number}
+        self.extension._ask = self._ask  # type: ignore[method-assign,assignment]
+        self.extension.seen = lambda: world.leader.known if world.leader is not None else Seen()
+        self.extension.cancelled = lambda job: world.learns(job)
+        self.extension.vouched = lambda _, at: world.vouched(at)
+
+    async def _ask(self, number: Any, request: ExtensionRequest) -> ExtensionAnswer:
+        answer: ExtensionAnswer = await self.world.hosts[number].extension.asked(request)
         return answer
 
-    def promise(self, term: Token, until: Steady) -> str:
-        self.waits_until = Steady(max(self.waits_until, until))
+    def promise(self, term: Token, until: Monotonic) -> str:
+        self.waits_until = Monotonic(max(self.waits_until, until))
         return ""
 
 
@@ -109,14 +116,14 @@
         self.without = without
         self.settings = _settings(lease_s, cancel_s)
         self.lease_s, self.cancel_s = lease_s, cancel_s
-        self.now = Steady(100.0)
+        self.now = Monotonic(100.0)
         self.revision = 10
         self.down = False
         self.refused: set[int] = set()
         self.stuck = False
         self.deaf = False
         self.gone: dict[str, int] = {}
-        self.told: dict[str, Steady] = {}
+        self.told: dict[str, Monotonic] = {}
         self.stopped_knowing = 0
         self.hosts = [_Host(self, n, Revision(10)) for n in range(_HOSTS)]
         for host in self.hosts:
@@ -142,8 +149,8 @@
         self.leads = host
         self.leader = _leader(self.settings, self.term, self.now)
         self.leader.fleet._silence_s = 1e9  # Nothing is bound anew: no proof is looked at here.
-        self.key_until = Steady(self.now + TTL_S)
-        self.reads_at = Steady(self.now + self.rng.choice([0.2, 0.2, 2.0, 6.0]))
+        self.key_until = Monotonic(self.now + TTL_S)
+        self.reads_at = Monotonic(self.now + self.rng.choice([0.2, 0.2, 2.0, 6.0]))
 
     def _load(self) -> None:
         leader = self.leader
@@ -182,7 +189,7 @@
                 self.stopped_knowing += 1
             self.leader.job_cancelled(name)
 
-    def vouched(self, at: Steady) -> None:
+    def vouched(self, at: Monotonic) -> None:
         assert self.leader is not None
         self.leader.vouched(at)
 
@@ -201,8 +208,8 @@
                 self.leader = self.leads = None
                 return
             mine.troubled = False
-            mine.valid_until = Steady(max(mine.valid_until, self.now + TTL_S - 0.2))
-            self.key_until = Steady(self.now + TTL_S)
+            mine.valid_until = Monotonic(max(mine.valid_until, self.now + TTL_S - 0.2))
+            self.key_until = Monotonic(self.now + TTL_S)
             if not leader.fleet.loaded:
                 if self.now >= self.reads_at:
                     self._load()
@@ -212,7 +219,7 @@
                 leader.seen = Seen(Revision(self.revision), self.now)
         else:
             mine.troubled = True
-            asyncio.run(self.hosts[self.leads].truce._seek(mine))
+            asyncio.run(self.hosts[self.leads].extension._seek(mine))
 
     def stand(self) -> None:
         if self.down or self.now < self.key_until:
@@ -261,7 +268,7 @@
                 self.lead()
                 self.stand()
                 self.beat()
-                self.now = Steady(self.now + self.rng.choice([0.1, 0.5, 0.7]))
+                self.now = Monotonic(self.now + self.rng.choice([0.1, 0.5, 0.7]))
                 self.check()
 
     def refuse(self) -> None:
@@ -274,7 +281,7 @@
     def heal(self) -> None:
         if self.down:
             # After an outage leases have their full time again.
-            self.key_until = Steady(max(self.key_until, self.now + TTL_S))
+            self.key_until = Monotonic(max(self.key_until, self.now + TTL_S))
         self.down, self.refused, self.stuck, self.deaf = False, set(), False, False
         for host in self.hosts:
             if host.first is None:
@@ -352,7 +359,7 @@
             world.lead()
             world.beat()
             world.check()
-            world.now = Steady(world.now + 0.1)
+            world.now = Monotonic(world.now + 0.1)
 
     on(refused_s / 2)
     world.revision += 1
@@ -378,15 +385,15 @@
 
 def _bound(cancel_s: float = 20.0) -> tuple[Leader, Fleet, Job, Binding]:
     """A leader with a job of one task, whose direct start has brought no answer."""
-    leader = _leader(_settings(8.0, cancel_s), 1, Steady(100.0))
+    leader = _leader(_settings(8.0, cancel_s), 1, Monotonic(100.0))
     fleet = leader.fleet
-    fleet.inherit([], Steady(100.0))
-    leader.seen = Seen(Revision(5), Steady(100.0))
+    fleet.inherit([], Monotonic(100.0))
+    leader.seen = Seen(Revision(5), Monotonic(100.0))
     job = leader.book.add(spec(pieces=1), Wall(0.0), Revision(1))
     for seq in (1, 2):
-        fleet.report(report(_MACHINE, 1, seq, 1), _MACHINE, Steady(100.0), Wall(0.0))
+        fleet.report(report(_MACHINE, 1, seq, 1), _MACHINE, Monotonic(100.0), Wall(0.0))
     machine = fleet.machines[_MACHINE]
-    binding = fleet.bind(job, machine, False, Wall(0.0), Steady(100.0))
+    binding = fleet.bind(job, machine, False, Wall(0.0), Monotonic(100.0))
     assert binding is not None
     binding.chunk.committed = binding.version
     fleet.direct_sent([binding])
@@ -395,13 +402,13 @@
 
 def _beat(fleet: Fleet, seq: int, at: float, *tasks: Any, session: int = 1) -> Any:
     message = report(_MACHINE, session, seq, 1, list(tasks))
-    return fleet.report(message, _MACHINE, Steady(at), Wall(0.0))
+    return fleet.report(message, _MACHINE, Monotonic(at), Wall(0.0))
 
 
 def test_a_start_that_is_out_is_not_waited_for_for_ever() -> None:
     # Neither listed nor answered: a task that was to be stopped stayed bound with its machine.
     _, fleet, job, binding = _bound()
-    fleet.stop(binding, "preemption", 0.0, Steady(101.0))
+    fleet.stop(binding, "preemption", 0.0, Monotonic(101.0))
     commands = _beat(fleet, 3, 101.5)
     # The stop does nothing yet; started, the task is listed and stopped then.
     assert commands == [wire.stop("wk-000412/0", 1, 0.0), wire.start("wk-000412/0", 1)]
@@ -440,10 +447,10 @@
 def test_a_done_jobs_bound_task_is_known_to_the_next_leader() -> None:
     """One machine called it done, another one still has it."""
     leader, _, job, binding = _bound()
-    leader.book.complete(job, 0, Steady(101.0))
+    leader.book.complete(job, 0, Monotonic(101.0))
     assert job.id in leader.book.ending and list(job.bindings()) == [binding]
     leader.keeper._client = cast(Any, SimpleNamespace(writes=Budget(1000.0)))
-    batch = leader.keeper._gather(Steady(101.0))
+    batch = leader.keeper._gather(Monotonic(101.0))
     (over,) = [c for c in batch.changes if c.get("set") == over_key(job.id)]
     assert over["value"]["status"] == wire.JOB_DONE
     chunk = wire.Entry(key=binding.chunk.key, value=leader.book.value(binding.chunk), version=3)
@@ -455,7 +462,7 @@
         async def get(self, key: str) -> wire.KeyValue | None:
             return wire.KeyValue(value=over["value"], version=4) if key == over["set"] else None
 
-    later = _leader(_settings(), 2, Steady(110.0))
+    later = _leader(_settings(), 2, Monotonic(110.0))
     later._client = cast(StateClient, Client())
     asyncio.run(later._load())
     (taken,) = later.book.jobs[job.id].bindings()
@@ -468,8 +475,8 @@
 
 def _heard(*beats: tuple[int, int, float]) -> Fleet:
     """A machine's reports: session, sequence number, time."""
-    fleet = Fleet(Book(8.0), Token(1), Steady(0.0), 8.0)
-    fleet.inherit([], Steady(0.0))
+    fleet = Fleet(Book(8.0), Token(1), Monotonic(0.0), 8.0)
+    fleet.inherit([], Monotonic(0.0))
     for session, seq, at in beats:
         _beat(fleet, seq, at, session=session)
     return fleet
@@ -478,13 +485,13 @@
 def test_a_machine_that_lapses_though_it_is_answered_gets_no_work() -> None:
     # Deaf ones took tasks in each new session, and gave them back a lease later.
     deaf = _heard((1, 1, 0.0), (1, 4, 5.0), (2, 7, 10.0)).machines[_MACHINE]
-    assert deaf.deaf and not deaf.placeable(Steady(10.0), 5.0)
+    assert deaf.deaf and not deaf.placeable(Monotonic(10.0), 5.0)
     # Its next report but two comes here: it has asked the other nodes meanwhile.
     fleet = _heard((1, 1, 0.0), (1, 4, 5.0), (2, 7, 10.0), (2, 10, 25.0))
     assert fleet.machines[_MACHINE].deaf
     # The one after the last, within the time in which an answer must have come: it hears.
     _beat(fleet, 11, 27.0, session=2)
-    assert fleet.machines[_MACHINE].placeable(Steady(27.0), 5.0)
+    assert fleet.machines[_MACHINE].placeable(Monotonic(27.0), 5.0)
 
 
 def test_a_machine_that_stood_still_is_not_deaf() -> None:
@@ -496,13 +503,13 @@
     fleet = _heard((1, 1, 0.0), (1, 2, 1.0))
     machine = fleet.machines[_MACHINE]
     machine.call_deaf(True)
-    assert not machine.placeable(Steady(1.5), 5.0)
+    assert not machine.placeable(Monotonic(1.5), 5.0)
     _beat(fleet, 4, 2.0)
     assert machine.deaf, "a report between them went elsewhere"
     _beat(fleet, 5, 7.0)
     assert machine.deaf, "it may have waited for an answer in vain"
     _beat(fleet, 6, 8.0)
-    assert machine.placeable(Steady(8.0), 5.0)
+    assert machine.placeable(Monotonic(8.0), 5.0)
 
 
 @pytest.mark.parametrize(("took_s", "deaf"), [(2.0, True), (3.0, False)])
@@ -518,16 +525,16 @@
 
     leader._lines = cast(Any, Lines())
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(leader_module, "steady_now", lambda: at[0])
+        patch.setattr(leader_module, "monotonic_now", lambda: at[0])
         assert not asyncio.run(leader._send_directly(machine, b"", [binding]))
     assert machine.deaf is deaf
 
 
-# -- permits --------------------------------------------------------------------------------------
+# -- delegations ----------------------------------------------------------------------------------
 
 
-def test_a_permit_is_closed_in_time_for_a_cancelled_task_beyond_a_cut() -> None:
-    """Counted from the confirmation: the wait, the permit's end, the worker's lease."""
+def test_a_delegation_is_closed_in_time_for_a_cancelled_task_beyond_a_cut() -> None:
+    """Counted from the confirmation: the wait, the delegation's end, the worker's lease."""
     leader, fleet, _, binding = _bound(cancel_s=24.0)
     fleet.direct_executed([binding])
     leader.job_cancelled("wk-000412")
@@ -537,9 +544,9 @@
     machine.heard_at = machine.answered_at = stop.since
     at = stop.since
     while not fleet.unstopped(at):
-        at = Steady(at + 0.5)
+        at = Monotonic(at + 0.5)
     assert fleet.silent(at) == [] or at - stop.since <= fleet.stop_within_s + 0.5
-    # A watch's pace, the wait, a permit that was confirmed at the last moment, the lease.
+    # A watch's pace, the wait, a delegation that was confirmed at the last moment, the lease.
     assert 3.0 + (at - stop.since) + 2.5 + 8.0 < 24.0
     # One that is heard has been told with its reports' answers.
     machine.heard_at = at
@@ -625,7 +632,7 @@
         async def get(self, key: str) -> None:
             return None
 
-    leader = _leader(_settings(), 2, Steady(110.0))
+    leader = _leader(_settings(), 2, Monotonic(110.0))
     leader._client = cast(StateClient, Client())
     asyncio.run(leader._load())
     assert set(leader.book.jobs) == {good, odd}
@@ -635,7 +642,7 @@
 
 def test_a_watch_that_brought_nothing_is_followed_by_a_question() -> None:
     """Held ones come too late each time where the state service answers slowly."""
-    leader = _leader(_settings(), 2, Steady(110.0))
+    leader = _leader(_settings(), 2, Monotonic(110.0))
     asked: list[float] = []
 
     class Client:
@@ -653,7 +660,7 @@
         with pytest.MonkeyPatch.context() as patch:
             patch.setattr(leader_module, "_RETRY_S", 0.0)
             with pytest.raises(asyncio.CancelledError):
-                await leader._watch_jobs(Seen(Revision(0), Steady(1.0)))
+                await leader._watch_jobs(Seen(Revision(0), Monotonic(1.0)))
 
     asyncio.run(scenario())
     assert asked == [2.0, 2.0, 0.0, 0.0, 2.0, 2.0]
@@ -694,5 +701,5 @@
         assert (await intake.status("wk-000001")).status == 404
 
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(client_module, "steady_now", lambda: at[0])
+        patch.setattr(client_module, "monotonic_now", lambda: at[0])
         asyncio.run(scenario())
--- a/tests/test_meetings_lab.py
+++ b/tests/test_meetings_lab.py
@@ -22,15 +22,15 @@
 from tealrill.lab.troubles import Troubles
 from tealrill.lab.world import Script, Shape, World, play
 from tealrill.leader import Leader
-from tealrill.state.acknowledged import Acknowledged
+from tealrill.leadership.election import Election
+from tealrill.leadership.lease_extension import Seen
+from tealrill.state.acknowledged_cancellations import AcknowledgedCancellations
 from tealrill.state.book import Book, Job, job_key
 from tealrill.state.client import Committed, Unknown
-from tealrill.state.duty import Fence
-from tealrill.state.election import Election
+from tealrill.state.fencing import Fence
 from tealrill.state.intake import Intake, Reply
 from tealrill.state.keeper import Keeper
-from tealrill.state.truce import Seen
-from tealrill.types import JobId, Revision, Steady, steady_now
+from tealrill.types import JobId, Monotonic, Revision, monotonic_now
 from tests.test_bindings import work_for_who_answers
 
 Patch = pytest.MonkeyPatch
@@ -309,13 +309,13 @@
 def _remembers_for_a_moment(patch: Patch) -> None:
     """What was read is told again for a quarter of a second."""
     whole = Intake._status
-    kept: dict[tuple[int, JobId], tuple[Steady, Reply]] = {}
+    kept: dict[tuple[int, JobId], tuple[Monotonic, Reply]] = {}
 
     async def status(self: Intake, job_id: JobId) -> Reply:
-        at, reply = kept.get((id(self), job_id), (Steady(-1e9), None))
-        if reply is None or steady_now() - at > 0.25:
+        at, reply = kept.get((id(self), job_id), (Monotonic(-1e9), None))
+        if reply is None or monotonic_now() - at > 0.25:
             reply = await whole(self, job_id)
-            kept[(id(self), job_id)] = steady_now(), reply
+            kept[(id(self), job_id)] = monotonic_now(), reply
         return reply
 
     patch.setattr(Intake, "_status", status)
@@ -438,14 +438,14 @@
 
 def _acknowledges_nothing(patch: Patch) -> None:
     """Promises don't carry what was told."""
-    patch.setattr(Acknowledged, "add", lambda *_: None)
+    patch.setattr(AcknowledgedCancellations, "add", lambda *_: None)
 
 
-def _deputies_ignored(patch: Patch) -> None:
+def _delegates_ignored(patch: Patch) -> None:
     """A machine lapses whether or not another node may have renewed it."""
 
     async def check(self: Leader) -> None:
-        self.fleet.check_silence(steady_now())
+        self.fleet.check_silence(monotonic_now())
 
     patch.setattr(Leader, "_check_silence", check)
 
@@ -453,8 +453,8 @@
 def _silence_from_nothing(patch: Patch) -> None:
     """A new leader counts silence as if nobody had renewed workers before it."""
 
-    def renewed_at(self: Fleet, machine: Machine) -> Steady:
-        return machine.answered_at if machine.answered_at is not None else Steady(0.0)
+    def renewed_at(self: Fleet, machine: Machine) -> Monotonic:
+        return machine.answered_at if machine.answered_at is not None else Monotonic(0.0)
 
     patch.setattr(Fleet, "_renewed_at", renewed_at)
 
@@ -485,7 +485,7 @@
     whole = Fleet.stops
     told: set[object] = set()
 
-    def stops(self: Fleet, machine: Machine, now: Steady) -> Any:
+    def stops(self: Fleet, machine: Machine, now: Monotonic) -> Any:
         found = [c for c in whole(self, machine, now) if (c["piece"], c["try"]) not in told]
         told.update((c["piece"], c["try"]) for c in found)
         return found
@@ -567,7 +567,7 @@
     "zones apart": Meeting(
         _zones_parted,
         Shape(machines=6, every_s=1.5, jobs=_LONG),
-        (("ran_twice", _deputies_ignored),),
+        (("ran_twice", _delegates_ignored),),
     ),
     "no controller": Meeting(
         _nobody_leads, Shape(machines=6, every_s=1.5), (("ran_twice", _silence_from_nothing),)
--- a/tests/test_open_jobs.py
+++ b/tests/test_open_jobs.py
@@ -1,10 +1,10 @@
 """Workers are renewed for a lost leader only while their jobs are known to be open.
 
 Incident: while the state service flapped, the key of a lost leader stood for 45 s, and controllers
-with a permit renewed workers that ran cancelled jobs until `cancel_s` had passed.
+with a delegation renewed workers that ran cancelled jobs until `cancel_s` had passed.
 
-The model plays two such controllers with the real `Deputy` and `OpenJobs`, one worker with its
-lease, a start that may arrive at any time, cancellations of jobs and of graphs, restarts, and a
+The model plays two such controllers with the real `RenewalDelegate` and `OpenJobs`, one worker with
+its lease, a start that may arrive at any time, cancellations of jobs and of graphs, restarts, and a
 state service that goes away, refuses one of them or loses answers. The leader is gone for ever and
 its key stands for ever: nothing but the renewing controllers' own knowledge bounds anything.
 """
@@ -22,13 +22,13 @@
 from hypothesis import strategies as st
 
 from tealrill import settings, wire
-from tealrill.state import deputy as deputy_module
+from tealrill.leadership import renewal_delegation as delegation_module
+from tealrill.leadership.election import Election, KnownLeader
+from tealrill.leadership.open_jobs import OpenJobs, _LeftBinding, renewal_bound_s
+from tealrill.leadership.renewal_delegation import DELEGATION_PREFIX, RenewalDelegate
 from tealrill.state.client import Committed, Failed, Refused, StateClient, StateError, Unknown
-from tealrill.state.deputy import DEPUTY_PREFIX, Deputy
-from tealrill.state.duty import LEADER_KEY
-from tealrill.state.election import Election, KnownLeader
-from tealrill.state.open_jobs import OpenJobs, _LeftBinding, renewal_bound_s
-from tealrill.types import MachineId, Revision, Session, Steady, Token
+from tealrill.state.fencing import LEADER_KEY
+from tealrill.types import MachineId, Monotonic, Revision, Session, Token
 from tests.samples import SETTINGS, report
 
 MACHINE = MachineId("m-1")
@@ -125,7 +125,7 @@
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
-        self.now = Steady(100.0)
+        self.now = Monotonic(100.0)
         self.store = Store()
         self.store.put(f"job/{GRAPH}", {"v": 1})
         self.store.put(f"job/{OWNED}", {"owner": GRAPH})
@@ -133,20 +133,22 @@
             self.store.put(f"job/{job}", {})
         for job in (*JOBS, OWNED, LATE):
             self.store.bind(job)
-        self.cancelled_at: dict[str, Steady] = {}
+        self.cancelled_at: dict[str, Monotonic] = {}
         self.session, self.renewed_at = 1, self.now
         self.running = {*JOBS, OWNED}
         self.start_arrives_at = self.now + self.rng.uniform(0.0, DAY_S)
         self.reach = [Reach(self.store, self.rng) for _ in range(2)]
-        self.deputies = [self._process(reach) for reach in self.reach]
+        self.delegates = [self._process(reach) for reach in self.reach]
         self.renewals = 0
         self.late: list[str] = []
 
-    def _process(self, reach: Reach) -> Deputy:
+    def _process(self, reach: Reach) -> RenewalDelegate:
         client = cast(StateClient, reach)
         election = Election(client, "node-0", lambda: None)
         election.known = LEADER
-        found = Deputy(settings.parse(orjson.dumps(SETTINGS)), client, election, lambda: self.now)
+        found = RenewalDelegate(
+            settings.parse(orjson.dumps(SETTINGS)), client, election, lambda: self.now
+        )
         found._cut_since = self.now
         return found
 
@@ -154,14 +156,14 @@
         until = self.now + seconds
         while self.now < until:
             self._draw()
-            for deputy in self.deputies:
-                if deputy._wanted(self.now):
+            for delegate in self.delegates:
+                if delegate._wanted(self.now):
                     try:
-                        await deputy.confirm(LEADER)
+                        await delegate.confirm(LEADER)
                     except StateError:
                         continue
             self._work()
-            self.now = Steady(self.now + STEP_S)
+            self.now = Monotonic(self.now + STEP_S)
 
     def _draw(self) -> None:
         for number, reach in enumerate(self.reach):
@@ -171,7 +173,7 @@
             reach.lost = self.rng.choice([0.0, 0.0, 0.1])
             reach.compacted = self.rng.random() < 0.01
             if self.rng.random() < 0.01:
-                self.deputies[number] = self._process(reach)
+                self.delegates[number] = self._process(reach)
         if self.rng.random() < 0.06:
             self.cancel(self.rng.choice([*JOBS, LATE, GRAPH]))
 
@@ -197,14 +199,14 @@
             if self.now > self.cancelled_at.get(job, 1e9) + WORKERS.cancel_s:
                 self.late.append(f"{job} at {self.now}, cancelled at {self.cancelled_at[job]}")
         if self.rng.random() < STEP_S / WORKERS.report_s:
-            self.report(self.rng.choice(self.deputies))
+            self.report(self.rng.choice(self.delegates))
 
-    def report(self, deputy: Deputy) -> None:
+    def report(self, delegate: RenewalDelegate) -> None:
         tasks: list[tuple[str, int, str, str | None]] = [
             (f"{job}/0", 1, "running", None) for job in sorted(self.running)
         ]
         message = report(MACHINE, self.session, 1, LEADER.term, tasks)
-        if deputy.renews(message, MACHINE, self.now) is not None:
+        if delegate.renews(message, MACHINE, self.now) is not None:
             self.renewals += 1
             self.renewed_at = self.now
 
@@ -236,7 +238,7 @@
 def _end_of_the_owner(patch: pytest.MonkeyPatch) -> None:
     """A graph's end is not that of its jobs."""
 
-    def closed(self: OpenJobs, name: str, last_open: Steady) -> None:
+    def closed(self: OpenJobs, name: str, last_open: Monotonic) -> None:
         if self._owners.pop(name, "none") != "none":
             self._last_open[name] = last_open
             self._bindings_unread.add(name)
@@ -248,7 +250,7 @@
     """A job counts as open until its end was learnt, however long that took."""
     whole = OpenJobs._closed
 
-    def closed(self: OpenJobs, name: str, _: Steady) -> None:
+    def closed(self: OpenJobs, name: str, _: Monotonic) -> None:
         whole(self, name, self._now())
 
     patch.setattr(OpenJobs, "_closed", closed)
@@ -258,8 +260,8 @@
     """A process that has just started takes what it never saw open for just ended."""
     whole, load = OpenJobs._job_open_through, OpenJobs._load
 
-    def open_through(self: OpenJobs, name: str) -> Steady:
-        return max(whole(self, name), Steady(self._read_through - 1.0))
+    def open_through(self: OpenJobs, name: str) -> Monotonic:
+        return max(whole(self, name), Monotonic(self._read_through - 1.0))
 
     async def loaded(self: OpenJobs) -> None:
         await load(self)
@@ -271,7 +273,7 @@
 
 
 def _age_and_reading(patch: pytest.MonkeyPatch) -> None:
-    """Neither is a permit confirmed only after a reading, nor does what was read grow old."""
+    """Neither is a delegation confirmed only after a reading, nor does what was read grow old."""
     whole = OpenJobs.refresh
 
     async def refresh(self: OpenJobs) -> None:
@@ -283,7 +285,7 @@
     patch.setattr(
         OpenJobs,
         "_job_open_through",
-        lambda self, name: self._now() if name in self._owners else Steady(-1e9),
+        lambda self, name: self._now() if name in self._owners else Monotonic(-1e9),
     )
 
 
@@ -357,7 +359,7 @@
     asyncio.run(world.play(5.0))
     exited: list[tuple[str, int, str, str | None]] = [(f"{JOBS[1]}/0", 1, wire.EXITED, "done")]
     message = report(MACHINE, 1, 9, LEADER.term, exited)
-    assert world.deputies[0].renews(message, MACHINE, world.now) == LEADER.term
+    assert world.delegates[0].renews(message, MACHINE, world.now) == LEADER.term
 
 
 # -- what can't be read ---------------------------------------------------------------------------
@@ -375,17 +377,17 @@
 
 
 @pytest.mark.parametrize("value", [None, [], {"term": "three"}, {"closed": True}])
-def test_a_permit_that_can_not_be_read_renews_nobody_and_ends_no_node(value: Any) -> None:
+def test_a_delegation_that_can_not_be_read_renews_nobody_and_ends_no_node(value: Any) -> None:
     world = _calm()
-    world.store.put(DEPUTY_PREFIX + "node-0", value)
+    world.store.put(DELEGATION_PREFIX + "node-0", value)
     asyncio.run(world.play(5.0))
     assert world.renewals == 0
-    permits = deputy_module.Permits(
+    delegations = delegation_module.Delegations(
         cast(StateClient, _Fenced(world)), LEADER.term, LEADER.stamp, lambda: None
     )
     # The leader waits for it, since it may be of its term, and closes it.
-    assert asyncio.run(permits.stand(Steady(1.0), False)) is True
-    assert asyncio.run(permits.stand(Steady(2.0), False)) is False
+    assert asyncio.run(delegations.stand(Monotonic(1.0), False)) is True
+    assert asyncio.run(delegations.stand(Monotonic(2.0), False)) is False
 
 
 class _Fenced(Reach):
@@ -408,9 +410,9 @@
         (f"wk-{number:06d}/0", 1, "running", None) for number in range(5000, 7000)
     ]
     strangers.append(("no task", 1, "running", None))
-    deputy = world.deputies[0]
-    assert deputy.renews(report(MACHINE, 1, 9, 3, strangers), MACHINE, world.now) is None
-    assert deputy.renews(report(MACHINE, 1, 9, LEADER.term + 1), MACHINE, world.now) is None
+    delegate = world.delegates[0]
+    assert delegate.renews(report(MACHINE, 1, 9, 3, strangers), MACHINE, world.now) is None
+    assert delegate.renews(report(MACHINE, 1, 9, LEADER.term + 1), MACHINE, world.now) is None
     assert [reach.requests for reach in world.reach] == before
 
 
@@ -423,7 +425,7 @@
         world.store.bind(job, session=2)
     asyncio.run(jobs.refresh())
     opened = world.now
-    world.now = Steady(world.now + 1.0)
+    world.now = Monotonic(world.now + 1.0)
     for job in many:
         world.store.delete(f"job/{job}")
     asyncio.run(jobs.refresh())
--- a/tests/test_prober.py
+++ b/tests/test_prober.py
@@ -22,12 +22,12 @@
 from tealrill.fleet.prober import Prober
 from tealrill.fleet.rental import Renter
 from tealrill.http import accepts
+from tealrill.leadership.lease_extension import PING_PATH
 from tealrill.scheduler.capacity import Rental
 from tealrill.scheduler.silence import Verdict
 from tealrill.settings import Address
 from tealrill.state.book import Book
-from tealrill.state.truce import PING_PATH
-from tealrill.types import MachineId, Steady, Token, Wall
+from tealrill.types import MachineId, Monotonic, Token, Wall
 from tests.samples import SETTINGS, recorded_at_once, report
 from tests.standins import Worker
 from tests.test_node import World
@@ -68,18 +68,18 @@
 
 
 def _fleet(count: int, zone: str = "north") -> Fleet:
-    fleet = Fleet(Book(8.0), Token(1), Steady(0.0), 8.0)
-    fleet.inherit([], Steady(0.0))
+    fleet = Fleet(Book(8.0), Token(1), Monotonic(0.0), 8.0)
+    fleet.inherit([], Monotonic(0.0))
     for n in range(count):
         name = MachineId(f"m-{n}")
-        fleet.report(report(name, 1, 1, 1), name, Steady(0.0), Wall(0.0))
+        fleet.report(report(name, 1, 1, 1), name, Monotonic(0.0), Wall(0.0))
         fleet.machines[name].zone = zone
     return fleet
 
 
 def _hear(fleet: Fleet, names: range, now: float) -> None:
     for n in names:
-        fleet.machines[MachineId(f"m-{n}")].heard_at = Steady(now)
+        fleet.machines[MachineId(f"m-{n}")].heard_at = Monotonic(now)
 
 
 def test_attempts_are_bounded_and_the_longest_untried_go_first() -> None:
@@ -99,25 +99,25 @@
         prober = Prober(fleet, _REPORT_S, lambda: spare, reach)
         # Half of the zone is heard, so the other half is not cut off.
         _hear(fleet, range(20, 40), 4.0)
-        for machine in prober.look(Steady(4.0)):
-            prober._try(machine, Steady(4.0))
+        for machine in prober.look(Monotonic(4.0)):
+            prober._try(machine, Monotonic(4.0))
         await asyncio.sleep(0)
         assert len(tried) == 10
-        assert prober.look(Steady(4.5)) == [], "no more while all places are taken"
+        assert prober.look(Monotonic(4.5)) == [], "no more while all places are taken"
         hold.set()
         for moment in (6.0, 7.5, 9.0, 10.5):
             await asyncio.sleep(0.01)
             _hear(fleet, range(20, 40), moment)
-            for machine in prober.look(Steady(moment)):
-                prober._try(machine, Steady(moment))
+            for machine in prober.look(Monotonic(moment)):
+                prober._try(machine, Monotonic(moment))
         await asyncio.sleep(0.01)
         _hear(fleet, range(20, 40), 11.0)
-        prober.look(Steady(11.0))
+        prober.look(Monotonic(11.0))
         assert set(prober.hearing.verdicts.values()) == {Verdict.GONE}
         assert len(prober.hearing.verdicts) == 20
         # At the limit of sockets a few attempts go on, so that a verdict is still reached.
         spare = -100
-        assert len(prober.look(Steady(20.0))) == prober_module._FEWEST
+        assert len(prober.look(Monotonic(20.0))) == prober_module._FEWEST
 
     asyncio.run(scenario())
 
@@ -129,11 +129,11 @@
         machine.addr = "10.0.0.1:9000"
 
         async def reach(_: Address, __: float) -> bool:
-            machine.heard_at = Steady(5.0)
+            machine.heard_at = Monotonic(5.0)
             return False
 
         prober = Prober(fleet, _REPORT_S, lambda: 10, reach)
-        prober._try(machine, Steady(4.0))
+        prober._try(machine, Monotonic(4.0))
         await asyncio.sleep(0.01)
         assert machine.misses == 0 and prober._under_way == {}
 
@@ -154,8 +154,8 @@
 
         prober = Prober(fleet, _REPORT_S, lambda: 4, reach)
         for moment in (4.0, 5.5):
-            for machine in prober.look(Steady(moment)):
-                prober._try(machine, Steady(moment))
+            for machine in prober.look(Monotonic(moment)):
+                prober._try(machine, Monotonic(moment))
             await asyncio.sleep(0.01)
         assert len(tried) >= 5
 
@@ -167,7 +167,7 @@
     prober = Prober(fleet, _REPORT_S, lambda: 10)
     judged: list[None] = []
     prober.judged = lambda: judged.append(None)
-    assert prober.look(Steady(1.0)) == [] and not judged
+    assert prober.look(Monotonic(1.0)) == [] and not judged
 
 
 def test_attempts_take_only_sockets_that_nobody_needs() -> None:
@@ -206,12 +206,12 @@
 def test_reports_are_counted_for_a_time() -> None:
     giveway = GiveWay(settings.parse(orjson.dumps(SETTINGS)))
     for n in range(5):
-        giveway.took(Steady(10.0 + 0.1 * n))
-    assert giveway.recent(Steady(11.0)) == 5
-    giveway.took(Steady(12.5))
-    assert giveway.recent(Steady(13.0)) == 6
-    assert giveway.recent(Steady(14.5)) == 1
-    assert giveway.recent(Steady(30.0)) == 0
+        giveway.took(Monotonic(10.0 + 0.1 * n))
+    assert giveway.recent(Monotonic(11.0)) == 5
+    giveway.took(Monotonic(12.5))
+    assert giveway.recent(Monotonic(13.0)) == 6
+    assert giveway.recent(Monotonic(14.5)) == 1
+    assert giveway.recent(Monotonic(30.0)) == 0
 
 
 @pytest.mark.parametrize("elsewhere", [True, False])
@@ -279,8 +279,8 @@
 
 
 def _renter(answers: list[list[str] | None]) -> tuple[Renter, _Cloud, Fleet]:
-    fleet = Fleet(Book(8.0), Token(1), Steady(0.0), 8.0)
-    fleet.inherit([], Steady(0.0))
+    fleet = Fleet(Book(8.0), Token(1), Monotonic(0.0), 8.0)
+    fleet.inherit([], Monotonic(0.0))
     cloud = _Cloud(answers)
     renter = Renter(cast(Cloud, cloud), fleet, Token(1), 2.0, *recorded_at_once())
     return renter, cloud, fleet
@@ -292,13 +292,13 @@
         renter, cloud, fleet = _renter([*names, []])
         granted: list[int] = []
         renter.granted = lambda rental: granted.append(rental.count)
-        renter.rent(Rental("big", "north", True, 120), Steady(0.0))
-        renter.rent(Rental("big", "north", True, 120), Steady(0.0))
+        renter.rent(Rental("big", "north", True, 120), Monotonic(0.0))
+        renter.rent(Rental("big", "north", True, 120), Monotonic(0.0))
         assert sum(r.count for r in renter.under_way()) == 120
         await asyncio.sleep(0.01)
         assert cloud.asked == [50, 50, 20]
         assert not renter.requests and granted == [50, 50, 20] and len(fleet.machines) == 120
-        renter.rent(Rental("big", "north", True, 1), Steady(0.0))
+        renter.rent(Rental("big", "north", True, 1), Monotonic(0.0))
         await asyncio.sleep(0.01)
         assert cloud.asked[3:] == [1], "all were answered, so more may be asked for"
 
@@ -308,7 +308,7 @@
 def test_what_the_cloud_does_not_have_is_not_asked_for_again_and_again() -> None:
     async def scenario() -> None:
         renter, cloud, fleet = _renter([[f"m-{n}" for n in range(30)]])
-        renter.rent(Rental("big", "north", True, 300), Steady(0.0))
+        renter.rent(Rental("big", "north", True, 300), Monotonic(0.0))
         await asyncio.sleep(0.01)
         assert cloud.asked == [50] and not renter.requests and len(fleet.machines) == 30
 
@@ -321,12 +321,12 @@
     async def scenario() -> None:
         renter, cloud, fleet = _renter([["m-9"]])
         name = MachineId("m-0")
-        fleet.report(report(name, 1, 1, 1), name, Steady(0.0), Wall(0.0))
+        fleet.report(report(name, 1, 1, 1), name, Monotonic(0.0), Wall(0.0))
         fleet.machines[name].releasing = True
-        renter.rent(Rental("big", "north", True, 1), Steady(0.0))
+        renter.rent(Rental("big", "north", True, 1), Monotonic(0.0))
         await asyncio.sleep(0.25)
         assert cloud.asked == []
-        fleet.released(name, Steady(1.0))
+        fleet.released(name, Monotonic(1.0))
         async with asyncio.timeout(10.0):
             while not cloud.asked:
                 await asyncio.sleep(0.01)
@@ -348,11 +348,11 @@
 
     async def scenario() -> None:
         renter, cloud, fleet = _renter([brought])
-        renter.rent(Rental("big", "north", True, 3), Steady(0.0))
+        renter.rent(Rental("big", "north", True, 3), Monotonic(0.0))
         await asyncio.sleep(0.01)
         assert set(fleet.machines) == kept
         assert cloud.asked == [3] and not renter.requests
-        assert renter.refusals.refused(("big", "north", True), Steady(1.0)) == (len(kept) < 3)
+        assert renter.refusals.refused(("big", "north", True), Monotonic(1.0)) == (len(kept) < 3)
 
     asyncio.run(scenario())
 
@@ -361,7 +361,7 @@
     renter, _, fleet = _renter([])
     line = wire.ListedMachine(id="m-1", type="lost", zone="north", spot=True, state="running")
     renter.take_catalogue(wire.decode(b'{"builds":[]}', wire.Catalogue))
-    renter._take_list([line, line], Steady(100.0))
+    renter._take_list([line, line], Monotonic(100.0))
     assert set(fleet.machines) == {"m-1"} and not fleet.machines[MachineId("m-1")].releasing
 
 
@@ -371,13 +371,13 @@
     renter, _, fleet = _renter([])
     kind = ("big", "north", False)
     for name in ("m-1", "m-2"):
-        fleet.report(report(name, 1, 1, 1), MachineId(name), Steady(0.0), Wall(0.0))
+        fleet.report(report(name, 1, 1, 1), MachineId(name), Monotonic(0.0), Wall(0.0))
     idle, dead = (fleet.machines[MachineId(name)] for name in ("m-1", "m-2"))
-    renter.refusals.answered(kind, 1, 0, Steady(0.0))
+    renter.refusals.answered(kind, 1, 0, Monotonic(0.0))
     renter._freed(idle)
-    assert renter.refusals.refused(kind, Steady(4.0))
-    assert not renter.refusals.refused(kind, Steady(5.5))
-    renter.refusals.answered(kind, 1, 0, Steady(5.5))
+    assert renter.refusals.refused(kind, Monotonic(4.0))
+    assert not renter.refusals.refused(kind, Monotonic(5.5))
+    renter.refusals.answered(kind, 1, 0, Monotonic(5.5))
     dead.misses = 2
     renter._freed(dead)
-    assert not renter.refusals.refused(kind, Steady(5.6))
+    assert not renter.refusals.refused(kind, Monotonic(5.6))
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -25,23 +25,22 @@
 from tealrill.state.book import Book, Chunk, job_key
 from tealrill.state.budget import Budget, Rank
 from tealrill.state.client import Busy, Committed, Failed, Refused, StateClient, Unknown
-from tealrill.state.duty import LEADER_KEY
-from tealrill.state.election import Leadership
+from tealrill.state.fencing import LEADER_KEY, Leadership
 from tealrill.state.intake import Intake, Reply
 from tealrill.state.keeper import Keeper
 from tealrill.types import (
     JobId,
     LeaseId,
     MachineId,
+    Monotonic,
     Revision,
     Session,
-    Steady,
     Token,
     Wall,
 )
 from tests.samples import SETTINGS, SUBMISSION
 
-NOW = Steady(1.0)
+NOW = Monotonic(1.0)
 JOBS = ("wk-1", "wk-2")
 _CATALOGUE = wire.decode(
     orjson.dumps(
@@ -173,7 +172,7 @@
             self.store.execute(guards, changes)
 
     def _keeper(self, stamp: Revision) -> Keeper:
-        mine = Leadership(Token(1), stamp, LeaseId(1), NOW, Steady(1e9))
+        mine = Leadership(Token(1), stamp, LeaseId(1), NOW, Monotonic(1e9))
         return Keeper(self.client, self.book, mine, 12, self._start, lambda _: None)
 
     def _start(self, chunks: list[Chunk]) -> None:
@@ -325,7 +324,7 @@
     """After a fall all that was lost is bound again at once, and changes are few."""
     client = cast(StateClient, Store(random.Random(1), True))
     book = Book(8.0)
-    mine = Leadership(Token(1), Revision(1), LeaseId(1), NOW, Steady(1e9))
+    mine = Leadership(Token(1), Revision(1), LeaseId(1), NOW, Monotonic(1e9))
     keeper = Keeper(client, book, mine, 4, lambda _: None, lambda _: None)
 
     def bind(number: int, urgency: str) -> None:
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -85,7 +85,7 @@
 ) -> None:
     # Each request in vain cost three nodes' processor time, 70,000 times in three minutes.
     at = [100.0]
-    monkeypatch.setattr(relay_module, "steady_now", lambda: at[0])
+    monkeypatch.setattr(relay_module, "monotonic_now", lambda: at[0])
     parsed = settings.parse(orjson.dumps(SETTINGS))
     relay = Relay(cast(Users, _Local(_REFUSED)), parsed, lambda: True)
     other = _Peer(503)
--- a/tests/test_deputy.py
+++ b/tests/test_renewal_delegation.py
@@ -1,4 +1,4 @@
-"""Permits to renew workers: the deputy's side and the leader's, against one store."""
+"""Delegations to renew workers: the delegate's side and the leader's, against one store."""
 
 from __future__ import annotations
 
@@ -11,11 +11,16 @@
 from tealrill import settings, wire
 from tealrill.controller import Node
 from tealrill.http import Answer, Client, NoAnswer
+from tealrill.leadership.election import Election, KnownLeader
+from tealrill.leadership.renewal_delegation import (
+    DELEGATION_PREFIX,
+    DELEGATION_S,
+    Delegations,
+    RenewalDelegate,
+)
 from tealrill.state.client import Committed, Failed, Refused, StateClient, StateError
-from tealrill.state.deputy import DEPUTY_PREFIX, PERMIT_S, Deputy, Permits
-from tealrill.state.duty import LEADER_KEY
-from tealrill.state.election import Election, KnownLeader
-from tealrill.types import MachineId, Revision, Steady, Token
+from tealrill.state.fencing import LEADER_KEY
+from tealrill.types import MachineId, Monotonic, Revision, Token
 from tests.samples import SETTINGS, report
 
 MACHINE = MachineId("m-1")
@@ -60,7 +65,7 @@
 
 
 class _Leader:
-    """The leader's cluster address, as the deputy reaches it."""
+    """The leader's cluster address, as the delegate reaches it."""
 
     error: NoAnswer | None = NoAnswer("TimeoutError", False)
 
@@ -71,39 +76,39 @@
 
 
 class _Side:
-    """A deputy in a cut zone, with its own clock."""
+    """A delegate in a cut zone, with its own clock."""
 
     def __init__(self, store: Store) -> None:
-        self.now = Steady(100.0)
+        self.now = Monotonic(100.0)
         client = cast(StateClient, store)
         self.election = Election(client, "node-0", lambda: None)
         self.election.known = LEADER
         parsed = settings.parse(orjson.dumps(SETTINGS))
-        self.deputy = Deputy(parsed, client, self.election, lambda: self.now)
+        self.delegate = RenewalDelegate(parsed, client, self.election, lambda: self.now)
         self.leader = _Leader()
 
     def tick(self) -> Token | None:
         async def run() -> None:
-            await self.deputy._ping(cast(Client, self.leader))
-            if self.deputy._wanted(self.now):
-                await self.deputy.confirm(LEADER)
+            await self.delegate._ping(cast(Client, self.leader))
+            if self.delegate._wanted(self.now):
+                await self.delegate.confirm(LEADER)
 
         asyncio.run(run())
         return self.term()
 
     def term(self) -> Token | None:
         """For a worker without tasks."""
-        return self.deputy.renews(report(MACHINE, 1, 1, 0), MACHINE, self.now)
+        return self.delegate.renews(report(MACHINE, 1, 1, 0), MACHINE, self.now)
 
 
-def _permits(store: Store) -> Permits:
-    return Permits(cast(StateClient, store), LEADER.term, LEADER.stamp, lambda: None)
+def _delegations(store: Store) -> Delegations:
+    return Delegations(cast(StateClient, store), LEADER.term, LEADER.stamp, lambda: None)
 
 
-def test_a_deputy_renews_only_while_the_leader_is_out_of_reach() -> None:
+def test_a_delegate_renews_only_while_the_leader_is_out_of_reach() -> None:
     side = _Side(Store())
     assert [side.tick(), side.tick()] == [None, 3]
-    side.now = Steady(side.now + PERMIT_S)
+    side.now = Monotonic(side.now + DELEGATION_S)
     assert side.term() is None
     assert side.tick() == 3
     side.leader.error = None
@@ -113,74 +118,76 @@
     assert [side.tick(), side.tick()] == [None, None]
 
 
-def test_a_permit_ends_with_the_leader_it_is_from() -> None:
+def test_a_delegation_ends_with_the_leader_it_is_from() -> None:
     store = Store()
     side = _Side(store)
     side.tick()
     store.keys[LEADER_KEY] = ({}, 9)
     assert side.tick() is None
-    assert DEPUTY_PREFIX + "node-0" not in store.keys
+    assert DELEGATION_PREFIX + "node-0" not in store.keys
     store.keys[LEADER_KEY] = ({}, 7)
     assert side.tick() == 3
     side.election.known = KnownLeader("node-1", Token(4), Revision(9))
     assert side.term() is None
 
 
-def test_nothing_lapses_while_a_permit_stands_or_can_not_be_looked_for() -> None:
+def test_nothing_lapses_while_a_delegation_stands_or_can_not_be_looked_for() -> None:
     store = Store()
-    side, permits = _Side(store), _permits(store)
-    assert asyncio.run(permits.stand(Steady(0.0), False)) is False
+    side, delegations = _Side(store), _delegations(store)
+    assert asyncio.run(delegations.stand(Monotonic(0.0), False)) is False
     side.tick()
     side.tick()
-    assert asyncio.run(permits.stand(Steady(1.0), False)) is True
+    assert asyncio.run(delegations.stand(Monotonic(1.0), False)) is True
     store.down = True
     with pytest.raises(StateError):
-        asyncio.run(permits.stand(Steady(1.5), False))
+        asyncio.run(delegations.stand(Monotonic(1.5), False))
 
 
 def test_a_closed_permit_is_not_confirmed_again_in_its_term() -> None:
     store = Store()
-    side, permits = _Side(store), _permits(store)
+    side, delegations = _Side(store), _delegations(store)
     side.tick()
     side.tick()
-    assert asyncio.run(permits.stand(Steady(1.0), close=True)) is True
-    assert asyncio.run(permits.stand(Steady(1.5), close=True)) is False
-    side.now = Steady(side.now + PERMIT_S)
+    assert asyncio.run(delegations.stand(Monotonic(1.0), revoke=True)) is True
+    assert asyncio.run(delegations.stand(Monotonic(1.5), revoke=True)) is False
+    side.now = Monotonic(side.now + DELEGATION_S)
     assert side.tick() is None
-    asyncio.run(permits.clear())
+    asyncio.run(delegations.clear())
     assert side.tick() == 3
 
 
-def test_a_permit_counts_as_ended_whenever_its_removal_was_tried() -> None:
-    # Two permits: one is removed, the other has just been written anew.
+def test_a_delegation_counts_as_ended_whenever_its_removal_was_tried() -> None:
+    # Two delegations: one is removed, the other has just been written anew.
     store = Store()
     side = _Side(store)
     side.tick()
     side.tick()
     ended: list[int] = []
-    permits = Permits(cast(StateClient, store), Token(3), Revision(8), lambda: ended.append(1))
-    asyncio.run(permits.stand(Steady(1.0), False))
+    delegations = Delegations(
+        cast(StateClient, store), Token(3), Revision(8), lambda: ended.append(1)
+    )
+    asyncio.run(delegations.stand(Monotonic(1.0), False))
     with pytest.raises(StateError):
-        asyncio.run(permits.clear())
+        asyncio.run(delegations.clear())
     assert ended
 
 
-def test_a_permit_that_serves_nobody_any_more_is_closed() -> None:
+def test_a_delegation_that_serves_nobody_any_more_is_closed() -> None:
     store = Store()
-    side, permits = _Side(store), _permits(store)
+    side, delegations = _Side(store), _delegations(store)
     side.tick()
     side.tick()
-    found = [asyncio.run(permits.stand(Steady(float(at)), False)) for at in (1, 3, 6, 7)]
+    found = [asyncio.run(delegations.stand(Monotonic(float(at)), False)) for at in (1, 3, 6, 7)]
     assert found == [True, True, True, False]
 
 
-def test_the_permit_of_an_older_term_is_void() -> None:
+def test_the_delegation_of_an_older_term_is_void() -> None:
     store = Store()
     side = _Side(store)
     side.tick()
     side.tick()
-    later = Permits(cast(StateClient, store), Token(4), Revision(9), lambda: None)
-    assert asyncio.run(later.stand(Steady(1.0), False)) is False
+    later = Delegations(cast(StateClient, store), Token(4), Revision(9), lambda: None)
+    assert asyncio.run(later.stand(Monotonic(1.0), False)) is False
 
 
 def test_no_worker_is_sent_to_a_leader_that_does_not_answer_this_node() -> None:
@@ -194,7 +201,7 @@
     }  # fmt: skip
     report = wire.decode(orjson.dumps(beat), wire.Report)
     assert node.take_report(report, MachineId("m-1")) == (421, {"foreman": "node-1"})
-    node._deputy._cut_since = Steady(0.0)
+    node._delegate._cut_since = Monotonic(0.0)
     assert node.take_report(report, MachineId("m-1")) == (421, {})
-    node._deputy._heard()
+    node._delegate._heard()
     assert node.take_report(report, MachineId("m-1")) == (421, {"foreman": "node-1"})
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -12,12 +12,12 @@
 from tealrill.fleet.catalogue import Catalogues
 from tealrill.fleet.cloud import Cloud, CloudError
 from tealrill.http import Answer, NoAnswer
+from tealrill.leadership.election import TERM_KEY, Election, follows_itself
 from tealrill.state.client import Committed, Failed, StateClient
-from tealrill.state.duty import LEADER_KEY
-from tealrill.state.election import TERM_KEY, Election, follows_itself
+from tealrill.state.fencing import LEADER_KEY
 from tealrill.types import LeaseId, Revision, Wall, wall_now
 from tests.samples import SETTINGS
-from tests.test_deputy import Store
+from tests.test_renewal_delegation import Store
 
 
 class _State(Store):
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -22,10 +22,10 @@
 )
 from tealrill.scheduler.plan import plan
 from tealrill.scheduler.queue import affordable, order
-from tealrill.types import JobId, Steady
+from tealrill.types import JobId, Monotonic
 from tests.samples import job_view, machine_view, running_task
 
-NOW = Steady(10.0)
+NOW = Monotonic(10.0)
 
 
 def test_waiting_raises_priority_until_a_job_leads_the_queue() -> None:
@@ -66,7 +66,7 @@
 def test_backfill_beyond_the_window_is_for_lower_classes_only_and_is_marked() -> None:
     def starts(rank: int, estimate_s: float) -> list[tuple[str, bool]]:
         machine = machine_view(
-            "m-1", cpus=4.0, running=[running_task("run-1", end_at=Steady(NOW + 20))]
+            "m-1", cpus=4.0, running=[running_task("run-1", end_at=Monotonic(NOW + 20))]
         )
         lower = job_view("fill-1", rank=rank, estimate_s=estimate_s)
         result = plan(View([machine], [_blocked_head(), lower], {}), NOW, Policy())
@@ -92,7 +92,7 @@
 
 def test_nothing_is_stopped_for_an_equal_class_or_for_room_that_comes_anyway() -> None:
     def stops(rank: int, end_s: float) -> int:
-        running = [running_task("fill-1", backfilled=True, end_at=Steady(NOW + end_s))]
+        running = [running_task("fill-1", backfilled=True, end_at=Monotonic(NOW + end_s))]
         machine = machine_view("m-1", cpus=0.0, running=running)
         head = job_view("head-1", rank=rank, cpus=4.0)
         return len(plan(View([machine], [head], {}), NOW, Policy()).stops)
@@ -188,7 +188,7 @@
                 backfilled=draw(st.booleans()),
                 rank=draw(st.integers(0, 2)),
                 ran_s=draw(st.floats(0, 100)),
-                end_at=Steady(NOW + draw(st.floats(0, 100))),
+                end_at=Monotonic(NOW + draw(st.floats(0, 100))),
             )
             for i in range(draw(st.integers(0, 4)))
         ]
@@ -198,7 +198,7 @@
                 cpus=draw(st.sampled_from([0.0, 2.0, 8.0, 16.0])),
                 zone=draw(st.sampled_from(["north", "south"])),
                 spot=draw(st.booleans()),
-                ready_at=Steady(draw(st.sampled_from([0.0, 50.0]))),
+                ready_at=Monotonic(draw(st.sampled_from([0.0, 50.0]))),
                 running=running,
             )
         )
@@ -285,7 +285,7 @@
 
     policy = Policy()
     ordinary, spot = offer(False, 2.0), offer(True, 1.0)
-    soon = Steady(NOW + 30)
+    soon = Monotonic(NOW + 30)
 
     def count(machines: list[MachineView], **job: object) -> list[tuple[bool, int]]:
         waiting = job_view("job-1", **{"estimate_s": 50.0, **job})
@@ -296,13 +296,13 @@
     assert count([]) == [(True, 2)]
     assert count([], spot=False) == [(False, 2)]
     assert count([machine_view("m-1", ready_at=soon)]) == [(True, 1)]
-    leaving = [running_task(f"run-{i}", cpus=8.0, end_at=Steady(NOW + 5)) for i in range(2)]
+    leaving = [running_task(f"run-{i}", cpus=8.0, end_at=Monotonic(NOW + 5)) for i in range(2)]
     assert count([machine_view("m-1", cpus=0.0, running=leaving)]) == []
 
 
 def test_dear_machines_are_for_jobs_that_the_cheap_ones_do_not_bring_in() -> None:
     # Jobs with time to spare once filled dear machines and had more of them rented.
-    busy = [running_task("run-1", cpus=8.0, end_at=Steady(NOW + 20))]
+    busy = [running_task("run-1", cpus=8.0, end_at=Monotonic(NOW + 20))]
     machines = [
         machine_view("m-1", cpus=0.0, running=busy),
         machine_view("m-2", dear=True),
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -20,7 +20,7 @@
     live_within_s,
     silent_after_s,
 )
-from tealrill.types import MachineId, Steady
+from tealrill.types import MachineId, Monotonic
 
 _REPORT_S = 2.0
 _HEARD_S, _SILENT_S = 1.0, 9.0
@@ -120,41 +120,41 @@
 
 def _lose(losses: Losses, count: int, at: float = 0.0, cpus: float = 6.0) -> None:
     for n in range(count):
-        losses.lost(MachineId(f"m-{at}-{n}"), "big", cpus, Steady(at))
+        losses.lost(MachineId(f"m-{at}-{n}"), "big", cpus, Monotonic(at))
 
 
 def test_what_was_in_use_on_machines_lost_together_is_owed() -> None:
     losses = Losses()
     _lose(losses, 20)
-    assert losses.owed(Steady(1.0), 200) == {"big": 120.0}
+    assert losses.owed(Monotonic(1.0), 200) == {"big": 120.0}
     losses.rented("other", 50.0)
     losses.rented("big", 100.0)
-    assert losses.owed(Steady(1.0), 200) == {"big": 20.0}
+    assert losses.owed(Monotonic(1.0), 200) == {"big": 20.0}
     losses.rented("big", 100.0)
-    assert losses.owed(Steady(1.0), 200) == {}
+    assert losses.owed(Monotonic(1.0), 200) == {}
 
 
 def test_single_losses_and_losses_one_after_the_other_are_left_to_the_queue() -> None:
     losses = Losses()
     _lose(losses, 4)
-    assert losses.owed(Steady(0.0), 10) == {}
+    assert losses.owed(Monotonic(0.0), 10) == {}
     apart = Losses()
     for n in range(12):
         _lose(apart, 1, at=6.0 * n)
-    assert apart.owed(Steady(67.0), 10) == {}
+    assert apart.owed(Monotonic(67.0), 10) == {}
     _lose(losses, 5, at=1.0)
-    assert losses.owed(Steady(1.0), 200) == {}, "nine of two hundred are no fall"
-    assert losses.owed(Steady(1.0), 100) == {"big": 54.0}
+    assert losses.owed(Monotonic(1.0), 200) == {}, "nine of two hundred are no fall"
+    assert losses.owed(Monotonic(1.0), 100) == {"big": 54.0}
 
 
 def test_a_machine_is_counted_once_and_not_any_more_once_it_is_back() -> None:
     losses = Losses()
     _lose(losses, 10)
     _lose(losses, 10)
-    assert losses.owed(Steady(0.0), 50) == {"big": 60.0}
+    assert losses.owed(Monotonic(0.0), 50) == {"big": 60.0}
     losses.back(MachineId("m-0.0-3"))
-    assert losses.owed(Steady(0.0), 50) == {"big": 54.0}
-    assert losses.owed(Steady(61.0), 50) == {}
+    assert losses.owed(Monotonic(0.0), 50) == {"big": 54.0}
+    assert losses.owed(Monotonic(61.0), 50) == {}
 
 
 @given(
@@ -171,7 +171,7 @@
 def test_never_more_is_owed_than_was_lost_and_not_replaced(
     steps: list[tuple[str, int, float]],
 ) -> None:
-    losses, now = Losses(), Steady(0.0)
+    losses, now = Losses(), Monotonic(0.0)
     lost: dict[int, float] = {}
     for step, number, amount in steps:
         if step == "lost":
@@ -185,7 +185,7 @@
             losses.rented("big", amount)
             assert losses.owed(now, 0).get("big", 0.0) >= before - amount - 1e-6
         else:
-            now = Steady(now + amount)
+            now = Monotonic(now + amount)
             losses.owed(now, 0)
         assert losses.owed(now, 0).get("big", 0.0) <= sum(lost.values()) + 1e-6
 
@@ -194,16 +194,18 @@
 
 
 def test_refusals_double_while_nothing_is_given_and_end_when_machines_have_gone() -> None:
-    refusals, kind, now = Refusals(), ("big", "north", True), Steady(0.0)
+    refusals, kind, now = Refusals(), ("big", "north", True), Monotonic(0.0)
     waits: list[float] = []
     for _ in range(4):
         refusals.answered(kind, 10, 0, now)
-        until = next(s for s in range(200) if not refusals.refused(kind, Steady(now + s)))
+        until = next(s for s in range(200) if not refusals.refused(kind, Monotonic(now + s)))
         waits.append(until)
-        now = Steady(now + until)
+        now = Monotonic(now + until)
     assert waits == [10, 20, 40, 40]
     refusals.answered(kind, 10, 3, now)
-    assert refusals.refused(kind, Steady(now + 4)) and not refusals.refused(kind, Steady(now + 5))
+    assert refusals.refused(kind, Monotonic(now + 4)) and not refusals.refused(
+        kind, Monotonic(now + 5)
+    )
     refusals.answered(kind, 10, 0, now)
     assert not refusals.refused(("big", "south", True), now)
     refusals.freed(kind)
@@ -216,8 +218,8 @@
 def test_lost_machines_shorten_a_refusal_and_do_not_end_it() -> None:
     """Dead ones hold their places: asked for with each that was lost, calls went out in vain."""
     refusals, kind = Refusals(), ("big", "north", True)
-    refusals.answered(kind, 10, 0, Steady(0.0))
-    refusals.answered(kind, 10, 0, Steady(10.0))
+    refusals.answered(kind, 10, 0, Monotonic(0.0))
+    refusals.answered(kind, 10, 0, Monotonic(10.0))
     for _ in range(100):
         refusals.hopeful(kind)
-    assert refusals.refused(kind, Steady(14.9)) and not refusals.refused(kind, Steady(15.0))
+    assert refusals.refused(kind, Monotonic(14.9)) and not refusals.refused(kind, Monotonic(15.0))
--- a/tests/test_waits.py
+++ b/tests/test_waits.py
@@ -19,9 +19,9 @@
     Attempt,
     JobId,
     MachineId,
+    Monotonic,
     Revision,
     Session,
-    Steady,
     TaskId,
     Wall,
 )
@@ -37,7 +37,7 @@
 
     def __init__(self, report_s: float = _REPORT_S) -> None:
         self.report_s = report_s
-        self.now = Steady(0.0)
+        self.now = Monotonic(0.0)
         # There are no more machines than those that are up, and none is dearer than the others.
         self.dispatcher, self.fleet, self.book, _ = _dispatcher(report_s, [_TYPE])
         self.seq = 0
@@ -49,7 +49,7 @@
         self.beat()
         self.beat()
         # So new that it is not returned for having nothing to do.
-        self.fleet.machines[MachineId("m-1")].since = Steady(self.now + 1000.0)
+        self.fleet.machines[MachineId("m-1")].since = Monotonic(self.now + 1000.0)
 
     def job(self, **changes: Any) -> Job:
         self.number += 1
@@ -77,7 +77,7 @@
             self.fleet.check_silence(self.now)
             self.beat()
             self.dispatcher.run(self.now, Wall(self.now))
-            self.now = Steady(self.now + self.report_s)
+            self.now = Monotonic(self.now + self.report_s)
         return self.now - began - self.report_s
 
 
@@ -93,7 +93,7 @@
     world = _World(report_s)
     world.begin()
     world.fleet.machines[MachineId("m-1")].call_deaf(True)
-    world.now = Steady(world.now + report_s)
+    world.now = Monotonic(world.now + report_s)
     assert world.until_placed(world.job()) <= 2 * report_s
 
 
@@ -129,7 +129,7 @@
     for _ in range(failures):
         trial = blame._jobs.get(job.id)
         if trial is not None:
-            world.now = Steady(max(world.now, trial.next_at))
+            world.now = Monotonic(max(world.now, trial.next_at))
         blame.failed(job.id, MachineId("m-1"), 0.2, False, world.now)
         world.beat()
     assert world.until_placed(job) <= blame_module._MOST_GAP_S + 1.0
@@ -159,7 +159,7 @@
         took_s = 0.0
         while job.bound_count < 2 and binding in job.bindings():
             took_s += 1.0
-            world.now = Steady(world.now + 1.0)
+            world.now = Monotonic(world.now + 1.0)
             world.beat()
             world.fleet.check_silence(world.now)
             world.dispatcher.run(world.now, Wall(world.now))
@@ -206,7 +206,7 @@
 def test_what_a_report_says_ends_a_hold(hold: Callable[[_World], None]) -> None:
     world = _World()
     world.begin()
-    world.now = Steady(world.now + 1.0)
+    world.now = Monotonic(world.now + 1.0)
     hold(world)
     assert world.until_placed(world.job()) <= 2.0
 
@@ -217,7 +217,7 @@
     world = _World()
     world.begin()
     for _ in range(6):
-        world.now = Steady(world.now + 1.0)
+        world.now = Monotonic(world.now + 1.0)
         world.seq += 1
         answer = report("m-1", 1, world.seq, 1)
         world.fleet.direct_report(answer, MachineId("m-1"), world.now, Wall(world.now))
--- a/tools/graph_cost.py
+++ b/tools/graph_cost.py
@@ -37,12 +37,13 @@
 from tealrill.graphs.tracker import OVER_DONE, Progress
 from tealrill.http import Client, NoAnswer
 from tealrill.leader import Leader
+from tealrill.leadership.election import Election
 from tealrill.scheduler.estimates import Estimates
 from tealrill.settings import Address
 from tealrill.state.book import Owner
 from tealrill.state.client import StateClient
-from tealrill.state.election import Election, Leadership
-from tealrill.types import LeaseId, MachineId, Revision, Steady, Token, steady_now, wall_now
+from tealrill.state.fencing import Leadership
+from tealrill.types import LeaseId, MachineId, Monotonic, Revision, Token, monotonic_now, wall_now
 from tests import standins
 from tests.samples import SETTINGS, report, spec
 from tools.load import Machines, sample_job, settings_for
@@ -135,13 +136,13 @@
     def __init__(self, mine: Leadership) -> None:
         self.mine = mine
 
-    def leading(self, _: Steady) -> Leadership:
+    def leading(self, _: Monotonic) -> Leadership:
         return self.mine
 
 
 def _leader(nodes: int, machines: int, jobs: int, gated: bool) -> Leader:
     """With the nodes that wait for nothing in the queue, as plain jobs or as those of a graph."""
-    mine = Leadership(Token(1), Revision(1), LeaseId(1), steady_now(), Steady(1e12))
+    mine = Leadership(Token(1), Revision(1), LeaseId(1), monotonic_now(), Monotonic(1e12))
     given = settings.parse(orjson.dumps(SETTINGS))
     leader = Leader(
         given,
@@ -152,7 +153,7 @@
         Estimates(),
         [lambda term: GraphTerm(term, GraphFeatures(on=True))],
     )
-    leader.fleet.inherit([], steady_now())
+    leader.fleet.inherit([], monotonic_now())
     kind = {
         "label": "big", "vcpus": 8, "gpus": 0, "memoryGb": 64, "localGb": 50, "fetchGbPerS": 1.0,
         "price": 1.0, "marketPrice": 0.4, "startupS": 20, "halls": ["north"],
@@ -162,7 +163,7 @@
     for number in range(machines):
         name = f"m-{number}"
         heard = report(name, 1, 1, 1)
-        leader.fleet.report(heard, MachineId(name), steady_now(), wall_now())
+        leader.fleet.report(heard, MachineId(name), monotonic_now(), wall_now())
     for number in range(jobs):
         job = spec(id=f"wk-{number}", vcpus=2.0, pieces=20)
         leader.book.add(job, wall_now(), Revision(1))
@@ -182,11 +183,11 @@
 
 def _passes(leader: Leader, count: int) -> float:
     """Seconds of processor time a pass."""
-    leader.dispatcher.run(steady_now(), wall_now())
+    leader.dispatcher.run(monotonic_now(), wall_now())
     began = time.process_time()
     for _ in range(count):
-        leader.dispatcher._rent_at = Steady(0.0)
-        leader.dispatcher.run(steady_now(), wall_now())
+        leader.dispatcher._rent_at = Monotonic(0.0)
+        leader.dispatcher.run(monotonic_now(), wall_now())
     return (time.process_time() - began) / count
 
 
--- a/tools/graph_study.py
+++ b/tools/graph_study.py
@@ -23,7 +23,7 @@
 from tealrill.graphs.tracker import OVER_DONE, Progress
 from tealrill.scheduler.model import JobView, MachineView, Policy, View
 from tealrill.scheduler.plan import plan
-from tealrill.types import JobId, MachineId, Steady
+from tealrill.types import JobId, MachineId, Monotonic
 
 _CPUS: Final = 8.0
 _ERROR: Final = 0.4
@@ -127,7 +127,7 @@
         views = [
             MachineView(
                 MachineId(f"m{m:03d}"), "big", "north", False, free[m], 0.0, 64.0, _CPUS,
-                Steady(now), 1.0, set(), False, (),
+                Monotonic(now), 1.0, set(), False, (),
             )
             for m in range(machines)
         ]  # fmt: skip
@@ -139,7 +139,7 @@
             )
             for i, since in waiting.items()
         ]  # fmt: skip
-        result = plan(View(views, jobs, {}), Steady(now), Policy())
+        result = plan(View(views, jobs, {}), Monotonic(now), Policy())
         for start in result.starts:
             index, machine = int(start.job[-5:]), int(start.machine[1:])
             del waiting[index]
