--- a/tealrill/leadership/election.py
+++ b/tealrill/leadership/election.py
@@ -17,6 +17,8 @@
 from dataclasses import dataclass
 from typing import Any, Final
 
+import msgspec
+
 from tealrill import wire
 from tealrill.state.client import (
     Committed,
@@ -56,6 +58,8 @@
 """A host that would follow itself once more than so often, each time soon, lets others go first."""
 _SOON_S: Final = 30.0
 _YIELD_S: Final = 2.0
+_UNREADABLE_S: Final = 1.0
+"""Between two readings of a record that this version can't read."""
 
 
 def exclusion_key(host: str) -> str:
@@ -70,6 +74,13 @@
     """The version of its key."""
 
 
+class _LeaderRecord(msgspec.Struct, frozen=True):
+    """As much of the leader's record as others need."""
+
+    host: str
+    term: int
+
+
 async def _not_known() -> bool:
     return False
 
@@ -107,6 +118,8 @@
         """Whether another member answers."""
         self.revoking: Token | None = None
         """The term whose lease this node is ending: it gets no promise."""
+        self._unreadable: tuple[str, int] | None = None
+        """The record, and its version, that was last said to be unreadable."""
         self._standing: Token | None = None
         """An election of this node that is under way, or that brought no answer: it may take place
         at any later time."""
@@ -226,11 +239,26 @@
             else:
                 await self._stand(Revision(entry.version), again)
             return
-        self.known = KnownLeader(
-            str(holder.get("host")), Token(int(holder.get("term", 0))), Revision(entry.version)
-        )
+        self.known = self._read_leader(entry)
         await self._client.watch(LEADER_KEY, revision, _WATCH_S)
 
+    def _read_leader(self, entry: wire.Entry) -> KnownLeader | None:
+        """Another member's record; None if this version can't read it.
+
+        Nobody is deposed by that: the key stands until its lease ends.
+        """
+        try:
+            record = msgspec.convert(entry.value, _LeaderRecord)
+        except msgspec.ValidationError as error:
+            self._report_unreadable(entry.key, entry.version, str(error))
+            return None
+        return KnownLeader(record.host, Token(record.term), Revision(entry.version))
+
+    def _report_unreadable(self, key: str, version: int, why: str) -> None:
+        if self._unreadable != (key, version):
+            self._unreadable = (key, version)
+            log.error("record %s: %s", key, why)
+
     async def _withdraw(self, entry: wire.Entry) -> None:
         """Removes a key of this host: set by this very process in a term that it no longer knows
         of, or by a former one."""
@@ -249,6 +277,11 @@
             if pause > 1.0:
                 return
         last = await self._client.get(TERM_KEY)
+        if last is not None and type(last.value) is not int:
+            # A term of this node's making might be an earlier one.
+            self._report_unreadable(TERM_KEY, last.version, "not a term")
+            await asyncio.sleep(_UNREADABLE_S)
+            return
         sent = monotonic_now()
         lease = await self._client.create_lease(TTL_S)
         term = Token((last.value if last is not None else 0) + 1)
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -123,6 +123,30 @@
     assert state.keys == before
 
 
+@pytest.mark.parametrize(
+    "value", [None, [], "node-1", {"host": 7, "term": 1}, {"host": "a", "term": "x"}]
+)
+def test_a_leaders_record_that_can_not_be_read_deposes_nobody_and_ends_no_node(
+    value: Any, caplog: pytest.LogCaptureFixture
+) -> None:
+    state = _State()
+    state.keys = {LEADER_KEY: (value, 3), TERM_KEY: (4, 1)}
+    node = _process(state, "host-0")
+    before = dict(state.keys)
+    assert not _look(node) and not _look(node)
+    assert node.known is None and state.keys == before
+    assert [r.getMessage() for r in caplog.records if LEADER_KEY in r.getMessage()][1:] == []
+    assert LEADER_KEY in caplog.text
+
+
+@pytest.mark.parametrize("value", [None, "4", 4.5, True, {"term": 4}])
+def test_nobody_stands_by_a_term_that_can_not_be_read(value: Any) -> None:
+    state = _State()
+    state.keys = {TERM_KEY: (value, 1)}
+    assert not _look(_process(state, "host-0"))
+    assert state.keys == {TERM_KEY: (value, 1)}
+
+
 _CATALOGUE = {
     "builds": [
         {
