--- a/tealrill/controller.py
+++ b/tealrill/controller.py
@@ -9,6 +9,7 @@
 import os
 import signal
 from collections.abc import Callable, Coroutine
+from dataclasses import asdict, dataclass
 from typing import Any, Final
 
 from tornado import web
@@ -25,7 +26,7 @@
 from tealrill.fleet.cloud import Cloud
 from tealrill.fleet.giveway import GiveWay
 from tealrill.leader import Leader
-from tealrill.leadership.election import Election
+from tealrill.leadership.election import Election, is_held_by_lease
 from tealrill.leadership.lease_extension import (
     EXTENSION_PATH,
     PING_PATH,
@@ -61,6 +62,18 @@
 _HEARD_BEFORE: Final = 2
 
 
+@dataclass(slots=True)
+class ReportCounts:
+    """Workers' reports since the start of this process, by what they were answered."""
+
+    renewed: int = 0
+    """By this node as the leader."""
+    delegated: int = 0
+    """By this node in the leader's place."""
+    redirected: int = 0
+    refused: int = 0
+
+
 class Node:
     """One controller process."""
 
@@ -96,6 +109,7 @@
         self._extension.is_excluded = self._is_excluded
         self._extension.prolonged = self._prolonged
         self._last_report: Monotonic | None = None
+        self._report_counts = ReportCounts()
         self._giveway = GiveWay(settings)
         self._extension.reports = lambda: self._giveway.recent(monotonic_now())
         self._fronts: list[Front] = []
@@ -235,6 +249,7 @@
             term = self._delegate.renews(report, machine_id, now)
             if term is not None:
                 # The leader can't hear this worker, and waits for it.
+                self._report_counts.delegated += 1
                 return 200, wire.report_answer(term, [])
             known = self.election.known
             host = known.host if known is not None else None
@@ -242,10 +257,13 @@
                 # Sent to a leader that does not answer this node either, a worker loses 4 s of its
                 # lease there; asking the next node costs 1 s.
                 host = None
+            self._report_counts.redirected += 1
             return 421, wire.redirect(host)
         commands = self.leader.report(report, machine_id, now)
         if commands is None:
+            self._report_counts.refused += 1
             return 503, {"error": "not taken"}
+        self._report_counts.renewed += 1
         return 200, wire.report_answer(mine.term, commands)
 
     def _well_placed(self) -> bool:
@@ -346,7 +364,13 @@
             "node": self._settings.host_name,
             "leader": known.host if known is not None else None,
             "term": known.term if known is not None else None,
+            "reports": asdict(self._report_counts),
+            "state_interruptions": self._client.interruptions,
         }
+        mine = self.election.mine
+        if mine is not None:
+            shown["valid_s"] = round(mine.valid_until - monotonic_now(), 1)
+            shown["held_by"] = "lease" if is_held_by_lease(mine) else "promises"
         delegated = self._delegate.describe(monotonic_now())
         if delegated is not None:
             shown["renews"] = delegated
--- a/tealrill/leader.py
+++ b/tealrill/leader.py
@@ -172,6 +172,7 @@
             settings, client, mine.term, mine.stamp, self._valid, revoked=self._lease_revoked
         )
         self._resigning: asyncio.Task[None] | None = None
+        self._was_informed = True
         self._unread: set[JobId] = set()
         """Jobs whose record is not of this version."""
         self._wake = asyncio.Event()
@@ -542,6 +543,19 @@
             except StateError as error:
                 log.debug("looking for delegates: %s", error)
 
+    def _tell_knowledge(self, now: Monotonic) -> None:
+        """Says when workers are not renewed any more for want of knowledge, and when they are."""
+        informed = self.informed(now)
+        if informed != self._was_informed:
+            self._was_informed = informed
+            log.info(
+                "term %d: %s workers; cancellations are known up to revision %d, %.1f s ago",
+                self._mine.term,
+                "renews" if informed else "does not renew",
+                self.seen.revision,
+                now - self._known_at,
+            )
+
     async def _check_silence(self) -> None:
         """Machines lapse only once it is seen that no other node could have renewed them."""
         now = monotonic_now()
@@ -550,6 +564,7 @@
         # leader may not know of. Once its machine would have lapsed without delegates is too late:
         # the delegation's end and the worker's lease come after it, and left a second of
         # `cancel_s`.
+        self._tell_knowledge(now)
         unstopped = self.fleet.unstopped(now) or not self.informed(now)
         if not silent and not unstopped:
             await self._delegations.clear()
--- a/tealrill/leadership/election.py
+++ b/tealrill/leadership/election.py
@@ -20,6 +20,7 @@
 import msgspec
 
 from tealrill import wire
+from tealrill.changes import ChangeLog
 from tealrill.state.client import (
     Committed,
     Failed,
@@ -97,6 +98,11 @@
     return lower_bound_deadline(sent, TTL_S, _MARGIN_S)
 
 
+def is_held_by_lease(mine: Leadership) -> bool:
+    """Whether the term is valid by its lease alone, and not longer by other members' promises."""
+    return mine.valid_until <= _validity(mine.renewed_at)
+
+
 class Election:
     """Stands for election whenever there is no leader, and keeps what it has won."""
 
@@ -120,6 +126,8 @@
         """The term whose lease this node is ending: it gets no promise."""
         self._unreadable: tuple[str, int] | None = None
         """The record, and its version, that was last said to be unreadable."""
+        self._states = ChangeLog(log)
+        """Whom this node follows, or why it does not stand."""
         self._standing: Token | None = None
         """An election of this node that is under way, or that brought no answer: it may take place
         at any later time."""
@@ -240,6 +248,11 @@
                 await self._stand(Revision(entry.version), again)
             return
         self.known = self._read_leader(entry)
+        if self.known is not None:
+            self._states.info(
+                f"term {self.known.term}: follows {self.known.host}, "
+                f"whose key is at revision {self.known.stamp}"
+            )
         await self._client.watch(LEADER_KEY, revision, _WATCH_S)
 
     def _read_leader(self, entry: wire.Entry) -> KnownLeader | None:
@@ -273,6 +286,8 @@
                 0, 0.05
             )
         if pause > 0:
+            if pause > _OTHERS_FIRST_S + 0.1:
+                self._states.info("nobody leads; this node lets others stand first")
             await asyncio.sleep(min(pause, 1.0))
             if pause > 1.0:
                 return
@@ -306,8 +321,10 @@
         if bound and (
             not await self._free_of_former_promises() or monotonic_now() < self._promised_until
         ):
+            self._states.info("nobody leads; this node may be bound by a promise not to stand")
             await asyncio.sleep(0.05)
             return
+        self._states.info(f"nobody leads; this node stands for term {term}")
         self._standing = term
         try:
             result = await self._client.commit(guards, changes)
@@ -376,7 +393,8 @@
         return None
 
     def _won(self, mine: Leadership) -> None:
-        log.info("term %d: elected", mine.term)
+        log.info("term %d: elected, its key is at revision %d", mine.term, mine.stamp)
+        self._states.forget()
         self.mine = mine
         self.known = KnownLeader(self._host, mine.term, mine.stamp)
         self._client.set_leading(True)
--- a/tealrill/leadership/lease_extension.py
+++ b/tealrill/leadership/lease_extension.py
@@ -18,6 +18,7 @@
 import msgspec
 
 from tealrill import wire
+from tealrill.changes import ChangeLog
 from tealrill.http import Client, NoAnswer, peer_clients
 from tealrill.leadership.election import READMISSION_S, TTL_S
 from tealrill.leadership.open_jobs import cancel_spare_s, renewal_bound_s
@@ -129,6 +130,7 @@
         self.possible = cancel_spare_s(workers) >= PROMISE_S
         self._extending = False
         self._bounded = False
+        self._refusals = ChangeLog(log)
 
     # -- the leader's side ----------------------------------------------------------------------
 
@@ -138,7 +140,10 @@
             if mine is not None and mine.troubled and self.possible:
                 await self._seek(mine)
             else:
+                if mine is not None and self._extending:
+                    log.info("term %d: holds by its lease again", mine.term)
                 self._extending = False
+                self._refusals.forget()
             await asyncio.sleep(_ASK_EVERY_S)
 
     async def _seek(self, mine: Leadership) -> None:
@@ -158,7 +163,7 @@
         refused = [f"{n}: no answer" for n in silent if not self.is_excluded(mine, n)]
         refused += [f"{n}: {a.why}" for n, a in by_name.items() if a is not None and not a.promised]
         if refused:
-            log.info("term %d: lease not extended: %s", mine.term, "; ".join(refused))
+            self._refusals.info(f"term {mine.term}: lease not extended: {'; '.join(refused)}")
             return
         latest = _FOREVER
         unknown = [n for n, a in by_name.items() if a is None or not a.vouches]
--- /dev/null
+++ b/tests/test_changes.py
@@ -0,0 +1,90 @@
+"""What is logged once a change, and what a node's status tells of its rights."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+from typing import Any, cast
+
+import orjson
+import pytest
+
+from tealrill import settings, wire
+from tealrill.changes import ChangeLog
+from tealrill.controller import Node
+from tealrill.fleet.cloud import Cloud
+from tealrill.leader import Leader
+from tealrill.leadership.election import Election, KnownLeader
+from tealrill.leadership.lease_extension import Seen
+from tealrill.scheduler.estimates import Estimates
+from tealrill.state.client import StateClient
+from tealrill.state.fencing import Leadership
+from tealrill.types import LeaseId, MachineId, Monotonic, Revision, Token, monotonic_now
+from tests.samples import SETTINGS, report
+from tests.test_renewal_delegation import Store
+
+PARSED = settings.parse(orjson.dumps(SETTINGS))
+
+
+def _texts(caplog: pytest.LogCaptureFixture, part: str) -> list[str]:
+    return [r.getMessage() for r in caplog.records if part in r.getMessage()]
+
+
+def test_a_line_comes_once_a_change(caplog: pytest.LogCaptureFixture) -> None:
+    caplog.set_level(logging.INFO)
+    changes = ChangeLog(logging.getLogger("tealrill.test"))
+    for text in ("a", "a", "b", "a", "a"):
+        changes.info(text)
+    changes.forget()
+    changes.info("a")
+    assert [record.getMessage() for record in caplog.records] == ["a", "b", "a", "a"]
+
+
+def test_whom_a_node_follows_is_said_once_a_term(caplog: pytest.LogCaptureFixture) -> None:
+    caplog.set_level(logging.INFO)
+    store = Store()
+    election = Election(cast(StateClient, store), "node-0", lambda: None)
+    for term, stamp in ((3, 7), (3, 7), (4, 9)):
+        store.keys["leader"] = ({"host": "node-1", "term": term}, stamp)
+        asyncio.run(election._follow())
+    assert _texts(caplog, "follows") == [
+        "term 3: follows node-1, whose key is at revision 7",
+        "term 4: follows node-1, whose key is at revision 9",
+    ]
+
+
+def test_a_leader_says_when_it_renews_nobody_for_want_of_knowledge(
+    caplog: pytest.LogCaptureFixture,
+) -> None:
+    caplog.set_level(logging.INFO)
+    now = monotonic_now()
+    mine = Leadership(Token(3), Revision(7), LeaseId(1), now, Monotonic(now + 3.0))
+    client, cloud = cast(StateClient, Store()), cast(Cloud, None)
+    leader = Leader(PARSED, client, cloud, cast(Election, None), mine, Estimates())
+    leader.fleet.loaded = True
+    leader.seen = Seen(Revision(41), now)
+    for later_s in (0.0, 1.0, 30.0, 31.0):
+        leader._tell_knowledge(Monotonic(now + later_s))
+    leader.seen = Seen(Revision(50), Monotonic(now + 31.0))
+    leader._tell_knowledge(Monotonic(now + 32.0))
+    assert _texts(caplog, "cancellations are known") == [
+        "term 3: does not renew workers; cancellations are known up to revision 41, 30.0 s ago",
+        "term 3: renews workers; cancellations are known up to revision 50, 1.0 s ago",
+    ]
+
+
+def test_a_nodes_status_counts_reports_by_their_answers() -> None:
+    node = Node(PARSED)
+    node.election.known = KnownLeader("node-1", Token(3), Revision(7))
+    message: wire.Report = report("m-1", 1, 1, 3)
+    for _ in range(3):
+        assert node.take_report(message, MachineId("m-1"))[0] == 421
+    shown: dict[str, Any] = node.describe()
+    assert shown["reports"] == {"renewed": 0, "delegated": 0, "redirected": 3, "refused": 0}
+    assert shown["state_interruptions"] == 0 and "renews" not in shown and "held_by" not in shown
+    now = monotonic_now()
+    mine = Leadership(Token(4), Revision(9), LeaseId(1), now, Monotonic(now + 2.7), renewed_at=now)
+    node.election.mine = mine
+    assert node.describe()["held_by"] == "lease"
+    mine.valid_until = Monotonic(now + 3.8)
+    assert node.describe()["held_by"] == "promises" and node.describe()["valid_s"] <= 3.8
