--- a/tealrill/leadership/open_jobs.py
+++ b/tealrill/leadership/open_jobs.py
@@ -4,7 +4,8 @@
 the staleness bound ago (`renewal_bound_s`). The leader knows them from its watch. A controller
 that renews in its place learns them here: it reads the jobs and the bindings once, and what changed
 under `job/` before each confirmation of its right. A job without a record there is over; what it
-left on a machine that still reports was cancelled.
+left on a machine that still reports was cancelled, at the earliest when its end's revision can have
+come about (`state/revision_clock.py`).
 
 Bindings are read because a start that left directly may arrive minutes late: its task is in no
 report yet, and must not find its worker renewed.
@@ -20,13 +21,29 @@
 
 from tealrill import wire
 from tealrill.settings import Workers
-from tealrill.state.book import JOB_PREFIX, RUN_PREFIX, BadRecord, chunk_bindings
+from tealrill.state.book import (
+    JOB_PREFIX,
+    OVER_PREFIX,
+    RUN_PREFIX,
+    BadRecord,
+    chunk_bindings,
+    over_key,
+)
 from tealrill.state.client import StateClient, StateError
-from tealrill.types import MachineId, Monotonic, Revision, Session, monotonic_now, parse_task_id
+from tealrill.types import (
+    JobId,
+    MachineId,
+    Monotonic,
+    Revision,
+    Session,
+    monotonic_now,
+    parse_task_id,
+)
 
 log = logging.getLogger(__name__)
 
 _NEVER: Final = Monotonic(-math.inf)
+_ALWAYS: Final = Monotonic(math.inf)
 _LEAST_BOUND_S: Final = 6.0
 """A watch that is answered in its ordinary time comes well within this."""
 _CANCEL_MARGIN_S: Final = 5.0
@@ -57,7 +74,7 @@
     """A task of a job that is over, bound to a machine's session."""
 
     session: Session
-    last_open: Monotonic
+    job: str
 
 
 class OpenJobs:
@@ -76,6 +93,9 @@
         self._last_open: dict[str, Monotonic] = {}
         """Jobs that have ended since, with the last moment at which each was known to be open."""
         self._bindings_unread: set[str] = set()
+        self._ends_unread: dict[str, str | None] = {}
+        """Jobs that were over at the first reading, each with its owner: as if never open, until
+        their ends are read."""
         self._left: dict[MachineId, list[_LeftBinding]] = {}
 
     def clear(self) -> None:
@@ -85,6 +105,7 @@
         self._owners.clear()
         self._last_open.clear()
         self._bindings_unread.clear()
+        self._ends_unread.clear()
         self._left.clear()
 
     @property
@@ -95,20 +116,28 @@
 
     def may_renew(self, report: wire.Report, machine: MachineId, now: Monotonic) -> bool:
         """Whether all that the worker runs, or may be about to start, was open recently enough."""
-        return now < self._open_through(report, machine) + self._bound_s
-
-    def _open_through(self, report: wire.Report, machine: MachineId) -> Monotonic:
-        """The last moment at which every job on the machine was known to be open."""
-        through = self.known_through
+        through = min(
+            self.known_through, self._reported_through(report), self._left_through(report, machine)
+        )
+        return now < through + self._bound_s
+
+    def _reported_through(self, report: wire.Report) -> Monotonic:
+        """The last moment at which the jobs of all reported tasks were known to be open."""
+        through = _ALWAYS
         for task in report.tasks:
             if task.state != wire.EXITED:
                 task_id = parse_task_id(task.task)
                 # A name that is no task's is none of an open job's.
                 through = min(through, self._job_open_through(task_id.job if task_id else ""))
+        return through
+
+    def _left_through(self, report: wire.Report, machine: MachineId) -> Monotonic:
+        """The same of the jobs that have left bindings to the worker's session."""
+        through = _ALWAYS
         for left in self._left.get(machine, ()):
             # Commands for an earlier session are refused by the worker.
             if report.session <= left.session:
-                through = min(through, left.last_open)
+                through = min(through, self._job_open_through(left.job))
         return through
 
     def _job_open_through(self, name: str) -> Monotonic:
@@ -132,6 +161,18 @@
             entries, _ = await self._client.scan(f"{RUN_PREFIX}{name}/")
             self._keep_bindings(entries)
             self._bindings_unread.discard(name)
+        for name in list(self._ends_unread)[:_READ_AT_ONCE]:
+            await self._read_end(name)
+
+    async def _read_end(self, name: str) -> None:
+        """When a job was open at the latest that this process never saw open."""
+        owner = self._ends_unread[name]
+        end = await self._client.get(over_key(JobId(name)))
+        if end is None and owner is not None:
+            end = await self._client.get(OVER_PREFIX + owner)
+        if end is not None:
+            self._last_open[name] = self._client.revisions.not_before(Revision(end.version))
+        del self._ends_unread[name]
 
     async def _load(self) -> None:
         sent = self._now()
@@ -146,6 +187,10 @@
         # would seem to be over.
         await self._follow(revision, sent)
         self._keep_bindings(chunks)
+        left = {binding.job for found in self._left.values() for binding in found}
+        self._ends_unread = {
+            name: owners.get(name) for name in sorted(left - self._last_open.keys())
+        }
 
     async def _follow(self, revision: Revision, last_open: Monotonic) -> None:
         """Changes after that revision; what has ended was open at `last_open`."""
@@ -184,9 +229,8 @@
             name = entry.key.removeprefix(RUN_PREFIX).partition("/")[0]
             if name in self._owners:
                 continue
-            last_open = self._last_open.get(name, _NEVER)
             for machine, session in _bindings(entry):
-                self._left.setdefault(machine, []).append(_LeftBinding(session, last_open))
+                self._left.setdefault(machine, []).append(_LeftBinding(session, name))
 
 
 def _name(key: str) -> str:
--- a/tealrill/state/client.py
+++ b/tealrill/state/client.py
@@ -15,6 +15,7 @@
 from tealrill.http import Answer, Client, NoAnswer
 from tealrill.settings import StateLimits, parse_address
 from tealrill.state.budget import Budget, Rank
+from tealrill.state.revision_clock import RevisionClock
 from tealrill.types import LeaseId, Revision, monotonic_now
 
 _PAGE = 500
@@ -74,6 +75,7 @@
         self._failed_at = -math.inf
         self.interruptions = 0
         """How often the state service has gone away, as this node saw it."""
+        self.revisions = RevisionClock()
         self.first_seen: Revision | None = None
         """The revision at this process's first reading of a range; what a former process of this
         host was answered lies before it."""
@@ -117,8 +119,11 @@
         query: dict[str, Any] = {"under": prefix, "most": most}
         if after is not None:
             query["from"] = after
+        sent = monotonic_now()
         answer = await self._send("GET", "/kv?" + urlencode(query, safe="/"), timeout_s=4.0)
-        return self._read(answer, wire.Entries)
+        found = self._read(answer, wire.Entries)
+        self.revisions.observe(sent, Revision(found.revision))
+        return found
 
     async def scan(self, prefix: str, rank: Rank = Rank.FIRST) -> tuple[list[wire.Entry], Revision]:
         """All keys under a prefix, and the revision from which a watch misses nothing.
@@ -183,10 +188,13 @@
         query = urlencode(
             {"under": prefix, "from": since, "holdMs": round(hold_s * 1000)}, safe="/"
         )
+        sent = monotonic_now()
         answer = await self._send("GET", "/watch?" + query, timeout_s=max(hold_s + 1.0, 3.0))
         if answer.status == 410:
             return None
-        return self._read(answer, wire.WatchResult)
+        found = self._read(answer, wire.WatchResult)
+        self.revisions.observe(sent, Revision(found.revision))
+        return found
 
     @property
     def away(self) -> bool:
--- a/tests/test_open_jobs.py
+++ b/tests/test_open_jobs.py
@@ -24,10 +24,11 @@
 from tealrill import settings, wire
 from tealrill.leadership import renewal_delegation as delegation_module
 from tealrill.leadership.election import Election, KnownLeader
-from tealrill.leadership.open_jobs import OpenJobs, _LeftBinding, renewal_bound_s
+from tealrill.leadership.open_jobs import OpenJobs, renewal_bound_s
 from tealrill.leadership.renewal_delegation import DELEGATION_PREFIX, RenewalDelegate
 from tealrill.state.client import Committed, Failed, Refused, StateClient, StateError, Unknown
 from tealrill.state.fencing import LEADER_KEY
+from tealrill.state.revision_clock import RevisionClock
 from tealrill.types import MachineId, Monotonic, Revision, Session, Token
 from tests.samples import SETTINGS, report
 
@@ -74,6 +75,8 @@
         self.store, self.rng = store, rng
         self.down = False
         self.lost = 0.0
+        self.revisions = RevisionClock()
+        self.now: Callable[[], Monotonic] = lambda: Monotonic(0.0)
         self.compacted = False
         self.requests = 0
 
@@ -96,6 +99,7 @@
             for key, (value, version) in sorted(self.store.keys.items())
             if key.startswith(prefix)
         ]
+        self.revisions.observe(self.now(), Revision(self.store.revision))
         return found, Revision(self.store.revision)
 
     async def watch(self, prefix: str, since: Revision, hold_s: float) -> wire.WatchResult | None:
@@ -107,6 +111,7 @@
             for event in self.store.log
             if event.version > since and (event.put or event.delete or "").startswith(prefix)
         ]
+        self.revisions.observe(self.now(), Revision(self.store.revision))
         return wire.WatchResult(revision=self.store.revision, events=events)
 
     async def commit(self, guards: list[Any], changes: list[Any]) -> Committed | Failed:
@@ -139,10 +144,16 @@
         self.start_arrives_at = self.now + self.rng.uniform(0.0, DAY_S)
         self.reach = [Reach(self.store, self.rng) for _ in range(2)]
         self.delegates = [self._process(reach) for reach in self.reach]
+        self.reports_at = self.now
+        # Where more is cancelled, the worker's lease ends before a late start can show.
+        self.cancellable = self.rng.choice([[*JOBS, LATE, GRAPH], [LATE]])
         self.renewals = 0
         self.late: list[str] = []
 
     def _process(self, reach: Reach) -> RenewalDelegate:
+        # Its observations go with a process.
+        reach.revisions = RevisionClock()
+        reach.now = lambda: self.now
         client = cast(StateClient, reach)
         election = Election(client, "node-0", lambda: None)
         election.known = LEADER
@@ -156,6 +167,10 @@
         until = self.now + seconds
         while self.now < until:
             self._draw()
+            for reach in self.reach:
+                # Followers watch the leader's key all the time.
+                if not reach.down:
+                    reach.revisions.observe(self.now, Revision(self.store.revision))
             for delegate in self.delegates:
                 if delegate._wanted(self.now):
                     try:
@@ -175,7 +190,7 @@
             if self.rng.random() < 0.01:
                 self.delegates[number] = self._process(reach)
         if self.rng.random() < 0.06:
-            self.cancel(self.rng.choice([*JOBS, LATE, GRAPH]))
+            self.cancel(self.rng.choice(self.cancellable))
 
     def cancel(self, name: str) -> None:
         """Some controller reaches the state service, and tells the user."""
@@ -184,6 +199,7 @@
         self.cancelled_at[name] = self.now
         if name == GRAPH:
             self.cancelled_at[OWNED] = self.now
+        self.store.put(f"over/{name}", {"status": wire.JOB_CANCELLED})
         self.store.delete(f"job/{name}")
 
     def _work(self) -> None:
@@ -198,7 +214,9 @@
         for job in self.running:
             if self.now > self.cancelled_at.get(job, 1e9) + WORKERS.cancel_s:
                 self.late.append(f"{job} at {self.now}, cancelled at {self.cancelled_at[job]}")
-        if self.rng.random() < STEP_S / WORKERS.report_s:
+        if self.now >= self.reports_at:
+            pause_s = WORKERS.report_s * self.rng.uniform(0.75, 1.25)
+            self.reports_at = Monotonic(self.now + pause_s)
             self.report(self.rng.choice(self.delegates))
 
     def report(self, delegate: RenewalDelegate) -> None:
@@ -227,7 +245,7 @@
 
 def _reported_tasks(patch: pytest.MonkeyPatch) -> None:
     """What a worker runs is not looked at."""
-    patch.setattr(OpenJobs, "_job_open_through", lambda self, _: self._read_through)
+    patch.setattr(OpenJobs, "_reported_through", lambda *_: Monotonic(1e9))
 
 
 def _left_bindings(patch: pytest.MonkeyPatch) -> None:
@@ -258,20 +276,28 @@
 
 def _unknown_jobs(patch: pytest.MonkeyPatch) -> None:
     """A process that has just started takes what it never saw open for just ended."""
-    whole, load = OpenJobs._job_open_through, OpenJobs._load
-
-    def open_through(self: OpenJobs, name: str) -> Monotonic:
-        return max(whole(self, name), Monotonic(self._read_through - 1.0))
+    load = OpenJobs._load
 
     async def loaded(self: OpenJobs) -> None:
         await load(self)
-        for machine, found in self._left.items():
-            self._left[machine] = [_LeftBinding(left.session, self._now()) for left in found]
+        left = {binding.job for found in self._left.values() for binding in found}
+        for name in left - self._last_open.keys():
+            self._last_open[name] = self._now()
+        self._ends_unread.clear()
 
-    patch.setattr(OpenJobs, "_job_open_through", open_through)
     patch.setattr(OpenJobs, "_load", loaded)
 
 
+def _time_of_the_next_answer(patch: pytest.MonkeyPatch) -> None:
+    """An end came about after the answer that shows it, instead of after the one before it."""
+
+    def not_before(self: RevisionClock, revision: Revision) -> Monotonic:
+        later = [sent for sent, seen in self._seen if seen >= revision]
+        return later[-1] if later else Monotonic(-1e9)
+
+    patch.setattr(RevisionClock, "not_before", not_before)
+
+
 def _age_and_reading(patch: pytest.MonkeyPatch) -> None:
     """Neither is a delegation confirmed only after a reading, nor does what was read grow old."""
     whole = OpenJobs.refresh
@@ -296,6 +322,7 @@
         _end_of_the_owner,
         _time_of_the_reading_before,
         _unknown_jobs,
+        _time_of_the_next_answer,
         _age_and_reading,
     ],
 )
@@ -362,6 +389,20 @@
     assert world.delegates[0].renews(message, MACHINE, world.now) == LEADER.term
 
 
+def test_a_job_that_ended_before_the_first_reading_has_what_is_left_of_its_time() -> None:
+    """Its machine was left to its lease at once, and hundreds of others' tasks ended with it."""
+    world = _calm()
+    for reach in world.reach:
+        reach.revisions.observe(world.now, Revision(world.store.revision))
+    world.now = Monotonic(world.now + 2.0)
+    world.cancel(JOBS[0])
+    world.now = Monotonic(world.now + 1.0)
+    asyncio.run(world.play(1.0))
+    assert world.renewals > 0
+    asyncio.run(world.play(40.0))
+    assert world.session == 2 and not world.late
+
+
 # -- what can't be read ---------------------------------------------------------------------------
 
 
