--- a/tealrill/controller.py
+++ b/tealrill/controller.py
@@ -165,8 +165,8 @@
         ]
         operators: list[Any] = [
             (r"/admin/state", AdminStateHandler, {"node": self}),
-            (EXTENSION_PATH, LeaseExtensionHandler, {"extend": self._extension}),
-            (PING_PATH, PingHandler, {"extend": self._extension}),
+            (EXTENSION_PATH, LeaseExtensionHandler, {"extension": self._extension}),
+            (PING_PATH, PingHandler, {"extension": self._extension}),
             (CATALOGUE_PATH, CatalogueHandler, {"known": lambda: self._catalogues.known}),
             *_user_rules(PEER_PREFIX, self.intake),
         ]
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -15,10 +15,13 @@
 from click.testing import CliRunner
 from tornado import netutil
 
-from tealrill import features, settings
+from tealrill import features, settings, wire
+from tealrill.api.relay import PEER_PREFIX
 from tealrill.cli import main
 from tealrill.controller import Node, new_loop, run_until_told
+from tealrill.fleet.catalogue import CATALOGUE_PATH
 from tealrill.http import Answer, Client
+from tealrill.leadership.lease_extension import EXTENSION_PATH, PING_PATH, ExtensionRequest
 from tealrill.types import LeaseId
 from tests.samples import SETTINGS, SUBMISSION
 from tests.standins import Cloud, State, Worker
@@ -218,6 +221,29 @@
     _in_a_world(scenario)
 
 
+def test_every_route_between_members_is_wired() -> None:
+    """A handler was given an argument by another name. Each ping was answered 500, so all others
+    took the leader for lost, and no test spoke to these routes over HTTP."""
+
+    async def scenario(world: World) -> None:
+        ask = world.operator.request
+        ping = await ask("GET", PING_PATH, None, _PATIENCE_S)
+        assert ping.status == 200 and orjson.loads(ping.body)["leads"] is True
+        body = wire.encode(ExtensionRequest(1))
+        extension = await ask("POST", EXTENSION_PATH, body, _PATIENCE_S)
+        answer = orjson.loads(extension.body)
+        assert extension.status == 200 and answer["promised"] is False and answer["why"]
+        assert (await ask("POST", EXTENSION_PATH, b"{}", _PATIENCE_S)).status == 400
+        assert await world.submit() == 201
+        assert (await ask("GET", CATALOGUE_PATH, None, _PATIENCE_S)).status == 200
+        poll = await ask("GET", PEER_PREFIX + "/v2/runs/wk-000412", None, _PATIENCE_S)
+        assert poll.status == 200
+        shown = await ask("GET", "/admin/state", None, _PATIENCE_S)
+        assert orjson.loads(shown.body)["held_by"] == "lease"
+
+    _in_a_world(scenario)
+
+
 @pytest.mark.parametrize(
     ("content", "named"),
     [("{", "JSON"), ('{"host_name": 3}', "host_name"), (None, "No such file")],
