--- a/tealrill/leadership/open_jobs.py
+++ b/tealrill/leadership/open_jobs.py
@@ -13,6 +13,7 @@
 
 from __future__ import annotations
 
+import asyncio
 import logging
 import math
 from collections.abc import Callable, Iterator, Sequence
@@ -47,6 +48,7 @@
 _LEAST_BOUND_S: Final = 6.0
 """A watch that is answered in its ordinary time comes well within this."""
 _CANCEL_MARGIN_S: Final = 5.0
+_ENDS_READ_AT_ONCE: Final = 24
 _READ_AT_ONCE: Final = 8
 """Cancelled jobs whose bindings are read with one refresh; the others wait for the next."""
 
@@ -161,18 +163,23 @@
             entries, _ = await self._client.scan(f"{RUN_PREFIX}{name}/")
             self._keep_bindings(entries)
             self._bindings_unread.discard(name)
-        for name in list(self._ends_unread)[:_READ_AT_ONCE]:
-            await self._read_end(name)
+        ends = list(self._ends_unread.items())[:_ENDS_READ_AT_ONCE]
+        # Side by side: until an end is read, machines with the job's tasks are renewed by nobody.
+        found = await asyncio.gather(
+            *(self._read_end(*end) for end in ends), return_exceptions=True
+        )
+        for error in found:
+            if error is not None:
+                raise error
 
-    async def _read_end(self, name: str) -> None:
+    async def _read_end(self, name: str, owner: str | None) -> None:
         """When a job was open at the latest that this process never saw open."""
-        owner = self._ends_unread[name]
         end = await self._client.get(over_key(JobId(name)))
         if end is None and owner is not None:
             end = await self._client.get(OVER_PREFIX + owner)
         if end is not None:
             self._last_open[name] = self._client.revisions.not_before(Revision(end.version))
-        del self._ends_unread[name]
+        self._ends_unread.pop(name, None)
 
     async def _load(self) -> None:
         sent = self._now()
