--- a/tests/test_exclusion.py
+++ b/tests/test_exclusion.py
@@ -362,7 +362,7 @@
 
 def _never_written(patch: pytest.MonkeyPatch) -> None:
     """Silence alone keeps a member out."""
-    patch.setattr(Exclusions, "stands", lambda *_: True)
+    patch.setattr(Exclusions, "is_excluded", lambda *_: True)
 
 
 def _hasty(patch: pytest.MonkeyPatch) -> None:
