--- a/tealrill/lab/world.py
+++ b/tealrill/lab/world.py
@@ -313,6 +313,9 @@
         timeout_s: float,
         check: Callable[[], None] | None,
     ) -> Answer:
+        if place.startswith("m-"):
+            # They leave now: what the node learns while they are on their way is too late.
+            self._sends(source, orjson.loads(body or b"{}").get("orders", []))
         await self._way()
         host = self.hosts.get(place)
         if self.apart(source, place) or (place in self.deaf and place.startswith("m-")):
@@ -322,8 +325,6 @@
             raise NoAnswer("refused", False, refused=True)
         if check is not None:
             check()
-        if place.startswith("m-"):
-            self._sends(source, orjson.loads(body or b"{}").get("orders", []))
         answered: asyncio.Future[Reply] = self.loop.create_future()
         work = self._deliver(answered, source, place, method, path, body)
         self.begin(work, host.context if host is not None else None)
