--- a/tealrill/leadership/lease_revocation.py
+++ b/tealrill/leadership/lease_revocation.py
@@ -87,6 +87,7 @@
         self._suspected: KnownLeader | None = None
         self._interruptions_before = 0
         self._attempt: _Attempt | None = None
+        self._mark: tuple[KnownLeader, str] | None = None
 
     async def run(self) -> None:
         while True:
@@ -117,7 +118,10 @@
             self._give_up("somebody leads")
         elif attempt is None:
             leader = self._election.known
-            if self.lost_term is not None and leader is not None and await self._agreed(leader):
+            if self.lost_term is None or leader is None:
+                # A try that brought no answer is over: nothing was ended by it.
+                self._election.revoking = None
+            elif await self._agreed(leader):
                 await self._exclude_members(leader)
         elif attempt.may_stand_at == math.inf:
             await self._end_lease(attempt)
@@ -157,7 +161,7 @@
             return
         # Before the transaction leaves: a promise given after it could prolong the leader's term.
         self._election.revoking = leader.term
-        mark = secrets.token_hex(8)
+        mark = self._mark_for(leader)
         record = wire.plain(ExclusionRecord(leader.term, ends_term=leader.term, mark=mark))
         guards = [
             wire.guard(LEADER_KEY, leader.stamp),
@@ -169,7 +173,11 @@
         changes = [wire.put(exclusion_key(host), record) for host in hosts]
         try:
             result = await self._client.commit(guards, changes)
-            revision = result.revision if isinstance(result, Committed) else None
+            if isinstance(result, Committed):
+                revision: Revision | None = result.revision
+            else:
+                # A try that brought no answer may have been carried out since.
+                revision = await self._read_back(mark)
         except Unknown:
             revision = await self._read_back(mark)
         if revision is None:
@@ -181,6 +189,12 @@
             "term %d: %s is lost and outages keep its lease: it is ended", leader.term, leader.host
         )
 
+    def _mark_for(self, leader: KnownLeader) -> str:
+        """The same for each try against one leader."""
+        if self._mark is None or self._mark[0] != leader:
+            self._mark = (leader, secrets.token_hex(8))
+        return self._mark[1]
+
     async def _read_back(self, mark: str) -> Revision | None:
         """After no answer: the version of this member's record if it was written just now."""
         entry = await self._client.get(exclusion_key(self._host))
--- a/tests/test_lease_revocation.py
+++ b/tests/test_lease_revocation.py
@@ -350,6 +350,54 @@
     assert not (given_up and found.is_excluded(HOSTS[1]))
 
 
+@pytest.mark.parametrize("executed", ["at once", "late", "never"])
+def test_an_exclusion_without_an_answer_is_gone_on_with_or_forgotten(executed: str) -> None:
+    """The member went on refusing its promise to a leader that had come back, or could not go on
+    with what had been carried out after all."""
+    lost = _Lost()
+    held: list[tuple[Any, Any]] = []
+    whole, reach = lost.store.execute, lost.ender.client
+
+    async def commit(guards: Any, changes: Any, paid: bool = False) -> Any:
+        if not held:
+            held.append((guards, changes))
+            if executed == "at once":
+                whole(guards, changes)
+            cast(Any, reach).get = refused
+            raise Unknown("no answer")
+        return await _Interrupted.commit(cast(Any, reach), guards, changes, paid)
+
+    get = reach.get
+
+    async def refused(_: str) -> None:
+        raise Refused("status 503")
+
+    async def scenario() -> None:
+        # Only this member's transaction is on its way.
+        lost.member(HOSTS[2]).revocation.turn = _nothing  # type: ignore[method-assign]
+        await lost.lose()
+        assert held and lost.ender.revocation._attempt is None
+        cast(Any, reach).get = get
+        if executed == "late":
+            whole(*held[0])
+        if executed == "never":
+            lost.world.apart.clear()
+        for _ in range(2):
+            await lost.ender.step("revoke")
+
+    cast(Any, reach).commit = commit
+    asyncio.run(scenario())
+    if executed == "never":
+        assert LEADER_KEY in lost.store.keys
+        assert not lost.ender.election.promise(Token(5), Monotonic(lost.ender.now() + 4.0))
+    else:
+        assert lost.ender.revocation._attempt is not None
+        assert 1 not in lost.store.leases or lost.store.leases[1] <= lost.world.true
+
+
+async def _nothing() -> None: ...
+
+
 # -- when a leader is lost ------------------------------------------------------------------------
 
 
