--- a/tools/variants.py
+++ b/tools/variants.py
@@ -6,12 +6,12 @@
     python3 -m tools.variants days SITE.toml DIR --theme refused --cancelled 0.4 --long-s 200
 
 `refused` has the state service refuse the leader alone and then everybody, with other troubles in
-between; `meetings` has pairs of troubles that broke rules elsewhere, and `shown` those of real
-machines (users who call off, look closely and err; mute machines; answers alone that are lost;
-reports kept for the next leader). A variant keeps the wire file's name, so it belongs beside a copy
-of that file. A day is played by
-`fleetbench run VARIANT.toml DAY.toml --report R.json`; the same seed draws the same days. Figures
-that come of them are of simulated machines.
+between; `flapping` has it go away every second or two while the leader is lost and users cancel;
+`meetings` has pairs of troubles that broke rules elsewhere, and `shown` those of real machines
+(users who call off, look closely and err; mute machines; answers alone that are lost; reports kept
+for the next leader). A variant keeps the wire file's name, so it belongs beside a copy of that
+file. A day is played by `fleetbench run VARIANT.toml DAY.toml --report R.json`; the same seed
+draws the same days. Figures that come of them are of simulated machines.
 """
 
 from __future__ import annotations
@@ -243,6 +243,34 @@
     return [frozen, {**_crash(rng, site), "at_s": round(rng.uniform(0.0, for_s), 1)}]
 
 
+def _flapping(rng: random.Random, site: Site) -> list[Fault]:
+    """The state service goes away again and again while the leader is lost and users cancel."""
+    for_s = round(site.cancel_s + rng.uniform(6.0, 20.0), 1)
+    whole = {"count": 1, "busiest": True, "for_s": for_s, "at_s": 0.0}
+    found: list[Fault] = [
+        rng.choice(
+            [
+                {"kind": "node_freeze", **whole},
+                {"kind": "node_down", **whole},
+                {
+                    "kind": "node_cut",
+                    "from_state": True,
+                    "from_peers": True,
+                    "mode": "hold",
+                    **whole,
+                },
+            ]
+        )
+    ]
+    at_s = 1.0
+    while at_s < for_s:
+        down_s = round(rng.uniform(0.8, 2.0), 2)
+        found.append({"kind": "state_outage", "for_s": down_s, "at_s": round(at_s, 2)})
+        at_s += down_s + rng.uniform(0.4, 1.2)
+    cancelled_at = [0.3, *(rng.uniform(1.0, 0.4 * for_s) for _ in range(4))]
+    return found + [{**_cancel_now(rng), "at_s": round(at, 2)} for at in cancelled_at]
+
+
 # -- meetings of troubles -------------------------------------------------------------------------
 
 
@@ -499,6 +527,7 @@
     "falls": (_hung, _spot, _in_fall),
     "surges": (_surge, _in_fall),
     "refused": (_refused,),
+    "flapping": (_flapping,),
     "meetings": (
         _refused, _cut_off, _ends_among_deaf, _late_and_ended, _late_copies, _held, _slow_outage,
         _volley, _rolled,
