--- a/tealrill/lab/__main__.py
+++ b/tealrill/lab/__main__.py
@@ -2,6 +2,7 @@
 
     python3 -m tealrill.lab hunt --days 20 --seed 1
     python3 -m tealrill.lab hunt --days 1 --seed 17 --log
+    python3 -m tealrill.lab digest tests/data/day_digests.json
 
 Exit status 1 if a rule broke, with the day's seed and its troubles. What a day shows is of the
 simulated world that docs/design.md tells of.
@@ -11,9 +12,11 @@
 
 import logging
 import sys
+from pathlib import Path
 
 import click
 
+from tealrill.lab.day_digests import differing_days, read_days, write_days
 from tealrill.lab.world import Shape, play
 
 
@@ -58,5 +61,23 @@
         sys.exit(1)
 
 
+@main.command()
+@click.argument("file", type=click.Path(dir_okay=False, path_type=Path))
+@click.option("--jobs", type=click.IntRange(min=1), default=4, help="Processes side by side.")
+@click.option("--record", is_flag=True, help="Write the digests of this code into the file.")
+def digest(file: Path, jobs: int, record: bool) -> None:
+    """Plays the days of FILE and holds their digests against those recorded in it."""
+    if record:
+        write_days(file, jobs)
+        return
+    days = read_days(file)
+    differing = differing_days(days, jobs)
+    for day in differing:
+        click.echo(f"{day.name}: not the recorded digest")
+    click.echo(f"{len(days) - len(differing)} of {len(days)} days as recorded")
+    if differing:
+        sys.exit(1)
+
+
 if __name__ == "__main__":
     main()
--- /dev/null
+++ b/tealrill/lab/graph_users.py
@@ -0,0 +1,55 @@
+"""Users of the simulation who submit small graphs of dependent jobs."""
+
+from __future__ import annotations
+
+import asyncio
+from typing import TYPE_CHECKING, Any, Final
+
+import orjson
+
+from tealrill.graphs.intake import GraphIntake
+from tealrill.graphs.model import node_id
+from tealrill.lab.outside import Description
+
+if TYPE_CHECKING:
+    from tealrill.lab.world import World
+
+_NODES: Final = ({"key": "a", "after": []}, {"key": "b", "after": ["a"]})
+_RUN_S: Final = 4.0
+_VCPUS: Final = 2.0
+_PAUSE_S: Final = (8.0, 20.0)
+"""Between two graphs, from and to."""
+_JOB: Final[dict[str, Any]] = {
+    "lineup": "any", "shape": "sweep", "urgency": "urgent", "pieces": 1, "vcpus": _VCPUS,
+    "gpus": 0.0, "memoryGb": 1.0, "bundle": "img", "sizeGb": 0.1, "builds": None, "hall": None,
+    "samePlace": False, "scatter": False, "loaners": True, "guessS": _RUN_S, "snapshotS": 0.0,
+    "flushS": 0.0, "dueS": None,
+}  # fmt: skip
+
+
+async def submit_graphs(world: World, teams: tuple[str, ...], until_s: float) -> None:
+    """Submit a graph of two nodes every few seconds, each to a node drawn by chance."""
+    number = 0
+    while world.now() < until_s:
+        await asyncio.sleep(world.rng.uniform(*_PAUSE_S))
+        number += 1
+        graph = f"graph{number}"
+        job = {**_JOB, "crew": world.rng.choice(teams)}
+        for index in range(len(_NODES)):
+            name = node_id(graph, index)
+            world.descriptions[name] = Description(1, _RUN_S, _VCPUS)
+            world.add_foreign_job(name, {**job, "id": name})
+        await _submit(world, orjson.dumps({"id": graph, "defaults": job, "nodes": list(_NODES)}))
+
+
+async def _submit(world: World, body: bytes) -> None:
+    host = world.rng.choice(list(world.hosts.values()))
+    if host.node is None or host.name in world.frozen:
+        return
+    for subsystem in host.node.subsystems:
+        if isinstance(subsystem.names, GraphIntake):
+            task = world.begin(subsystem.names.submit(body), host.context)
+            await asyncio.wait({task}, timeout=5.0)
+            if task.done() and not task.cancelled() and task.exception() is None:
+                reply = task.result()
+                world.digest.add(world.now(), host.name, body, reply.status, reply.body)
--- a/tealrill/lab/outside.py
+++ b/tealrill/lab/outside.py
@@ -45,6 +45,8 @@
         self.slow_s = 0.0
         self.scan_s = 0.0
         """Reading a range takes so long."""
+        self.written: Callable[[list[dict[str, Any]]], None] = lambda _: None
+        """Called with the changes of each transaction that is carried out."""
         self._numbers = 0
         self._changed = asyncio.Event()
         self._tasks: set[asyncio.Task[None]] = set()
@@ -70,6 +72,7 @@
             self._apply([{"delete": key}])
 
     def _apply(self, changes: list[dict[str, Any]]) -> None:
+        self.written(changes)
         self.epoch += 1
         for change in changes:
             if "set" in change:
--- a/tealrill/lab/world.py
+++ b/tealrill/lab/world.py
@@ -17,10 +17,12 @@
 from tealrill import http, settings, wire
 from tealrill.api.relay import PEER_PREFIX
 from tealrill.controller import Node
+from tealrill.features import Features, GraphFeatures
 from tealrill.fleet import prober
 from tealrill.fleet.catalogue import CATALOGUE_PATH
 from tealrill.http import Answer, NoAnswer
-from tealrill.lab.clock import Loop, simulated
+from tealrill.lab.clock import Loop, NumberedTask, simulated
+from tealrill.lab.graph_users import submit_graphs
 from tealrill.lab.outside import (
     Cloud,
     Description,
@@ -31,6 +33,7 @@
     Worker,
     job_of,
 )
+from tealrill.lab.traffic_digest import TrafficDigest
 from tealrill.leadership.lease_extension import EXTENSION_PATH, PING_PATH, ExtensionRequest
 from tealrill.settings import Address, Settings
 from tealrill.state.intake import Reply as UserReply
@@ -58,12 +61,12 @@
 
 
 def _task(
-    loop: asyncio.AbstractEventLoop,
+    loop: Loop,
     work: Coroutine[Any, Any, Any],
     context: contextvars.Context | None = None,
 ) -> asyncio.Task[Any]:
     """A task, counted among those of the process that began it."""
-    found = asyncio.Task(work, loop=loop, context=context)
+    found = NumberedTask(work, loop=loop, context=context)
     process = context.get(_PROCESS) if context is not None else _PROCESS.get(None)
     if process is not None:
         process.tasks[found] = None
@@ -90,6 +93,8 @@
     """The share of jobs that are cancelled some time."""
     zoned: float = 1 / 3
     """The share of larger jobs with a rule about zones."""
+    graphs: bool = False
+    """Users submit graphs of dependent jobs too."""
 
     def settings(self, number: int) -> Settings:
         hosts = [f"host-{n}" for n in range(self.nodes)]
@@ -118,6 +123,10 @@
         }  # fmt: skip
         return settings.parse(orjson.dumps(values))
 
+    def features(self) -> Features:
+        """What is switched on at every node."""
+        return Features(graphs=GraphFeatures(on=self.graphs))
+
 
 def _zone(number: int) -> str:
     return ("north", "south")[number % 2]
@@ -182,7 +191,10 @@
 
     def __init__(self, loop: Loop, rng: random.Random, shape: Shape) -> None:
         self.loop, self.rng, self.shape = loop, rng, shape
+        self.digest = TrafficDigest()
+        """Over all that crosses the network and all that is written to the state service."""
         self.state = State(rng, self.now)
+        self.state.written = lambda changes: self.digest.add(self.now(), _STATE, changes)
         self.cloud = Cloud(rng, self.now, shape.machines)
         self.cloud.booted, self.cloud.taken = self._rented, self._taken
         self.hosts = {f"host-{n}": Host(f"host-{n}") for n in range(shape.nodes)}
@@ -299,6 +311,7 @@
         if place.startswith("m-"):
             # They leave now: what the node learns while they are on their way is too late.
             self._sends(source, orjson.loads(body or b"{}").get("orders", []))
+        self.digest.add(self.now(), source, place, method, path, body or b"")
         await self._way()
         host = self.hosts.get(place)
         if self.apart(source, place) or (place in self.deaf and place.startswith("m-")):
@@ -321,6 +334,7 @@
             raise NoAnswer("StreamClosedError", True)
         answer = Answer()
         answer.status, answer.body, answer.complete = status, orjson.dumps(value), True
+        self.digest.add(self.now(), place, source, status, answer.body)
         return answer
 
     async def _deliver(
@@ -395,7 +409,7 @@
         host.process = Process(host.name)
         host.context.run(_PROCESS.set, host.process)
         number = int(host.name.removeprefix("host-"))
-        host.node = host.context.run(_Silent, self.shape.settings(number))
+        host.node = host.context.run(_Silent, self.shape.settings(number), self.shape.features())
         task = self.begin(host.node.run(), host.context)
         task.add_done_callback(lambda task: self._ended(host, task))
 
@@ -519,6 +533,7 @@
             return None
         found = wire.decode(orjson.dumps(message), wire.Report)
         status, answer = host.context.run(node.take_report, found, MachineId(found.machine))
+        self.digest.add(self.now(), name, message, status, answer)
         self._sends(name, answer.get("orders", []))
         return status, answer
 
@@ -575,7 +590,13 @@
         done, _ = await asyncio.wait({task}, timeout=patience_s)
         if not done or host.node is not node or task.cancelled() or task.exception() is not None:
             return None
-        return _of(task.result())
+        reply = _of(task.result())
+        self.digest.add(self.now(), host.name, method, path, raw or b"", *reply)
+        return reply
+
+    def add_foreign_job(self, name: str, body: dict[str, Any]) -> None:
+        """A job that no user of its own submits and asks about."""
+        self.jobs[name] = UserJob(name, body)
 
     async def user(self, job: UserJob) -> None:
         """Submits, polls and perhaps cancels one job, as the protocol has users do."""
@@ -949,6 +970,8 @@
     world.begin(world.successions())
     world.begin(world.odd_requests())
     world.begin(_arrivals(world, trouble_s))
+    if world.shape.graphs:
+        world.begin(submit_graphs(world, TEAMS, trouble_s))
     await asyncio.sleep(20.0)
     await script(world)
     world.calm_since = world.now()
--- a/tealrill/leader.py
+++ b/tealrill/leader.py
@@ -493,7 +493,9 @@
 
     def _committed(self, chunks: list[Chunk]) -> None:
         """Bindings in these chunks may be started now."""
-        for machine_id in {b.machine for chunk in chunks for b in self.book.untold(chunk)}:
+        # Not a set: the order of the commands would differ from process to process.
+        found = {b.machine: None for chunk in chunks for b in self.book.untold(chunk)}
+        for machine_id in found:
             machine = self.fleet.machines.get(machine_id)
             if machine is not None:
                 self._command_now(machine)
