--- a/tealrill/api/relay.py
+++ b/tealrill/api/relay.py
@@ -17,7 +17,7 @@
 from tealrill import wire
 from tealrill.http import NoAnswer, peer_clients
 from tealrill.settings import Settings
-from tealrill.state.intake import Reply
+from tealrill.state.admission import Reply
 from tealrill.types import Monotonic, monotonic_now
 
 log = logging.getLogger(__name__)
--- a/tealrill/api/users.py
+++ b/tealrill/api/users.py
@@ -6,7 +6,7 @@
 
 from tealrill.api.base import JsonHandler
 from tealrill.api.relay import Users
-from tealrill.state.intake import Reply
+from tealrill.state.admission import Reply
 
 
 class _IntakeHandler(JsonHandler):
--- a/tealrill/cli/__init__.py
+++ b/tealrill/cli/__init__.py
@@ -15,8 +15,8 @@
 import click
 
 from tealrill import __version__, features
-from tealrill.controller import configure_logging
-from tealrill.controller import serve as serve_node
+from tealrill.daemon import configure_logging
+from tealrill.daemon import serve as serve_node
 from tealrill.http import Client, NoAnswer
 from tealrill.settings import BadSettings, load, parse_address
 
--- a/tealrill/client/__init__.py
+++ b/tealrill/client/__init__.py
@@ -19,7 +19,9 @@
         ready, rest = run.wait(num_returns=1, timeout_s=60)
 """
 
-from tealrill.client.calls import (
+from tealrill.client.connection import AsyncClient, AsyncRun, Client, Run
+from tealrill.client.graph import Graph, ObjectRef, Task, each, ended, failed
+from tealrill.client.protocol import (
     BadRequest,
     ClientError,
     GaveUp,
@@ -27,8 +29,6 @@
     Response,
     Retry,
 )
-from tealrill.client.connection import AsyncClient, AsyncRun, Client, Run
-from tealrill.client.graph import Graph, ObjectRef, Task, each, ended, failed
 
 __all__ = [
     "AsyncClient",
--- a/tealrill/client/connection.py
+++ b/tealrill/client/connection.py
@@ -10,9 +10,9 @@
 
 import httpx
 
-from tealrill.client import calls
-from tealrill.client.calls import Call, Clock, Pause, Request, Response, Retry
+from tealrill.client import protocol
 from tealrill.client.graph import Graph, ObjectRef
+from tealrill.client.protocol import Call, Clock, Pause, Request, Response, Retry
 
 T = TypeVar("T")
 
@@ -27,7 +27,7 @@
 
 
 def _response(answer: httpx.Response) -> Response:
-    return calls.read(answer.status_code, answer.content, answer.headers.get("Retry-After"))
+    return protocol.read(answer.status_code, answer.content, answer.headers.get("Retry-After"))
 
 
 class _Turns:
@@ -61,7 +61,7 @@
 ) -> Call[set[str]]:
     ids = [ref.id for ref in refs]
     wanted = len(ids) if count is None else count
-    return calls.wait(client.clock, client.retry, graph, ids, wanted, timeout_s, poll_s)
+    return protocol.wait(client.clock, client.retry, graph, ids, wanted, timeout_s, poll_s)
 
 
 def _parted(refs: Sequence[ObjectRef], over: set[str]) -> tuple[list[ObjectRef], list[ObjectRef]]:
@@ -154,28 +154,28 @@
 
     def submit_graph(self, head: dict[str, Any], nodes: Sequence[dict[str, Any]]) -> dict[str, Any]:
         """The same in the protocol's words."""
-        return self.do(calls.submit_graph(self.clock, self.retry, head, nodes))
+        return self.do(protocol.submit_graph(self.clock, self.retry, head, nodes))
 
     def show_graph(self, graph: str) -> dict[str, Any]:
-        return self.do(calls.show_graph(self.clock, self.retry, graph))
+        return self.do(protocol.show_graph(self.clock, self.retry, graph))
 
     def list_nodes(
         self, graph: str, state: str | None = None, most: int | None = None
     ) -> list[dict[str, Any]]:
-        return self.do(calls.list_nodes(self.clock, self.retry, graph, state, most))
+        return self.do(protocol.list_nodes(self.clock, self.retry, graph, state, most))
 
     def cancel_graph(self, graph: str) -> dict[str, Any]:
-        return self.do(calls.cancel_graph(self.clock, self.retry, graph))
+        return self.do(protocol.cancel_graph(self.clock, self.retry, graph))
 
     def submit_job(self, job: dict[str, Any]) -> dict[str, Any]:
         """A plain job in the protocol's words."""
-        return self.do(calls.submit_job(self.clock, self.retry, job))
+        return self.do(protocol.submit_job(self.clock, self.retry, job))
 
     def job_status(self, job_id: str) -> dict[str, Any]:
-        return self.do(calls.job_status(self.clock, self.retry, job_id))
+        return self.do(protocol.job_status(self.clock, self.retry, job_id))
 
     def cancel_job(self, job_id: str) -> dict[str, Any]:
-        return self.do(calls.cancel_job(self.clock, self.retry, job_id))
+        return self.do(protocol.cancel_job(self.clock, self.retry, job_id))
 
 
 class AsyncRun:
@@ -260,24 +260,24 @@
     async def submit_graph(
         self, head: dict[str, Any], nodes: Sequence[dict[str, Any]]
     ) -> dict[str, Any]:
-        return await self.do(calls.submit_graph(self.clock, self.retry, head, nodes))
+        return await self.do(protocol.submit_graph(self.clock, self.retry, head, nodes))
 
     async def show_graph(self, graph: str) -> dict[str, Any]:
-        return await self.do(calls.show_graph(self.clock, self.retry, graph))
+        return await self.do(protocol.show_graph(self.clock, self.retry, graph))
 
     async def list_nodes(
         self, graph: str, state: str | None = None, most: int | None = None
     ) -> list[dict[str, Any]]:
-        return await self.do(calls.list_nodes(self.clock, self.retry, graph, state, most))
+        return await self.do(protocol.list_nodes(self.clock, self.retry, graph, state, most))
 
     async def cancel_graph(self, graph: str) -> dict[str, Any]:
-        return await self.do(calls.cancel_graph(self.clock, self.retry, graph))
+        return await self.do(protocol.cancel_graph(self.clock, self.retry, graph))
 
     async def submit_job(self, job: dict[str, Any]) -> dict[str, Any]:
-        return await self.do(calls.submit_job(self.clock, self.retry, job))
+        return await self.do(protocol.submit_job(self.clock, self.retry, job))
 
     async def job_status(self, job_id: str) -> dict[str, Any]:
-        return await self.do(calls.job_status(self.clock, self.retry, job_id))
+        return await self.do(protocol.job_status(self.clock, self.retry, job_id))
 
     async def cancel_job(self, job_id: str) -> dict[str, Any]:
-        return await self.do(calls.cancel_job(self.clock, self.retry, job_id))
+        return await self.do(protocol.cancel_job(self.clock, self.retry, job_id))
--- a/tealrill/controller.py
+++ b/tealrill/daemon.py
@@ -21,11 +21,11 @@
 from tealrill.api.peers import CatalogueHandler, LeaseExtensionHandler, PingHandler
 from tealrill.api.relay import PEER_PREFIX, Relay, Users
 from tealrill.api.users import CancelHandler, HealthHandler, JobHandler, JobsHandler
+from tealrill.extensions import Subsystem
 from tealrill.features import Features
 from tealrill.fleet.catalogue import CATALOGUE_PATH, Catalogues
 from tealrill.fleet.cloud import Cloud
-from tealrill.fleet.giveway import GiveWay
-from tealrill.leader import Leader
+from tealrill.leader.leader import Leader
 from tealrill.leadership.election import Election, is_held_by_lease
 from tealrill.leadership.lease_extension import (
     EXTENSION_PATH,
@@ -36,13 +36,13 @@
 )
 from tealrill.leadership.lease_revocation import LeaseRevocation
 from tealrill.leadership.renewal_delegation import RenewalDelegate
-from tealrill.scheduler import silence
+from tealrill.leadership.transfer import GiveWay
+from tealrill.scheduler import failure_detector
 from tealrill.scheduler.estimates import Estimates
-from tealrill.seam import Subsystem
 from tealrill.settings import Settings, parse_address
+from tealrill.state.admission import Intake
 from tealrill.state.client import StateClient
 from tealrill.state.fencing import Leadership
-from tealrill.state.intake import Intake
 from tealrill.types import JobId, MachineId, Monotonic, monotonic_now
 
 log = logging.getLogger(__name__)
@@ -124,7 +124,7 @@
         """What is off is not even imported."""
         found: list[Subsystem] = []
         if self._features.graphs.on:
-            from tealrill.graphs.subsystem import graphs
+            from tealrill.graphs.extension import graphs
 
             found.append(
                 graphs(
@@ -305,7 +305,7 @@
                 continue
             if now - last > self._silent_s:
                 await self.election.resign("no worker reports any more", _RESIGN_PAUSE_S)
-            elif silence.hears_nobody(now - last, heard, self._report_s) and (
+            elif failure_detector.hears_nobody(now - last, heard, self._report_s) and (
                 await self._giveway.better(heard)
             ):
                 await self.election.resign("workers report to others only", _RESIGN_PAUSE_S)
--- a/tealrill/seam.py
+++ b/tealrill/extensions.py
@@ -13,11 +13,11 @@
 from tealrill import wire
 from tealrill.scheduler.model import JobView
 from tealrill.settings import Settings
-from tealrill.state.book import Book, Job, Owner
+from tealrill.state.admission import Names
 from tealrill.state.client import StateClient
 from tealrill.state.fencing import Leadership
-from tealrill.state.intake import Names
-from tealrill.state.keeper import Keeper
+from tealrill.state.job_store import Book, Job, Owner
+from tealrill.state.write_batcher import Keeper
 from tealrill.types import Monotonic, Revision
 
 
--- a/tealrill/fleet/cloud.py
+++ b/tealrill/fleet/cloud.py
@@ -9,7 +9,7 @@
 from tealrill import wire
 from tealrill.http import Answer, Client, NoAnswer
 from tealrill.settings import parse_address
-from tealrill.state.budget import Budget, Rank
+from tealrill.state.rate_limiter import Budget, Rank
 from tealrill.types import MachineId
 
 log = logging.getLogger(__name__)
--- a/tealrill/fleet/dispatch.py
+++ b/tealrill/fleet/dispatch.py
@@ -9,11 +9,12 @@
 
 from tealrill import wire
 from tealrill.fleet.machines import Fleet, Machine
-from tealrill.fleet.rental import Renter
-from tealrill.scheduler import capacity, silence
+from tealrill.fleet.provisioning import Renter
+from tealrill.scheduler import capacity, failure_detector
 from tealrill.scheduler.capacity import Offer, Rental
+from tealrill.scheduler.capacity_losses import Losses
 from tealrill.scheduler.estimates import Estimates, Sizes
-from tealrill.scheduler.losses import Losses
+from tealrill.scheduler.failure_detector import Hearing, Verdict
 from tealrill.scheduler.model import (
     Expected,
     JobView,
@@ -27,9 +28,8 @@
     remaining_s,
 )
 from tealrill.scheduler.plan import plan
-from tealrill.scheduler.silence import Hearing, Verdict
 from tealrill.settings import Params
-from tealrill.state.book import Binding, Book, Job
+from tealrill.state.job_store import Binding, Book, Job
 from tealrill.types import JobId, MachineId, Monotonic, Revision, Wall
 
 log = logging.getLogger(__name__)
@@ -76,7 +76,7 @@
         self._estimates = estimates
         self._params = params
         self._command_now = command_now
-        self._silence_s = silence.silent_after_s(params.workers.report_s)
+        self._silence_s = failure_detector.silent_after_s(params.workers.report_s)
         self.hearing: Callable[[], Hearing] = lambda: _ALL_HEARD
         """What the silence of machines means, as it was judged last."""
         self._losses = Losses()
@@ -222,7 +222,7 @@
             if silent_s <= self._silence_s or _boots(machine, verdict):
                 continue
             kind = self._renter.type_of(machine.type)
-            back_s = silence.back_in_s(verdict, silent_s)
+            back_s = failure_detector.back_in_s(verdict, silent_s)
             if kind is not None and back_s is not None and back_s <= kind.boot_s:
                 found.append(self._seen(machine, kind, Monotonic(now + back_s)))
         return found
@@ -645,7 +645,7 @@
         for 35 s behind a partition that did not concern them.
         """
         silent_s = self._fleet.unheard_s(machine, now)
-        return machine.unlisted >= silence.LISTS or silent_s > self._params.workers.lease_s
+        return machine.unlisted >= failure_detector.LISTS or silent_s > self._params.workers.lease_s
 
     def _return_unheard(self, machine: Machine, now: Monotonic) -> None:
         """The cloud says that it runs, its worker has not come, and its zone is heard."""
--- a/tealrill/fleet/intents.py
+++ b/tealrill/fleet/intent_log.py
@@ -8,7 +8,7 @@
 
 Wanted: per record a value, or none. What is: what the state service holds. One change of a record
 is on its way at a time; the difference is worked off when it is answered. No I/O here: changes are
-joined to the leader's transactions (`state/keeper.py`).
+joined to the leader's transactions (`state/write_batcher.py`).
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 from tealrill import wire
 from tealrill.fleet.cloud import MOST_RELEASED
 from tealrill.scheduler.capacity import Rental
-from tealrill.state.keeper import Joined
+from tealrill.state.write_batcher import Joined
 from tealrill.types import (
     ABSENT,
     MachineId,
--- a/tealrill/fleet/machines.py
+++ b/tealrill/fleet/machines.py
@@ -23,10 +23,10 @@
 from typing import Any, Final
 
 from tealrill import wire
-from tealrill.scheduler.blame import Blame
 from tealrill.scheduler.capacity import Kind
+from tealrill.scheduler.failure_attribution import Blame
 from tealrill.scheduler.model import MachineView
-from tealrill.state.book import Binding, Book, Chunk, Job, Stop
+from tealrill.state.job_store import Binding, Book, Chunk, Job, Stop
 from tealrill.types import (
     CLOCK_DRIFT,
     Attempt,
--- a/tealrill/fleet/prober.py
+++ b/tealrill/fleet/prober.py
@@ -2,7 +2,8 @@
 
 Wanted: of every machine that has missed a report, whether anything at its address takes
 connections. What is: the attempts made so far. The loop works off the difference, a bounded number
-at a time, and then judges the whole fleet (`scheduler/silence.py`). While all are heard it does one
+at a time, and then judges the whole fleet (`scheduler/failure_detector.py`).
+While all are heard it does one
 comparison a machine.
 
 Nothing here proves that a task is gone, and no answer renews a lease.
@@ -17,8 +18,8 @@
 
 from tealrill.fleet.machines import Fleet, Machine
 from tealrill.http import accepts
-from tealrill.scheduler import silence
-from tealrill.scheduler.silence import Hearing, Sign, Verdict
+from tealrill.scheduler import failure_detector
+from tealrill.scheduler.failure_detector import Hearing, Sign, Verdict
 from tealrill.settings import Address, BadSettings, parse_address
 from tealrill.types import MachineId, Monotonic, monotonic_now
 
@@ -78,7 +79,7 @@
     def look(self, now: Monotonic) -> list[Machine]:
         """Judges what is known by now; the machines to be tried next, the longest untried first."""
         known = [m for m in self._fleet.machines.values() if m.up and m.zone]
-        missed_s = silence.live_within_s(self._report_s)
+        missed_s = failure_detector.live_within_s(self._report_s)
         silent = [m for m in known if self._fleet.unheard_s(m, now) > missed_s and not m.releasing]
         if not silent:
             self._judge([], now)
@@ -99,7 +100,7 @@
         return due[: max(0, max(_FEWEST, min(_MOST, self._spare())) - len(self._under_way))]
 
     def _judge(self, known: list[Machine], now: Monotonic) -> None:
-        hearing = silence.judge((self._sign(m, now) for m in known), self._report_s)
+        hearing = failure_detector.judge((self._sign(m, now) for m in known), self._report_s)
         healed = self.hearing.cut_zones - hearing.cut_zones
         if healed:
             # What was tried in vain through a cut says nothing of the machine: 40 good ones were
@@ -107,7 +108,7 @@
             for machine in known:
                 if machine.zone in healed:
                     machine.misses = 0
-            hearing = silence.judge((self._sign(m, now) for m in known), self._report_s)
+            hearing = failure_detector.judge((self._sign(m, now) for m in known), self._report_s)
         if hearing == self.hearing:
             return
         self._tell(hearing)
--- a/tealrill/fleet/rental.py
+++ b/tealrill/fleet/provisioning.py
@@ -4,7 +4,7 @@
 here work off the difference. A request without an answer is repeated under its name until it gets
 one, since a name that was answered 200 rents nothing more.
 
-Nothing is asked for that is not recorded first (`fleet/intents.py`), and nothing leaves once the
+Nothing is asked for that is not recorded first (`fleet/intent_log.py`), and nothing leaves once the
 term may be over: whoever leads next reads the records and goes on.
 """
 
@@ -17,11 +17,11 @@
 from typing import Any, Final
 
 from tealrill import wire
+from tealrill.fleet.capacity_backoff import Refusals
 from tealrill.fleet.cloud import MOST_RELEASED, MOST_RENTED, Cloud, CloudError, NoCapacity
-from tealrill.fleet.intents import Intents
+from tealrill.fleet.intent_log import Intents
 from tealrill.fleet.machines import Fleet, Machine
-from tealrill.fleet.refusals import Refusals
-from tealrill.scheduler.boots import Boots
+from tealrill.scheduler.boot_times import Boots
 from tealrill.scheduler.capacity import Kind, Offer, Rental
 from tealrill.state.fencing import Duty, Replaced
 from tealrill.types import MachineId, Monotonic, Token, Wall, monotonic_now, parse_machine_id
--- a/tealrill/graphs/intake.py
+++ b/tealrill/graphs/admission.py
@@ -36,15 +36,7 @@
 from tealrill.graphs.records import BadGraphRecord, Head, Over, Packed
 from tealrill.graphs.tracker import STATES
 from tealrill.settings import Settings
-from tealrill.state.book import (
-    JOB_PREFIX,
-    OUTCOME_CANCELLED,
-    OUTCOME_SKIPPED,
-    OVER_PREFIX,
-    job_key,
-    over_key,
-)
-from tealrill.state.budget import Rank
+from tealrill.state.admission import Intake, Nameless, Reply
 from tealrill.state.client import (
     Busy,
     Committed,
@@ -55,7 +47,15 @@
     StateError,
     Unknown,
 )
-from tealrill.state.intake import Intake, Nameless, Reply
+from tealrill.state.job_store import (
+    JOB_PREFIX,
+    OUTCOME_CANCELLED,
+    OUTCOME_SKIPPED,
+    OVER_PREFIX,
+    job_key,
+    over_key,
+)
+from tealrill.state.rate_limiter import Rank
 from tealrill.types import ABSENT, JobId, Revision, parse_job_id, wall_now
 
 log = logging.getLogger(__name__)
--- a/tealrill/graphs/api.py
+++ b/tealrill/graphs/api.py
@@ -7,9 +7,9 @@
 
 from tealrill.api.base import JsonHandler
 from tealrill.api.relay import PEER_PREFIX, Relay
-from tealrill.graphs.intake import GraphIntake
+from tealrill.graphs.admission import GraphIntake
 from tealrill.graphs.model import MOST_PARTS
-from tealrill.state.intake import Reply
+from tealrill.state.admission import Reply
 
 GRAPHS_PATH: Final = "/v2/graphs"
 COUNTS_PATH: Final = "/peer/graphs"
--- a/tealrill/graphs/subsystem.py
+++ b/tealrill/graphs/extension.py
@@ -4,16 +4,16 @@
 
 from tealrill import wire
 from tealrill.api.relay import Relay
+from tealrill.extensions import Subsystem, Term, TermPart
 from tealrill.features import GraphFeatures
+from tealrill.graphs.admission import GraphIntake
 from tealrill.graphs.api import COUNTS_PATH, peer_routes, user_routes
-from tealrill.graphs.intake import GraphIntake
-from tealrill.graphs.term import GraphTerm
+from tealrill.graphs.leader_extension import GraphTerm
 from tealrill.http import NoAnswer, peer_clients
 from tealrill.leadership.election import Election
-from tealrill.seam import Subsystem, Term, TermPart
 from tealrill.settings import Settings
+from tealrill.state.admission import Intake
 from tealrill.state.client import StateClient
-from tealrill.state.intake import Intake
 from tealrill.types import monotonic_now
 
 _ASK_S = 0.5
--- a/tealrill/graphs/term.py
+++ b/tealrill/graphs/leader_extension.py
@@ -23,6 +23,7 @@
 import msgspec
 
 from tealrill import wire
+from tealrill.extensions import Term
 from tealrill.features import GraphFeatures
 from tealrill.graphs import records
 from tealrill.graphs.model import BadGraph, Node, Shape, node_id, node_spec, parse_node_id, resolve
@@ -35,8 +36,8 @@
     outcome_state,
 )
 from tealrill.scheduler.model import JobView
-from tealrill.seam import Term
-from tealrill.state.book import (
+from tealrill.state.client import StateError
+from tealrill.state.job_store import (
     JOB_PREFIX,
     OUTCOME_CANCELLED,
     OUTCOME_DONE,
@@ -46,8 +47,7 @@
     job_key,
     over_key,
 )
-from tealrill.state.client import StateError
-from tealrill.state.keeper import Joined
+from tealrill.state.write_batcher import Joined
 from tealrill.types import ABSENT, JobId, Monotonic, Revision, monotonic_now, parse_job_id, wall_now
 
 log = logging.getLogger(__name__)
--- a/tealrill/graphs/records.py
+++ b/tealrill/graphs/records.py
@@ -26,7 +26,7 @@
 
 from tealrill import wire
 from tealrill.graphs.model import Node, Retries
-from tealrill.state.book import JOB_PREFIX, OUTCOME_CANCELLED, OUTCOME_DONE, OVER_PREFIX
+from tealrill.state.job_store import JOB_PREFIX, OUTCOME_CANCELLED, OUTCOME_DONE, OVER_PREFIX
 from tealrill.types import JobId
 
 PART_PREFIX: Final = "part/"
--- /dev/null
+++ b/tealrill/leader/__init__.py
@@ -0,0 +1,1 @@
+"""One term of leadership: its records, its loops and what it decides."""
--- a/tealrill/leader.py
+++ b/tealrill/leader/leader.py
@@ -12,13 +12,14 @@
 import msgspec
 
 from tealrill import wire
+from tealrill.extensions import Term, TermPart
 from tealrill.fleet.cloud import Cloud
+from tealrill.fleet.connections import Lines
 from tealrill.fleet.dispatch import RENT_EVERY_S, Dispatcher
-from tealrill.fleet.intents import CLOUD_PREFIX, Intents
-from tealrill.fleet.lines import Lines
+from tealrill.fleet.intent_log import CLOUD_PREFIX, Intents
 from tealrill.fleet.machines import Finished, Fleet, Machine, NewerToken
 from tealrill.fleet.prober import Prober
-from tealrill.fleet.rental import Renter
+from tealrill.fleet.provisioning import Renter
 from tealrill.http import NoAnswer
 from tealrill.leadership.election import Election
 from tealrill.leadership.exclusion import Exclusions
@@ -27,9 +28,10 @@
 from tealrill.leadership.renewal_delegation import DELEGATION_S, Delegations
 from tealrill.scheduler.estimates import Estimates
 from tealrill.scheduler.model import JobView
-from tealrill.seam import Term, TermPart
 from tealrill.settings import BadSettings, Settings
-from tealrill.state.book import (
+from tealrill.state.client import StateClient, StateError
+from tealrill.state.fencing import Duty, Leadership
+from tealrill.state.job_store import (
     JOB_PREFIX,
     OUTCOME_CANCELLED,
     OUTCOME_DONE,
@@ -42,9 +44,7 @@
     Owner,
     over_key,
 )
-from tealrill.state.client import StateClient, StateError
-from tealrill.state.fencing import Duty, Leadership
-from tealrill.state.keeper import Deposed, Keeper
+from tealrill.state.write_batcher import Deposed, Keeper
 from tealrill.types import (
     JobId,
     MachineId,
--- a/tealrill/leadership/election.py
+++ b/tealrill/leadership/election.py
@@ -20,7 +20,7 @@
 import msgspec
 
 from tealrill import wire
-from tealrill.changes import ChangeLog
+from tealrill.change_log import ChangeLog
 from tealrill.state.client import (
     Committed,
     Failed,
--- a/tealrill/leadership/lease_extension.py
+++ b/tealrill/leadership/lease_extension.py
@@ -18,7 +18,7 @@
 import msgspec
 
 from tealrill import wire
-from tealrill.changes import ChangeLog
+from tealrill.change_log import ChangeLog
 from tealrill.http import Client, NoAnswer, peer_clients
 from tealrill.leadership.election import READMISSION_S, TTL_S
 from tealrill.leadership.open_jobs import cancel_spare_s, renewal_bound_s
@@ -62,7 +62,7 @@
 
     leads: bool
     reports: int = 0
-    """Workers' reports that came to this node lately (`fleet/giveway.py`)."""
+    """Workers' reports that came to this node lately (`leadership/transfer.py`)."""
     lost_term: int | None = None
     """The term whose leader it finds lost (`lease_revocation.py`)."""
 
--- a/tealrill/leadership/open_jobs.py
+++ b/tealrill/leadership/open_jobs.py
@@ -21,7 +21,8 @@
 
 from tealrill import wire
 from tealrill.settings import Workers
-from tealrill.state.book import (
+from tealrill.state.client import StateClient, StateError
+from tealrill.state.job_store import (
     JOB_PREFIX,
     OVER_PREFIX,
     RUN_PREFIX,
@@ -29,7 +30,6 @@
     chunk_bindings,
     over_key,
 )
-from tealrill.state.client import StateClient, StateError
 from tealrill.types import (
     JobId,
     MachineId,
--- a/tealrill/leadership/renewal_delegation.py
+++ b/tealrill/leadership/renewal_delegation.py
@@ -20,7 +20,7 @@
 import msgspec
 
 from tealrill import wire
-from tealrill.changes import ChangeLog
+from tealrill.change_log import ChangeLog
 from tealrill.http import Client, NoAnswer, peer_clients
 from tealrill.leadership.election import Election, KnownLeader
 from tealrill.leadership.lease_extension import PING_PATH
--- a/tealrill/profiling.py
+++ b/tealrill/profiling.py
@@ -32,7 +32,7 @@
     "reports: decoding": "tealrill.api.front:_Request._report",
     "reports: taking in": "tealrill.fleet.machines:Fleet._take_in",
     "reports: commands": "tealrill.fleet.machines:Fleet._commands",
-    "reports: the rest": "tealrill.controller:Node.take_report",
+    "reports: the rest": "tealrill.daemon:Node.take_report",
     "answers written": "tealrill.api.front:answer",
     "passes: the rest": "tealrill.fleet.dispatch:Dispatcher.run",
     "passes: machines": "tealrill.fleet.dispatch:Dispatcher._survey",
@@ -54,10 +54,10 @@
     "wishes: reckoning": "tealrill.scheduler.capacity:rentals",
     "silence: judging": "tealrill.fleet.prober:Prober.look",
     "silence: leases": "tealrill.fleet.machines:Fleet.silent",
-    "records: gathering": "tealrill.state.keeper:Keeper._gather",
-    "records: applied": "tealrill.state.keeper:Keeper._apply",
-    "jobs watched": "tealrill.leader:Leader.job_changed",
-    "the cloud's list": "tealrill.fleet.rental:Renter._take_list",
+    "records: gathering": "tealrill.state.write_batcher:Keeper._gather",
+    "records: applied": "tealrill.state.write_batcher:Keeper._apply",
+    "jobs watched": "tealrill.leader.leader:Leader.job_changed",
+    "the cloud's list": "tealrill.fleet.provisioning:Renter._take_list",
 }
 """Causes of cost and the functions that bear them, as module:name."""
 
--- a/tealrill/lab/__main__.py
+++ b/tealrill/simulation/__main__.py
@@ -1,8 +1,8 @@
 """Simulated days of troubles, to find broken rules.
 
-    python3 -m tealrill.lab hunt --days 20 --seed 1
-    python3 -m tealrill.lab hunt --days 1 --seed 17 --log
-    python3 -m tealrill.lab digest tests/data/day_digests.json
+    python3 -m tealrill.simulation hunt --days 20 --seed 1
+    python3 -m tealrill.simulation hunt --days 1 --seed 17 --log
+    python3 -m tealrill.simulation digest tests/data/day_digests.json
 
 Exit status 1 if a rule broke, with the day's seed and its troubles. What a day shows is of the
 simulated world that docs/design.md tells of.
@@ -16,8 +16,8 @@
 
 import click
 
-from tealrill.lab.day_digests import differing_days, read_days, write_days
-from tealrill.lab.world import Shape, play
+from tealrill.simulation.cluster import Shape, play
+from tealrill.simulation.day_digests import differing_days, read_days, write_days
 
 
 class _Format(logging.Formatter):
--- a/tealrill/lab/world.py
+++ b/tealrill/simulation/cluster.py
@@ -16,14 +16,16 @@
 
 from tealrill import http, settings, wire
 from tealrill.api.relay import PEER_PREFIX
-from tealrill.controller import Node
+from tealrill.daemon import Node
 from tealrill.features import Features, GraphFeatures
 from tealrill.fleet import prober
 from tealrill.fleet.catalogue import CATALOGUE_PATH
 from tealrill.http import Answer, NoAnswer
-from tealrill.lab.clock import Loop, NumberedTask, simulated
-from tealrill.lab.graph_users import submit_graphs
-from tealrill.lab.outside import (
+from tealrill.leadership.lease_extension import EXTENSION_PATH, PING_PATH, ExtensionRequest
+from tealrill.settings import Address, Settings
+from tealrill.simulation.clock import Loop, NumberedTask, simulated
+from tealrill.simulation.graph_users import submit_graphs
+from tealrill.simulation.services import (
     Cloud,
     Description,
     Machine,
@@ -33,10 +35,8 @@
     Worker,
     job_of,
 )
-from tealrill.lab.traffic_digest import TrafficDigest
-from tealrill.leadership.lease_extension import EXTENSION_PATH, PING_PATH, ExtensionRequest
-from tealrill.settings import Address, Settings
-from tealrill.state.intake import Reply as UserReply
+from tealrill.simulation.traffic_digest import TrafficDigest
+from tealrill.state.admission import Reply as UserReply
 from tealrill.types import JobId, MachineId
 
 _PROCESS: contextvars.ContextVar[Process] = contextvars.ContextVar("process")
@@ -938,7 +938,7 @@
     With `until` it ends once that rule is broken, and with `script` its troubles are these and not
     drawn ones. After less quiet than a job may go without an answer nobody asks what was left.
     """
-    from tealrill.lab.troubles import Troubles
+    from tealrill.simulation.faults import Troubles
 
     with connected(seed, shape or Shape()) as world:
         asyncio.set_event_loop(world.loop)
--- a/tealrill/lab/day_digests.py
+++ b/tealrill/simulation/day_digests.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from tealrill.lab.world import Shape, play
+from tealrill.simulation.cluster import Shape, play
 
 _TROUBLE_S: Final = 90.0
 _SEEDS_PER_KIND: Final = 10
--- a/tealrill/lab/troubles.py
+++ b/tealrill/simulation/faults.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from tealrill.lab.world import Host, World
+    from tealrill.simulation.cluster import Host, World
 
 Undo = Callable[[], None]
 
--- a/tealrill/lab/graph_users.py
+++ b/tealrill/simulation/graph_users.py
@@ -7,12 +7,12 @@
 
 import orjson
 
-from tealrill.graphs.intake import GraphIntake
+from tealrill.graphs.admission import GraphIntake
 from tealrill.graphs.model import node_id
-from tealrill.lab.outside import Description
+from tealrill.simulation.services import Description
 
 if TYPE_CHECKING:
-    from tealrill.lab.world import World
+    from tealrill.simulation.cluster import World
 
 _NODES: Final = ({"key": "a", "after": []}, {"key": "b", "after": ["a"]})
 _RUN_S: Final = 4.0
--- a/tealrill/state/intake.py
+++ b/tealrill/state/admission.py
@@ -19,15 +19,6 @@
 from tealrill import wire
 from tealrill.settings import Settings, Team
 from tealrill.state.acknowledged_cancellations import AcknowledgedCancellations
-from tealrill.state.book import (
-    JOB_PREFIX,
-    OUTCOME_CANCELLED,
-    OVER_PREFIX,
-    RUN_PREFIX,
-    job_key,
-    over_key,
-)
-from tealrill.state.budget import Rank
 from tealrill.state.client import (
     Busy,
     Committed,
@@ -38,6 +29,15 @@
     StateError,
     Unknown,
 )
+from tealrill.state.job_store import (
+    JOB_PREFIX,
+    OUTCOME_CANCELLED,
+    OVER_PREFIX,
+    RUN_PREFIX,
+    job_key,
+    over_key,
+)
+from tealrill.state.rate_limiter import Rank
 from tealrill.types import ABSENT, JobId, Revision, parse_job_id, wall_now
 
 log = logging.getLogger(__name__)
--- a/tealrill/state/client.py
+++ b/tealrill/state/client.py
@@ -14,7 +14,7 @@
 from tealrill import wire
 from tealrill.http import Answer, Client, NoAnswer
 from tealrill.settings import StateLimits, parse_address
-from tealrill.state.budget import Budget, Rank
+from tealrill.state.rate_limiter import Budget, Rank
 from tealrill.state.revision_clock import RevisionClock
 from tealrill.types import LeaseId, Revision, monotonic_now
 
--- a/tealrill/state/fencing.py
+++ b/tealrill/state/fencing.py
@@ -7,7 +7,7 @@
 
 - What goes to the state service goes through `Fence`, which adds the guard on the leader's key: a
   write of a duty without it can't be expressed.
-- What goes to the cloud can't be fenced there. So it is recorded first (`fleet/intents.py`),
+- What goes to the cloud can't be fenced there. So it is recorded first (`fleet/intent_log.py`),
   through the fence, and `Duty.check` is asked again at the last moment before bytes leave.
 
 This module knows neither machines nor jobs.
--- a/tealrill/state/keeper.py
+++ b/tealrill/state/write_batcher.py
@@ -14,17 +14,6 @@
 from typing import Any, Final
 
 from tealrill import wire
-from tealrill.state.book import (
-    OUTCOME_CANCELLED,
-    OUTCOME_DONE,
-    Book,
-    Chunk,
-    Job,
-    Owner,
-    job_key,
-    over_key,
-)
-from tealrill.state.budget import Rank
 from tealrill.state.client import (
     Failed,
     Refused,
@@ -34,6 +23,17 @@
     Unknown,
 )
 from tealrill.state.fencing import LEADER_KEY, Fence, Leadership
+from tealrill.state.job_store import (
+    OUTCOME_CANCELLED,
+    OUTCOME_DONE,
+    Book,
+    Chunk,
+    Job,
+    Owner,
+    job_key,
+    over_key,
+)
+from tealrill.state.rate_limiter import Rank
 from tealrill.types import ABSENT, Monotonic, Revision, monotonic_now
 
 log = logging.getLogger(__name__)
--- a/tealrill/receiver/__init__.py
+++ b/tealrill/webhooks/__init__.py
@@ -13,7 +13,7 @@
     answer = receiver.take(headers, body)      # a status and a body for the HTTP response
 """
 
-from tealrill.receiver.hook import Answer, Event, Receiver, Refused
-from tealrill.receiver.inbox import Inbox, Verdict
+from tealrill.webhooks.inbox import Inbox, Verdict
+from tealrill.webhooks.verifier import Answer, Event, Receiver, Refused
 
 __all__ = ["Answer", "Event", "Inbox", "Receiver", "Refused", "Verdict"]
--- a/tealrill/receiver/hook.py
+++ b/tealrill/webhooks/verifier.py
@@ -19,7 +19,7 @@
 from cloudevents.core.exceptions import BaseCloudEventException
 from standardwebhooks import Webhook, WebhookVerificationError
 
-from tealrill.receiver.inbox import Inbox, Verdict
+from tealrill.webhooks.inbox import Inbox, Verdict
 
 STRUCTURED: Final = "application/cloudevents+json"
 MOST_BODY: Final = 64 * 1024
--- a/tests/samples.py
+++ b/tests/samples.py
@@ -7,10 +7,10 @@
 import orjson
 
 from tealrill import wire
-from tealrill.fleet.intents import Intents
+from tealrill.fleet.intent_log import Intents
 from tealrill.scheduler.model import JobView, MachineView, Pace, RunningTask
 from tealrill.state.fencing import Duty
-from tealrill.state.keeper import Joined
+from tealrill.state.write_batcher import Joined
 from tealrill.types import JobId, MachineId, Monotonic, Revision, TaskId, Token
 
 SETTINGS: dict[str, Any] = {
--- a/tests/test_bindings.py
+++ b/tests/test_bindings.py
@@ -21,7 +21,7 @@
 
 from tealrill import wire
 from tealrill.fleet.machines import Exit, Fleet, Machine
-from tealrill.state.book import Binding, Book, Chunk
+from tealrill.state.job_store import Binding, Book, Chunk
 from tealrill.types import MachineId, Monotonic, Revision, Token, Wall
 from tests.samples import report, spec
 
--- a/tests/test_blame.py
+++ b/tests/test_blame.py
@@ -9,8 +9,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tealrill.scheduler import blame as blame_module
-from tealrill.scheduler.blame import Blame
+from tealrill.scheduler import failure_attribution as blame_module
+from tealrill.scheduler.failure_attribution import Blame
 from tealrill.types import JobId, MachineId, Monotonic
 
 _STEP_S = 0.1
--- a/tests/test_boots.py
+++ b/tests/test_boots.py
@@ -10,10 +10,10 @@
 from tealrill import wire
 from tealrill.fleet.cloud import Cloud
 from tealrill.fleet.machines import Fleet, Machine
-from tealrill.fleet.rental import Renter
-from tealrill.scheduler.boots import Boots
+from tealrill.fleet.provisioning import Renter
+from tealrill.scheduler.boot_times import Boots
 from tealrill.scheduler.capacity import Rental
-from tealrill.state.book import Book
+from tealrill.state.job_store import Book
 from tealrill.types import MachineId, Monotonic, Token
 from tests.samples import recorded_at_once
 
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -13,9 +13,9 @@
 from tealrill import wire
 from tealrill.http import Answer
 from tealrill.settings import StateLimits
-from tealrill.state import budget
-from tealrill.state.budget import Budget, Rank
+from tealrill.state import rate_limiter
 from tealrill.state.client import Busy, StateClient
+from tealrill.state.rate_limiter import Budget, Rank
 from tealrill.types import Monotonic
 from tests.standins import JumpingLoop
 
@@ -26,7 +26,7 @@
 
 def _run(monkeypatch: pytest.MonkeyPatch, work: Coroutine[Any, Any, T]) -> tuple[T, JumpingLoop]:
     loop = JumpingLoop()
-    monkeypatch.setattr(budget, "monotonic_now", lambda: Monotonic(loop.at))
+    monkeypatch.setattr(rate_limiter, "monotonic_now", lambda: Monotonic(loop.at))
     try:
         return loop.run_until_complete(work), loop
     finally:
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -10,10 +10,10 @@
 import pytest
 
 from tealrill import settings, wire
-from tealrill.changes import ChangeLog
-from tealrill.controller import Node
+from tealrill.change_log import ChangeLog
+from tealrill.daemon import Node
 from tealrill.fleet.cloud import Cloud
-from tealrill.leader import Leader
+from tealrill.leader.leader import Leader
 from tealrill.leadership.election import Election, KnownLeader
 from tealrill.leadership.lease_extension import Seen
 from tealrill.scheduler.estimates import Estimates
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -16,9 +16,9 @@
 
 from tealrill import wire
 from tealrill.cli import main
-from tealrill.client import AsyncClient, BadRequest, GaveUp, Graph, Retry, calls, each, failed
-from tealrill.client.calls import Clock, Pause, Request, Response
+from tealrill.client import AsyncClient, BadRequest, GaveUp, Graph, Retry, each, failed, protocol
 from tealrill.client.files import BadFile, check, schema
+from tealrill.client.protocol import Clock, Pause, Request, Response
 from tealrill.graphs.model import Submission
 from tests.standins import Worker
 from tests.test_graphs_node import in_a_world
@@ -32,7 +32,7 @@
         self.now = 100.0
 
 
-def _drive(call: calls.Call[Any], answers: list[Response], time: _Time) -> tuple[Any, list[Any]]:
+def _drive(call: client.Call[Any], answers: list[Response], time: _Time) -> tuple[Any, list[Any]]:
     """Runs a call on simulated time; its result or exception, and its steps."""
     steps: list[Any] = []
     answer: Response | None = None
@@ -47,7 +47,7 @@
                 answer = answers.pop(0) if answers else Response(0, {})
     except StopIteration as end:
         return end.value, steps
-    except calls.ClientError as error:
+    except client.ClientError as error:
         return error, steps
 
 
@@ -70,7 +70,7 @@
     clock = Clock(lambda: time.now, random.Random(seed))
     given_up = len(answers)
     final = Response(last, {"error": "so"})
-    call = calls.submit_job(clock, Retry(total_s=60.0), {"id": "wk-1"})
+    call = protocol.submit_job(clock, Retry(total_s=60.0), {"id": "wk-1"})
     result, steps = _drive(call, [*answers, final], time)
     sent = [step for step in steps if isinstance(step, Request)]
     assert len({(s.method, s.path, s.body) for s in sent}) == 1
@@ -90,10 +90,10 @@
 @given(st.lists(st.integers(1, 3000), max_size=60))
 def test_parts_hold_every_node_once_and_fit_a_body(sizes: list[int]) -> None:
     nodes = [{"key": f"n{i}", "job": {"x": "y" * size}} for i, size in enumerate(sizes)]
-    parts = calls.split(nodes, 5000)
+    parts = protocol.split(nodes, 5000)
     assert [node for part in parts for node in part] == nodes
     assert all(len(orjson.dumps(part)) <= 5000 + 2 or len(part) == 1 for part in parts)
-    assert parts == calls.split(list(nodes), 5000)
+    assert parts == protocol.split(list(nodes), 5000)
 
 
 def _family() -> Graph:
@@ -350,7 +350,7 @@
     import sys
 
     code = (
-        "import sys, tealrill.cli, tealrill.controller, tealrill.graphs.subsystem; "
+        "import sys, tealrill.cli, tealrill.daemon, tealrill.graphs.extension; "
         "print([m for m in ('httpx', 'rich', 'jsonschema', 'pydot', 'grandalf', 'svgwrite') "
         "if m in sys.modules])"
     )
--- a/tests/test_day_digests.py
+++ b/tests/test_day_digests.py
@@ -1,6 +1,7 @@
 """Refactoring leaves the traffic and the stored records of simulated days as they were.
 
-All recorded days are played by `python3 -m tealrill.lab digest tests/data/day_digests.json`. A
+All recorded days are played by `python3 -m tealrill.simulation digest tests/data/day_digests.json`.
+A
 change of behaviour changes the digests; it records them anew with `--record` and says so.
 """
 
@@ -11,7 +12,7 @@
 
 import pytest
 
-from tealrill.lab.day_digests import RecordedDay, digest_of, read_days
+from tealrill.simulation.day_digests import RecordedDay, digest_of, read_days
 
 _RECORDED: Final = read_days(Path(__file__).parent / "data" / "day_digests.json")
 _PLAYED: Final = [day for day in _RECORDED if day.seed == 1]
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -18,12 +18,12 @@
 from tealrill.fleet.cloud import Cloud
 from tealrill.fleet.dispatch import RENT_EVERY_S, Dispatcher
 from tealrill.fleet.machines import Fleet
-from tealrill.fleet.rental import Renter
-from tealrill.leader import pass_gap_s
+from tealrill.fleet.provisioning import Renter
+from tealrill.leader.leader import pass_gap_s
 from tealrill.scheduler.estimates import Estimates
 from tealrill.scheduler.model import MachineView, View
 from tealrill.scheduler.plan import _Pass
-from tealrill.state.book import Book, Job
+from tealrill.state.job_store import Book, Job
 from tealrill.types import (
     MachineId,
     Monotonic,
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -17,17 +17,17 @@
 from hypothesis import strategies as st
 
 from tealrill import wire
-from tealrill.fleet import intents, rental
+from tealrill.fleet import intent_log, provisioning
 from tealrill.fleet.cloud import Cloud, CloudError, NoCapacity
-from tealrill.fleet.intents import CLOUD_PREFIX, Intents, RentRecord, ReturnRecord
+from tealrill.fleet.intent_log import CLOUD_PREFIX, Intents, RentRecord, ReturnRecord
 from tealrill.fleet.machines import Fleet
-from tealrill.fleet.rental import Renter
+from tealrill.fleet.provisioning import Renter
 from tealrill.scheduler.capacity import Rental
-from tealrill.state import budget, fencing, keeper
-from tealrill.state.book import Book
+from tealrill.state import fencing, rate_limiter, write_batcher
 from tealrill.state.client import Failed, StateClient
 from tealrill.state.fencing import LEADER_KEY, Duty, Fence, Leadership, Replaced
-from tealrill.state.keeper import Deposed, Joined, Keeper
+from tealrill.state.job_store import Book
+from tealrill.state.write_batcher import Deposed, Joined, Keeper
 from tealrill.types import (
     ABSENT,
     LeaseId,
@@ -284,9 +284,9 @@
 def _play(seed: int, steps: int = 40, checked: bool = True) -> World:
     loop = JumpingLoop()
     with pytest.MonkeyPatch.context() as patch:
-        for module in (rental, intents, keeper, budget):
+        for module in (provisioning, intent_log, write_batcher, rate_limiter):
             patch.setattr(module, "monotonic_now", lambda: Monotonic(loop.time()))
-        patch.setattr(intents, "wall_now", lambda: Wall(loop.time()))
+        patch.setattr(intent_log, "wall_now", lambda: Wall(loop.time()))
         world = World(seed, loop)
         world.checked = checked
 
@@ -464,7 +464,7 @@
         found.granted("tr-3-1", list(map(str, names[:80])))
         assert len(wire.encode(joined[-1].changes[0]["value"])) <= 4096
         assert not found.full
-        found._kept.update({f"k{n}": cast(Any, None) for n in range(intents.MOST_OPEN)})
+        found._kept.update({f"k{n}": cast(Any, None) for n in range(intent_log.MOST_OPEN)})
         assert found.full
 
     asyncio.run(scenario())
--- a/tests/test_falls.py
+++ b/tests/test_falls.py
@@ -21,12 +21,12 @@
 from tealrill.fleet.dispatch import Dispatcher
 from tealrill.fleet.machines import Fleet
 from tealrill.fleet.prober import Prober
-from tealrill.fleet.rental import Renter
-from tealrill.scheduler import silence
+from tealrill.fleet.provisioning import Renter
+from tealrill.scheduler import failure_detector
 from tealrill.scheduler.capacity import Rental
 from tealrill.scheduler.estimates import Estimates
-from tealrill.scheduler.silence import Verdict
-from tealrill.state.book import Book
+from tealrill.scheduler.failure_detector import Verdict
+from tealrill.state.job_store import Book
 from tealrill.types import MachineId, Monotonic, Revision, Token, Wall
 from tests.samples import SETTINGS, recorded_at_once, spec
 
@@ -380,7 +380,7 @@
 
 def test_without_a_verdict_deaths_are_not_replaced(monkeypatch: pytest.MonkeyPatch) -> None:
     """The tests above depend on the judgement: without it the fleet stays small."""
-    monkeypatch.setattr(silence, "_verdict", lambda *_: Verdict.LATE)
+    monkeypatch.setattr(failure_detector, "_verdict", lambda *_: Verdict.LATE)
     world = _World(jobs=8)
     world.play(60)
     most = len(world.standing())
--- a/tests/test_flapping.py
+++ b/tests/test_flapping.py
@@ -15,9 +15,9 @@
 
 import pytest
 
-from tealrill.lab.clock import STEADY_AT
-from tealrill.lab.troubles import CUT, FROZEN, GONE, REFUSED, Troubles
-from tealrill.lab.world import Shape, World, play
+from tealrill.simulation.clock import STEADY_AT
+from tealrill.simulation.cluster import Shape, World, play
+from tealrill.simulation.faults import CUT, FROZEN, GONE, REFUSED, Troubles
 from tealrill.types import Monotonic
 
 LONG_JOBS = ((2, 70.0), (3, 90.0), (1, 120.0))
--- a/tests/test_formats.py
+++ b/tests/test_formats.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from tealrill import settings, wire
-from tealrill.state.book import Book, chunk_size
+from tealrill.state.job_store import Book, chunk_size
 from tealrill.types import (
     JobId,
     MachineId,
--- a/tests/test_golden_records.py
+++ b/tests/test_golden_records.py
@@ -25,28 +25,29 @@
 import orjson
 import pytest
 
-from tealrill import features, leader, settings, wire
-from tealrill.changes import ChangeLog
+from tealrill import features, settings, wire
+from tealrill.change_log import ChangeLog
 from tealrill.features import GraphFeatures
-from tealrill.fleet import intents
-from tealrill.fleet.intents import Intents, ReturnRecord
+from tealrill.fleet import intent_log
+from tealrill.fleet.intent_log import Intents, ReturnRecord
 from tealrill.graphs import model, records
-from tealrill.graphs.intake import GraphIntake
+from tealrill.graphs.admission import GraphIntake
+from tealrill.graphs.leader_extension import GraphTerm
 from tealrill.graphs.model import Node, PartBody, SealBody, Submission
 from tealrill.graphs.records import BadGraphRecord, Head
-from tealrill.graphs.term import GraphTerm
+from tealrill.leader import leader
 from tealrill.leadership import election, renewal_delegation
 from tealrill.leadership.election import Election
 from tealrill.leadership.exclusion import ExclusionRecord
 from tealrill.leadership.lease_extension import ExtensionAnswer, ExtensionRequest, Presence
 from tealrill.scheduler.capacity import Rental
-from tealrill.state import book as state_book
 from tealrill.state import fencing
+from tealrill.state import job_store as state_book
 from tealrill.state.acknowledged_cancellations import AcknowledgedCancellations
-from tealrill.state.book import BadRecord, Book, Owner
+from tealrill.state.admission import Intake
 from tealrill.state.client import Committed, Failed
-from tealrill.state.intake import Intake
-from tealrill.state.keeper import Joined, Keeper, _Batch
+from tealrill.state.job_store import BadRecord, Book, Owner
+from tealrill.state.write_batcher import Joined, Keeper, _Batch
 from tealrill.types import ABSENT, JobId, LeaseId, Revision, Token, Wall
 from tests.samples import SETTINGS, SUBMISSION
 
@@ -326,7 +327,7 @@
 
 def read_rent(value: Any) -> Any:
     """`cloud/rent/NAME` as a new leader takes it over."""
-    found = _read_intents(intents._RENT + "r1", value).rents
+    found = _read_intents(intent_log._RENT + "r1", value).rents
     if not found:
         raise ValueError("left alone")
     return found["r1"]
@@ -349,7 +350,7 @@
 
 def read_return(value: Any) -> Any:
     """`cloud/return/TERM.N`: the machines as a new leader takes them over, and the record."""
-    found = _read_intents(intents._RETURN + "00000003.000001", value).returns
+    found = _read_intents(intent_log._RETURN + "00000003.000001", value).returns
     if not found:
         raise ValueError("left alone")
     return next(iter(found.values())), msgspec.convert(value, ReturnRecord)
@@ -771,8 +772,8 @@
     "term": lambda: election.TERM_KEY,
     "out": election.exclusion_key,
     "deputy": lambda host: renewal_delegation.DELEGATION_PREFIX + host,
-    "rent": lambda name: intents._RENT + name,
-    "return": lambda rest: intents._RETURN + rest,
+    "rent": lambda name: intent_log._RENT + name,
+    "return": lambda rest: intent_log._RETURN + rest,
     "graph": records.graph_key,
     "graph over": records.graph_over_key,
     "word": records.word_key,
--- a/tests/test_graphs.py
+++ b/tests/test_graphs.py
@@ -17,18 +17,18 @@
 from tealrill.features import GraphFeatures
 from tealrill.fleet.cloud import Cloud
 from tealrill.graphs import records
+from tealrill.graphs.leader_extension import GraphTerm
 from tealrill.graphs.model import BadGraph, Edge, Node, Shape, resolve
 from tealrill.graphs.records import BadGraphRecord, Head, Over
-from tealrill.graphs.term import GraphTerm
 from tealrill.graphs.tracker import OVER_DONE, OVER_FAILED, RELEASED, Progress
-from tealrill.leader import Leader
+from tealrill.leader.leader import Leader
 from tealrill.leadership.election import Election
 from tealrill.scheduler.estimates import Estimates
 from tealrill.scheduler.model import JobView, Policy
 from tealrill.scheduler.queue import order
-from tealrill.state.book import Book, job_key
 from tealrill.state.client import Failed, StateClient
 from tealrill.state.fencing import Leadership
+from tealrill.state.job_store import Book, job_key
 from tealrill.types import (
     LeaseId,
     MachineId,
--- a/tests/test_graphs_node.py
+++ b/tests/test_graphs_node.py
@@ -12,7 +12,7 @@
 import pytest
 
 from tealrill import features, settings
-from tealrill.controller import Node
+from tealrill.daemon import Node
 from tealrill.http import Client, NoAnswer
 from tests.samples import SUBMISSION
 from tests.standins import Worker
--- a/tests/test_graphs_records.py
+++ b/tests/test_graphs_records.py
@@ -22,20 +22,20 @@
 from tealrill import settings, wire
 from tealrill.features import GraphFeatures
 from tealrill.fleet.cloud import Cloud
-from tealrill.graphs import term as graph_term
-from tealrill.graphs.intake import GraphIntake
-from tealrill.graphs.term import GraphTerm
+from tealrill.graphs import leader_extension as graph_term
+from tealrill.graphs.admission import GraphIntake
+from tealrill.graphs.leader_extension import GraphTerm
 from tealrill.graphs.tracker import Progress
-from tealrill.leader import Leader
+from tealrill.leader.leader import Leader
 from tealrill.leadership.election import Election
 from tealrill.scheduler.estimates import Estimates
-from tealrill.state import keeper
-from tealrill.state.book import Binding, Book
-from tealrill.state.budget import Rank
+from tealrill.state import write_batcher
+from tealrill.state.admission import Intake, Reply
 from tealrill.state.client import Committed, Failed, StateClient
 from tealrill.state.fencing import LEADER_KEY, Leadership
-from tealrill.state.intake import Intake, Reply
-from tealrill.state.keeper import Deposed, Keeper
+from tealrill.state.job_store import Binding, Book
+from tealrill.state.rate_limiter import Rank
+from tealrill.state.write_batcher import Deposed, Keeper
 from tealrill.types import (
     LeaseId,
     MachineId,
@@ -533,7 +533,7 @@
 
 @pytest.fixture(autouse=True)
 def _no_pauses(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("tealrill.state.keeper._BACK_OFF_S", 0.0)
+    monkeypatch.setattr("tealrill.state.write_batcher._BACK_OFF_S", 0.0)
 
 
 @given(st.integers(0, 2**32))
@@ -548,7 +548,7 @@
 
 def _unguarded_releases(patch: pytest.MonkeyPatch) -> None:
     def joined(guards: dict[str, Revision], *rest: Any) -> Any:
-        return keeper.Joined({k: v for k, v in guards.items() if "-" in k}, *rest)
+        return write_batcher.Joined({k: v for k, v in guards.items() if "-" in k}, *rest)
 
     patch.setattr(graph_term, "Joined", joined)
 
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -18,14 +18,14 @@
 
 from tealrill import settings, wire
 from tealrill.fleet.cloud import Cloud
-from tealrill.fleet.lines import Lines
-from tealrill.leader import Leader
+from tealrill.fleet.connections import Lines
+from tealrill.leader.leader import Leader
 from tealrill.leadership.election import Election
 from tealrill.scheduler.capacity import Rental
 from tealrill.scheduler.estimates import Estimates
-from tealrill.state.book import job_key
 from tealrill.state.client import StateClient
 from tealrill.state.fencing import LEADER_KEY, Leadership
+from tealrill.state.job_store import job_key
 from tealrill.types import LeaseId, MachineId, Monotonic, Revision, Token, monotonic_now, wall_now
 from tests.samples import SETTINGS, report, spec
 from tests.test_dispatch import _TYPE
--- a/tests/test_keeper.py
+++ b/tests/test_keeper.py
@@ -10,12 +10,12 @@
 import pytest
 
 from tealrill import wire
-from tealrill.state import keeper as keeper_module
-from tealrill.state.book import Book, Job, job_key, over_key
-from tealrill.state.budget import Rank
+from tealrill.state import write_batcher as keeper_module
 from tealrill.state.client import StateClient
 from tealrill.state.fencing import Leadership
-from tealrill.state.keeper import Keeper
+from tealrill.state.job_store import Book, Job, job_key, over_key
+from tealrill.state.rate_limiter import Rank
+from tealrill.state.write_batcher import Keeper
 from tealrill.types import LeaseId, MachineId, Monotonic, Revision, Session, Token, Wall
 from tests.samples import SUBMISSION
 from tests.test_records import Store
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -1,6 +1,6 @@
 """The lab: days of whole controllers, and that each of its checks fires.
 
-A fixed set of days is played here; `python3 -m tealrill.lab hunt` plays others.
+A fixed set of days is played here; `python3 -m tealrill.simulation hunt` plays others.
 """
 
 from __future__ import annotations
@@ -15,13 +15,13 @@
 from tealrill import wire
 from tealrill.fleet.dispatch import Dispatcher
 from tealrill.fleet.machines import Fleet, Machine
-from tealrill.lab.__main__ import main
-from tealrill.lab.world import Shape, World, play
-from tealrill.leader import Leader
-from tealrill.state.book import Book, Job
+from tealrill.leader.leader import Leader
+from tealrill.simulation.__main__ import main
+from tealrill.simulation.cluster import Shape, World, play
+from tealrill.state.admission import Intake
+from tealrill.state.admission import Reply as UserReply
 from tealrill.state.client import StateClient
-from tealrill.state.intake import Intake
-from tealrill.state.intake import Reply as UserReply
+from tealrill.state.job_store import Book, Job
 from tealrill.types import JobId, Monotonic
 from tests.test_flapping import LONG_JOBS
 
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -22,15 +22,15 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
-from tealrill import leader as leader_module
 from tealrill import settings, wire
 from tealrill.features import GraphFeatures
 from tealrill.fleet.cloud import Cloud
 from tealrill.fleet.machines import Fleet
-from tealrill.graphs.intake import GraphIntake
+from tealrill.graphs.admission import GraphIntake
 from tealrill.http import Answer as HttpAnswer
 from tealrill.http import NoAnswer
-from tealrill.leader import Leader
+from tealrill.leader import leader as leader_module
+from tealrill.leader.leader import Leader
 from tealrill.leadership.election import TTL_S, Election
 from tealrill.leadership.lease_extension import (
     PROMISE_S,
@@ -43,11 +43,11 @@
 from tealrill.scheduler.estimates import Estimates
 from tealrill.state import client as client_module
 from tealrill.state.acknowledged_cancellations import AcknowledgedCancellations
-from tealrill.state.book import OUTCOME_FAILED, RUN_PREFIX, Binding, Book, Job, over_key
-from tealrill.state.budget import Budget, Rank
+from tealrill.state.admission import Intake
 from tealrill.state.client import Refused, StateClient, StateError, Unknown
 from tealrill.state.fencing import Leadership
-from tealrill.state.intake import Intake
+from tealrill.state.job_store import OUTCOME_FAILED, RUN_PREFIX, Binding, Book, Job, over_key
+from tealrill.state.rate_limiter import Budget, Rank
 from tealrill.types import JobId, LeaseId, MachineId, Monotonic, Revision, Token, Wall
 from tests.samples import SETTINGS, report, spec
 from tests.test_bindings import Worker
--- a/tests/test_meetings_lab.py
+++ b/tests/test_meetings_lab.py
@@ -18,18 +18,18 @@
 
 from tealrill import wire
 from tealrill.fleet.machines import Fleet, Machine
-from tealrill.fleet.rental import Renter
-from tealrill.lab.troubles import Troubles
-from tealrill.lab.world import Script, Shape, World, play
-from tealrill.leader import Leader
+from tealrill.fleet.provisioning import Renter
+from tealrill.leader.leader import Leader
 from tealrill.leadership.election import Election
 from tealrill.leadership.lease_extension import Seen
+from tealrill.simulation.cluster import Script, Shape, World, play
+from tealrill.simulation.faults import Troubles
 from tealrill.state.acknowledged_cancellations import AcknowledgedCancellations
-from tealrill.state.book import Book, Job, job_key
+from tealrill.state.admission import Intake, Reply
 from tealrill.state.client import Committed, Unknown
 from tealrill.state.fencing import Fence
-from tealrill.state.intake import Intake, Reply
-from tealrill.state.keeper import Keeper
+from tealrill.state.job_store import Book, Job, job_key
+from tealrill.state.write_batcher import Keeper
 from tealrill.types import JobId, Monotonic, Revision, monotonic_now
 from tests.test_bindings import work_for_who_answers
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -18,7 +18,7 @@
 from tealrill import features, settings, wire
 from tealrill.api.relay import PEER_PREFIX
 from tealrill.cli import main
-from tealrill.controller import Node, new_loop, run_until_told
+from tealrill.daemon import Node, new_loop, run_until_told
 from tealrill.fleet.catalogue import CATALOGUE_PATH
 from tealrill.http import Answer, Client
 from tealrill.leadership.lease_extension import EXTENSION_PATH, PING_PATH, ExtensionRequest
--- a/tests/test_prober.py
+++ b/tests/test_prober.py
@@ -13,20 +13,20 @@
 from tornado import httpserver, netutil, web
 
 from tealrill import settings, wire
-from tealrill.controller import Node
+from tealrill.daemon import Node
 from tealrill.fleet import prober as prober_module
 from tealrill.fleet.cloud import Cloud, NoCapacity
-from tealrill.fleet.giveway import GiveWay
-from tealrill.fleet.lines import Lines
+from tealrill.fleet.connections import Lines
 from tealrill.fleet.machines import Fleet
 from tealrill.fleet.prober import Prober
-from tealrill.fleet.rental import Renter
+from tealrill.fleet.provisioning import Renter
 from tealrill.http import accepts
 from tealrill.leadership.lease_extension import PING_PATH
+from tealrill.leadership.transfer import GiveWay
 from tealrill.scheduler.capacity import Rental
-from tealrill.scheduler.silence import Verdict
+from tealrill.scheduler.failure_detector import Verdict
 from tealrill.settings import Address
-from tealrill.state.book import Book
+from tealrill.state.job_store import Book
 from tealrill.types import MachineId, Monotonic, Token, Wall
 from tests.samples import SETTINGS, recorded_at_once, report
 from tests.standins import Worker
--- a/tests/test_receiver.py
+++ b/tests/test_receiver.py
@@ -17,8 +17,8 @@
 from hypothesis import strategies as st
 from standardwebhooks import Webhook
 
-from tealrill.receiver import Answer, Event, Inbox, Receiver, Refused, Verdict
-from tealrill.receiver.inbox import BadInbox
+from tealrill.webhooks import Answer, Event, Inbox, Receiver, Refused, Verdict
+from tealrill.webhooks.inbox import BadInbox
 
 _OLD, _NEW = "whsec_" + "b2xkLWtleS1vbGQta2V5", "whsec_" + "bmV3LWtleS1uZXcta2V5"
 
@@ -158,7 +158,7 @@
     path = tmp_path / "inbox.db"
     _inbox(path).close()
     code = (
-        "import os, sys; from tealrill.receiver import Inbox\n"
+        "import os, sys; from tealrill.webhooks import Inbox\n"
         "inbox = Inbox(sys.argv[1])\n"
         "def apply(db):\n"
         "    db.execute('INSERT INTO charges VALUES (?)', (int(sys.argv[2]),))\n"
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -22,12 +22,12 @@
 from hypothesis import strategies as st
 
 from tealrill import settings, wire
-from tealrill.state.book import Book, Chunk, job_key
-from tealrill.state.budget import Budget, Rank
+from tealrill.state.admission import Intake, Reply
 from tealrill.state.client import Busy, Committed, Failed, Refused, StateClient, Unknown
 from tealrill.state.fencing import LEADER_KEY, Leadership
-from tealrill.state.intake import Intake, Reply
-from tealrill.state.keeper import Keeper
+from tealrill.state.job_store import Book, Chunk, job_key
+from tealrill.state.rate_limiter import Budget, Rank
+from tealrill.state.write_batcher import Keeper
 from tealrill.types import (
     JobId,
     LeaseId,
@@ -247,7 +247,7 @@
 
 @pytest.fixture(autouse=True)
 def _no_pauses(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("tealrill.state.keeper._BACK_OFF_S", 0.0)
+    monkeypatch.setattr("tealrill.state.write_batcher._BACK_OFF_S", 0.0)
 
 
 @given(st.integers(0, 2**32))
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -12,7 +12,7 @@
 from tealrill.api import relay as relay_module
 from tealrill.api.relay import Relay, Users
 from tealrill.http import Answer, Client, NoAnswer
-from tealrill.state.intake import Reply
+from tealrill.state.admission import Reply
 from tests.samples import SETTINGS
 
 _REFUSED = Reply(503, {"error": "down"}, 1, elsewhere=True)
--- a/tests/test_renewal_delegation.py
+++ b/tests/test_renewal_delegation.py
@@ -9,7 +9,7 @@
 import pytest
 
 from tealrill import settings, wire
-from tealrill.controller import Node
+from tealrill.daemon import Node
 from tealrill.http import Answer, Client, NoAnswer
 from tealrill.leadership.election import Election, KnownLeader
 from tealrill.leadership.renewal_delegation import (
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -8,9 +8,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tealrill.fleet.refusals import Refusals
-from tealrill.scheduler.losses import Losses
-from tealrill.scheduler.silence import (
+from tealrill.fleet.capacity_backoff import Refusals
+from tealrill.scheduler.capacity_losses import Losses
+from tealrill.scheduler.failure_detector import (
     MISSES,
     Sign,
     Verdict,
--- a/tests/test_submissions.py
+++ b/tests/test_submissions.py
@@ -16,9 +16,9 @@
 from hypothesis import strategies as st
 
 from tealrill import settings, wire
-from tealrill.state.budget import Rank
+from tealrill.state.admission import Intake, Reply
 from tealrill.state.client import Committed, StateClient
-from tealrill.state.intake import Intake, Reply
+from tealrill.state.rate_limiter import Rank
 from tealrill.types import Revision
 from tests.samples import SETTINGS, SUBMISSION
 
--- a/tests/test_waits.py
+++ b/tests/test_waits.py
@@ -12,9 +12,9 @@
 
 import pytest
 
-from tealrill.scheduler import blame as blame_module
+from tealrill.scheduler import failure_attribution as blame_module
 from tealrill.scheduler.model import Policy
-from tealrill.state.book import Binding, Job
+from tealrill.state.job_store import Binding, Job
 from tealrill.types import (
     Attempt,
     JobId,
--- a/tools/graph_cost.py
+++ b/tools/graph_cost.py
@@ -32,17 +32,17 @@
 from tealrill.features import GraphFeatures
 from tealrill.fleet.cloud import Cloud
 from tealrill.graphs import records
+from tealrill.graphs.leader_extension import GraphTerm, Live, _shape
 from tealrill.graphs.model import Node
-from tealrill.graphs.term import GraphTerm, Live, _shape
 from tealrill.graphs.tracker import OVER_DONE, Progress
 from tealrill.http import Client, NoAnswer
-from tealrill.leader import Leader
+from tealrill.leader.leader import Leader
 from tealrill.leadership.election import Election
 from tealrill.scheduler.estimates import Estimates
 from tealrill.settings import Address
-from tealrill.state.book import Owner
 from tealrill.state.client import StateClient
 from tealrill.state.fencing import Leadership
+from tealrill.state.job_store import Owner
 from tealrill.types import LeaseId, MachineId, Monotonic, Revision, Token, monotonic_now, wall_now
 from tests import standins
 from tests.samples import SETTINGS, report, spec
