--- a/tealrill/api/front.py
+++ b/tealrill/api/front.py
@@ -269,7 +269,7 @@
         assert take_report is not None
         try:
             report = wire.decode(body, wire.Report)
-        except wire.Malformed as error:
+        except wire.MalformedMessageError as error:
             return 400, {"error": str(error)}
         machine_id = parse_machine_id(report.machine)
         if machine_id is None:
--- a/tealrill/api/peers.py
+++ b/tealrill/api/peers.py
@@ -18,7 +18,7 @@
     async def post(self) -> None:
         try:
             request = wire.decode(self.request.body, ExtensionRequest)
-        except wire.Malformed as error:
+        except wire.MalformedMessageError as error:
             self.reply(400, {"error": str(error)})
             return
         self.reply(200, await self._extension.asked(request))
--- a/tealrill/api/relay.py
+++ b/tealrill/api/relay.py
@@ -15,7 +15,7 @@
 from typing import Any, Final, Protocol
 
 from tealrill import wire
-from tealrill.http import NoAnswer, peer_clients
+from tealrill.http import NoAnswerError, peer_clients
 from tealrill.settings import Settings
 from tealrill.state.admission import Reply
 from tealrill.types import Monotonic, monotonic_now
@@ -106,7 +106,7 @@
         try:
             answer = await peer.request(method, PEER_PREFIX + path, body, timeout_s)
             reply = Reply(answer.status, wire.decode(answer.body, dict[str, Any]))
-        except (NoAnswer, wire.Malformed) as error:
+        except (NoAnswerError, wire.MalformedMessageError) as error:
             log.debug("asking another node: %s", error)
             reply = None
         if reply is None or reply.status >= 500:
--- a/tealrill/cli/__init__.py
+++ b/tealrill/cli/__init__.py
@@ -17,8 +17,8 @@
 from tealrill import __version__, features
 from tealrill.daemon import configure_logging
 from tealrill.daemon import serve as serve_node
-from tealrill.http import Client, NoAnswer
-from tealrill.settings import BadSettings, load, parse_address
+from tealrill.http import Client, NoAnswerError
+from tealrill.settings import SettingsError, load, parse_address
 
 
 def _fail(message: str) -> None:
@@ -84,10 +84,10 @@
     try:
         settings = load(config)
         switched = features.load(features_path) if features_path is not None else None
-    except BadSettings as error:
+    except SettingsError as error:
         _fail(f"settings: {error}")
         return
-    except features.BadFeatures as error:
+    except features.FeaturesError as error:
         _fail(f"features: {error}")
         return
     configure_logging()
@@ -101,7 +101,7 @@
     try:
         client = Client(parse_address(address))
         answer = asyncio.run(client.request("GET", "/admin/state", timeout_s=5.0))
-    except (BadSettings, NoAnswer) as error:
+    except (SettingsError, NoAnswerError) as error:
         _fail(str(error))
         return
     click.echo(answer.body.decode())
--- a/tealrill/cli/graph.py
+++ b/tealrill/cli/graph.py
@@ -14,7 +14,7 @@
 from rich.progress import BarColumn, MofNCompleteColumn, Progress, TextColumn, TimeElapsedColumn
 
 from tealrill.client import Client, ClientError, Retry
-from tealrill.client.files import BadFile, check, load, schema
+from tealrill.client.files import GraphFileError, check, load, schema
 from tealrill.graphs.tracker import STATES
 
 _POLL_S: Final = 2.0
@@ -79,7 +79,7 @@
     """Check a graph file without a service."""
     try:
         shape = check(load(file))
-    except BadFile as error:
+    except GraphFileError as error:
         _fail(error)
         return
     click.echo(
@@ -119,7 +119,7 @@
             _print(client.submit_graph(content, nodes), as_json)
             if follow:
                 _follow(client, content["id"], as_json)
-    except (BadFile, ClientError) as error:
+    except (GraphFileError, ClientError) as error:
         _fail(error)
 
 
@@ -245,7 +245,7 @@
         if progress:
             with _client(addresses, retry_s) as client:
                 states = [node["state"] for node in client.list_nodes(content["id"])]
-    except (BadFile, ClientError) as error:
+    except (GraphFileError, ClientError) as error:
         _fail(error)
         return
     drawn = pictures.picture(shape, states, most)
--- a/tealrill/client/__init__.py
+++ b/tealrill/client/__init__.py
@@ -22,25 +22,25 @@
 from tealrill.client.connection import AsyncClient, AsyncRun, Client, Run
 from tealrill.client.graph import Graph, ObjectRef, Task, each, ended, failed
 from tealrill.client.protocol import (
-    BadRequest,
     ClientError,
-    GaveUp,
     NotFound,
+    RequestRejectedError,
     Response,
+    RetriesExhaustedError,
     Retry,
 )
 
 __all__ = [
     "AsyncClient",
     "AsyncRun",
-    "BadRequest",
     "Client",
     "ClientError",
-    "GaveUp",
     "Graph",
     "NotFound",
     "ObjectRef",
+    "RequestRejectedError",
     "Response",
+    "RetriesExhaustedError",
     "Retry",
     "Run",
     "Task",
--- a/tealrill/client/files.py
+++ b/tealrill/client/files.py
@@ -16,7 +16,8 @@
 from msgspec import UNSET, Meta, UnsetType
 
 from tealrill import wire
-from tealrill.graphs.model import MOST_RETRIES, BadGraph, Node, Shape, resolve
+from tealrill.errors import TealrillError
+from tealrill.graphs.model import MOST_RETRIES, InvalidGraphError, Node, Shape, resolve
 
 _JOB_FIELDS: Final = [f for f in msgspec.structs.fields(wire.JobSpec) if f.name != "id"]
 
@@ -61,7 +62,7 @@
     maxRetries: _Retries | UnsetType = UNSET
 
 
-class BadFile(Exception):
+class GraphFileError(TealrillError):
     """A graph file that can't be used; each line of the text names a place in it."""
 
 
@@ -76,19 +77,19 @@
 
 
 def load(path: Path) -> dict[str, Any]:
-    """A graph file as a submission; raises `BadFile`."""
+    """A graph file as a submission; raises `GraphFileError`."""
     try:
         content = tomllib.loads(path.read_text(encoding="utf-8"))
     except OSError as error:
-        raise BadFile(f"{path}: {error.strerror}") from None
+        raise GraphFileError(f"{path}: {error.strerror}") from None
     except (UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
-        raise BadFile(f"{path}: not TOML: {error}") from None
+        raise GraphFileError(f"{path}: not TOML: {error}") from None
     check(content)
     return content
 
 
 def check(content: dict[str, Any], most_errors: int = 10) -> Shape:
-    """What the daemon would find wrong, and what it would ignore; raises `BadFile`.
+    """What the daemon would find wrong, and what it would ignore; raises `GraphFileError`.
 
     Whether a job can ever run (teams, machine types) only the daemon knows.
     """
@@ -98,21 +99,21 @@
         lines = [f"{_place(error, content)}: {_reason(error)}" for error in errors[:most_errors]]
         if len(errors) > most_errors:
             lines.append(f"and {len(errors) - most_errors} more")
-        raise BadFile("\n".join(lines))
+        raise GraphFileError("\n".join(lines))
     nodes = [msgspec.convert(node, Node) for node in content["nodes"]]
     defaults = content.get("defaults", {})
     needed = {f.encode_name for f in _JOB_FIELDS if f.required}
     for node in nodes:
         missing = sorted(needed - defaults.keys() - node.job.keys())
         if missing:
-            raise BadFile(
+            raise GraphFileError(
                 f"node {node.key!r}: {', '.join(missing)} missing, in its job and in defaults"
             )
     try:
         return resolve(defaults, content.get("maxRetries", 3), [nodes])
-    except BadGraph as error:
+    except InvalidGraphError as error:
         where = f"node {error.node!r}, {error.field}" if error.node is not None else error.field
-        raise BadFile(f"{where}: {error}") from None
+        raise GraphFileError(f"{where}: {error}") from None
 
 
 def _reason(error: jsonschema.ValidationError) -> str:
--- a/tealrill/client/protocol.py
+++ b/tealrill/client/protocol.py
@@ -16,6 +16,8 @@
 
 import orjson
 
+from tealrill.errors import TealrillError
+
 T = TypeVar("T")
 
 SUBMIT: Final = frozenset({200, 201})
@@ -23,11 +25,11 @@
 _MOST_PAUSE_S: Final = 30.0
 
 
-class ClientError(Exception):
+class ClientError(TealrillError):
     """A call that did not do what was asked."""
 
 
-class BadRequest(ClientError):
+class RequestRejectedError(ClientError):
     """The service will never take this; its answer says why."""
 
     def __init__(self, status: int, body: dict[str, Any]) -> None:
@@ -38,11 +40,11 @@
         self.body = body
 
 
-class NotFound(BadRequest):
+class NotFound(RequestRejectedError):
     """There is no such job or graph."""
 
 
-class GaveUp(ClientError):
+class RetriesExhaustedError(ClientError):
     """No final answer within the time. Whether it was done is not known; asking again is safe."""
 
 
@@ -117,7 +119,9 @@
     message: Any = None,
     good: frozenset[int] = SUBMIT,
 ) -> Call[Response]:
-    """One request, repeated until its answer is final; raises `BadRequest` or `GaveUp`."""
+    """One request, repeated until its answer is final; raises `RequestRejectedError` or
+    `RetriesExhaustedError`.
+    """
     body = None if message is None else orjson.dumps(message)
     until = clock.now() + retry.total_s
     pause_s = retry.first_s
@@ -130,12 +134,12 @@
         if response.status == 404:
             raise NotFound(404, response.body)
         if response.status in _FINAL_ERRORS:
-            raise BadRequest(response.status, response.body)
+            raise RequestRejectedError(response.status, response.body)
         if response.status:
             last = f"status {response.status}: {response.body.get('error', '')}"
         wait_s = max(pause_s, response.retry_after_s or 0.0)
         if clock.now() + wait_s > until:
-            raise GaveUp(f"{method} {path}: {last}")
+            raise RetriesExhaustedError(f"{method} {path}: {last}")
         yield Pause(wait_s * clock.luck.uniform(1.0, 1.25))
         pause_s = min(_MOST_PAUSE_S, 1.5 * pause_s)
 
--- a/tealrill/features.py
+++ b/tealrill/features.py
@@ -13,8 +13,10 @@
 import msgspec
 from msgspec import Meta
 
+from tealrill.errors import TealrillError
 
-class BadFeatures(Exception):
+
+class FeaturesError(TealrillError):
     """The file can't be used; the text names the entry."""
 
 
@@ -46,21 +48,21 @@
 
 
 def parse(text: str) -> Features:
-    """Features from TOML; `BadFeatures` says in one line what is wrong with which entry."""
+    """Features from TOML; `FeaturesError` says in one line what is wrong with which entry."""
     try:
         return msgspec.convert(tomllib.loads(text), Features)
     except tomllib.TOMLDecodeError as error:
-        raise BadFeatures(f"not TOML: {error}") from None
+        raise FeaturesError(f"not TOML: {error}") from None
     except msgspec.ValidationError as error:
-        raise BadFeatures(str(error)) from None
+        raise FeaturesError(str(error)) from None
 
 
 def load(path: Path) -> Features:
-    """Reads the file; raises `BadFeatures`."""
+    """Reads the file; raises `FeaturesError`."""
     try:
         text = path.read_text(encoding="utf-8")
     except OSError as error:
-        raise BadFeatures(f"{path}: {error.strerror}") from None
+        raise FeaturesError(f"{path}: {error.strerror}") from None
     except UnicodeDecodeError:
-        raise BadFeatures(f"{path}: not UTF-8") from None
+        raise FeaturesError(f"{path}: not UTF-8") from None
     return parse(text)
--- a/tealrill/fleet/catalogue.py
+++ b/tealrill/fleet/catalogue.py
@@ -13,7 +13,7 @@
 
 from tealrill import wire
 from tealrill.fleet.cloud import Cloud, CloudError
-from tealrill.http import Client, NoAnswer, peer_clients
+from tealrill.http import Client, NoAnswerError, peer_clients
 from tealrill.settings import Settings
 
 log = logging.getLogger(__name__)
@@ -85,6 +85,6 @@
         try:
             answer = await peer.request("GET", CATALOGUE_PATH, timeout_s=_PEER_S)
             return wire.decode(answer.body, wire.Catalogue) if answer.status == 200 else None
-        except (NoAnswer, wire.Malformed) as error:
+        except (NoAnswerError, wire.MalformedMessageError) as error:
             log.debug("catalogue of another node: %s", error)
             return None
--- a/tealrill/fleet/cloud.py
+++ b/tealrill/fleet/cloud.py
@@ -7,7 +7,8 @@
 from urllib.parse import urlencode
 
 from tealrill import wire
-from tealrill.http import Answer, Client, NoAnswer
+from tealrill.errors import TealrillError
+from tealrill.http import Answer, Client, NoAnswerError
 from tealrill.settings import parse_address
 from tealrill.state.rate_limiter import Budget, Rank
 from tealrill.types import MachineId
@@ -20,11 +21,11 @@
 MOST_RENTED = 50
 
 
-class CloudError(Exception):
+class CloudError(TealrillError):
     """The request brought no result; it may have taken effect or may yet."""
 
 
-class NoCapacity(Exception):
+class NoCapacityError(TealrillError):
     """The cloud has none of what was asked for; nothing was rented."""
 
 
@@ -74,7 +75,7 @@
         count: int,
         check: Callable[[], None],
     ) -> list[str]:
-        """The machines rented under this request name; raises `NoCapacity` or `CloudError`.
+        """The machines rented under this request name; raises `NoCapacityError` or `CloudError`.
 
         `check` is called after every wait, right before the request leaves; what it raises comes
         out here, and then nothing was sent.
@@ -83,11 +84,11 @@
         body = wire.encode(wire.rent_request(name, type_name, zone, spot, count))
         answer = await self._send("POST", "/hosts", body, check)
         if answer.status == 503 and b"no capacity" in answer.body:
-            raise NoCapacity
+            raise NoCapacityError
         if answer.status == 400:
             # Repeating it would bring the same answer for ever.
             log.error("rental %s was called malformed: %s", name, answer.body[:200])
-            raise NoCapacity
+            raise NoCapacityError
         return self._read(answer, wire.Rented).machines
 
     async def release(self, machines: Sequence[MachineId], check: Callable[[], None]) -> None:
@@ -110,7 +111,7 @@
     ) -> Answer:
         try:
             return await self._http.request(method, path, body, _TIMEOUT_S, check)
-        except NoAnswer as error:
+        except NoAnswerError as error:
             raise CloudError(str(error)) from None
 
     @staticmethod
@@ -119,5 +120,5 @@
             raise CloudError(f"status {answer.status}")
         try:
             return wire.decode(answer.body, kind)
-        except wire.Malformed as error:
+        except wire.MalformedMessageError as error:
             raise CloudError(str(error)) from None
--- a/tealrill/fleet/connections.py
+++ b/tealrill/fleet/connections.py
@@ -54,7 +54,9 @@
     async def request(
         self, machine: MachineId, addr: str, path: str, body: bytes, timeout_s: float
     ) -> Answer:
-        """One POST to a worker; raises `http.NoAnswer`, or `BadSettings` for a bad address."""
+        """One POST to a worker; raises `http.NoAnswerError`, or `SettingsError` for a bad
+        address.
+        """
         client = self._client(machine, addr)
         self._used[machine] = self._used.get(machine, 0) + 1
         try:
--- a/tealrill/fleet/machines.py
+++ b/tealrill/fleet/machines.py
@@ -23,6 +23,7 @@
 from typing import Any, Final
 
 from tealrill import wire
+from tealrill.errors import TealrillError
 from tealrill.scheduler.capacity import Kind
 from tealrill.scheduler.failure_attribution import Blame
 from tealrill.scheduler.model import MachineView
@@ -53,7 +54,7 @@
 _IMAGES_KEPT: Final = 64
 
 
-class NewerToken(Exception):
+class NewerTokenError(TealrillError):
     """A worker has seen a token above this term's: somebody else leads."""
 
 
@@ -258,7 +259,7 @@
     ) -> list[dict[str, Any]] | None:
         """Takes in a worker's report; the commands for its response, or None for no 200."""
         if report.token > self._term:
-            raise NewerToken(f"{machine_id} has seen token {report.token}")
+            raise NewerTokenError(f"{machine_id} has seen token {report.token}")
         if machine_id in self.gone:
             return None
         if not self.loaded:
--- a/tealrill/fleet/prober.py
+++ b/tealrill/fleet/prober.py
@@ -20,7 +20,7 @@
 from tealrill.http import accepts
 from tealrill.scheduler import failure_detector
 from tealrill.scheduler.failure_detector import Hearing, Sign, Verdict
-from tealrill.settings import Address, BadSettings, parse_address
+from tealrill.settings import Address, SettingsError, parse_address
 from tealrill.types import MachineId, Monotonic, monotonic_now
 
 log = logging.getLogger(__name__)
@@ -141,7 +141,7 @@
         self._tried[machine.id] = now
         try:
             address = parse_address(machine.addr or machine.listed_addr)
-        except BadSettings:
+        except SettingsError:
             return
         task = asyncio.create_task(self._attempt(machine, address))
         self._under_way[machine.id] = task
--- a/tealrill/fleet/provisioning.py
+++ b/tealrill/fleet/provisioning.py
@@ -18,12 +18,12 @@
 
 from tealrill import wire
 from tealrill.fleet.capacity_backoff import Refusals
-from tealrill.fleet.cloud import MOST_RELEASED, MOST_RENTED, Cloud, CloudError, NoCapacity
+from tealrill.fleet.cloud import MOST_RELEASED, MOST_RENTED, Cloud, CloudError, NoCapacityError
 from tealrill.fleet.intent_log import Intents
 from tealrill.fleet.machines import Fleet, Machine
 from tealrill.scheduler.boot_times import Boots
 from tealrill.scheduler.capacity import Kind, Offer, Rental
-from tealrill.state.fencing import Duty, Replaced
+from tealrill.state.fencing import Duty, NotHolderError
 from tealrill.types import MachineId, Monotonic, Token, Wall, monotonic_now, parse_machine_id
 
 log = logging.getLogger(__name__)
@@ -194,11 +194,11 @@
                     request.name, *kind, rental.count, self.renting.check
                 )
                 break
-            except Replaced as error:
+            except NotHolderError as error:
                 # The record stands: this term goes on, or the next leader asks for it.
                 log.debug("rental %s: %s", request.name, error)
                 await asyncio.sleep(_RETRY_S)
-            except NoCapacity:
+            except NoCapacityError:
                 names = []
                 break
             except CloudError as error:
@@ -333,7 +333,7 @@
                 continue
             try:
                 await self._cloud.release(names, self.returning.check)
-            except (CloudError, Replaced) as error:
+            except (CloudError, NotHolderError) as error:
                 log.debug("release of %s: %s", names, error)
                 await asyncio.sleep(_RETRY_S)
                 continue
--- a/tealrill/graphs/admission.py
+++ b/tealrill/graphs/admission.py
@@ -20,7 +20,7 @@
 from tealrill.features import GraphFeatures
 from tealrill.graphs import records
 from tealrill.graphs.model import (
-    BadGraph,
+    InvalidGraphError,
     Node,
     PartBody,
     SealBody,
@@ -33,19 +33,19 @@
     parse_node_id,
     resolve,
 )
-from tealrill.graphs.records import BadGraphRecord, Head, Over, Packed
+from tealrill.graphs.records import GraphRecordError, Head, Over, Packed
 from tealrill.graphs.tracker import STATES
 from tealrill.settings import Settings
 from tealrill.state.admission import Intake, Nameless, Reply
 from tealrill.state.client import (
-    Busy,
     Committed,
-    Failed,
-    Refused,
-    Rejected,
+    GuardsFailed,
+    OutcomeUnknownError,
+    RateLimitedError,
     StateClient,
     StateError,
-    Unknown,
+    StateUnavailableError,
+    TransactionRejectedError,
 )
 from tealrill.state.job_store import (
     JOB_PREFIX,
@@ -79,7 +79,7 @@
     return Reply(409, {"error": why, **more})
 
 
-def _bad(error: BadGraph) -> Reply:
+def _bad(error: InvalidGraphError) -> Reply:
     return Reply(error.status, error.body(), retry_after_s=1 if error.status == 503 else None)
 
 
@@ -167,7 +167,7 @@
         ]
         try:
             result = await self._client.commit(guards, changes)
-        except Unknown:
+        except OutcomeUnknownError:
             return None
         return result.revision if isinstance(result, Committed) else None
 
@@ -192,9 +192,9 @@
                 end,
                 ABSENT if over is None else Revision(over.version),
             )
-        except BadGraphRecord as error:
+        except GraphRecordError as error:
             log.error("graph %s: %s", graph, error)
-            raise Refused(f"graph {graph}: {error}") from None
+            raise StateUnavailableError(f"graph {graph}: {error}") from None
 
     async def _read_parts(self, graph: str) -> dict[int, Packed]:
         entries, _ = await self._client.scan(records.parts_prefix(graph))
@@ -222,15 +222,15 @@
     async def _guarded(self, call: Callable[..., Awaitable[Reply]], *arguments: Any) -> Reply:
         try:
             return await call(*arguments)
-        except BadGraph as error:
+        except InvalidGraphError as error:
             return _bad(error)
-        except wire.Malformed as error:
+        except wire.MalformedMessageError as error:
             return Reply(400, {"error": str(error)})
-        except Rejected as error:
+        except TransactionRejectedError as error:
             return Reply(400, {"error": f"the state service can't keep it: {error}"})
         except StateError as error:
             log.debug("graphs: %s", error)
-            if isinstance(error, Busy):
+            if isinstance(error, RateLimitedError):
                 return _later("too many submissions")
             return _later("the state service can't be reached", elsewhere=True)
 
@@ -238,7 +238,7 @@
         submission = _decode(body, Submission)
         graph = parse_graph_id(submission.id)
         if graph is None:
-            raise BadGraph(
+            raise InvalidGraphError(
                 "letters and digits, a letter first, a digit last, at most 32", field="id"
             )
         whole = records.digest(submission)
@@ -285,7 +285,7 @@
             self._resolve(submission.defaults, submission.retries, [submission.nodes])
         plain = await self._plain_job(graph)
         if plain is not None:
-            raise BadGraph(f"job {plain} has an id of its nodes", field="id", status=409)
+            raise InvalidGraphError(f"job {plain} has an id of its nodes", field="id", status=409)
         head = Head(
             v=records.VERSION,
             status="open",
@@ -298,7 +298,7 @@
         )
         value = msgspec.to_builtins(head)
         if len(wire.encode(value)) + 200 > self._value_bytes:
-            raise BadGraph("they are too long", field="defaults")
+            raise InvalidGraphError("they are too long", field="defaults")
         guards = [
             wire.guard(records.graph_key(graph), ABSENT),
             wire.guard(records.graph_over_key(graph), ABSENT),
@@ -332,24 +332,26 @@
         guards: list[dict[str, Any]],
         changes: list[dict[str, Any]],
     ) -> None:
-        """Adds a whole part to a transaction; raises `BadGraph` if it does not fit one."""
+        """Adds a whole part to a transaction; raises `InvalidGraphError` if it does not fit one."""
         for fragment, value in enumerate(records.pack(nodes, self._value_bytes)):
             key = records.fragment_key(graph, number, fragment)
             guards.append(wire.guard(key, ABSENT))
             changes.append(wire.put(key, value))
         size = len(wire.encode(changes)) + 200 * len(guards)
         if len(changes) > self._txn_ops or size > _TXN_BYTES:
-            raise BadGraph("too much for one part: send fewer nodes at a time", field="nodes")
+            raise InvalidGraphError(
+                "too much for one part: send fewer nodes at a time", field="nodes"
+            )
 
     async def _commit(
         self, guards: list[dict[str, Any]], changes: list[dict[str, Any]]
-    ) -> Committed | Failed | None:
+    ) -> Committed | GuardsFailed | None:
         """None if it is not known whether it was executed. Plain submissions go first."""
         if not self._client.accepts.take_now(len(changes), Rank.LATER):
-            raise Busy("too many submissions")
+            raise RateLimitedError("too many submissions")
         try:
             return await self._client.commit(guards, changes, paid=True)
-        except Unknown as error:
+        except OutcomeUnknownError as error:
             log.info("graph: commit without an answer (%s): reading back", error)
             return None
 
@@ -358,7 +360,7 @@
             return _NO_GRAPH
         nodes = _decode(body, PartBody).nodes
         if not nodes:
-            raise BadGraph("a part has at least one node", field="nodes")
+            raise InvalidGraphError("a part has at least one node", field="nodes")
         checked = False
         for _ in range(_TRIES):
             found = await self._find(graph)
@@ -417,7 +419,7 @@
         """The head as it is once accepted, after a look at all that is kept."""
         try:
             kept = await self._read_parts(graph)
-        except BadGraphRecord as error:
+        except GraphRecordError as error:
             log.error("graph %s: %s", graph, error)
             return _later("its parts can't be read")
         missing = [number for number in range(parts) if number not in kept]
@@ -565,7 +567,7 @@
             changes = [first, wire.put(end, over)]
             try:
                 result = await self._client.commit(guards, changes)
-            except Unknown:
+            except OutcomeUnknownError:
                 continue
             if isinstance(result, Committed):
                 log.info("graph %s cancelled", graph)
@@ -576,5 +578,5 @@
 
 def _decode(body: bytes, kind: type[wire.T]) -> wire.T:
     if len(body) > wire.MAX_BODY:
-        raise wire.Malformed("the body is larger than 64 KiB")
+        raise wire.MalformedMessageError("the body is larger than 64 KiB")
     return wire.decode(body, kind)
--- a/tealrill/graphs/extension.py
+++ b/tealrill/graphs/extension.py
@@ -9,7 +9,7 @@
 from tealrill.graphs.admission import GraphIntake
 from tealrill.graphs.api import COUNTS_PATH, peer_routes, user_routes
 from tealrill.graphs.leader_extension import GraphTerm
-from tealrill.http import NoAnswer, peer_clients
+from tealrill.http import NoAnswerError, peer_clients
 from tealrill.leadership.election import Election
 from tealrill.settings import Settings
 from tealrill.state.admission import Intake
@@ -41,7 +41,7 @@
         try:
             answer = await peer.request("GET", f"{COUNTS_PATH}/{graph}", timeout_s=_ASK_S)
             return wire.decode(answer.body, dict[str, int]) if answer.status == 200 else None
-        except (NoAnswer, wire.Malformed):
+        except (NoAnswerError, wire.MalformedMessageError):
             return None
 
 
--- a/tealrill/graphs/leader_extension.py
+++ b/tealrill/graphs/leader_extension.py
@@ -26,8 +26,16 @@
 from tealrill.extensions import Term
 from tealrill.features import GraphFeatures
 from tealrill.graphs import records
-from tealrill.graphs.model import BadGraph, Node, Shape, node_id, node_spec, parse_node_id, resolve
-from tealrill.graphs.records import BadGraphRecord, Head, Packed
+from tealrill.graphs.model import (
+    InvalidGraphError,
+    Node,
+    Shape,
+    node_id,
+    node_spec,
+    parse_node_id,
+    resolve,
+)
+from tealrill.graphs.records import GraphRecordError, Head, Packed
 from tealrill.graphs.tracker import (
     OVER_CANCELLED,
     OVER_FAILED,
@@ -183,7 +191,7 @@
             return
         try:
             head = records.read_head(value)
-        except BadGraphRecord as error:
+        except GraphRecordError as error:
             self._set_aside(name, version, error)
             return
         if head.status == records.ACCEPTED:
@@ -220,7 +228,7 @@
         job.owner = known[1]
         try:
             kept = records.read_node_job(value)
-        except BadGraphRecord as error:
+        except GraphRecordError as error:
             log.error("record of node %s: %s", job.id, error)
             self._term.book.close_tasks(job)
             return True
@@ -369,7 +377,7 @@
             elif not live.ending:
                 try:
                     self._release(live)
-                except (BadGraphRecord, wire.Malformed) as error:
+                except (GraphRecordError, wire.MalformedMessageError) as error:
                     self._set_aside(live.name, live.owner.stamp, error)
                     continue
                 if live.progress.over and not live.jobs and not live.in_flight:
@@ -559,7 +567,7 @@
             parts = [found[number] for number in range(head.parts)]
             # Beside the loop: a large graph takes a second on a share of a core.
             shape = await asyncio.to_thread(_shape, head, parts)
-        except (BadGraphRecord, BadGraph, KeyError) as error:
+        except (GraphRecordError, InvalidGraphError, KeyError) as error:
             # Accepted graphs were read back whole; what is wrong here is not mended by waiting.
             self._set_aside(name, owner.stamp, error)
             return
--- a/tealrill/graphs/model.py
+++ b/tealrill/graphs/model.py
@@ -16,6 +16,7 @@
 from msgspec import Meta
 
 from tealrill import wire
+from tealrill.errors import TealrillError
 from tealrill.types import JobId
 
 ID_DIGITS: Final = 5
@@ -39,7 +40,7 @@
 Key = Annotated[str, Meta(min_length=1, max_length=100)]
 
 
-class BadGraph(Exception):
+class InvalidGraphError(TealrillError):
     """A graph that can't be taken; `node` and `field` say where."""
 
     def __init__(
@@ -138,11 +139,11 @@
 
 
 def node_spec(graph: str, index: int, defaults: dict[str, Any], node: Node) -> wire.JobSpec:
-    """The job that a node is; raises `wire.Malformed`."""
+    """The job that a node is; raises `wire.MalformedMessageError`."""
     try:
         return msgspec.convert({**defaults, **node.job, "id": node_id(graph, index)}, wire.JobSpec)
     except msgspec.ValidationError as error:
-        raise wire.Malformed(str(error)) from None
+        raise wire.MalformedMessageError(str(error)) from None
 
 
 Check = Callable[[wire.JobSpec], tuple[int, str] | None]
@@ -156,7 +157,7 @@
     check: Check,
     pause: Callable[[], Any],
 ) -> None:
-    """Checks every node of a part by itself; raises `BadGraph`.
+    """Checks every node of a part by itself; raises `InvalidGraphError`.
 
     A machine with a share of a core has other things to do, so it pauses now and then.
     """
@@ -164,18 +165,20 @@
         if number % _YIELD_EVERY == _YIELD_EVERY - 1:
             await pause()
         if "id" in node.job or "id" in defaults:
-            raise BadGraph("a node's id follows from its graph's", node.key, "job.id")
+            raise InvalidGraphError("a node's id follows from its graph's", node.key, "job.id")
         try:
             # Its number is not known before the graph is sealed; any has the same form.
             spec = node_spec(graph, 0, defaults, node)
-        except wire.Malformed as error:
-            raise BadGraph(str(error), node.key, _field_in(str(error))) from None
+        except wire.MalformedMessageError as error:
+            raise InvalidGraphError(str(error), node.key, _field_in(str(error))) from None
         if spec.is_service:
-            raise BadGraph("a service never ends, so it can't be a node", node.key, "job.shape")
+            raise InvalidGraphError(
+                "a service never ends, so it can't be a node", node.key, "job.shape"
+            )
         against = check(spec)
         if against is not None:
             status, why = against
-            raise BadGraph(why, node.key, "job", status)
+            raise InvalidGraphError(why, node.key, "job", status)
         _check_edges(node, spec)
 
 
@@ -183,14 +186,18 @@
     seen: set[str] = set()
     for edge in node.edges():
         if edge.node == node.key:
-            raise BadGraph("a node can't wait for itself", node.key, "after")
+            raise InvalidGraphError("a node can't wait for itself", node.key, "after")
         if edge.node in seen:
-            raise BadGraph(f"waits for {edge.node!r} twice", node.key, "after")
+            raise InvalidGraphError(f"waits for {edge.node!r} twice", node.key, "after")
         seen.add(edge.node)
         if edge.each and edge.when != "done":
-            raise BadGraph("task by task it can only be waited for 'done'", node.key, "after")
+            raise InvalidGraphError(
+                "task by task it can only be waited for 'done'", node.key, "after"
+            )
         if edge.each and spec.is_gang:
-            raise BadGraph("a gang's tasks start together, not one by one", node.key, "after")
+            raise InvalidGraphError(
+                "a gang's tasks start together, not one by one", node.key, "after"
+            )
 
 
 def _field_in(error: str) -> str:
@@ -254,7 +261,7 @@
     most_nodes: int = MOST_NODES,
     most_edges: int = 1_000_000,
 ) -> Shape:
-    """The shape of a whole graph; raises `BadGraph` naming the node and the field."""
+    """The shape of a whole graph; raises `InvalidGraphError` naming the node and the field."""
     keys: list[str] = []
     index: dict[str, int] = {}
     tasks, estimates, tried = array("I"), array("f"), bytearray()
@@ -263,28 +270,28 @@
     for nodes in parts:
         for node in nodes:
             if node.key in index:
-                raise BadGraph("two nodes have this key", node.key, "key")
+                raise InvalidGraphError("two nodes have this key", node.key, "key")
             index[node.key] = len(keys)
             keys.append(node.key)
             if len(keys) > most_nodes:
-                raise BadGraph(f"more than {most_nodes} nodes", node.key, "nodes")
+                raise InvalidGraphError(f"more than {most_nodes} nodes", node.key, "nodes")
             tasks.append(int(_field(defaults, node, "pieces")))
             estimates.append(float(_field(defaults, node, "guessS")))
             tried.append(node.retries if node.retries is not None else retries)
             awaited.append(list(node.edges()))
             edges += len(node.after)
             if edges > most_edges:
-                raise BadGraph(f"more than {most_edges} edges", node.key, "after")
+                raise InvalidGraphError(f"more than {most_edges} edges", node.key, "after")
     if not keys:
-        raise BadGraph("a graph has at least one node", field="nodes")
+        raise InvalidGraphError("a graph has at least one node", field="nodes")
     in_first, in_node, in_kind = array("I", [0]), array("I"), bytearray()
     for number, wanted in enumerate(awaited):
         for edge in wanted:
             other = index.get(edge.node)
             if other is None:
-                raise BadGraph(f"no node {edge.node!r}", keys[number], "after")
+                raise InvalidGraphError(f"no node {edge.node!r}", keys[number], "after")
             if edge.each and tasks[other] != tasks[number]:
-                raise BadGraph(
+                raise InvalidGraphError(
                     f"{tasks[number]} tasks can't wait one by one for the {tasks[other]} of "
                     f"{edge.node!r}",
                     keys[number],
@@ -326,7 +333,7 @@
 
 
 def _sort(shape: Shape) -> None:
-    """Fills `order`; raises `BadGraph` with the path of a cycle if there is one."""
+    """Fills `order`; raises `InvalidGraphError` with the path of a cycle if there is one."""
     left = array("I", (shape.in_first[i + 1] - shape.in_first[i] for i in range(shape.nodes)))
     shape.order.extend(i for i in range(shape.nodes) if not left[i])
     at = 0
@@ -341,7 +348,9 @@
         named = [shape.keys[i] for i in path]
         if len(named) > 12:
             named = [*named[:6], "...", *named[-5:]]
-        raise BadGraph("waits for itself: " + " -> ".join(named), shape.keys[path[0]], "after")
+        raise InvalidGraphError(
+            "waits for itself: " + " -> ".join(named), shape.keys[path[0]], "after"
+        )
 
 
 def _cycle(shape: Shape, left: array[int]) -> list[int]:
--- a/tealrill/graphs/records.py
+++ b/tealrill/graphs/records.py
@@ -25,6 +25,7 @@
 import orjson
 
 from tealrill import wire
+from tealrill.errors import TealrillError
 from tealrill.graphs.model import Node, Retries
 from tealrill.state.job_store import JOB_PREFIX, OUTCOME_CANCELLED, OUTCOME_DONE, OVER_PREFIX
 from tealrill.types import JobId
@@ -38,7 +39,7 @@
 """A part is at most a body of 64 KiB; what claims to be more is no part of ours."""
 
 
-class BadGraphRecord(Exception):
+class GraphRecordError(TealrillError):
     """A record that this version did not write."""
 
 
@@ -117,15 +118,15 @@
 
 
 def part_of_key(key: str) -> tuple[int, int]:
-    """The part's and the fragment's number; raises `BadGraphRecord`."""
+    """The part's and the fragment's number; raises `GraphRecordError`."""
     part, dot, fragment = key.rpartition("/")[2].partition(".")
     if not dot or not part.isdigit() or not fragment.isdigit():
-        raise BadGraphRecord(f"unknown key {key}")
+        raise GraphRecordError(f"unknown key {key}")
     return int(part), int(fragment)
 
 
 def read_head(value: Any) -> Head:
-    """Raises `BadGraphRecord`, also for a version that this program does not know."""
+    """Raises `GraphRecordError`, also for a version that this program does not know."""
     return _read(value, Head)
 
 
@@ -165,11 +166,11 @@
 def _read(value: Any, kind: type[wire.T]) -> wire.T:
     version = value.get("v") if isinstance(value, dict) else None
     if version != VERSION:
-        raise BadGraphRecord(f"version {version!r}; this program reads {VERSION}")
+        raise GraphRecordError(f"version {version!r}; this program reads {VERSION}")
     try:
         return msgspec.convert(value, kind)
     except msgspec.ValidationError as error:
-        raise BadGraphRecord(str(error)) from None
+        raise GraphRecordError(str(error)) from None
 
 
 def digest(message: Any) -> str:
@@ -204,17 +205,17 @@
 
 
 def unpack(packed: Packed) -> list[Node]:
-    """The nodes of a part; raises `BadGraphRecord`."""
+    """The nodes of a part; raises `GraphRecordError`."""
     try:
         inflater = zlib.decompressobj()
         content = inflater.decompress(packed.content, _MOST_INFLATED)
         return msgspec.convert(orjson.loads(content), list[Node])
     except (zlib.error, orjson.JSONDecodeError, msgspec.ValidationError) as error:
-        raise BadGraphRecord(f"a part can't be read: {error}") from None
+        raise GraphRecordError(f"a part can't be read: {error}") from None
 
 
 def gather(entries: Iterable[wire.Entry]) -> dict[int, Packed]:
-    """Whole parts by number, from a reading of all fragments; raises `BadGraphRecord`."""
+    """Whole parts by number, from a reading of all fragments; raises `GraphRecordError`."""
     pieces: dict[int, dict[int, Fragment]] = {}
     for entry in entries:
         part, number = part_of_key(entry.key)
@@ -223,13 +224,13 @@
     for part, fragments in pieces.items():
         first = fragments.get(0)
         if first is None or len(fragments) != first.of:
-            raise BadGraphRecord(f"part {part} has {len(fragments)} fragments")
+            raise GraphRecordError(f"part {part} has {len(fragments)} fragments")
         try:
             content = base64.b64decode(
                 "".join(fragments[number].z for number in range(first.of)), validate=True
             )
         except (binascii.Error, KeyError) as error:
-            raise BadGraphRecord(f"part {part}: {error}") from None
+            raise GraphRecordError(f"part {part}: {error}") from None
         found[part] = Packed(first.nodes, first.digest, content)
     return found
 
@@ -252,8 +253,8 @@
 
 
 def read_node_job(value: dict[str, Any]) -> NodeJob:
-    """Raises `BadGraphRecord`."""
+    """Raises `GraphRecordError`."""
     try:
         return msgspec.convert(value, NodeJob)
     except msgspec.ValidationError as error:
-        raise BadGraphRecord(str(error)) from None
+        raise GraphRecordError(str(error)) from None
--- a/tealrill/http.py
+++ b/tealrill/http.py
@@ -15,6 +15,7 @@
 from tornado import httputil, iostream
 from tornado.http1connection import HTTP1Connection, HTTP1ConnectionParameters
 
+from tealrill.errors import TealrillError
 from tealrill.settings import Address, Settings, parse_address
 
 _LATE_S: Final = 0.3
@@ -23,7 +24,7 @@
 )
 
 
-class NoAnswer(Exception):
+class NoAnswerError(TealrillError):
     """No answer came. `sent` is False only if the request certainly never left."""
 
     def __init__(self, why: str, sent: bool, refused: bool = False, silent: bool = False) -> None:
@@ -119,7 +120,7 @@
         timeout_s: float = 2.0,
         check: Callable[[], None] | None = None,
     ) -> Answer:
-        """One request and its response; raises `NoAnswer`.
+        """One request and its response; raises `NoAnswerError`.
 
         `check` is called once there is a connection and before any byte leaves; it may raise.
         """
@@ -141,7 +142,7 @@
             cause = getattr(err, "real_error", None) or err
             refused = isinstance(cause, ConnectionRefusedError)
             silent = isinstance(err, TimeoutError)
-            raise NoAnswer(f"{type(err).__name__}: {err}", sent, refused, silent) from None
+            raise NoAnswerError(f"{type(err).__name__}: {err}", sent, refused, silent) from None
         except BaseException:
             self._close(stream)
             raise
--- a/tealrill/leader/leader.py
+++ b/tealrill/leader/leader.py
@@ -17,10 +17,10 @@
 from tealrill.fleet.connections import Lines
 from tealrill.fleet.dispatch import RENT_EVERY_S, Dispatcher
 from tealrill.fleet.intent_log import CLOUD_PREFIX, Intents
-from tealrill.fleet.machines import Finished, Fleet, Machine, NewerToken
+from tealrill.fleet.machines import Finished, Fleet, Machine, NewerTokenError
 from tealrill.fleet.prober import Prober
 from tealrill.fleet.provisioning import Renter
-from tealrill.http import NoAnswer
+from tealrill.http import NoAnswerError
 from tealrill.leadership.election import Election
 from tealrill.leadership.exclusion import Exclusions
 from tealrill.leadership.lease_extension import Seen
@@ -28,7 +28,7 @@
 from tealrill.leadership.renewal_delegation import DELEGATION_S, Delegations
 from tealrill.scheduler.estimates import Estimates
 from tealrill.scheduler.model import JobView
-from tealrill.settings import BadSettings, Settings
+from tealrill.settings import Settings, SettingsError
 from tealrill.state.client import StateClient, StateError
 from tealrill.state.fencing import Duty, Leadership
 from tealrill.state.job_store import (
@@ -36,15 +36,15 @@
     OUTCOME_CANCELLED,
     OUTCOME_DONE,
     RUN_PREFIX,
-    BadRecord,
     Binding,
     Book,
     Chunk,
     Job,
     Owner,
+    RecordError,
     over_key,
 )
-from tealrill.state.write_batcher import Deposed, Keeper
+from tealrill.state.write_batcher import Keeper, LeadershipLostError
 from tealrill.types import (
     JobId,
     MachineId,
@@ -206,7 +206,7 @@
                 group.create_task(self.renter.run_lists())
                 for part in self.parts:
                     group.create_task(part.run())
-        except* Deposed:
+        except* LeadershipLostError:
             self._election.step_down("its key is gone")
         finally:
             self._close()
@@ -392,7 +392,7 @@
             return []
         try:
             return self.book.load(job, int(number), entry.value, Revision(entry.version))
-        except BadRecord as error:
+        except RecordError as error:
             # Its tasks may run anywhere: none of the job is started as if they did not.
             log.error("record %s", error)
             self.book.close_tasks(job)
@@ -583,7 +583,7 @@
         """Commands for the response; None if the worker is to go elsewhere."""
         try:
             commands = self.fleet.report(report, machine_id, now, wall_now())
-        except NewerToken as error:
+        except NewerTokenError as error:
             log.info("term %d: %s", self._mine.term, error)
             self._election.step_down("a worker knows a newer term")
             return None
@@ -626,14 +626,16 @@
                 machine.id, machine.addr, wire.COMMANDS_PATH, body, _DIRECT_TIMEOUT_S
             )
             report = wire.decode(answer.body, wire.Report) if answer.status in (200, 409) else None
-        except (NoAnswer, BadSettings, wire.Malformed) as error:
+        except (NoAnswerError, SettingsError, wire.MalformedMessageError) as error:
             log.info("commands for %s: %s", machine.id, error)
             late = monotonic_now() - began > _DIRECT_TIMEOUT_S + _LATE_S
-            if isinstance(error, NoAnswer) and error.silent and not late:
+            if isinstance(error, NoAnswerError) and error.silent and not late:
                 # Two reports in a row show that it hears. Where this node itself was late the
                 # answer may be waiting unread.
                 machine.call_deaf(True)
-            if isinstance(error, BadSettings) or (isinstance(error, NoAnswer) and not error.sent):
+            if isinstance(error, SettingsError) or (
+                isinstance(error, NoAnswerError) and not error.sent
+            ):
                 self.fleet.direct_refused(starts)
             return False
         if answer.status in (400, 409):
--- a/tealrill/leadership/election.py
+++ b/tealrill/leadership/election.py
@@ -23,12 +23,12 @@
 from tealrill.change_log import ChangeLog
 from tealrill.state.client import (
     Committed,
-    Failed,
-    Refused,
-    Rejected,
+    GuardsFailed,
+    OutcomeUnknownError,
     StateClient,
     StateError,
-    Unknown,
+    StateUnavailableError,
+    TransactionRejectedError,
 )
 from tealrill.state.fencing import LEADER_KEY, Leadership
 from tealrill.types import (
@@ -324,11 +324,11 @@
             result = await self._client.commit(guards, changes)
             revision = result.revision if isinstance(result, Committed) else None
             self._standing = None
-            if isinstance(result, Failed) and exclusion_key(self._host) in result.keys:
+            if isinstance(result, GuardsFailed) and exclusion_key(self._host) in result.keys:
                 await self._readmit_itself()
-        except (Rejected, Refused):
+        except (TransactionRejectedError, StateUnavailableError):
             revision = self._standing = None
-        except Unknown:
+        except OutcomeUnknownError:
             revision = await self._read_back(term)
         if revision is None:
             with contextlib.suppress(StateError):
--- a/tealrill/leadership/lease_extension.py
+++ b/tealrill/leadership/lease_extension.py
@@ -19,7 +19,7 @@
 
 from tealrill import wire
 from tealrill.change_log import ChangeLog
-from tealrill.http import Client, NoAnswer, peer_clients
+from tealrill.http import Client, NoAnswerError, peer_clients
 from tealrill.leadership.election import READMISSION_S, TTL_S
 from tealrill.leadership.open_jobs import cancel_spare_s, renewal_bound_s
 from tealrill.settings import Settings
@@ -72,7 +72,7 @@
     try:
         answer = await peer.request("GET", PING_PATH, timeout_s=_PROBE_S)
         return wire.decode(answer.body, Presence)
-    except (NoAnswer, wire.Malformed):
+    except (NoAnswerError, wire.MalformedMessageError):
         return None
 
 
@@ -211,9 +211,9 @@
             body = wire.encode(request)
             answer = await client.request("POST", EXTENSION_PATH, body, _ASK_TIMEOUT_S)
             return wire.decode(answer.body, ExtensionAnswer)
-        except NoAnswer:
+        except NoAnswerError:
             return None
-        except wire.Malformed as error:
+        except wire.MalformedMessageError as error:
             return ExtensionAnswer(False, str(error))
 
     # -- a restarted member -----------------------------------------------------------------------
--- a/tealrill/leadership/lease_revocation.py
+++ b/tealrill/leadership/lease_revocation.py
@@ -36,7 +36,13 @@
 from tealrill.leadership.exclusion import ExclusionRecord
 from tealrill.leadership.lease_extension import Presence, ask_presence
 from tealrill.settings import Settings
-from tealrill.state.client import Committed, Failed, StateClient, StateError, Unknown
+from tealrill.state.client import (
+    Committed,
+    GuardsFailed,
+    OutcomeUnknownError,
+    StateClient,
+    StateError,
+)
 from tealrill.state.fencing import LEADER_KEY
 from tealrill.types import ABSENT, CLOCK_DRIFT, LeaseId, Monotonic, Revision, Token, monotonic_now
 
@@ -171,7 +177,7 @@
         changes = [wire.put(exclusion_key(host), record) for host in hosts]
         try:
             result = await self._client.commit(guards, changes)
-        except Unknown:
+        except OutcomeUnknownError:
             result = None
         if isinstance(result, Committed):
             revision: Revision | None = result.revision
@@ -220,7 +226,7 @@
             wire.guard(own, attempt.exclusion),
         ]
         result = await self._client.commit(guards, [wire.delete(own)])
-        if isinstance(result, Failed):
+        if isinstance(result, GuardsFailed):
             self._give_up(f"changed by others: {', '.join(result.keys)}")
         else:
             self._give_up("it has ended, and this member may stand")
--- a/tealrill/leadership/open_jobs.py
+++ b/tealrill/leadership/open_jobs.py
@@ -26,7 +26,7 @@
     JOB_PREFIX,
     OVER_PREFIX,
     RUN_PREFIX,
-    BadRecord,
+    RecordError,
     chunk_bindings,
     over_key,
 )
@@ -64,7 +64,7 @@
     return max(_LEAST_BOUND_S, cancel_spare_s(workers))
 
 
-class UnreadableRecord(StateError):
+class UnreadableRecordError(StateError):
     """A record that this version can't read, so that nothing may be concluded from it."""
 
 
@@ -249,5 +249,5 @@
 def _bindings(entry: wire.Entry) -> Iterator[tuple[MachineId, Session]]:
     try:
         yield from chunk_bindings(entry.value)
-    except BadRecord as error:
-        raise UnreadableRecord(f"record {entry.key}: {error}") from None
+    except RecordError as error:
+        raise UnreadableRecordError(f"record {entry.key}: {error}") from None
--- a/tealrill/leadership/renewal_delegation.py
+++ b/tealrill/leadership/renewal_delegation.py
@@ -21,12 +21,12 @@
 
 from tealrill import wire
 from tealrill.change_log import ChangeLog
-from tealrill.http import Client, NoAnswer, peer_clients
+from tealrill.http import Client, NoAnswerError, peer_clients
 from tealrill.leadership.election import Election, KnownLeader
 from tealrill.leadership.lease_extension import PING_PATH
 from tealrill.leadership.open_jobs import OpenJobs, renewal_bound_s
 from tealrill.settings import Settings
-from tealrill.state.client import Committed, Refused, StateClient, StateError
+from tealrill.state.client import Committed, StateClient, StateError, StateUnavailableError
 from tealrill.state.fencing import LEADER_KEY, Fence
 from tealrill.types import (
     ABSENT,
@@ -152,7 +152,7 @@
     async def _ping(self, leader: Client) -> None:
         try:
             await leader.request("GET", PING_PATH, timeout_s=_PING_TIMEOUT_S)
-        except NoAnswer as error:
+        except NoAnswerError as error:
             if self.unheard_since is None:
                 self.unheard_since = self._now()
             if error.refused:
@@ -338,4 +338,4 @@
             self._ended()
         if not isinstance(result, Committed):
             # The node wrote it anew meanwhile, or somebody else leads by now.
-            raise Refused(f"{entry.key} has changed")
+            raise StateUnavailableError(f"{entry.key} has changed")
--- a/tealrill/settings.py
+++ b/tealrill/settings.py
@@ -9,11 +9,13 @@
 import orjson
 from msgspec import Meta
 
+from tealrill.errors import TealrillError
+
 Positive = Annotated[float, Meta(gt=0)]
 NotNegative = Annotated[float, Meta(ge=0)]
 
 
-class BadSettings(Exception):
+class SettingsError(TealrillError):
     """The settings can't be used; the text names the field."""
 
 
@@ -28,7 +30,7 @@
 def parse_address(text: str) -> Address:
     host, _, port = text.rpartition(":")
     if not host or not port.isascii() or not port.isdigit() or not 0 < int(port) < 65536:
-        raise BadSettings(f"{text!r} is not host:port")
+        raise SettingsError(f"{text!r} is not host:port")
     return Address(host, int(port))
 
 
@@ -124,18 +126,18 @@
     for field, text in named.items():
         try:
             parse_address(text)
-        except BadSettings as error:
-            raise BadSettings(f"{field}: {error}") from None
+        except SettingsError as error:
+            raise SettingsError(f"{field}: {error}") from None
 
 
 def parse(body: bytes) -> Settings:
-    """Settings from JSON; `BadSettings` says in one line what is wrong with which field."""
+    """Settings from JSON; `SettingsError` says in one line what is wrong with which field."""
     try:
         settings = msgspec.convert(orjson.loads(body), Settings)
     except msgspec.ValidationError as error:
-        raise BadSettings(str(error)) from None
+        raise SettingsError(str(error)) from None
     except orjson.JSONDecodeError as error:
-        raise BadSettings(f"not JSON: {error}") from None
+        raise SettingsError(f"not JSON: {error}") from None
     _check_addresses(settings)
     return settings
 
@@ -144,5 +146,5 @@
     try:
         body = path.read_bytes()
     except OSError as error:
-        raise BadSettings(f"{path}: {error.strerror}") from None
+        raise SettingsError(f"{path}: {error.strerror}") from None
     return parse(body)
--- a/tealrill/simulation/cluster.py
+++ b/tealrill/simulation/cluster.py
@@ -20,7 +20,7 @@
 from tealrill.features import Features, GraphFeatures
 from tealrill.fleet import prober
 from tealrill.fleet.catalogue import CATALOGUE_PATH
-from tealrill.http import Answer, NoAnswer
+from tealrill.http import Answer, NoAnswerError
 from tealrill.leadership.lease_extension import EXTENSION_PATH, PING_PATH, ExtensionRequest
 from tealrill.settings import Address, Settings
 from tealrill.simulation.clock import Loop, NumberedTask, simulated
@@ -29,7 +29,7 @@
     Cloud,
     Description,
     Machine,
-    NoReply,
+    NoReplyError,
     Reply,
     State,
     Worker,
@@ -316,9 +316,9 @@
         host = self.hosts.get(place)
         if self.apart(source, place) or (place in self.deaf and place.startswith("m-")):
             await asyncio.sleep(timeout_s)
-            raise NoAnswer("TimeoutError", self.rng.random() < 0.5, silent=True)
+            raise NoAnswerError("TimeoutError", self.rng.random() < 0.5, silent=True)
         if host is not None and host.node is None:
-            raise NoAnswer("refused", False, refused=True)
+            raise NoAnswerError("refused", False, refused=True)
         if check is not None:
             check()
         answered: asyncio.Future[Reply] = self.loop.create_future()
@@ -329,9 +329,9 @@
                 status, value = await asyncio.shield(answered)
                 await self._way()
         except TimeoutError:
-            raise NoAnswer("TimeoutError", True, silent=True) from None
+            raise NoAnswerError("TimeoutError", True, silent=True) from None
         if self.apart(source, place):
-            raise NoAnswer("StreamClosedError", True)
+            raise NoAnswerError("StreamClosedError", True)
         answer = Answer()
         answer.status, answer.body, answer.complete = status, orjson.dumps(value), True
         self.digest.add(self.now(), place, source, status, answer.body)
@@ -366,7 +366,7 @@
                 if worker is None or worker.machine.gone:
                     return
                 reply = await worker(source, method, path, body)
-        except NoReply:
+        except NoReplyError:
             return
         if held and self.rng.random() < 0.5:
             await asyncio.sleep(self.rng.uniform(0.0, self.held_s))
@@ -376,7 +376,7 @@
     async def _peer(self, host: Host, method: str, path: str, body: bytes | None) -> Reply:
         node = host.node
         if node is None:
-            raise NoReply
+            raise NoReplyError
         if path == EXTENSION_PATH:
             found = await node._extension.asked(wire.decode(body or b"", ExtensionRequest))
             return 200, orjson.loads(wire.encode(found))
--- a/tealrill/simulation/services.py
+++ b/tealrill/simulation/services.py
@@ -13,6 +13,7 @@
 import orjson
 
 from tealrill import wire
+from tealrill.errors import TealrillError
 
 Reply = tuple[int, Any]
 
@@ -22,7 +23,7 @@
     return task.partition("/")[0]
 
 
-class NoReply(Exception):
+class NoReplyError(TealrillError):
     """The request is taken, and nothing is ever said of it."""
 
 
@@ -127,10 +128,10 @@
             task = asyncio.create_task(self._later(message))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
-            raise NoReply
+            raise NoReplyError
         reply = self._execute(message)
         if self.rng.random() < self.lost:
-            raise NoReply
+            raise NoReplyError
         return reply
 
     async def _later(self, message: dict[str, Any]) -> None:
@@ -179,7 +180,7 @@
     def _lease(self, method: str, parts: list[str], body: dict[str, Any]) -> Reply:
         reply = self._leased(method, parts, body)
         if self.rng.random() < self.lost:
-            raise NoReply
+            raise NoReplyError
         return reply
 
     def _leased(self, method: str, parts: list[str], body: dict[str, Any]) -> Reply:
--- a/tealrill/state/admission.py
+++ b/tealrill/state/admission.py
@@ -20,14 +20,14 @@
 from tealrill.settings import Settings, Team
 from tealrill.state.acknowledged_cancellations import AcknowledgedCancellations
 from tealrill.state.client import (
-    Busy,
     Committed,
-    Failed,
-    Refused,
-    Rejected,
+    GuardsFailed,
+    OutcomeUnknownError,
+    RateLimitedError,
     StateClient,
     StateError,
-    Unknown,
+    StateUnavailableError,
+    TransactionRejectedError,
 )
 from tealrill.state.job_store import (
     JOB_PREFIX,
@@ -129,7 +129,7 @@
         else:
             try:
                 spec = wire.decode(body, wire.JobSpec)
-            except wire.Malformed as error:
+            except wire.MalformedMessageError as error:
                 problem = Reply(400, {"error": str(error)})
         if spec is not None:
             problem = self.problem(spec, job_id)
@@ -172,13 +172,13 @@
         return None
 
     def _reach(self) -> None:
-        """Raises `Refused` at once while the state service is away.
+        """Raises `StateUnavailableError` at once while the state service is away.
 
         Each user's try would be one more request in vain, here and at the node that it is handed
         to: 70,000 in one outage of three minutes, and most of a day's processor time.
         """
         if self._client.away:
-            raise Refused("the state service is away")
+            raise StateUnavailableError("the state service is away")
 
     async def _accept(self, spec: wire.JobSpec, job_id: JobId) -> Reply:
         self._reach()
@@ -190,11 +190,13 @@
         record = {"spec": wire.plain(spec), "at": wall_now()}
         try:
             result = await self._commit_accepted(guards, [wire.put(job_key(job_id), record)])
-        except Rejected as error:
+        except TransactionRejectedError as error:
             return Reply(400, {"error": f"the state service can't keep it: {error}"})
-        except Refused as error:
-            return self._refuse(job_id, str(error), elsewhere=not isinstance(error, Busy))
-        except Unknown:
+        except StateUnavailableError as error:
+            return self._refuse(
+                job_id, str(error), elsewhere=not isinstance(error, RateLimitedError)
+            )
+        except OutcomeUnknownError:
             # It may be kept or may yet be: only what can be read back is accepted.
             return await self._known(job_id) or self._refuse(job_id, "not confirmed")
         if isinstance(result, Committed):
@@ -205,12 +207,14 @@
             known = await self.names.refusal(job_id)
         return known or _unavailable("not decided")
 
-    async def _commit_accepted(self, guards: list[Any], changes: list[Any]) -> Committed | Failed:
+    async def _commit_accepted(
+        self, guards: list[Any], changes: list[Any]
+    ) -> Committed | GuardsFailed:
         """Sent again after a moment when the state service is at its limit, which soon passes."""
         for pause_s in _ACCEPT_PAUSES_S:
             try:
                 return await self._client.commit(guards, changes, paid=True)
-            except Busy:
+            except RateLimitedError:
                 await asyncio.sleep(pause_s)
         return await self._client.commit(guards, changes, paid=True)
 
@@ -356,11 +360,11 @@
         changes = [wire.delete(job_key(job_id)), wire.put(over_key(job_id), record)]
         try:
             result = await self._client.commit(guards, changes)
-        except Unknown:
+        except OutcomeUnknownError:
             return None
-        except (Refused, Rejected):
+        except (StateUnavailableError, TransactionRejectedError):
             return _unavailable("not cancelled yet")
-        if isinstance(result, Failed):
+        if isinstance(result, GuardsFailed):
             return None
         log.info("job %s cancelled", job_id)
         self.acknowledge(job_id, result.revision)
--- a/tealrill/state/client.py
+++ b/tealrill/state/client.py
@@ -1,7 +1,8 @@
 """Client of the state service.
 
 Three outcomes are kept apart, because the rules depend on it: executed, certainly not executed
-(`Refused`), and unknown (`Unknown`): executed, not executed, or to be executed at any later time.
+(`StateUnavailableError`), and unknown (`OutcomeUnknownError`): executed, not executed, or to be
+executed at any later time.
 """
 
 from __future__ import annotations
@@ -12,7 +13,8 @@
 from urllib.parse import quote, urlencode
 
 from tealrill import wire
-from tealrill.http import Answer, Client, NoAnswer
+from tealrill.errors import TealrillError
+from tealrill.http import Answer, Client, NoAnswerError
 from tealrill.settings import StateLimits, parse_address
 from tealrill.state.rate_limiter import Budget, Rank
 from tealrill.state.revision_clock import RevisionClock
@@ -30,23 +32,23 @@
 """Changes are nearly all the leader's; what it leaves is for acceptances and cancellations."""
 
 
-class StateError(Exception):
+class StateError(TealrillError):
     """The request brought no result."""
 
 
-class Refused(StateError):
+class StateUnavailableError(StateError):
     """Certainly not executed (503, 429, or it never left this node)."""
 
 
-class Busy(Refused):
+class RateLimitedError(StateUnavailableError):
     """Above the rate limit (429); a moment later it may be taken."""
 
 
-class Unknown(StateError):
+class OutcomeUnknownError(StateError):
     """It may have been executed, or may yet be."""
 
 
-class Rejected(StateError):
+class TransactionRejectedError(StateError):
     """The state service called the request malformed."""
 
 
@@ -56,7 +58,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Failed:
+class GuardsFailed:
     """The transaction's guards did not hold for these keys; nothing was changed."""
 
     keys: list[str]
@@ -99,9 +101,9 @@
         return _LEADER_SHARE if self._leads else 0.35 / (self._nodes - 1)
 
     async def _take(self, rank: Rank) -> None:
-        """A turn; raises `Busy` at once for a poll whose turn would come too late."""
+        """A turn; raises `RateLimitedError` at once for a poll whose turn would come too late."""
         if rank is Rank.USERS and self.requests.wait_s(rank) > _MOST_POLL_WAIT_S:
-            raise Busy("more polls than there are requests for")
+            raise RateLimitedError("more polls than there are requests for")
         await self.requests.take(rank=rank)
 
     async def get(self, key: str, rank: Rank = Rank.FIRST) -> wire.KeyValue | None:
@@ -150,7 +152,7 @@
         changes: list[dict[str, Any]],
         paid: bool = False,
         timeout_s: float = 2.0,
-    ) -> Committed | Failed:
+    ) -> Committed | GuardsFailed:
         """One transaction. With `paid` the caller has already taken its share of the changes."""
         if not paid:
             await self.writes.take(len(changes))
@@ -158,7 +160,7 @@
         body = wire.encode(wire.transaction(guards, changes))
         answer = await self._send("POST", "/commit", body, timeout_s)
         if answer.status == 409:
-            return Failed(self._read(answer, wire.Conflict, ok=409).failed)
+            return GuardsFailed(self._read(answer, wire.Conflict, ok=409).failed)
         return Committed(Revision(self._read(answer, wire.RevisionOnly).revision))
 
     async def create_lease(self, ttl_s: float) -> LeaseId:
@@ -222,26 +224,26 @@
             answer = await self._http.request(method, path, body, timeout_s)
             self._exchanged(answer.status == 503)
             return answer
-        except NoAnswer as error:
+        except NoAnswerError as error:
             self._exchanged(True)
             if error.sent:
-                raise Unknown(str(error)) from None
-            raise Refused(str(error)) from None
+                raise OutcomeUnknownError(str(error)) from None
+            raise StateUnavailableError(str(error)) from None
 
     @staticmethod
     def _check(answer: Answer, ok: int = 200) -> None:
         if answer.status == 429:
-            raise Busy("status 429")
+            raise RateLimitedError("status 429")
         if answer.status == 503:
-            raise Refused("status 503")
+            raise StateUnavailableError("status 503")
         if answer.status == 400:
-            raise Rejected(answer.body[:200].decode("utf-8", "replace"))
+            raise TransactionRejectedError(answer.body[:200].decode("utf-8", "replace"))
         if answer.status != ok:
-            raise Unknown(f"unexpected status {answer.status}")
+            raise OutcomeUnknownError(f"unexpected status {answer.status}")
 
     def _read(self, answer: Answer, kind: type[wire.T], ok: int = 200) -> wire.T:
         self._check(answer, ok)
         try:
             return wire.decode(answer.body, kind)
-        except wire.Malformed as error:
-            raise Unknown(str(error)) from None
+        except wire.MalformedMessageError as error:
+            raise OutcomeUnknownError(str(error)) from None
--- a/tealrill/state/fencing.py
+++ b/tealrill/state/fencing.py
@@ -21,7 +21,8 @@
 from typing import Any, Final
 
 from tealrill import wire
-from tealrill.state.client import Committed, Failed, StateClient
+from tealrill.errors import TealrillError
+from tealrill.state.client import Committed, GuardsFailed, StateClient
 from tealrill.types import LeaseId, Monotonic, Revision, Token
 
 LEADER_KEY: Final = "leader"
@@ -45,7 +46,7 @@
         return now < self.valid_until
 
 
-class Replaced(Exception):
+class NotHolderError(TealrillError):
     """The holder may not act at this moment; perhaps it never may again."""
 
 
@@ -62,7 +63,7 @@
 
     async def commit(
         self, guards: dict[str, Revision], changes: list[dict[str, Any]], paid: bool = False
-    ) -> Committed | Failed:
+    ) -> Committed | GuardsFailed:
         """One transaction of the holder; raises what `StateClient.commit` raises."""
         full = [wire.guard(key, stamp) for key, stamp in self.guards(guards).items()]
         return await self._client.commit(full, changes, paid=paid)
@@ -83,9 +84,9 @@
     """What was done under it last, for operators."""
 
     def check(self) -> None:
-        """Raises `Replaced`. To be asked after every wait, right before something leaves."""
+        """Raises `NotHolderError`. To be asked after every wait, right before something leaves."""
         if not self.valid():
-            raise Replaced(f"{self.name}: epoch {self.epoch} is over, or may be")
+            raise NotHolderError(f"{self.name}: epoch {self.epoch} is over, or may be")
 
     def did(self, what: str) -> None:
         self.last = what
--- a/tealrill/state/job_store.py
+++ b/tealrill/state/job_store.py
@@ -15,6 +15,7 @@
 import msgspec
 
 from tealrill import wire
+from tealrill.errors import TealrillError
 from tealrill.types import (
     ABSENT,
     Attempt,
@@ -50,7 +51,7 @@
 OUTCOME_CANCELLED: Final = "cancelled"
 
 
-class BadRecord(Exception):
+class RecordError(TealrillError):
     """A record in the state service that this version did not write."""
 
 
@@ -483,7 +484,7 @@
         try:
             record = msgspec.convert(value, _ChunkRecord)
         except msgspec.ValidationError as error:
-            raise BadRecord(f"{job.id}/{number}: {error}") from None
+            raise RecordError(f"{job.id}/{number}: {error}") from None
         job.chunk_tasks = record.n
         chunk = Chunk(job, number, stamp, version=1, committed=1)
         job.chunks[number] = chunk
@@ -491,7 +492,7 @@
         for offset, entry in enumerate(record.tasks):
             index = number * record.n + offset
             if index >= job.spec.tasks:
-                raise BadRecord(f"{job.id}/{number}: more tasks than the job has")
+                raise RecordError(f"{job.id}/{number}: more tasks than the job has")
             if isinstance(entry, int):
                 if entry == _DONE:
                     self._load_done(job, index)
@@ -499,7 +500,7 @@
             try:
                 bindings.extend(self._load_entry(job, chunk, index, entry))
             except (IndexError, TypeError, ValueError):
-                raise BadRecord(f"{job.id}/{index}: {entry!r}") from None
+                raise RecordError(f"{job.id}/{index}: {entry!r}") from None
         for place, errors in record.errors.items():
             task = job.tasks.get(number * record.n + int(place) if place.isdigit() else -1)
             if task is not None:
@@ -546,7 +547,7 @@
 def chunk_bindings(value: Any) -> Iterator[tuple[MachineId, Session]]:
     """The machines and sessions to which a chunk's unfinished tasks are bound.
 
-    Raises `BadRecord` if this version can't read it.
+    Raises `RecordError` if this version can't read it.
     """
     try:
         record = msgspec.convert(value, _ChunkRecord)
@@ -557,7 +558,7 @@
             if not bound.done:
                 yield bound.machine, bound.session
     except (msgspec.ValidationError, IndexError, TypeError, ValueError) as error:
-        raise BadRecord(str(error)) from None
+        raise RecordError(str(error)) from None
 
 
 class _BoundEntry(NamedTuple):
--- a/tealrill/state/write_batcher.py
+++ b/tealrill/state/write_batcher.py
@@ -14,13 +14,14 @@
 from typing import Any, Final
 
 from tealrill import wire
+from tealrill.errors import TealrillError
 from tealrill.state.client import (
-    Failed,
-    Refused,
-    Rejected,
+    GuardsFailed,
+    OutcomeUnknownError,
     StateClient,
     StateError,
-    Unknown,
+    StateUnavailableError,
+    TransactionRejectedError,
 )
 from tealrill.state.fencing import LEADER_KEY, Fence, Leadership
 from tealrill.state.job_store import (
@@ -48,7 +49,7 @@
 """With so many chunks left over, they go with ends though bindings wait."""
 
 
-class Deposed(Exception):
+class LeadershipLostError(TealrillError):
     """The guard on the leader's key failed: somebody else leads, or nobody."""
 
 
@@ -123,7 +124,7 @@
         self._wake.set()
 
     async def run(self) -> None:
-        """Ends with `Deposed`."""
+        """Ends with `LeadershipLostError`."""
         while True:
             batch = self._gather(monotonic_now())
             self.under_way = bool(batch.changes)
@@ -278,17 +279,17 @@
         self._client.writes.spend(len(batch.changes))
         try:
             result = await self._fence.commit(batch.guards, batch.changes, paid=True)
-        except Refused as error:
+        except StateUnavailableError as error:
             log.debug("commit refused: %s", error)
             await asyncio.sleep(_BACK_OFF_S)
-        except Rejected as error:
+        except TransactionRejectedError as error:
             log.error("commit rejected: %s", error)
             await asyncio.sleep(1.0)
-        except Unknown as error:
+        except OutcomeUnknownError as error:
             log.info("commit without an answer (%s): reading back", error)
             await self._reread(batch, list(self._fence.guards(batch.guards)))
         else:
-            if isinstance(result, Failed):
+            if isinstance(result, GuardsFailed):
                 log.debug("commit failed on %s", result.keys)
                 await self._reread(batch, result.keys)
             else:
@@ -342,7 +343,7 @@
                 self.owner_gone(owners[key])
             if key == LEADER_KEY:
                 if stamp != self._fence.token:
-                    raise Deposed
+                    raise LeadershipLostError
             elif key in chunks:
                 chunks[key].stamp = stamp
             elif key in batch.dropped:
--- a/tealrill/webhooks/__init__.py
+++ b/tealrill/webhooks/__init__.py
@@ -14,6 +14,6 @@
 """
 
 from tealrill.webhooks.inbox import Inbox, Verdict
-from tealrill.webhooks.verifier import Answer, Event, Receiver, Refused
+from tealrill.webhooks.verifier import Answer, Event, Receiver, VerificationError
 
-__all__ = ["Answer", "Event", "Inbox", "Receiver", "Refused", "Verdict"]
+__all__ = ["Answer", "Event", "Inbox", "Receiver", "Verdict", "VerificationError"]
--- a/tealrill/webhooks/inbox.py
+++ b/tealrill/webhooks/inbox.py
@@ -16,6 +16,8 @@
 from pathlib import Path
 from typing import Final
 
+from tealrill.errors import TealrillError
+
 _SCHEMA: Final = """
 CREATE TABLE IF NOT EXISTS tealrill_position (
     subscription TEXT PRIMARY KEY,
@@ -45,7 +47,7 @@
     """One that it comes after was neither applied nor given up; nothing was done."""
 
 
-class BadInbox(Exception):
+class InboxError(TealrillError):
     """The file is of a later version, or damaged."""
 
 
@@ -53,7 +55,7 @@
     """One SQLite file, shared by any number of threads and processes."""
 
     def __init__(self, path: str | Path) -> None:
-        """Opens the file, or makes it; raises `BadInbox`.
+        """Opens the file, or makes it; raises `InboxError`.
 
         The effects of events may be tables in the same file; `connection` is for making them.
         """
@@ -69,8 +71,8 @@
             self._prepare()
         except sqlite3.DatabaseError as error:
             self.connection.close()
-            raise BadInbox(f"{self._path}: {error}") from None
-        except BadInbox:
+            raise InboxError(f"{self._path}: {error}") from None
+        except InboxError:
             self.connection.close()
             raise
 
@@ -82,7 +84,7 @@
             if row is None:
                 self.connection.execute("INSERT INTO tealrill_version VALUES (?)", (_VERSION,))
             elif row[0] != _VERSION:
-                raise BadInbox(f"{self._path}: version {row[0]}; this program reads {_VERSION}")
+                raise InboxError(f"{self._path}: version {row[0]}; this program reads {_VERSION}")
 
     def close(self) -> None:
         self.connection.close()
--- a/tealrill/webhooks/verifier.py
+++ b/tealrill/webhooks/verifier.py
@@ -19,6 +19,7 @@
 from cloudevents.core.exceptions import BaseCloudEventException
 from standardwebhooks import Webhook, WebhookVerificationError
 
+from tealrill.errors import TealrillError
 from tealrill.webhooks.inbox import Inbox, Verdict
 
 STRUCTURED: Final = "application/cloudevents+json"
@@ -26,7 +27,7 @@
 _STATUSES: Final = {Verdict.APPLIED: 200, Verdict.REPEATED: 200, Verdict.EARLY: 409}
 
 
-class Refused(Exception):
+class VerificationError(TealrillError):
     """Raised by a handler: nothing of the event is kept, and the sender is to come again."""
 
     def __init__(self, why: str, retry_after_s: int = 5) -> None:
@@ -34,7 +35,7 @@
         self.retry_after_s = retry_after_s
 
 
-class BadHook(Exception):
+class WebhookError(TealrillError):
     """What came is no event of ours; repeating it would not help."""
 
     def __init__(self, status: int, why: str) -> None:
@@ -88,8 +89,8 @@
             self._check(names, body)
             event = read(names, body)
             if self._keys and names["webhook-id"] != event.id:
-                raise BadHook(400, "webhook-id is not the event's id")
-        except BadHook as error:
+                raise WebhookError(400, "webhook-id is not the event's id")
+        except WebhookError as error:
             return _answer(error.status, {"error": str(error)})
         try:
             verdict = self._inbox.take(
@@ -98,7 +99,7 @@
                 event.after,
                 lambda connection: self._handler(event, connection),
             )
-        except Refused as error:
+        except VerificationError as error:
             after = {"Retry-After": str(error.retry_after_s)}
             return _answer(503, {"error": str(error)}, after)
         except sqlite3.OperationalError as error:
@@ -110,18 +111,18 @@
     def _check(self, names: Mapping[str, str], body: bytes) -> None:
         """The signature, by any of the keys. Comparison in constant time is the library's."""
         if len(body) > MOST_BODY:
-            raise BadHook(413, "the body is larger than 64 KiB")
+            raise WebhookError(413, "the body is larger than 64 KiB")
         if not self._keys:
             return
         if not names.get("content-type", "").lower().startswith(STRUCTURED):
-            raise BadHook(415, f"signed events come as {STRUCTURED}")
+            raise WebhookError(415, f"signed events come as {STRUCTURED}")
         for key in self._keys:
             try:
                 key.verify(body, dict(names), json_parse=False)
                 return
             except (WebhookVerificationError, ValueError, binascii.Error, OverflowError):
                 continue
-        raise BadHook(401, "no key has signed this, or its time is off")
+        raise WebhookError(401, "no key has signed this, or its time is off")
 
 
 def _answer(
@@ -135,12 +136,12 @@
 
 
 def read(names: Mapping[str, str], body: bytes) -> Event:
-    """An event from a request, in structured or binary mode; raises `BadHook`."""
+    """An event from a request, in structured or binary mode; raises `WebhookError`."""
     try:
         found = from_http_event(HTTPMessage(dict(names), body))
         event = _event(found)
     except (BaseCloudEventException, ValueError, KeyError, TypeError, AttributeError) as error:
-        raise BadHook(400, f"no event: {error}") from None
+        raise WebhookError(400, f"no event: {error}") from None
     return event
 
 
@@ -149,9 +150,9 @@
     subscription, number = attributes["subscription"], int(attributes["sequence"])
     after = int(attributes["after"])
     if not isinstance(subscription, str) or not 0 < len(subscription) <= 200:
-        raise BadHook(400, "subscription: missing or too long")
+        raise WebhookError(400, "subscription: missing or too long")
     if not 0 <= after < number < 2**63:
-        raise BadHook(400, f"sequence {number} can't come after {after}")
+        raise WebhookError(400, f"sequence {number} can't come after {after}")
     time = found.get_time()
     return Event(
         id=found.get_id(),
--- a/tealrill/wire.py
+++ b/tealrill/wire.py
@@ -12,6 +12,8 @@
 import orjson
 from msgspec import Meta
 
+from tealrill.errors import TealrillError
+
 T = TypeVar("T")
 
 MAX_BODY: Final = 64 * 1024
@@ -61,7 +63,7 @@
 COMMANDS_PATH: Final = "/orders"
 
 
-class Malformed(Exception):
+class MalformedMessageError(TealrillError):
     """A message that is not what the protocol says; the text names the field."""
 
 
@@ -299,13 +301,13 @@
 
 
 def decode(body: bytes, kind: type[T]) -> T:
-    """Reads one message; `Malformed` names the field that is wrong."""
+    """Reads one message; `MalformedMessageError` names the field that is wrong."""
     try:
         return msgspec.convert(orjson.loads(body), kind)
     except msgspec.ValidationError as error:
-        raise Malformed(str(error)) from None
+        raise MalformedMessageError(str(error)) from None
     except orjson.JSONDecodeError as error:
-        raise Malformed(f"not JSON: {error}") from None
+        raise MalformedMessageError(f"not JSON: {error}") from None
 
 
 def encode(message: Any) -> bytes:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -23,7 +23,7 @@
         # A run of chosen tests does not collect the others.
         if config.args_source is not pytest.Config.ArgsSource.ARGS:
             known_red.check_names(entries, {item.nodeid for item in items})
-    except known_red.BadKnownRedList as error:
+    except known_red.KnownRedListError as error:
         raise pytest.UsageError(f"{known_red.KNOWN_RED_FILE.name}: {error}") from None
     by_test = {entry.test: entry for entry in entries}
     for item in items:
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -14,7 +14,7 @@
 MOST_KNOWN_RED: Final = 3
 
 
-class BadKnownRedList(Exception):
+class KnownRedListError(Exception):
     """The list is malformed, too long, or names a test that does not exist."""
 
 
@@ -29,17 +29,17 @@
 
 
 def parse(text: str) -> list[KnownRed]:
-    """The entries of a list: `test | cause | issue` a line; raises `BadKnownRedList`."""
+    """The entries of a list: `test | cause | issue` a line; raises `KnownRedListError`."""
     entries: list[KnownRed] = []
     for line in text.splitlines():
         if not line.strip() or line.startswith("#"):
             continue
         fields = [field.strip() for field in line.split(" | ")]
         if len(fields) != 3 or not all(fields):
-            raise BadKnownRedList(f"not `test | cause | issue`: {line!r}")
+            raise KnownRedListError(f"not `test | cause | issue`: {line!r}")
         entries.append(KnownRed(*fields))
     if len(entries) > MOST_KNOWN_RED:
-        raise BadKnownRedList(f"{len(entries)} entries, {MOST_KNOWN_RED} at the most")
+        raise KnownRedListError(f"{len(entries)} entries, {MOST_KNOWN_RED} at the most")
     return entries
 
 
@@ -49,7 +49,7 @@
 
 
 def check_names(entries: list[KnownRed], collected: set[str]) -> None:
-    """Raises `BadKnownRedList` if an entry names no collected test."""
+    """Raises `KnownRedListError` if an entry names no collected test."""
     unknown = [entry.test for entry in entries if entry.test not in collected]
     if unknown:
-        raise BadKnownRedList(f"no such test: {', '.join(unknown)}")
+        raise KnownRedListError(f"no such test: {', '.join(unknown)}")
--- a/tests/test_acknowledged_cancellations.py
+++ b/tests/test_acknowledged_cancellations.py
@@ -28,7 +28,7 @@
 )
 from tealrill.state import acknowledged_cancellations as acknowledged_module
 from tealrill.state.acknowledged_cancellations import AcknowledgedCancellations
-from tealrill.state.client import Refused, StateClient
+from tealrill.state.client import StateClient, StateUnavailableError
 from tealrill.state.fencing import Leadership
 from tealrill.types import LeaseId, Monotonic, Revision, Token
 from tests.samples import SETTINGS
@@ -45,7 +45,7 @@
 
     async def get(self, key: str) -> None:
         if not self.up:
-            raise Refused("status 503")
+            raise StateUnavailableError("status 503")
 
 
 class _Member:
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -14,7 +14,7 @@
 from tealrill.http import Answer
 from tealrill.settings import StateLimits
 from tealrill.state import rate_limiter
-from tealrill.state.client import Busy, StateClient
+from tealrill.state.client import RateLimitedError, StateClient
 from tealrill.state.rate_limiter import Budget, Rank
 from tealrill.types import Monotonic
 from tests.standins import JumpingLoop
@@ -167,7 +167,7 @@
         async def one() -> None:
             try:
                 await client.get("job/wk-1", Rank.USERS)
-            except Busy:
+            except RateLimitedError:
                 refused.append(asyncio.get_running_loop().time())
 
         await asyncio.gather(*(one() for _ in range(3000)))
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -16,8 +16,17 @@
 
 from tealrill import wire
 from tealrill.cli import main
-from tealrill.client import AsyncClient, BadRequest, GaveUp, Graph, Retry, each, failed, protocol
-from tealrill.client.files import BadFile, check, schema
+from tealrill.client import (
+    AsyncClient,
+    Graph,
+    RequestRejectedError,
+    RetriesExhaustedError,
+    Retry,
+    each,
+    failed,
+    protocol,
+)
+from tealrill.client.files import GraphFileError, check, schema
 from tealrill.client.protocol import Clock, Pause, Request, Response
 from tealrill.graphs.model import Submission
 from tests.standins import Worker
@@ -32,7 +41,7 @@
         self.now = 100.0
 
 
-def _drive(call: client.Call[Any], answers: list[Response], time: _Time) -> tuple[Any, list[Any]]:
+def _drive(call: protocol.Call[Any], answers: list[Response], time: _Time) -> tuple[Any, list[Any]]:
     """Runs a call on simulated time; its result or exception, and its steps."""
     steps: list[Any] = []
     answer: Response | None = None
@@ -47,7 +56,7 @@
                 answer = answers.pop(0) if answers else Response(0, {})
     except StopIteration as end:
         return end.value, steps
-    except client.ClientError as error:
+    except protocol.ClientError as error:
         return error, steps
 
 
@@ -79,12 +88,12 @@
     # No request sooner than a second, or than the service asked for.
     for answer, pause in zip(answers, pauses, strict=False):
         assert pause >= max(1.0, answer.retry_after_s or 0.0)
-    if isinstance(result, GaveUp):
+    if isinstance(result, RetriesExhaustedError):
         assert len(sent) <= given_up
     elif last in (200, 201):
         assert result == final.body and len(sent) == given_up + 1
     else:
-        assert isinstance(result, BadRequest) and result.status == last
+        assert isinstance(result, RequestRejectedError) and result.status == last
 
 
 @given(st.lists(st.integers(1, 3000), max_size=60))
@@ -208,7 +217,7 @@
                 assert await run.cancel() == "done"
                 # Submitted once more, it is the same graph.
                 assert (await (await client.submit(graph)).progress())["counts"]["done"] == 5
-                with pytest.raises(BadRequest, match="409"):
+                with pytest.raises(RequestRejectedError, match="409"):
                     await client.submit(Graph("fam1"))
         finally:
             working.cancel()
@@ -277,7 +286,7 @@
     path.write_text(_FILE.replace(old, new, 1))
     result = CliRunner().invoke(main, ["graph", "check", str(path)])
     assert result.exit_code == 2
-    with pytest.raises(BadFile, match=named):
+    with pytest.raises(GraphFileError, match=named):
         check(tomllib.loads(path.read_text()))
 
 
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -18,16 +18,16 @@
 
 from tealrill import wire
 from tealrill.fleet import intent_log, provisioning
-from tealrill.fleet.cloud import Cloud, CloudError, NoCapacity
+from tealrill.fleet.cloud import Cloud, CloudError, NoCapacityError
 from tealrill.fleet.intent_log import CLOUD_PREFIX, Intents, RentRecord, ReturnRecord
 from tealrill.fleet.machines import Fleet
 from tealrill.fleet.provisioning import Renter
 from tealrill.scheduler.capacity import Rental
 from tealrill.state import fencing, rate_limiter, write_batcher
-from tealrill.state.client import Failed, StateClient
-from tealrill.state.fencing import LEADER_KEY, Duty, Fence, Leadership, Replaced
+from tealrill.state.client import GuardsFailed, StateClient
+from tealrill.state.fencing import LEADER_KEY, Duty, Fence, Leadership, NotHolderError
 from tealrill.state.job_store import Book
-from tealrill.state.write_batcher import Deposed, Joined, Keeper
+from tealrill.state.write_batcher import Joined, Keeper, LeadershipLostError
 from tealrill.types import (
     ABSENT,
     LeaseId,
@@ -56,7 +56,7 @@
 
     def execute(self, guards: list[Any], changes: list[Any]) -> Any:
         result = super().execute(guards, changes)
-        if not isinstance(result, Failed):
+        if not isinstance(result, GuardsFailed):
             self.ever |= {change["set"] for change in changes if "set" in change}
         return result
 
@@ -124,7 +124,7 @@
         self, name: str, type_name: str, zone: str, spot: bool, count: int, check: Any
     ) -> list[str]:
         if not self.world.calm and self.world.rng.random() < 0.1:
-            raise NoCapacity
+            raise NoCapacityError
         cloud = self.world.cloud
         found = await self._fate(lambda: cloud.hire(self.term, name, count), check)
         return list(found)
@@ -169,7 +169,7 @@
     async def _ends(self, loop: Any) -> None:
         try:
             await loop()
-        except Deposed:
+        except LeadershipLostError:
             pass
         except Broken as error:
             self.world.broken.append(error)
@@ -376,7 +376,7 @@
 def test_nothing_leaves_once_the_duty_may_be_over() -> None:
     """After every wait: for its releases, for its record, for the budget, for a connection."""
     held = Duty("renting", Token(3), Monotonic(0.0), lambda: False)
-    with pytest.raises(Replaced):
+    with pytest.raises(NotHolderError):
         held.check()
 
     async def scenario() -> None:
@@ -390,9 +390,9 @@
             sent.append(path)
 
         cloud._http.request = request  # type: ignore[method-assign, assignment]
-        with pytest.raises(Replaced):
+        with pytest.raises(NotHolderError):
             await cloud.rent("tr-3-1", *_KIND, 5, held.check)
-        with pytest.raises(Replaced):
+        with pytest.raises(NotHolderError):
             await cloud.release([MachineId("m-1")], held.check)
         assert not sent
 
--- a/tests/test_exclusion.py
+++ b/tests/test_exclusion.py
@@ -23,7 +23,7 @@
 
 from tealrill import settings, wire
 from tealrill.http import Answer as HttpAnswer
-from tealrill.http import Client, NoAnswer
+from tealrill.http import Client, NoAnswerError
 from tealrill.leadership import election as election_module
 from tealrill.leadership import exclusion as exclusion_module
 from tealrill.leadership import lease_extension as extension_module
@@ -36,7 +36,13 @@
     LeaseExtension,
     Seen,
 )
-from tealrill.state.client import Committed, Failed, Refused, StateClient, Unknown
+from tealrill.state.client import (
+    Committed,
+    GuardsFailed,
+    OutcomeUnknownError,
+    StateClient,
+    StateUnavailableError,
+)
 from tealrill.state.fencing import LEADER_KEY
 from tealrill.types import LeaseId, Monotonic, Revision, Token
 from tests.samples import SETTINGS
@@ -67,11 +73,11 @@
             del self.keys[key]
             self.epoch += 1
 
-    def execute(self, guards: Any, changes: Any) -> Committed | Failed | None:
+    def execute(self, guards: Any, changes: Any) -> Committed | GuardsFailed | None:
         self.expire()
         failed = [g["path"] for g in guards if self.keys.get(g["path"], (0, 0))[1] != g["stamp"]]
         if failed:
-            return Failed(failed)
+            return GuardsFailed(failed)
         if any(c.get("hold") is not None and c["hold"] not in self.leases for c in changes):
             return None
         self.epoch += 1
@@ -93,7 +99,7 @@
 
     def _reach(self) -> None:
         if self.host in self.world.cut:
-            raise Refused("status 503")
+            raise StateUnavailableError("status 503")
         self.world.store.expire()
 
     async def get(self, key: str) -> wire.KeyValue | None:
@@ -135,17 +141,19 @@
 
     def set_leading(self, leads: bool) -> None: ...
 
-    async def commit(self, guards: Any, changes: Any, paid: bool = False) -> Committed | Failed:
+    async def commit(
+        self, guards: Any, changes: Any, paid: bool = False
+    ) -> Committed | GuardsFailed:
         self._reach()
         fate = self.world.rng.random()
         if fate < 0.08:
             self.world.store.late.append((guards, changes))
-            raise Unknown("no answer")
+            raise OutcomeUnknownError("no answer")
         result = self.world.store.execute(guards, changes)
         if fate < 0.16:
-            raise Unknown("no answer")
+            raise OutcomeUnknownError("no answer")
         if result is None:
-            raise Refused("no such lease")
+            raise StateUnavailableError("no such lease")
         return result
 
 
@@ -159,7 +167,7 @@
         self, method: str, path: str, body: bytes | None = None, timeout_s: float = 1.0
     ) -> HttpAnswer:
         if frozenset((self.own, self.other)) in self.world.apart:
-            raise NoAnswer("TimeoutError", True)
+            raise NoAnswerError("TimeoutError", True)
         there = self.world.nodes[self.other]
         answer = HttpAnswer()
         answer.status = 200
@@ -223,7 +231,7 @@
                 await self.election._follow()
             else:
                 await self.election._hold(mine)
-        except (Refused, Unknown):
+        except (StateUnavailableError, OutcomeUnknownError):
             pass
 
 
@@ -410,7 +418,7 @@
         # It answers; its removal gets no answer and is not executed yet.
         answers["value"] = True
         world.rng.random = lambda: 0.0  # type: ignore[method-assign]
-        with contextlib.suppress(Unknown):
+        with contextlib.suppress(OutcomeUnknownError):
             await found.look()
         assert not found.is_excluded("host-1") and exclusion_key("host-1") in store.keys
         answers["value"] = False
@@ -422,7 +430,7 @@
 
     asyncio.run(scenario())
     (late,) = store.late
-    assert isinstance(store.execute(*late), Failed)
+    assert isinstance(store.execute(*late), GuardsFailed)
     assert exclusion_key("host-1") in store.keys
 
 
@@ -444,10 +452,10 @@
         get = client.get
 
         async def refused(_: str) -> None:
-            raise Refused("status 503")
+            raise StateUnavailableError("status 503")
 
         client.get = refused
-        with pytest.raises(Refused):
+        with pytest.raises(StateUnavailableError):
             await found.turn()
         client.get = get
         if not guarded:
--- a/tests/test_formats.py
+++ b/tests/test_formats.py
@@ -36,7 +36,7 @@
     if field == "dueS":
         assert wire.decode(orjson.dumps(body), wire.JobSpec).deadline_s is None
         return
-    with pytest.raises(wire.Malformed, match=field):
+    with pytest.raises(wire.MalformedMessageError, match=field):
         wire.decode(orjson.dumps(body), wire.JobSpec)
 
 
@@ -56,19 +56,19 @@
     ],
 )
 def test_a_field_out_of_range_is_named(field: str, value: Any) -> None:
-    with pytest.raises(wire.Malformed, match=field):
+    with pytest.raises(wire.MalformedMessageError, match=field):
         wire.decode(orjson.dumps({**SUBMISSION, field: value}), wire.JobSpec)
 
 
 @pytest.mark.parametrize("body", [b"", b"{", b"[]", b"7", b'{"vcpus": NaN}', b"\xff\xfe"])
 def test_what_is_no_json_object_is_malformed(body: bytes) -> None:
-    with pytest.raises(wire.Malformed):
+    with pytest.raises(wire.MalformedMessageError):
         wire.decode(body, wire.JobSpec)
 
 
 @given(st.binary(max_size=200))
 def test_no_body_breaks_the_reader(body: bytes) -> None:
-    with pytest.raises(wire.Malformed):
+    with pytest.raises(wire.MalformedMessageError):
         wire.decode(body, wire.Report)
 
 
@@ -108,7 +108,7 @@
     ],
 )
 def test_bad_settings_name_the_field(change: dict[str, Any], named: str) -> None:
-    with pytest.raises(settings.BadSettings, match=named) as error:
+    with pytest.raises(settings.SettingsError, match=named) as error:
         settings.parse(orjson.dumps({**SETTINGS, **change}))
     assert "\n" not in str(error.value)
 
--- a/tests/test_golden_records.py
+++ b/tests/test_golden_records.py
@@ -34,7 +34,7 @@
 from tealrill.graphs.admission import GraphIntake
 from tealrill.graphs.leader_extension import GraphTerm
 from tealrill.graphs.model import Node, PartBody, SealBody, Submission
-from tealrill.graphs.records import BadGraphRecord, Head
+from tealrill.graphs.records import GraphRecordError, Head
 from tealrill.leader import leader
 from tealrill.leadership import election, renewal_delegation
 from tealrill.leadership.election import Election
@@ -45,8 +45,8 @@
 from tealrill.state import job_store as state_book
 from tealrill.state.acknowledged_cancellations import AcknowledgedCancellations
 from tealrill.state.admission import Intake
-from tealrill.state.client import Committed, Failed
-from tealrill.state.job_store import BadRecord, Book, Owner
+from tealrill.state.client import Committed, GuardsFailed
+from tealrill.state.job_store import Book, Owner, RecordError
 from tealrill.state.write_batcher import Joined, Keeper, _Batch
 from tealrill.types import ABSENT, JobId, LeaseId, Revision, Token, Wall
 from tests.samples import SETTINGS, SUBMISSION
@@ -104,10 +104,10 @@
 
     async def commit(
         self, guards: list[dict[str, Any]], changes: list[dict[str, Any]], paid: bool = False
-    ) -> Committed | Failed:
+    ) -> Committed | GuardsFailed:
         failed = [g["path"] for g in guards if g["stamp"] != (3 if g["path"] in self.kept else 0)]
         if failed:
-            return Failed(failed)
+            return GuardsFailed(failed)
         self.changes += changes
         return Committed(Revision(9))
 
@@ -593,7 +593,9 @@
 
 def _message(kind: type[Any], fields: Fields) -> Kind:
     """A message that `wire` reads and writes."""
-    return Kind(lambda text: wire.decode(text, kind), fields, lambda r: r, wire.Malformed)
+    return Kind(
+        lambda text: wire.decode(text, kind), fields, lambda r: r, wire.MalformedMessageError
+    )
 
 
 def _record(
@@ -618,8 +620,8 @@
         write_accepted_job,
         _INVALID,
     ),
-    "node": _record(read_node_job, _NODE, write_released_node, BadGraphRecord),
-    "run": _record(read_chunk, _CHUNK, write_chunk, BadRecord),
+    "node": _record(read_node_job, _NODE, write_released_node, GraphRecordError),
+    "run": _record(read_chunk, _CHUNK, write_chunk, RecordError),
     "over": _record(read_over, _OVER, write_end, KeyError),
     "over cancelled": _record(read_over, _OVER, write_cancellation, KeyError),
     "over buried": _record(read_over, _OVER, write_burial, KeyError),
@@ -674,8 +676,8 @@
         write_return,
         ValueError,
     ),
-    "graph": _record(records.read_head, _HEAD, msgspec.to_builtins, BadGraphRecord),
-    "graph over": _record(records.read_over, _GRAPH_OVER, write_graph_end, BadGraphRecord),
+    "graph": _record(records.read_head, _HEAD, msgspec.to_builtins, GraphRecordError),
+    "graph over": _record(records.read_over, _GRAPH_OVER, write_graph_end, GraphRecordError),
     "part": _record(
         read_part,
         {
@@ -684,10 +686,10 @@
             "content": lambda r: _nodes(r[1]),
         },
         write_part,
-        BadGraphRecord,
+        GraphRecordError,
     ),
     "parts": _record(
-        read_parts, {"content": lambda r: _nodes(r[1])}, write_parts, BadGraphRecord
+        read_parts, {"content": lambda r: _nodes(r[1])}, write_parts, GraphRecordError
     ),
     # Messages.
     "submission": _message(wire.JobSpec, _JOB),
@@ -731,9 +733,9 @@
     "graph seal": _message(SealBody, {"parts": lambda r: r.parts}),
     "graph counts": _message(dict[str, int], {"counts": lambda r: r}),
     # Files, which are only read.
-    "settings": Kind(settings.parse, _SETTINGS, refusal=settings.BadSettings),
+    "settings": Kind(settings.parse, _SETTINGS, refusal=settings.SettingsError),
     "features": Kind(
-        lambda text: features.parse(text.decode()), _FEATURES, refusal=features.BadFeatures
+        lambda text: features.parse(text.decode()), _FEATURES, refusal=features.FeaturesError
     ),
 }  # fmt: skip
 
@@ -754,7 +756,7 @@
     "transaction": wire.transaction,
     "lease request": wire.lease_request,
     "answer": answer,
-    "graph refused": lambda *given: model.BadGraph(*given).body(),
+    "graph refused": lambda *given: model.InvalidGraphError(*given).body(),
     "graph accepted": lambda name, head: GraphIntake._accepted(name, records.read_head(head)),
 }
 
--- a/tests/test_graphs.py
+++ b/tests/test_graphs.py
@@ -18,15 +18,15 @@
 from tealrill.fleet.cloud import Cloud
 from tealrill.graphs import records
 from tealrill.graphs.leader_extension import GraphTerm
-from tealrill.graphs.model import BadGraph, Edge, Node, Shape, resolve
-from tealrill.graphs.records import BadGraphRecord, Head, Over
+from tealrill.graphs.model import Edge, InvalidGraphError, Node, Shape, resolve
+from tealrill.graphs.records import GraphRecordError, Head, Over
 from tealrill.graphs.tracker import OVER_DONE, OVER_FAILED, RELEASED, Progress
 from tealrill.leader.leader import Leader
 from tealrill.leadership.election import Election
 from tealrill.scheduler.estimates import Estimates
 from tealrill.scheduler.model import JobView, Policy
 from tealrill.scheduler.queue import order
-from tealrill.state.client import Failed, StateClient
+from tealrill.state.client import GuardsFailed, StateClient
 from tealrill.state.fencing import Leadership
 from tealrill.state.job_store import Book, job_key
 from tealrill.types import (
@@ -81,10 +81,10 @@
 
 def test_a_cycle_is_shown_by_its_path_however_long() -> None:
     nodes = [_node(f"n{i}", f"n{(i + 1) % 10_000}") for i in range(10_000)]
-    with pytest.raises(BadGraph, match=r"waits for itself: n.* -> .* -> n") as found:
+    with pytest.raises(InvalidGraphError, match=r"waits for itself: n.* -> .* -> n") as found:
         _shape([_node("apart"), *nodes])
     assert len(str(found.value)) < 300
-    with pytest.raises(BadGraph, match="a -> c -> b -> a"):
+    with pytest.raises(InvalidGraphError, match="a -> c -> b -> a"):
         _shape([_node("a", "b"), _node("b", "c"), _node("c", "a"), _node("d", "a")])
 
 
@@ -163,13 +163,13 @@
     assert part[0] == 7 and part[1].nodes == len(nodes)
     assert records.unpack(part[1]) == nodes
     if len(entries) > 1:
-        with pytest.raises(BadGraphRecord):
+        with pytest.raises(GraphRecordError):
             records.gather(entries[:-1])
 
 
 @given(st.binary(max_size=200))
 def test_what_is_no_part_is_called_so(content: bytes) -> None:
-    with pytest.raises(BadGraphRecord):
+    with pytest.raises(GraphRecordError):
         records.unpack(records.Packed(1, "", content))
 
 
@@ -178,7 +178,7 @@
 
     bomb = zlib.compress(b"[" + b" " * 200_000_000 + b"]")
     tracemalloc.start()
-    with pytest.raises(BadGraphRecord):
+    with pytest.raises(GraphRecordError):
         records.unpack(records.Packed(1, "", bomb))
     peak = tracemalloc.get_traced_memory()[1]
     tracemalloc.stop()
@@ -215,7 +215,7 @@
     assert records.read_over(orjson.loads(wire.encode(over))) == over
     others: list[Any] = [{**kept, "v": 2}, {**kept, "status": "odd"}, [], None]
     for other in others:
-        with pytest.raises(BadGraphRecord):
+        with pytest.raises(GraphRecordError):
             records.read_head(other)
 
 
@@ -380,7 +380,7 @@
         late = store.execute(
             [wire.guard("job/fam1", open_stamp)], [wire.put("part/fam1/00099.00", {})]
         )
-        assert isinstance(late, Failed)
+        assert isinstance(late, GuardsFailed)
         assert sorted(store.keys) == ["job/wk-1", "leader"]
 
     asyncio.run(scenario())
--- a/tests/test_graphs_node.py
+++ b/tests/test_graphs_node.py
@@ -13,7 +13,7 @@
 
 from tealrill import features, settings
 from tealrill.daemon import Node
-from tealrill.http import Client, NoAnswer
+from tealrill.http import Client, NoAnswerError
 from tests.samples import SUBMISSION
 from tests.standins import Worker
 from tests.test_node import _PATIENCE_S, World, free_address, running
@@ -272,7 +272,7 @@
 async def _persist(world: World, body: dict[str, Any]) -> None:
     """Submits as a client does: again and again under the same id until it is accepted."""
     while True:
-        with contextlib.suppress(NoAnswer):
+        with contextlib.suppress(NoAnswerError):
             status, answer = await world.send("POST", "/v2/graphs", body)
             if status in (200, 201):
                 assert answer["status"] in ("accepted", "done")
@@ -313,7 +313,7 @@
                 if died.is_set():
                     died.clear()
                     await world.restart()
-                with contextlib.suppress(NoAnswer):
+                with contextlib.suppress(NoAnswerError):
                     await world.beat(worker)
                 for name, task in list(worker.tasks.items()):
                     if task["status"] == "running":
@@ -326,7 +326,7 @@
             async with asyncio.timeout(2 * _PATIENCE_S):
                 await _persist(world, body)
                 while True:
-                    with contextlib.suppress(NoAnswer):
+                    with contextlib.suppress(NoAnswerError):
                         if await graph_is(world, "fam7", "done")():
                             break
                     await asyncio.sleep(0.05)
@@ -404,7 +404,7 @@
             async def send(method: str, path: str, body: Any = None) -> tuple[int, Any]:
                 raw = None if body is None else orjson.dumps(body)
                 while True:
-                    with contextlib.suppress(NoAnswer):
+                    with contextlib.suppress(NoAnswerError):
                         answer = await client.request(method, path, raw, _PATIENCE_S)
                         return answer.status, orjson.loads(answer.body)
                     await asyncio.sleep(0.02)
--- a/tests/test_graphs_records.py
+++ b/tests/test_graphs_records.py
@@ -31,11 +31,11 @@
 from tealrill.scheduler.estimates import Estimates
 from tealrill.state import write_batcher
 from tealrill.state.admission import Intake, Reply
-from tealrill.state.client import Committed, Failed, StateClient
+from tealrill.state.client import Committed, GuardsFailed, StateClient
 from tealrill.state.fencing import LEADER_KEY, Leadership
 from tealrill.state.job_store import Binding, Book
 from tealrill.state.rate_limiter import Rank
-from tealrill.state.write_batcher import Deposed, Keeper
+from tealrill.state.write_batcher import Keeper, LeadershipLostError
 from tealrill.types import (
     LeaseId,
     MachineId,
@@ -140,7 +140,7 @@
         items = [e for e in entries if after is None or e.key > after]
         return wire.Entries(items=items[:most], more=len(items) > most, revision=revision)
 
-    def execute(self, guards: list[Any], changes: list[Any]) -> Committed | Failed:
+    def execute(self, guards: list[Any], changes: list[Any]) -> Committed | GuardsFailed:
         before = dict(self.keys)
         result = super().execute(guards, changes)
         if isinstance(result, Committed):
@@ -427,7 +427,7 @@
                 reign.work(fail, rest)
             if self.rng.random() < 0.5:
                 await reign.commit()
-        except Deposed:
+        except LeadershipLostError:
             if reign in self.former:
                 self.former.remove(reign)
             elif reign is self.reign:
--- a/tests/test_lease_extension.py
+++ b/tests/test_lease_extension.py
@@ -10,7 +10,7 @@
 
 from tealrill import settings, wire
 from tealrill.http import Answer as HttpAnswer
-from tealrill.http import NoAnswer
+from tealrill.http import NoAnswerError
 from tealrill.leadership import election as election_module
 from tealrill.leadership.election import TERM_KEY, Election, KnownLeader
 from tealrill.leadership.lease_extension import (
@@ -22,7 +22,13 @@
     Seen,
 )
 from tealrill.state.acknowledged_cancellations import AcknowledgedCancellations
-from tealrill.state.client import Committed, Failed, Refused, StateClient, Unknown
+from tealrill.state.client import (
+    Committed,
+    GuardsFailed,
+    OutcomeUnknownError,
+    StateClient,
+    StateUnavailableError,
+)
 from tealrill.state.fencing import LEADER_KEY, Leadership
 from tealrill.types import LeaseId, Monotonic, Revision, Token
 from tests.samples import SETTINGS
@@ -40,7 +46,7 @@
 
     async def get(self, key: str) -> wire.KeyValue | None:
         if self.down:
-            raise Refused("status 503")
+            raise StateUnavailableError("status 503")
         entry = self.keys.get(key)
         return None if entry is None else wire.KeyValue(value=entry[0], version=entry[1])
 
@@ -51,13 +57,13 @@
 
     def set_leading(self, leads: bool) -> None: ...
 
-    async def commit(self, guards: Any, changes: Any) -> Committed | Failed:
+    async def commit(self, guards: Any, changes: Any) -> Committed | GuardsFailed:
         self.commits += 1
         if self.outcome == "unknown":
-            raise Unknown("no answer")
+            raise OutcomeUnknownError("no answer")
         if self.outcome == "refused":
-            raise Refused("status 503")
-        return Committed(Revision(10)) if self.outcome == "ok" else Failed([TERM_KEY])
+            raise StateUnavailableError("status 503")
+        return Committed(Revision(10)) if self.outcome == "ok" else GuardsFailed([TERM_KEY])
 
 
 class _Clock:
@@ -104,11 +110,13 @@
     # All controllers crashed together, and the wait for the promise's end cost every task.
     election = _election(_State(), PROMISE_S)
     extension = _extension(_State(), election, clock)
-    said: dict[str, NoAnswer | bytes] = {"answer": NoAnswer("refused", False, refused=True)}
+    said: dict[str, NoAnswerError | bytes] = {
+        "answer": NoAnswerError("refused", False, refused=True)
+    }
 
     async def request(*_: object, timeout_s: float) -> HttpAnswer:
         answer = said["answer"]
-        if isinstance(answer, NoAnswer):
+        if isinstance(answer, NoAnswerError):
             raise answer
         found = HttpAnswer()
         found.body = answer
--- a/tests/test_lease_revocation.py
+++ b/tests/test_lease_revocation.py
@@ -29,7 +29,7 @@
 from tealrill.leadership.election import TTL_S, KnownLeader, exclusion_key
 from tealrill.leadership.exclusion import Exclusions
 from tealrill.leadership.lease_revocation import LOST_S, LeaseRevocation
-from tealrill.state.client import Refused, Unknown
+from tealrill.state.client import OutcomeUnknownError, StateUnavailableError
 from tealrill.state.fencing import LEADER_KEY
 from tealrill.types import LeaseId, Monotonic, Revision, Token
 from tests import test_exclusion as model
@@ -49,10 +49,10 @@
         fate = world.rng.random()
         if fate < 0.3:
             world.late_ends.append(lease)
-            raise Unknown("no answer")
+            raise OutcomeUnknownError("no answer")
         world.end_lease(lease)
         if fate < 0.4:
-            raise Unknown("no answer")
+            raise OutcomeUnknownError("no answer")
 
 
 class _Member(_Node):
@@ -86,7 +86,7 @@
             self.unheard_since = None
         elif self.unheard_since is None:
             self.unheard_since = self.now()
-        with contextlib.suppress(Refused, Unknown):
+        with contextlib.suppress(StateUnavailableError, OutcomeUnknownError):
             await self.revocation.turn()
 
 
@@ -169,7 +169,7 @@
     """A request to end the lease counts as carried out."""
 
     async def end_lease(self: LeaseRevocation, attempt: Any) -> None:
-        with contextlib.suppress(Unknown):
+        with contextlib.suppress(OutcomeUnknownError):
             await self._client.end_lease(attempt.lease)
         attempt.may_stand_at = Monotonic(self._now() + TTL_S * 1.001 + 0.2)
 
@@ -362,13 +362,13 @@
             if executed == "at once":
                 whole(guards, changes)
             cast(Any, reach).get = refused
-            raise Unknown("no answer")
+            raise OutcomeUnknownError("no answer")
         return await _Interrupted.commit(cast(Any, reach), guards, changes, paid)
 
     get = reach.get
 
     async def refused(_: str) -> None:
-        raise Refused("status 503")
+        raise StateUnavailableError("status 503")
 
     async def scenario() -> None:
         # Only this member's transaction is on its way.
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -28,7 +28,7 @@
 from tealrill.fleet.machines import Fleet
 from tealrill.graphs.admission import GraphIntake
 from tealrill.http import Answer as HttpAnswer
-from tealrill.http import NoAnswer
+from tealrill.http import NoAnswerError
 from tealrill.leader import leader as leader_module
 from tealrill.leader.leader import Leader
 from tealrill.leadership.election import TTL_S, Election
@@ -44,7 +44,12 @@
 from tealrill.state import client as client_module
 from tealrill.state.acknowledged_cancellations import AcknowledgedCancellations
 from tealrill.state.admission import Intake
-from tealrill.state.client import Refused, StateClient, StateError, Unknown
+from tealrill.state.client import (
+    OutcomeUnknownError,
+    StateClient,
+    StateError,
+    StateUnavailableError,
+)
 from tealrill.state.fencing import Leadership
 from tealrill.state.job_store import OUTCOME_FAILED, RUN_PREFIX, Binding, Book, Job, over_key
 from tealrill.state.rate_limiter import Budget, Rank
@@ -79,7 +84,7 @@
 
     async def get(self, key: str) -> None:
         if self.world is None or not self.world.serves(self.host):
-            raise Refused("status 503")
+            raise StateUnavailableError("status 503")
 
 
 class _Host:
@@ -521,7 +526,7 @@
     class Lines:
         async def request(self, *_: object) -> HttpAnswer:
             at[0] += took_s
-            raise NoAnswer("TimeoutError", True, silent=True)
+            raise NoAnswerError("TimeoutError", True, silent=True)
 
     leader._lines = cast(Any, Lines())
     with pytest.MonkeyPatch.context() as patch:
@@ -649,7 +654,7 @@
         async def watch(self, prefix: str, since: Revision, hold_s: float) -> wire.WatchResult:
             asked.append(hold_s)
             if len(asked) in (2, 3):
-                raise Unknown("no answer")
+                raise OutcomeUnknownError("no answer")
             if len(asked) == 6:
                 raise asyncio.CancelledError
             return wire.WatchResult(revision=len(asked), events=[])
--- a/tests/test_meetings_lab.py
+++ b/tests/test_meetings_lab.py
@@ -26,7 +26,7 @@
 from tealrill.simulation.faults import Troubles
 from tealrill.state.acknowledged_cancellations import AcknowledgedCancellations
 from tealrill.state.admission import Intake, Reply
-from tealrill.state.client import Committed, Unknown
+from tealrill.state.client import Committed, OutcomeUnknownError
 from tealrill.state.fencing import Fence
 from tealrill.state.job_store import Book, Job, job_key
 from tealrill.state.write_batcher import Keeper
@@ -328,7 +328,7 @@
     async def commit(self: Intake, *given: Any) -> Any:
         try:
             return await whole(self, *given)
-        except Unknown:
+        except OutcomeUnknownError:
             return Committed(Revision(1))
 
     patch.setattr(Intake, "_commit_accepted", commit)
@@ -351,7 +351,7 @@
     async def commit(self: Fence, *given: Any, **named: Any) -> Any:
         try:
             return await whole(self, *given, **named)
-        except Unknown:
+        except OutcomeUnknownError:
             return Committed(Revision(1))
 
     patch.setattr(Fence, "commit", commit)
--- a/tests/test_open_jobs.py
+++ b/tests/test_open_jobs.py
@@ -26,7 +26,14 @@
 from tealrill.leadership.election import Election, KnownLeader
 from tealrill.leadership.open_jobs import OpenJobs, renewal_bound_s
 from tealrill.leadership.renewal_delegation import DELEGATION_PREFIX, RenewalDelegate
-from tealrill.state.client import Committed, Failed, Refused, StateClient, StateError, Unknown
+from tealrill.state.client import (
+    Committed,
+    GuardsFailed,
+    OutcomeUnknownError,
+    StateClient,
+    StateError,
+    StateUnavailableError,
+)
 from tealrill.state.fencing import LEADER_KEY
 from tealrill.state.revision_clock import RevisionClock
 from tealrill.types import MachineId, Monotonic, Revision, Session, Token
@@ -83,9 +90,9 @@
     def _request(self) -> None:
         self.requests += 1
         if self.down:
-            raise Refused("status 503")
+            raise StateUnavailableError("status 503")
         if self.rng.random() < self.lost:
-            raise Unknown("no answer")
+            raise OutcomeUnknownError("no answer")
 
     async def get(self, key: str) -> wire.KeyValue | None:
         self._request()
@@ -116,12 +123,12 @@
 
     async def commit(
         self, guards: list[Any], changes: list[Any], paid: bool = False
-    ) -> Committed | Failed:
+    ) -> Committed | GuardsFailed:
         self._request()
         keys = self.store.keys
         failed = [g["path"] for g in guards if keys.get(g["path"], (0, 0))[1] != g["stamp"]]
         if failed:
-            return Failed(failed)
+            return GuardsFailed(failed)
         for change in changes:
             self.store.put(change["set"], change["value"])
         return Committed(Revision(self.store.revision))
--- a/tests/test_prober.py
+++ b/tests/test_prober.py
@@ -15,7 +15,7 @@
 from tealrill import settings, wire
 from tealrill.daemon import Node
 from tealrill.fleet import prober as prober_module
-from tealrill.fleet.cloud import Cloud, NoCapacity
+from tealrill.fleet.cloud import Cloud, NoCapacityError
 from tealrill.fleet.connections import Lines
 from tealrill.fleet.machines import Fleet
 from tealrill.fleet.prober import Prober
@@ -274,7 +274,7 @@
         self.asked.append(count)
         answer = self.answers.pop(0)
         if answer is None:
-            raise NoCapacity
+            raise NoCapacityError
         return answer
 
 
--- a/tests/test_receiver.py
+++ b/tests/test_receiver.py
@@ -17,8 +17,8 @@
 from hypothesis import strategies as st
 from standardwebhooks import Webhook
 
-from tealrill.webhooks import Answer, Event, Inbox, Receiver, Refused, Verdict
-from tealrill.webhooks.inbox import BadInbox
+from tealrill.webhooks import Answer, Event, Inbox, Receiver, Verdict, VerificationError
+from tealrill.webhooks.inbox import InboxError
 
 _OLD, _NEW = "whsec_" + "b2xkLWtleS1vbGQta2V5", "whsec_" + "bmV3LWtleS1uZXcta2V5"
 
@@ -200,12 +200,12 @@
 def test_a_file_of_another_kind_or_a_later_version_is_refused(tmp_path: Path) -> None:
     damaged = tmp_path / "damaged.db"
     damaged.write_bytes(b"no database at all" * 100)
-    with pytest.raises(BadInbox):
+    with pytest.raises(InboxError):
         Inbox(damaged)
     later = _inbox(tmp_path / "later.db")
     later.connection.execute("UPDATE tealrill_version SET version = 2")
     later.close()
-    with pytest.raises(BadInbox, match="version 2"):
+    with pytest.raises(InboxError, match="version 2"):
         Inbox(tmp_path / "later.db")
 
 
@@ -293,7 +293,7 @@
     def handler(event: Event, db: sqlite3.Connection) -> None:
         _charge(event, db)
         if busy.pop():
-            raise Refused("the ledger is closed", retry_after_s=30)
+            raise VerificationError("the ledger is closed", retry_after_s=30)
 
     receiver = Receiver(inbox, handler)
     body = _body(1)
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -23,7 +23,14 @@
 
 from tealrill import settings, wire
 from tealrill.state.admission import Intake, Reply
-from tealrill.state.client import Busy, Committed, Failed, Refused, StateClient, Unknown
+from tealrill.state.client import (
+    Committed,
+    GuardsFailed,
+    OutcomeUnknownError,
+    RateLimitedError,
+    StateClient,
+    StateUnavailableError,
+)
 from tealrill.state.fencing import LEADER_KEY, Leadership
 from tealrill.state.job_store import Book, Chunk, job_key
 from tealrill.state.rate_limiter import Budget, Rank
@@ -89,24 +96,24 @@
 
     async def commit(
         self, guards: list[Any], changes: list[Any], paid: bool = False, timeout_s: float = 2.0
-    ) -> Committed | Failed:
+    ) -> Committed | GuardsFailed:
         fate = (
             "answered" if self.calm else self.rng.choice(["answered"] * 4 + ["lost", "late", "no"])
         )
         if fate == "no":
-            raise Refused("not executed")
+            raise StateUnavailableError("not executed")
         if fate == "late":
             self.late.append((guards, changes))
-            raise Unknown("no answer")
+            raise OutcomeUnknownError("no answer")
         result = self.execute(guards, changes)
         if fate == "lost":
-            raise Unknown("no answer")
+            raise OutcomeUnknownError("no answer")
         return result
 
-    def execute(self, guards: list[Any], changes: list[Any]) -> Committed | Failed:
+    def execute(self, guards: list[Any], changes: list[Any]) -> Committed | GuardsFailed:
         failed = [g["path"] for g in guards if self.keys.get(g["path"], (0, 0))[1] != g["stamp"]]
         if failed and self.guarded:
-            return Failed(failed)
+            return GuardsFailed(failed)
         self.epoch += 1
         for change in changes:
             if "set" in change:
@@ -277,10 +284,10 @@
 
     async def commit(
         self, guards: list[Any], changes: list[Any], paid: bool = False, timeout_s: float = 2.0
-    ) -> Committed | Failed:
+    ) -> Committed | GuardsFailed:
         if self.busy > 0:
             self.busy -= 1
-            raise Busy("status 429")
+            raise RateLimitedError("status 429")
         return await super().commit(guards, changes, paid, timeout_s)
 
 
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -11,7 +11,7 @@
 from tealrill import settings
 from tealrill.api import relay as relay_module
 from tealrill.api.relay import Relay, Users
-from tealrill.http import Answer, Client, NoAnswer
+from tealrill.http import Answer, Client, NoAnswerError
 from tealrill.state.admission import Reply
 from tests.samples import SETTINGS
 
@@ -44,7 +44,7 @@
         self.asked += 1
         assert (method, path) == ("POST", "/peer/v2/runs")
         if self.status is None:
-            raise NoAnswer("refused", False)
+            raise NoAnswerError("refused", False)
         answer = Answer()
         answer.status, answer.body = self.status, b"{}"
         return answer
--- a/tests/test_renewal_delegation.py
+++ b/tests/test_renewal_delegation.py
@@ -10,7 +10,7 @@
 
 from tealrill import settings, wire
 from tealrill.daemon import Node
-from tealrill.http import Answer, Client, NoAnswer
+from tealrill.http import Answer, Client, NoAnswerError
 from tealrill.leadership.election import Election, KnownLeader
 from tealrill.leadership.renewal_delegation import (
     DELEGATION_PREFIX,
@@ -18,7 +18,13 @@
     Delegations,
     RenewalDelegate,
 )
-from tealrill.state.client import Committed, Failed, Refused, StateClient, StateError
+from tealrill.state.client import (
+    Committed,
+    GuardsFailed,
+    StateClient,
+    StateError,
+    StateUnavailableError,
+)
 from tealrill.state.fencing import LEADER_KEY
 from tealrill.types import MachineId, Monotonic, Revision, Token
 from tests.samples import SETTINGS, report
@@ -39,7 +45,7 @@
 
     async def scan(self, prefix: str) -> tuple[list[wire.Entry], Revision]:
         if self.down:
-            raise Refused("status 503")
+            raise StateUnavailableError("status 503")
         return [
             wire.Entry(key=k, value=v, version=r)
             for k, (v, r) in self.keys.items()
@@ -51,10 +57,10 @@
 
     async def commit(
         self, guards: list[Any], changes: list[Any], paid: bool = False
-    ) -> Committed | Failed:
+    ) -> Committed | GuardsFailed:
         failed = [g["path"] for g in guards if self.keys.get(g["path"], (0, 0))[1] != g["stamp"]]
         if failed:
-            return Failed(failed)
+            return GuardsFailed(failed)
         self.epoch += 1
         for change in changes:
             if "set" in change:
@@ -67,7 +73,7 @@
 class _Leader:
     """The leader's cluster address, as the delegate reaches it."""
 
-    error: NoAnswer | None = NoAnswer("TimeoutError", False)
+    error: NoAnswerError | None = NoAnswerError("TimeoutError", False)
 
     async def request(self, *_: object, timeout_s: float) -> Answer:
         if self.error is not None:
@@ -114,7 +120,7 @@
     side.leader.error = None
     assert side.tick() is None
     # A refusal means a process that is gone, or controllers kept apart: workers aren't cut off.
-    side.leader.error = NoAnswer("refused", False, refused=True)
+    side.leader.error = NoAnswerError("refused", False, refused=True)
     assert [side.tick(), side.tick()] == [None, None]
 
 
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -11,9 +11,9 @@
 from tealrill import settings, wire
 from tealrill.fleet.catalogue import Catalogues
 from tealrill.fleet.cloud import Cloud, CloudError
-from tealrill.http import Answer, NoAnswer
+from tealrill.http import Answer, NoAnswerError
 from tealrill.leadership.election import TERM_KEY, Election, follows_itself
-from tealrill.state.client import Committed, Failed, StateClient
+from tealrill.state.client import Committed, GuardsFailed, StateClient
 from tealrill.state.fencing import LEADER_KEY
 from tealrill.types import LeaseId, Revision, Wall, wall_now
 from tests.samples import SETTINGS
@@ -98,14 +98,14 @@
     sent: list[tuple[Any, Any]] = []
     execute = state.commit
 
-    async def held(guards: Any, changes: Any) -> Failed:
+    async def held(guards: Any, changes: Any) -> GuardsFailed:
         sent.append((guards, changes))
-        return Failed([])
+        return GuardsFailed([])
 
     state.commit = held  # type: ignore[method-assign,assignment]
     assert not _look(former)
 
-    async def late_first(guards: Any, changes: Any) -> Committed | Failed:
+    async def late_first(guards: Any, changes: Any) -> Committed | GuardsFailed:
         await execute(*sent[0])
         return await execute(guards, changes)
 
@@ -119,7 +119,7 @@
     assert now.mine is not None and now.mine.term == 6
     # And the other way round: late, it finds a later term and does nothing.
     before = dict(state.keys)
-    assert isinstance(asyncio.run(execute(*sent[0])), Failed)
+    assert isinstance(asyncio.run(execute(*sent[0])), GuardsFailed)
     assert state.keys == before
 
 
@@ -175,7 +175,7 @@
 
     async def request(self, *_: object, timeout_s: float) -> Answer:
         if self.body is None:
-            raise NoAnswer("refused", False)
+            raise NoAnswerError("refused", False)
         found = Answer()
         found.status = 200
         found.body = self.body
--- a/tools/graph_cost.py
+++ b/tools/graph_cost.py
@@ -35,7 +35,7 @@
 from tealrill.graphs.leader_extension import GraphTerm, Live, _shape
 from tealrill.graphs.model import Node
 from tealrill.graphs.tracker import OVER_DONE, Progress
-from tealrill.http import Client, NoAnswer
+from tealrill.http import Client, NoAnswerError
 from tealrill.leader.leader import Leader
 from tealrill.leadership.election import Election
 from tealrill.scheduler.estimates import Estimates
@@ -257,7 +257,7 @@
         try:
             answer = await operator.request("GET", "/admin/state", None, 5.0)
             return cast(dict[str, Any], orjson.loads(answer.body))
-        except (NoAnswer, orjson.JSONDecodeError):
+        except (NoAnswerError, orjson.JSONDecodeError):
             await asyncio.sleep(0.02)
 
 
@@ -300,7 +300,7 @@
         began = time.perf_counter()
         try:
             status = (await self._client.request(method, path, body, 5.0)).status
-        except NoAnswer:
+        except NoAnswerError:
             status = 0
         histogram.record_value(round(1e6 * (time.perf_counter() - began)))
         return status
--- a/tools/load.py
+++ b/tools/load.py
@@ -15,7 +15,7 @@
 import orjson
 
 from tealrill import wire
-from tealrill.http import Client, NoAnswer
+from tealrill.http import Client, NoAnswerError
 from tealrill.settings import Address
 from tests import standins
 from tests.samples import SUBMISSION
@@ -58,7 +58,7 @@
             body = orjson.dumps(self.report())
             try:
                 answer = await client.request("POST", wire.REPORT_PATH, body, 4.0)
-            except NoAnswer:
+            except NoAnswerError:
                 await asyncio.sleep(1.0)
                 continue
             if answer.status == 200:
@@ -125,7 +125,7 @@
             try:
                 if (await client.request("POST", wire.JOBS_PATH, body, 4.0)).status in (200, 201):
                     return
-            except NoAnswer:
+            except NoAnswerError:
                 pass
             await asyncio.sleep(1.0)
 
