--- a/tealrill/api/front.py
+++ b/tealrill/api/front.py
@@ -27,8 +27,8 @@
 
 log = logging.getLogger(__name__)
 
-ReportAnswer = tuple[int, dict[str, Any]]
-TakeReport = Callable[[wire.Report, MachineId], ReportAnswer]
+HeartbeatHandler = tuple[int, dict[str, Any]]
+TakeReport = Callable[[wire.Heartbeat, MachineId], HeartbeatHandler]
 
 _IDLE_S: Final = 600.0
 """A connection on which no request begins for so long is closed: a machine that lost its power
@@ -44,7 +44,7 @@
 """Most that a connection's own buffer takes from the network at once."""
 
 
-class Held:
+class BodyMemory:
     """Bytes of bodies that are held at this moment, out of a bound."""
 
     def __init__(self, most: int) -> None:
@@ -76,7 +76,7 @@
     connection.finish()
 
 
-class Front(httputil.HTTPServerConnectionDelegate):
+class HttpFrontend(httputil.HTTPServerConnectionDelegate):
     """Takes every request of a server; `take_report` answers workers, `application` the rest."""
 
     def __init__(
@@ -87,8 +87,8 @@
     ) -> None:
         self.application = application
         self.take_report = take_report
-        self.reports = Held(most_held)
-        self.others = Held(most_held)
+        self.reports = BodyMemory(most_held)
+        self.others = BodyMemory(most_held)
         """Apart, so that a flood of users' bodies keeps no worker from its lease."""
         self._requests: dict[Any, _Request] = {}
         """Per connection its last request, or the one that has not begun."""
@@ -120,7 +120,7 @@
 class Server(httpserver.HTTPServer):
     """tornado's server, which does not tell its delegate that a connection is gone."""
 
-    def __init__(self, front: Front) -> None:
+    def __init__(self, front: HttpFrontend) -> None:
         super().__init__(front, max_body_size=_MAX_RECEIVED, chunk_size=_PIECE)
         self._front = front
         self.conn_params.header_timeout = None
@@ -195,7 +195,7 @@
     """One request: its body is collected here, then answered or handed on in one piece."""
 
     def __init__(
-        self, front: Front, server_conn: object, connection: httputil.HTTPConnection
+        self, front: HttpFrontend, server_conn: object, connection: httputil.HTTPConnection
     ) -> None:
         self.since = monotonic_now()
         self.began = False
@@ -264,11 +264,11 @@
         if self._next is not None:
             self._next.on_connection_close()
 
-    def _report(self, body: bytes) -> ReportAnswer:
+    def _report(self, body: bytes) -> HeartbeatHandler:
         take_report = self._front.take_report
         assert take_report is not None
         try:
-            report = wire.decode(body, wire.Report)
+            report = wire.decode(body, wire.Heartbeat)
         except wire.MalformedMessageError as error:
             return 400, {"error": str(error)}
         machine_id = parse_machine_id(report.machine)
--- a/tealrill/api/relay.py
+++ b/tealrill/api/relay.py
@@ -31,7 +31,7 @@
 """While no node settles anything, one request in so long tries whether that is still so."""
 
 
-class Users(Protocol):
+class JobRequests(Protocol):
     """What users may ask of a node."""
 
     async def submit(self, body: bytes) -> Reply: ...
@@ -42,7 +42,7 @@
 class Relay:
     """Answers from here, or by way of another node."""
 
-    def __init__(self, local: Users, settings: Settings, failing: Callable[[], bool]) -> None:
+    def __init__(self, local: JobRequests, settings: Settings, failing: Callable[[], bool]) -> None:
         self._local = local
         self._failing = failing
         self._peers = list(peer_clients(settings, most=2).values())
--- a/tealrill/api/users.py
+++ b/tealrill/api/users.py
@@ -5,29 +5,29 @@
 from collections.abc import Callable
 
 from tealrill.api.base import JsonHandler
-from tealrill.api.relay import Users
+from tealrill.api.relay import JobRequests
 from tealrill.state.admission import Reply
 
 
-class _IntakeHandler(JsonHandler):
-    def initialize(self, intake: Users) -> None:
+class _AdmissionHandler(JsonHandler):
+    def initialize(self, intake: JobRequests) -> None:
         self._intake = intake
 
     def answer(self, reply: Reply) -> None:
         self.reply(reply.status, reply.body, reply.retry_after_s)
 
 
-class JobsHandler(_IntakeHandler):
+class JobsHandler(_AdmissionHandler):
     async def post(self) -> None:
         self.answer(await self._intake.submit(self.request.body))
 
 
-class JobHandler(_IntakeHandler):
+class JobHandler(_AdmissionHandler):
     async def get(self, job: str) -> None:
         self.answer(await self._intake.status(job))
 
 
-class CancelHandler(_IntakeHandler):
+class CancelHandler(_AdmissionHandler):
     async def post(self, job: str) -> None:
         self.answer(await self._intake.cancel(job))
 
--- a/tealrill/daemon.py
+++ b/tealrill/daemon.py
@@ -17,11 +17,11 @@
 from tealrill import wire
 from tealrill.api.admin import AdminStateHandler
 from tealrill.api.base import NotFound, no_access_log
-from tealrill.api.front import Front, Server
+from tealrill.api.front import HttpFrontend, Server
 from tealrill.api.peers import CatalogueHandler, LeaseExtensionHandler, PingHandler
-from tealrill.api.relay import PEER_PREFIX, Relay, Users
+from tealrill.api.relay import PEER_PREFIX, JobRequests, Relay
 from tealrill.api.users import CancelHandler, HealthHandler, JobHandler, JobsHandler
-from tealrill.extensions import Subsystem
+from tealrill.extensions import Extension
 from tealrill.features import Features
 from tealrill.fleet.catalogue import CATALOGUE_PATH, Catalogues
 from tealrill.fleet.cloud import Cloud
@@ -31,16 +31,16 @@
     EXTENSION_PATH,
     PING_PATH,
     PROMISE_S,
+    CancellationKnowledge,
     LeaseExtension,
-    Seen,
 )
 from tealrill.leadership.lease_revocation import LeaseRevocation
 from tealrill.leadership.renewal_delegation import RenewalDelegate
-from tealrill.leadership.transfer import GiveWay
+from tealrill.leadership.transfer import LeadershipTransfer
 from tealrill.scheduler import failure_detector
 from tealrill.scheduler.estimates import Estimates
 from tealrill.settings import Settings, parse_address
-from tealrill.state.admission import Intake
+from tealrill.state.admission import Admission
 from tealrill.state.client import StateClient
 from tealrill.state.fencing import Leadership
 from tealrill.types import JobId, MachineId, Monotonic, monotonic_now
@@ -63,7 +63,7 @@
 
 
 @dataclass(slots=True)
-class ReportCounts:
+class HeartbeatCounts:
     """Workers' reports since the start of this process, by what they were answered."""
 
     renewed: int = 0
@@ -74,7 +74,7 @@
     refused: int = 0
 
 
-class Node:
+class Controller:
     """One controller process."""
 
     def __init__(self, settings: Settings, features: Features | None = None) -> None:
@@ -91,7 +91,7 @@
         self.election.well_placed = self._well_placed
         self.leader: Leader | None = None
         self._catalogues = Catalogues(settings, self._cloud)
-        self.intake = Intake(self._client, settings, lambda: self._catalogues.known)
+        self.intake = Admission(self._client, settings, lambda: self._catalogues.known)
         self.intake.counts = self._counts
         self._extension = LeaseExtension(
             settings, self._client, self.election, self.intake.acknowledged
@@ -103,16 +103,18 @@
             settings, self._client, self.election, lambda: self._delegate.unheard_since
         )
         self._extension.lost_term = lambda: self._revocation.lost_term
-        self._extension.seen = lambda: self.leader.known if self.leader is not None else Seen()
+        self._extension.seen = lambda: (
+            self.leader.known if self.leader is not None else CancellationKnowledge()
+        )
         self._extension.vouched = self._vouched
         self._extension.cancelled = self._cancelled_elsewhere
         self._extension.is_excluded = self._is_excluded
         self._extension.prolonged = self._prolonged
         self._last_report: Monotonic | None = None
-        self._report_counts = ReportCounts()
-        self._giveway = GiveWay(settings)
+        self._report_counts = HeartbeatCounts()
+        self._giveway = LeadershipTransfer(settings)
         self._extension.reports = lambda: self._giveway.recent(monotonic_now())
-        self._fronts: list[Front] = []
+        self._fronts: list[HttpFrontend] = []
         self.servers: list[Server] = []
         self._relay = Relay(self.intake, settings, lambda: self._client.failing)
         self.subsystems = self._switched_on()
@@ -120,9 +122,9 @@
             if subsystem.names is not None:
                 self.intake.names = subsystem.names
 
-    def _switched_on(self) -> list[Subsystem]:
+    def _switched_on(self) -> list[Extension]:
         """What is off is not even imported."""
-        found: list[Subsystem] = []
+        found: list[Extension] = []
         if self._features.graphs.on:
             from tealrill.graphs.extension import graphs
 
@@ -181,7 +183,7 @@
             application = web.Application(
                 rules, default_handler_class=NotFound, log_function=no_access_log
             )
-            front = Front(application, most_held, take_report)
+            front = HttpFrontend(application, most_held, take_report)
             self._fronts.append(front)
             address = parse_address(where)
             server = Server(front)
@@ -238,7 +240,9 @@
 
     # -- workers --------------------------------------------------------------------------------
 
-    def take_report(self, report: wire.Report, machine_id: MachineId) -> tuple[int, dict[str, Any]]:
+    def take_report(
+        self, report: wire.Heartbeat, machine_id: MachineId
+    ) -> tuple[int, dict[str, Any]]:
         """A worker's report, answered with 200 only by a leader that is valid at this moment, and
         that knows what users were told is cancelled."""
         now = monotonic_now()
@@ -387,7 +391,7 @@
         return shown
 
 
-def _user_rules(prefix: str, users: Users) -> list[Any]:
+def _user_rules(prefix: str, users: JobRequests) -> list[Any]:
     jobs = prefix + wire.JOBS_PATH
     return [
         (jobs, JobsHandler, {"intake": users}),
@@ -433,10 +437,10 @@
         asyncio.run(_profiled(settings, features))
     else:
         with asyncio.Runner(loop_factory=new_loop) as runner:
-            runner.run(run_until_told(Node(settings, features)))
+            runner.run(run_until_told(Controller(settings, features)))
 
 
-async def run_until_told(node: Node) -> None:
+async def run_until_told(node: Controller) -> None:
     """Runs the node until it fails or is told to stop (SIGTERM), and then hands its duties over."""
     told = asyncio.Event()
     # Where signals can't be taken, the process is killed as before.
@@ -454,11 +458,11 @@
 
 
 async def _profiled(settings: Settings, features: Features) -> None:
-    from tealrill.profiling import Size, Watch
+    from tealrill.profiling import ProfileLog, Size
 
-    watch = Watch(settings.host_name, features.profile.every_s)
+    watch = ProfileLog(settings.host_name, features.profile.every_s)
     watch.install()
-    node = Node(settings, features)
+    node = Controller(settings, features)
 
     def size() -> Size | None:
         leader = node.leader
--- a/tealrill/extensions.py
+++ b/tealrill/extensions.py
@@ -13,23 +13,23 @@
 from tealrill import wire
 from tealrill.scheduler.model import JobView
 from tealrill.settings import Settings
-from tealrill.state.admission import Names
+from tealrill.state.admission import ImplicitJobs
 from tealrill.state.client import StateClient
 from tealrill.state.fencing import Leadership
-from tealrill.state.job_store import Book, Job, Owner
-from tealrill.state.write_batcher import Keeper
+from tealrill.state.job_store import Job, JobStore, Owner
+from tealrill.state.write_batcher import WriteBatcher
 from tealrill.types import Monotonic, Revision
 
 
 @dataclass(frozen=True, slots=True)
-class Term:
+class LeadershipContext:
     """What a subsystem may use of a term of leadership."""
 
     settings: Settings
     client: StateClient
     mine: Leadership
-    book: Book
-    keeper: Keeper
+    book: JobStore
+    keeper: WriteBatcher
     valid: Callable[[], bool]
     """Whether the leader may act at this moment."""
     stop: Callable[[Job], None]
@@ -40,7 +40,7 @@
     """A job that is not in the queue as the planner would see it, with so many waiting tasks."""
 
 
-class TermPart(Protocol):
+class LeaderExtension(Protocol):
     """A subsystem's part of a term. Every call but `run` returns at once."""
 
     def read(self, entries: Sequence[wire.Entry]) -> None:
@@ -76,7 +76,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Subsystem:
+class Extension:
     """One subsystem on one node."""
 
     name: str
@@ -86,6 +86,6 @@
     """Served on `cluster_listen`."""
     loops: Sequence[Callable[[], Coroutine[Any, Any, None]]] = field(default=())
     """Run on every node."""
-    names: Names | None = None
+    names: ImplicitJobs | None = None
     """Job ids that belong to it though they have no record of their own."""
-    term: Callable[[Term], TermPart] | None = None
+    term: Callable[[LeadershipContext], LeaderExtension] | None = None
--- a/tealrill/fleet/capacity_backoff.py
+++ b/tealrill/fleet/capacity_backoff.py
@@ -27,7 +27,7 @@
     back_off_s: float
 
 
-class Refusals:
+class CapacityBackoff:
     """What is not worth asking for at this moment."""
 
     def __init__(self) -> None:
--- a/tealrill/fleet/cloud.py
+++ b/tealrill/fleet/cloud.py
@@ -10,7 +10,7 @@
 from tealrill.errors import TealrillError
 from tealrill.http import Answer, Client, NoAnswerError
 from tealrill.settings import parse_address
-from tealrill.state.rate_limiter import Budget, Rank
+from tealrill.state.rate_limiter import RateLimiter, RequestPriority
 from tealrill.types import MachineId
 
 log = logging.getLogger(__name__)
@@ -36,7 +36,7 @@
         self._http = Client(parse_address(address), most=3)
         self._rate = rate
         self._nodes = nodes
-        self.budget = Budget(rate * self._share(False))
+        self.budget = RateLimiter(rate * self._share(False))
 
     def set_leading(self, leads: bool) -> None:
         self.budget.set_rate(self._rate * self._share(leads))
@@ -47,7 +47,7 @@
         return 0.7 if leads else 0.2 / (self._nodes - 1)
 
     async def catalogue(self) -> wire.Catalogue:
-        await self.budget.take(rank=Rank.LATER)
+        await self.budget.take(rank=RequestPriority.LATER)
         return self._read(await self._send("GET", "/catalog"), wire.Catalogue)
 
     async def machines(self) -> list[wire.ListedMachine]:
@@ -55,7 +55,7 @@
         found: list[wire.ListedMachine] = []
         after = ""
         while True:
-            await self.budget.take(rank=Rank.LATER)
+            await self.budget.take(rank=RequestPriority.LATER)
             query: dict[str, str | int] = {"most": _LIST_PAGE}
             if after:
                 query["from"] = after
--- a/tealrill/fleet/connections.py
+++ b/tealrill/fleet/connections.py
@@ -26,7 +26,7 @@
 """So many commands may be on their way even when sockets are scarce."""
 
 
-class Lines:
+class ConnectionPool:
     """Clients of workers by machine; at most as many in use or kept as there is room for."""
 
     def __init__(self, sockets: int, machines: Callable[[], int]) -> None:
@@ -70,7 +70,7 @@
                 client.close()
             self._shrink()
 
-    async def __aenter__(self) -> Lines:
+    async def __aenter__(self) -> ConnectionPool:
         """Waits for a place: not more commands are on their way than there are sockets for."""
         while self._on_the_way >= self.most:
             turn: asyncio.Future[None] = asyncio.get_running_loop().create_future()
--- a/tealrill/fleet/dispatch.py
+++ b/tealrill/fleet/dispatch.py
@@ -9,12 +9,12 @@
 
 from tealrill import wire
 from tealrill.fleet.machines import Fleet, Machine
-from tealrill.fleet.provisioning import Renter
+from tealrill.fleet.provisioning import Provisioner
 from tealrill.scheduler import capacity, failure_detector
 from tealrill.scheduler.capacity import Offer, Rental
-from tealrill.scheduler.capacity_losses import Losses
-from tealrill.scheduler.estimates import Estimates, Sizes
-from tealrill.scheduler.failure_detector import Hearing, Verdict
+from tealrill.scheduler.capacity_losses import CapacityLosses
+from tealrill.scheduler.estimates import Estimates, TypicalSizes
+from tealrill.scheduler.failure_detector import Diagnosis, Suspicion
 from tealrill.scheduler.model import (
     Expected,
     JobView,
@@ -29,14 +29,14 @@
 )
 from tealrill.scheduler.plan import plan
 from tealrill.settings import Params
-from tealrill.state.job_store import Binding, Book, Job
+from tealrill.state.job_store import Binding, Job, JobStore
 from tealrill.types import JobId, MachineId, Monotonic, Revision, Wall
 
 log = logging.getLogger(__name__)
 
 _SERVICE_RUN_S: Final = 1e9
 _UNNAMED: Final = MachineId("")
-_ALL_HEARD: Final = Hearing({}, frozenset())
+_ALL_HEARD: Final = Diagnosis({}, frozenset())
 _IDLE_S: Final = 20.0
 _EXPECTED_FOR_S: Final = 45.0
 """A class of which nothing was submitted for so long is not expected any more."""
@@ -58,14 +58,14 @@
 """Jobs that are about to wait, with their tasks, seen from a moment within so many seconds."""
 
 
-class Dispatcher:
+class SchedulingLoop:
     """One term's placement passes."""
 
     def __init__(
         self,
-        book: Book,
+        book: JobStore,
         fleet: Fleet,
-        renter: Renter,
+        renter: Provisioner,
         estimates: Estimates,
         params: Params,
         command_now: Callable[[Machine], None],
@@ -77,9 +77,9 @@
         self._params = params
         self._command_now = command_now
         self._silence_s = failure_detector.silent_after_s(params.workers.report_s)
-        self.hearing: Callable[[], Hearing] = lambda: _ALL_HEARD
+        self.hearing: Callable[[], Diagnosis] = lambda: _ALL_HEARD
         """What the silence of machines means, as it was judged last."""
-        self._losses = Losses()
+        self._losses = CapacityLosses()
         self._acquainted = False
         """This leader has heard most machines that were up when it was elected."""
         self._coming_s = _COMING_REPORTS * params.workers.report_s
@@ -95,7 +95,7 @@
         """The one that the machines' views were made with."""
         self.put_off = False
         """A wish for machines waits for a pass soon after this one."""
-        self.sizes = Sizes()
+        self.sizes = TypicalSizes()
         self.policy = Policy()
         self.upcoming: _Upcoming = lambda _, __: ()
         """Tasks that will wait for machines within so many seconds."""
@@ -487,7 +487,7 @@
             if (
                 machine.notice_until is not None
                 or machine.listed == wire.MACHINE_FAILED
-                or verdicts.get(machine.id) is Verdict.GONE
+                or verdicts.get(machine.id) is Suspicion.GONE
             ):
                 cpus = max(machine.cpus, machine.lapsed_cpus)
                 if self._losses.lost(machine.id, machine.type, cpus, now):
@@ -496,12 +496,12 @@
             elif some_lost and machine.heard_at is not None and machine.heard_at >= heard_from:
                 self._losses.back(machine.id)
 
-    def _verdict(self, machine: Machine) -> Verdict:
+    def _verdict(self, machine: Machine) -> Suspicion:
         """Late, if it has not been judged."""
-        return self.hearing().verdicts.get(machine.id, Verdict.LATE)
+        return self.hearing().verdicts.get(machine.id, Suspicion.LATE)
 
     def _gone(self, machine: Machine) -> bool:
-        return self._verdict(machine) is Verdict.GONE
+        return self._verdict(machine) is Suspicion.GONE
 
     def _granted(self, rental: Rental) -> None:
         self._losses.rented(rental.type, self._cpus(rental))
@@ -603,7 +603,7 @@
                 continue
             if (
                 verdicts
-                and verdicts.get(machine.id) is Verdict.GONE
+                and verdicts.get(machine.id) is Suspicion.GONE
                 and self._may_be_released(machine, now)
             ):
                 # The cloud counts a dead machine as ours until it is released, and has none to give
@@ -662,9 +662,9 @@
         machine.releasing = True
 
 
-def _boots(machine: Machine, verdict: Verdict) -> bool:
+def _boots(machine: Machine, verdict: Suspicion) -> bool:
     """Not heard yet, and no reason to think that it won't be. A new leader begins with all so."""
-    return machine.heard_at is None and not machine.lapsed and verdict is Verdict.LATE
+    return machine.heard_at is None and not machine.lapsed and verdict is Suspicion.LATE
 
 
 def _free(machines: list[MachineView]) -> float:
--- a/tealrill/fleet/intent_log.py
+++ b/tealrill/fleet/intent_log.py
@@ -24,13 +24,13 @@
 from tealrill import wire
 from tealrill.fleet.cloud import MOST_RELEASED
 from tealrill.scheduler.capacity import Rental
-from tealrill.state.write_batcher import Joined
+from tealrill.state.write_batcher import JoinedWrite
 from tealrill.types import (
     ABSENT,
+    FencingToken,
     MachineId,
     Monotonic,
     Revision,
-    Token,
     Wall,
     monotonic_now,
     parse_machine_id,
@@ -92,13 +92,13 @@
     """Those who wait until what is wanted is written."""
 
 
-class Intents:
+class IntentLog:
     """The open requests to the cloud of one term, with those taken over."""
 
     def __init__(
         self,
-        join: Callable[[Joined], None],
-        term: Token,
+        join: Callable[[JoinedWrite], None],
+        term: FencingToken,
         value_kb: float,
         wall: Callable[[], Wall] = wall_now,
         now: Callable[[], Monotonic] = monotonic_now,
@@ -232,7 +232,7 @@
         # Nobody waits for what only tidies up.
         ahead_at = Monotonic(self._now() + _AHEAD_S) if kept.recorded else None
         self._join(
-            Joined(
+            JoinedWrite(
                 {kept.key: kept.stamp},
                 [change],
                 lambda revision: answered(ABSENT if value is None else revision, value),
--- a/tealrill/fleet/machines.py
+++ b/tealrill/fleet/machines.py
@@ -25,18 +25,18 @@
 from tealrill import wire
 from tealrill.errors import TealrillError
 from tealrill.scheduler.capacity import Kind
-from tealrill.scheduler.failure_attribution import Blame
+from tealrill.scheduler.failure_attribution import FailureAttribution
 from tealrill.scheduler.model import MachineView
-from tealrill.state.job_store import Binding, Book, Chunk, Job, Stop
+from tealrill.state.job_store import Binding, Chunk, Job, JobStore, Stop
 from tealrill.types import (
     CLOCK_DRIFT,
     Attempt,
+    FencingToken,
+    HeartbeatSequence,
+    Incarnation,
     MachineId,
     Monotonic,
-    Seq,
-    Session,
     TaskId,
-    Token,
     Wall,
     parse_task_id,
 )
@@ -91,8 +91,8 @@
     booted: bool = False
     """It was rented in this term, so `since` is when its boot began."""
     addr: str = ""
-    session: Session | None = None
-    seq: Seq = Seq(-1)
+    session: Incarnation | None = None
+    seq: HeartbeatSequence = HeartbeatSequence(-1)
     current: bool = False
     """Its last report carried this term's token, so nothing older than it can still arrive."""
     begun_at: Monotonic | None = None
@@ -120,7 +120,7 @@
     nothing new, so that taking the name apart would be most of the work."""
     exited: dict[tuple[TaskId, Attempt], Exit] = field(default_factory=dict)
     """Attempts that exited here and that the worker has not been told to forget."""
-    loose: list[tuple[TaskId, Attempt, wire.TaskReport]] = field(default_factory=list)
+    loose: list[tuple[TaskId, Attempt, wire.TaskStatus]] = field(default_factory=list)
     """Of the list that was gone through last: what exited, and what no binding covers."""
     cpus: float = 0.0
     gpus: float = 0.0
@@ -142,7 +142,7 @@
     """Processors that its tasks used when its lease lapsed."""
     view: MachineView | None = None
     """What placement sees of it, kept from pass to pass; None once something in it has changed."""
-    settled: list[wire.TaskReport] | None = None
+    settled: list[wire.TaskStatus] | None = None
     """The last report's tasks, if all is as it should be: the same list again says nothing new."""
 
     def touch(self) -> None:
@@ -188,7 +188,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Finished:
+class CompletedTask:
     """A completed task's run time, for the estimates."""
 
     job: Job
@@ -200,8 +200,8 @@
 
     def __init__(
         self,
-        book: Book,
-        term: Token,
+        book: JobStore,
+        term: FencingToken,
         elected_at: Monotonic,
         lease_s: float,
         delegation_s: float = 0.0,
@@ -211,12 +211,12 @@
         self.gone: dict[MachineId, Monotonic] = {}
         """Machines whose release was confirmed; lists and late reports may still show them."""
         self.changed: Callable[[], None] = lambda: None
-        self.finished: Callable[[Finished], None] = lambda _: None
+        self.finished: Callable[[CompletedTask], None] = lambda _: None
         self.came: Callable[[Machine, Monotonic], None] = lambda _, __: None
         """A machine is heard for the first time in this term."""
         self.dropped: Callable[[MachineId], None] = lambda _: None
         """A machine is gone or not known any more: nothing of it is to be kept."""
-        self.blame = Blame()
+        self.blame = FailureAttribution()
         self.loaded = False
         """Until the records are read, workers are not answered."""
         self.stop_within_s = math.inf
@@ -255,7 +255,7 @@
     # -- reports --------------------------------------------------------------------------------
 
     def report(
-        self, report: wire.Report, machine_id: MachineId, now: Monotonic, wall: Wall
+        self, report: wire.Heartbeat, machine_id: MachineId, now: Monotonic, wall: Wall
     ) -> list[dict[str, Any]] | None:
         """Takes in a worker's report; the commands for its response, or None for no 200."""
         if report.token > self._term:
@@ -286,7 +286,7 @@
         return commands
 
     @staticmethod
-    def _as_it_should_be(machine: Machine, report: wire.Report) -> bool:
+    def _as_it_should_be(machine: Machine, report: wire.Heartbeat) -> bool:
         """Whether the list shows what is bound, no more and no less, and nothing is under way."""
         return (
             not machine.exited
@@ -318,7 +318,7 @@
             and now - stop.since > self.stop_within_s
         )
 
-    def _listen(self, machine: Machine, report: wire.Report, now: Monotonic) -> None:
+    def _listen(self, machine: Machine, report: wire.Heartbeat, now: Monotonic) -> None:
         """Whether the worker hears: it sends its next report here only once it got an answer.
 
         One that hears nothing lapses though every report of it was answered, again and again, and
@@ -348,7 +348,7 @@
         )
 
     def direct_report(
-        self, report: wire.Report, machine_id: MachineId, now: Monotonic, wall: Wall
+        self, report: wire.Heartbeat, machine_id: MachineId, now: Monotonic, wall: Wall
     ) -> None:
         """The report in the answer to a direct command; it renews nothing."""
         machine = self.machines.get(machine_id)
@@ -356,7 +356,7 @@
             return
         self._take_in(machine, report, now, wall, direct=True)
 
-    def _machine_of(self, report: wire.Report, machine_id: MachineId, now: Monotonic) -> Machine:
+    def _machine_of(self, report: wire.Heartbeat, machine_id: MachineId, now: Monotonic) -> Machine:
         machine = self.machines.get(machine_id)
         if machine is None:
             machine = Machine(machine_id, report.type, report.zone, report.spot, now)
@@ -365,7 +365,7 @@
         return machine
 
     @staticmethod
-    def _out_of_date(machine: Machine, report: wire.Report) -> bool:
+    def _out_of_date(machine: Machine, report: wire.Heartbeat) -> bool:
         if machine.session is None:
             return False
         if machine.lapsed and report.session <= machine.session:
@@ -373,12 +373,12 @@
         return (report.session, report.seq) <= (machine.session, machine.seq)
 
     def _take_in(
-        self, machine: Machine, report: wire.Report, now: Monotonic, wall: Wall, direct: bool
+        self, machine: Machine, report: wire.Heartbeat, now: Monotonic, wall: Wall, direct: bool
     ) -> bool:
         """True if the report's list counts: it carries this term's token."""
         self._identify(machine, report)
         if machine.session is not None and report.session > machine.session:
-            self._new_session(machine, Session(report.session), now)
+            self._new_session(machine, Incarnation(report.session), now)
         if machine.session != report.session:
             # A session that a direct command's answer shows was never renewed from here, and its
             # lease runs all the same. By the last answer to the session before, machines lapsed
@@ -387,8 +387,8 @@
         first = machine.heard_at is None
         if first:
             self.came(machine, now)
-        machine.session = Session(report.session)
-        machine.seq = Seq(report.seq)
+        machine.session = Incarnation(report.session)
+        machine.seq = HeartbeatSequence(report.seq)
         machine.heard_at = now
         machine.lapsed = False
         machine.misses, machine.accepts, machine.lapsed_cpus = 0, False, 0.0
@@ -409,7 +409,7 @@
             self._take_list(machine, report, now, wall, direct)
         return True
 
-    def _identify(self, machine: Machine, report: wire.Report) -> None:
+    def _identify(self, machine: Machine, report: wire.Heartbeat) -> None:
         machine.addr = report.addr
         self.locate(machine, report.type, report.zone, report.spot)
 
@@ -422,7 +422,7 @@
             machine.touch()
             machine.type, machine.zone, machine.spot = type_name, zone, spot
 
-    def _new_session(self, machine: Machine, session: Session, now: Monotonic) -> None:
+    def _new_session(self, machine: Machine, session: Incarnation, now: Monotonic) -> None:
         log.info("machine %s begins session %d", machine.id, session)
         for binding in list(machine.bindings.values()):
             self._release(machine, binding, now, "later session")
@@ -434,10 +434,10 @@
         self.changed()
 
     def _take_list(
-        self, machine: Machine, report: wire.Report, now: Monotonic, wall: Wall, direct: bool
+        self, machine: Machine, report: wire.Heartbeat, now: Monotonic, wall: Wall, direct: bool
     ) -> None:
         strangers = 0
-        loose: list[tuple[TaskId, Attempt, wire.TaskReport]] = []
+        loose: list[tuple[TaskId, Attempt, wire.TaskStatus]] = []
         named = machine.named
         for line in report.tasks:
             binding = named.get(line.task)
@@ -454,7 +454,7 @@
                     else:
                         strangers += 1
                     continue
-            binding.shown_in = Seq(report.seq)
+            binding.shown_in = HeartbeatSequence(report.seq)
             if line.state == wire.EXITED:
                 loose.append((binding.task, binding.attempt, line))
             elif binding.seen and binding.state == line.state:
@@ -473,7 +473,7 @@
                 del machine.exited[key]
 
     def _progress(
-        self, machine: Machine, binding: Binding, line: wire.TaskReport, now: Monotonic, wall: Wall
+        self, machine: Machine, binding: Binding, line: wire.TaskStatus, now: Monotonic, wall: Wall
     ) -> None:
         binding.seen = True
         binding.state = line.state
@@ -493,7 +493,7 @@
             del machine.images[next(iter(machine.images))]
 
     def _exit(
-        self, machine: Machine, binding: Binding, line: wire.TaskReport, now: Monotonic
+        self, machine: Machine, binding: Binding, line: wire.TaskStatus, now: Monotonic
     ) -> None:
         job = binding.chunk.job
         if line.why == wire.WHY_DONE and not job.spec.is_service:
@@ -501,7 +501,7 @@
             if self._book.complete(job, binding.task.index, now) and not binding.inherited:
                 started = binding.running_since
                 if started is not None:
-                    self.finished(Finished(job, now - started))
+                    self.finished(CompletedTask(job, now - started))
         elif line.why == wire.WHY_ERROR:
             self._failed(machine, binding, now)
         elif line.why in wire.REFUSALS:
@@ -551,7 +551,7 @@
         machine: Machine,
         task: TaskId,
         attempt: Attempt,
-        line: wire.TaskReport,
+        line: wire.TaskStatus,
         now: Monotonic,
     ) -> None:
         """An exited attempt that no binding covers. That it is done is true all the same."""
@@ -571,7 +571,7 @@
         self,
         machine: Machine,
         binding: Binding,
-        report: wire.Report,
+        report: wire.Heartbeat,
         now: Monotonic,
         direct: bool,
     ) -> None:
@@ -600,7 +600,7 @@
     # -- commands -------------------------------------------------------------------------------
 
     def _commands(
-        self, machine: Machine, report: wire.Report, now: Monotonic
+        self, machine: Machine, report: wire.Heartbeat, now: Monotonic
     ) -> list[dict[str, Any]]:
         commands = self.stops(machine, now)
         for task, attempt, line in machine.loose:
@@ -611,7 +611,7 @@
         if not machine.releasing:
             for binding in machine.bindings.values():
                 if binding.sent is None and not binding.seen and self._to_send(binding):
-                    binding.sent = Seq(report.seq)
+                    binding.sent = HeartbeatSequence(report.seq)
                     commands.append(wire.start(str(binding.task), binding.attempt))
         return commands
 
--- a/tealrill/fleet/prober.py
+++ b/tealrill/fleet/prober.py
@@ -19,7 +19,7 @@
 from tealrill.fleet.machines import Fleet, Machine
 from tealrill.http import accepts
 from tealrill.scheduler import failure_detector
-from tealrill.scheduler.failure_detector import Hearing, Sign, Verdict
+from tealrill.scheduler.failure_detector import Diagnosis, Evidence, Suspicion
 from tealrill.settings import Address, SettingsError, parse_address
 from tealrill.types import MachineId, Monotonic, monotonic_now
 
@@ -56,7 +56,7 @@
         self._now = now
         self._tried: dict[MachineId, Monotonic] = {}
         self._under_way: dict[MachineId, asyncio.Task[None]] = {}
-        self.hearing = Hearing({}, frozenset())
+        self.hearing = Diagnosis({}, frozenset())
         self.judged: Callable[[], None] = lambda: None
         """Called when the verdicts have changed."""
 
@@ -115,8 +115,8 @@
         self.hearing = hearing
         self.judged()
 
-    def _sign(self, machine: Machine, now: Monotonic) -> Sign:
-        return Sign(
+    def _sign(self, machine: Machine, now: Monotonic) -> Evidence:
+        return Evidence(
             machine.id,
             machine.zone,
             self._fleet.unheard_s(machine, now),
@@ -125,9 +125,9 @@
             machine.unlisted,
         )
 
-    def _tell(self, hearing: Hearing) -> None:
+    def _tell(self, hearing: Diagnosis) -> None:
         """One line an event, not one a machine: operators read this when hundreds are gone."""
-        for verdict in (Verdict.GONE, Verdict.HUNG):
+        for verdict in (Suspicion.GONE, Suspicion.HUNG):
             names = {m for m, v in hearing.verdicts.items() if v is verdict}
             new = names - {m for m, v in self.hearing.verdicts.items() if v is verdict}
             if new:
--- a/tealrill/fleet/provisioning.py
+++ b/tealrill/fleet/provisioning.py
@@ -17,14 +17,14 @@
 from typing import Any, Final
 
 from tealrill import wire
-from tealrill.fleet.capacity_backoff import Refusals
+from tealrill.fleet.capacity_backoff import CapacityBackoff
 from tealrill.fleet.cloud import MOST_RELEASED, MOST_RENTED, Cloud, CloudError, NoCapacityError
-from tealrill.fleet.intent_log import Intents
+from tealrill.fleet.intent_log import IntentLog
 from tealrill.fleet.machines import Fleet, Machine
-from tealrill.scheduler.boot_times import Boots
+from tealrill.scheduler.boot_times import BootTimeEstimator
 from tealrill.scheduler.capacity import Kind, Offer, Rental
 from tealrill.state.fencing import Duty, NotHolderError
-from tealrill.types import MachineId, Monotonic, Token, Wall, monotonic_now, parse_machine_id
+from tealrill.types import FencingToken, MachineId, Monotonic, Wall, monotonic_now, parse_machine_id
 
 log = logging.getLogger(__name__)
 
@@ -45,16 +45,16 @@
     since: Monotonic
 
 
-class Renter:
+class Provisioner:
     """Deals with the cloud for one term."""
 
     def __init__(
         self,
         cloud: Cloud,
         fleet: Fleet,
-        term: Token,
+        term: FencingToken,
         list_lag_s: float,
-        intents: Intents,
+        intents: IntentLog,
         renting: Duty,
         returning: Duty,
     ) -> None:
@@ -67,14 +67,14 @@
         self._lag_s = list_lag_s
         self._names = 0
         self.requests: dict[str, Request] = {}
-        self.refusals = Refusals()
+        self.refusals = CapacityBackoff()
         self._tasks: set[asyncio.Task[Any]] = set()
         self.catalogue: wire.Catalogue | None = None
         self.offers: list[Offer] = []
         """Every kind of machine in the catalogue."""
         self._types: dict[str, wire.MachineType] = {}
         self._ratios: dict[tuple[str, bool], float] = {}
-        self.boots = Boots()
+        self.boots = BootTimeEstimator()
         self.cut_zones: Callable[[], frozenset[str]] = frozenset
         """Zones of which nothing is heard."""
         self.changed: Callable[[], None] = lambda: None
--- a/tealrill/graphs/admission.py
+++ b/tealrill/graphs/admission.py
@@ -36,7 +36,7 @@
 from tealrill.graphs.records import GraphRecordError, Head, Over, Packed
 from tealrill.graphs.tracker import STATES
 from tealrill.settings import Settings
-from tealrill.state.admission import Intake, Nameless, Reply
+from tealrill.state.admission import Admission, ImplicitJob, Reply
 from tealrill.state.client import (
     Committed,
     GuardsFailed,
@@ -55,7 +55,7 @@
     job_key,
     over_key,
 )
-from tealrill.state.rate_limiter import Rank
+from tealrill.state.rate_limiter import RequestPriority
 from tealrill.types import ABSENT, JobId, Revision, parse_job_id, wall_now
 
 log = logging.getLogger(__name__)
@@ -95,15 +95,17 @@
         self.over_stamp = over_stamp
 
 
-class GraphIntake:
-    """Submitting, showing and cancelling graphs, and the ids of their nodes (`intake.Names`)."""
+class GraphAdmission:
+    """Submitting, showing and cancelling graphs, and the ids of their nodes
+    (`intake.ImplicitJobs`).
+    """
 
     def __init__(
         self,
         client: StateClient,
         settings: Settings,
         features: GraphFeatures,
-        intake: Intake,
+        intake: Admission,
         counts: Callable[[str], Awaitable[dict[str, int] | None]],
     ) -> None:
         self._client = client
@@ -124,7 +126,7 @@
             return []
         return [records.graph_key(graph), records.graph_over_key(graph)]
 
-    async def status(self, job_id: JobId) -> Nameless | None:
+    async def status(self, job_id: JobId) -> ImplicitJob | None:
         node = parse_node_id(job_id)
         if node is None:
             return None
@@ -132,11 +134,11 @@
         if found.over is not None:
             cancelled = found.over.status == wire.JOB_CANCELLED
             outcome = OUTCOME_CANCELLED if cancelled else OUTCOME_SKIPPED
-            gone = Nameless(wire.JOB_CANCELLED, outcome)
+            gone = ImplicitJob(wire.JOB_CANCELLED, outcome)
             return gone if node[1] < found.over.nodes else None
         if found.head is None or found.head.status != records.ACCEPTED:
             return None
-        return Nameless(wire.JOB_PENDING) if node[1] < found.head.nodes else None
+        return ImplicitJob(wire.JOB_PENDING) if node[1] < found.head.nodes else None
 
     async def refusal(self, job_id: JobId) -> Reply | None:
         graph = graph_prefix(job_id)
@@ -347,7 +349,7 @@
         self, guards: list[dict[str, Any]], changes: list[dict[str, Any]]
     ) -> Committed | GuardsFailed | None:
         """None if it is not known whether it was executed. Plain submissions go first."""
-        if not self._client.accepts.take_now(len(changes), Rank.LATER):
+        if not self._client.accepts.take_now(len(changes), RequestPriority.LATER):
             raise RateLimitedError("too many submissions")
         try:
             return await self._client.commit(guards, changes, paid=True)
--- a/tealrill/graphs/api.py
+++ b/tealrill/graphs/api.py
@@ -7,7 +7,7 @@
 
 from tealrill.api.base import JsonHandler
 from tealrill.api.relay import PEER_PREFIX, Relay
-from tealrill.graphs.admission import GraphIntake
+from tealrill.graphs.admission import GraphAdmission
 from tealrill.graphs.model import MOST_PARTS
 from tealrill.state.admission import Reply
 
@@ -21,7 +21,7 @@
 
 
 class _GraphHandler(JsonHandler):
-    def initialize(self, graphs: GraphIntake, relay: Relay | None = None) -> None:
+    def initialize(self, graphs: GraphAdmission, relay: Relay | None = None) -> None:
         self._graphs = graphs
         self._relay = relay
 
@@ -105,11 +105,13 @@
     ]
 
 
-def user_routes(graphs: GraphIntake, relay: Relay) -> list[Any]:
+def user_routes(graphs: GraphAdmission, relay: Relay) -> list[Any]:
     return _routes("", {"graphs": graphs, "relay": relay})
 
 
-def peer_routes(graphs: GraphIntake, counts: Callable[[str], dict[str, int] | None]) -> list[Any]:
+def peer_routes(
+    graphs: GraphAdmission, counts: Callable[[str], dict[str, int] | None]
+) -> list[Any]:
     """What other nodes hand on, and what they ask the leader."""
     return [
         (COUNTS_PATH + r"/([^/]+)", CountsHandler, {"counts": counts}),
--- a/tealrill/graphs/extension.py
+++ b/tealrill/graphs/extension.py
@@ -4,15 +4,15 @@
 
 from tealrill import wire
 from tealrill.api.relay import Relay
-from tealrill.extensions import Subsystem, Term, TermPart
+from tealrill.extensions import Extension, LeaderExtension, LeadershipContext
 from tealrill.features import GraphFeatures
-from tealrill.graphs.admission import GraphIntake
+from tealrill.graphs.admission import GraphAdmission
 from tealrill.graphs.api import COUNTS_PATH, peer_routes, user_routes
-from tealrill.graphs.leader_extension import GraphTerm
+from tealrill.graphs.leader_extension import GraphLeaderExtension
 from tealrill.http import NoAnswerError, peer_clients
 from tealrill.leadership.election import Election
 from tealrill.settings import Settings
-from tealrill.state.admission import Intake
+from tealrill.state.admission import Admission
 from tealrill.state.client import StateClient
 from tealrill.types import monotonic_now
 
@@ -25,7 +25,7 @@
     def __init__(self, settings: Settings, election: Election) -> None:
         self._election = election
         self._peers = peer_clients(settings)
-        self.term: GraphTerm | None = None
+        self.term: GraphLeaderExtension | None = None
 
     def here(self, graph: str) -> dict[str, int] | None:
         if self.term is None or self._election.leading(monotonic_now()) is None:
@@ -49,19 +49,19 @@
     settings: Settings,
     features: GraphFeatures,
     client: StateClient,
-    intake: Intake,
+    intake: Admission,
     election: Election,
     relay: Relay,
-) -> Subsystem:
+) -> Extension:
     """The subsystem for one node."""
     counts = Counts(settings, election)
-    asked = GraphIntake(client, settings, features, intake, counts.anywhere)
+    asked = GraphAdmission(client, settings, features, intake, counts.anywhere)
 
-    def term(given: Term) -> TermPart:
-        counts.term = GraphTerm(given, features)
+    def term(given: LeadershipContext) -> LeaderExtension:
+        counts.term = GraphLeaderExtension(given, features)
         return counts.term
 
-    return Subsystem(
+    return Extension(
         name="graphs",
         user_routes=user_routes(asked, relay),
         peer_routes=peer_routes(asked, counts.here),
--- a/tealrill/graphs/leader_extension.py
+++ b/tealrill/graphs/leader_extension.py
@@ -23,7 +23,7 @@
 import msgspec
 
 from tealrill import wire
-from tealrill.extensions import Term
+from tealrill.extensions import LeadershipContext
 from tealrill.features import GraphFeatures
 from tealrill.graphs import records
 from tealrill.graphs.model import (
@@ -55,7 +55,7 @@
     job_key,
     over_key,
 )
-from tealrill.state.write_batcher import Joined
+from tealrill.state.write_batcher import JoinedWrite
 from tealrill.types import ABSENT, JobId, Monotonic, Revision, monotonic_now, parse_job_id, wall_now
 
 log = logging.getLogger(__name__)
@@ -131,10 +131,10 @@
     return shape
 
 
-class GraphTerm:
+class GraphLeaderExtension:
     """All graphs, for one term."""
 
-    def __init__(self, term: Term, features: GraphFeatures) -> None:
+    def __init__(self, term: LeadershipContext, features: GraphFeatures) -> None:
         self._term = term
         self._features = features
         self._wake = asyncio.Event()
@@ -437,7 +437,7 @@
 
         live.in_flight += 1
         self._term.keeper.join(
-            Joined(
+            JoinedWrite(
                 {live.owner.key: live.owner.stamp, job_key(job): ABSENT, over_key(job): ABSENT},
                 [wire.put(job_key(job), value)],
                 applied,
@@ -464,7 +464,7 @@
 
         live.ending = True
         self._term.keeper.join(
-            Joined(
+            JoinedWrite(
                 {live.owner.key: live.owner.stamp, key: ABSENT},
                 [wire.delete(live.owner.key), wire.put(key, over)],
                 applied,
@@ -492,7 +492,7 @@
 
         self._burials.add(job)
         self._term.keeper.join(
-            Joined(
+            JoinedWrite(
                 {job_key(job): stamp, over_key(job): ABSENT},
                 [wire.delete(job_key(job)), wire.put(over_key(job), value)],
                 applied,
@@ -504,7 +504,7 @@
         key = records.word_key(name)
         del self._words[name]
         # A word that comes meanwhile is seen, and forgotten in its turn.
-        gone = Joined({key: version}, [wire.delete(key)], lambda _: None, lambda _: None)
+        gone = JoinedWrite({key: version}, [wire.delete(key)], lambda _: None, lambda _: None)
         self._term.keeper.join(gone)
 
     # -- graphs that were never sealed ----------------------------------------------------------
@@ -527,7 +527,7 @@
 
         self._expiring.add(name)
         changes = [wire.put(key, msgspec.to_builtins(expired))]
-        self._term.keeper.join(Joined({key: version}, changes, done, done))
+        self._term.keeper.join(JoinedWrite({key: version}, changes, done, done))
 
     async def _clear_up(self, name: str) -> None:
         """Removes the parts of an expired graph, a few at a time, then its head."""
@@ -548,7 +548,7 @@
                     self._wake.set()
 
             # One by one: a set of many waits for a bucket that may never be so full.
-            self._term.keeper.join(Joined({key: stamp}, [wire.delete(key)], done, done))
+            self._term.keeper.join(JoinedWrite({key: stamp}, [wire.delete(key)], done, done))
 
     # -- reading a graph ------------------------------------------------------------------------
 
--- a/tealrill/leader/leader.py
+++ b/tealrill/leader/leader.py
@@ -12,18 +12,18 @@
 import msgspec
 
 from tealrill import wire
-from tealrill.extensions import Term, TermPart
+from tealrill.extensions import LeaderExtension, LeadershipContext
 from tealrill.fleet.cloud import Cloud
-from tealrill.fleet.connections import Lines
-from tealrill.fleet.dispatch import RENT_EVERY_S, Dispatcher
-from tealrill.fleet.intent_log import CLOUD_PREFIX, Intents
-from tealrill.fleet.machines import Finished, Fleet, Machine, NewerTokenError
+from tealrill.fleet.connections import ConnectionPool
+from tealrill.fleet.dispatch import RENT_EVERY_S, SchedulingLoop
+from tealrill.fleet.intent_log import CLOUD_PREFIX, IntentLog
+from tealrill.fleet.machines import CompletedTask, Fleet, Machine, NewerTokenError
 from tealrill.fleet.prober import Prober
-from tealrill.fleet.provisioning import Renter
+from tealrill.fleet.provisioning import Provisioner
 from tealrill.http import NoAnswerError
 from tealrill.leadership.election import Election
 from tealrill.leadership.exclusion import Exclusions
-from tealrill.leadership.lease_extension import Seen
+from tealrill.leadership.lease_extension import CancellationKnowledge
 from tealrill.leadership.open_jobs import renewal_bound_s
 from tealrill.leadership.renewal_delegation import DELEGATION_S, Delegations
 from tealrill.scheduler.estimates import Estimates
@@ -37,14 +37,14 @@
     OUTCOME_DONE,
     RUN_PREFIX,
     Binding,
-    Book,
     Chunk,
     Job,
+    JobStore,
     Owner,
     RecordError,
     over_key,
 )
-from tealrill.state.write_batcher import Keeper, LeadershipLostError
+from tealrill.state.write_batcher import LeadershipLostError, WriteBatcher
 from tealrill.types import (
     JobId,
     MachineId,
@@ -107,7 +107,7 @@
         election: Election,
         mine: Leadership,
         estimates: Estimates,
-        parts: Sequence[Callable[[Term], TermPart]] = (),
+        parts: Sequence[Callable[[LeadershipContext], LeaderExtension]] = (),
         catalogue: wire.Catalogue | None = None,
     ) -> None:
         params = settings.params
@@ -115,7 +115,7 @@
         self._election = election
         self._mine = mine
         self._estimates = estimates
-        self.book = Book(params.state.value_kb)
+        self.book = JobStore(params.state.value_kb)
         workers = params.workers
         self.fleet = Fleet(
             self.book, mine.term, mine.elected_at, workers.lease_s, DELEGATION_S, workers.report_s
@@ -127,11 +127,11 @@
         )
         self.fleet.changed = self.wake
         self.fleet.finished = self._finished
-        self.keeper = Keeper(
+        self.keeper = WriteBatcher(
             client, self.book, mine, params.state.txn_ops, self._committed, self._job_over
         )
-        self.intents = Intents(self.keeper.join, mine.term, params.state.value_kb)
-        self.renter = Renter(
+        self.intents = IntentLog(self.keeper.join, mine.term, params.state.value_kb)
+        self.renter = Provisioner(
             cloud,
             self.fleet,
             mine.term,
@@ -144,15 +144,15 @@
             # A leader elected while the cloud is away would place nothing until it is back.
             self.renter.take_catalogue(catalogue)
         self.renter.changed = self.wake
-        self.dispatcher = Dispatcher(
+        self.dispatcher = SchedulingLoop(
             self.book, self.fleet, self.renter, estimates, params, self._command_now
         )
-        self.seen = Seen()
+        self.seen = CancellationKnowledge()
         """How far changes of jobs are known by the watch."""
         self._vouched_at = Monotonic(-math.inf)
         """What was acknowledged before this moment the other members have told."""
         self._unseen_s = renewal_bound_s(params.workers)
-        term = Term(
+        term = LeadershipContext(
             settings,
             client,
             mine,
@@ -178,7 +178,7 @@
         self._wake = asyncio.Event()
         self._winding_up = False
         self._orders: dict[MachineId, asyncio.Task[None]] = {}
-        self._lines = Lines(params.quota.fd_limit, lambda: len(self.fleet.machines))
+        self._lines = ConnectionPool(params.quota.fd_limit, lambda: len(self.fleet.machines))
         self.fleet.dropped = self._lines.drop
         self.prober = Prober(
             self.fleet, params.workers.report_s, lambda: self._lines.spare, valid=self._valid
@@ -260,9 +260,9 @@
         self._vouched_at = max(self._vouched_at, at)
 
     @property
-    def known(self) -> Seen:
+    def known(self) -> CancellationKnowledge:
         """What is known of cancellations, by the watch or by word of the other members."""
-        return Seen(self.seen.revision, self._known_at)
+        return CancellationKnowledge(self.seen.revision, self._known_at)
 
     @property
     def _known_at(self) -> Monotonic:
@@ -290,7 +290,7 @@
 
     # -- records --------------------------------------------------------------------------------
 
-    async def _load(self) -> Seen:
+    async def _load(self) -> CancellationKnowledge:
         """Reads all jobs and bindings; returns the revision from which to watch the jobs."""
         while True:
             began = monotonic_now()
@@ -323,7 +323,7 @@
             len(self.book.jobs),
             len(bindings),
         )
-        return Seen(revision, began)
+        return CancellationKnowledge(revision, began)
 
     def _add_job(self, key: str, value: object, stamp: Revision) -> Job | None:
         job_id = parse_job_id(key.removeprefix(JOB_PREFIX))
@@ -419,7 +419,7 @@
             record = msgspec.convert(over.value, _JobRecord)
             self.book.add(record.spec, Wall(0.0), Revision(over.version)).cancelled = True
 
-    async def _watch_jobs(self, seen: Seen) -> None:
+    async def _watch_jobs(self, seen: CancellationKnowledge) -> None:
         hold_s = _WATCH_S
         while True:
             self.seen = seen
@@ -441,7 +441,7 @@
                 for event in result.events:
                     self.job_changed(event)
                 revision = Revision(max(seen.revision, result.revision))
-            seen = Seen(revision, sent)
+            seen = CancellationKnowledge(revision, sent)
 
     def job_changed(self, event: wire.WatchEvent) -> None:
         """A record under `job/` was written or removed."""
@@ -517,7 +517,7 @@
             self.dispatcher.cancel(job, monotonic_now())
         self._over(job)
 
-    def _finished(self, finished: Finished) -> None:
+    def _finished(self, finished: CompletedTask) -> None:
         spec = finished.job.spec
         self._estimates.completed(spec.team, spec.estimate_s, finished.ran_s)
 
@@ -578,7 +578,7 @@
     # -- workers --------------------------------------------------------------------------------
 
     def report(
-        self, report: wire.Report, machine_id: MachineId, now: Monotonic
+        self, report: wire.Heartbeat, machine_id: MachineId, now: Monotonic
     ) -> list[dict[str, object]] | None:
         """Commands for the response; None if the worker is to go elsewhere."""
         try:
@@ -625,7 +625,9 @@
             answer = await self._lines.request(
                 machine.id, machine.addr, wire.COMMANDS_PATH, body, _DIRECT_TIMEOUT_S
             )
-            report = wire.decode(answer.body, wire.Report) if answer.status in (200, 409) else None
+            report = (
+                wire.decode(answer.body, wire.Heartbeat) if answer.status in (200, 409) else None
+            )
         except (NoAnswerError, SettingsError, wire.MalformedMessageError) as error:
             log.info("commands for %s: %s", machine.id, error)
             late = monotonic_now() - began > _DIRECT_TIMEOUT_S + _LATE_S
--- a/tealrill/leadership/election.py
+++ b/tealrill/leadership/election.py
@@ -34,9 +34,9 @@
 from tealrill.types import (
     ABSENT,
     CLOCK_DRIFT,
+    FencingToken,
     Monotonic,
     Revision,
-    Token,
     Wall,
     lower_bound_deadline,
     monotonic_now,
@@ -70,7 +70,7 @@
 @dataclass(frozen=True, slots=True)
 class KnownLeader:
     host: str
-    term: Token
+    term: FencingToken
     stamp: Revision = ABSENT
     """The version of its key."""
 
@@ -122,12 +122,12 @@
         """Whether every other member has just said that it does not lead."""
         self.others_up: Callable[[], Awaitable[bool]] = _not_known
         """Whether another member answers."""
-        self.revoking: Token | None = None
+        self.revoking: FencingToken | None = None
         """The term whose lease this node is ending: it gets no promise."""
         self._unreadable = ChangeLog(log)
         self._states = ChangeLog(log)
         """Whom this node follows, or why it does not stand."""
-        self._standing: Token | None = None
+        self._standing: FencingToken | None = None
         """An election of this node that is under way, or that brought no answer: it may take place
         at any later time."""
         self._incarnation = secrets.token_hex(8)
@@ -151,7 +151,7 @@
         """Until when this node may be bound by promises, its former process's included."""
         return max(self._promised_until, self._restarted_until)
 
-    def promise(self, term: Token, until: Monotonic) -> str:
+    def promise(self, term: FencingToken, until: Monotonic) -> str:
         """Not to stand before `until`; or why that can't be promised."""
         if self.mine is not None and term > self.mine.term:
             # Whoever asks was elected later, so the key of this node's term has gone. While the
@@ -264,7 +264,7 @@
         except msgspec.ValidationError as error:
             self._unreadable.error(f"record {entry.key} at {entry.version}: {error}")
             return None
-        return KnownLeader(record.host, Token(record.term), Revision(entry.version))
+        return KnownLeader(record.host, FencingToken(record.term), Revision(entry.version))
 
     async def _withdraw(self, entry: wire.Entry) -> None:
         """Removes a key of this host: set by this very process in a term that it no longer knows
@@ -293,7 +293,7 @@
             return
         sent = monotonic_now()
         lease = await self._client.create_lease(TTL_S)
-        term = Token((last.value if last is not None else 0) + 1)
+        term = FencingToken((last.value if last is not None else 0) + 1)
         value = {
             "host": self._host,
             "incarnation": self._incarnation,
@@ -375,7 +375,7 @@
             self._restarted_until = monotonic_now()
         return monotonic_now() >= self._restarted_until
 
-    async def _read_back(self, term: Token) -> Revision | None:
+    async def _read_back(self, term: FencingToken) -> Revision | None:
         """After an election without an answer: whether it took place."""
         entry = await self._client.get(LEADER_KEY)
         if (
--- a/tealrill/leadership/exclusion.py
+++ b/tealrill/leadership/exclusion.py
@@ -25,7 +25,7 @@
 from tealrill.settings import Settings
 from tealrill.state.client import Committed, StateClient, StateError
 from tealrill.state.fencing import Fence
-from tealrill.types import ABSENT, Monotonic, Revision, Token, monotonic_now
+from tealrill.types import ABSENT, FencingToken, Monotonic, Revision, monotonic_now
 
 log = logging.getLogger(__name__)
 
@@ -55,7 +55,7 @@
         self,
         settings: Settings,
         client: StateClient,
-        term: Token,
+        term: FencingToken,
         stamp: Revision,
         valid: Callable[[], bool],
         now: Callable[[], Monotonic] = monotonic_now,
--- a/tealrill/leadership/lease_extension.py
+++ b/tealrill/leadership/lease_extension.py
@@ -26,7 +26,7 @@
 from tealrill.state.acknowledged_cancellations import AcknowledgedCancellations
 from tealrill.state.client import StateClient, StateError
 from tealrill.state.fencing import Leadership
-from tealrill.types import Monotonic, Revision, Token, lower_bound_deadline, monotonic_now
+from tealrill.types import FencingToken, Monotonic, Revision, lower_bound_deadline, monotonic_now
 
 log = logging.getLogger(__name__)
 
@@ -81,12 +81,12 @@
 
     mine: Leadership | None
 
-    def promise(self, term: Token, until: Monotonic) -> str:
+    def promise(self, term: FencingToken, until: Monotonic) -> str:
         """Empty if this node will not stand before `until`; else why it can't promise that."""
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
+class CancellationKnowledge:
     """What a leader knows of cancellations."""
 
     revision: Revision = Revision(0)
@@ -110,14 +110,14 @@
         self._election = election
         self._acknowledged = acknowledged or AcknowledgedCancellations(lambda: Revision(0))
         self._now = now
-        self.seen: Callable[[], Seen] = Seen
+        self.seen: Callable[[], CancellationKnowledge] = CancellationKnowledge
         """What this node, when it leads, knows of cancellations."""
         self.cancelled: Callable[[str], None] = lambda _: None
         """Tells this node's leader of a cancellation that another node has acknowledged."""
         self.vouched: Callable[[Leadership, Monotonic], None] = lambda _, __: None
         """All that was acknowledged before that moment has been told."""
         self.reports: Callable[[], int] = lambda: 0
-        self.lost_term: Callable[[], Token | None] = lambda: None
+        self.lost_term: Callable[[], FencingToken | None] = lambda: None
         self.is_excluded: Callable[[Leadership, str], bool] = lambda _, __: False
         """Whether a member that does not answer certainly can't be elected for a while."""
         self.prolonged: Callable[[Leadership, Monotonic], None] = lambda _, __: None
@@ -244,7 +244,7 @@
         """
         if await self._state_answers():
             return ExtensionAnswer(False, "the state service answers here")
-        why = self._election.promise(Token(request.term), Monotonic(self._now() + PROMISE_S))
+        why = self._election.promise(FencingToken(request.term), Monotonic(self._now() + PROMISE_S))
         seen = Revision(request.seen)
         known = self._acknowledged
         return ExtensionAnswer(not why, why, known.since(seen), known.all_since(seen))
--- a/tealrill/leadership/lease_revocation.py
+++ b/tealrill/leadership/lease_revocation.py
@@ -44,7 +44,15 @@
     StateError,
 )
 from tealrill.state.fencing import LEADER_KEY
-from tealrill.types import ABSENT, CLOCK_DRIFT, LeaseId, Monotonic, Revision, Token, monotonic_now
+from tealrill.types import (
+    ABSENT,
+    CLOCK_DRIFT,
+    FencingToken,
+    LeaseId,
+    Monotonic,
+    Revision,
+    monotonic_now,
+)
 
 log = logging.getLogger(__name__)
 
@@ -102,7 +110,7 @@
                 log.debug("the lost leader's lease: %s", error)
 
     @property
-    def lost_term(self) -> Token | None:
+    def lost_term(self) -> FencingToken | None:
         """The term whose leader this member finds lost."""
         leader, since = self._election.known, self._unheard_since()
         if leader is None or since is None or self._election.mine is not None:
--- a/tealrill/leadership/open_jobs.py
+++ b/tealrill/leadership/open_jobs.py
@@ -31,11 +31,11 @@
     over_key,
 )
 from tealrill.types import (
+    Incarnation,
     JobId,
     MachineId,
     Monotonic,
     Revision,
-    Session,
     monotonic_now,
     parse_task_id,
 )
@@ -72,7 +72,7 @@
 class _LeftBinding:
     """A task of a job that is over, bound to a machine's session."""
 
-    session: Session
+    session: Incarnation
     job: str
 
 
@@ -113,14 +113,14 @@
         unread = (self._last_open[name] for name in self._bindings_unread)
         return min((self._read_through, *unread))
 
-    def may_renew(self, report: wire.Report, machine: MachineId, now: Monotonic) -> bool:
+    def may_renew(self, report: wire.Heartbeat, machine: MachineId, now: Monotonic) -> bool:
         """Whether all that the worker runs, or may be about to start, was open recently enough."""
         through = min(
             self.known_through, self._reported_through(report), self._left_through(report, machine)
         )
         return now < through + self._bound_s
 
-    def _reported_through(self, report: wire.Report) -> Monotonic:
+    def _reported_through(self, report: wire.Heartbeat) -> Monotonic:
         """The last moment at which the jobs of all reported tasks were known to be open."""
         through = _ALWAYS
         for task in report.tasks:
@@ -130,7 +130,7 @@
                 through = min(through, self._job_open_through(task_id.job if task_id else ""))
         return through
 
-    def _left_through(self, report: wire.Report, machine: MachineId) -> Monotonic:
+    def _left_through(self, report: wire.Heartbeat, machine: MachineId) -> Monotonic:
         """The same of the jobs that have left bindings to the worker's session."""
         through = _ALWAYS
         for left in self._left.get(machine, ()):
@@ -246,7 +246,7 @@
     return owner if isinstance(owner, str) else None
 
 
-def _bindings(entry: wire.Entry) -> Iterator[tuple[MachineId, Session]]:
+def _bindings(entry: wire.Entry) -> Iterator[tuple[MachineId, Incarnation]]:
     try:
         yield from chunk_bindings(entry.value)
     except RecordError as error:
--- a/tealrill/leadership/renewal_delegation.py
+++ b/tealrill/leadership/renewal_delegation.py
@@ -30,10 +30,10 @@
 from tealrill.state.fencing import LEADER_KEY, Fence
 from tealrill.types import (
     ABSENT,
+    FencingToken,
     MachineId,
     Monotonic,
     Revision,
-    Token,
     lower_bound_deadline,
     monotonic_now,
 )
@@ -100,7 +100,9 @@
         self._renewals: _DelegatedRenewals | None = None
         self._unreadable = ChangeLog(log)
 
-    def renews(self, report: wire.Report, machine: MachineId, now: Monotonic) -> Token | None:
+    def renews(
+        self, report: wire.Heartbeat, machine: MachineId, now: Monotonic
+    ) -> FencingToken | None:
         """The term whose token may be given to this worker at this very moment."""
         self._asked_at = now
         renewals = self._renewals
@@ -280,7 +282,7 @@
     _LONGEST_S = 60.0
 
     def __init__(
-        self, client: StateClient, term: Token, stamp: Revision, ended: Callable[[], None]
+        self, client: StateClient, term: FencingToken, stamp: Revision, ended: Callable[[], None]
     ) -> None:
         self._client = client
         self._fence = Fence(client, stamp)
--- a/tealrill/leadership/transfer.py
+++ b/tealrill/leadership/transfer.py
@@ -23,7 +23,7 @@
 """Some workers always come to the wrong node, those that have just booted among them."""
 
 
-class GiveWay:
+class LeadershipTransfer:
     """The count of this node's reports, and what the others say of theirs."""
 
     def __init__(self, settings: Settings) -> None:
--- a/tealrill/profiling.py
+++ b/tealrill/profiling.py
@@ -32,32 +32,32 @@
     "reports: decoding": "tealrill.api.front:_Request._report",
     "reports: taking in": "tealrill.fleet.machines:Fleet._take_in",
     "reports: commands": "tealrill.fleet.machines:Fleet._commands",
-    "reports: the rest": "tealrill.daemon:Node.take_report",
+    "reports: the rest": "tealrill.daemon:Controller.take_report",
     "answers written": "tealrill.api.front:answer",
-    "passes: the rest": "tealrill.fleet.dispatch:Dispatcher.run",
-    "passes: machines": "tealrill.fleet.dispatch:Dispatcher._survey",
-    "passes: a machine's view": "tealrill.fleet.dispatch:Dispatcher._fresh",
-    "passes: a job's view": "tealrill.fleet.dispatch:Dispatcher._job",
-    "passes: view": "tealrill.fleet.dispatch:Dispatcher.view",
+    "passes: the rest": "tealrill.fleet.dispatch:SchedulingLoop.run",
+    "passes: machines": "tealrill.fleet.dispatch:SchedulingLoop._survey",
+    "passes: a machine's view": "tealrill.fleet.dispatch:SchedulingLoop._fresh",
+    "passes: a job's view": "tealrill.fleet.dispatch:SchedulingLoop._job",
+    "passes: view": "tealrill.fleet.dispatch:SchedulingLoop.view",
     "passes: order": "tealrill.scheduler.plan:order",
     "passes: affordable": "tealrill.scheduler.plan:affordable",
     "passes: planning": "tealrill.fleet.dispatch:plan",
     "passes: candidates": "tealrill.scheduler.plan:_Pass._candidates",
     "passes: reservation": "tealrill.scheduler.plan:reserve",
     "passes: stops": "tealrill.scheduler.plan:_Pass._stop_for",
-    "passes: binding": "tealrill.fleet.dispatch:Dispatcher._start",
-    "passes: returning": "tealrill.fleet.dispatch:Dispatcher._return",
-    "passes: losses": "tealrill.fleet.dispatch:Dispatcher._restore",
-    "wishes for machines": "tealrill.fleet.dispatch:Dispatcher._rent",
+    "passes: binding": "tealrill.fleet.dispatch:SchedulingLoop._start",
+    "passes: returning": "tealrill.fleet.dispatch:SchedulingLoop._return",
+    "passes: losses": "tealrill.fleet.dispatch:SchedulingLoop._restore",
+    "wishes for machines": "tealrill.fleet.dispatch:SchedulingLoop._rent",
     "wishes: choosing": "tealrill.scheduler.capacity:_choose",
-    "wishes: laying": "tealrill.scheduler.capacity:Rooms.lay",
+    "wishes: laying": "tealrill.scheduler.capacity:FreeCapacity.lay",
     "wishes: reckoning": "tealrill.scheduler.capacity:rentals",
     "silence: judging": "tealrill.fleet.prober:Prober.look",
     "silence: leases": "tealrill.fleet.machines:Fleet.silent",
-    "records: gathering": "tealrill.state.write_batcher:Keeper._gather",
-    "records: applied": "tealrill.state.write_batcher:Keeper._apply",
+    "records: gathering": "tealrill.state.write_batcher:WriteBatcher._gather",
+    "records: applied": "tealrill.state.write_batcher:WriteBatcher._apply",
     "jobs watched": "tealrill.leader.leader:Leader.job_changed",
-    "the cloud's list": "tealrill.fleet.provisioning:Renter._take_list",
+    "the cloud's list": "tealrill.fleet.provisioning:Provisioner._take_list",
 }
 """Causes of cost and the functions that bear them, as module:name."""
 
@@ -152,7 +152,7 @@
     return f"turn: {getattr(plain, '__qualname__', type(plain).__qualname__)}"
 
 
-class Watch:
+class ProfileLog:
     """Profiles a node for as long as it runs."""
 
     def __init__(self, host: str, every_s: float) -> None:
--- a/tealrill/scheduler/boot_times.py
+++ b/tealrill/scheduler/boot_times.py
@@ -25,7 +25,7 @@
 _MOST_BOOTS: Final = 4.0
 
 
-class Boots:
+class BootTimeEstimator:
     """Boots that ended in this term, by type and zone."""
 
     def __init__(self) -> None:
--- a/tealrill/scheduler/capacity.py
+++ b/tealrill/scheduler/capacity.py
@@ -114,7 +114,7 @@
         self.shortest_s[number] = shortest_s
 
 
-class Rooms:
+class FreeCapacity:
     """Room that waiting tasks may count on, on machines and on those about to be rented.
 
     Tasks are laid in the order of the rooms. Most are full when the later jobs of a long queue are
@@ -290,7 +290,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Wish:
+class _Demand:
     """A job with tasks that found no room."""
 
     job: JobView
@@ -302,13 +302,13 @@
     room in any case."""
 
 
-def _wishes(
+def _demands(
     unplaced: list[tuple[JobView, int]],
     catalogue: list[Offer],
     available: list[Offer],
     policy: Policy,
     affordable: Container[JobView],
-) -> list[_Wish]:
+) -> list[_Demand]:
     """The jobs to be laid, up to the last one for which anything may be rented.
 
     Those behind it would take room from nobody. (With only dear machines to be had, hundreds of
@@ -316,7 +316,7 @@
     """
     at_hand = frozenset(available)
     offered = [(offer, offer in at_hand) for offer in catalogue]
-    wishes: list[_Wish] = []
+    wishes: list[_Demand] = []
     last = 0
     for job, waiting in unplaced:
         slots: dict[str, int] = {}
@@ -337,7 +337,7 @@
             # Only dear machines are to be had: room that comes by the latest start will do.
             wait_s = max(wait_s, job.latest_s[0])
             offers = []
-        wishes.append(_Wish(job, waiting, wait_s, offers))
+        wishes.append(_Demand(job, waiting, wait_s, offers))
         if offers:
             last = len(wishes)
     return wishes[:last]
@@ -360,7 +360,7 @@
     if not available or not unplaced:
         # The fleet is as large as the cloud lets it be: what fits where makes no difference.
         return []
-    wishes = _wishes(unplaced, catalogue, available, policy, affordable)
+    wishes = _demands(unplaced, catalogue, available, policy, affordable)
     if not wishes:
         return []
     sizes = {offer.type: offer for offer in catalogue}
@@ -368,7 +368,7 @@
     kinds = list({(m.type, m.zone, m.spot) for m in known} | {o.kind for o in catalogue})
     all_parts = [_parts(wish.job, kinds, sizes) for wish in wishes]
     boots = {Monotonic(now + offer.boot_s) for offer in catalogue}
-    rooms = Rooms(kinds, all_parts, boots)
+    rooms = FreeCapacity(kinds, all_parts, boots)
     for machine in known:
         rooms.add((machine.type, machine.zone, machine.spot), _free(machine, now))
     counts: dict[tuple[str, str], int] = {}
--- a/tealrill/scheduler/capacity_losses.py
+++ b/tealrill/scheduler/capacity_losses.py
@@ -36,7 +36,7 @@
     at: Monotonic
 
 
-class Losses:
+class CapacityLosses:
     """Processors lost together, by machine type; rentals granted pay them back."""
 
     def __init__(self) -> None:
--- a/tealrill/scheduler/estimates.py
+++ b/tealrill/scheduler/estimates.py
@@ -42,7 +42,7 @@
         return estimate_s * self.ratio(team)
 
 
-class Sizes:
+class TypicalSizes:
     """How many processors a whole job of a class takes, from recent submissions."""
 
     def __init__(self) -> None:
--- a/tealrill/scheduler/failure_attribution.py
+++ b/tealrill/scheduler/failure_attribution.py
@@ -89,7 +89,7 @@
         return _SURVIVES_S + 2.0 * self.longest_s
 
 
-class Blame:
+class FailureAttribution:
     """What is known of the jobs and machines that failed."""
 
     def __init__(self) -> None:
--- a/tealrill/scheduler/failure_detector.py
+++ b/tealrill/scheduler/failure_detector.py
@@ -37,7 +37,7 @@
 _SOON_S: Final = 2.0
 
 
-class Verdict(Enum):
+class Suspicion(Enum):
     """What a machine's silence means, as far as can be seen from here."""
 
     LATE = "late"
@@ -51,7 +51,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Sign:
+class Evidence:
     """What is known of one machine that was heard once."""
 
     machine: MachineId
@@ -67,10 +67,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Hearing:
+class Diagnosis:
     """The verdicts on all machines."""
 
-    verdicts: dict[MachineId, Verdict]
+    verdicts: dict[MachineId, Suspicion]
     """Of the machines that are not heard."""
     cut_zones: frozenset[str]
     deaf: bool = False
@@ -87,7 +87,7 @@
     return _LIVE_REPORTS * report_s
 
 
-def judge(signs: Iterable[Sign], report_s: float) -> Hearing:
+def judge(signs: Iterable[Evidence], report_s: float) -> Diagnosis:
     """One look at the whole fleet.
 
     A zone counts as heard by the machines that were heard within the last one and a half report
@@ -97,7 +97,7 @@
     """
     live: Counter[str] = Counter()
     known: Counter[str] = Counter()
-    silent: list[Sign] = []
+    silent: list[Evidence] = []
     for sign in signs:
         if sign.silent_s <= live_within_s(report_s):
             live[sign.zone] += 1
@@ -113,26 +113,26 @@
     )
     verdicts = {sign.machine: _verdict(sign, sign.zone in cut) for sign in silent}
     deaf = bool(cut) and not any(live.values())
-    return Hearing(verdicts, cut, deaf)
+    return Diagnosis(verdicts, cut, deaf)
 
 
-def _verdict(sign: Sign, zone_cut: bool) -> Verdict:
+def _verdict(sign: Evidence, zone_cut: bool) -> Suspicion:
     if sign.unlisted >= LISTS:
-        return Verdict.GONE
+        return Suspicion.GONE
     if sign.accepts:
-        return Verdict.HUNG
+        return Suspicion.HUNG
     if zone_cut:
-        return Verdict.CUT
-    return Verdict.GONE if sign.misses >= MISSES else Verdict.LATE
+        return Suspicion.CUT
+    return Suspicion.GONE if sign.misses >= MISSES else Suspicion.LATE
 
 
-def back_in_s(verdict: Verdict, silent_s: float) -> float | None:
+def back_in_s(verdict: Suspicion, silent_s: float) -> float | None:
     """When a silent machine may be expected back; None for one that won't come.
 
     Of a silence whose length nobody knows, the best guess is that it lasts as long again as it
     has lasted so far. A replacement that boots for longer than that is not worth its price.
     """
-    if verdict is Verdict.GONE:
+    if verdict is Suspicion.GONE:
         return None
     return max(_SOON_S, silent_s)
 
--- a/tealrill/simulation/cluster.py
+++ b/tealrill/simulation/cluster.py
@@ -16,7 +16,7 @@
 
 from tealrill import http, settings, wire
 from tealrill.api.relay import PEER_PREFIX
-from tealrill.daemon import Node
+from tealrill.daemon import Controller
 from tealrill.features import Features, GraphFeatures
 from tealrill.fleet import prober
 from tealrill.fleet.catalogue import CATALOGUE_PATH
@@ -132,7 +132,7 @@
     return ("north", "south")[number % 2]
 
 
-class _Silent(Node):
+class _SocketlessController(Controller):
     """A node that is spoken to by the lab and not by sockets."""
 
     def _listen(self) -> None:
@@ -144,7 +144,7 @@
     """A controller's machine and its process."""
 
     name: str
-    node: _Silent | None = None
+    node: _SocketlessController | None = None
     process: Process | None = None
     context: contextvars.Context = field(default_factory=contextvars.copy_context)
 
@@ -186,7 +186,7 @@
         return self.accepted, self.cancelled_at is not None, self.done
 
 
-class World:
+class SimulatedCluster:
     """Everything of one day; broken rules are in `broken`."""
 
     def __init__(self, loop: Loop, rng: random.Random, shape: Shape) -> None:
@@ -389,7 +389,7 @@
 
     @staticmethod
     async def _ask(users: Any, method: str, path: str, body: bytes | None) -> UserReply:
-        """A user's request, by way of `Intake` or `Relay`."""
+        """A user's request, by way of `Admission` or `Relay`."""
         name, _, verb = path.removeprefix(wire.JOBS_PATH).strip("/").partition("/")
         reply: UserReply
         if verb == wire.CANCEL_PATH:
@@ -409,7 +409,9 @@
         host.process = Process(host.name)
         host.context.run(_PROCESS.set, host.process)
         number = int(host.name.removeprefix("host-"))
-        host.node = host.context.run(_Silent, self.shape.settings(number), self.shape.features())
+        host.node = host.context.run(
+            _SocketlessController, self.shape.settings(number), self.shape.features()
+        )
         task = self.begin(host.node.run(), host.context)
         task.add_done_callback(lambda task: self._ended(host, task))
 
@@ -531,7 +533,7 @@
         node = host.node
         if node is None:
             return None
-        found = wire.decode(orjson.dumps(message), wire.Report)
+        found = wire.decode(orjson.dumps(message), wire.Heartbeat)
         status, answer = host.context.run(node.take_report, found, MachineId(found.machine))
         self.digest.add(self.now(), name, message, status, answer)
         self._sends(name, answer.get("orders", []))
@@ -883,10 +885,10 @@
 
 
 @contextlib.contextmanager
-def connected(seed: int, shape: Shape) -> Iterator[World]:
+def connected(seed: int, shape: Shape) -> Iterator[SimulatedCluster]:
     """A world whose nodes are spoken to by it; the program's clients go through its network."""
     with simulated(seed) as (loop, rng):
-        world = World(loop, rng, shape)
+        world = SimulatedCluster(loop, rng, shape)
 
         async def request(
             client: Any,
@@ -921,7 +923,7 @@
 # -- a day ----------------------------------------------------------------------------------------
 
 
-Script = Callable[["World"], Coroutine[Any, Any, None]]
+Script = Callable[["SimulatedCluster"], Coroutine[Any, Any, None]]
 """The troubles of a day; it ends when they have ended."""
 
 
@@ -932,19 +934,19 @@
     script: Script | None = None,
     calm_s: float = max(_KNOWN_S, _BESIDE_S) + 60.0,
     until: str = "",
-) -> World:
+) -> SimulatedCluster:
     """One day of troubles, and then quiet until every job that can has ended.
 
     With `until` it ends once that rule is broken, and with `script` its troubles are these and not
     drawn ones. After less quiet than a job may go without an answer nobody asks what was left.
     """
-    from tealrill.simulation.faults import Troubles
+    from tealrill.simulation.faults import FaultInjector
 
     with connected(seed, shape or Shape()) as world:
         asyncio.set_event_loop(world.loop)
 
-        async def drawn(world: World) -> None:
-            await Troubles(world).run(trouble_s)
+        async def drawn(world: SimulatedCluster) -> None:
+            await FaultInjector(world).run(trouble_s)
 
         try:
             day = world.begin(_day(world, script or drawn, trouble_s, calm_s))
@@ -962,7 +964,7 @@
     return world
 
 
-async def _day(world: World, script: Script, trouble_s: float, calm_s: float) -> None:
+async def _day(world: SimulatedCluster, script: Script, trouble_s: float, calm_s: float) -> None:
     for host in world.hosts.values():
         world.start(host)
     world.begin(world.watch())
@@ -984,7 +986,7 @@
             world.breach("left", f"{job.id} did not run to its end")
 
 
-async def _close(world: World) -> None:
+async def _close(world: SimulatedCluster) -> None:
     own = asyncio.current_task()
     for task in asyncio.all_tasks():
         if task is not own:
@@ -992,7 +994,7 @@
     await asyncio.sleep(0.1)
 
 
-async def _arrivals(world: World, until_s: float) -> None:
+async def _arrivals(world: SimulatedCluster, until_s: float) -> None:
     rng = world.rng
     number = 0
     while world.now() < until_s:
--- a/tealrill/simulation/faults.py
+++ b/tealrill/simulation/faults.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from tealrill.simulation.cluster import Host, World
+    from tealrill.simulation.cluster import Host, SimulatedCluster
 
 Undo = Callable[[], None]
 
@@ -16,10 +16,10 @@
 service refuses it alone."""
 
 
-class Troubles:
+class FaultInjector:
     """Draws meetings: one trouble after the other begins, and each lasts for a while."""
 
-    def __init__(self, world: World) -> None:
+    def __init__(self, world: SimulatedCluster) -> None:
         self.world, self.rng = world, world.rng
 
     async def run(self, for_s: float) -> None:
--- a/tealrill/simulation/graph_users.py
+++ b/tealrill/simulation/graph_users.py
@@ -7,12 +7,12 @@
 
 import orjson
 
-from tealrill.graphs.admission import GraphIntake
+from tealrill.graphs.admission import GraphAdmission
 from tealrill.graphs.model import node_id
 from tealrill.simulation.services import Description
 
 if TYPE_CHECKING:
-    from tealrill.simulation.cluster import World
+    from tealrill.simulation.cluster import SimulatedCluster
 
 _NODES: Final = ({"key": "a", "after": []}, {"key": "b", "after": ["a"]})
 _RUN_S: Final = 4.0
@@ -27,7 +27,7 @@
 }  # fmt: skip
 
 
-async def submit_graphs(world: World, teams: tuple[str, ...], until_s: float) -> None:
+async def submit_graphs(world: SimulatedCluster, teams: tuple[str, ...], until_s: float) -> None:
     """Submit a graph of two nodes every few seconds, each to a node drawn by chance."""
     number = 0
     while world.now() < until_s:
@@ -42,12 +42,12 @@
         await _submit(world, orjson.dumps({"id": graph, "defaults": job, "nodes": list(_NODES)}))
 
 
-async def _submit(world: World, body: bytes) -> None:
+async def _submit(world: SimulatedCluster, body: bytes) -> None:
     host = world.rng.choice(list(world.hosts.values()))
     if host.node is None or host.name in world.frozen:
         return
     for subsystem in host.node.subsystems:
-        if isinstance(subsystem.names, GraphIntake):
+        if isinstance(subsystem.names, GraphAdmission):
             task = world.begin(subsystem.names.submit(body), host.context)
             await asyncio.wait({task}, timeout=5.0)
             if task.done() and not task.cancelled() and task.exception() is None:
--- a/tealrill/simulation/traffic_digest.py
+++ b/tealrill/simulation/traffic_digest.py
@@ -2,7 +2,8 @@
 
 Refactoring must change neither what the controllers send nor what they store. The digest covers
 every request and answer on the simulated network, in order, with its moment, and every change of
-the state service. It tells that two versions differ, not where: `World.events` and the log do.
+the state service. It tells that two versions differ, not where: `SimulatedCluster.events` and the
+log do.
 """
 
 from __future__ import annotations
--- a/tealrill/state/admission.py
+++ b/tealrill/state/admission.py
@@ -37,7 +37,7 @@
     job_key,
     over_key,
 )
-from tealrill.state.rate_limiter import Rank
+from tealrill.state.rate_limiter import RequestPriority
 from tealrill.types import ABSENT, JobId, Revision, parse_job_id, wall_now
 
 log = logging.getLogger(__name__)
@@ -67,7 +67,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Nameless:
+class ImplicitJob:
     """A job without a record of its own."""
 
     status: str
@@ -76,13 +76,13 @@
     """How it ended if it has none there."""
 
 
-class Names(Protocol):
+class ImplicitJobs(Protocol):
     """Job ids that belong to a subsystem's record, whether or not they have one of their own."""
 
     def claims(self, job_id: JobId) -> list[str]:
         """Keys that must be absent for somebody else's job of this id to be accepted."""
 
-    async def status(self, job_id: JobId) -> Nameless | None:
+    async def status(self, job_id: JobId) -> ImplicitJob | None:
         """Of an id without a record of its own; None if it is no job at all."""
 
     async def refusal(self, job_id: JobId) -> Reply | None:
@@ -92,7 +92,7 @@
         """Cancels a job without a record of its own; None if that has to be looked at again."""
 
 
-class Intake:
+class Admission:
     """What users ask for."""
 
     def __init__(
@@ -107,7 +107,7 @@
         self._catalogue = catalogue
         self._over: OrderedDict[JobId, wire.KeyValue] = OrderedDict()
         self.acknowledged = AcknowledgedCancellations(lambda: client.first_seen)
-        self.names: Names | None = None
+        self.names: ImplicitJobs | None = None
         self.counts: Callable[[JobId], tuple[int, int] | None] = lambda _: None
         """Done and running tasks as the leader's memory has them; None elsewhere."""
 
@@ -254,13 +254,16 @@
             # The counts may lag, the record may not: read first, it was as old as the counts' way
             # when it was told, and another node had said `done` meanwhile.
             done, running = await self._counts(job_id)
-            entry = await self._client.get(job_key(job_id), Rank.USERS)
+            entry = await self._client.get(job_key(job_id), RequestPriority.USERS)
             owner = entry.value.get("owner") if entry is not None else None
-            if owner is not None and await self._client.get(JOB_PREFIX + owner, Rank.USERS) is None:
+            if (
+                owner is not None
+                and await self._client.get(JOB_PREFIX + owner, RequestPriority.USERS) is None
+            ):
                 # The owner's end is the job's, though its record is not moved yet.
                 over = await self._read_over(job_id)
                 if over is None:
-                    end = await self._client.get(OVER_PREFIX + owner, Rank.USERS)
+                    end = await self._client.get(OVER_PREFIX + owner, RequestPriority.USERS)
                     if end is None:
                         return _unavailable("its owner's record is being moved")
                     # The user is told here, perhaps before whoever cancelled the owner could be.
@@ -299,7 +302,9 @@
             body["outcome"] = over.value["outcome"]
         return Reply(200, body)
 
-    async def _read_over(self, job_id: JobId, rank: Rank = Rank.USERS) -> wire.KeyValue | None:
+    async def _read_over(
+        self, job_id: JobId, rank: RequestPriority = RequestPriority.USERS
+    ) -> wire.KeyValue | None:
         over = await self._client.get(over_key(job_id), rank)
         if over is not None:
             # Without the description, which only a new leader needs: it is most of the record.
@@ -318,7 +323,7 @@
         if counts is not None:
             return counts
         done = running = 0
-        entries, _ = await self._client.scan(f"{RUN_PREFIX}{job_id}/", Rank.USERS)
+        entries, _ = await self._client.scan(f"{RUN_PREFIX}{job_id}/", RequestPriority.USERS)
         for entry in entries:
             for task in entry.value.get("tasks", []):
                 if task == -1:
@@ -347,7 +352,7 @@
         self._reach()
         entry = await self._client.get(job_key(job_id))
         if entry is None:
-            over = await self._read_over(job_id, Rank.FIRST)
+            over = await self._read_over(job_id, RequestPriority.FIRST)
             if over is None:
                 return await self._cancel_nameless(job_id)
             return Reply(200, wire.accepted(job_id, over.value["status"]))
@@ -375,7 +380,7 @@
         if self.names is None or found is None:
             return _NOT_FOUND
         if found.status == wire.JOB_CANCELLED:
-            over = await self._read_over(job_id, Rank.FIRST)
+            over = await self._read_over(job_id, RequestPriority.FIRST)
             status = over.value["status"] if over is not None else found.status
             return Reply(200, wire.accepted(job_id, status))
         revision = await self.names.cancel(job_id)
--- a/tealrill/state/client.py
+++ b/tealrill/state/client.py
@@ -16,7 +16,7 @@
 from tealrill.errors import TealrillError
 from tealrill.http import Answer, Client, NoAnswerError
 from tealrill.settings import StateLimits, parse_address
-from tealrill.state.rate_limiter import Budget, Rank
+from tealrill.state.rate_limiter import RateLimiter, RequestPriority
 from tealrill.state.revision_clock import RevisionClock
 from tealrill.types import LeaseId, Revision, monotonic_now
 
@@ -81,9 +81,9 @@
         self.first_seen: Revision | None = None
         """The revision at this process's first reading of a range; what a former process of this
         host was answered lies before it."""
-        self.requests = Budget(self._share() * limits.rps)
-        self.writes = Budget(self._share() * limits.write_rps)
-        self.accepts = Budget(_ACCEPT_SHARE * limits.write_rps, depth=limits.write_rps)
+        self.requests = RateLimiter(self._share() * limits.rps)
+        self.writes = RateLimiter(self._share() * limits.write_rps)
+        self.accepts = RateLimiter(_ACCEPT_SHARE * limits.write_rps, depth=limits.write_rps)
         """Acceptances. Users come to nodes by chance and in bursts, so a node's equal part of the
         rate refused most of a burst while the other parts lay idle. The parts of all nodes add up
         to more than the rate; where that shows, the state service answers 429."""
@@ -100,13 +100,15 @@
             return 0.95
         return _LEADER_SHARE if self._leads else 0.35 / (self._nodes - 1)
 
-    async def _take(self, rank: Rank) -> None:
+    async def _take(self, rank: RequestPriority) -> None:
         """A turn; raises `RateLimitedError` at once for a poll whose turn would come too late."""
-        if rank is Rank.USERS and self.requests.wait_s(rank) > _MOST_POLL_WAIT_S:
+        if rank is RequestPriority.USERS and self.requests.wait_s(rank) > _MOST_POLL_WAIT_S:
             raise RateLimitedError("more polls than there are requests for")
         await self.requests.take(rank=rank)
 
-    async def get(self, key: str, rank: Rank = Rank.FIRST) -> wire.KeyValue | None:
+    async def get(
+        self, key: str, rank: RequestPriority = RequestPriority.FIRST
+    ) -> wire.KeyValue | None:
         await self._take(rank)
         answer = await self._send("GET", "/kv/" + quote(key, safe="/"))
         if answer.status == 404:
@@ -114,7 +116,11 @@
         return self._read(answer, wire.KeyValue)
 
     async def page(
-        self, prefix: str, after: str | None, most: int, rank: Rank = Rank.FIRST
+        self,
+        prefix: str,
+        after: str | None,
+        most: int,
+        rank: RequestPriority = RequestPriority.FIRST,
     ) -> wire.Entries:
         """Up to `most` keys under a prefix, those behind `after` only."""
         await self._take(rank)
@@ -127,7 +133,9 @@
         self.revisions.observe(sent, Revision(found.revision))
         return found
 
-    async def scan(self, prefix: str, rank: Rank = Rank.FIRST) -> tuple[list[wire.Entry], Revision]:
+    async def scan(
+        self, prefix: str, rank: RequestPriority = RequestPriority.FIRST
+    ) -> tuple[list[wire.Entry], Revision]:
         """All keys under a prefix, and the revision from which a watch misses nothing.
 
         The pages are read one after the other; the first page's revision is the one returned.
--- a/tealrill/state/fencing.py
+++ b/tealrill/state/fencing.py
@@ -23,7 +23,7 @@
 from tealrill import wire
 from tealrill.errors import TealrillError
 from tealrill.state.client import Committed, GuardsFailed, StateClient
-from tealrill.types import LeaseId, Monotonic, Revision, Token
+from tealrill.types import FencingToken, LeaseId, Monotonic, Revision
 
 LEADER_KEY: Final = "leader"
 
@@ -32,7 +32,7 @@
 class Leadership:
     """One term of this node."""
 
-    term: Token
+    term: FencingToken
     stamp: Revision
     lease: LeaseId
     elected_at: Monotonic
@@ -74,7 +74,7 @@
     """One duty, as its holder has it."""
 
     name: str
-    epoch: Token
+    epoch: FencingToken
     since: Monotonic
     valid: Callable[[], bool]
     """Whether its holder may act at this very moment."""
--- a/tealrill/state/job_store.py
+++ b/tealrill/state/job_store.py
@@ -19,12 +19,12 @@
 from tealrill.types import (
     ABSENT,
     Attempt,
+    HeartbeatSequence,
+    Incarnation,
     JobId,
     MachineId,
     Monotonic,
     Revision,
-    Seq,
-    Session,
     TaskId,
     Wall,
     parse_machine_id,
@@ -74,7 +74,7 @@
 
     task: TaskId
     machine: MachineId
-    session: Session
+    session: Incarnation
     attempt: Attempt
     backfilled: bool
     bound_at: Wall
@@ -82,12 +82,12 @@
     version: int
     """The chunk's version that holds this binding; it may be started once that is committed."""
     inherited: bool = False
-    sent: Seq | None = None
+    sent: HeartbeatSequence | None = None
     """The report whose response first carried the start."""
     seen: bool = False
     direct_out: bool = False
     """A start sent to the worker directly has no answer yet, and may arrive at any later time."""
-    shown_in: Seq | None = None
+    shown_in: HeartbeatSequence | None = None
     """The last list of this session that showed it."""
     state: str | None = None
     running_since: Monotonic | None = None
@@ -176,7 +176,7 @@
     most_errors: int | None = None
     """How often one task may fail before the job has failed; None: it is tried for ever."""
     outcome: str = OUTCOME_DONE
-    """How it ends, once it is in `Book.ending`."""
+    """How it ends, once it is in `JobStore.ending`."""
     opened: bytearray | None = None
     """For a job whose tasks are let go one by one: which of them were."""
     closed: int = 0
@@ -200,7 +200,7 @@
                 yield task.binding
 
 
-class Book:
+class JobStore:
     """All jobs that are not over, with their bindings, and what of it is not yet written."""
 
     def __init__(self, value_kb: float) -> None:
@@ -292,7 +292,7 @@
         job: Job,
         index: int,
         machine: MachineId,
-        session: Session,
+        session: Incarnation,
         zone: str,
         backfilled: bool,
         wall: Wall,
@@ -544,7 +544,7 @@
         counts[zone] = counts.get(zone, 0) + 1
 
 
-def chunk_bindings(value: Any) -> Iterator[tuple[MachineId, Session]]:
+def chunk_bindings(value: Any) -> Iterator[tuple[MachineId, Incarnation]]:
     """The machines and sessions to which a chunk's unfinished tasks are bound.
 
     Raises `RecordError` if this version can't read it.
@@ -565,7 +565,7 @@
     """A bound task as a chunk keeps it."""
 
     machine: MachineId
-    session: Session
+    session: Incarnation
     attempt: Attempt
     backfilled: bool
     done: bool
@@ -580,7 +580,7 @@
         raise ValueError(f"{name!r} is no machine")
     return _BoundEntry(
         machine,
-        Session(int(session)),
+        Incarnation(int(session)),
         Attempt(int(attempt)),
         bool(int(flags) & _BACKFILLED_FLAG),
         bool(int(flags) & _DONE_FLAG),
--- a/tealrill/state/rate_limiter.py
+++ b/tealrill/state/rate_limiter.py
@@ -17,7 +17,7 @@
 from tealrill.types import Monotonic, monotonic_now
 
 
-class Rank(IntEnum):
+class RequestPriority(IntEnum):
     """Who goes first when there is not enough for all."""
 
     FIRST = 0
@@ -34,7 +34,7 @@
     turn: asyncio.Future[None]
 
 
-class Budget:
+class RateLimiter:
     """A token bucket that holds one second's worth, or `depth`."""
 
     _KEPT_FOR_URGENT = 0.4
@@ -44,7 +44,9 @@
         self._depth = depth
         self._tokens = self.burst
         self._at: Monotonic = monotonic_now()
-        self._lines: dict[Rank, deque[_Waiter]] = {rank: deque() for rank in Rank}
+        self._lines: dict[RequestPriority, deque[_Waiter]] = {
+            rank: deque() for rank in RequestPriority
+        }
         self._timer: asyncio.TimerHandle | None = None
 
     def set_rate(self, rate: float) -> None:
@@ -56,7 +58,7 @@
     def burst(self) -> float:
         return max(1.0, self._depth if self._depth is not None else self._rate)
 
-    def available(self, rank: Rank = Rank.FIRST) -> float:
+    def available(self, rank: RequestPriority = RequestPriority.FIRST) -> float:
         """What one of this rank may take now."""
         self._refill()
         return self._tokens - self._kept_from(rank)
@@ -65,12 +67,14 @@
         """Takes tokens that `available` has shown."""
         self._tokens -= amount
 
-    def wait_s(self, rank: Rank) -> float:
+    def wait_s(self, rank: RequestPriority) -> float:
         """About how long one who comes now waits behind those who wait before it, in seconds."""
         ahead = sum(len(line) for of, line in self._lines.items() if of <= rank)
         return max(0.0, (ahead + 1 - self.available(rank)) / self._rate)
 
-    async def take(self, amount: float = 1.0, rank: Rank = Rank.FIRST) -> None:
+    async def take(
+        self, amount: float = 1.0, rank: RequestPriority = RequestPriority.FIRST
+    ) -> None:
         """Waits until `amount` is there; an amount above the burst waits for a full bucket."""
         if not any(line for of, line in self._lines.items() if of <= rank) and (
             self.available(rank) >= self._need(amount, rank)
@@ -92,18 +96,18 @@
             self._serve()
             raise
 
-    def take_now(self, amount: float = 1.0, rank: Rank = Rank.FIRST) -> bool:
+    def take_now(self, amount: float = 1.0, rank: RequestPriority = RequestPriority.FIRST) -> bool:
         """Takes tokens if they are there at this moment; a full bucket has enough for anything."""
         if self.available(rank) < self._need(amount, rank):
             return False
         self.spend(amount)
         return True
 
-    def _kept_from(self, rank: Rank) -> float:
+    def _kept_from(self, rank: RequestPriority) -> float:
         """The part of a full bucket that this rank leaves alone."""
-        return self.burst * self._KEPT_FOR_URGENT if rank is Rank.LATER else 0.0
+        return self.burst * self._KEPT_FOR_URGENT if rank is RequestPriority.LATER else 0.0
 
-    def _need(self, amount: float, rank: Rank) -> float:
+    def _need(self, amount: float, rank: RequestPriority) -> float:
         # The very difference that `available` has with a full bucket: rounded otherwise it was
         # never reached, and who needed it waited for ever, looking every 2 ms.
         return min(amount, self.burst - self._kept_from(rank))
--- a/tealrill/state/write_batcher.py
+++ b/tealrill/state/write_batcher.py
@@ -27,14 +27,14 @@
 from tealrill.state.job_store import (
     OUTCOME_CANCELLED,
     OUTCOME_DONE,
-    Book,
     Chunk,
     Job,
+    JobStore,
     Owner,
     job_key,
     over_key,
 )
-from tealrill.state.rate_limiter import Rank
+from tealrill.state.rate_limiter import RequestPriority
 from tealrill.types import ABSENT, Monotonic, Revision, monotonic_now
 
 log = logging.getLogger(__name__)
@@ -54,7 +54,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Joined:
+class JoinedWrite:
     """Changes of a subsystem that go into the leader's transactions, all or none of them."""
 
     guards: dict[str, Revision]
@@ -81,19 +81,19 @@
     dropped: dict[str, Chunk] = field(default_factory=dict)
     """Chunks that go with the end of their job."""
     garbage: list[str] = field(default_factory=list)
-    joined: list[Joined] = field(default_factory=list)
+    joined: list[JoinedWrite] = field(default_factory=list)
     bytes: int = 0
     complete: bool = True
     """False when something that is due had to be left out."""
 
 
-class Keeper:
+class WriteBatcher:
     """Commits what is dirty, for one term."""
 
     def __init__(
         self,
         client: StateClient,
-        book: Book,
+        book: JobStore,
         mine: Leadership,
         txn_ops: int,
         committed: Callable[[list[Chunk]], None],
@@ -108,14 +108,14 @@
         self._wake = asyncio.Event()
         self.under_way = False
         """A transaction has been sent and not been answered."""
-        self.joined: dict[Joined, None] = {}
+        self.joined: dict[JoinedWrite, None] = {}
         """What subsystems have to write; it goes behind ends and new bindings."""
         self.tasks_done: Callable[[Job, list[int]], None] = lambda _, __: None
         """Tasks of a job that others follow are written down as done."""
         self.owner_gone: Callable[[Owner], None] = lambda _: None
         """A guard on the record that jobs belong to failed."""
 
-    def join(self, joined: Joined) -> None:
+    def join(self, joined: JoinedWrite) -> None:
         self.joined[joined] = None
         self._wake.set()
 
@@ -158,7 +158,7 @@
             and self._add_all(batch, [j for j in awaited if j not in batch.joined], room)
         ):
             return batch
-        spare = min(room, max(0, int(self._client.writes.available(Rank.LATER))))
+        spare = min(room, max(0, int(self._client.writes.available(RequestPriority.LATER))))
         self._add_all(batch, [j for j in self.joined if j.ahead_at is None], spare)
         for chunk in list(self._book.lazy):
             due = chunk.dirty_since is not None and now - chunk.dirty_since >= _LAZY_S
@@ -242,10 +242,10 @@
         batch.jobs.append(job)
         return True
 
-    def _add_all(self, batch: _Batch, wanted: list[Joined], room: int) -> bool:
+    def _add_all(self, batch: _Batch, wanted: list[JoinedWrite], room: int) -> bool:
         return all(self._add_joined(batch, joined, room) for joined in wanted)
 
-    def _add_joined(self, batch: _Batch, joined: Joined, room: int) -> bool:
+    def _add_joined(self, batch: _Batch, joined: JoinedWrite, room: int) -> bool:
         size = joined.size
         if len(batch.changes) + len(joined.changes) > room or batch.bytes + size > _TXN_BYTES:
             batch.complete = False
--- a/tealrill/types.py
+++ b/tealrill/types.py
@@ -11,11 +11,11 @@
 
 JobId = NewType("JobId", str)
 MachineId = NewType("MachineId", str)
-Token = NewType("Token", int)
+FencingToken = NewType("FencingToken", int)
 """Shows a worker who may command it; the leader's term serves as the token."""
 Attempt = NewType("Attempt", int)
-Session = NewType("Session", int)
-Seq = NewType("Seq", int)
+Incarnation = NewType("Incarnation", int)
+HeartbeatSequence = NewType("HeartbeatSequence", int)
 Revision = NewType("Revision", int)
 LeaseId = NewType("LeaseId", int)
 Monotonic = NewType("Monotonic", float)
--- a/tealrill/webhooks/__init__.py
+++ b/tealrill/webhooks/__init__.py
@@ -13,7 +13,7 @@
     answer = receiver.take(headers, body)      # a status and a body for the HTTP response
 """
 
-from tealrill.webhooks.inbox import Inbox, Verdict
+from tealrill.webhooks.inbox import Inbox, VerificationResult
 from tealrill.webhooks.verifier import Answer, Event, Receiver, VerificationError
 
-__all__ = ["Answer", "Event", "Inbox", "Receiver", "Verdict", "VerificationError"]
+__all__ = ["Answer", "Event", "Inbox", "Receiver", "VerificationError", "VerificationResult"]
--- a/tealrill/webhooks/inbox.py
+++ b/tealrill/webhooks/inbox.py
@@ -37,7 +37,7 @@
 """The highest number that SQLite keeps."""
 
 
-class Verdict(enum.Enum):
+class VerificationResult(enum.Enum):
     """What became of an event."""
 
     APPLIED = "applied"
@@ -107,7 +107,7 @@
         number: int,
         after: int,
         apply: Callable[[sqlite3.Connection], object],
-    ) -> Verdict:
+    ) -> VerificationResult:
         """Applies event `number` unless it was before; `after` is the event that it comes after.
 
         `apply` works on the connection that it is given and neither commits nor rolls back. What it
@@ -119,9 +119,9 @@
             last = self._last(subscription)
             if number <= last:
                 if not self._fill(subscription, number):
-                    return Verdict.REPEATED
+                    return VerificationResult.REPEATED
             elif after > last:
-                return Verdict.EARLY
+                return VerificationResult.EARLY
             else:
                 if number > last + 1:
                     self.connection.execute(
@@ -134,7 +134,7 @@
                     (subscription, number),
                 )
             apply(self.connection)
-            return Verdict.APPLIED
+            return VerificationResult.APPLIED
 
     def _last(self, subscription: str) -> int:
         row = self.connection.execute(
--- a/tealrill/webhooks/verifier.py
+++ b/tealrill/webhooks/verifier.py
@@ -20,11 +20,15 @@
 from standardwebhooks import Webhook, WebhookVerificationError
 
 from tealrill.errors import TealrillError
-from tealrill.webhooks.inbox import Inbox, Verdict
+from tealrill.webhooks.inbox import Inbox, VerificationResult
 
 STRUCTURED: Final = "application/cloudevents+json"
 MOST_BODY: Final = 64 * 1024
-_STATUSES: Final = {Verdict.APPLIED: 200, Verdict.REPEATED: 200, Verdict.EARLY: 409}
+_STATUSES: Final = {
+    VerificationResult.APPLIED: 200,
+    VerificationResult.REPEATED: 200,
+    VerificationResult.EARLY: 409,
+}
 
 
 class VerificationError(TealrillError):
@@ -65,7 +69,7 @@
     status: int
     body: bytes
     headers: dict[str, str] = field(default_factory=dict)
-    verdict: Verdict | None = None
+    verdict: VerificationResult | None = None
 
 
 Handler = Callable[[Event, sqlite3.Connection], object]
@@ -129,7 +133,7 @@
     status: int,
     body: dict[str, Any],
     headers: dict[str, str] | None = None,
-    verdict: Verdict | None = None,
+    verdict: VerificationResult | None = None,
 ) -> Answer:
     given = {"Content-Type": "application/json", **(headers or {})}
     return Answer(status, orjson.dumps(body), given, verdict)
--- a/tealrill/wire.py
+++ b/tealrill/wire.py
@@ -132,7 +132,7 @@
         return self.kind == SERVICE
 
 
-class TaskReport(
+class TaskStatus(
     msgspec.Struct,
     frozen=True,
     kw_only=True,
@@ -153,7 +153,7 @@
     saved: bool | None = None
 
 
-class Report(
+class Heartbeat(
     msgspec.Struct,
     frozen=True,
     kw_only=True,
@@ -180,7 +180,7 @@
     seq: Count
     token: Count
     notice_s: Amount | None = None
-    tasks: list[TaskReport]
+    tasks: list[TaskStatus]
 
 
 class MachineType(
--- a/tests/samples.py
+++ b/tests/samples.py
@@ -7,11 +7,11 @@
 import orjson
 
 from tealrill import wire
-from tealrill.fleet.intent_log import Intents
+from tealrill.fleet.intent_log import IntentLog
 from tealrill.scheduler.model import JobView, MachineView, Pace, RunningTask
 from tealrill.state.fencing import Duty
-from tealrill.state.write_batcher import Joined
-from tealrill.types import JobId, MachineId, Monotonic, Revision, TaskId, Token
+from tealrill.state.write_batcher import JoinedWrite
+from tealrill.types import FencingToken, JobId, MachineId, Monotonic, Revision, TaskId
 
 SETTINGS: dict[str, Any] = {
     "host_name": "node-0",
@@ -67,9 +67,9 @@
     seq: int,
     token: int,
     tasks: list[tuple[str, int, str, str | None]] = [],  # noqa: B006  (never changed)
-) -> wire.Report:
+) -> wire.Heartbeat:
     """A worker's report; tasks are (task, attempt, state, why)."""
-    return wire.Report(
+    return wire.Heartbeat(
         machine=machine,
         addr="127.0.0.1:9000",
         type="big",
@@ -79,7 +79,7 @@
         seq=seq,
         token=token,
         tasks=[
-            wire.TaskReport(task=task, attempt=attempt, state=state, why=why)  # type: ignore[arg-type]
+            wire.TaskStatus(task=task, attempt=attempt, state=state, why=why)  # type: ignore[arg-type]
             for task, attempt, state, why in tasks
         ],
     )
@@ -151,13 +151,13 @@
     return RunningTask(**{**values, **changes})
 
 
-def recorded_at_once() -> tuple[Intents, Duty, Duty]:
-    """What a `Renter` needs beside the cloud: records that are committed as they are made."""
+def recorded_at_once() -> tuple[IntentLog, Duty, Duty]:
+    """What a `Provisioner` needs beside the cloud: records that are committed as they are made."""
 
-    def join(joined: Joined) -> None:
+    def join(joined: JoinedWrite) -> None:
         joined.applied(Revision(1))
 
     def duty(name: str) -> Duty:
-        return Duty(name, Token(1), Monotonic(0.0), lambda: True)
+        return Duty(name, FencingToken(1), Monotonic(0.0), lambda: True)
 
-    return Intents(join, Token(1), 8.0), duty("renting"), duty("returning")
+    return IntentLog(join, FencingToken(1), 8.0), duty("renting"), duty("returning")
--- a/tests/test_acknowledged_cancellations.py
+++ b/tests/test_acknowledged_cancellations.py
@@ -21,16 +21,16 @@
 from tealrill import settings
 from tealrill.leadership.lease_extension import (
     PROMISE_S,
+    CancellationKnowledge,
     ExtensionAnswer,
     ExtensionRequest,
     LeaseExtension,
-    Seen,
 )
 from tealrill.state import acknowledged_cancellations as acknowledged_module
 from tealrill.state.acknowledged_cancellations import AcknowledgedCancellations
 from tealrill.state.client import StateClient, StateUnavailableError
 from tealrill.state.fencing import Leadership
-from tealrill.types import LeaseId, Monotonic, Revision, Token
+from tealrill.types import FencingToken, LeaseId, Monotonic, Revision
 from tests.samples import SETTINGS
 
 _WORKERS = SETTINGS["params"]["workers"]
@@ -64,7 +64,7 @@
             lambda: world.now,
         )
 
-    def promise(self, term: Token, until: Monotonic) -> str:
+    def promise(self, term: FencingToken, until: Monotonic) -> str:
         return ""
 
 
@@ -78,8 +78,8 @@
         self.told: dict[str, Monotonic] = {}
         self.at: dict[str, int] = {}
         self.known: set[str] = set()
-        self.seen = Seen(Revision(10), self.now)
-        self.mine = Leadership(Token(1), Revision(1), LeaseId(1), self.now, self.now)
+        self.seen = CancellationKnowledge(Revision(10), self.now)
+        self.mine = Leadership(FencingToken(1), Revision(1), LeaseId(1), self.now, self.now)
         for member in self.members:
             member.first = Revision(10)
         self._lead()
@@ -156,7 +156,7 @@
         if self.state.up:
             self.mine.valid_until = Monotonic(self.now + _RENEWED_S)
             if self.now - self.seen.at > self.rng.uniform(0.0, _WATCH_LAG_S):
-                self.seen = Seen(Revision(self.state.revision), self.now)
+                self.seen = CancellationKnowledge(Revision(self.state.revision), self.now)
                 self.known |= {n for n, at in self.at.items() if at <= self.seen.revision}
 
     def check(self) -> None:
@@ -226,7 +226,7 @@
 def test_an_unvouched_promise_holds_for_a_bounded_time() -> None:
     world = _World(0)
     world.members[1] = _Member(world)
-    world.seen = Seen(Revision(10), world.now)
+    world.seen = CancellationKnowledge(Revision(10), world.now)
     world.mine.valid_until = Monotonic(world.now + _RENEWED_S)
     world.state.up = False
     began = world.now
--- a/tests/test_bindings.py
+++ b/tests/test_bindings.py
@@ -1,8 +1,8 @@
 """A task is never on two machines: bindings against modelled workers and a bad network.
 
 Workers, their leases, held and lost messages, direct commands, take-overs and releases are
-modelled by the protocol's text; `Fleet` and `Book` are the real ones. After every step no task may
-be on two machines. `test_every_clause_is_needed` takes single clauses of the argument in
+modelled by the protocol's text; `Fleet` and `JobStore` are the real ones. After every step no task
+may be on two machines. `test_every_clause_is_needed` takes single clauses of the argument in
 docs/design.md away and requires that the same model finds the breach; a clause that could be
 taken away unnoticed would not be tested at all.
 """
@@ -21,8 +21,8 @@
 
 from tealrill import wire
 from tealrill.fleet.machines import Exit, Fleet, Machine
-from tealrill.state.job_store import Binding, Book, Chunk
-from tealrill.types import MachineId, Monotonic, Revision, Token, Wall
+from tealrill.state.job_store import Binding, Chunk, JobStore
+from tealrill.types import FencingToken, MachineId, Monotonic, Revision, Wall
 from tests.samples import report, spec
 
 LEASE_S = 8.0
@@ -41,7 +41,7 @@
 
     number: int
     sent_at: float
-    report: wire.Report
+    report: wire.Heartbeat
 
 
 @dataclass
@@ -75,7 +75,7 @@
             self.session += 1
             self.renewed_at = now
 
-    def report(self) -> wire.Report:
+    def report(self) -> wire.Heartbeat:
         self.seq += 1
         lines = [(name, attempt, state, why) for name, (attempt, state, why) in self.tasks.items()]
         return report(self.id, self.session, self.seq, self.token, lines)
@@ -137,10 +137,10 @@
     def elect(self) -> None:
         """A new leader reads the records; whatever the old one sent may still be on its way."""
         self.term += 1
-        self.book = Book(4.0)
+        self.book = JobStore(4.0)
         self.job = self.book.add(spec(pieces=TASKS), Wall(0.0), Revision(1))
         self.fleet = self.fleet_class(
-            self.book, Token(self.term), Monotonic(self.now), LEASE_S, DELEGATION_S
+            self.book, FencingToken(self.term), Monotonic(self.now), LEASE_S, DELEGATION_S
         )
         bindings = [
             binding
@@ -363,7 +363,7 @@
     """Reports arrive again, in any order, with whoever leads then; many as a leader begins."""
 
     def __init__(self, seed: int, fleet_class: type[Fleet]) -> None:
-        self.old: list[wire.Report] = []
+        self.old: list[wire.Heartbeat] = []
         super().__init__(seed, fleet_class)
 
     def worker_reports(self) -> None:
@@ -421,8 +421,10 @@
 
 
 class TrustsReportsOfOlderTerms(Fleet):
-    def report(self, report: wire.Report, machine_id: MachineId, now: Monotonic, wall: Wall) -> Any:
-        newer = wire.Report(
+    def report(
+        self, report: wire.Heartbeat, machine_id: MachineId, now: Monotonic, wall: Wall
+    ) -> Any:
+        newer = wire.Heartbeat(
             **{**{f: getattr(report, f) for f in report.__struct_fields__}, "token": self._term}
         )
         return super().report(newer, machine_id, now, wall)
@@ -430,7 +432,7 @@
 
 class TakesReportsInAnyOrder(Fleet):
     @staticmethod
-    def _out_of_date(machine: Machine, report: wire.Report) -> bool:
+    def _out_of_date(machine: Machine, report: wire.Heartbeat) -> bool:
         return machine.session is not None and report.session < machine.session
 
 
@@ -639,13 +641,13 @@
 
 
 def test_an_attempt_is_forgotten_only_when_it_is_settled() -> None:
-    book = Book(4.0)
+    book = JobStore(4.0)
     job = book.add(spec(), Wall(0.0), Revision(1))
     chunk = Chunk(job, 0, version=3, committed=2)
     assert not Exit(chunk, 3).settled
     chunk.committed = 3
     assert Exit(chunk, 3).settled
-    fleet = Fleet(book, Token(1), Monotonic(0.0), LEASE_S)
+    fleet = Fleet(book, FencingToken(1), Monotonic(0.0), LEASE_S)
     fleet.inherit([], Monotonic(0.0))
     assert fleet.report(report("m-1", 1, 1, 1), MachineId("m-1"), Monotonic(0.0), Wall(0.0)) == []
     machine = fleet.machines[MachineId("m-1")]
--- a/tests/test_blame.py
+++ b/tests/test_blame.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from tealrill.scheduler import failure_attribution as blame_module
-from tealrill.scheduler.failure_attribution import Blame
+from tealrill.scheduler.failure_attribution import FailureAttribution
 from tealrill.types import JobId, MachineId, Monotonic
 
 _STEP_S = 0.1
@@ -34,7 +34,7 @@
 
     def __init__(self, seed: int, jobs: list[_Job], machines: dict[str, tuple[str, bool]]) -> None:
         self.rng = random.Random(seed)
-        self.blame = Blame()
+        self.blame = FailureAttribution()
         self.jobs = jobs
         self.machines = machines
         self.now = 100.0
@@ -153,7 +153,7 @@
 
 
 def test_a_take_over_begins_with_one_try() -> None:
-    blame = Blame()
+    blame = FailureAttribution()
     blame.inherited(JobId("wk-1"), 3)
     now = Monotonic(10.0)
     assert blame.most(JobId("wk-1"), 0, 0.0, now) == 1
@@ -170,7 +170,7 @@
 
 
 def test_old_evidence_and_what_is_over_are_dropped() -> None:
-    blame = Blame()
+    blame = FailureAttribution()
     machine = MachineId("m-1")
     assert not blame.failed(JobId("wk-1"), machine, 0.0, True, Monotonic(0.0))
     # Long after it, another job's failure is the first one again.
@@ -185,7 +185,7 @@
 
 
 def test_a_success_clears_a_machine() -> None:
-    blame = Blame()
+    blame = FailureAttribution()
     machine = MachineId("m-1")
     blame.failed(JobId("wk-1"), machine, 0.0, True, Monotonic(0.0))
     blame.succeeded(JobId("wk-9"), machine, Monotonic(1.0))
@@ -193,7 +193,7 @@
 
 
 def test_no_more_than_a_part_of_the_fleet_is_called_faulty() -> None:
-    blame = Blame()
+    blame = FailureAttribution()
     drained = 0
     for number in range(100):
         machine = MachineId(f"m-{number}")
@@ -220,7 +220,7 @@
 def test_without_the_question_of_how_jobs_do_elsewhere_sound_machines_are_lost(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(Blame, "on_trial", lambda *_: False)
+    monkeypatch.setattr(FailureAttribution, "on_trial", lambda *_: False)
     monkeypatch.setattr(blame_module, "_UNCLEAR_JOBS", 2)
     world = _World(3, _jobs(50, 20, tasks=1), _fleet(30))
     world.run(30.0)
@@ -229,7 +229,7 @@
 
 def test_a_failure_late_in_a_long_task_does_not_keep_the_others_waiting() -> None:
     """They waited beside room until one task had run for twice as long as the one that failed."""
-    blame = Blame()
+    blame = FailureAttribution()
     job, faulty = JobId("wk-1"), MachineId("m-1")
     blame.failed(job, faulty, 100.0, False, Monotonic(100.0))
     # Others of it have run as long without failing, or one that was begun since for a while.
--- a/tests/test_boots.py
+++ b/tests/test_boots.py
@@ -10,32 +10,32 @@
 from tealrill import wire
 from tealrill.fleet.cloud import Cloud
 from tealrill.fleet.machines import Fleet, Machine
-from tealrill.fleet.provisioning import Renter
-from tealrill.scheduler.boot_times import Boots
+from tealrill.fleet.provisioning import Provisioner
+from tealrill.scheduler.boot_times import BootTimeEstimator
 from tealrill.scheduler.capacity import Rental
-from tealrill.state.job_store import Book
-from tealrill.types import MachineId, Monotonic, Token
+from tealrill.state.job_store import JobStore
+from tealrill.types import FencingToken, MachineId, Monotonic
 from tests.samples import recorded_at_once
 
 _KIND = ("m8", "north")
 _NOMINAL_S = 30.0
 
 
-def _seen(*took_s: float, at: float = 100.0) -> Boots:
-    boots = Boots()
+def _seen(*took_s: float, at: float = 100.0) -> BootTimeEstimator:
+    boots = BootTimeEstimator()
     for each in took_s:
         boots.came(_KIND, each, Monotonic(at))
     return boots
 
 
-def _patience(boots: Boots, now: float = 100.0) -> float:
+def _patience(boots: BootTimeEstimator, now: float = 100.0) -> float:
     return boots.patience_s(_KIND, _NOMINAL_S, Monotonic(now))
 
 
 def test_without_others_to_compare_with_a_machine_is_waited_for_long() -> None:
     assert _patience(_seen()) == _patience(_seen(30.0, 30.0, 30.0, 30.0)) == 120.0
     # Boots of another zone say nothing, and neither do those of long ago.
-    other = Boots()
+    other = BootTimeEstimator()
     for _ in range(9):
         other.came(("m8", "south"), 30.0, Monotonic(100.0))
     assert _patience(other) == 120.0
@@ -59,12 +59,12 @@
     assert 1.75 * _NOMINAL_S <= _patience(_seen(*took_s), now) <= 4 * _NOMINAL_S
 
 
-def _renter(fleet: Fleet) -> Renter:
-    return Renter(cast(Cloud, None), fleet, Token(3), 2.0, *recorded_at_once())
+def _renter(fleet: Fleet) -> Provisioner:
+    return Provisioner(cast(Cloud, None), fleet, FencingToken(3), 2.0, *recorded_at_once())
 
 
 def test_nothing_is_late_in_a_zone_that_is_not_heard() -> None:
-    fleet = Fleet(Book(8.0), Token(3), Monotonic(0.0), 8.0)
+    fleet = Fleet(JobStore(8.0), FencingToken(3), Monotonic(0.0), 8.0)
     renter = _renter(fleet)
     kind = wire.MachineType(name="m8", cpus=8.0, gpus=0.0, memory_gb=32.0, price=1.0,
                             spot_price=0.4, boot_s=_NOMINAL_S, zones=["north"])  # fmt: skip
@@ -87,7 +87,7 @@
 
 
 def test_machines_of_a_former_term_say_nothing_about_boots() -> None:
-    fleet = Fleet(Book(8.0), Token(3), Monotonic(0.0), 8.0)
+    fleet = Fleet(JobStore(8.0), FencingToken(3), Monotonic(0.0), 8.0)
     renter = _renter(fleet)
     for number in range(9):
         known = Machine(MachineId(f"m-{number}"), "m8", "north", False, Monotonic(-500.0))
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -15,7 +15,7 @@
 from tealrill.settings import StateLimits
 from tealrill.state import rate_limiter
 from tealrill.state.client import RateLimitedError, StateClient
-from tealrill.state.rate_limiter import Budget, Rank
+from tealrill.state.rate_limiter import RateLimiter, RequestPriority
 from tealrill.types import Monotonic
 from tests.standins import JumpingLoop
 
@@ -37,11 +37,11 @@
     """2,000 polls that each looked again every few milliseconds took half of a controller."""
 
     async def wait() -> list[float]:
-        found = Budget(100.0)
+        found = RateLimiter(100.0)
         served: list[float] = []
 
         async def one() -> None:
-            await found.take(rank=Rank.USERS)
+            await found.take(rank=RequestPriority.USERS)
             served.append(asyncio.get_running_loop().time())
 
         await asyncio.gather(*(one() for _ in range(2000)))
@@ -56,18 +56,18 @@
 
 def test_a_lease_does_not_wait_behind_polls(monkeypatch: pytest.MonkeyPatch) -> None:
     async def wait() -> list[str]:
-        found = Budget(10.0)
+        found = RateLimiter(10.0)
         found.spend(10.0)
         order: list[str] = []
 
-        async def one(name: str, rank: Rank) -> None:
+        async def one(name: str, rank: RequestPriority) -> None:
             await found.take(rank=rank)
             order.append(name)
 
-        later = asyncio.create_task(one("list", Rank.LATER))
-        polls = [asyncio.create_task(one("poll", Rank.USERS)) for _ in range(20)]
+        later = asyncio.create_task(one("list", RequestPriority.LATER))
+        polls = [asyncio.create_task(one("poll", RequestPriority.USERS)) for _ in range(20)]
         await asyncio.sleep(0.5)
-        lease = asyncio.create_task(one("lease", Rank.FIRST))
+        lease = asyncio.create_task(one("lease", RequestPriority.FIRST))
         await asyncio.gather(later, lease, *polls)
         return order
 
@@ -77,7 +77,7 @@
 
 def test_what_is_given_to_one_who_has_gone_is_not_lost(monkeypatch: pytest.MonkeyPatch) -> None:
     async def wait() -> float:
-        found = Budget(1.0)
+        found = RateLimiter(1.0)
         await found.take()
         gone = [asyncio.create_task(found.take()) for _ in range(50)]
         await asyncio.sleep(0.1)
@@ -98,9 +98,9 @@
     """Two roundings of the same part of the bucket differed, and it waited for ever."""
 
     async def wait() -> float:
-        found = Budget(rate)
+        found = RateLimiter(rate)
         await found.take(1.0)
-        await found.take(10 * rate, Rank.LATER)
+        await found.take(10 * rate, RequestPriority.LATER)
         return asyncio.get_running_loop().time()
 
     at, loop = _run(monkeypatch, wait())
@@ -111,19 +111,20 @@
 @given(
     st.floats(1, 500),
     st.lists(
-        st.tuples(st.floats(0, 3), st.sampled_from(list(Rank)), st.floats(0.1, 20)), max_size=60
+        st.tuples(st.floats(0, 3), st.sampled_from(list(RequestPriority)), st.floats(0.1, 20)),
+        max_size=60,
     ),
 )
 def test_no_more_is_given_than_the_rate_allows(
-    rate: float, wishes: list[tuple[float, Rank, float]]
+    rate: float, wishes: list[tuple[float, RequestPriority, float]]
 ) -> None:
     with pytest.MonkeyPatch.context() as monkeypatch:
         given_at: list[tuple[float, float]] = []
 
         async def wait() -> None:
-            found = Budget(rate)
+            found = RateLimiter(rate)
 
-            async def one(at: float, rank: Rank, amount: float) -> None:
+            async def one(at: float, rank: RequestPriority, amount: float) -> None:
                 await asyncio.sleep(at)
                 await found.take(amount, rank)
                 given_at.append((asyncio.get_running_loop().time(), amount))
@@ -166,7 +167,7 @@
 
         async def one() -> None:
             try:
-                await client.get("job/wk-1", Rank.USERS)
+                await client.get("job/wk-1", RequestPriority.USERS)
             except RateLimitedError:
                 refused.append(asyncio.get_running_loop().time())
 
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -11,15 +11,15 @@
 
 from tealrill import settings, wire
 from tealrill.change_log import ChangeLog
-from tealrill.daemon import Node
+from tealrill.daemon import Controller
 from tealrill.fleet.cloud import Cloud
 from tealrill.leader.leader import Leader
 from tealrill.leadership.election import Election, KnownLeader
-from tealrill.leadership.lease_extension import Seen
+from tealrill.leadership.lease_extension import CancellationKnowledge
 from tealrill.scheduler.estimates import Estimates
 from tealrill.state.client import StateClient
 from tealrill.state.fencing import Leadership
-from tealrill.types import LeaseId, MachineId, Monotonic, Revision, Token, monotonic_now
+from tealrill.types import FencingToken, LeaseId, MachineId, Monotonic, Revision, monotonic_now
 from tests.samples import SETTINGS, report
 from tests.test_renewal_delegation import Store
 
@@ -58,14 +58,14 @@
 ) -> None:
     caplog.set_level(logging.INFO)
     now = monotonic_now()
-    mine = Leadership(Token(3), Revision(7), LeaseId(1), now, Monotonic(now + 3.0))
+    mine = Leadership(FencingToken(3), Revision(7), LeaseId(1), now, Monotonic(now + 3.0))
     client, cloud = cast(StateClient, Store()), cast(Cloud, None)
     leader = Leader(PARSED, client, cloud, cast(Election, None), mine, Estimates())
     leader.fleet.loaded = True
-    leader.seen = Seen(Revision(41), now)
+    leader.seen = CancellationKnowledge(Revision(41), now)
     for later_s in (0.0, 1.0, 30.0, 31.0):
         leader._tell_knowledge(Monotonic(now + later_s))
-    leader.seen = Seen(Revision(50), Monotonic(now + 31.0))
+    leader.seen = CancellationKnowledge(Revision(50), Monotonic(now + 31.0))
     leader._tell_knowledge(Monotonic(now + 32.0))
     assert _texts(caplog, "cancellations are known") == [
         "term 3: does not renew workers; cancellations are known up to revision 41, 30.0 s ago",
@@ -74,16 +74,18 @@
 
 
 def test_a_nodes_status_counts_reports_by_their_answers() -> None:
-    node = Node(PARSED)
-    node.election.known = KnownLeader("node-1", Token(3), Revision(7))
-    message: wire.Report = report("m-1", 1, 1, 3)
+    node = Controller(PARSED)
+    node.election.known = KnownLeader("node-1", FencingToken(3), Revision(7))
+    message: wire.Heartbeat = report("m-1", 1, 1, 3)
     for _ in range(3):
         assert node.take_report(message, MachineId("m-1"))[0] == 421
     shown: dict[str, Any] = node.describe()
     assert shown["reports"] == {"renewed": 0, "delegated": 0, "redirected": 3, "refused": 0}
     assert shown["state_interruptions"] == 0 and "renews" not in shown and "held_by" not in shown
     now = monotonic_now()
-    mine = Leadership(Token(4), Revision(9), LeaseId(1), now, Monotonic(now + 2.7), renewed_at=now)
+    mine = Leadership(
+        FencingToken(4), Revision(9), LeaseId(1), now, Monotonic(now + 2.7), renewed_at=now
+    )
     node.election.mine = mine
     assert node.describe()["held_by"] == "lease"
     mine.valid_until = Monotonic(now + 3.8)
--- a/tests/test_cost.py
+++ b/tests/test_cost.py
@@ -11,11 +11,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tealrill.fleet.dispatch import Dispatcher
+from tealrill.fleet.dispatch import SchedulingLoop
 from tealrill.fleet.machines import Fleet
 from tealrill.scheduler import capacity, preemption, reservation
 from tealrill.scheduler import plan as planner
-from tealrill.scheduler.capacity import Offer, Rooms, rentals
+from tealrill.scheduler.capacity import FreeCapacity, Offer, rentals
 from tealrill.scheduler.model import (
     Expected,
     JobView,
@@ -326,14 +326,14 @@
 
 def test_full_rooms_are_not_gone_through_for_every_job(monkeypatch: pytest.MonkeyPatch) -> None:
     """500 jobs wait for 600 machines that are full: wishes were the dearest part of a pass."""
-    made: list[Rooms] = []
-    plainly = Rooms.__init__
+    made: list[FreeCapacity] = []
+    plainly = FreeCapacity.__init__
 
-    def kept(rooms: Rooms, *args: Any) -> None:
+    def kept(rooms: FreeCapacity, *args: Any) -> None:
         made.append(rooms)
         plainly(rooms, *args)
 
-    monkeypatch.setattr(Rooms, "__init__", kept)
+    monkeypatch.setattr(FreeCapacity, "__init__", kept)
     machines = _full_fleet(600, 4)
     offer = Offer("big", "north", False, 32.0, 0.0, 128.0, 1.0, 35.0, 1.0)
     jobs = [
@@ -412,8 +412,8 @@
     """1,200 machines, 30,000 running tasks."""
     world = _Large(25)
     lists = _counted(monkeypatch, Fleet, "_take_list", lambda *_, **__: 1)
-    fresh = _counted(monkeypatch, Dispatcher, "_fresh", lambda *_: 1)
-    asked = _counted(monkeypatch, Dispatcher, "_machine", lambda *_: 1)
+    fresh = _counted(monkeypatch, SchedulingLoop, "_fresh", lambda *_: 1)
+    asked = _counted(monkeypatch, SchedulingLoop, "_machine", lambda *_: 1)
     world.beat(world.names[7])
     assert len(world.survey()) == 1200
     assert not lists and not fresh and not asked
@@ -423,7 +423,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     world = _Large(4)
-    fresh = _counted(monkeypatch, Dispatcher, "_fresh", lambda *_: 1)
+    fresh = _counted(monkeypatch, SchedulingLoop, "_fresh", lambda *_: 1)
     taken = _counted(monkeypatch, Fleet, "_progress", lambda *_: 1)
     for name in world.names[:200]:
         ended = next(iter(world.fleet.machines[name].named))
@@ -441,8 +441,8 @@
     world.now += 6.0
     for name in world.names[:600]:
         world.beat(name)
-    asked = _counted(monkeypatch, Dispatcher, "_machine", lambda *_: 1)
-    fresh = _counted(monkeypatch, Dispatcher, "_fresh", lambda *_: 1)
+    asked = _counted(monkeypatch, SchedulingLoop, "_machine", lambda *_: 1)
+    fresh = _counted(monkeypatch, SchedulingLoop, "_fresh", lambda *_: 1)
     assert len(world.survey()) == 600
     assert len(asked) == 600 and not fresh
     for name in world.names[600:]:
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -16,20 +16,20 @@
 from tealrill import settings, wire
 from tealrill.fleet import machines
 from tealrill.fleet.cloud import Cloud
-from tealrill.fleet.dispatch import RENT_EVERY_S, Dispatcher
+from tealrill.fleet.dispatch import RENT_EVERY_S, SchedulingLoop
 from tealrill.fleet.machines import Fleet
-from tealrill.fleet.provisioning import Renter
+from tealrill.fleet.provisioning import Provisioner
 from tealrill.leader.leader import pass_gap_s
 from tealrill.scheduler.estimates import Estimates
 from tealrill.scheduler.model import MachineView, View
 from tealrill.scheduler.plan import _Pass
-from tealrill.state.job_store import Book, Job
+from tealrill.state.job_store import Job, JobStore
 from tealrill.types import (
+    FencingToken,
     MachineId,
     Monotonic,
     Revision,
     TaskId,
-    Token,
     Wall,
     parse_task_id,
 )
@@ -43,21 +43,21 @@
 _LARGE = {**_TYPE, "label": "huge", "vcpus": 32}
 
 
-class _NoRentals(Renter):
+class _NoRentals(Provisioner):
     def rent(self, rental: Any, now: Monotonic) -> None:
         self.asked = getattr(self, "asked", 0) + rental.count
 
 
 def _dispatcher(
     report_s: float = 0.0, types: Sequence[dict[str, Any]] = (_TYPE, _LARGE)
-) -> tuple[Dispatcher, Fleet, Book, _NoRentals]:
+) -> tuple[SchedulingLoop, Fleet, JobStore, _NoRentals]:
     params = settings.parse(orjson.dumps(SETTINGS)).params
-    book = Book(8.0)
-    fleet = Fleet(book, Token(1), Monotonic(0.0), params.workers.lease_s, 0.0, report_s)
+    book = JobStore(8.0)
+    fleet = Fleet(book, FencingToken(1), Monotonic(0.0), params.workers.lease_s, 0.0, report_s)
     fleet.inherit([], Monotonic(0.0))
-    renter = _NoRentals(cast(Cloud, None), fleet, Token(1), 2.0, *recorded_at_once())
+    renter = _NoRentals(cast(Cloud, None), fleet, FencingToken(1), 2.0, *recorded_at_once())
     renter.take_catalogue(wire.decode(orjson.dumps({"builds": list(types)}), wire.Catalogue))
-    dispatcher = Dispatcher(book, fleet, renter, Estimates(), params, lambda _: None)
+    dispatcher = SchedulingLoop(book, fleet, renter, Estimates(), params, lambda _: None)
     return dispatcher, fleet, book, renter
 
 
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -1,8 +1,8 @@
 """Duties through successions: who was replaced ends nothing, rents nothing and loses nothing.
 
-Real terms (`Keeper`, `Intents`, `Renter`, `Fleet`) over a state service and a cloud that lose,
-refuse and delay. A term that is replaced goes on running, as a process does that stood still and
-wakes: all that keeps it from harm is what docs/design.md says does.
+Real terms (`WriteBatcher`, `IntentLog`, `Provisioner`, `Fleet`) over a state service and a cloud
+that lose, refuse and delay. A term that is replaced goes on running, as a process does that stood
+still and wakes: all that keeps it from harm is what docs/design.md says does.
 """
 
 from __future__ import annotations
@@ -19,22 +19,22 @@
 from tealrill import wire
 from tealrill.fleet import intent_log, provisioning
 from tealrill.fleet.cloud import Cloud, CloudError, NoCapacityError
-from tealrill.fleet.intent_log import CLOUD_PREFIX, Intents, RentRecord, ReturnRecord
+from tealrill.fleet.intent_log import CLOUD_PREFIX, IntentLog, RentRecord, ReturnRecord
 from tealrill.fleet.machines import Fleet
-from tealrill.fleet.provisioning import Renter
+from tealrill.fleet.provisioning import Provisioner
 from tealrill.scheduler.capacity import Rental
 from tealrill.state import fencing, rate_limiter, write_batcher
 from tealrill.state.client import GuardsFailed, StateClient
 from tealrill.state.fencing import LEADER_KEY, Duty, Fence, Leadership, NotHolderError
-from tealrill.state.job_store import Book
-from tealrill.state.write_batcher import Joined, Keeper, LeadershipLostError
+from tealrill.state.job_store import JobStore
+from tealrill.state.write_batcher import JoinedWrite, LeadershipLostError, WriteBatcher
 from tealrill.types import (
     ABSENT,
+    FencingToken,
     LeaseId,
     MachineId,
     Monotonic,
     Revision,
-    Token,
     Wall,
     monotonic_now,
 )
@@ -141,19 +141,22 @@
         self.world, self.number = world, number
         stamp = world.store.keys[LEADER_KEY][1]
         mine = Leadership(
-            Token(number), Revision(stamp), LeaseId(1), Monotonic(world.now), Monotonic(1e9)
+            FencingToken(number), Revision(stamp), LeaseId(1), Monotonic(world.now), Monotonic(1e9)
         )
-        book = Book(8.0)
-        self.fleet = Fleet(book, Token(number), Monotonic(world.now), 8.0)
-        self.keeper = Keeper(
+        book = JobStore(8.0)
+        self.fleet = Fleet(book, FencingToken(number), Monotonic(world.now), 8.0)
+        self.keeper = WriteBatcher(
             cast(StateClient, world.store), book, mine, 12, lambda _: None, lambda _: None
         )
-        self.intents = Intents(self.keeper.join, Token(number), 8.0)
+        self.intents = IntentLog(self.keeper.join, FencingToken(number), 8.0)
         duties = [
-            Duty(n, Token(number), Monotonic(world.now), self.valid) for n in ("rent", "return")
+            Duty(n, FencingToken(number), Monotonic(world.now), self.valid)
+            for n in ("rent", "return")
         ]
         cloud = cast(Cloud, _Cloud(world, number))
-        self.renter = Renter(cloud, self.fleet, Token(number), 2.0, self.intents, *duties)
+        self.renter = Provisioner(
+            cloud, self.fleet, FencingToken(number), 2.0, self.intents, *duties
+        )
         self.tasks: list[asyncio.Task[None]] = []
 
     def valid(self) -> bool:
@@ -334,14 +337,14 @@
 
 def _not_waiting(monkeypatch: pytest.MonkeyPatch) -> None:
     """Returns are asked for as soon as their record is on its way."""
-    want = Intents._want
+    want = IntentLog._want
 
-    async def at_once(self: Intents, key: str, value: dict[str, Any]) -> None:
+    async def at_once(self: IntentLog, key: str, value: dict[str, Any]) -> None:
         task = asyncio.ensure_future(want(self, key, value))
         task.add_done_callback(lambda done: done.cancelled() or done.exception())
         await asyncio.sleep(0)
 
-    monkeypatch.setattr(Intents, "_want", at_once)
+    monkeypatch.setattr(IntentLog, "_want", at_once)
 
 
 def _not_fenced(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -349,16 +352,16 @@
 
 
 def _returns_not_taken_over(monkeypatch: pytest.MonkeyPatch) -> None:
-    read = Intents.read
+    read = IntentLog.read
 
-    def without(self: Intents, entries: Any) -> list[str]:
+    def without(self: IntentLog, entries: Any) -> list[str]:
         return read(self, [e for e in entries if "/return/" not in e.key])
 
-    monkeypatch.setattr(Intents, "read", without)
+    monkeypatch.setattr(IntentLog, "read", without)
 
 
 def _rentals_not_taken_over(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Renter, "inherit", lambda self, entries, now, wall: None)
+    monkeypatch.setattr(Provisioner, "inherit", lambda self, entries, now, wall: None)
 
 
 @pytest.mark.parametrize(
@@ -375,7 +378,7 @@
 
 def test_nothing_leaves_once_the_duty_may_be_over() -> None:
     """After every wait: for its releases, for its record, for the budget, for a connection."""
-    held = Duty("renting", Token(3), Monotonic(0.0), lambda: False)
+    held = Duty("renting", FencingToken(3), Monotonic(0.0), lambda: False)
     with pytest.raises(NotHolderError):
         held.check()
 
@@ -399,10 +402,10 @@
     asyncio.run(scenario())
 
 
-def _open(value_kb: float = 8.0) -> tuple[Intents, list[Joined]]:
-    joined: list[Joined] = []
-    return Intents(
-        joined.append, Token(3), value_kb, lambda: Wall(5.0), lambda: Monotonic(0.0)
+def _open(value_kb: float = 8.0) -> tuple[IntentLog, list[JoinedWrite]]:
+    joined: list[JoinedWrite] = []
+    return IntentLog(
+        joined.append, FencingToken(3), value_kb, lambda: Wall(5.0), lambda: Monotonic(0.0)
     ), joined
 
 
@@ -429,10 +432,10 @@
         assert second.rents["tr-3-1"].names == ["m-1", "m-2"]
         assert second.rents["tr-3-2"].names is None and second.rents["tr-3-2"].count == 9
         assert list(second.returns.values()) == [("m-7", "m-8")]
-        fleet = Fleet(Book(8.0), Token(4), monotonic_now(), 8.0)
+        fleet = Fleet(JobStore(8.0), FencingToken(4), monotonic_now(), 8.0)
         cloud = cast(Cloud, None)
-        holds = [Duty(n, Token(4), Monotonic(0.0), lambda: True) for n in ("a", "b")]
-        renter = Renter(cloud, fleet, Token(4), 2.0, second, *holds)
+        holds = [Duty(n, FencingToken(4), Monotonic(0.0), lambda: True) for n in ("a", "b")]
+        renter = Provisioner(cloud, fleet, FencingToken(4), 2.0, second, *holds)
         renter._ask = lambda request: asyncio.sleep(0, 0)  # type: ignore[method-assign]
         renter.inherit([], monotonic_now(), Wall(5.0))
         assert set(fleet.machines) == {"m-7", "m-8"}
@@ -503,14 +506,14 @@
 def test_rentals_go_before_bindings_once_they_have_waited() -> None:
     """A fall's bindings use every change for seconds, and its replacements boot meanwhile."""
     store = Store(random.Random(1), True)
-    book = Book(8.0)
-    mine = Leadership(Token(1), Revision(1), LeaseId(1), Monotonic(0.0), Monotonic(9.0))
-    found = Keeper(cast(StateClient, store), book, mine, 3, lambda _: None, lambda _: None)
+    book = JobStore(8.0)
+    mine = Leadership(FencingToken(1), Revision(1), LeaseId(1), Monotonic(0.0), Monotonic(9.0))
+    found = WriteBatcher(cast(StateClient, store), book, mine, 3, lambda _: None, lambda _: None)
     for number in range(5):
         job = book.add(spec(id=f"wk-{number:06d}"), Wall(0.0), Revision(1))
         book.bind(job, 0, MachineId("m-1"), cast(Any, 1), "north", False, Wall(0.0), Monotonic(0.0))
     put = wire.put("cloud/rent/tr-1-1", {})
-    rent = Joined(
+    rent = JoinedWrite(
         {"cloud/rent/tr-1-1": ABSENT}, [put], lambda _: None, lambda _: None, Monotonic(1.0)
     )
     found.join(rent)
@@ -532,12 +535,15 @@
             self.asked += 1
             return ["m-1", "m-2"]
 
-    async def scenario() -> tuple[int, list[Joined], Intents]:
+    async def scenario() -> tuple[int, list[JoinedWrite], IntentLog]:
         found, joined = _open()
-        fleet = Fleet(Book(8.0), Token(3), monotonic_now(), 8.0)
-        holds = [Duty(n, Token(3), Monotonic(0.0), lambda: True, lambda: alone) for n in ("a", "b")]
+        fleet = Fleet(JobStore(8.0), FencingToken(3), monotonic_now(), 8.0)
+        holds = [
+            Duty(n, FencingToken(3), Monotonic(0.0), lambda: True, lambda: alone)
+            for n in ("a", "b")
+        ]
         cloud = _Granting()
-        renter = Renter(cast(Cloud, cloud), fleet, Token(3), 2.0, found, *holds)
+        renter = Provisioner(cast(Cloud, cloud), fleet, FencingToken(3), 2.0, found, *holds)
         renter.rent(Rental(*_KIND, 2), monotonic_now())
         await asyncio.sleep(5.0)
         assert renter.asked_for(_KIND) == (not alone) and len(fleet.machines) == 2 * alone
--- a/tests/test_exclusion.py
+++ b/tests/test_exclusion.py
@@ -32,9 +32,9 @@
 from tealrill.leadership.lease_extension import (
     PING_PATH,
     PROMISE_S,
+    CancellationKnowledge,
     ExtensionRequest,
     LeaseExtension,
-    Seen,
 )
 from tealrill.state.client import (
     Committed,
@@ -44,7 +44,7 @@
     StateUnavailableError,
 )
 from tealrill.state.fencing import LEADER_KEY
-from tealrill.types import LeaseId, Monotonic, Revision, Token
+from tealrill.types import FencingToken, LeaseId, Monotonic, Revision
 from tests.samples import SETTINGS
 
 _HOSTS = ("host-0", "host-1", "host-2")
@@ -200,7 +200,7 @@
         if world.without != "relying":
             self.extension.prolonged = lambda mine, until: self._exclusions(mine).hold_until(until)
         # Cancellations bound it more tightly; what is looked for here is two leaders.
-        self.extension.seen = lambda: Seen(Revision(1 << 40), Monotonic(1e9))
+        self.extension.seen = lambda: CancellationKnowledge(Revision(1 << 40), Monotonic(1e9))
         self.peers = peers
         self.of: Any = None
         self.exclusions: Exclusions | None = None
@@ -404,7 +404,7 @@
     async def scenario() -> Exclusions:
         node = world.nodes["host-0"]
         found = Exclusions(
-            node.settings, node.client, Token(1), Revision(1), lambda: True, node.now
+            node.settings, node.client, FencingToken(1), Revision(1), lambda: True, node.now
         )
         found._peers = {"host-1": node.peers["host-1"]}
         found._heard = {"host-1": node.now()}
@@ -446,7 +446,9 @@
     async def scenario() -> None:
         node = world.nodes["host-0"]
         client = cast(Any, node.client)
-        found = Exclusions(node.settings, client, Token(2), Revision(1), lambda: True, node.now)
+        found = Exclusions(
+            node.settings, client, FencingToken(2), Revision(1), lambda: True, node.now
+        )
         found._peers = {"host-1": node.peers["host-1"]}
         world.rng.random = lambda: 0.0  # type: ignore[method-assign]
         get = client.get
@@ -481,7 +483,7 @@
     async def scenario() -> None:
         node = world.nodes["host-0"]
         found = Exclusions(
-            node.settings, node.client, Token(1), Revision(1), lambda: True, node.now
+            node.settings, node.client, FencingToken(1), Revision(1), lambda: True, node.now
         )
         found._peers = node.peers
         for _ in range(5):
@@ -502,7 +504,7 @@
     async def scenario() -> None:
         node = world.nodes["host-0"]
         found = Exclusions(
-            node.settings, node.client, Token(2), Revision(1), lambda: True, node.now
+            node.settings, node.client, FencingToken(2), Revision(1), lambda: True, node.now
         )
         found._peers = {"host-1": node.peers["host-1"]}
         await found._read()
@@ -523,7 +525,9 @@
     # One to each member stayed open with every term, until the collector came by.
     world = World(0)
     node = world.nodes["host-0"]
-    found = Exclusions(node.settings, node.client, Token(1), Revision(1), lambda: True, node.now)
+    found = Exclusions(
+        node.settings, node.client, FencingToken(1), Revision(1), lambda: True, node.now
+    )
     closed: list[str] = []
 
     class Peer:
--- a/tests/test_falls.py
+++ b/tests/test_falls.py
@@ -18,16 +18,16 @@
 from tealrill import settings as daemon_settings
 from tealrill import wire
 from tealrill.fleet.cloud import Cloud
-from tealrill.fleet.dispatch import Dispatcher
+from tealrill.fleet.dispatch import SchedulingLoop
 from tealrill.fleet.machines import Fleet
 from tealrill.fleet.prober import Prober
-from tealrill.fleet.provisioning import Renter
+from tealrill.fleet.provisioning import Provisioner
 from tealrill.scheduler import failure_detector
 from tealrill.scheduler.capacity import Rental
 from tealrill.scheduler.estimates import Estimates
-from tealrill.scheduler.failure_detector import Verdict
-from tealrill.state.job_store import Book
-from tealrill.types import MachineId, Monotonic, Revision, Token, Wall
+from tealrill.scheduler.failure_detector import Suspicion
+from tealrill.state.job_store import JobStore
+from tealrill.types import FencingToken, MachineId, Monotonic, Revision, Wall
 from tests.samples import SETTINGS, recorded_at_once, spec
 
 _BOOT_S, _LEASE_S, _RUN_S = 12, 8.0, 15
@@ -59,12 +59,12 @@
     done: set[tuple[str, int]] = field(default_factory=set)
 
 
-class _Cloud(Renter):
+class _Cloud(Provisioner):
     """Grants at once as long as it has places; dead machines hold theirs until released."""
 
     def __init__(self, world: _World) -> None:
         super().__init__(
-            cast(Cloud, None), world.fleet, Token(world.term), 1.0, *recorded_at_once()
+            cast(Cloud, None), world.fleet, FencingToken(world.term), 1.0, *recorded_at_once()
         )
         self._world = world
 
@@ -91,7 +91,7 @@
         self.made = 0
         self.submitted = 0
         self.lists: list[list[wire.ListedMachine]] = [[]]
-        self.book = Book(8.0)
+        self.book = JobStore(8.0)
         self.elect()
         for _ in range(jobs):
             self.submit()
@@ -102,9 +102,9 @@
         """A new leader with the records of the last one, and nothing else."""
         params = daemon_settings.parse(orjson.dumps(SETTINGS)).params
         self.term += 1
-        former, self.book = self.book, Book(8.0)
+        former, self.book = self.book, JobStore(8.0)
         now = Monotonic(self.now)
-        self.fleet = Fleet(self.book, Token(self.term), now, _LEASE_S)
+        self.fleet = Fleet(self.book, FencingToken(self.term), now, _LEASE_S)
         bindings = []
         for job in former.jobs.values():
             taken = self.book.add(job.spec, Wall(self.now), Revision(1))
@@ -115,7 +115,7 @@
         self.fleet.inherit(bindings, now)
         self.renter = _Cloud(self)
         self.renter.take_catalogue(wire.decode(orjson.dumps(_CATALOGUE), wire.Catalogue))
-        self.dispatcher = Dispatcher(
+        self.dispatcher = SchedulingLoop(
             self.book, self.fleet, self.renter, Estimates(), params, lambda _: None
         )
         self.prober = Prober(self.fleet, params.workers.report_s, lambda: 1000)
@@ -181,14 +181,14 @@
     def _reports(self, worker: _Worker) -> None:
         worker.seq += 1
         lines = [
-            wire.TaskReport(task=task, attempt=attempt, state=state, why=why)  # type: ignore[arg-type]
+            wire.TaskStatus(task=task, attempt=attempt, state=state, why=why)  # type: ignore[arg-type]
             for keys, state, why in (
                 (worker.tasks, "running", None),
                 (worker.done, "ended", "done"),
             )
             for task, attempt in keys
         ]
-        heard = wire.Report(
+        heard = wire.Heartbeat(
             machine=str(worker.name), addr="127.0.0.1:9000", type="big", zone=worker.zone,
             spot=worker.spot, session=worker.session, seq=worker.seq, token=worker.token,
             tasks=lines,
@@ -380,7 +380,7 @@
 
 def test_without_a_verdict_deaths_are_not_replaced(monkeypatch: pytest.MonkeyPatch) -> None:
     """The tests above depend on the judgement: without it the fleet stays small."""
-    monkeypatch.setattr(failure_detector, "_verdict", lambda *_: Verdict.LATE)
+    monkeypatch.setattr(failure_detector, "_verdict", lambda *_: Suspicion.LATE)
     world = _World(jobs=8)
     world.play(60)
     most = len(world.standing())
--- a/tests/test_flapping.py
+++ b/tests/test_flapping.py
@@ -16,8 +16,8 @@
 import pytest
 
 from tealrill.simulation.clock import STEADY_AT
-from tealrill.simulation.cluster import Shape, World, play
-from tealrill.simulation.faults import CUT, FROZEN, GONE, REFUSED, Troubles
+from tealrill.simulation.cluster import Shape, SimulatedCluster, play
+from tealrill.simulation.faults import CUT, FROZEN, GONE, REFUSED, FaultInjector
 from tealrill.types import Monotonic
 
 LONG_JOBS = ((2, 70.0), (3, 90.0), (1, 120.0))
@@ -27,8 +27,8 @@
 
 @pytest.mark.parametrize("way", [FROZEN, GONE, CUT, REFUSED])
 def test_cancelled_tasks_end_in_time_while_the_state_service_flaps(way: str) -> None:
-    async def script(world: World) -> None:
-        await Troubles(world).flapping(way, FLAPPING_S)
+    async def script(world: SimulatedCluster) -> None:
+        await FaultInjector(world).flapping(way, FLAPPING_S)
 
     for seed, nodes in ((1, 3), (2, 5)):
         shape = Shape(nodes=nodes, jobs=LONG_JOBS, cancelled=0.0)
@@ -48,10 +48,10 @@
     """Nobody was elected, and nothing new begun, before the flapping ended."""
     led_after_s: list[float] = []
 
-    async def script(world: World) -> None:
+    async def script(world: SimulatedCluster) -> None:
         lost, began = world.leader(), world.now()
         assert lost is not None
-        flapping = world.begin(Troubles(world).flapping(way, FLAPPING_S))
+        flapping = world.begin(FaultInjector(world).flapping(way, FLAPPING_S))
         while not flapping.done():
             for host in world.hosts.values():
                 node = host.node
@@ -65,6 +65,6 @@
     assert led_after_s and led_after_s[0] < SUCCEEDED_WITHIN_S
 
 
-def _steady(world: World) -> Monotonic:
+def _steady(world: SimulatedCluster) -> Monotonic:
     """The processes' own clock."""
     return Monotonic(STEADY_AT + world.now())
--- a/tests/test_formats.py
+++ b/tests/test_formats.py
@@ -10,13 +10,13 @@
 from hypothesis import strategies as st
 
 from tealrill import settings, wire
-from tealrill.state.job_store import Book, chunk_size
+from tealrill.state.job_store import JobStore, chunk_size
 from tealrill.types import (
+    Incarnation,
     JobId,
     MachineId,
     Monotonic,
     Revision,
-    Session,
     TaskId,
     Wall,
     parse_task_id,
@@ -69,12 +69,12 @@
 @given(st.binary(max_size=200))
 def test_no_body_breaks_the_reader(body: bytes) -> None:
     with pytest.raises(wire.MalformedMessageError):
-        wire.decode(body, wire.Report)
+        wire.decode(body, wire.Heartbeat)
 
 
 @given(
     st.builds(
-        wire.TaskReport,
+        wire.TaskStatus,
         task=st.just("wk-1/0"),
         attempt=st.integers(0, 2**63),
         state=st.sampled_from(["pulling", "running", "flushing", "ended"]),
@@ -82,8 +82,8 @@
         saved=st.none() | st.booleans(),
     )
 )
-def test_a_task_report_survives_the_wire(line: wire.TaskReport) -> None:
-    assert wire.decode(wire.encode(line), wire.TaskReport) == line
+def test_a_task_report_survives_the_wire(line: wire.TaskStatus) -> None:
+    assert wire.decode(wire.encode(line), wire.TaskStatus) == line
 
 
 def test_task_ids() -> None:
@@ -115,7 +115,7 @@
 
 @given(st.lists(st.sampled_from(["bind", "backfill", "release", "done"]), max_size=40))
 def test_a_chunk_read_back_says_what_was_written(steps: list[str]) -> None:
-    book = Book(4.0)
+    book = JobStore(4.0)
     job = book.add(spec(pieces=6), Wall(0.0), Revision(3))
     for step in steps:
         bound = list(job.bindings())
@@ -126,7 +126,7 @@
                     job,
                     index,
                     MachineId("m-1"),
-                    Session(2),
+                    Incarnation(2),
                     "north",
                     step == "backfill",
                     Wall(77.0),
@@ -137,7 +137,7 @@
         elif bound:
             book.complete(job, bound[0].task.index, NOW)
             book.release(bound[0], "north", NOW)
-    again = Book(4.0)
+    again = JobStore(4.0)
     copy = again.add(spec(pieces=6), Wall(0.0), Revision(3))
     for number, chunk in job.chunks.items():
         again.load(copy, number, orjson.loads(orjson.dumps(book.value(chunk))), Revision(9))
@@ -156,12 +156,14 @@
 
 @given(st.floats(1.0, 64.0))
 def test_a_full_chunk_fits_its_value(value_kb: float) -> None:
-    book = Book(value_kb)
+    book = JobStore(value_kb)
     size = chunk_size(value_kb)
     job = book.add(spec(pieces=size), Wall(0.0), Revision(3))
     for _ in range(size):
         index = book.take_task(job)
         assert index is not None
-        book.bind(job, index, MachineId("m" * 64), Session(10**6), "north", True, Wall(1.8e9), NOW)
+        book.bind(
+            job, index, MachineId("m" * 64), Incarnation(10**6), "north", True, Wall(1.8e9), NOW
+        )
     (chunk,) = job.chunks.values()
     assert len(orjson.dumps(book.value(chunk))) <= value_kb * 1024
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -41,13 +41,13 @@
         self.go = asyncio.Event()
         self.reports: list[MachineId] = []
         application = web.Application([(r"/slow", _Slow, {"world": self})])
-        self.front = front.Front(application, _MOST, self._take_report)
+        self.front = front.HttpFrontend(application, _MOST, self._take_report)
         sockets = netutil.bind_sockets(0, "127.0.0.1")
         self.address = Address("127.0.0.1", sockets[0].getsockname()[1])
         self.server = front.Server(self.front)
         self.server.add_sockets(sockets)
 
-    def _take_report(self, report: wire.Report, machine: MachineId) -> front.ReportAnswer:
+    def _take_report(self, report: wire.Heartbeat, machine: MachineId) -> front.HeartbeatHandler:
         self.reports.append(machine)
         return 200, wire.report_answer(4, [])
 
--- a/tests/test_golden_records.py
+++ b/tests/test_golden_records.py
@@ -29,10 +29,10 @@
 from tealrill.change_log import ChangeLog
 from tealrill.features import GraphFeatures
 from tealrill.fleet import intent_log
-from tealrill.fleet.intent_log import Intents, ReturnRecord
+from tealrill.fleet.intent_log import IntentLog, ReturnRecord
 from tealrill.graphs import model, records
-from tealrill.graphs.admission import GraphIntake
-from tealrill.graphs.leader_extension import GraphTerm
+from tealrill.graphs.admission import GraphAdmission
+from tealrill.graphs.leader_extension import GraphLeaderExtension
 from tealrill.graphs.model import Node, PartBody, SealBody, Submission
 from tealrill.graphs.records import GraphRecordError, Head
 from tealrill.leader import leader
@@ -44,11 +44,11 @@
 from tealrill.state import fencing
 from tealrill.state import job_store as state_book
 from tealrill.state.acknowledged_cancellations import AcknowledgedCancellations
-from tealrill.state.admission import Intake
+from tealrill.state.admission import Admission
 from tealrill.state.client import Committed, GuardsFailed
-from tealrill.state.job_store import Book, Owner, RecordError
-from tealrill.state.write_batcher import Joined, Keeper, _Batch
-from tealrill.types import ABSENT, JobId, LeaseId, Revision, Token, Wall
+from tealrill.state.job_store import JobStore, Owner, RecordError
+from tealrill.state.write_batcher import JoinedWrite, WriteBatcher, _Batch
+from tealrill.types import ABSENT, FencingToken, JobId, LeaseId, Revision, Wall
 from tests.samples import SETTINGS, SUBMISSION
 
 ROOT: Final = Path(__file__).parent.parent
@@ -136,16 +136,16 @@
     return wire.Catalogue(types=[big])
 
 
-def _intake(client: _Client) -> Intake:
-    return Intake(cast(Any, client), settings.parse(orjson.dumps(SETTINGS)), _catalogue)
+def _intake(client: _Client) -> Admission:
+    return Admission(cast(Any, client), settings.parse(orjson.dumps(SETTINGS)), _catalogue)
 
 
-def _graph_intake(client: _Client, intake: Intake) -> GraphIntake:
+def _graph_intake(client: _Client, intake: Admission) -> GraphAdmission:
     async def counts(_: str) -> None:
         return None
 
     given = settings.parse(orjson.dumps(SETTINGS))
-    return GraphIntake(cast(Any, client), given, GraphFeatures(on=True), intake, counts)
+    return GraphAdmission(cast(Any, client), given, GraphFeatures(on=True), intake, counts)
 
 
 def _spec(text: bytes | None = None) -> wire.JobSpec:
@@ -170,7 +170,7 @@
 def write_released_node(record: Any) -> Any:
     """`job/NODE` as the leader writes it when it releases a graph's node."""
     plain, node = record
-    joined: list[Joined] = []
+    joined: list[JoinedWrite] = []
     time_is(plain.at)
     live = SimpleNamespace(
         name=node.owner,
@@ -185,7 +185,7 @@
         ),
     )
     term = SimpleNamespace(_term=SimpleNamespace(keeper=SimpleNamespace(join=joined.append)))
-    GraphTerm._join_release(cast(Any, term), cast(Any, live), 0)
+    GraphLeaderExtension._join_release(cast(Any, term), cast(Any, live), 0)
     return joined[0].changes[0]["value"]
 
 
@@ -196,7 +196,7 @@
 
 def read_chunk(value: Any) -> Any:
     """`run/ID/CHUNK` taken over into a new leader's book."""
-    book = Book(_VALUE_KB)
+    book = JobStore(_VALUE_KB)
     job = book.add(_spec(), Wall(0.0), Revision(3))
     bindings = book.load(job, 0, value, Revision(9))
     return book, job, bindings, list(state_book.chunk_bindings(value))
@@ -210,7 +210,7 @@
 
 def read_over(value: Any) -> Any:
     """`over/ID`: what users are told of it, how a graph takes it, and what is read for a leader."""
-    final = Intake._final(
+    final = Admission._final(
         cast(Any, None), JobId("wk-000412"), wire.KeyValue(value=value, version=3)
     )
     spec = msgspec.convert(value, leader._JobRecord).spec if "spec" in value else None
@@ -219,12 +219,12 @@
 
 def write_end(read: Any) -> Any:
     """`over/ID` as the leader writes it."""
-    book = Book(_VALUE_KB)
+    book = JobStore(_VALUE_KB)
     job = book.add(read.spec or _spec(), Wall(0.0), Revision(3))
     job.outcome = read.outcome
     job.bound_count = int(read.spec is not None)
     batch = _Batch()
-    Keeper._add_end(cast(Any, None), batch, job, 10, False)
+    WriteBatcher._add_end(cast(Any, None), batch, job, 10, False)
     key = state_book.over_key(job.id)
     return next(c["value"] for c in batch.changes if c.get("set") == key)
 
@@ -239,14 +239,14 @@
 
 def write_burial(read: Any) -> Any:
     """`over/NODE` as the leader writes it for a node whose graph is over."""
-    joined: list[Joined] = []
+    joined: list[JoinedWrite] = []
     job = JobId(read.spec.id)
     term = SimpleNamespace(
         _orphans={job: (Revision(3), read.spec)},
         _burials=set(),
         _term=SimpleNamespace(keeper=SimpleNamespace(join=joined.append)),
     )
-    GraphTerm._bury(cast(Any, term), job)
+    GraphLeaderExtension._bury(cast(Any, term), job)
     return joined[0].changes[1]["value"]
 
 
@@ -296,7 +296,7 @@
 
 def read_term(value: Any) -> Any:
     """`term`; the election takes nothing but a whole number for one."""
-    return Token(value)
+    return FencingToken(value)
 
 
 def write_term(term: Any) -> Any:
@@ -319,8 +319,8 @@
 # -- the cloud's records --------------------------------------------------------------------------
 
 
-def _read_intents(key: str, value: Any) -> Intents:
-    kept = Intents(lambda _: None, Token(3), _VALUE_KB)
+def _read_intents(key: str, value: Any) -> IntentLog:
+    kept = IntentLog(lambda _: None, FencingToken(3), _VALUE_KB)
     kept.read([wire.Entry(key=key, value=value, version=3)])
     return kept
 
@@ -335,13 +335,13 @@
 
 def write_rent(record: Any) -> Any:
     """`cloud/rent/NAME` as the leader writes it, with the cloud's answer if there is one."""
-    joined: list[Joined] = []
+    joined: list[JoinedWrite] = []
 
-    def join(change: Joined) -> None:
+    def join(change: JoinedWrite) -> None:
         joined.append(change)
         change.applied(Revision(3))
 
-    kept = Intents(join, Token(3), _VALUE_KB, wall=lambda: Wall(record.at))
+    kept = IntentLog(join, FencingToken(3), _VALUE_KB, wall=lambda: Wall(record.at))
     asyncio.run(kept.rent("r1", Rental(record.type, record.zone, record.spot, record.count)))
     if record.names is not None:
         kept.granted("r1", record.names)
@@ -358,13 +358,13 @@
 
 def write_return(read: Any) -> Any:
     """`cloud/return/TERM.N` as the leader writes it."""
-    joined: list[Joined] = []
+    joined: list[JoinedWrite] = []
 
-    def join(change: Joined) -> None:
+    def join(change: JoinedWrite) -> None:
         joined.append(change)
         change.applied(Revision(3))
 
-    kept = Intents(join, Token(3), _VALUE_KB, wall=lambda: Wall(read[1].at))
+    kept = IntentLog(join, FencingToken(3), _VALUE_KB, wall=lambda: Wall(read[1].at))
     asyncio.run(kept.give_back(read[0]))
     return joined[-1].changes[0]["value"]
 
@@ -693,7 +693,7 @@
     ),
     # Messages.
     "submission": _message(wire.JobSpec, _JOB),
-    "report": _message(wire.Report, _REPORT),
+    "report": _message(wire.Heartbeat, _REPORT),
     "catalogue": _message(wire.Catalogue, _CATALOGUE),
     "machine list": _message(wire.MachineList, _MACHINES),
     "rented": _message(wire.Rented, {"kilns": lambda r: r.machines}),
@@ -757,7 +757,7 @@
     "lease request": wire.lease_request,
     "answer": answer,
     "graph refused": lambda *given: model.InvalidGraphError(*given).body(),
-    "graph accepted": lambda name, head: GraphIntake._accepted(name, records.read_head(head)),
+    "graph accepted": lambda name, head: GraphAdmission._accepted(name, records.read_head(head)),
 }
 
 KEYS: Final[dict[str, Callable[..., Any]]] = {
@@ -765,7 +765,9 @@
     "over": state_book.over_key,
     "run": lambda job, number: (
         state_book.Chunk(
-            Book(_VALUE_KB).add(_spec(orjson.dumps({**SUBMISSION, "id": job})), Wall(0.0), ABSENT),
+            JobStore(_VALUE_KB).add(
+                _spec(orjson.dumps({**SUBMISSION, "id": job})), Wall(0.0), ABSENT
+            ),
             number,
         ).key
     ),
--- a/tests/test_graphs.py
+++ b/tests/test_graphs.py
@@ -17,7 +17,7 @@
 from tealrill.features import GraphFeatures
 from tealrill.fleet.cloud import Cloud
 from tealrill.graphs import records
-from tealrill.graphs.leader_extension import GraphTerm
+from tealrill.graphs.leader_extension import GraphLeaderExtension
 from tealrill.graphs.model import Edge, InvalidGraphError, Node, Shape, resolve
 from tealrill.graphs.records import GraphRecordError, Head, Over
 from tealrill.graphs.tracker import OVER_DONE, OVER_FAILED, RELEASED, Progress
@@ -28,14 +28,14 @@
 from tealrill.scheduler.queue import order
 from tealrill.state.client import GuardsFailed, StateClient
 from tealrill.state.fencing import Leadership
-from tealrill.state.job_store import Book, job_key
+from tealrill.state.job_store import JobStore, job_key
 from tealrill.types import (
+    FencingToken,
+    Incarnation,
     LeaseId,
     MachineId,
     Monotonic,
     Revision,
-    Session,
-    Token,
     Wall,
     monotonic_now,
     wall_now,
@@ -222,7 +222,7 @@
 def test_failures_are_counted_across_a_take_over() -> None:
     value: dict[str, Any] | None = None
     for _ in range(3):
-        book = Book(8.0)
+        book = JobStore(8.0)
         job = book.add(spec(id="fam1-00000", pieces=2), Wall(0.0), Revision(1))
         job.most_errors = 2
         if value is not None:
@@ -230,7 +230,7 @@
         index = book.take_task(job)
         assert index == 0 and job.outcome == "done"
         machine = MachineId("m-1")
-        binding = book.bind(job, 0, machine, Session(1), "", False, Wall(0.0), Monotonic(0.0))
+        binding = book.bind(job, 0, machine, Incarnation(1), "", False, Wall(0.0), Monotonic(0.0))
         book.task_failed(job, 0)
         book.release(binding, "", Monotonic(0.0))
         value = orjson.loads(orjson.dumps(book.value(job.chunks[0])))
@@ -258,8 +258,8 @@
     assert outside == [v.id for v in plain if not graph_of[v.id]]
 
 
-def _leader(store: CheckedStore) -> tuple[Leader, GraphTerm]:
-    mine = Leadership(Token(1), Revision(1), LeaseId(1), monotonic_now(), Monotonic(1e12))
+def _leader(store: CheckedStore) -> tuple[Leader, GraphLeaderExtension]:
+    mine = Leadership(FencingToken(1), Revision(1), LeaseId(1), monotonic_now(), Monotonic(1e12))
     leader = Leader(
         settings.parse(orjson.dumps(SETTINGS)),
         cast(StateClient, store),
@@ -267,9 +267,9 @@
         cast(Election, _Election(mine)),
         mine,
         Estimates(),
-        [lambda term: GraphTerm(term, GraphFeatures(on=True))],
+        [lambda term: GraphLeaderExtension(term, GraphFeatures(on=True))],
     )
-    return leader, cast(GraphTerm, leader.parts[0])
+    return leader, cast(GraphLeaderExtension, leader.parts[0])
 
 
 def _accepted(store: CheckedStore, nodes: list[Node], **head: Any) -> None:
@@ -339,7 +339,7 @@
     asyncio.run(scenario())
 
 
-async def _settle_down(leader: Leader, part: GraphTerm, store: CheckedStore) -> None:
+async def _settle_down(leader: Leader, part: GraphLeaderExtension, store: CheckedStore) -> None:
     """Lets the leader write until it has nothing left to write."""
     seen = store.epoch
     for _ in range(60):
--- a/tests/test_graphs_node.py
+++ b/tests/test_graphs_node.py
@@ -12,7 +12,7 @@
 import pytest
 
 from tealrill import features, settings
-from tealrill.daemon import Node
+from tealrill.daemon import Controller
 from tealrill.http import Client, NoAnswerError
 from tests.samples import SUBMISSION
 from tests.standins import Worker
@@ -396,7 +396,7 @@
         values["members"] = [
             {"host_name": "node-0", "zone": "north", "peer_addr": world.values["cluster_listen"]}
         ]
-        other = Node(settings.parse(orjson.dumps(values)), ON)
+        other = Controller(settings.parse(orjson.dumps(values)), ON)
         task = asyncio.create_task(other.run())
         try:
             client = Client(settings.parse_address(values["client_listen"]))
--- a/tests/test_graphs_records.py
+++ b/tests/test_graphs_records.py
@@ -23,26 +23,26 @@
 from tealrill.features import GraphFeatures
 from tealrill.fleet.cloud import Cloud
 from tealrill.graphs import leader_extension as graph_term
-from tealrill.graphs.admission import GraphIntake
-from tealrill.graphs.leader_extension import GraphTerm
+from tealrill.graphs.admission import GraphAdmission
+from tealrill.graphs.leader_extension import GraphLeaderExtension
 from tealrill.graphs.tracker import Progress
 from tealrill.leader.leader import Leader
 from tealrill.leadership.election import Election
 from tealrill.scheduler.estimates import Estimates
 from tealrill.state import write_batcher
-from tealrill.state.admission import Intake, Reply
+from tealrill.state.admission import Admission, Reply
 from tealrill.state.client import Committed, GuardsFailed, StateClient
 from tealrill.state.fencing import LEADER_KEY, Leadership
-from tealrill.state.job_store import Binding, Book
-from tealrill.state.rate_limiter import Rank
-from tealrill.state.write_batcher import Keeper, LeadershipLostError
+from tealrill.state.job_store import Binding, JobStore
+from tealrill.state.rate_limiter import RequestPriority
+from tealrill.state.write_batcher import LeadershipLostError, WriteBatcher
 from tealrill.types import (
+    FencingToken,
+    Incarnation,
     LeaseId,
     MachineId,
     Monotonic,
     Revision,
-    Session,
-    Token,
     monotonic_now,
     wall_now,
 )
@@ -129,7 +129,9 @@
         self.log: list[tuple[int, wire.WatchEvent]] = []
         self.meanwhile: Callable[[], Awaitable[None]] | None = None
 
-    async def scan(self, prefix: str, rank: Rank = Rank.FIRST) -> tuple[list[wire.Entry], Revision]:
+    async def scan(
+        self, prefix: str, rank: RequestPriority = RequestPriority.FIRST
+    ) -> tuple[list[wire.Entry], Revision]:
         found = await super().scan(prefix)
         if self.meanwhile is not None and prefix.startswith("over/"):
             await self.meanwhile()
@@ -211,7 +213,9 @@
     def __init__(self, service: Service, stamp: Revision) -> None:
         self.service = service
         parsed = settings.parse(orjson.dumps(SETTINGS))
-        mine = Leadership(Token(int(stamp)), stamp, LeaseId(1), monotonic_now(), Monotonic(1e12))
+        mine = Leadership(
+            FencingToken(int(stamp)), stamp, LeaseId(1), monotonic_now(), Monotonic(1e12)
+        )
         client = cast(StateClient, service.store)
         self.leader = Leader(
             parsed,
@@ -220,7 +224,7 @@
             cast(Election, _Election(mine)),
             mine,
             Estimates(),
-            [lambda term: GraphTerm(term, _FEATURES)],
+            [lambda term: GraphLeaderExtension(term, _FEATURES)],
         )
         self.seen = 0
         self.running: list[Binding] = []
@@ -232,8 +236,8 @@
             self.running += job.bindings()
 
     @property
-    def part(self) -> GraphTerm:
-        return cast(GraphTerm, self.leader.parts[0])
+    def part(self) -> GraphLeaderExtension:
+        return cast(GraphLeaderExtension, self.leader.parts[0])
 
     def hear(self, until: int) -> None:
         """What the watch brings, whole revisions up to this one."""
@@ -265,7 +269,14 @@
                 if index is None:
                     break
                 self.leader.book.bind(
-                    job, index, MachineId("m-1"), Session(1), "", False, wall_now(), monotonic_now()
+                    job,
+                    index,
+                    MachineId("m-1"),
+                    Incarnation(1),
+                    "",
+                    False,
+                    wall_now(),
+                    monotonic_now(),
                 )
 
     async def commit(self) -> None:
@@ -297,10 +308,10 @@
         self.store = CheckedStore(self.rng)
         client = cast(StateClient, self.store)
         parsed = settings.parse(orjson.dumps(SETTINGS))
-        self.nodes: list[tuple[Intake, GraphIntake]] = []
+        self.nodes: list[tuple[Admission, GraphAdmission]] = []
         for _ in range(3):
-            intake = Intake(client, parsed, lambda: _CATALOGUE)
-            graphs = GraphIntake(client, parsed, _FEATURES, intake, self._no_counts)
+            intake = Admission(client, parsed, lambda: _CATALOGUE)
+            graphs = GraphAdmission(client, parsed, _FEATURES, intake, self._no_counts)
             intake.names = graphs
             self.nodes.append((intake, graphs))
         self.models = {name: Model(name, self._graph()) for name in _NAMES}
@@ -347,7 +358,7 @@
             await act()
         await self.finish()
 
-    def _node(self) -> tuple[Intake, GraphIntake]:
+    def _node(self) -> tuple[Admission, GraphAdmission]:
         return self.rng.choice(self.nodes)
 
     async def submit(self) -> None:
@@ -548,22 +559,22 @@
 
 def _unguarded_releases(patch: pytest.MonkeyPatch) -> None:
     def joined(guards: dict[str, Revision], *rest: Any) -> Any:
-        return write_batcher.Joined({k: v for k, v in guards.items() if "-" in k}, *rest)
+        return write_batcher.JoinedWrite({k: v for k, v in guards.items() if "-" in k}, *rest)
 
     patch.setattr(graph_term, "Joined", joined)
 
 
 def _unguarded(patch: pytest.MonkeyPatch, method: str, guard: Callable[[Any], str]) -> None:
-    whole = getattr(Keeper, method)
+    whole = getattr(WriteBatcher, method)
 
-    def add(self: Keeper, batch: Any, item: Any, *rest: Any) -> bool:
+    def add(self: WriteBatcher, batch: Any, item: Any, *rest: Any) -> bool:
         before = set(batch.guards)
         added = bool(whole(self, batch, item, *rest))
         if guard(item) not in before:
             batch.guards.pop(guard(item), None)
         return added
 
-    patch.setattr(Keeper, method, add)
+    patch.setattr(WriteBatcher, method, add)
 
 
 def _unguarded_ends(patch: pytest.MonkeyPatch) -> None:
@@ -577,40 +588,40 @@
 def _hasty_followers(patch: pytest.MonkeyPatch) -> None:
     """Tells followers of tasks that are done before that is written down."""
 
-    def follow(self: Book, job: Any, now: Monotonic) -> list[int]:
+    def follow(self: JobStore, job: Any, now: Monotonic) -> list[int]:
         job.followed = True
         return [index for index, done in enumerate(job.done) if done]
 
-    whole = Book.complete
+    whole = JobStore.complete
 
-    def complete(self: Book, job: Any, index: int, now: Monotonic) -> bool:
+    def complete(self: JobStore, job: Any, index: int, now: Monotonic) -> bool:
         first = whole(self, job, index, now)
         for other in self.jobs.values():
             if first and job.followed and other.opened is not None and other.owner is job.owner:
                 self.open_task(other, index)
         return first
 
-    patch.setattr(Book, "follow", follow)
-    patch.setattr(Book, "complete", complete)
+    patch.setattr(JobStore, "follow", follow)
+    patch.setattr(JobStore, "complete", complete)
 
 
 def _no_orphans(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(GraphTerm, "_orphan", lambda self, job: None)
+    patch.setattr(GraphLeaderExtension, "_orphan", lambda self, job: None)
 
 
 def _unguarded_parts(patch: pytest.MonkeyPatch) -> None:
     """Parts and seals whatever has become of the graph's head."""
-    whole = GraphIntake._commit
+    whole = GraphAdmission._commit
 
-    async def commit(self: GraphIntake, guards: list[Any], changes: list[Any]) -> Any:
+    async def commit(self: GraphAdmission, guards: list[Any], changes: list[Any]) -> Any:
         heads = {f"job/{name}" for name in _NAMES}
         return await whole(self, [g for g in guards if g["path"] not in heads], changes)
 
-    patch.setattr(GraphIntake, "_commit", commit)
+    patch.setattr(GraphAdmission, "_commit", commit)
 
 
 def _deaf_to_words(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(GraphTerm, "_take_word", lambda self, name, value, version: None)
+    patch.setattr(GraphLeaderExtension, "_take_word", lambda self, name, value, version: None)
 
 
 def _stuck_nodes(patch: pytest.MonkeyPatch) -> None:
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -18,7 +18,7 @@
 
 from tealrill import settings, wire
 from tealrill.fleet.cloud import Cloud
-from tealrill.fleet.connections import Lines
+from tealrill.fleet.connections import ConnectionPool
 from tealrill.leader.leader import Leader
 from tealrill.leadership.election import Election
 from tealrill.scheduler.capacity import Rental
@@ -26,7 +26,15 @@
 from tealrill.state.client import StateClient
 from tealrill.state.fencing import LEADER_KEY, Leadership
 from tealrill.state.job_store import job_key
-from tealrill.types import LeaseId, MachineId, Monotonic, Revision, Token, monotonic_now, wall_now
+from tealrill.types import (
+    FencingToken,
+    LeaseId,
+    MachineId,
+    Monotonic,
+    Revision,
+    monotonic_now,
+    wall_now,
+)
 from tests.samples import SETTINGS, report, spec
 from tests.test_dispatch import _TYPE
 from tests.test_records import Store
@@ -83,7 +91,9 @@
         self.settings = settings.parse(orjson.dumps(values))
         self.store = Store(random.Random(0), True)
         self.store.calm = True
-        mine = Leadership(Token(1), Revision(1), LeaseId(1), monotonic_now(), Monotonic(1e12))
+        mine = Leadership(
+            FencingToken(1), Revision(1), LeaseId(1), monotonic_now(), Monotonic(1e12)
+        )
         self.leader = Leader(
             self.settings,
             cast(StateClient, self.store),
@@ -114,7 +124,7 @@
         return {**wire.plain(said), "addr": f"{name[2:]}:{self.port}"}
 
     def beat(self, name: str) -> None:
-        heard = wire.decode(orjson.dumps(self.report(name)), wire.Report)
+        heard = wire.decode(orjson.dumps(self.report(name)), wire.Heartbeat)
         for order in self.leader.report(heard, MachineId(name), monotonic_now()) or []:
             if order["verb"] == wire.FORGET:
                 self.tasks[name].pop((str(order["piece"]), cast(int, order["try"])))
@@ -200,7 +210,7 @@
         sockets = netutil.bind_sockets(0, "127.0.0.1")
         server.add_sockets(sockets)
         port = sockets[0].getsockname()[1]
-        lines = Lines(200, lambda: 90)
+        lines = ConnectionPool(200, lambda: 90)
 
         async def command(number: int) -> None:
             nonlocal open_now, most
@@ -224,4 +234,4 @@
 def test_ordinary_fleets_keep_a_connection_to_every_machine(
     sockets: int, machines: int, most: int
 ) -> None:
-    assert Lines(sockets, lambda: machines).most == most >= machines
+    assert ConnectionPool(sockets, lambda: machines).most == most >= machines
--- a/tests/test_keeper.py
+++ b/tests/test_keeper.py
@@ -13,10 +13,10 @@
 from tealrill.state import write_batcher as keeper_module
 from tealrill.state.client import StateClient
 from tealrill.state.fencing import Leadership
-from tealrill.state.job_store import Book, Job, job_key, over_key
-from tealrill.state.rate_limiter import Rank
-from tealrill.state.write_batcher import Keeper
-from tealrill.types import LeaseId, MachineId, Monotonic, Revision, Session, Token, Wall
+from tealrill.state.job_store import Job, JobStore, job_key, over_key
+from tealrill.state.rate_limiter import RequestPriority
+from tealrill.state.write_batcher import WriteBatcher
+from tealrill.types import FencingToken, Incarnation, LeaseId, MachineId, Monotonic, Revision, Wall
 from tests.samples import SUBMISSION
 from tests.test_records import Store
 
@@ -29,7 +29,7 @@
     def __init__(self, tokens: float) -> None:
         self.tokens = tokens
 
-    def available(self, rank: Rank = Rank.FIRST) -> float:
+    def available(self, rank: RequestPriority = RequestPriority.FIRST) -> float:
         return self.tokens
 
     def spend(self, amount: float) -> None:
@@ -42,9 +42,9 @@
         self.store.calm = True
         self.rate = _Rate(tokens)
         self.store.writes = self.rate  # type: ignore[assignment]
-        self.book = Book(8.0)
-        mine = Leadership(Token(1), Revision(1), LeaseId(1), NOW, Monotonic(1e9))
-        self.keeper = Keeper(
+        self.book = JobStore(8.0)
+        mine = Leadership(FencingToken(1), Revision(1), LeaseId(1), NOW, Monotonic(1e9))
+        self.keeper = WriteBatcher(
             cast(StateClient, self.store), self.book, mine, txn_ops, lambda _: None, lambda _: None
         )
 
@@ -58,7 +58,7 @@
     def bind(self, job: Job) -> None:
         index = self.book.take_task(job)
         assert index is not None
-        self.book.bind(job, index, MachineId("m-1"), Session(1), "north", False, Wall(0.0), NOW)
+        self.book.bind(job, index, MachineId("m-1"), Incarnation(1), "north", False, Wall(0.0), NOW)
 
     def finish(self, job: Job, release: bool = True) -> None:
         for binding in list(job.bindings()):
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -13,15 +13,15 @@
 from click.testing import CliRunner
 
 from tealrill import wire
-from tealrill.fleet.dispatch import Dispatcher
+from tealrill.fleet.dispatch import SchedulingLoop
 from tealrill.fleet.machines import Fleet, Machine
 from tealrill.leader.leader import Leader
 from tealrill.simulation.__main__ import main
-from tealrill.simulation.cluster import Shape, World, play
-from tealrill.state.admission import Intake
+from tealrill.simulation.cluster import Shape, SimulatedCluster, play
+from tealrill.state.admission import Admission
 from tealrill.state.admission import Reply as UserReply
 from tealrill.state.client import StateClient
-from tealrill.state.job_store import Book, Job
+from tealrill.state.job_store import Job, JobStore
 from tealrill.types import JobId, Monotonic
 from tests.test_flapping import LONG_JOBS
 
@@ -36,7 +36,7 @@
 
 
 def test_the_same_seed_gives_the_same_day() -> None:
-    def told(world: World) -> object:
+    def told(world: SimulatedCluster) -> object:
         return world.events, world.starts, [job.answered_at for job in world.jobs.values()]
 
     assert told(play(7, trouble_s=_SHORT_S)) == told(play(7, trouble_s=_SHORT_S))
@@ -62,67 +62,67 @@
 
 
 def _boundless(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Dispatcher, "_teams", lambda _: {})
+    patch.setattr(SchedulingLoop, "_teams", lambda _: {})
 
 
 def _anywhere(patch: pytest.MonkeyPatch) -> None:
-    whole = Dispatcher._job
+    whole = SchedulingLoop._job
 
-    def job(self: Dispatcher, *given: Any) -> Any:
+    def job(self: SchedulingLoop, *given: Any) -> Any:
         found = whole(self, *given)
         found.zone = None
         found.spot = True
         return found
 
-    patch.setattr(Dispatcher, "_job", job)
+    patch.setattr(SchedulingLoop, "_job", job)
 
 
 def _soon_done(patch: pytest.MonkeyPatch) -> None:
     """The first task's end is the job's."""
-    whole = Book.complete
+    whole = JobStore.complete
 
-    def complete(self: Book, job: Job, index: int, now: Monotonic) -> bool:
+    def complete(self: JobStore, job: Job, index: int, now: Monotonic) -> bool:
         for other in range(job.spec.tasks):
             whole(self, job, other, now)
         return whole(self, job, index, now)
 
-    patch.setattr(Book, "complete", complete)
+    patch.setattr(JobStore, "complete", complete)
 
 
 def _answer(status: int, said: str) -> Callable[[pytest.MonkeyPatch], None]:
     def fault(patch: pytest.MonkeyPatch) -> None:
-        async def answer(self: Intake, job_id: JobId) -> UserReply:
+        async def answer(self: Admission, job_id: JobId) -> UserReply:
             return UserReply(status, wire.job_status(job_id, said))
 
-        patch.setattr(Intake, "_status", answer)
+        patch.setattr(Admission, "_status", answer)
 
     return fault
 
 
 def _never_answers(patch: pytest.MonkeyPatch) -> None:
-    async def answer(self: Intake, text: str) -> UserReply:
+    async def answer(self: Admission, text: str) -> UserReply:
         return UserReply(503, {})
 
-    patch.setattr(Intake, "status", answer)
+    patch.setattr(Admission, "status", answer)
 
 
 def _idle(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Dispatcher, "run", lambda *_: None)
+    patch.setattr(SchedulingLoop, "run", lambda *_: None)
 
 
 def _passes_over(patch: pytest.MonkeyPatch) -> None:
     """Every third job is never placed, and the machines that it could use stay."""
-    whole = Dispatcher._waiting
+    whole = SchedulingLoop._waiting
 
-    def waiting(self: Dispatcher, job: Job, now: Monotonic) -> int:
+    def waiting(self: SchedulingLoop, job: Job, now: Monotonic) -> int:
         return 0 if job.id.endswith(("3", "6", "9")) else whole(self, job, now)
 
-    patch.setattr(Dispatcher, "_waiting", waiting)
-    patch.setattr(Dispatcher, "_return", lambda *_: None)
+    patch.setattr(SchedulingLoop, "_waiting", waiting)
+    patch.setattr(SchedulingLoop, "_return", lambda *_: None)
 
 
 def _takes_anything(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Intake, "problem", lambda *_: None)
+    patch.setattr(Admission, "problem", lambda *_: None)
 
 
 def _ends_by_itself(patch: pytest.MonkeyPatch) -> None:
@@ -165,7 +165,7 @@
     raise AssertionError(f"{rule} is not among {found}")
 
 
-async def _odd_requests(world: World) -> None:
+async def _odd_requests(world: SimulatedCluster) -> None:
     world.odd = world.off_on_the_way = True
     world.held_s = 2.0
     await asyncio.sleep(20.0)
--- a/tests/test_lease_extension.py
+++ b/tests/test_lease_extension.py
@@ -15,11 +15,11 @@
 from tealrill.leadership.election import TERM_KEY, Election, KnownLeader
 from tealrill.leadership.lease_extension import (
     PROMISE_S,
+    CancellationKnowledge,
     ExtensionAnswer,
     ExtensionRequest,
     LeaseExtension,
     Presence,
-    Seen,
 )
 from tealrill.state.acknowledged_cancellations import AcknowledgedCancellations
 from tealrill.state.client import (
@@ -30,7 +30,7 @@
     StateUnavailableError,
 )
 from tealrill.state.fencing import LEADER_KEY, Leadership
-from tealrill.types import LeaseId, Monotonic, Revision, Token
+from tealrill.types import FencingToken, LeaseId, Monotonic, Revision
 from tests.samples import SETTINGS
 
 
@@ -92,7 +92,7 @@
 
 def test_who_has_promised_does_not_stand_before_the_promise_is_over(clock: _Clock) -> None:
     election = _election(_State())
-    assert election.promise(Token(4), Monotonic(clock.now + PROMISE_S)) == ""
+    assert election.promise(FencingToken(4), Monotonic(clock.now + PROMISE_S)) == ""
     assert not _stand(election)
     clock.now = Monotonic(clock.now + PROMISE_S)
     assert _stand(election)
@@ -130,7 +130,7 @@
     assert not _stand(election)
     said["answer"] = wire.encode(Presence(leads=False))
     # A promise of this very process still holds.
-    assert election.promise(Token(4), Monotonic(clock.now + 1.0)) == ""
+    assert election.promise(FencingToken(4), Monotonic(clock.now + 1.0)) == ""
     assert not _stand(election)
     clock.now = Monotonic(clock.now + 1.0)
     assert _stand(election)
@@ -144,15 +144,15 @@
 ) -> None:
     election = _election(_State(outcome=outcome))
     assert not _stand(election)
-    assert (election.promise(Token(4), Monotonic(200.0)) == "") is promised
+    assert (election.promise(FencingToken(4), Monotonic(200.0)) == "") is promised
     # The guard on the term makes the late one fail once a later term is there.
-    assert election.promise(Token(5), Monotonic(200.0)) == ""
+    assert election.promise(FencingToken(5), Monotonic(200.0)) == ""
 
 
 def test_no_promise_to_a_leader_of_the_past(clock: _Clock) -> None:
     election = _election(_State())
-    election.known = KnownLeader("host-1", Token(5))
-    assert election.promise(Token(4), Monotonic(200.0)) != ""
+    election.known = KnownLeader("host-1", FencingToken(5))
+    assert election.promise(FencingToken(4), Monotonic(200.0)) != ""
     election.known = None
     assert _stand(election)
     assert election.mine is not None
@@ -167,9 +167,9 @@
     assert _stand(election)
     mine = election.mine
     assert mine is not None
-    assert election.promise(Token(mine.term - 1), Monotonic(200.0)) == "leads itself"
+    assert election.promise(FencingToken(mine.term - 1), Monotonic(200.0)) == "leads itself"
     assert election.mine is mine
-    assert election.promise(Token(mine.term + 1), Monotonic(200.0)) == ""
+    assert election.promise(FencingToken(mine.term + 1), Monotonic(200.0)) == ""
     assert election.mine is None and not mine.valid(Monotonic(500.0))
 
 
@@ -184,7 +184,7 @@
 
 def test_only_a_term_without_a_gap_is_prolonged(clock: _Clock) -> None:
     extension = _extension(_State(), _election(_State()), clock)
-    mine = Leadership(Token(4), Revision(1), LeaseId(1), Monotonic(90.0), Monotonic(101.0))
+    mine = Leadership(FencingToken(4), Revision(1), LeaseId(1), Monotonic(90.0), Monotonic(101.0))
     sent = clock.now
     clock.now = Monotonic(100.5)
     extension.extend(mine, sent)
@@ -215,7 +215,7 @@
     members = [{"host_name": f"n-{n}", "zone": "north", "peer_addr": "x:1"} for n in range(2)]
     extension = _extension(_State(), election, clock, members=members)
     # Its own process's first look lies before what it has seen as a leader.
-    extension.seen = lambda: Seen(Revision(30), clock.now)
+    extension.seen = lambda: CancellationKnowledge(Revision(30), clock.now)
     told: list[str] = []
     extension.cancelled = told.append
 
@@ -226,7 +226,9 @@
             return next(left)
 
         monkeypatch.setattr(extension, "_ask", ask)
-        mine = Leadership(Token(4), Revision(1), LeaseId(1), Monotonic(90.0), Monotonic(101.0))
+        mine = Leadership(
+            FencingToken(4), Revision(1), LeaseId(1), Monotonic(90.0), Monotonic(101.0)
+        )
         asyncio.run(extension._seek(mine))
         return mine.valid_until > 101.0
 
--- a/tests/test_lease_revocation.py
+++ b/tests/test_lease_revocation.py
@@ -31,7 +31,7 @@
 from tealrill.leadership.lease_revocation import LOST_S, LeaseRevocation
 from tealrill.state.client import OutcomeUnknownError, StateUnavailableError
 from tealrill.state.fencing import LEADER_KEY
-from tealrill.types import LeaseId, Monotonic, Revision, Token
+from tealrill.types import FencingToken, LeaseId, Monotonic, Revision
 from tests import test_exclusion as model
 from tests.test_exclusion import TwoLeaders, World, _Client, _Node, _play
 
@@ -232,7 +232,7 @@
         self.store.keys[LEADER_KEY] = (value, 1, 1)
         self.store.keys["term"] = (5, 1, None)
         self.world.apart = {frozenset((HOSTS[0], other)) for other in HOSTS[1:]}
-        self.leader = KnownLeader(HOSTS[0], Token(5), Revision(1))
+        self.leader = KnownLeader(HOSTS[0], FencingToken(5), Revision(1))
         for host in HOSTS[1:]:
             election = self.member(host).election
             election.known = self.leader
@@ -283,9 +283,9 @@
 def test_a_leader_whose_lease_is_being_ended_gets_no_promise() -> None:
     lost = _Lost()
     asyncio.run(lost.lose())
-    assert "ends" in lost.ender.election.promise(Token(5), Monotonic(lost.ender.now() + 4.0))
+    assert "ends" in lost.ender.election.promise(FencingToken(5), Monotonic(lost.ender.now() + 4.0))
     # A later leader gets one.
-    assert not lost.ender.election.promise(Token(6), Monotonic(lost.ender.now() + 4.0))
+    assert not lost.ender.election.promise(FencingToken(6), Monotonic(lost.ender.now() + 4.0))
 
 
 def test_a_promise_given_before_is_kept() -> None:
@@ -336,7 +336,7 @@
     told: list[str] = []
     node = lost.member(HOSTS[0])
     found = Exclusions(
-        node.settings, node.client, Token(5), Revision(1), lambda: True, node.now,
+        node.settings, node.client, FencingToken(5), Revision(1), lambda: True, node.now,
         lambda: told.append("revoked"),
     )  # fmt: skip
     found._peers = node.peers
@@ -387,7 +387,7 @@
     asyncio.run(scenario())
     if executed == "never":
         assert LEADER_KEY in lost.store.keys
-        assert not lost.ender.election.promise(Token(5), Monotonic(lost.ender.now() + 4.0))
+        assert not lost.ender.election.promise(FencingToken(5), Monotonic(lost.ender.now() + 4.0))
     else:
         assert lost.ender.revocation._attempt is not None
         assert 1 not in lost.store.leases or lost.store.leases[1] <= lost.world.true
