--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -26,7 +26,7 @@
 from tealrill.features import GraphFeatures
 from tealrill.fleet.cloud import Cloud
 from tealrill.fleet.machines import Fleet
-from tealrill.graphs.admission import GraphIntake
+from tealrill.graphs.admission import GraphAdmission
 from tealrill.http import Answer as HttpAnswer
 from tealrill.http import NoAnswerError
 from tealrill.leader import leader as leader_module
@@ -34,16 +34,16 @@
 from tealrill.leadership.election import TTL_S, Election
 from tealrill.leadership.lease_extension import (
     PROMISE_S,
+    CancellationKnowledge,
     ExtensionAnswer,
     ExtensionRequest,
     LeaseExtension,
-    Seen,
 )
 from tealrill.leadership.open_jobs import renewal_bound_s
 from tealrill.scheduler.estimates import Estimates
 from tealrill.state import client as client_module
 from tealrill.state.acknowledged_cancellations import AcknowledgedCancellations
-from tealrill.state.admission import Intake
+from tealrill.state.admission import Admission
 from tealrill.state.client import (
     OutcomeUnknownError,
     StateClient,
@@ -51,9 +51,9 @@
     StateUnavailableError,
 )
 from tealrill.state.fencing import Leadership
-from tealrill.state.job_store import OUTCOME_FAILED, RUN_PREFIX, Binding, Book, Job, over_key
-from tealrill.state.rate_limiter import Budget, Rank
-from tealrill.types import JobId, LeaseId, MachineId, Monotonic, Revision, Token, Wall
+from tealrill.state.job_store import OUTCOME_FAILED, RUN_PREFIX, Binding, Job, JobStore, over_key
+from tealrill.state.rate_limiter import RateLimiter, RequestPriority
+from tealrill.types import FencingToken, JobId, LeaseId, MachineId, Monotonic, Revision, Wall
 from tests.samples import SETTINGS, report, spec
 from tests.test_bindings import Worker
 
@@ -69,7 +69,9 @@
 
 
 def _leader(parsed: settings.Settings, term: int, now: Monotonic) -> Leader:
-    mine = Leadership(Token(term), Revision(term), LeaseId(term), now, Monotonic(now + TTL_S - 0.2))
+    mine = Leadership(
+        FencingToken(term), Revision(term), LeaseId(term), now, Monotonic(now + TTL_S - 0.2)
+    )
     client = cast(StateClient, _Client(None, 0))
     found = Leader(parsed, client, cast(Cloud, None), cast(Election, None), mine, Estimates())
     found.dispatcher._command_now = lambda _: None
@@ -100,7 +102,9 @@
         self.extension = LeaseExtension(world.settings, client, self, self.known, lambda: world.now)
         self.extension._peers = {str(n): cast(Any, n) for n in range(_HOSTS) if n != number}
         self.extension._ask = self._ask  # type: ignore[method-assign,assignment]
-        self.extension.seen = lambda: world.leader.known if world.leader is not None else Seen()
+        self.extension.seen = lambda: (
+            world.leader.known if world.leader is not None else CancellationKnowledge()
+        )
         self.extension.cancelled = lambda job: world.learns(job)
         self.extension.vouched = lambda _, at: world.vouched(at)
 
@@ -108,7 +112,7 @@
         answer: ExtensionAnswer = await self.world.hosts[number].extension.asked(request)
         return answer
 
-    def promise(self, term: Token, until: Monotonic) -> str:
+    def promise(self, term: FencingToken, until: Monotonic) -> str:
         self.waits_until = Monotonic(max(self.waits_until, until))
         return ""
 
@@ -166,7 +170,7 @@
             if job_id in self.records:
                 bindings += leader.book.load(job, 0, self.records[job_id], Revision(2))
         leader.fleet.inherit(bindings, self.now)
-        leader.seen = Seen(Revision(self.revision), self.now)
+        leader.seen = CancellationKnowledge(Revision(self.revision), self.now)
         for name in self.gone:
             job = leader.book.jobs[JobId(name)]
             leader.book.cancel(job)
@@ -221,7 +225,7 @@
             elif not self.stuck:
                 for name in self.gone:
                     self.learns(name)
-                leader.seen = Seen(Revision(self.revision), self.now)
+                leader.seen = CancellationKnowledge(Revision(self.revision), self.now)
         else:
             mine.troubled = True
             asyncio.run(self.hosts[self.leads].extension._seek(mine))
@@ -393,7 +397,7 @@
     leader = _leader(_settings(8.0, cancel_s), 1, Monotonic(100.0))
     fleet = leader.fleet
     fleet.inherit([], Monotonic(100.0))
-    leader.seen = Seen(Revision(5), Monotonic(100.0))
+    leader.seen = CancellationKnowledge(Revision(5), Monotonic(100.0))
     job = leader.book.add(spec(pieces=1), Wall(0.0), Revision(1))
     for seq in (1, 2):
         fleet.report(report(_MACHINE, 1, seq, 1), _MACHINE, Monotonic(100.0), Wall(0.0))
@@ -454,7 +458,7 @@
     leader, _, job, binding = _bound()
     leader.book.complete(job, 0, Monotonic(101.0))
     assert job.id in leader.book.ending and list(job.bindings()) == [binding]
-    leader.keeper._client = cast(Any, SimpleNamespace(writes=Budget(1000.0)))
+    leader.keeper._client = cast(Any, SimpleNamespace(writes=RateLimiter(1000.0)))
     batch = leader.keeper._gather(Monotonic(101.0))
     (over,) = [c for c in batch.changes if c.get("set") == over_key(job.id)]
     assert over["value"]["status"] == wire.JOB_DONE
@@ -480,7 +484,7 @@
 
 def _heard(*beats: tuple[int, int, float]) -> Fleet:
     """A machine's reports: session, sequence number, time."""
-    fleet = Fleet(Book(8.0), Token(1), Monotonic(0.0), 8.0)
+    fleet = Fleet(JobStore(8.0), FencingToken(1), Monotonic(0.0), 8.0)
     fleet.inherit([], Monotonic(0.0))
     for session, seq, at in beats:
         _beat(fleet, seq, at, session=session)
@@ -523,12 +527,12 @@
     machine = fleet.machines[_MACHINE]
     at = [0.0]
 
-    class Lines:
+    class ConnectionPool:
         async def request(self, *_: object) -> HttpAnswer:
             at[0] += took_s
             raise NoAnswerError("TimeoutError", True, silent=True)
 
-    leader._lines = cast(Any, Lines())
+    leader._lines = cast(Any, ConnectionPool())
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(leader_module, "monotonic_now", lambda: at[0])
         assert not asyncio.run(leader._send_directly(machine, b"", [binding]))
@@ -570,11 +574,15 @@
     def __init__(self, **keys: tuple[Any, int]) -> None:
         self.keys = {key.replace("__", "/").replace("_", "-"): entry for key, entry in keys.items()}
 
-    async def get(self, key: str, rank: Rank = Rank.FIRST) -> wire.KeyValue | None:
+    async def get(
+        self, key: str, rank: RequestPriority = RequestPriority.FIRST
+    ) -> wire.KeyValue | None:
         entry = self.keys.get(key)
         return None if entry is None else wire.KeyValue(value=entry[0], version=entry[1])
 
-    async def scan(self, prefix: str, rank: Rank = Rank.FIRST) -> tuple[list[wire.Entry], Revision]:
+    async def scan(
+        self, prefix: str, rank: RequestPriority = RequestPriority.FIRST
+    ) -> tuple[list[wire.Entry], Revision]:
         return [], Revision(1)
 
 
@@ -582,8 +590,8 @@
 _NODE = {"spec": wire.plain(spec(id="lab1-0")), "at": 1.0, "owner": "lab1"}
 
 
-def _intake(records: _Records) -> Intake:
-    return Intake(cast(StateClient, records), _settings(), lambda: None)
+def _intake(records: _Records) -> Admission:
+    return Admission(cast(StateClient, records), _settings(), lambda: None)
 
 
 def test_a_nodes_poll_that_tells_of_its_graphs_end_is_acknowledged() -> None:
@@ -605,7 +613,9 @@
 
     records = _Records(over__lab1=(_GRAPH_OVER, 44))
     intake = _intake(records)
-    graphs = GraphIntake(cast(StateClient, records), _settings(), GraphFeatures(), intake, counts)
+    graphs = GraphAdmission(
+        cast(StateClient, records), _settings(), GraphFeatures(), intake, counts
+    )
     intake.names = graphs
     assert asyncio.run(graphs.show("lab1")).body["status"] == wire.JOB_CANCELLED
     assert intake.acknowledged.since(Revision(43)) == ["lab1"]
@@ -665,7 +675,7 @@
         with pytest.MonkeyPatch.context() as patch:
             patch.setattr(leader_module, "_RETRY_S", 0.0)
             with pytest.raises(asyncio.CancelledError):
-                await leader._watch_jobs(Seen(Revision(0), Monotonic(1.0)))
+                await leader._watch_jobs(CancellationKnowledge(Revision(0), Monotonic(1.0)))
 
     asyncio.run(scenario())
     assert asked == [2.0, 2.0, 0.0, 0.0, 2.0, 2.0]
@@ -690,7 +700,7 @@
         return found
 
     client._http.request = request  # type: ignore[method-assign,assignment]
-    intake = Intake(client, parsed, lambda: None)
+    intake = Admission(client, parsed, lambda: None)
 
     async def scenario() -> None:
         for _ in range(50):
--- a/tests/test_meetings_lab.py
+++ b/tests/test_meetings_lab.py
@@ -18,18 +18,18 @@
 
 from tealrill import wire
 from tealrill.fleet.machines import Fleet, Machine
-from tealrill.fleet.provisioning import Renter
+from tealrill.fleet.provisioning import Provisioner
 from tealrill.leader.leader import Leader
 from tealrill.leadership.election import Election
-from tealrill.leadership.lease_extension import Seen
-from tealrill.simulation.cluster import Script, Shape, World, play
-from tealrill.simulation.faults import Troubles
+from tealrill.leadership.lease_extension import CancellationKnowledge
+from tealrill.simulation.cluster import Script, Shape, SimulatedCluster, play
+from tealrill.simulation.faults import FaultInjector
 from tealrill.state.acknowledged_cancellations import AcknowledgedCancellations
-from tealrill.state.admission import Intake, Reply
+from tealrill.state.admission import Admission, Reply
 from tealrill.state.client import Committed, OutcomeUnknownError
 from tealrill.state.fencing import Fence
-from tealrill.state.job_store import Book, Job, job_key
-from tealrill.state.write_batcher import Keeper
+from tealrill.state.job_store import Job, JobStore, job_key
+from tealrill.state.write_batcher import WriteBatcher
 from tealrill.types import JobId, Monotonic, Revision, monotonic_now
 from tests.test_bindings import work_for_who_answers
 
@@ -42,13 +42,13 @@
 # -- the meetings ---------------------------------------------------------------------------------
 
 
-def _end_leader(world: World, back_s: float = 3.0) -> None:
+def _end_leader(world: SimulatedCluster, back_s: float = 3.0) -> None:
     host = world.leader()
     if host is not None:
         world.end(host, back_s)
 
 
-async def _looked_at_closely(world: World) -> None:
+async def _looked_at_closely(world: SimulatedCluster) -> None:
     """All nodes are asked at once whenever something was told, while records move: jobs end, are
     called off and are sent anew, and nodes are refused, cut off and begin."""
     world.close_looks, world.at_end, world.odd, world.state.slow_s = True, 0.5, True, 0.05
@@ -72,7 +72,7 @@
     world.close_looks, world.at_end, world.odd, world.state.slow_s = False, 0.0, False, 0.0
 
 
-async def _answers_lost(world: World) -> None:
+async def _answers_lost(world: SimulatedCluster) -> None:
     """Every second change is carried out and its writer does not know, while leaders end."""
     world.state.lost, world.close_looks = 0.5, True
     for _ in range(4):
@@ -81,7 +81,7 @@
     world.state.lost = 0.0
 
 
-async def _transactions_late(world: World) -> None:
+async def _transactions_late(world: SimulatedCluster) -> None:
     """The same with changes that are carried out seconds later, after newer ones."""
     world.state.late = 0.5
     for _ in range(5):
@@ -90,7 +90,7 @@
     world.state.late = 0.0
 
 
-async def _at_the_limit(world: World) -> None:
+async def _at_the_limit(world: SimulatedCluster) -> None:
     """Each team uses what it may; jobs on machines that hang are called off, and leaders follow."""
     for _ in range(3):
         await asyncio.sleep(6.0)
@@ -100,7 +100,7 @@
         await asyncio.sleep(8.0)
 
 
-async def _hands_change(world: World) -> None:
+async def _hands_change(world: SimulatedCluster) -> None:
     """Jobs are called off before, in and after each change of the leader, planned or not."""
     for planned in (True, False):
         world.begin(_called_off_again_and_again(world))
@@ -113,13 +113,13 @@
         await asyncio.sleep(world.shape.cancel_s + 6.0)
 
 
-async def _called_off_again_and_again(world: World) -> None:
+async def _called_off_again_and_again(world: SimulatedCluster) -> None:
     for _ in range(50):
         await world.cancel_now(1, within_s=0.02)
         await asyncio.sleep(0.1)
 
 
-async def _up_at_once(world: World) -> None:
+async def _up_at_once(world: SimulatedCluster) -> None:
     """New machines work before their rental is answered or written down, and leaders end."""
     world.cloud.at_once, world.cloud.answers_s = True, 2.0
     for number in range(6):
@@ -136,7 +136,7 @@
     world.cloud.at_once, world.cloud.answers_s = False, 0.0
 
 
-async def _kept_reports(world: World) -> None:
+async def _kept_reports(world: SimulatedCluster) -> None:
     """Copies of old reports reach every controller as each leader begins, and some later."""
     world.for_next, world.copies = 0.9, 0.9
     for _ in range(6):
@@ -145,7 +145,7 @@
     world.for_next = world.copies = 0.0
 
 
-async def _flood(world: World) -> None:
+async def _flood(world: SimulatedCluster) -> None:
     """One-task jobs, four a second, a quarter called off; in its middle an outage and an end."""
     await asyncio.sleep(10.0)
     world.state.outage(True)
@@ -156,7 +156,7 @@
     await asyncio.sleep(10.0)
 
 
-async def _more_than_room(world: World) -> None:
+async def _more_than_room(world: SimulatedCluster) -> None:
     """More work than room, urgent and not, over links that take up to half a second each way."""
     world.links_s = 0.5
     for _ in range(3):
@@ -167,7 +167,7 @@
     world.links_s = 0.0
 
 
-async def _off_at_the_end(world: World) -> None:
+async def _off_at_the_end(world: SimulatedCluster) -> None:
     """Jobs are called off, asked about and sent again in the moment of their end."""
     world.at_end, world.close_looks, world.odd = 1.0, True, True
     world.state.slow_s = 0.3
@@ -176,13 +176,13 @@
     world.state.slow_s = 0.0
 
 
-async def _refused_and_off(world: World) -> None:
+async def _refused_and_off(world: SimulatedCluster) -> None:
     """Called off as the leader alone is refused; a second later an outage beyond `cancel_s`."""
     await asyncio.sleep(4.0)
-    await Troubles(world).refused_and_called_off()
+    await FaultInjector(world).refused_and_called_off()
 
 
-async def _mute(world: World) -> None:
+async def _mute(world: SimulatedCluster) -> None:
     """Half of the machines reach no controller; what they do is called off, and leaders end."""
     names = sorted(world.workers)[::2]
     world.mute.update(names)
@@ -204,7 +204,7 @@
         world.breach("returned", f"{gone} were mute for a short spell")
 
 
-async def _zones_lose_machines(world: World) -> None:
+async def _zones_lose_machines(world: SimulatedCluster) -> None:
     """Jobs with a rule about zones lose machines; the next leader does not hear where the others
     run."""
     for number in range(4):
@@ -220,7 +220,7 @@
         world.cut.difference_update(unlisted)
 
 
-async def _zones_parted(world: World) -> None:
+async def _zones_parted(world: SimulatedCluster) -> None:
     """A zone with workers and controllers is kept apart for longer than the workers' lease."""
     await asyncio.sleep(4.0)
     world.parted = True
@@ -232,7 +232,7 @@
     world.away.clear()
 
 
-async def _nobody_leads(world: World) -> None:
+async def _nobody_leads(world: SimulatedCluster) -> None:
     """All controllers are away, for less and for longer than the workers' lease."""
     for part in (0.5, 1.6):
         await asyncio.sleep(8.0)
@@ -241,7 +241,7 @@
         await asyncio.sleep(part * world.shape.lease_s + 4.0)
 
 
-async def _ten_leaders(world: World) -> None:
+async def _ten_leaders(world: SimulatedCluster) -> None:
     """Leaders end before they have read the records; between them jobs are called off."""
     await asyncio.sleep(4.0)
     world.state.scan_s = 2.0
@@ -257,7 +257,7 @@
     world.state.scan_s = 0.0
 
 
-async def _leader_apart(world: World) -> None:
+async def _leader_apart(world: SimulatedCluster) -> None:
     """It loses the state service and the controllers; workers and users still reach it."""
     await asyncio.sleep(4.0)
     host = world.leader()
@@ -271,7 +271,7 @@
     world.cut.difference_update(pairs)
 
 
-async def _held(world: World) -> None:
+async def _held(world: SimulatedCluster) -> None:
     """Commands and answers are held for longer than `cancel_s`; jobs are called off while a start
     of theirs is on its way."""
     world.held_s, world.off_on_the_way = 2.0 * world.shape.cancel_s, True
@@ -280,7 +280,7 @@
     await asyncio.sleep(2.0 * world.shape.cancel_s)
 
 
-async def _hung_for_long(world: World) -> None:
+async def _hung_for_long(world: SimulatedCluster) -> None:
     """Jobs are called off as their machines begin to hang, for less and for more than a lease."""
     shape = world.shape
     for hang_s in (0.9 * shape.lease_s, 1.4 * shape.lease_s, shape.cancel_s + 4.0):
@@ -295,7 +295,7 @@
 def _over_first(patch: Patch) -> None:
     """A job's end is looked for before the job, which moves in between."""
 
-    async def status(self: Intake, job_id: JobId) -> Reply:
+    async def status(self: Admission, job_id: JobId) -> Reply:
         over = self._over.get(job_id) or await self._read_over(job_id)
         if over is not None:
             return self._final(job_id, over)
@@ -303,45 +303,45 @@
             return Reply(404, {"error": "no such job"})
         return Reply(200, wire.job_status(job_id, wire.JOB_PENDING))
 
-    patch.setattr(Intake, "_status", status)
+    patch.setattr(Admission, "_status", status)
 
 
 def _remembers_for_a_moment(patch: Patch) -> None:
     """What was read is told again for a quarter of a second."""
-    whole = Intake._status
+    whole = Admission._status
     kept: dict[tuple[int, JobId], tuple[Monotonic, Reply]] = {}
 
-    async def status(self: Intake, job_id: JobId) -> Reply:
+    async def status(self: Admission, job_id: JobId) -> Reply:
         at, reply = kept.get((id(self), job_id), (Monotonic(-1e9), None))
         if reply is None or monotonic_now() - at > 0.25:
             reply = await whole(self, job_id)
             kept[(id(self), job_id)] = monotonic_now(), reply
         return reply
 
-    patch.setattr(Intake, "_status", status)
+    patch.setattr(Admission, "_status", status)
 
 
 def _accepted_without_an_answer(patch: Patch) -> None:
     """An acceptance of which nothing was heard is told as one."""
-    whole = Intake._commit_accepted
+    whole = Admission._commit_accepted
 
-    async def commit(self: Intake, *given: Any) -> Any:
+    async def commit(self: Admission, *given: Any) -> Any:
         try:
             return await whole(self, *given)
         except OutcomeUnknownError:
             return Committed(Revision(1))
 
-    patch.setattr(Intake, "_commit_accepted", commit)
+    patch.setattr(Admission, "_commit_accepted", commit)
 
 
 def _accepted_again(patch: Patch) -> None:
     """An acceptance that does not require that the job is new."""
-    whole = Intake._commit_accepted
+    whole = Admission._commit_accepted
 
-    async def commit(self: Intake, guards: list[Any], changes: list[Any]) -> Any:
+    async def commit(self: Admission, guards: list[Any], changes: list[Any]) -> Any:
         return await whole(self, [], changes)
 
-    patch.setattr(Intake, "_commit_accepted", commit)
+    patch.setattr(Admission, "_commit_accepted", commit)
 
 
 def _silence_is_success(patch: Patch) -> None:
@@ -368,9 +368,9 @@
 
 def _limits_forget(patch: Patch) -> None:
     """What former leaders bound does not count against limits."""
-    whole = Book.load
+    whole = JobStore.load
 
-    def load(self: Book, job: Job, *given: Any) -> Any:
+    def load(self: JobStore, job: Job, *given: Any) -> Any:
         cpus, gpus = dict(self.team_cpus), dict(self.team_gpus)
         found = whole(self, job, *given)
         self.team_cpus, self.team_gpus = cpus, gpus
@@ -380,31 +380,31 @@
             self.team_gpus.setdefault(binding.chunk.job.spec.team, 0.0)
         return found
 
-    patch.setattr(Book, "load", load)
+    patch.setattr(JobStore, "load", load)
 
 
 def _watch_begins_late(patch: Patch) -> None:
     """The watch of jobs begins where the reading ended, and not where it began."""
     whole = Leader._load
 
-    async def load(self: Leader) -> Seen:
+    async def load(self: Leader) -> CancellationKnowledge:
         seen = await whole(self)
         await asyncio.sleep(0.3)
         _, revision = await self._client.scan("job/")
-        return Seen(revision, seen.at)
+        return CancellationKnowledge(revision, seen.at)
 
     patch.setattr(Leader, "_load", load)
 
 
 def _rented_anew(patch: Patch) -> None:
     """What a rental brings is new, though it may have reported and been given work."""
-    whole = Renter._rented
+    whole = Provisioner._rented
 
-    def rented(self: Renter, name: str, *given: Any, **named: Any) -> None:
+    def rented(self: Provisioner, name: str, *given: Any, **named: Any) -> None:
         self._fleet.machines.pop(name, None)  # type: ignore[call-overload]
         whole(self, name, *given, **named)
 
-    patch.setattr(Renter, "_rented", rented)
+    patch.setattr(Provisioner, "_rented", rented)
 
 
 def _any_order(patch: Patch) -> None:
@@ -416,24 +416,24 @@
     """Lists of reports sent before the term count."""
     whole = Fleet.report
 
-    def report(self: Fleet, report: wire.Report, *given: Any) -> Any:
+    def report(self: Fleet, report: wire.Heartbeat, *given: Any) -> Any:
         values = {f: getattr(report, f) for f in report.__struct_fields__}
-        return whole(self, wire.Report(**{**values, "token": self._term}), *given)
+        return whole(self, wire.Heartbeat(**{**values, "token": self._term}), *given)
 
     patch.setattr(Fleet, "report", report)
 
 
 def _end_unguarded(patch: Patch) -> None:
     """A job is called done whether or not it was cancelled meanwhile."""
-    whole = Keeper._add_end
+    whole = WriteBatcher._add_end
 
-    def add_end(self: Keeper, batch: Any, job: Job, *given: Any) -> bool:
+    def add_end(self: WriteBatcher, batch: Any, job: Job, *given: Any) -> bool:
         found = whole(self, batch, job, *given)
         batch.guards.pop(job_key(job.id), None)
         batch.guards.pop(f"over/{job.id}", None)
         return found
 
-    patch.setattr(Keeper, "_add_end", add_end)
+    patch.setattr(WriteBatcher, "_add_end", add_end)
 
 
 def _acknowledges_nothing(patch: Patch) -> None:
@@ -600,12 +600,12 @@
 }
 
 
-def _play(meeting: Meeting, seed: int, until: str = "") -> World:
+def _play(meeting: Meeting, seed: int, until: str = "") -> SimulatedCluster:
     return play(seed, meeting.shape, 60.0, meeting.script, meeting.calm_s, until)
 
 
 @functools.cache
-def _sound(name: str) -> World:
+def _sound(name: str) -> SimulatedCluster:
     """The meeting with all guards, played once."""
     return _play(_MEETINGS[name], _MEETINGS[name].seed)
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -18,7 +18,7 @@
 from tealrill import features, settings, wire
 from tealrill.api.relay import PEER_PREFIX
 from tealrill.cli import main
-from tealrill.daemon import Node, new_loop, run_until_told
+from tealrill.daemon import Controller, new_loop, run_until_told
 from tealrill.fleet.catalogue import CATALOGUE_PATH
 from tealrill.http import Answer, Client
 from tealrill.leadership.lease_extension import EXTENSION_PATH, PING_PATH, ExtensionRequest
@@ -48,7 +48,7 @@
         values["services"] = {"cloud": self.cloud.address, "state": self.state.address}
         self.values = values
         self.switched = switched
-        self.node = Node(settings.parse(orjson.dumps(values)), switched)
+        self.node = Controller(settings.parse(orjson.dumps(values)), switched)
         self.client = Client(settings.parse_address(values["client_listen"]))
         self.operator = Client(settings.parse_address(values["cluster_listen"]))
 
@@ -72,7 +72,7 @@
 
     async def restart(self) -> None:
         await self.stop()
-        self.node = Node(settings.parse(orjson.dumps(self.values)), self.switched)
+        self.node = Controller(settings.parse(orjson.dumps(self.values)), self.switched)
         self.start()
         await self.until_it_leads()
 
--- a/tests/test_open_jobs.py
+++ b/tests/test_open_jobs.py
@@ -36,11 +36,11 @@
 )
 from tealrill.state.fencing import LEADER_KEY
 from tealrill.state.revision_clock import RevisionClock
-from tealrill.types import MachineId, Monotonic, Revision, Session, Token
+from tealrill.types import FencingToken, Incarnation, MachineId, Monotonic, Revision
 from tests.samples import SETTINGS, report
 
 MACHINE = MachineId("m-1")
-LEADER = KnownLeader("node-1", Token(3), Revision(1))
+LEADER = KnownLeader("node-1", FencingToken(3), Revision(1))
 WORKERS = settings.parse(orjson.dumps(SETTINGS)).params.workers
 JOBS = tuple(f"wk-{number:06d}" for number in range(4))
 GRAPH = "dag7"
@@ -476,4 +476,4 @@
     asyncio.run(jobs.refresh())
     assert jobs.known_through == world.now
     machine_left = jobs._left[MACHINE]
-    assert sum(left.session == Session(2) for left in machine_left) == len(many)
+    assert sum(left.session == Incarnation(2) for left in machine_left) == len(many)
--- a/tests/test_prober.py
+++ b/tests/test_prober.py
@@ -13,21 +13,21 @@
 from tornado import httpserver, netutil, web
 
 from tealrill import settings, wire
-from tealrill.daemon import Node
+from tealrill.daemon import Controller
 from tealrill.fleet import prober as prober_module
 from tealrill.fleet.cloud import Cloud, NoCapacityError
-from tealrill.fleet.connections import Lines
+from tealrill.fleet.connections import ConnectionPool
 from tealrill.fleet.machines import Fleet
 from tealrill.fleet.prober import Prober
-from tealrill.fleet.provisioning import Renter
+from tealrill.fleet.provisioning import Provisioner
 from tealrill.http import accepts
 from tealrill.leadership.lease_extension import PING_PATH
-from tealrill.leadership.transfer import GiveWay
+from tealrill.leadership.transfer import LeadershipTransfer
 from tealrill.scheduler.capacity import Rental
-from tealrill.scheduler.failure_detector import Verdict
+from tealrill.scheduler.failure_detector import Suspicion
 from tealrill.settings import Address
-from tealrill.state.job_store import Book
-from tealrill.types import MachineId, Monotonic, Token, Wall
+from tealrill.state.job_store import JobStore
+from tealrill.types import FencingToken, MachineId, Monotonic, Wall
 from tests.samples import SETTINGS, recorded_at_once, report
 from tests.standins import Worker
 from tests.test_node import World
@@ -68,7 +68,7 @@
 
 
 def _fleet(count: int, zone: str = "north") -> Fleet:
-    fleet = Fleet(Book(8.0), Token(1), Monotonic(0.0), 8.0)
+    fleet = Fleet(JobStore(8.0), FencingToken(1), Monotonic(0.0), 8.0)
     fleet.inherit([], Monotonic(0.0))
     for n in range(count):
         name = MachineId(f"m-{n}")
@@ -113,7 +113,7 @@
         await asyncio.sleep(0.01)
         _hear(fleet, range(20, 40), 11.0)
         prober.look(Monotonic(11.0))
-        assert set(prober.hearing.verdicts.values()) == {Verdict.GONE}
+        assert set(prober.hearing.verdicts.values()) == {Suspicion.GONE}
         assert len(prober.hearing.verdicts) == 20
         # At the limit of sockets a few attempts go on, so that a verdict is still reached.
         spare = -100
@@ -172,7 +172,7 @@
 
 def test_attempts_take_only_sockets_that_nobody_needs() -> None:
     machines = 0
-    lines = Lines(1000, lambda: machines)
+    lines = ConnectionPool(1000, lambda: machines)
     assert lines.spare == 920
     machines = 950
     assert lines.spare == -30
@@ -193,7 +193,7 @@
         server.add_sockets(sockets)
         values = copy.deepcopy(SETTINGS)
         values["members"][0]["peer_addr"] = f"127.0.0.1:{sockets[0].getsockname()[1]}"
-        giveway = GiveWay(settings.parse(orjson.dumps(values)))
+        giveway = LeadershipTransfer(settings.parse(orjson.dumps(values)))
         assert await giveway.better(100)
         assert not await giveway.better(1000), "a few always come to the wrong node"
         server.stop()
@@ -204,7 +204,7 @@
 
 
 def test_reports_are_counted_for_a_time() -> None:
-    giveway = GiveWay(settings.parse(orjson.dumps(SETTINGS)))
+    giveway = LeadershipTransfer(settings.parse(orjson.dumps(SETTINGS)))
     for n in range(5):
         giveway.took(Monotonic(10.0 + 0.1 * n))
     assert giveway.recent(Monotonic(11.0)) == 5
@@ -233,7 +233,7 @@
 
         try:
             await world.until_it_leads()
-            node: Node = world.node
+            node: Controller = world.node
             monkeypatch.setattr(node._giveway, "better", better)
             monkeypatch.setattr(node.election, "resign", resign)
             for n in range(3):
@@ -278,11 +278,11 @@
         return answer
 
 
-def _renter(answers: list[list[str] | None]) -> tuple[Renter, _Cloud, Fleet]:
-    fleet = Fleet(Book(8.0), Token(1), Monotonic(0.0), 8.0)
+def _renter(answers: list[list[str] | None]) -> tuple[Provisioner, _Cloud, Fleet]:
+    fleet = Fleet(JobStore(8.0), FencingToken(1), Monotonic(0.0), 8.0)
     fleet.inherit([], Monotonic(0.0))
     cloud = _Cloud(answers)
-    renter = Renter(cast(Cloud, cloud), fleet, Token(1), 2.0, *recorded_at_once())
+    renter = Provisioner(cast(Cloud, cloud), fleet, FencingToken(1), 2.0, *recorded_at_once())
     return renter, cloud, fleet
 
 
--- a/tests/test_profiling.py
+++ b/tests/test_profiling.py
@@ -12,7 +12,7 @@
 import pytest
 
 from tealrill import features, profiling
-from tealrill.profiling import CAUSES, LINE, Profile, Profiler, Size, Watch
+from tealrill.profiling import CAUSES, LINE, Profile, ProfileLog, Profiler, Size
 from tools import profiles
 
 
@@ -77,7 +77,7 @@
 
 
 def test_a_line_holds_what_the_tool_reads() -> None:
-    watch = Watch("node-0", 1.0)
+    watch = ProfileLog("node-0", 1.0)
     for number in range(200):
         watch._profiler.call(f"turn: some coroutine of a long name, {number}", lambda: None)
     size = Size(1.0, 1200, 30, 5000, 20000, 30000)
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -22,7 +22,7 @@
 from hypothesis import strategies as st
 
 from tealrill import settings, wire
-from tealrill.state.admission import Intake, Reply
+from tealrill.state.admission import Admission, Reply
 from tealrill.state.client import (
     Committed,
     GuardsFailed,
@@ -32,17 +32,17 @@
     StateUnavailableError,
 )
 from tealrill.state.fencing import LEADER_KEY, Leadership
-from tealrill.state.job_store import Book, Chunk, job_key
-from tealrill.state.rate_limiter import Budget, Rank
-from tealrill.state.write_batcher import Keeper
+from tealrill.state.job_store import Chunk, JobStore, job_key
+from tealrill.state.rate_limiter import RateLimiter, RequestPriority
+from tealrill.state.write_batcher import WriteBatcher
 from tealrill.types import (
+    FencingToken,
+    Incarnation,
     JobId,
     LeaseId,
     MachineId,
     Monotonic,
     Revision,
-    Session,
-    Token,
     Wall,
 )
 from tests.samples import SETTINGS, SUBMISSION
@@ -61,12 +61,12 @@
 class _Plenty:
     """A budget that never runs out."""
 
-    def available(self, rank: Rank = Rank.FIRST) -> float:
+    def available(self, rank: RequestPriority = RequestPriority.FIRST) -> float:
         return 100.0
 
     def spend(self, amount: float) -> None: ...
 
-    def take_now(self, amount: float = 1.0, rank: Rank = Rank.FIRST) -> bool:
+    def take_now(self, amount: float = 1.0, rank: RequestPriority = RequestPriority.FIRST) -> bool:
         return True
 
 
@@ -83,11 +83,15 @@
         self.writes = self.requests = self.accepts = _Plenty()
         self.away = False
 
-    async def get(self, key: str, rank: Rank = Rank.FIRST) -> wire.KeyValue | None:
+    async def get(
+        self, key: str, rank: RequestPriority = RequestPriority.FIRST
+    ) -> wire.KeyValue | None:
         entry = self.keys.get(key)
         return None if entry is None else wire.KeyValue(value=entry[0], version=entry[1])
 
-    async def scan(self, prefix: str, rank: Rank = Rank.FIRST) -> tuple[list[wire.Entry], Revision]:
+    async def scan(
+        self, prefix: str, rank: RequestPriority = RequestPriority.FIRST
+    ) -> tuple[list[wire.Entry], Revision]:
         return [
             wire.Entry(key=k, value=v, version=r)
             for k, (v, r) in sorted(self.keys.items())
@@ -134,9 +138,9 @@
         self.store = Store(self.rng, guarded)
         client = cast(StateClient, self.store)
         parsed = settings.parse(orjson.dumps(SETTINGS))
-        self.nodes = [Intake(client, parsed, lambda: _CATALOGUE) for _ in range(3)]
+        self.nodes = [Admission(client, parsed, lambda: _CATALOGUE) for _ in range(3)]
         self.client = client
-        self.book = Book(8.0)
+        self.book = JobStore(8.0)
         self.keeper = self._keeper(Revision(1))
         self.running: dict[tuple[str, int], int] = {}
         """Started attempts that no proof has ended, by job and task."""
@@ -153,7 +157,7 @@
         for name in JOBS:
             self._told(name, await self._node().status(name))
 
-    def _node(self) -> Intake:
+    def _node(self) -> Admission:
         return self.rng.choice(self.nodes)
 
     async def submit(self) -> None:
@@ -178,9 +182,9 @@
             guards, changes = self.store.late.pop(self.rng.randrange(len(self.store.late)))
             self.store.execute(guards, changes)
 
-    def _keeper(self, stamp: Revision) -> Keeper:
-        mine = Leadership(Token(1), stamp, LeaseId(1), NOW, Monotonic(1e9))
-        return Keeper(self.client, self.book, mine, 12, self._start, lambda _: None)
+    def _keeper(self, stamp: Revision) -> WriteBatcher:
+        mine = Leadership(FencingToken(1), stamp, LeaseId(1), NOW, Monotonic(1e9))
+        return WriteBatcher(self.client, self.book, mine, 12, self._start, lambda _: None)
 
     def _start(self, chunks: list[Chunk]) -> None:
         """What is committed may run from now on."""
@@ -196,7 +200,7 @@
         """The leader's process ends in the middle of anything, and another one is elected."""
         self.store.epoch += 1
         self.store.keys[LEADER_KEY] = ({}, self.store.epoch)
-        self.book = Book(8.0)
+        self.book = JobStore(8.0)
         self.keeper = self._keeper(Revision(self.store.keys[LEADER_KEY][1]))
         entries, _ = await self.store.scan("")
         for entry in entries:
@@ -224,7 +228,7 @@
             index = self.book.take_task(job)
             if index is not None:
                 self.book.bind(
-                    job, index, MachineId("m-1"), Session(1), "north", False, Wall(0.0), NOW
+                    job, index, MachineId("m-1"), Incarnation(1), "north", False, Wall(0.0), NOW
                 )
             for binding in list(job.bindings())[:1]:
                 if binding.committed:
@@ -280,7 +284,7 @@
         super().__init__(random.Random(0), True)
         self.calm = True
         self.busy = busy
-        self.accepts = Budget(1.0, depth=20.0)  # type: ignore[assignment]
+        self.accepts = RateLimiter(1.0, depth=20.0)  # type: ignore[assignment]
 
     async def commit(
         self, guards: list[Any], changes: list[Any], paid: bool = False, timeout_s: float = 2.0
@@ -292,7 +296,7 @@
 
 
 def _submit_all(store: Store, count: int) -> list[Reply]:
-    intake = Intake(
+    intake = Admission(
         cast(StateClient, store), settings.parse(orjson.dumps(SETTINGS)), lambda: _CATALOGUE
     )
 
@@ -321,7 +325,9 @@
     spec = wire.decode(orjson.dumps({**SUBMISSION, "pieces": 150}), wire.JobSpec)
     job = service.book.add(spec, Wall(0.0), Revision(1))
     for index in range(150):
-        service.book.bind(job, index, MachineId("m-1"), Session(1), "north", False, Wall(0.0), NOW)
+        service.book.bind(
+            job, index, MachineId("m-1"), Incarnation(1), "north", False, Wall(0.0), NOW
+        )
     batch = service.keeper._gather(NOW)
     assert len(batch.changes) == len(job.chunks) == 2
     assert not any(binding.committed for binding in job.bindings())
@@ -330,9 +336,9 @@
 def test_an_urgent_jobs_binding_does_not_wait_for_hundreds_of_others() -> None:
     """After a fall all that was lost is bound again at once, and changes are few."""
     client = cast(StateClient, Store(random.Random(1), True))
-    book = Book(8.0)
-    mine = Leadership(Token(1), Revision(1), LeaseId(1), NOW, Monotonic(1e9))
-    keeper = Keeper(client, book, mine, 4, lambda _: None, lambda _: None)
+    book = JobStore(8.0)
+    mine = Leadership(FencingToken(1), Revision(1), LeaseId(1), NOW, Monotonic(1e9))
+    keeper = WriteBatcher(client, book, mine, 4, lambda _: None, lambda _: None)
 
     def bind(number: int, urgency: str) -> None:
         changes = {**SUBMISSION, "id": f"wk-{number:06d}", "urgency": urgency}
@@ -341,7 +347,7 @@
         )
         index = book.take_task(job)
         assert index is not None
-        book.bind(job, index, MachineId("m-1"), Session(1), "north", False, Wall(0.0), NOW)
+        book.bind(job, index, MachineId("m-1"), Incarnation(1), "north", False, Wall(0.0), NOW)
 
     for number in range(1, 11):
         bind(number, "standard")
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -10,7 +10,7 @@
 
 from tealrill import settings
 from tealrill.api import relay as relay_module
-from tealrill.api.relay import Relay, Users
+from tealrill.api.relay import JobRequests, Relay
 from tealrill.http import Answer, Client, NoAnswerError
 from tealrill.state.admission import Reply
 from tests.samples import SETTINGS
@@ -55,7 +55,7 @@
 ) -> tuple[int, int]:
     monkeypatch.setattr("tealrill.api.relay._SLOW_S", 0.01)
     parsed = settings.parse(orjson.dumps(SETTINGS))
-    relay = Relay(cast(Users, _Local(local)), parsed, lambda: failing)
+    relay = Relay(cast(JobRequests, _Local(local)), parsed, lambda: failing)
     other = _Peer(peer)
     relay._peers = [cast(Client, other)]
     return asyncio.run(relay.submit(b"{}")).status, other.asked
@@ -87,7 +87,7 @@
     at = [100.0]
     monkeypatch.setattr(relay_module, "monotonic_now", lambda: at[0])
     parsed = settings.parse(orjson.dumps(SETTINGS))
-    relay = Relay(cast(Users, _Local(_REFUSED)), parsed, lambda: True)
+    relay = Relay(cast(JobRequests, _Local(_REFUSED)), parsed, lambda: True)
     other = _Peer(503)
     relay._peers = [cast(Client, other)]
 
--- a/tests/test_renewal_delegation.py
+++ b/tests/test_renewal_delegation.py
@@ -9,7 +9,7 @@
 import pytest
 
 from tealrill import settings, wire
-from tealrill.daemon import Node
+from tealrill.daemon import Controller
 from tealrill.http import Answer, Client, NoAnswerError
 from tealrill.leadership.election import Election, KnownLeader
 from tealrill.leadership.renewal_delegation import (
@@ -26,11 +26,11 @@
     StateUnavailableError,
 )
 from tealrill.state.fencing import LEADER_KEY
-from tealrill.types import MachineId, Monotonic, Revision, Token
+from tealrill.types import FencingToken, MachineId, Monotonic, Revision
 from tests.samples import SETTINGS, report
 
 MACHINE = MachineId("m-1")
-LEADER = KnownLeader("node-1", Token(3), Revision(7))
+LEADER = KnownLeader("node-1", FencingToken(3), Revision(7))
 
 
 class Store:
@@ -93,7 +93,7 @@
         self.delegate = RenewalDelegate(parsed, client, self.election, lambda: self.now)
         self.leader = _Leader()
 
-    def tick(self) -> Token | None:
+    def tick(self) -> FencingToken | None:
         async def run() -> None:
             await self.delegate._ping(cast(Client, self.leader))
             if self.delegate._wanted(self.now):
@@ -102,7 +102,7 @@
         asyncio.run(run())
         return self.term()
 
-    def term(self) -> Token | None:
+    def term(self) -> FencingToken | None:
         """For a worker without tasks."""
         return self.delegate.renews(report(MACHINE, 1, 1, 0), MACHINE, self.now)
 
@@ -133,7 +133,7 @@
     assert DELEGATION_PREFIX + "node-0" not in store.keys
     store.keys[LEADER_KEY] = ({}, 7)
     assert side.tick() == 3
-    side.election.known = KnownLeader("node-1", Token(4), Revision(9))
+    side.election.known = KnownLeader("node-1", FencingToken(4), Revision(9))
     assert side.term() is None
 
 
@@ -170,7 +170,7 @@
     side.tick()
     ended: list[int] = []
     delegations = Delegations(
-        cast(StateClient, store), Token(3), Revision(8), lambda: ended.append(1)
+        cast(StateClient, store), FencingToken(3), Revision(8), lambda: ended.append(1)
     )
     asyncio.run(delegations.stand(Monotonic(1.0), False))
     with pytest.raises(StateError):
@@ -192,20 +192,20 @@
     side = _Side(store)
     side.tick()
     side.tick()
-    later = Delegations(cast(StateClient, store), Token(4), Revision(9), lambda: None)
+    later = Delegations(cast(StateClient, store), FencingToken(4), Revision(9), lambda: None)
     assert asyncio.run(later.stand(Monotonic(1.0), False)) is False
 
 
 def test_no_worker_is_sent_to_a_leader_that_does_not_answer_this_node() -> None:
     # In a cut between zones workers came to the node beside them, were sent back to the leader
     # beyond the cut, and lost 4 s of their lease there each time.
-    node = Node(settings.parse(orjson.dumps(SETTINGS)))
+    node = Controller(settings.parse(orjson.dumps(SETTINGS)))
     node.election.known = LEADER
     beat = {
         "kiln": "m-1", "addr": "10.0.0.1:1", "build": "g8", "hall": "north", "loaners": False,
         "shift": 1, "tick": 1, "baton": 3, "warningS": None, "pieces": [],
     }  # fmt: skip
-    report = wire.decode(orjson.dumps(beat), wire.Report)
+    report = wire.decode(orjson.dumps(beat), wire.Heartbeat)
     assert node.take_report(report, MachineId("m-1")) == (421, {"foreman": "node-1"})
     node._delegate._cut_since = Monotonic(0.0)
     assert node.take_report(report, MachineId("m-1")) == (421, {})
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -8,12 +8,12 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tealrill.fleet.capacity_backoff import Refusals
-from tealrill.scheduler.capacity_losses import Losses
+from tealrill.fleet.capacity_backoff import CapacityBackoff
+from tealrill.scheduler.capacity_losses import CapacityLosses
 from tealrill.scheduler.failure_detector import (
     MISSES,
-    Sign,
-    Verdict,
+    Evidence,
+    Suspicion,
     back_in_s,
     hears_nobody,
     judge,
@@ -26,55 +26,61 @@
 _HEARD_S, _SILENT_S = 1.0, 9.0
 
 
-def _signs(zone: str, count: int, silent_s: float, **more: Any) -> list[Sign]:
-    return [Sign(MachineId(f"{zone}-{silent_s}-{n}"), zone, silent_s, **more) for n in range(count)]
+def _signs(zone: str, count: int, silent_s: float, **more: Any) -> list[Evidence]:
+    return [
+        Evidence(MachineId(f"{zone}-{silent_s}-{n}"), zone, silent_s, **more) for n in range(count)
+    ]
 
 
-def _verdicts(signs: list[Sign]) -> set[Verdict]:
+def _verdicts(signs: list[Evidence]) -> set[Suspicion]:
     return set(judge(signs, _REPORT_S).verdicts.values())
 
 
 def test_machines_without_a_connection_in_a_zone_that_is_heard_are_gone() -> None:
     heard = _signs("north", 20, _HEARD_S)
-    assert _verdicts(heard + _signs("north", 30, _SILENT_S, misses=MISSES)) == {Verdict.GONE}
+    assert _verdicts(heard + _signs("north", 30, _SILENT_S, misses=MISSES)) == {Suspicion.GONE}
     # One attempt may have lost a packet.
-    assert _verdicts(heard + _signs("north", 30, _SILENT_S, misses=1)) == {Verdict.LATE}
+    assert _verdicts(heard + _signs("north", 30, _SILENT_S, misses=1)) == {Suspicion.LATE}
 
 
 def test_a_zone_that_is_not_heard_is_cut_off_and_its_machines_are_not_gone() -> None:
     signs = _signs("north", 20, _HEARD_S) + _signs("south", 20, _SILENT_S, misses=9)
     hearing = judge(signs, _REPORT_S)
     assert hearing.cut_zones == {"south"} and not hearing.deaf
-    assert set(hearing.verdicts.values()) == {Verdict.CUT}
+    assert set(hearing.verdicts.values()) == {Suspicion.CUT}
 
 
 def test_the_first_machines_of_a_cut_are_not_taken_for_deaths() -> None:
     # Reports are up to 1.25 periods apart, so a zone falls silent machine by machine.
     first = _signs("south", 5, 2.8 * _REPORT_S, misses=MISSES)
     last = _signs("south", 15, 1.6 * _REPORT_S, misses=MISSES)
-    assert _verdicts(_signs("north", 20, _HEARD_S) + first + last) == {Verdict.CUT}
+    assert _verdicts(_signs("north", 20, _HEARD_S) + first + last) == {Suspicion.CUT}
 
 
 def test_a_leader_that_hears_no_zone_is_deaf_and_calls_nothing_gone() -> None:
     signs = _signs("north", 20, _SILENT_S, misses=9) + _signs("south", 9, _SILENT_S, misses=9)
     hearing = judge(signs, _REPORT_S)
-    assert hearing.deaf and set(hearing.verdicts.values()) == {Verdict.CUT}
+    assert hearing.deaf and set(hearing.verdicts.values()) == {Suspicion.CUT}
 
 
 def test_machines_that_connect_and_say_nothing_hang_though_none_of_their_zone_is_heard() -> None:
-    signs = [Sign(MachineId(f"m-{n}"), "north", _SILENT_S, accepts=True) for n in range(20)]
+    signs = [Evidence(MachineId(f"m-{n}"), "north", _SILENT_S, accepts=True) for n in range(20)]
     hearing = judge(signs, _REPORT_S)
-    assert set(hearing.verdicts.values()) == {Verdict.HUNG} and not hearing.cut_zones
+    assert set(hearing.verdicts.values()) == {Suspicion.HUNG} and not hearing.cut_zones
 
 
 def test_a_whole_zone_taken_back_is_told_from_a_cut_by_the_clouds_lists() -> None:
     heard = _signs("north", 20, _HEARD_S)
-    assert _verdicts(heard + _signs("south", 20, _SILENT_S, misses=9, unlisted=1)) == {Verdict.CUT}
-    assert _verdicts(heard + _signs("south", 20, _SILENT_S, misses=9, unlisted=2)) == {Verdict.GONE}
+    assert _verdicts(heard + _signs("south", 20, _SILENT_S, misses=9, unlisted=1)) == {
+        Suspicion.CUT
+    }
+    assert _verdicts(heard + _signs("south", 20, _SILENT_S, misses=9, unlisted=2)) == {
+        Suspicion.GONE
+    }
 
 
 _SIGN = st.builds(
-    Sign,
+    Evidence,
     st.integers(0, 10**6).map(lambda n: MachineId(f"m-{n}")),
     st.sampled_from(["north", "south", "west"]),
     st.floats(0.0, 60.0),
@@ -85,18 +91,18 @@
 
 
 @given(st.lists(_SIGN, max_size=40, unique_by=lambda sign: sign.machine))
-def test_verdicts_on_generated_fleets(signs: list[Sign]) -> None:
+def test_verdicts_on_generated_fleets(signs: list[Evidence]) -> None:
     hearing = judge(signs, _REPORT_S)
     by_id = {sign.machine: sign for sign in signs}
     live = {s.zone for s in signs if s.silent_s <= live_within_s(_REPORT_S)}
     for machine, verdict in hearing.verdicts.items():
         sign = by_id[machine]
         assert sign.silent_s > live_within_s(_REPORT_S)
-        if verdict is Verdict.GONE:
+        if verdict is Suspicion.GONE:
             # Nothing is given up that connects, nor in a zone of several of which none is heard.
             assert sign.unlisted >= 2 or (not sign.accepts and sign.misses >= MISSES)
             assert sign.unlisted >= 2 or sign.zone not in hearing.cut_zones
-        assert back_in_s(verdict, sign.silent_s) is None or verdict is not Verdict.GONE
+        assert back_in_s(verdict, sign.silent_s) is None or verdict is not Suspicion.GONE
     for sign in signs:
         if sign.silent_s > silent_after_s(_REPORT_S):
             assert sign.machine in hearing.verdicts
@@ -104,9 +110,9 @@
 
 
 def test_a_silence_is_expected_to_last_as_long_again() -> None:
-    assert back_in_s(Verdict.HUNG, 12.0) == 12.0
-    assert back_in_s(Verdict.CUT, 0.5) == pytest.approx(2.0)
-    assert back_in_s(Verdict.GONE, 12.0) is None
+    assert back_in_s(Suspicion.HUNG, 12.0) == 12.0
+    assert back_in_s(Suspicion.CUT, 0.5) == pytest.approx(2.0)
+    assert back_in_s(Suspicion.GONE, 12.0) is None
 
 
 def test_a_leader_is_deaf_only_if_it_heard_several_machines() -> None:
@@ -118,13 +124,13 @@
 # -- losses ---------------------------------------------------------------------------------------
 
 
-def _lose(losses: Losses, count: int, at: float = 0.0, cpus: float = 6.0) -> None:
+def _lose(losses: CapacityLosses, count: int, at: float = 0.0, cpus: float = 6.0) -> None:
     for n in range(count):
         losses.lost(MachineId(f"m-{at}-{n}"), "big", cpus, Monotonic(at))
 
 
 def test_what_was_in_use_on_machines_lost_together_is_owed() -> None:
-    losses = Losses()
+    losses = CapacityLosses()
     _lose(losses, 20)
     assert losses.owed(Monotonic(1.0), 200) == {"big": 120.0}
     losses.rented("other", 50.0)
@@ -135,10 +141,10 @@
 
 
 def test_single_losses_and_losses_one_after_the_other_are_left_to_the_queue() -> None:
-    losses = Losses()
+    losses = CapacityLosses()
     _lose(losses, 4)
     assert losses.owed(Monotonic(0.0), 10) == {}
-    apart = Losses()
+    apart = CapacityLosses()
     for n in range(12):
         _lose(apart, 1, at=6.0 * n)
     assert apart.owed(Monotonic(67.0), 10) == {}
@@ -148,7 +154,7 @@
 
 
 def test_a_machine_is_counted_once_and_not_any_more_once_it_is_back() -> None:
-    losses = Losses()
+    losses = CapacityLosses()
     _lose(losses, 10)
     _lose(losses, 10)
     assert losses.owed(Monotonic(0.0), 50) == {"big": 60.0}
@@ -171,7 +177,7 @@
 def test_never_more_is_owed_than_was_lost_and_not_replaced(
     steps: list[tuple[str, int, float]],
 ) -> None:
-    losses, now = Losses(), Monotonic(0.0)
+    losses, now = CapacityLosses(), Monotonic(0.0)
     lost: dict[int, float] = {}
     for step, number, amount in steps:
         if step == "lost":
@@ -194,7 +200,7 @@
 
 
 def test_refusals_double_while_nothing_is_given_and_end_when_machines_have_gone() -> None:
-    refusals, kind, now = Refusals(), ("big", "north", True), Monotonic(0.0)
+    refusals, kind, now = CapacityBackoff(), ("big", "north", True), Monotonic(0.0)
     waits: list[float] = []
     for _ in range(4):
         refusals.answered(kind, 10, 0, now)
@@ -217,7 +223,7 @@
 
 def test_lost_machines_shorten_a_refusal_and_do_not_end_it() -> None:
     """Dead ones hold their places: asked for with each that was lost, calls went out in vain."""
-    refusals, kind = Refusals(), ("big", "north", True)
+    refusals, kind = CapacityBackoff(), ("big", "north", True)
     refusals.answered(kind, 10, 0, Monotonic(0.0))
     refusals.answered(kind, 10, 0, Monotonic(10.0))
     for _ in range(100):
--- a/tests/test_submissions.py
+++ b/tests/test_submissions.py
@@ -16,9 +16,9 @@
 from hypothesis import strategies as st
 
 from tealrill import settings, wire
-from tealrill.state.admission import Intake, Reply
+from tealrill.state.admission import Admission, Reply
 from tealrill.state.client import Committed, StateClient
-from tealrill.state.rate_limiter import Rank
+from tealrill.state.rate_limiter import RequestPriority
 from tealrill.types import Revision
 from tests.samples import SETTINGS, SUBMISSION
 
@@ -62,10 +62,14 @@
     def take_now(self) -> bool:
         return True
 
-    async def get(self, key: str, rank: Rank = Rank.FIRST) -> wire.KeyValue | None:
+    async def get(
+        self, key: str, rank: RequestPriority = RequestPriority.FIRST
+    ) -> wire.KeyValue | None:
         return wire.KeyValue(value=self.keys[key], version=3) if key in self.keys else None
 
-    async def scan(self, prefix: str, rank: Rank = Rank.FIRST) -> tuple[list[wire.Entry], Revision]:
+    async def scan(
+        self, prefix: str, rank: RequestPriority = RequestPriority.FIRST
+    ) -> tuple[list[wire.Entry], Revision]:
         return [], Revision(3)
 
     async def commit(self, guards: Any, changes: Any, paid: bool = False) -> Committed:
@@ -75,7 +79,7 @@
 
 def _submit(body: bytes, client: _Client, catalogue: wire.Catalogue | None = _CATALOGUE) -> Reply:
     parsed = settings.parse(orjson.dumps(SETTINGS))
-    intake = Intake(cast(StateClient, client), parsed, lambda: catalogue)
+    intake = Admission(cast(StateClient, client), parsed, lambda: catalogue)
     return asyncio.run(intake.submit(body))
 
 
--- a/tests/test_waits.py
+++ b/tests/test_waits.py
@@ -17,11 +17,11 @@
 from tealrill.state.job_store import Binding, Job
 from tealrill.types import (
     Attempt,
+    Incarnation,
     JobId,
     MachineId,
     Monotonic,
     Revision,
-    Session,
     TaskId,
     Wall,
 )
@@ -236,7 +236,7 @@
     job = world.job(crew="red", vcpus=0.1)
     for attempt in range(10_000):
         binding = world.book.bind(
-            job, 0, MachineId("m-1"), Session(1), "north", False, Wall(0.0), world.now
+            job, 0, MachineId("m-1"), Incarnation(1), "north", False, Wall(0.0), world.now
         )
         assert binding.attempt == Attempt(attempt + 1)
         world.book.release(binding, "north", world.now)
--- a/tools/falls.py
+++ b/tools/falls.py
@@ -97,7 +97,7 @@
     total: int
 
 
-class Report(msgspec.Struct):
+class Heartbeat(msgspec.Struct):
     """The parts of a day's report that are used here."""
 
     scenario: str
@@ -110,8 +110,8 @@
     rules_broken: Rules
 
 
-def read(path: Path) -> Report:
-    return msgspec.json.decode(path.read_bytes(), type=Report)
+def read(path: Path) -> Heartbeat:
+    return msgspec.json.decode(path.read_bytes(), type=Heartbeat)
 
 
 # -- days -----------------------------------------------------------------------------------------
@@ -158,7 +158,7 @@
 _RENTAL: Final = re.compile(r"rental \S+: (\d+) of (\d+) ")
 
 
-def course(report: Report, log: str, at_s: float) -> Course:
+def course(report: Heartbeat, log: str, at_s: float) -> Course:
     """Follows one fall through a day."""
     known = lapsed = granted_at = None
     granted = asked = noticed = 0
--- a/tools/graph_cost.py
+++ b/tools/graph_cost.py
@@ -32,7 +32,7 @@
 from tealrill.features import GraphFeatures
 from tealrill.fleet.cloud import Cloud
 from tealrill.graphs import records
-from tealrill.graphs.leader_extension import GraphTerm, Live, _shape
+from tealrill.graphs.leader_extension import GraphLeaderExtension, Live, _shape
 from tealrill.graphs.model import Node
 from tealrill.graphs.tracker import OVER_DONE, Progress
 from tealrill.http import Client, NoAnswerError
@@ -43,7 +43,15 @@
 from tealrill.state.client import StateClient
 from tealrill.state.fencing import Leadership
 from tealrill.state.job_store import Owner
-from tealrill.types import LeaseId, MachineId, Monotonic, Revision, Token, monotonic_now, wall_now
+from tealrill.types import (
+    FencingToken,
+    LeaseId,
+    MachineId,
+    Monotonic,
+    Revision,
+    monotonic_now,
+    wall_now,
+)
 from tests import standins
 from tests.samples import SETTINGS, report, spec
 from tools.load import Machines, sample_job, settings_for
@@ -142,7 +150,7 @@
 
 def _leader(nodes: int, machines: int, jobs: int, gated: bool) -> Leader:
     """With the nodes that wait for nothing in the queue, as plain jobs or as those of a graph."""
-    mine = Leadership(Token(1), Revision(1), LeaseId(1), monotonic_now(), Monotonic(1e12))
+    mine = Leadership(FencingToken(1), Revision(1), LeaseId(1), monotonic_now(), Monotonic(1e12))
     given = settings.parse(orjson.dumps(SETTINGS))
     leader = Leader(
         given,
@@ -151,7 +159,7 @@
         cast(Election, _Elected(mine)),
         mine,
         Estimates(),
-        [lambda term: GraphTerm(term, GraphFeatures(on=True))],
+        [lambda term: GraphLeaderExtension(term, GraphFeatures(on=True))],
     )
     leader.fleet.inherit([], monotonic_now())
     kind = {
@@ -169,7 +177,7 @@
         leader.book.add(job, wall_now(), Revision(1))
     live = _live(families("fam1", nodes))
     if gated:
-        part = cast(GraphTerm, leader.parts[0])
+        part = cast(GraphLeaderExtension, leader.parts[0])
         part._heads["fam1"] = (live.head, live.owner)
         part._live["fam1"] = live
     while (index := live.progress.next_ready()) is not None:
