--- a/tealrill/api/front.py
+++ b/tealrill/api/front.py
@@ -77,16 +77,18 @@
 
 
 class HttpFrontend(httputil.HTTPServerConnectionDelegate):
-    """Takes every request of a server; `take_report` answers workers, `application` the rest."""
+    """Takes every request of a server; `handle_heartbeat` answers workers, `application` the
+    rest.
+    """
 
     def __init__(
         self,
         application: httputil.HTTPServerConnectionDelegate,
         most_held: int,
-        take_report: TakeReport | None = None,
+        handle_heartbeat: TakeReport | None = None,
     ) -> None:
         self.application = application
-        self.take_report = take_report
+        self.handle_heartbeat = handle_heartbeat
         self.reports = BodyMemory(most_held)
         self.others = BodyMemory(most_held)
         """Apart, so that a flood of users' bodies keeps no worker from its lease."""
@@ -218,7 +220,7 @@
         self.began = True
         assert isinstance(start_line, httputil.RequestStartLine)
         if (
-            self._front.take_report is not None
+            self._front.handle_heartbeat is not None
             and start_line.path == wire.REPORT_PATH
             and start_line.method == "POST"
         ):
@@ -265,8 +267,8 @@
             self._next.on_connection_close()
 
     def _report(self, body: bytes) -> HeartbeatHandler:
-        take_report = self._front.take_report
-        assert take_report is not None
+        handle_heartbeat = self._front.handle_heartbeat
+        assert handle_heartbeat is not None
         try:
             report = wire.decode(body, wire.Heartbeat)
         except wire.MalformedMessageError as error:
@@ -274,4 +276,4 @@
         machine_id = parse_machine_id(report.machine)
         if machine_id is None:
             return 400, {"error": "malformed machine id - at `$.kiln`"}
-        return take_report(report, machine_id)
+        return handle_heartbeat(report, machine_id)
--- a/tealrill/api/users.py
+++ b/tealrill/api/users.py
@@ -10,8 +10,8 @@
 
 
 class _AdmissionHandler(JsonHandler):
-    def initialize(self, intake: JobRequests) -> None:
-        self._intake = intake
+    def initialize(self, admission: JobRequests) -> None:
+        self._admission = admission
 
     def answer(self, reply: Reply) -> None:
         self.reply(reply.status, reply.body, reply.retry_after_s)
@@ -19,17 +19,17 @@
 
 class JobsHandler(_AdmissionHandler):
     async def post(self) -> None:
-        self.answer(await self._intake.submit(self.request.body))
+        self.answer(await self._admission.submit(self.request.body))
 
 
 class JobHandler(_AdmissionHandler):
     async def get(self, job: str) -> None:
-        self.answer(await self._intake.status(job))
+        self.answer(await self._admission.status(job))
 
 
 class CancelHandler(_AdmissionHandler):
     async def post(self, job: str) -> None:
-        self.answer(await self._intake.cancel(job))
+        self.answer(await self._admission.cancel(job))
 
 
 class HealthHandler(JsonHandler):
--- a/tealrill/daemon.py
+++ b/tealrill/daemon.py
@@ -88,13 +88,13 @@
         self.election = Election(
             self._client, settings.host_name, self._leader_changed.set, PROMISE_S
         )
-        self.election.well_placed = self._well_placed
+        self.election.has_quorum_reach = self._well_placed
         self.leader: Leader | None = None
         self._catalogues = Catalogues(settings, self._cloud)
-        self.intake = Admission(self._client, settings, lambda: self._catalogues.known)
-        self.intake.counts = self._counts
+        self.admission = Admission(self._client, settings, lambda: self._catalogues.known)
+        self.admission.counts = self._counts
         self._extension = LeaseExtension(
-            settings, self._client, self.election, self.intake.acknowledged
+            settings, self._client, self.election, self.admission.acknowledged
         )
         self.election.nobody_leads = self._extension.nobody_leads
         self.election.others_up = self._extension.others_up
@@ -106,21 +106,21 @@
         self._extension.seen = lambda: (
             self.leader.known if self.leader is not None else CancellationKnowledge()
         )
-        self._extension.vouched = self._vouched
+        self._extension.cancellations_known_until = self._vouched
         self._extension.cancelled = self._cancelled_elsewhere
         self._extension.is_excluded = self._is_excluded
-        self._extension.prolonged = self._prolonged
+        self._extension.extended = self._prolonged
         self._last_report: Monotonic | None = None
         self._report_counts = HeartbeatCounts()
-        self._giveway = LeadershipTransfer(settings)
-        self._extension.reports = lambda: self._giveway.recent(monotonic_now())
+        self._transfer = LeadershipTransfer(settings)
+        self._extension.reports = lambda: self._transfer.recent(monotonic_now())
         self._fronts: list[HttpFrontend] = []
         self.servers: list[Server] = []
-        self._relay = Relay(self.intake, settings, lambda: self._client.failing)
+        self._relay = Relay(self.admission, settings, lambda: self._client.failing)
         self.subsystems = self._switched_on()
         for subsystem in self.subsystems:
             if subsystem.names is not None:
-                self.intake.names = subsystem.names
+                self.admission.names = subsystem.names
 
     def _switched_on(self) -> list[Extension]:
         """What is off is not even imported."""
@@ -133,7 +133,7 @@
                     self._settings,
                     self._features.graphs,
                     self._client,
-                    self.intake,
+                    self.admission,
                     self.election,
                     self._relay,
                 )
@@ -170,20 +170,20 @@
             (EXTENSION_PATH, LeaseExtensionHandler, {"extension": self._extension}),
             (PING_PATH, PingHandler, {"extension": self._extension}),
             (CATALOGUE_PATH, CatalogueHandler, {"known": lambda: self._catalogues.known}),
-            *_user_rules(PEER_PREFIX, self.intake),
+            *_user_rules(PEER_PREFIX, self.admission),
         ]
         for subsystem in self.subsystems:
             users += subsystem.user_routes
             operators += subsystem.peer_routes
         most_held = int(_HELD_PART * self._settings.params.quota.ram_mb * 1024 * 1024)
-        for rules, where, take_report in (
-            (users, self._settings.client_listen, self.take_report),
+        for rules, where, handle_heartbeat in (
+            (users, self._settings.client_listen, self.handle_heartbeat),
             (operators, self._settings.cluster_listen, None),
         ):
             application = web.Application(
                 rules, default_handler_class=NotFound, log_function=no_access_log
             )
-            front = HttpFrontend(application, most_held, take_report)
+            front = HttpFrontend(application, most_held, handle_heartbeat)
             self._fronts.append(front)
             address = parse_address(where)
             server = Server(front)
@@ -240,14 +240,14 @@
 
     # -- workers --------------------------------------------------------------------------------
 
-    def take_report(
+    def handle_heartbeat(
         self, report: wire.Heartbeat, machine_id: MachineId
     ) -> tuple[int, dict[str, Any]]:
         """A worker's report, answered with 200 only by a leader that is valid at this moment, and
         that knows what users were told is cancelled."""
         now = monotonic_now()
         self._last_report = now
-        self._giveway.took(now)
+        self._transfer.took(now)
         mine = self.election.leading(now)
         if mine is None or self.leader is None or not self.leader.informed(now):
             term = self._delegate.renews(report, machine_id, now)
@@ -290,7 +290,7 @@
 
     @property
     def _report_s(self) -> float:
-        return self._settings.params.workers.report_s
+        return self._settings.params.workers.heartbeat_interval_s
 
     async def _check_hearing(self) -> None:
         """A leader that no worker reaches any more lets somebody else lead."""
@@ -303,14 +303,15 @@
                 # After a standstill of this node the workers' reports wait to be read.
                 continue
             heard = sum(
-                m.heard_at is not None and not m.lapsed for m in leader.fleet.machines.values()
+                m.last_contact_at is not None and not m.lease_expired
+                for m in leader.fleet.machines.values()
             )
             if heard < _HEARD_BEFORE or not mine.valid(now):
                 continue
             if now - last > self._silent_s:
                 await self.election.resign("no worker reports any more", _RESIGN_PAUSE_S)
-            elif failure_detector.hears_nobody(now - last, heard, self._report_s) and (
-                await self._giveway.better(heard)
+            elif failure_detector.is_bypassed_by_heartbeats(now - last, heard, self._report_s) and (
+                await self._transfer.better(heard)
             ):
                 await self.election.resign("workers report to others only", _RESIGN_PAUSE_S)
 
@@ -346,7 +347,7 @@
     def _vouched(self, mine: Leadership, at: Monotonic) -> None:
         leader = self._leader_in(mine)
         if leader is not None:
-            leader.vouched(at)
+            leader.cancellations_known_until(at)
 
     def _cancelled_elsewhere(self, job: str) -> None:
         if self.leader is not None:
@@ -358,7 +359,7 @@
         leader = self.leader
         if leader is None or not leader.fleet.loaded:
             return None
-        job = leader.book.jobs.get(job_id)
+        job = leader.job_store.jobs.get(job_id)
         return (job.done_count, job.bound_count) if job is not None else (0, 0)
 
     def describe(self) -> dict[str, Any]:
@@ -380,9 +381,9 @@
             shown["renews"] = delegated
         leader = self.leader
         if leader is not None:
-            plan = leader.dispatcher.last
+            plan = leader.scheduling_loop.last
             shown["machines"] = len(leader.fleet.machines)
-            shown["jobs"] = len(leader.book.jobs)
+            shown["jobs"] = len(leader.job_store.jobs)
             shown["head"] = plan.head
             shown["duties"] = leader.duties()
             shown["waiting"] = {job.id: left for job, left in plan.unplaced}
@@ -469,11 +470,11 @@
         if leader is None or not leader.fleet.loaded:
             return None
         machines = leader.fleet.machines.values()
-        jobs = leader.book.jobs.values()
+        jobs = leader.job_store.jobs.values()
         return Size(
             monotonic_now(),
             len(machines),
-            sum(m.lapsed or m.id in leader.prober.hearing.verdicts for m in machines),
+            sum(m.lease_expired or m.id in leader.prober.diagnosis.verdicts for m in machines),
             sum(job.waiting > 0 for job in jobs),
             sum(job.waiting for job in jobs),
             sum(len(m.bindings) for m in machines),
--- a/tealrill/extensions.py
+++ b/tealrill/extensions.py
@@ -28,8 +28,8 @@
     settings: Settings
     client: StateClient
     mine: Leadership
-    book: JobStore
-    keeper: WriteBatcher
+    job_store: JobStore
+    write_batcher: WriteBatcher
     valid: Callable[[], bool]
     """Whether the leader may act at this moment."""
     stop: Callable[[Job], None]
--- a/tealrill/fleet/dispatch.py
+++ b/tealrill/fleet/dispatch.py
@@ -63,27 +63,27 @@
 
     def __init__(
         self,
-        book: JobStore,
+        job_store: JobStore,
         fleet: Fleet,
-        renter: Provisioner,
+        provisioner: Provisioner,
         estimates: Estimates,
         params: Params,
         command_now: Callable[[Machine], None],
     ) -> None:
-        self._book = book
+        self._job_store = job_store
         self._fleet = fleet
-        self._renter = renter
+        self._provisioner = provisioner
         self._estimates = estimates
         self._params = params
         self._command_now = command_now
-        self._silence_s = failure_detector.silent_after_s(params.workers.report_s)
-        self.hearing: Callable[[], Diagnosis] = lambda: _ALL_HEARD
+        self._silence_s = failure_detector.silent_after_s(params.workers.heartbeat_interval_s)
+        self.diagnosis: Callable[[], Diagnosis] = lambda: _ALL_HEARD
         """What the silence of machines means, as it was judged last."""
-        self._losses = CapacityLosses()
+        self._capacity_losses = CapacityLosses()
         self._acquainted = False
         """This leader has heard most machines that were up when it was elected."""
-        self._coming_s = _COMING_REPORTS * params.workers.report_s
-        renter.granted = self._granted
+        self._coming_s = _COMING_REPORTS * params.workers.heartbeat_interval_s
+        provisioner.granted = self._granted
         self._times = _deadline_times(params)
         self._prompt = {o.job_class for o in params.objectives if o.kind == "wait" and o.job_class}
         self._prompt_rank = 0
@@ -120,8 +120,8 @@
         """What a pass looks at. Machines in which nothing changed are taken as they were."""
         for team, pace in self._paces.items():
             pace.ratio = self._estimates.ratio(team)
-        if self._catalogue is not self._renter.catalogue:
-            self._catalogue = self._renter.catalogue
+        if self._catalogue is not self._provisioner.catalogue:
+            self._catalogue = self._provisioner.catalogue
             # Of all machines, those too that this pass does not look at.
             for machine in self._machines():
                 machine.touch()
@@ -131,7 +131,7 @@
             self._queue(now, wall),
             self._teams(),
             self._expected(now),
-            self._book.rank_cpus,
+            self._job_store.rank_cpus,
             self._under_way(now) + self._returning(silent, now),
         )
 
@@ -143,23 +143,23 @@
         """
         views: list[MachineView] = []
         silent: list[Machine] = []
-        verdicts = self.hearing().verdicts
+        verdicts = self.diagnosis().verdicts
         heard_from = now - self._silence_s
         for machine in self._fleet.machines.values():
-            heard_at, answered_at = machine.heard_at, machine.answered_at
+            last_contact_at, answered_at = machine.last_contact_at, machine.answered_at
             if (
                 answered_at is not None
                 and answered_at >= heard_from
                 and (view := machine.view) is not None
                 and not view.used
-                and machine.in_order
+                and machine.is_in_order
                 and now >= machine.refused_until
                 and machine.id not in verdicts
             ):
                 view.ready_at = now
                 views.append(view)
                 continue
-            if heard_at is None or heard_at < heard_from:
+            if last_contact_at is None or last_contact_at < heard_from:
                 silent.append(machine)
             found = self._machine(machine, now)
             if found is not None:
@@ -184,16 +184,16 @@
         return list(self._fleet.machines.values())
 
     def _machine(self, machine: Machine, now: Monotonic) -> MachineView | None:
-        kind = self._renter.type_of(machine.type)
-        if kind is None or machine.releasing or machine.draining or machine.lapsed:
+        kind = self._provisioner.type_of(machine.type)
+        if kind is None or machine.releasing or machine.draining or machine.lease_expired:
             return None
-        if machine.notice_until is not None or machine.strangers:
+        if machine.preemption_notice_until is not None or machine.unbound_tasks:
             return None
-        if machine.heard_at is None:
+        if machine.last_contact_at is None:
             if not _boots(machine, self._verdict(machine)):
                 return None
             ready_at = Monotonic(max(machine.since + kind.boot_s, now + 1.0))
-        elif machine.placeable(now, self._silence_s) and not self._gone(machine):
+        elif machine.is_placeable(now, self._silence_s) and not self._gone(machine):
             ready_at = now
         else:
             return None
@@ -215,13 +215,13 @@
         """
         found: list[MachineView] = []
         for machine in silent:
-            if machine.releasing or machine.draining or machine.notice_until is not None:
+            if machine.releasing or machine.draining or machine.preemption_notice_until is not None:
                 continue
             verdict = self._verdict(machine)
-            silent_s = self._fleet.unheard_s(machine, now)
+            silent_s = self._fleet.silence_s_of(machine, now)
             if silent_s <= self._silence_s or _boots(machine, verdict):
                 continue
-            kind = self._renter.type_of(machine.type)
+            kind = self._provisioner.type_of(machine.type)
             back_s = failure_detector.back_in_s(verdict, silent_s)
             if kind is not None and back_s is not None and back_s <= kind.boot_s:
                 found.append(self._seen(machine, kind, Monotonic(now + back_s)))
@@ -274,7 +274,7 @@
         return self._estimates.run_s(spec.team, spec.estimate_s)
 
     def _queue(self, now: Monotonic, wall: Wall) -> list[JobView]:
-        found = ((job, self._waiting(job, now)) for job in self._book.jobs.values())
+        found = ((job, self._waiting(job, now)) for job in self._job_store.jobs.values())
         return [self._job(job, waiting, now, wall) for job, waiting in found if waiting > 0]
 
     def _waiting(self, job: Job, now: Monotonic) -> int:
@@ -318,7 +318,7 @@
             spec.is_gang,
             job.owner.name if job.owner is not None else "",
             job.tail_s,
-            self._fleet.blame.avoided(job.id, now),
+            self._fleet.failure_attribution.avoided(job.id, now),
             bool(job.tasks) or job.done_count > 0,
         )
 
@@ -350,8 +350,8 @@
     def _teams(self) -> dict[str, TeamView]:
         return {
             team.name: TeamView(
-                self._book.team_cpus.get(team.name, 0.0),
-                self._book.team_gpus.get(team.name, 0.0),
+                self._job_store.team_cpus.get(team.name, 0.0),
+                self._job_store.team_gpus.get(team.name, 0.0),
                 team.cpus,
                 team.gpus,
                 team.cpus_max,
@@ -364,7 +364,7 @@
 
     def _start(self, result: Plan, now: Monotonic, wall: Wall) -> None:
         for start in result.starts:
-            job = self._book.jobs.get(start.job)
+            job = self._job_store.jobs.get(start.job)
             machine = self._fleet.machines.get(start.machine)
             if job is None or machine is None:
                 continue
@@ -376,7 +376,7 @@
     def _stop(self, result: Plan, now: Monotonic) -> None:
         told: dict[Machine, None] = {}
         for stop in result.stops:
-            job = self._book.jobs.get(stop.task.job)
+            job = self._job_store.jobs.get(stop.task.job)
             task = job.tasks.get(stop.task.index) if job is not None else None
             binding = task.binding if task is not None else None
             if binding is None:
@@ -412,7 +412,7 @@
     # -- the fleet ------------------------------------------------------------------------------
 
     def _rent(self, result: Plan, view: View, now: Monotonic) -> None:
-        offers = self._renter.offers
+        offers = self._provisioner.offers
         self.put_off = now < self._rent_at and bool(result.unplaced)
         if not offers or now < self._rent_at:
             return
@@ -425,7 +425,7 @@
                 return
         self._rent_at = Monotonic(now + RENT_EVERY_S)
         available = self._available(now)
-        if all(self._renter.asked_for(offer.kind) for offer in available):
+        if all(self._provisioner.asked_for(offer.kind) for offer in available):
             # Whatever would be wished for is not asked for before those requests are answered. (In
             # an overload this reckoning was the dearest part of a pass, and mostly for nothing.)
             return
@@ -441,7 +441,7 @@
             cheap = [o for o in available if not self._is_dear(o.type, o.spot)]
             wanted = capacity.rentals(missing, [], offers, cheap, now, self.policy)
         for rental in wanted:
-            self._renter.rent(rental, now)
+            self._provisioner.rent(rental, now)
 
     def _available(self, now: Monotonic) -> list[Offer]:
         """Not refused a short while ago, and not in a zone that is cut off from here.
@@ -449,8 +449,8 @@
         A machine booted into a cut costs its price and takes no task. Zones are chosen by where we
         have the fewest machines, which was just the one that is not heard.
         """
-        cut = self.hearing().cut_zones
-        return [o for o in self._renter.available(now) if o.zone not in cut]
+        cut = self.diagnosis().partitioned_zones
+        return [o for o in self._provisioner.available(now) if o.zone not in cut]
 
     # -- after a fall -----------------------------------------------------------------------------
 
@@ -459,11 +459,11 @@
         if now < self._rent_at:
             return
         self._count_losses(now)
-        owed = self._losses.owed(now, len(self._fleet.machines))
+        owed = self._capacity_losses.owed(now, len(self._fleet.machines))
         if not owed:
             return
         asked: dict[str, float] = {}
-        for rental in self._renter.under_way():
+        for rental in self._provisioner.under_way():
             asked[rental.type] = asked.get(rental.type, 0.0) + self._cpus(rental)
         available = [o for o in self._available(now) if not self._is_dear(o.type, o.spot)]
         for type_name, cpus in owed.items():
@@ -477,42 +477,46 @@
         for number, offer in enumerate(offers):
             part = count // len(offers) + (number < count % len(offers))
             if part > 0:
-                self._renter.rent(Rental(offer.type, offer.zone, offer.spot, part), now)
+                self._provisioner.rent(Rental(offer.type, offer.zone, offer.spot, part), now)
 
     def _count_losses(self, now: Monotonic) -> None:
-        verdicts = self.hearing().verdicts
+        verdicts = self.diagnosis().verdicts
         heard_from = now - self._silence_s
-        some_lost = self._losses.some
+        some_lost = self._capacity_losses.some
         for machine in self._fleet.machines.values():
             if (
-                machine.notice_until is not None
+                machine.preemption_notice_until is not None
                 or machine.listed == wire.MACHINE_FAILED
                 or verdicts.get(machine.id) is Suspicion.GONE
             ):
-                cpus = max(machine.cpus, machine.lapsed_cpus)
-                if self._losses.lost(machine.id, machine.type, cpus, now):
+                cpus = max(machine.cpus, machine.expired_cpus)
+                if self._capacity_losses.lost(machine.id, machine.type, cpus, now):
                     # Refused while the fleet was whole; the cloud may have its place again.
-                    self._renter.refusals.hopeful(machine.kind)
-            elif some_lost and machine.heard_at is not None and machine.heard_at >= heard_from:
-                self._losses.back(machine.id)
+                    self._provisioner.capacity_backoff.hopeful(machine.kind)
+            elif (
+                some_lost
+                and machine.last_contact_at is not None
+                and machine.last_contact_at >= heard_from
+            ):
+                self._capacity_losses.back(machine.id)
 
     def _verdict(self, machine: Machine) -> Suspicion:
         """Late, if it has not been judged."""
-        return self.hearing().verdicts.get(machine.id, Suspicion.LATE)
+        return self.diagnosis().verdicts.get(machine.id, Suspicion.LATE)
 
     def _gone(self, machine: Machine) -> bool:
         return self._verdict(machine) is Suspicion.GONE
 
     def _granted(self, rental: Rental) -> None:
-        self._losses.rented(rental.type, self._cpus(rental))
+        self._capacity_losses.rented(rental.type, self._cpus(rental))
 
     def _cpus(self, rental: Rental) -> float:
         """Processors of all machines of a rental; 0 for a type that the catalogue lost."""
-        kind = self._renter.type_of(rental.type)
+        kind = self._provisioner.type_of(rental.type)
         return kind.cpus * rental.count if kind is not None else 0.0
 
     def _is_dear(self, type_name: str, spot: bool) -> bool:
-        return self._renter.is_dear(type_name, spot, self.policy.dear)
+        return self._provisioner.is_dear(type_name, spot, self.policy.dear)
 
     def _missing_for_expected(
         self, view: View, machines: list[MachineView]
@@ -549,8 +553,8 @@
     def _under_way(self, now: Monotonic) -> list[MachineView]:
         """Machines that were asked for and not yet granted count like those that boot."""
         found: list[MachineView] = []
-        for rental in self._renter.under_way():
-            kind = self._renter.type_of(rental.type)
+        for rental in self._provisioner.under_way():
+            kind = self._provisioner.type_of(rental.type)
             if kind is None:
                 continue
             view = MachineView(
@@ -575,11 +579,11 @@
     def _drain_noticed(self, now: Monotonic) -> None:
         """On a machine with notice, what can save and won't end in time saves at once."""
         for machine in self._fleet.machines.values():
-            if machine.notice_until is None or not machine.bindings:
+            if machine.preemption_notice_until is None or not machine.bindings:
                 continue
             told = False
             # The notice may run to half its nominal value.
-            left_s = 0.5 * (machine.notice_until - now)
+            left_s = 0.5 * (machine.preemption_notice_until - now)
             for binding in list(machine.bindings.values()):
                 spec = binding.chunk.job.spec
                 if not spec.saves or binding.stop is not None or binding.running_since is None:
@@ -596,8 +600,8 @@
         Thirty small machines once stood idle for minutes because large tasks were waiting.
         """
         spare = _free(view.machines) - (view.expected.cpus if view.expected is not None else 0.0)
-        verdicts = self.hearing().verdicts
-        lapsed = sum(m.lapsed for m in self._fleet.machines.values())
+        verdicts = self.diagnosis().verdicts
+        lease_expired = sum(m.lease_expired for m in self._fleet.machines.values())
         for machine in self._fleet.machines.values():
             if machine.releasing:
                 continue
@@ -612,16 +616,18 @@
                 continue
             if machine.bindings:
                 continue
-            if machine.heard_at is None:
+            if machine.last_contact_at is None:
                 self._return_unheard(machine, now)
                 continue
-            if machine.lapsed:
+            if machine.lease_expired:
                 # Many silent machines at once mean that this node is cut off, not that they died.
-                long = now - machine.heard_at > self._params.workers.lease_s + _SILENT_RETURN_S
-                if long and 2 * lapsed <= len(self._fleet.machines):
+                long = (
+                    now - machine.last_contact_at > self._params.workers.lease_s + _SILENT_RETURN_S
+                )
+                if long and 2 * lease_expired <= len(self._fleet.machines):
                     self._release(machine, "silent")
                 continue
-            if machine.draining or machine.notice_until is not None:
+            if machine.draining or machine.preemption_notice_until is not None:
                 self._release(machine, machine.draining or "notice")
                 continue
             if machine.idle_since is None:
@@ -631,7 +637,7 @@
             idle = now - machine.idle_since > idle_s and now - machine.since > _MINIMUM_S
             if not idle:
                 continue
-            kind = self._renter.type_of(machine.type)
+            kind = self._provisioner.type_of(machine.type)
             size = kind.cpus if kind is not None else 0.0
             if (dear or spare >= size) and machine.id not in result.reservations:
                 spare -= size
@@ -644,18 +650,21 @@
         keeps every silent machine from lapsing, it is the only one: 109 machines' tasks once waited
         for 35 s behind a partition that did not concern them.
         """
-        silent_s = self._fleet.unheard_s(machine, now)
-        return machine.unlisted >= failure_detector.LISTS or silent_s > self._params.workers.lease_s
+        silent_s = self._fleet.silence_s_of(machine, now)
+        return (
+            machine.missing_from_lists >= failure_detector.LISTS
+            or silent_s > self._params.workers.lease_s
+        )
 
     def _return_unheard(self, machine: Machine, now: Monotonic) -> None:
         """The cloud says that it runs, its worker has not come, and its zone is heard."""
-        kind = self._renter.type_of(machine.type)
-        if kind is None or not machine.up or machine.zone in self.hearing().cut_zones:
+        kind = self._provisioner.type_of(machine.type)
+        if kind is None or not machine.up or machine.zone in self.diagnosis().partitioned_zones:
             return
-        gone = self._gone(machine)
-        patience_s = self._params.workers.lease_s if gone else _UNHEARD_BOOTS * kind.boot_s
-        if self._fleet.unheard_s(machine, now) > patience_s + kind.boot_s:
-            self._release(machine, "gone" if gone else "never heard")
+        terminated = self._gone(machine)
+        patience_s = self._params.workers.lease_s if terminated else _UNHEARD_BOOTS * kind.boot_s
+        if self._fleet.silence_s_of(machine, now) > patience_s + kind.boot_s:
+            self._release(machine, "gone" if terminated else "never heard")
 
     def _release(self, machine: Machine, why: str) -> None:
         log.info("returning machine %s: %s", machine.id, why)
@@ -664,7 +673,9 @@
 
 def _boots(machine: Machine, verdict: Suspicion) -> bool:
     """Not heard yet, and no reason to think that it won't be. A new leader begins with all so."""
-    return machine.heard_at is None and not machine.lapsed and verdict is Suspicion.LATE
+    return (
+        machine.last_contact_at is None and not machine.lease_expired and verdict is Suspicion.LATE
+    )
 
 
 def _free(machines: list[MachineView]) -> float:
--- a/tealrill/fleet/intent_log.py
+++ b/tealrill/fleet/intent_log.py
@@ -184,7 +184,7 @@
         self.returns[key] = part
         return key, part
 
-    def gone(self, key: str) -> None:
+    def terminated(self, key: str) -> None:
         """The cloud has confirmed the return."""
         if self.returns.pop(key, None) is not None:
             self._set(key, None)
--- a/tealrill/fleet/machines.py
+++ b/tealrill/fleet/machines.py
@@ -69,7 +69,7 @@
 
     @property
     def settled(self) -> bool:
-        if self.binding is not None and self.binding.direct_out:
+        if self.binding is not None and self.binding.direct_start_in_flight:
             # A late direct start of an attempt that the worker has forgotten would run it again.
             return False
         return self.chunk is None or self.chunk.committed >= self.version
@@ -91,28 +91,28 @@
     booted: bool = False
     """It was rented in this term, so `since` is when its boot began."""
     addr: str = ""
-    session: Incarnation | None = None
-    seq: HeartbeatSequence = HeartbeatSequence(-1)
+    incarnation: Incarnation | None = None
+    sequence: HeartbeatSequence = HeartbeatSequence(-1)
     current: bool = False
     """Its last report carried this term's token, so nothing older than it can still arrive."""
-    begun_at: Monotonic | None = None
+    incarnation_seen_at: Monotonic | None = None
     """When its session was first heard of, in this term; the worker's lease runs from before."""
     answered_at: Monotonic | None = None
     """Its last report that was answered: only that renews it, so one that is mute gets no work
     however well it answers. It took tasks in each new session, and lost them with its lease."""
-    heard_at: Monotonic | None = None
+    last_contact_at: Monotonic | None = None
     """The last that was heard of it, by a report or by the answer to a direct command."""
-    notice_until: Monotonic | None = None
-    deaf: bool = False
+    preemption_notice_until: Monotonic | None = None
+    inbound_partitioned: bool = False
     """What is sent to it seems not to arrive, though its reports do."""
-    lapsed: bool = False
+    lease_expired: bool = False
     releasing: bool = False
     """It goes back: no room, whatever else becomes of it."""
     returned: bool = False
     """Its return is recorded, so that it goes back whoever leads."""
     draining: str = ""
     """Why nothing more is placed here; empty if it is."""
-    strangers: int = 0
+    unbound_tasks: int = 0
     """Tasks that run here and that no binding covers; they are being stopped."""
     bindings: dict[TaskId, Binding] = field(default_factory=dict)
     named: dict[str, Binding] = field(default_factory=dict)
@@ -120,7 +120,7 @@
     nothing new, so that taking the name apart would be most of the work."""
     exited: dict[tuple[TaskId, Attempt], Exit] = field(default_factory=dict)
     """Attempts that exited here and that the worker has not been told to forget."""
-    loose: list[tuple[TaskId, Attempt, wire.TaskStatus]] = field(default_factory=list)
+    unreconciled: list[tuple[TaskId, Attempt, wire.TaskStatus]] = field(default_factory=list)
     """Of the list that was gone through last: what exited, and what no binding covers."""
     cpus: float = 0.0
     gpus: float = 0.0
@@ -132,13 +132,13 @@
     listed: str = ""
     listed_at: Monotonic | None = None
     listed_addr: str = ""
-    unlisted: int = 0
+    missing_from_lists: int = 0
     """Of the cloud's lists, the last so many did not show it though an earlier one did."""
-    misses: int = 0
+    failed_connects: int = 0
     """Attempts to connect while it was silent, in a row, that brought no connection."""
     accepts: bool = False
     """The last such attempt brought a connection: its system runs."""
-    lapsed_cpus: float = 0.0
+    expired_cpus: float = 0.0
     """Processors that its tasks used when its lease lapsed."""
     view: MachineView | None = None
     """What placement sees of it, kept from pass to pass; None once something in it has changed."""
@@ -150,9 +150,9 @@
         self.view = None
         self.settled = None
 
-    def call_deaf(self, deaf: bool) -> None:
-        if self.deaf is not deaf:
-            self.deaf = deaf
+    def mark_inbound_partitioned(self, inbound_partitioned: bool) -> None:
+        if self.inbound_partitioned is not inbound_partitioned:
+            self.inbound_partitioned = inbound_partitioned
             self.touch()
 
     @property
@@ -162,25 +162,25 @@
     @property
     def up(self) -> bool:
         """Whether it is known to have come up, in this term or before."""
-        return self.session is not None or self.listed == wire.MACHINE_RUNNING
+        return self.incarnation is not None or self.listed == wire.MACHINE_RUNNING
 
     @property
-    def in_order(self) -> bool:
+    def is_in_order(self) -> bool:
         """Nothing but silence or a refusal may forbid to bind a task to it."""
         return (
             self.current
-            and not self.lapsed
+            and not self.lease_expired
             and not self.releasing
             and not self.draining
-            and not self.strangers
-            and not self.deaf
-            and self.notice_until is None
+            and not self.unbound_tasks
+            and not self.inbound_partitioned
+            and self.preemption_notice_until is None
         )
 
-    def placeable(self, now: Monotonic, silence_s: float) -> bool:
+    def is_placeable(self, now: Monotonic, silence_s: float) -> bool:
         """Whether a task may be bound to it at this moment."""
         return (
-            self.in_order
+            self.is_in_order
             and self.answered_at is not None
             and now - self.answered_at <= silence_s
             and now >= self.refused_until
@@ -200,34 +200,34 @@
 
     def __init__(
         self,
-        book: JobStore,
+        job_store: JobStore,
         term: FencingToken,
         elected_at: Monotonic,
         lease_s: float,
         delegation_s: float = 0.0,
-        report_s: float = 0.0,
+        heartbeat_interval_s: float = 0.0,
     ) -> None:
         self.machines: dict[MachineId, Machine] = {}
-        self.gone: dict[MachineId, Monotonic] = {}
+        self.terminated: dict[MachineId, Monotonic] = {}
         """Machines whose release was confirmed; lists and late reports may still show them."""
         self.changed: Callable[[], None] = lambda: None
         self.finished: Callable[[CompletedTask], None] = lambda _: None
-        self.came: Callable[[Machine, Monotonic], None] = lambda _, __: None
+        self.registered: Callable[[Machine, Monotonic], None] = lambda _, __: None
         """A machine is heard for the first time in this term."""
-        self.dropped: Callable[[MachineId], None] = lambda _: None
+        self.deregistered: Callable[[MachineId], None] = lambda _: None
         """A machine is gone or not known any more: nothing of it is to be kept."""
-        self.blame = FailureAttribution()
+        self.failure_attribution = FailureAttribution()
         self.loaded = False
         """Until the records are read, workers are not answered."""
-        self.stop_within_s = math.inf
+        self.stop_timeout_s = math.inf
         """A cancelled job's stop that did not arrive for so long is left to the worker's lease."""
-        self._book = book
+        self._job_store = job_store
         self._term = term
         self._elected_at = elected_at
         self._silence_s = lease_s * CLOCK_DRIFT + _LEASE_MARGIN_S
         # Where reports come more rarely than a worker asks again, the next sequence number alone
         # tells that it stayed here; a deaf machine stayed deaf for ever there.
-        self._hears_s = max(_HEARS_S, _REPORT_JITTER * report_s + _LEASE_MARGIN_S)
+        self._hears_s = max(_HEARS_S, _REPORT_JITTER * heartbeat_interval_s + _LEASE_MARGIN_S)
         self._delegation_s = delegation_s
         # A delegation of an earlier term may have been acted on for a moment after the election.
         self._elsewhere_until = Monotonic(elected_at + delegation_s)
@@ -241,15 +241,15 @@
             if machine is None:
                 machine = Machine(binding.machine, "", "", False, now)
                 self.machines[machine.id] = machine
-            if machine.session is None or machine.session < binding.session:
-                machine.session = binding.session
+            if machine.incarnation is None or machine.incarnation < binding.incarnation:
+                machine.incarnation = binding.incarnation
             if machine.zone:
-                self._book.place_inherited(binding, machine.zone)
+                self._job_store.place_inherited(binding, machine.zone)
             self._attach(machine, binding)
-        for job in self._book.jobs.values():
+        for job in self._job_store.jobs.values():
             if not job.done_count and job.tasks:
                 bound = max(task.next_attempt - 1 for task in job.tasks.values())
-                self.blame.inherited(job.id, bound)
+                self.failure_attribution.inherited(job.id, bound)
         self.loaded = True
 
     # -- reports --------------------------------------------------------------------------------
@@ -260,15 +260,15 @@
         """Takes in a worker's report; the commands for its response, or None for no 200."""
         if report.token > self._term:
             raise NewerTokenError(f"{machine_id} has seen token {report.token}")
-        if machine_id in self.gone:
+        if machine_id in self.terminated:
             return None
         if not self.loaded:
             return None
         machine = self._machine_of(report, machine_id, now)
-        if machine.session == report.session and self._must_lapse(machine, now):
+        if machine.incarnation == report.incarnation and self._must_let_lease_expire(machine, now):
             return None
         if self._out_of_date(machine, report):
-            if machine.session == report.session and not machine.lapsed:
+            if machine.incarnation == report.incarnation and not machine.lease_expired:
                 # A direct command overtook it. Its list is old, but it is the worker's report in
                 # flight: it is answered, so that the worker stays and its lease goes on.
                 machine.answered_at = now
@@ -276,7 +276,7 @@
             return None
         self._listen(machine, report, now)
         machine.answered_at = now
-        if not self._take_in(machine, report, now, wall, direct=False):
+        if not self._process(machine, report, now, wall, direct=False):
             return []
         if machine.settled is not None:
             return []
@@ -290,12 +290,12 @@
         """Whether the list shows what is bound, no more and no less, and nothing is under way."""
         return (
             not machine.exited
-            and not machine.strangers
+            and not machine.unbound_tasks
             and len(report.tasks) == len(machine.bindings)
             and all(b.seen and b.stop is None for b in machine.bindings.values())
         )
 
-    def _must_lapse(self, machine: Machine, now: Monotonic) -> bool:
+    def _must_let_lease_expire(self, machine: Machine, now: Monotonic) -> bool:
         """Whether a start of a cancelled job that left directly may still arrive, long after.
 
         Nothing takes it back but a new session: a stop of an attempt that the worker does not have
@@ -304,7 +304,7 @@
         if machine.settled is not None:
             return False
         for b in machine.bindings.values():
-            if b.direct_out and not b.seen and self._overdue(b, now):
+            if b.direct_start_in_flight and not b.seen and self._overdue(b, now):
                 log.info("machine %s is not renewed: a start of %s is out", machine.id, b.task)
                 return True
         return False
@@ -315,7 +315,7 @@
         return (
             stop is not None
             and binding.chunk.job.cancelled
-            and now - stop.since > self.stop_within_s
+            and now - stop.since > self.stop_timeout_s
         )
 
     def _listen(self, machine: Machine, report: wire.Heartbeat, now: Monotonic) -> None:
@@ -324,37 +324,41 @@
         One that hears nothing lapses though every report of it was answered, again and again, and
         each time its new session took tasks that never began.
         """
-        heard_at, answered_at = machine.heard_at, machine.answered_at
-        if machine.session is None or heard_at is None:
+        last_contact_at, answered_at = machine.last_contact_at, machine.answered_at
+        if machine.incarnation is None or last_contact_at is None:
             return
-        if report.session > machine.session:
+        if report.incarnation > machine.incarnation:
             if answered_at is not None and now - answered_at < self._silence_s:
                 log.info("machine %s lapsed though its reports were answered", machine.id)
-                machine.call_deaf(True)
-        elif machine.deaf and report.seq == machine.seq + 1 and now - heard_at < self._hears_s:
+                machine.mark_inbound_partitioned(True)
+        elif (
+            machine.inbound_partitioned
+            and report.sequence == machine.sequence + 1
+            and now - last_contact_at < self._hears_s
+        ):
             log.info("machine %s hears again", machine.id)
-            machine.call_deaf(False)
+            machine.mark_inbound_partitioned(False)
             self.changed()
 
-    def unstopped(self, now: Monotonic) -> bool:
+    def has_overdue_stop(self, now: Monotonic) -> bool:
         """Whether a task of a cancelled job may be kept running where this leader is not heard."""
         return any(
             self._overdue(b, now)
             for machine in self.machines.values()
-            if machine.session is not None
-            and not machine.lapsed
-            and self.unheard_s(machine, now) > _NO_ANSWER_S
+            if machine.incarnation is not None
+            and not machine.lease_expired
+            and self.silence_s_of(machine, now) > _NO_ANSWER_S
             for b in machine.bindings.values()
         )
 
-    def direct_report(
+    def handle_direct_reply(
         self, report: wire.Heartbeat, machine_id: MachineId, now: Monotonic, wall: Wall
     ) -> None:
         """The report in the answer to a direct command; it renews nothing."""
         machine = self.machines.get(machine_id)
         if machine is None or report.token > self._term or self._out_of_date(machine, report):
             return
-        self._take_in(machine, report, now, wall, direct=True)
+        self._process(machine, report, now, wall, direct=True)
 
     def _machine_of(self, report: wire.Heartbeat, machine_id: MachineId, now: Monotonic) -> Machine:
         machine = self.machines.get(machine_id)
@@ -366,37 +370,37 @@
 
     @staticmethod
     def _out_of_date(machine: Machine, report: wire.Heartbeat) -> bool:
-        if machine.session is None:
+        if machine.incarnation is None:
             return False
-        if machine.lapsed and report.session <= machine.session:
+        if machine.lease_expired and report.incarnation <= machine.incarnation:
             return True
-        return (report.session, report.seq) <= (machine.session, machine.seq)
+        return (report.incarnation, report.sequence) <= (machine.incarnation, machine.sequence)
 
-    def _take_in(
+    def _process(
         self, machine: Machine, report: wire.Heartbeat, now: Monotonic, wall: Wall, direct: bool
     ) -> bool:
         """True if the report's list counts: it carries this term's token."""
         self._identify(machine, report)
-        if machine.session is not None and report.session > machine.session:
-            self._new_session(machine, Incarnation(report.session), now)
-        if machine.session != report.session:
+        if machine.incarnation is not None and report.incarnation > machine.incarnation:
+            self._new_session(machine, Incarnation(report.incarnation), now)
+        if machine.incarnation != report.incarnation:
             # A session that a direct command's answer shows was never renewed from here, and its
             # lease runs all the same. By the last answer to the session before, machines lapsed
             # a tenth of a second after they were given tasks, and 28 tasks ran on two machines.
-            machine.begun_at = now
-        first = machine.heard_at is None
+            machine.incarnation_seen_at = now
+        first = machine.last_contact_at is None
         if first:
-            self.came(machine, now)
-        machine.session = Incarnation(report.session)
-        machine.seq = HeartbeatSequence(report.seq)
-        machine.heard_at = now
-        machine.lapsed = False
-        machine.misses, machine.accepts, machine.lapsed_cpus = 0, False, 0.0
+            self.registered(machine, now)
+        machine.incarnation = Incarnation(report.incarnation)
+        machine.sequence = HeartbeatSequence(report.sequence)
+        machine.last_contact_at = now
+        machine.lease_expired = False
+        machine.failed_connects, machine.accepts, machine.expired_cpus = 0, False, 0.0
         if report.notice_s is not None:
-            if machine.notice_until is None:
+            if machine.preemption_notice_until is None:
                 log.info("machine %s has notice: %.0f s", machine.id, report.notice_s)
                 self.changed()
-            machine.notice_until = Monotonic(now + report.notice_s)
+            machine.preemption_notice_until = Monotonic(now + report.notice_s)
         was_current = machine.current
         machine.current = report.token == self._term
         if not machine.current:
@@ -417,27 +421,27 @@
         """What the cloud or the worker says of the machine; inherited ones begin without it."""
         if not machine.zone:
             for binding in machine.bindings.values():
-                self._book.place_inherited(binding, zone)
+                self._job_store.place_inherited(binding, zone)
         if (machine.type, machine.zone, machine.spot) != (type_name, zone, spot):
             machine.touch()
             machine.type, machine.zone, machine.spot = type_name, zone, spot
 
-    def _new_session(self, machine: Machine, session: Incarnation, now: Monotonic) -> None:
-        log.info("machine %s begins session %d", machine.id, session)
+    def _new_session(self, machine: Machine, incarnation: Incarnation, now: Monotonic) -> None:
+        log.info("machine %s begins session %d", machine.id, incarnation)
         for binding in list(machine.bindings.values()):
             self._release(machine, binding, now, "later session")
         machine.exited.clear()
         machine.touch()
         machine.images.clear()
-        machine.strangers = 0
-        machine.notice_until = None
+        machine.unbound_tasks = 0
+        machine.preemption_notice_until = None
         self.changed()
 
     def _take_list(
         self, machine: Machine, report: wire.Heartbeat, now: Monotonic, wall: Wall, direct: bool
     ) -> None:
-        strangers = 0
-        loose: list[tuple[TaskId, Attempt, wire.TaskStatus]] = []
+        unbound_tasks = 0
+        unreconciled: list[tuple[TaskId, Attempt, wire.TaskStatus]] = []
         named = machine.named
         for line in report.tasks:
             binding = named.get(line.task)
@@ -448,27 +452,27 @@
                 attempt = Attempt(line.attempt)
                 binding = machine.bindings.get(task)
                 if binding is None or binding.attempt != attempt:
-                    loose.append((task, attempt, line))
+                    unreconciled.append((task, attempt, line))
                     if line.state == wire.EXITED:
                         self._stray_exit(machine, task, attempt, line, now)
                     else:
-                        strangers += 1
+                        unbound_tasks += 1
                     continue
-            binding.shown_in = HeartbeatSequence(report.seq)
+            binding.shown_in = HeartbeatSequence(report.sequence)
             if line.state == wire.EXITED:
-                loose.append((binding.task, binding.attempt, line))
+                unreconciled.append((binding.task, binding.attempt, line))
             elif binding.seen and binding.state == line.state:
                 # Taken in before, with all that follows from it.
                 continue
             self._progress(machine, binding, line, now, wall)
-        if machine.strangers and not strangers:
+        if machine.unbound_tasks and not unbound_tasks:
             self.changed()
-        machine.strangers = strangers
-        machine.loose = loose
-        for binding in [b for b in machine.bindings.values() if b.shown_in != report.seq]:
+        machine.unbound_tasks = unbound_tasks
+        machine.unreconciled = unreconciled
+        for binding in [b for b in machine.bindings.values() if b.shown_in != report.sequence]:
             self._missing(machine, binding, report, now, direct)
         if machine.exited:
-            listed = {(task, attempt) for task, attempt, _ in loose}
+            listed = {(task, attempt) for task, attempt, _ in unreconciled}
             for key in [key for key in machine.exited if key not in listed]:
                 del machine.exited[key]
 
@@ -497,8 +501,8 @@
     ) -> None:
         job = binding.chunk.job
         if line.why == wire.WHY_DONE and not job.spec.is_service:
-            self._call_faulty(self.blame.succeeded(job.id, machine.id, now))
-            if self._book.complete(job, binding.task.index, now) and not binding.inherited:
+            self._call_faulty(self.failure_attribution.succeeded(job.id, machine.id, now))
+            if self._job_store.complete(job, binding.task.index, now) and not binding.inherited:
                 started = binding.running_since
                 if started is not None:
                     self.finished(CompletedTask(job, now - started))
@@ -519,9 +523,9 @@
         ran_s = now - binding.running_since if binding.running_since is not None else 0.0
         well = job.done_count > 0
         log.info("task %s failed on %s after %.1f s", binding.task, machine.id, ran_s)
-        self._book.task_failed(job, binding.task.index)
+        self._job_store.task_failed(job, binding.task.index)
         if not job.cancelled:
-            self._call_faulty(self.blame.failed(job.id, machine.id, ran_s, well, now))
+            self._call_faulty(self.failure_attribution.failed(job.id, machine.id, ran_s, well, now))
 
     def _call_faulty(self, found: Iterable[MachineId]) -> None:
         """Nothing more is placed on these machines, and they are returned once they are empty."""
@@ -529,7 +533,7 @@
             machine = self.machines.get(machine_id)
             if machine is None or machine.draining:
                 continue
-            if not self.blame.may_drain(len(self.machines)):
+            if not self.failure_attribution.may_drain(len(self.machines)):
                 log.warning("machine %s seems faulty, as too many others do", machine_id)
                 continue
             log.info("machine %s is faulty: jobs that do well elsewhere failed", machine_id)
@@ -539,12 +543,12 @@
 
     def tries(self, job: Job, now: Monotonic) -> int | None:
         """How many tasks of a job that has failed may start now; None: as many as there are."""
-        if not self.blame.on_trial(job.id):
+        if not self.failure_attribution.on_trial(job.id):
             return None
         since = [b.running_since for b in job.bindings() if b.running_since is not None]
         longest_s = now - min(since) if since else 0.0
-        self._call_faulty(self.blame.survived(job.id, longest_s, now))
-        return self.blame.most(job.id, job.bound_count, longest_s, now)
+        self._call_faulty(self.failure_attribution.survived(job.id, longest_s, now))
+        return self.failure_attribution.most(job.id, job.bound_count, longest_s, now)
 
     def _stray_exit(
         self,
@@ -557,9 +561,9 @@
         """An exited attempt that no binding covers. That it is done is true all the same."""
         if (task, attempt) in machine.exited:
             return
-        job = self._book.jobs.get(task.job)
+        job = self._job_store.jobs.get(task.job)
         if line.why == wire.WHY_DONE and job is not None and 0 <= task.index < job.spec.tasks:
-            self._book.complete(job, task.index, now)
+            self._job_store.complete(job, task.index, now)
             chunk = job.chunks.get(task.index // job.chunk_tasks)
             version = chunk.version if chunk is not None else 0
             machine.exited[(task, attempt)] = Exit(chunk, version)
@@ -579,15 +583,15 @@
         if binding.seen or binding.inherited:
             self._release(machine, binding, now, "no longer listed")
             self.changed()
-        elif binding.direct_out:
+        elif binding.direct_start_in_flight:
             # A direct start may still arrive. Sent with the response as well, it becomes known.
-            if binding.sent is not None and report.seq > binding.sent and not direct:
+            if binding.sent is not None and report.sequence > binding.sent and not direct:
                 binding.sent = None
         elif binding.sent is None:
             if binding.stop is not None:
                 self._release(machine, binding, now, "never sent")
                 self.changed()
-        elif report.seq > binding.sent and not direct:
+        elif report.sequence > binding.sent and not direct:
             # The answer to a direct command proves nothing here: it can be newer than the report
             # whose response, with the start in it, is still on its way to the worker.
             # The response that carried the start was lost, and workers drop late ones.
@@ -603,7 +607,7 @@
         self, machine: Machine, report: wire.Heartbeat, now: Monotonic
     ) -> list[dict[str, Any]]:
         commands = self.stops(machine, now)
-        for task, attempt, line in machine.loose:
+        for task, attempt, line in machine.unreconciled:
             if line.state != wire.EXITED:
                 commands.append(wire.stop(line.task, attempt, 0.0))
             elif machine.exited.get((task, attempt), _UNKNOWN_EXIT).settled:
@@ -611,7 +615,7 @@
         if not machine.releasing:
             for binding in machine.bindings.values():
                 if binding.sent is None and not binding.seen and self._to_send(binding):
-                    binding.sent = HeartbeatSequence(report.seq)
+                    binding.sent = HeartbeatSequence(report.sequence)
                     commands.append(wire.start(str(binding.task), binding.attempt))
         return commands
 
@@ -621,7 +625,7 @@
         Also where the task is to be stopped, if a direct start may still arrive: started, it is
         listed and then stopped. Its binding would stand for as long as the machine otherwise.
         """
-        if binding.direct_out and not binding.chunk.job.cancelled:
+        if binding.direct_start_in_flight and not binding.chunk.job.cancelled:
             return True
         return self._may_start(binding)
 
@@ -629,28 +633,28 @@
 
     def direct_starts(self, machine: Machine) -> list[Binding]:
         """Bindings whose start may go to the worker directly, now."""
-        if not machine.current or machine.releasing or machine.lapsed:
+        if not machine.current or machine.releasing or machine.lease_expired:
             return []
-        return [b for b in machine.bindings.values() if b.untold and self._may_start(b)]
+        return [b for b in machine.bindings.values() if b.never_sent and self._may_start(b)]
 
     def direct_sent(self, bindings: Iterable[Binding]) -> None:
         """From here on the start may be executed at any time, until it is accounted for."""
         for binding in bindings:
-            binding.direct_out = True
+            binding.direct_start_in_flight = True
 
     def direct_executed(self, bindings: Iterable[Binding]) -> None:
         """The worker answered 200: each start was executed, once and for all."""
         for binding in bindings:
-            binding.direct_out = False
+            binding.direct_start_in_flight = False
             binding.seen = True
             machine = self.machines.get(binding.machine)
             if machine is not None:
-                machine.call_deaf(False)
+                machine.mark_inbound_partitioned(False)
 
     def direct_refused(self, bindings: Iterable[Binding]) -> None:
         """Nothing of it was or will be executed: the worker said so, or the request never left."""
         for binding in bindings:
-            binding.direct_out = False
+            binding.direct_start_in_flight = False
 
     @staticmethod
     def _may_start(binding: Binding) -> bool:
@@ -666,7 +670,7 @@
         commands: list[dict[str, Any]] = []
         for binding in machine.bindings.values():
             stop = binding.stop
-            if stop is None or binding.untold:
+            if stop is None or binding.never_sent:
                 continue
             overdue = now - stop.since > stop.grace_s
             if binding.state == wire.SAVING and not overdue:
@@ -685,7 +689,7 @@
         machine = self.machines.get(binding.machine)
         if machine is not None:
             machine.touch()
-        if binding.untold:
+        if binding.never_sent:
             if machine is not None:
                 self._release(machine, binding, now, f"never started ({reason})")
             return False
@@ -696,12 +700,12 @@
     def bind(
         self, job: Job, machine: Machine, backfilled: bool, wall: Wall, now: Monotonic
     ) -> Binding | None:
-        assert machine.session is not None
-        index = self._book.take_task(job)
+        assert machine.incarnation is not None
+        index = self._job_store.take_task(job)
         if index is None:
             return None
-        binding = self._book.bind(
-            job, index, machine.id, machine.session, machine.zone, backfilled, wall, now
+        binding = self._job_store.bind(
+            job, index, machine.id, machine.incarnation, machine.zone, backfilled, wall, now
         )
         self._attach(machine, binding)
         return binding
@@ -731,7 +735,7 @@
             machine.idle_since = now
         reason = f", stopped for {binding.stop.reason}" if binding.stop is not None else ""
         log.debug("task %s released from %s: %s%s", binding.task, machine.id, proof, reason)
-        self._book.release(binding, machine.zone, now)
+        self._job_store.release(binding, machine.zone, now)
 
     # -- silence, and the cloud's word ----------------------------------------------------------
 
@@ -744,14 +748,14 @@
         return [
             machine
             for machine in self.machines.values()
-            if not machine.lapsed
-            and machine.session is not None
+            if not machine.lease_expired
+            and machine.incarnation is not None
             and now - self._renewed_at(machine) > self._silence_s
         ]
 
     def _renewed_at(self, machine: Machine) -> Monotonic:
         own = machine.answered_at if machine.answered_at is not None else self._elected_at
-        begun = machine.begun_at if machine.begun_at is not None else own
+        begun = machine.incarnation_seen_at if machine.incarnation_seen_at is not None else own
         return max(own, begun, self._elsewhere_until)
 
     def still_coming(self, now: Monotonic, share: float, within_s: float) -> bool:
@@ -762,12 +766,12 @@
         if now - self._elected_at > within_s:
             return False
         up = [m for m in self.machines.values() if m.up]
-        return sum(m.heard_at is not None for m in up) < share * len(up)
+        return sum(m.last_contact_at is not None for m in up) < share * len(up)
 
-    def unheard_s(self, machine: Machine, now: Monotonic) -> float:
+    def silence_s_of(self, machine: Machine, now: Monotonic) -> float:
         """For how long nothing was heard of a machine that has reported, or is said to have."""
-        if machine.heard_at is not None:
-            return now - machine.heard_at
+        if machine.last_contact_at is not None:
+            return now - machine.last_contact_at
         # Rented in this term and listed as running, it may have come up just now.
         return now - max(self._elected_at, machine.since)
 
@@ -780,21 +784,21 @@
             log.info(
                 "machine %s lapsed in session %d with %d tasks",
                 machine.id,
-                machine.session,
+                machine.incarnation,
                 len(machine.bindings),
             )
-            machine.lapsed = True
+            machine.lease_expired = True
             machine.current = False
-            machine.lapsed_cpus = machine.cpus
+            machine.expired_cpus = machine.cpus
             for binding in list(machine.bindings.values()):
                 self._release(machine, binding, now, "lease lapsed")
             machine.exited.clear()
-            machine.strangers = 0
+            machine.unbound_tasks = 0
             self.changed()
 
     def released(self, machine_id: MachineId, now: Monotonic) -> None:
         """Proof 4: the cloud has confirmed that the machine is gone."""
-        self.gone[machine_id] = now
+        self.terminated[machine_id] = now
         machine = self._forget(machine_id)
         if machine is None:
             return
@@ -803,8 +807,8 @@
         self.changed()
 
     def forget_gone(self, now: Monotonic) -> None:
-        for machine_id in [i for i, at in self.gone.items() if now - at > _GONE_KEPT_S]:
-            del self.gone[machine_id]
+        for machine_id in [i for i, at in self.terminated.items() if now - at > _GONE_KEPT_S]:
+            del self.terminated[machine_id]
 
     def drop(self, machine: Machine) -> None:
         """Forgets a machine that has no bindings and is no longer listed."""
@@ -813,6 +817,6 @@
 
     def _forget(self, machine_id: MachineId) -> Machine | None:
         machine = self.machines.pop(machine_id, None)
-        self.blame.forget_machine(machine_id)
-        self.dropped(machine_id)
+        self.failure_attribution.forget_machine(machine_id)
+        self.deregistered(machine_id)
         return machine
--- a/tealrill/fleet/prober.py
+++ b/tealrill/fleet/prober.py
@@ -42,21 +42,21 @@
     def __init__(
         self,
         fleet: Fleet,
-        report_s: float,
+        heartbeat_interval_s: float,
         spare: Callable[[], int],
         reach: Reach = accepts,
         now: Callable[[], Monotonic] = monotonic_now,
         valid: Callable[[], bool] = lambda: True,
     ) -> None:
         self._fleet = fleet
-        self._report_s = report_s
+        self._report_s = heartbeat_interval_s
         self._spare = spare
         self._valid = valid
         self._reach = reach
         self._now = now
         self._tried: dict[MachineId, Monotonic] = {}
         self._under_way: dict[MachineId, asyncio.Task[None]] = {}
-        self.hearing = Diagnosis({}, frozenset())
+        self.diagnosis = Diagnosis({}, frozenset())
         self.judged: Callable[[], None] = lambda: None
         """Called when the verdicts have changed."""
 
@@ -80,7 +80,9 @@
         """Judges what is known by now; the machines to be tried next, the longest untried first."""
         known = [m for m in self._fleet.machines.values() if m.up and m.zone]
         missed_s = failure_detector.live_within_s(self._report_s)
-        silent = [m for m in known if self._fleet.unheard_s(m, now) > missed_s and not m.releasing]
+        silent = [
+            m for m in known if self._fleet.silence_s_of(m, now) > missed_s and not m.releasing
+        ]
         if not silent:
             self._judge([], now)
             self._tried.clear()
@@ -100,40 +102,42 @@
         return due[: max(0, max(_FEWEST, min(_MOST, self._spare())) - len(self._under_way))]
 
     def _judge(self, known: list[Machine], now: Monotonic) -> None:
-        hearing = failure_detector.judge((self._sign(m, now) for m in known), self._report_s)
-        healed = self.hearing.cut_zones - hearing.cut_zones
+        diagnosis = failure_detector.judge((self._sign(m, now) for m in known), self._report_s)
+        healed = self.diagnosis.partitioned_zones - diagnosis.partitioned_zones
         if healed:
             # What was tried in vain through a cut says nothing of the machine: 40 good ones were
             # returned in the moment in which the first of their zone were heard again.
             for machine in known:
                 if machine.zone in healed:
-                    machine.misses = 0
-            hearing = failure_detector.judge((self._sign(m, now) for m in known), self._report_s)
-        if hearing == self.hearing:
+                    machine.failed_connects = 0
+            diagnosis = failure_detector.judge((self._sign(m, now) for m in known), self._report_s)
+        if diagnosis == self.diagnosis:
             return
-        self._tell(hearing)
-        self.hearing = hearing
+        self._tell(diagnosis)
+        self.diagnosis = diagnosis
         self.judged()
 
     def _sign(self, machine: Machine, now: Monotonic) -> Evidence:
         return Evidence(
             machine.id,
             machine.zone,
-            self._fleet.unheard_s(machine, now),
-            machine.misses,
+            self._fleet.silence_s_of(machine, now),
+            machine.failed_connects,
             machine.accepts,
-            machine.unlisted,
+            machine.missing_from_lists,
         )
 
-    def _tell(self, hearing: Diagnosis) -> None:
+    def _tell(self, diagnosis: Diagnosis) -> None:
         """One line an event, not one a machine: operators read this when hundreds are gone."""
         for verdict in (Suspicion.GONE, Suspicion.HUNG):
-            names = {m for m, v in hearing.verdicts.items() if v is verdict}
-            new = names - {m for m, v in self.hearing.verdicts.items() if v is verdict}
+            names = {m for m, v in diagnosis.verdicts.items() if v is verdict}
+            new = names - {m for m, v in self.diagnosis.verdicts.items() if v is verdict}
             if new:
                 log.info("%d machines are judged %s, %d more", len(names), verdict.value, len(new))
-        if hearing.cut_zones != self.hearing.cut_zones:
-            log.info("zones not heard: %s", ", ".join(sorted(hearing.cut_zones)) or "none")
+        if diagnosis.partitioned_zones != self.diagnosis.partitioned_zones:
+            log.info(
+                "zones not heard: %s", ", ".join(sorted(diagnosis.partitioned_zones)) or "none"
+            )
 
     # -- attempts -------------------------------------------------------------------------------
 
@@ -148,13 +152,13 @@
         task.add_done_callback(lambda _: self._under_way.pop(machine.id, None))
 
     async def _attempt(self, machine: Machine, address: Address) -> None:
-        heard_at = machine.heard_at
+        last_contact_at = machine.last_contact_at
         found = await self._reach(address, _TIMEOUT_S)
-        if found is not None and machine.heard_at == heard_at:
+        if found is not None and machine.last_contact_at == last_contact_at:
             self.tried(machine, found)
 
     @staticmethod
     def tried(machine: Machine, accepts: bool) -> None:
         """What an attempt brought."""
         machine.accepts = accepts
-        machine.misses = 0 if accepts else machine.misses + 1
+        machine.failed_connects = 0 if accepts else machine.failed_connects + 1
--- a/tealrill/fleet/provisioning.py
+++ b/tealrill/fleet/provisioning.py
@@ -54,20 +54,20 @@
         fleet: Fleet,
         term: FencingToken,
         list_lag_s: float,
-        intents: IntentLog,
+        intent_log: IntentLog,
         renting: Duty,
         returning: Duty,
     ) -> None:
         self._cloud = cloud
         self._fleet = fleet
         self._term = term
-        self.intents = intents
+        self.intent_log = intent_log
         self.renting = renting
         self.returning = returning
         self._lag_s = list_lag_s
         self._names = 0
         self.requests: dict[str, Request] = {}
-        self.refusals = CapacityBackoff()
+        self.capacity_backoff = CapacityBackoff()
         self._tasks: set[asyncio.Task[Any]] = set()
         self.catalogue: wire.Catalogue | None = None
         self.offers: list[Offer] = []
@@ -75,7 +75,7 @@
         self._types: dict[str, wire.MachineType] = {}
         self._ratios: dict[tuple[str, bool], float] = {}
         self.boots = BootTimeEstimator()
-        self.cut_zones: Callable[[], frozenset[str]] = frozenset
+        self.partitioned_zones: Callable[[], frozenset[str]] = frozenset
         """Zones of which nothing is heard."""
         self.changed: Callable[[], None] = lambda: None
         self.granted: Callable[[Rental], None] = lambda _: None
@@ -85,7 +85,9 @@
 
     def available(self, now: Monotonic) -> list[Offer]:
         """What was not refused a short while ago."""
-        return [offer for offer in self.offers if not self.refusals.refused(offer.kind, now)]
+        return [
+            offer for offer in self.offers if not self.capacity_backoff.refused(offer.kind, now)
+        ]
 
     def is_dear(self, type_name: str, spot: bool, dear: float) -> bool:
         """Whether a kind of machine costs much more per processor than the cheapest."""
@@ -131,7 +133,7 @@
         with a pass between them, 160 machines took 15 s.
         """
         kind = rental.kind
-        if self.asked_for(kind) or self.intents.full:
+        if self.asked_for(kind) or self.intent_log.full:
             return
         parts: list[Request] = []
         for begin in range(0, rental.count, MOST_RENTED):
@@ -178,7 +180,7 @@
     async def _rent(self, request: Request) -> int:
         """Records a rental and asks for it; how many were rented."""
         await self._releases_first()
-        if self.intents.closed:
+        if self.intent_log.closed:
             del self.requests[request.name]
             return 0
         await self._record(request)
@@ -208,11 +210,11 @@
         now = monotonic_now()
         names = self._usable(names, rental.count)
         if names:
-            self.intents.granted(request.name, names)
+            self.intent_log.granted(request.name, names)
         else:
-            self.intents.rent_over(request.name)
+            self.intent_log.rent_over(request.name)
         self.renting.did(f"{request.name}: {len(names)} of {rental.count} {rental.type}")
-        self.refusals.answered(kind, rental.count, len(names), now)
+        self.capacity_backoff.answered(kind, rental.count, len(names), now)
         log.info(
             "rental %s: %d of %d %s in %s%s",
             request.name,
@@ -237,7 +239,7 @@
         for the end of the outage (104 machines that were taken just before one of 25 s once did);
         the record follows. If this leader is lost before, the list shows what it rented.
         """
-        recorded = self._begin(self.intents.rent(request.name, request.rental))
+        recorded = self._begin(self.intent_log.rent(request.name, request.rental))
         while not recorded.done():
             await asyncio.wait({recorded}, timeout=_RECORD_LOOK_S)
             if self.renting.alone() and self.renting.valid():
@@ -255,14 +257,14 @@
             log.warning("a rental of %d brought %d names, %d good", asked, len(names), len(found))
         return found
 
-    def came(self, machine: Machine, now: Monotonic) -> None:
+    def registered(self, machine: Machine, now: Monotonic) -> None:
         """A machine reports for the first time in this term."""
         if machine.booted:
-            self.boots.came((machine.type, machine.zone), now - machine.since, now)
+            self.boots.registered((machine.type, machine.zone), now - machine.since, now)
 
     def _rented(self, name: str, rental: Rental, since: Monotonic, booted: bool = False) -> None:
         machine_id = parse_machine_id(name)
-        if machine_id is None or machine_id in self._fleet.gone:
+        if machine_id is None or machine_id in self._fleet.terminated:
             return
         machine = self._fleet.machines.get(machine_id)
         if machine is None:
@@ -282,8 +284,8 @@
         Machines under a recorded return are no room from here on: a request for them may be on its
         way. Rentals that were answered name their machines; the others are asked for again.
         """
-        for name in self.intents.read(entries):
-            record = self.intents.rents[name]
+        for name in self.intent_log.read(entries):
+            record = self.intent_log.rents[name]
             rental = Rental(record.type, record.zone, record.spot, record.count)
             since = Monotonic(now - max(0.0, wall - record.at))
             if record.names is not None:
@@ -292,7 +294,7 @@
                 continue
             request = self.requests[name] = Request(name, rental, since)
             self._begin(self._ask(request))
-        for names in self.intents.returns.values():
+        for names in self.intent_log.returns.values():
             for machine_id in names:
                 known = self._fleet.machines.get(machine_id)
                 if known is None:
@@ -303,8 +305,8 @@
             log.info(
                 "term %d: %d rentals and %d returns taken over",
                 self._term,
-                len(self.intents.rents),
-                len(self.intents.returns),
+                len(self.intent_log.rents),
+                len(self.intent_log.returns),
             )
 
     # -- returning ------------------------------------------------------------------------------
@@ -315,10 +317,10 @@
             wanted = [m for m in self._fleet.machines.values() if m.releasing and not m.returned][
                 :MOST_RELEASED
             ]
-            if not wanted or self.intents.full:
+            if not wanted or self.intent_log.full:
                 await asyncio.sleep(_RETURNS_EVERY_S)
                 continue
-            _, recorded = await self.intents.give_back([m.id for m in wanted])
+            _, recorded = await self.intent_log.give_back([m.id for m in wanted])
             for machine_id in recorded:
                 machine = self._fleet.machines.get(machine_id)
                 if machine is not None:
@@ -340,7 +342,7 @@
             log.info("released %s", ", ".join(names))
             self.returning.did(f"{len(names)} machines")
             for key in keys:
-                self.intents.gone(key)
+                self.intent_log.terminated(key)
             for machine_id in names:
                 self._freed(self._fleet.machines.get(machine_id))
                 self._fleet.released(machine_id, monotonic_now())
@@ -349,7 +351,7 @@
         """As many whole records as one request takes, the oldest first."""
         keys: list[str] = []
         names: list[MachineId] = []
-        for key, machines in self.intents.returns.items():
+        for key, machines in self.intent_log.returns.items():
             if len(names) + len(machines) > MOST_RELEASED:
                 break
             keys.append(key)
@@ -367,14 +369,14 @@
         if machine is None or not machine.type:
             return
         if (
-            machine.lapsed
-            or machine.misses
-            or machine.unlisted
+            machine.lease_expired
+            or machine.failed_connects
+            or machine.missing_from_lists
             or machine.listed == wire.MACHINE_FAILED
         ):
-            self.refusals.freed(machine.kind)
+            self.capacity_backoff.freed(machine.kind)
         else:
-            self.refusals.hopeful(machine.kind)
+            self.capacity_backoff.hopeful(machine.kind)
 
     # -- the list and the catalogue -------------------------------------------------------------
 
@@ -405,33 +407,33 @@
             if machine_id is None:
                 continue
             present.add(machine_id)
-            if machine_id in self._fleet.gone:
+            if machine_id in self._fleet.terminated:
                 self._relisted(machine_id, now)
             else:
                 self._take_line(machine_id, line, now)
         for machine in list(self._fleet.machines.values()):
             if machine.id not in present:
-                machine.unlisted += machine.listed_at is not None
+                machine.missing_from_lists += machine.listed_at is not None
                 self._not_listed(machine, now)
         self._fleet.forget_gone(now)
         self._seen()
 
     def _seen(self) -> None:
         """Rentals whose machines are all known by themselves need no record any more."""
-        for name, record in list(self.intents.rents.items()):
+        for name, record in list(self.intent_log.rents.items()):
             if record.names is not None and not any(map(self._unseen, record.names)):
-                self.intents.rent_over(name)
+                self.intent_log.rent_over(name)
 
     def _unseen(self, name: str) -> bool:
         machine_id = parse_machine_id(name)
         machine = self._fleet.machines.get(machine_id) if machine_id is not None else None
-        return machine is not None and machine.listed_at is None and machine.heard_at is None
+        return machine is not None and machine.listed_at is None and machine.last_contact_at is None
 
     def _relisted(self, machine_id: MachineId, now: Monotonic) -> None:
         """The list lags, so a released machine may stand on it for a while."""
-        if now - self._fleet.gone[machine_id] > 4 * self._lag_s + 10:
+        if now - self._fleet.terminated[machine_id] > 4 * self._lag_s + 10:
             log.info("machine %s is still listed long after its release", machine_id)
-            del self._fleet.gone[machine_id]
+            del self._fleet.terminated[machine_id]
 
     def _take_line(self, machine_id: MachineId, line: wire.ListedMachine, now: Monotonic) -> None:
         machine = self._fleet.machines.get(machine_id)
@@ -448,12 +450,12 @@
             self._fleet.locate(machine, line.type, line.zone, line.spot)
         machine.listed, machine.listed_at = line.state, now
         machine.listed_addr = line.addr
-        machine.unlisted = 0
+        machine.missing_from_lists = 0
         if line.state == wire.MACHINE_FAILED and not machine.releasing:
             # It stopped by itself; the release is the proof that its tasks are gone.
             log.info("machine %s failed", machine_id)
             machine.releasing = True
-        if line.state == wire.MACHINE_BOOTING and machine.heard_at is None:
+        if line.state == wire.MACHINE_BOOTING and machine.last_contact_at is None:
             self._still_starting(machine, now)
 
     def _still_starting(self, machine: Machine, now: Monotonic) -> None:
@@ -466,7 +468,7 @@
         kind = self.type_of(machine.type)
         if machine.releasing or machine.bindings or kind is None:
             return
-        if machine.zone in self.cut_zones():
+        if machine.zone in self.partitioned_zones():
             return
         waited_s = now - machine.since
         if waited_s > self.boots.patience_s((machine.type, machine.zone), kind.boot_s, now):
@@ -478,7 +480,7 @@
         if machine.bindings or machine.releasing:
             return
         known_for = now - (machine.listed_at if machine.listed_at is not None else machine.since)
-        silent = machine.lapsed or machine.heard_at is None
+        silent = machine.lease_expired or machine.last_contact_at is None
         if silent and known_for > 3 * self._lag_s + 10:
             log.info("machine %s is gone", machine.id)
             self._freed(machine)
--- a/tealrill/graphs/admission.py
+++ b/tealrill/graphs/admission.py
@@ -97,7 +97,7 @@
 
 class GraphAdmission:
     """Submitting, showing and cancelling graphs, and the ids of their nodes
-    (`intake.ImplicitJobs`).
+    (`admission.ImplicitJobs`).
     """
 
     def __init__(
@@ -105,12 +105,12 @@
         client: StateClient,
         settings: Settings,
         features: GraphFeatures,
-        intake: Admission,
+        admission: Admission,
         counts: Callable[[str], Awaitable[dict[str, int] | None]],
     ) -> None:
         self._client = client
         self._features = features
-        self._intake = intake
+        self._admission = admission
         self._counts = counts
         """A live graph's nodes by state, as its leader has them; None if it can't be asked."""
         state = settings.params.state
@@ -134,8 +134,8 @@
         if found.over is not None:
             cancelled = found.over.status == wire.JOB_CANCELLED
             outcome = OUTCOME_CANCELLED if cancelled else OUTCOME_SKIPPED
-            gone = ImplicitJob(wire.JOB_CANCELLED, outcome)
-            return gone if node[1] < found.over.nodes else None
+            terminated = ImplicitJob(wire.JOB_CANCELLED, outcome)
+            return terminated if node[1] < found.over.nodes else None
         if found.head is None or found.head.status != records.ACCEPTED:
             return None
         return ImplicitJob(wire.JOB_PENDING) if node[1] < found.head.nodes else None
@@ -187,7 +187,7 @@
             if over is not None and end is not None and end.status == wire.JOB_CANCELLED:
                 # Whatever is answered from it tells a user, perhaps before the node that cancelled
                 # it could; and that one may have ended since.
-                self._intake.acknowledge(graph, Revision(over.version))
+                self._admission.acknowledge(graph, Revision(over.version))
             return Found(
                 head,
                 ABSENT if entry is None else Revision(entry.version),
@@ -315,7 +315,7 @@
         beside = 100 + records.NODE_JOB_BYTES + most_each * records.EACH_BYTES
 
         def problem(spec: wire.JobSpec) -> tuple[int, str] | None:
-            reply = self._intake.problem(spec, JobId(spec.id), beside)
+            reply = self._admission.problem(spec, JobId(spec.id), beside)
             return None if reply is None else (reply.status, reply.body["error"])
 
         await check_part(graph, defaults, nodes, problem, lambda: asyncio.sleep(0))
@@ -573,7 +573,7 @@
                 continue
             if isinstance(result, Committed):
                 log.info("graph %s cancelled", graph)
-                self._intake.acknowledge(graph, result.revision)
+                self._admission.acknowledge(graph, result.revision)
                 return Reply(200, {"id": graph, "status": wire.JOB_CANCELLED})
         return _later("not cancelled yet")
 
--- a/tealrill/graphs/extension.py
+++ b/tealrill/graphs/extension.py
@@ -49,13 +49,13 @@
     settings: Settings,
     features: GraphFeatures,
     client: StateClient,
-    intake: Admission,
+    admission: Admission,
     election: Election,
     relay: Relay,
 ) -> Extension:
     """The subsystem for one node."""
     counts = Counts(settings, election)
-    asked = GraphAdmission(client, settings, features, intake, counts.anywhere)
+    asked = GraphAdmission(client, settings, features, admission, counts.anywhere)
 
     def term(given: LeadershipContext) -> LeaderExtension:
         counts.term = GraphLeaderExtension(given, features)
--- a/tealrill/graphs/leader_extension.py
+++ b/tealrill/graphs/leader_extension.py
@@ -216,7 +216,7 @@
             return False
         if name in self._aside:
             job.owner = self._aside[name]
-            self._term.book.close_tasks(job)
+            self._term.job_store.close_tasks(job)
             return True
         known = self._heads.get(name)
         if known is None:
@@ -230,13 +230,13 @@
             kept = records.read_node_job(value)
         except GraphRecordError as error:
             log.error("record of node %s: %s", job.id, error)
-            self._term.book.close_tasks(job)
+            self._term.job_store.close_tasks(job)
             return True
         job.most_errors = kept.retries
         job.due_s = kept.due_s
         job.tail_s = kept.tail_s
         if kept.each:
-            self._term.book.close_tasks(job)
+            self._term.job_store.close_tasks(job)
         live = self._live.get(name)
         if live is not None:
             self._attach(live, node[1], job)
@@ -276,10 +276,10 @@
         live.views.pop(index, None)
         if progress.state[index] != RELEASED:
             # While its release was on its way, what it waits for became impossible.
-            self._term.book.give_up(job, OUTCOME_SKIPPED)
+            self._term.job_store.give_up(job, OUTCOME_SKIPPED)
         live.jobs[index] = job
         if progress.is_followed(index):
-            done = self._term.book.follow(job, monotonic_now())
+            done = self._term.job_store.follow(job, monotonic_now())
             self._opened(live, progress.tasks_done(index, done))
         if job.opened is not None:
             self._open(live, index, job)
@@ -287,12 +287,12 @@
     def _open(self, live: Live, index: int, job: Job) -> None:
         """Lets all tasks go whose wait is over."""
         for task in live.progress.open_elements(index):
-            self._term.book.open_task(job, task)
+            self._term.job_store.open_task(job, task)
 
     def _opened(self, live: Live, freed: list[tuple[int, int]]) -> None:
         for follower, task in freed:
             if follower in live.jobs:
-                self._term.book.open_task(live.jobs[follower], task)
+                self._term.job_store.open_task(live.jobs[follower], task)
 
     def _settle(self, name: str, index: int, state: int) -> None:
         live = self._live.get(name)
@@ -312,7 +312,7 @@
             live.stopped_by = live.node(index).key
         for stuck in live.progress.stuck:
             if stuck in live.jobs:
-                self._term.book.give_up(live.jobs[stuck], OUTCOME_SKIPPED)
+                self._term.job_store.give_up(live.jobs[stuck], OUTCOME_SKIPPED)
         live.progress.stuck.clear()
         self._wake.set()
 
@@ -330,7 +330,7 @@
         owner = known[1] if known is not None else aside
         if owner is None:
             return
-        jobs = [job for job in self._term.book.jobs.values() if job.owner is owner]
+        jobs = [job for job in self._term.job_store.jobs.values() if job.owner is owner]
         if jobs:
             log.info("graph %s is over (%s); %d of its jobs are stopped", name, why, len(jobs))
         for job in jobs:
@@ -436,7 +436,7 @@
             self._wake.set()
 
         live.in_flight += 1
-        self._term.keeper.join(
+        self._term.write_batcher.join(
             JoinedWrite(
                 {live.owner.key: live.owner.stamp, job_key(job): ABSENT, over_key(job): ABSENT},
                 [wire.put(job_key(job), value)],
@@ -463,7 +463,7 @@
             self._wake.set()
 
         live.ending = True
-        self._term.keeper.join(
+        self._term.write_batcher.join(
             JoinedWrite(
                 {live.owner.key: live.owner.stamp, key: ABSENT},
                 [wire.delete(live.owner.key), wire.put(key, over)],
@@ -491,7 +491,7 @@
             applied(ABSENT)
 
         self._burials.add(job)
-        self._term.keeper.join(
+        self._term.write_batcher.join(
             JoinedWrite(
                 {job_key(job): stamp, over_key(job): ABSENT},
                 [wire.delete(job_key(job)), wire.put(over_key(job), value)],
@@ -504,8 +504,8 @@
         key = records.word_key(name)
         del self._words[name]
         # A word that comes meanwhile is seen, and forgotten in its turn.
-        gone = JoinedWrite({key: version}, [wire.delete(key)], lambda _: None, lambda _: None)
-        self._term.keeper.join(gone)
+        terminated = JoinedWrite({key: version}, [wire.delete(key)], lambda _: None, lambda _: None)
+        self._term.write_batcher.join(terminated)
 
     # -- graphs that were never sealed ----------------------------------------------------------
 
@@ -527,7 +527,7 @@
 
         self._expiring.add(name)
         changes = [wire.put(key, msgspec.to_builtins(expired))]
-        self._term.keeper.join(JoinedWrite({key: version}, changes, done, done))
+        self._term.write_batcher.join(JoinedWrite({key: version}, changes, done, done))
 
     async def _clear_up(self, name: str) -> None:
         """Removes the parts of an expired graph, a few at a time, then its head."""
@@ -548,7 +548,7 @@
                     self._wake.set()
 
             # One by one: a set of many waits for a bucket that may never be so full.
-            self._term.keeper.join(JoinedWrite({key: stamp}, [wire.delete(key)], done, done))
+            self._term.write_batcher.join(JoinedWrite({key: stamp}, [wire.delete(key)], done, done))
 
     # -- reading a graph ------------------------------------------------------------------------
 
@@ -576,7 +576,7 @@
         live = Live(name, head, owner, parts, Progress(shape))
         live.first = [0, *accumulate(part.nodes for part in parts[:-1])]
         self._live[name] = live
-        for job in [j for j in self._term.book.jobs.values() if j.owner is owner]:
+        for job in [j for j in self._term.job_store.jobs.values() if j.owner is owner]:
             node = parse_node_id(job.id)
             if node is not None and not job.cancelled:
                 self._attach(live, node[1], job)
--- a/tealrill/leader/leader.py
+++ b/tealrill/leader/leader.py
@@ -115,37 +115,42 @@
         self._election = election
         self._mine = mine
         self._estimates = estimates
-        self.book = JobStore(params.state.value_kb)
+        self.job_store = JobStore(params.state.value_kb)
         workers = params.workers
         self.fleet = Fleet(
-            self.book, mine.term, mine.elected_at, workers.lease_s, DELEGATION_S, workers.report_s
+            self.job_store,
+            mine.term,
+            mine.elected_at,
+            workers.lease_s,
+            DELEGATION_S,
+            workers.heartbeat_interval_s,
         )
         spare_s = workers.cancel_s - workers.lease_s
-        self.fleet.stop_within_s = max(_STOP_S, spare_s / 2)
+        self.fleet.stop_timeout_s = max(_STOP_S, spare_s / 2)
         self._delegations = Delegations(
             client, mine.term, mine.stamp, lambda: self.fleet.delegation_ended(monotonic_now())
         )
         self.fleet.changed = self.wake
         self.fleet.finished = self._finished
-        self.keeper = WriteBatcher(
-            client, self.book, mine, params.state.txn_ops, self._committed, self._job_over
+        self.write_batcher = WriteBatcher(
+            client, self.job_store, mine, params.state.txn_ops, self._committed, self._job_over
         )
-        self.intents = IntentLog(self.keeper.join, mine.term, params.state.value_kb)
-        self.renter = Provisioner(
+        self.intent_log = IntentLog(self.write_batcher.join, mine.term, params.state.value_kb)
+        self.provisioner = Provisioner(
             cloud,
             self.fleet,
             mine.term,
             params.cloud.list_lag_s,
-            self.intents,
+            self.intent_log,
             self._duty("renting"),
             self._duty("returning"),
         )
         if catalogue is not None:
             # A leader elected while the cloud is away would place nothing until it is back.
-            self.renter.take_catalogue(catalogue)
-        self.renter.changed = self.wake
-        self.dispatcher = SchedulingLoop(
-            self.book, self.fleet, self.renter, estimates, params, self._command_now
+            self.provisioner.take_catalogue(catalogue)
+        self.provisioner.changed = self.wake
+        self.scheduling_loop = SchedulingLoop(
+            self.job_store, self.fleet, self.provisioner, estimates, params, self._command_now
         )
         self.seen = CancellationKnowledge()
         """How far changes of jobs are known by the watch."""
@@ -156,18 +161,18 @@
             settings,
             client,
             mine,
-            self.book,
-            self.keeper,
+            self.job_store,
+            self.write_batcher,
             self._valid,
             self._stop,
-            self.dispatcher.remaining_s,
-            self.dispatcher.view_of,
+            self.scheduling_loop.remaining_s,
+            self.scheduling_loop.view_of,
         )
         self.parts = [part(term) for part in parts]
         if self.parts:
-            self.dispatcher.upcoming = self._upcoming
-            self.keeper.tasks_done = self._tasks_done
-            self.keeper.owner_gone = self._owner_gone
+            self.scheduling_loop.upcoming = self._upcoming
+            self.write_batcher.tasks_done = self._tasks_done
+            self.write_batcher.owner_gone = self._owner_gone
         self.exclusions = Exclusions(
             settings, client, mine.term, mine.stamp, self._valid, revoked=self._lease_revoked
         )
@@ -178,15 +183,18 @@
         self._wake = asyncio.Event()
         self._winding_up = False
         self._orders: dict[MachineId, asyncio.Task[None]] = {}
-        self._lines = ConnectionPool(params.quota.fd_limit, lambda: len(self.fleet.machines))
-        self.fleet.dropped = self._lines.drop
+        self._connections = ConnectionPool(params.quota.fd_limit, lambda: len(self.fleet.machines))
+        self.fleet.deregistered = self._connections.drop
         self.prober = Prober(
-            self.fleet, params.workers.report_s, lambda: self._lines.spare, valid=self._valid
+            self.fleet,
+            params.workers.heartbeat_interval_s,
+            lambda: self._connections.spare,
+            valid=self._valid,
         )
         self.prober.judged = self.wake
-        self.renter.cut_zones = lambda: self.prober.hearing.cut_zones
-        self.fleet.came = self.renter.came
-        self.dispatcher.hearing = lambda: self.prober.hearing
+        self.provisioner.partitioned_zones = lambda: self.prober.diagnosis.partitioned_zones
+        self.fleet.registered = self.provisioner.registered
+        self.scheduling_loop.diagnosis = lambda: self.prober.diagnosis
 
     # -- the term -------------------------------------------------------------------------------
 
@@ -195,15 +203,15 @@
         try:
             seen = await self._load()
             async with asyncio.TaskGroup() as group:
-                group.create_task(self.keeper.run())
+                group.create_task(self.write_batcher.run())
                 group.create_task(self._watch_jobs(seen))
                 group.create_task(self._passes())
                 group.create_task(self._silences())
                 group.create_task(self.prober.run())
                 group.create_task(self.exclusions.run())
-                group.create_task(self.renter.run_returns())
-                group.create_task(self.renter.run_releases())
-                group.create_task(self.renter.run_lists())
+                group.create_task(self.provisioner.run_returns())
+                group.create_task(self.provisioner.run_releases())
+                group.create_task(self.provisioner.run_lists())
                 for part in self.parts:
                     group.create_task(part.run())
         except* LeadershipLostError:
@@ -212,17 +220,17 @@
             self._close()
 
     def _close(self) -> None:
-        self.renter.close()
+        self.provisioner.close()
         for task in self._orders.values():
             task.cancel()
-        self._lines.close()
+        self._connections.close()
         self.exclusions.close()
 
     def wind_up(self) -> None:
         """Begins nothing new, because the duties are about to be handed over."""
         self._winding_up = True
-        self.intents.closed = True
-        self.keeper.wake()
+        self.intent_log.closed = True
+        self.write_batcher.wake()
 
     @property
     def under_way(self) -> bool:
@@ -230,7 +238,12 @@
 
         Requests to the cloud are not waited for: they are recorded, and the next leader goes on.
         """
-        return bool(self._orders or self.book.urgent or self.book.ending or self.keeper.under_way)
+        return bool(
+            self._orders
+            or self.job_store.urgent
+            or self.job_store.ending
+            or self.write_batcher.under_way
+        )
 
     def wake(self) -> None:
         """Something happened that may change what a pass decides."""
@@ -246,16 +259,16 @@
     def duties(self) -> dict[str, Any]:
         """The duties that this node holds, for operators."""
         now = monotonic_now()
-        intents = self.intents
+        intent_log = self.intent_log
         return {
             duty.name: duty.describe(now, count)
             for duty, count in (
-                (self.renter.renting, len(intents.rents)),
-                (self.renter.returning, len(intents.returns)),
+                (self.provisioner.renting, len(intent_log.rents)),
+                (self.provisioner.returning, len(intent_log.returns)),
             )
         }
 
-    def vouched(self, at: Monotonic) -> None:
+    def cancellations_known_until(self, at: Monotonic) -> None:
         """All others have told what they had acknowledged before `at`; its own this node knows."""
         self._vouched_at = max(self._vouched_at, at)
 
@@ -309,25 +322,25 @@
             except StateError as error:
                 log.info("reading the records: %s", error)
                 await asyncio.sleep(_RETRY_S)
-                self.book.clear()
+                self.job_store.clear()
         now = monotonic_now()
         self.fleet.inherit(bindings, now)
-        self.renter.inherit(asked, now, wall_now())
-        for job in list(self.book.jobs.values()):
+        self.provisioner.inherit(asked, now, wall_now())
+        for job in list(self.job_store.jobs.values()):
             if job.cancelled:
-                self.book.cancel(job)
-                self.dispatcher.cancel(job, now)
+                self.job_store.cancel(job)
+                self.scheduling_loop.cancel(job, now)
         log.info(
             "term %d: %d jobs and %d bindings read",
             self._mine.term,
-            len(self.book.jobs),
+            len(self.job_store.jobs),
             len(bindings),
         )
         return CancellationKnowledge(revision, began)
 
     def _add_job(self, key: str, value: object, stamp: Revision) -> Job | None:
         job_id = parse_job_id(key.removeprefix(JOB_PREFIX))
-        if job_id is None or job_id in self.book.jobs:
+        if job_id is None or job_id in self.job_store.jobs:
             return None
         try:
             record = msgspec.convert(value, _JobRecord)
@@ -335,8 +348,8 @@
             log.error("record of job %s: %s", job_id, error)
             self._unread.add(job_id)
             return None
-        self.dispatcher.submitted(record.spec, monotonic_now())
-        job = self.book.add(record.spec, Wall(record.at), stamp)
+        self.scheduling_loop.submitted(record.spec, monotonic_now())
+        job = self.job_store.add(record.spec, Wall(record.at), stamp)
         if record.owner is not None:
             self._give_to_owner(job, value)
         return job
@@ -352,17 +365,17 @@
         if not any(part.take(job, value) for part in self.parts):
             # Its subsystem is switched off, or can't read it: kept as it is, nothing of it starts.
             log.error("job %s waits for what this node does not know", job.id)
-            self.book.close_tasks(job)
+            self.job_store.close_tasks(job)
         if job.cancelled and self.fleet.loaded:
             self._stop(job)
 
     def _stop(self, job: Job) -> None:
-        self.book.cancel(job)
-        self.dispatcher.cancel(job, monotonic_now())
+        self.job_store.cancel(job)
+        self.scheduling_loop.cancel(job, monotonic_now())
         self.wake()
 
     def _over(self, job: Job) -> None:
-        self.fleet.blame.forget_job(job.id)
+        self.fleet.failure_attribution.forget_job(job.id)
         for part in self.parts:
             part.over(job)
 
@@ -383,19 +396,19 @@
         if job_id is None or not number.isdigit():
             log.error("unknown record %s", entry.key)
             return []
-        job = self.book.jobs.get(job_id)
+        job = self.job_store.jobs.get(job_id)
         if job_id in self._unread:
             # It is for a node that can read its job.
             return []
         if job is None:
-            self.book.garbage[entry.key] = Revision(entry.version)
+            self.job_store.garbage[entry.key] = Revision(entry.version)
             return []
         try:
-            return self.book.load(job, int(number), entry.value, Revision(entry.version))
+            return self.job_store.load(job, int(number), entry.value, Revision(entry.version))
         except RecordError as error:
             # Its tasks may run anywhere: none of the job is started as if they did not.
             log.error("record %s", error)
-            self.book.close_tasks(job)
+            self.job_store.close_tasks(job)
             return []
 
     async def _load_over(self, chunks: list[wire.Entry]) -> None:
@@ -405,7 +418,7 @@
         hundred of them once held up a take-over for two seconds.
         """
         names = {job for job, _ in (_chunk_of(entry.key) for entry in chunks) if job is not None}
-        unknown = iter(sorted(names - self.book.jobs.keys()))
+        unknown = iter(sorted(names - self.job_store.jobs.keys()))
         found: list[wire.KeyValue] = []
 
         async def look_up() -> None:
@@ -417,7 +430,7 @@
         await asyncio.gather(*(look_up() for _ in range(_LOOK_UPS)))
         for over in found:
             record = msgspec.convert(over.value, _JobRecord)
-            self.book.add(record.spec, Wall(0.0), Revision(over.version)).cancelled = True
+            self.job_store.add(record.spec, Wall(0.0), Revision(over.version)).cancelled = True
 
     async def _watch_jobs(self, seen: CancellationKnowledge) -> None:
         hold_s = _WATCH_S
@@ -463,7 +476,7 @@
         self._read_others(entries)
         for entry in entries:
             self._add_job(entry.key, entry.value, Revision(entry.version))
-        for job in list(self.book.jobs.values()):
+        for job in list(self.job_store.jobs.values()):
             if JOB_PREFIX + job.id not in keys:
                 self.job_cancelled(job.id)
         self.wake()
@@ -476,15 +489,15 @@
             for part in self.parts:
                 part.cancelled(name)
             return
-        job = self.book.jobs.get(job_id)
+        job = self.job_store.jobs.get(job_id)
         if job is None or job.cancelled:
             return
-        if job.id in self.book.ending:
+        if job.id in self.job_store.ending:
             # It is deleted by this leader itself; if its user was faster, the transaction that ends
             # it fails and finds out. That may take as long as an outage, and of a job that ends
             # without being done tasks may run: they are stopped at its end in any case.
             if job.outcome != OUTCOME_DONE:
-                self.dispatcher.cancel(job, monotonic_now())
+                self.scheduling_loop.cancel(job, monotonic_now())
             return
         log.info("job %s was cancelled; %d of its tasks are bound", job.id, job.bound_count)
         job.outcome = OUTCOME_CANCELLED
@@ -494,7 +507,7 @@
     def _committed(self, chunks: list[Chunk]) -> None:
         """Bindings in these chunks may be started now."""
         # Not a set: the order of the commands would differ from process to process.
-        found = {b.machine: None for chunk in chunks for b in self.book.untold(chunk)}
+        found = {b.machine: None for chunk in chunks for b in self.job_store.never_sent(chunk)}
         for machine_id in found:
             machine = self.fleet.machines.get(machine_id)
             if machine is not None:
@@ -514,7 +527,7 @@
         else:
             log.info("job %s is over: %s", job.id, job.outcome)
         if job.cancelled:
-            self.dispatcher.cancel(job, monotonic_now())
+            self.scheduling_loop.cancel(job, monotonic_now())
         self._over(job)
 
     def _finished(self, finished: CompletedTask) -> None:
@@ -528,11 +541,11 @@
             self._wake.clear()
             began = monotonic_now()
             if self._valid() and not self._winding_up:
-                self.dispatcher.run(began, wall_now())
-                self.keeper.wake()
+                self.scheduling_loop.run(began, wall_now())
+                self.write_batcher.wake()
             gap_s = pass_gap_s(monotonic_now() - began)
             await asyncio.sleep(gap_s)
-            pause_s = RENT_EVERY_S if self.dispatcher.put_off else _PASS_EVERY_S
+            pause_s = RENT_EVERY_S if self.scheduling_loop.put_off else _PASS_EVERY_S
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(pause_s - gap_s):
                     await self._wake.wait()
@@ -567,12 +580,12 @@
         # the delegation's end and the worker's lease come after it, and left a second of
         # `cancel_s`.
         self._tell_knowledge(now)
-        unstopped = self.fleet.unstopped(now) or not self.informed(now)
-        if not silent and not unstopped:
+        has_overdue_stop = self.fleet.has_overdue_stop(now) or not self.informed(now)
+        if not silent and not has_overdue_stop:
             await self._delegations.clear()
             return
-        unstopped |= any(b.chunk.job.cancelled for m in silent for b in m.bindings.values())
-        if not await self._delegations.stand(now, revoke=unstopped):
+        has_overdue_stop |= any(b.chunk.job.cancelled for m in silent for b in m.bindings.values())
+        if not await self._delegations.stand(now, revoke=has_overdue_stop):
             self.fleet.check_silence(now)
 
     # -- workers --------------------------------------------------------------------------------
@@ -587,13 +600,13 @@
             log.info("term %d: %s", self._mine.term, error)
             self._election.step_down("a worker knows a newer term")
             return None
-        if self.book.ending:
-            self.keeper.wake()
+        if self.job_store.ending:
+            self.write_batcher.wake()
         return commands
 
     def _command_now(self, machine: Machine) -> None:
         """Starts and stops go to the worker directly, without waiting for its next report."""
-        if machine.id in self._orders or not machine.addr or machine.session is None:
+        if machine.id in self._orders or not machine.addr or machine.incarnation is None:
             return
         task = asyncio.create_task(self._send_commands(machine))
         self._orders[machine.id] = task
@@ -601,17 +614,17 @@
 
     async def _send_commands(self, machine: Machine) -> None:
         """Stops once, starts until none is left; after a failure the reports' responses serve."""
-        async with self._lines:
+        async with self._connections:
             await self._send_all(machine)
 
     async def _send_all(self, machine: Machine) -> None:
         stops = self.fleet.stops(machine, monotonic_now())
-        while self._valid() and machine.session is not None:
+        while self._valid() and machine.incarnation is not None:
             starts = self.fleet.direct_starts(machine)
             commands = stops + [wire.start(str(b.task), b.attempt) for b in starts]
             if not commands:
                 return
-            body = wire.encode(wire.direct_commands(self._mine.term, machine.session, commands))
+            body = wire.encode(wire.direct_commands(self._mine.term, machine.incarnation, commands))
             self.fleet.direct_sent(starts)
             if not await self._send_directly(machine, body, starts):
                 return
@@ -622,7 +635,7 @@
         """True if the commands were executed. Without an answer the starts stay unaccounted for."""
         began = monotonic_now()
         try:
-            answer = await self._lines.request(
+            answer = await self._connections.request(
                 machine.id, machine.addr, wire.COMMANDS_PATH, body, _DIRECT_TIMEOUT_S
             )
             report = (
@@ -634,7 +647,7 @@
             if isinstance(error, NoAnswerError) and error.silent and not late:
                 # Two reports in a row show that it hears. Where this node itself was late the
                 # answer may be waiting unread.
-                machine.call_deaf(True)
+                machine.mark_inbound_partitioned(True)
             if isinstance(error, SettingsError) or (
                 isinstance(error, NoAnswerError) and not error.sent
             ):
@@ -647,7 +660,7 @@
             return False
         # The report goes first: with its sequence number known, an older report that does not
         # list the task yet can't be taken for proof that it is gone.
-        self.fleet.direct_report(report, machine.id, monotonic_now(), wall_now())
+        self.fleet.handle_direct_reply(report, machine.id, monotonic_now(), wall_now())
         if answer.status == 200:
             self.fleet.direct_executed(starts)
         return answer.status == 200
--- a/tealrill/leadership/election.py
+++ b/tealrill/leadership/election.py
@@ -138,7 +138,7 @@
         key, and when first."""
         self.mine: Leadership | None = None
         self.known: KnownLeader | None = None
-        self.well_placed: Callable[[], bool] = lambda: True
+        self.has_quorum_reach: Callable[[], bool] = lambda: True
         """Whether workers reach this node well; one that they don't reach lets others go first."""
 
     def leading(self, now: Monotonic) -> Leadership | None:
@@ -276,9 +276,9 @@
     async def _stand(self, stamp: Revision, again: int = 0) -> None:
         pause = self._not_before - monotonic_now()
         if stamp == ABSENT:
-            pause = max(pause, 0.0 if self.well_placed() else _OTHERS_FIRST_S) + random.uniform(
-                0, 0.05
-            )
+            pause = max(
+                pause, 0.0 if self.has_quorum_reach() else _OTHERS_FIRST_S
+            ) + random.uniform(0, 0.05)
         if pause > 0:
             if pause > _OTHERS_FIRST_S + 0.1:
                 self._states.info("nobody leads; this node lets others stand first")
--- a/tealrill/leadership/lease_extension.py
+++ b/tealrill/leadership/lease_extension.py
@@ -114,13 +114,13 @@
         """What this node, when it leads, knows of cancellations."""
         self.cancelled: Callable[[str], None] = lambda _: None
         """Tells this node's leader of a cancellation that another node has acknowledged."""
-        self.vouched: Callable[[Leadership, Monotonic], None] = lambda _, __: None
+        self.cancellations_known_until: Callable[[Leadership, Monotonic], None] = lambda _, __: None
         """All that was acknowledged before that moment has been told."""
         self.reports: Callable[[], int] = lambda: 0
         self.lost_term: Callable[[], FencingToken | None] = lambda: None
         self.is_excluded: Callable[[Leadership, str], bool] = lambda _, __: False
         """Whether a member that does not answer certainly can't be elected for a while."""
-        self.prolonged: Callable[[Leadership, Monotonic], None] = lambda _, __: None
+        self.extended: Callable[[Leadership, Monotonic], None] = lambda _, __: None
         """The term is prolonged until then by that."""
         self._peers = peer_clients(settings)
         workers = settings.params.workers
@@ -170,7 +170,7 @@
         if not self._acknowledged.all_since(seen.revision):
             unknown.append("this node itself")
         if not unknown:
-            self.vouched(mine, sent)
+            self.cancellations_known_until(mine, sent)
         else:
             # They, or their former processes, may have acknowledged what nobody here has seen.
             latest = Monotonic(seen.at + self._unseen_s)
@@ -179,7 +179,7 @@
                 latest,
                 lower_bound_deadline(mine.renewed_at, TTL_S + READMISSION_S, _READMISSION_MARGIN_S),
             )
-            self.prolonged(mine, latest)
+            self.extended(mine, latest)
         if not self._extending:
             log.info(
                 "term %d: goes on without the state service, by all others' promise", mine.term
--- a/tealrill/leadership/open_jobs.py
+++ b/tealrill/leadership/open_jobs.py
@@ -72,7 +72,7 @@
 class _LeftBinding:
     """A task of a job that is over, bound to a machine's session."""
 
-    session: Incarnation
+    incarnation: Incarnation
     job: str
 
 
@@ -135,7 +135,7 @@
         through = _ALWAYS
         for left in self._left.get(machine, ()):
             # Commands for an earlier session are refused by the worker.
-            if report.session <= left.session:
+            if report.incarnation <= left.incarnation:
                 through = min(through, self._job_open_through(left.job))
         return through
 
@@ -233,8 +233,8 @@
             name = entry.key.removeprefix(RUN_PREFIX).partition("/")[0]
             if name in self._owners:
                 continue
-            for machine, session in _bindings(entry):
-                self._left.setdefault(machine, []).append(_LeftBinding(session, name))
+            for machine, incarnation in _bindings(entry):
+                self._left.setdefault(machine, []).append(_LeftBinding(incarnation, name))
 
 
 def _name(key: str) -> str:
--- a/tealrill/leadership/transfer.py
+++ b/tealrill/leadership/transfer.py
@@ -27,7 +27,7 @@
     """The count of this node's reports, and what the others say of theirs."""
 
     def __init__(self, settings: Settings) -> None:
-        self._window_s = _PERIODS * settings.params.workers.report_s
+        self._window_s = _PERIODS * settings.params.workers.heartbeat_interval_s
         self._peers = list(peer_clients(settings).values())
         self._window = 0
         self._counts = [0, 0]
--- a/tealrill/scheduler/boot_times.py
+++ b/tealrill/scheduler/boot_times.py
@@ -31,7 +31,7 @@
     def __init__(self) -> None:
         self._took: dict[tuple[str, str], deque[tuple[Monotonic, float]]] = {}
 
-    def came(self, kind: tuple[str, str], took_s: float, now: Monotonic) -> None:
+    def registered(self, kind: tuple[str, str], took_s: float, now: Monotonic) -> None:
         """A machine reported for the first time, so long after it was rented."""
         self._took.setdefault(kind, deque(maxlen=_KEPT)).append((now, took_s))
 
--- a/tealrill/scheduler/failure_detector.py
+++ b/tealrill/scheduler/failure_detector.py
@@ -58,11 +58,11 @@
     zone: str
     silent_s: float
     """Since its last report, or since the election if there was none in this term."""
-    misses: int = 0
+    failed_connects: int = 0
     """Attempts to connect, in a row, that brought no connection."""
     accepts: bool = False
     """The last attempt brought a connection, or was refused: its system runs."""
-    unlisted: int = 0
+    missing_from_lists: int = 0
     """Of the cloud's lists, the last so many don't show it though an earlier one did."""
 
 
@@ -72,22 +72,22 @@
 
     verdicts: dict[MachineId, Suspicion]
     """Of the machines that are not heard."""
-    cut_zones: frozenset[str]
-    deaf: bool = False
+    partitioned_zones: frozenset[str]
+    inbound_partitioned: bool = False
     """No zone is heard at all: it is this node's own way that is broken."""
 
 
-def silent_after_s(report_s: float) -> float:
+def silent_after_s(heartbeat_interval_s: float) -> float:
     """The silence after which a machine gets no more tasks."""
-    return _SILENT_REPORTS * report_s
+    return _SILENT_REPORTS * heartbeat_interval_s
 
 
-def live_within_s(report_s: float) -> float:
+def live_within_s(heartbeat_interval_s: float) -> float:
     """A machine that is not cut off was heard within this time."""
-    return _LIVE_REPORTS * report_s
+    return _LIVE_REPORTS * heartbeat_interval_s
 
 
-def judge(signs: Iterable[Evidence], report_s: float) -> Diagnosis:
+def judge(signs: Iterable[Evidence], heartbeat_interval_s: float) -> Diagnosis:
     """One look at the whole fleet.
 
     A zone counts as heard by the machines that were heard within the last one and a half report
@@ -99,11 +99,11 @@
     known: Counter[str] = Counter()
     silent: list[Evidence] = []
     for sign in signs:
-        if sign.silent_s <= live_within_s(report_s):
+        if sign.silent_s <= live_within_s(heartbeat_interval_s):
             live[sign.zone] += 1
-        elif sign.silent_s > _JUDGED_REPORTS * report_s:
+        elif sign.silent_s > _JUDGED_REPORTS * heartbeat_interval_s:
             silent.append(sign)
-        if sign.unlisted < LISTS and not sign.accepts:
+        if sign.missing_from_lists < LISTS and not sign.accepts:
             # A machine that the cloud took away or that takes connections says nothing of the way.
             known[sign.zone] += 1
     cut = frozenset(
@@ -112,18 +112,18 @@
         if count >= _FEWEST and live[zone] <= _HEARD_SHARE * count
     )
     verdicts = {sign.machine: _verdict(sign, sign.zone in cut) for sign in silent}
-    deaf = bool(cut) and not any(live.values())
-    return Diagnosis(verdicts, cut, deaf)
+    inbound_partitioned = bool(cut) and not any(live.values())
+    return Diagnosis(verdicts, cut, inbound_partitioned)
 
 
 def _verdict(sign: Evidence, zone_cut: bool) -> Suspicion:
-    if sign.unlisted >= LISTS:
+    if sign.missing_from_lists >= LISTS:
         return Suspicion.GONE
     if sign.accepts:
         return Suspicion.HUNG
     if zone_cut:
         return Suspicion.CUT
-    return Suspicion.GONE if sign.misses >= MISSES else Suspicion.LATE
+    return Suspicion.GONE if sign.failed_connects >= MISSES else Suspicion.LATE
 
 
 def back_in_s(verdict: Suspicion, silent_s: float) -> float | None:
@@ -137,10 +137,10 @@
     return max(_SOON_S, silent_s)
 
 
-def hears_nobody(silent_s: float, heard: int, report_s: float) -> bool:
+def is_bypassed_by_heartbeats(silent_s: float, heard: int, heartbeat_interval_s: float) -> bool:
     """Whether a leader that has just heard `heard` machines hears nothing any more.
 
     The more machines there are, the closer their reports come together: of three or more, one was
     due long before the time that each of them may take has passed.
     """
-    return heard >= _FEWEST and silent_s > live_within_s(report_s)
+    return heard >= _FEWEST and silent_s > live_within_s(heartbeat_interval_s)
--- a/tealrill/settings.py
+++ b/tealrill/settings.py
@@ -65,8 +65,8 @@
     within_s: float | None = None
 
 
-class Workers(msgspec.Struct, frozen=True):
-    report_s: Positive
+class Workers(msgspec.Struct, frozen=True, rename={"heartbeat_interval_s": "report_s"}):
+    heartbeat_interval_s: Positive
     lease_s: Positive
     cancel_s: Positive
 
--- a/tealrill/simulation/__main__.py
+++ b/tealrill/simulation/__main__.py
@@ -48,9 +48,9 @@
     for day in range(seed, seed + days):
         world = play(day, Shape(nodes=nodes, machines=machines), for_s)
         done = sum(job.done for job in world.jobs.values())
-        gone = sum(job.cancelled_at is not None for job in world.jobs.values())
+        terminated = sum(job.cancelled_at is not None for job in world.jobs.values())
         click.echo(
-            f"seed {day}: {len(world.jobs)} jobs, {done} done, {gone} cancelled, "
+            f"seed {day}: {len(world.jobs)} jobs, {done} done, {terminated} cancelled, "
             f"{world.starts} starts, {len(world.broken)} rules broken"
         )
         if world.broken:
--- a/tealrill/simulation/cluster.py
+++ b/tealrill/simulation/cluster.py
@@ -80,7 +80,7 @@
 
     nodes: int = 3
     machines: int = 8
-    report_s: float = 1.0
+    heartbeat_interval_s: float = 1.0
     lease_s: float = 8.0
     cancel_s: float = 28.0
     limit_vcpus: float = 40.0
@@ -114,7 +114,8 @@
                 "zones": ["north", "south"],
                 "teams": [{"name": team, "cpus_max": self.limit_vcpus} for team in TEAMS],
                 "workers": {
-                    "report_s": self.report_s, "lease_s": self.lease_s, "cancel_s": self.cancel_s,
+                    "report_s": self.heartbeat_interval_s, "lease_s": self.lease_s, "cancel_s":
+                    self.cancel_s,
                 },
                 "state": {"rps": 900.0, "write_rps": 150.0, "value_kb": 8.0, "txn_ops": 16},
                 "cloud": {"rps": 20.0, "list_lag_s": 4.0},
@@ -208,8 +209,8 @@
         """Zones that reach nothing outside."""
         self.parted = False
         """The zones don't reach each other; state service and cloud are reached from both."""
-        self.deaf: set[str] = set()
-        self.mute: set[str] = set()
+        self.inbound_partitioned: set[str] = set()
+        self.outbound_partitioned: set[str] = set()
         """Machines that can't open connections to controllers."""
         self.quiet: set[str] = set()
         """Machines that must not be given work now."""
@@ -314,7 +315,9 @@
         self.digest.add(self.now(), source, place, method, path, body or b"")
         await self._way()
         host = self.hosts.get(place)
-        if self.apart(source, place) or (place in self.deaf and place.startswith("m-")):
+        if self.apart(source, place) or (
+            place in self.inbound_partitioned and place.startswith("m-")
+        ):
             await asyncio.sleep(timeout_s)
             raise NoAnswerError("TimeoutError", self.rng.random() < 0.5, silent=True)
         if host is not None and host.node is None:
@@ -363,7 +366,7 @@
                 worker = self.workers.get(place)
                 while worker is not None and worker.hung_at is not None:
                     await asyncio.sleep(0.05)
-                if worker is None or worker.machine.gone:
+                if worker is None or worker.machine.terminated:
                     return
                 reply = await worker(source, method, path, body)
         except NoReplyError:
@@ -385,7 +388,7 @@
         if path == CATALOGUE_PATH:
             known = node._catalogues.known
             return (503, {}) if known is None else (200, orjson.loads(wire.encode(known)))
-        return _of(await self._ask(node.intake, method, path.removeprefix(PEER_PREFIX), body))
+        return _of(await self._ask(node.admission, method, path.removeprefix(PEER_PREFIX), body))
 
     @staticmethod
     async def _ask(users: Any, method: str, path: str, body: bytes | None) -> UserReply:
@@ -451,11 +454,11 @@
 
     def up(self) -> list[Worker]:
         """Workers whose machines are not gone."""
-        return [worker for worker in self.workers.values() if not worker.machine.gone]
+        return [worker for worker in self.workers.values() if not worker.machine.terminated]
 
     async def _work(self, machine: Machine) -> None:
         await asyncio.sleep(machine.up_at - self.now())
-        if machine.gone:
+        if machine.terminated:
             return
         worker = Worker(
             machine, self.shape.lease_s, self.now, self.descriptions, self._started, self.results
@@ -465,11 +468,11 @@
         self.begin(self._clock(worker))
         order = list(self.hosts)
         at = self.rng.randrange(len(order))
-        while not machine.gone:
+        while not machine.terminated:
             at = await self._report(worker, order, at)
 
     async def _clock(self, worker: Worker) -> None:
-        while not worker.machine.gone:
+        while not worker.machine.terminated:
             worker.tick()
             await asyncio.sleep(0.1)
 
@@ -478,7 +481,7 @@
         await self._standing(worker)
         worker.tick()
         message = worker.report()
-        session, sent, name = worker.session, self.now(), order[at]
+        incarnation, sent, name = worker.incarnation, self.now(), order[at]
         if self.rng.random() < self.copies:
             self.begin(self._again(message, name))
         if self.rng.random() < self.for_next:
@@ -491,7 +494,7 @@
         status, answer = reply
         worker.tick()
         if status == 200:
-            if worker.session == session and answer.get("baton", -1) >= worker.token:
+            if worker.incarnation == incarnation and answer.get("baton", -1) >= worker.token:
                 newer = answer["baton"] > worker.token
                 worker.token = answer["baton"]
                 worker.renewed_at = max(worker.renewed_at, sent)
@@ -499,7 +502,7 @@
                 if newer or answer["orders"]:
                     await asyncio.sleep(0.5)
                     return at
-            await asyncio.sleep(self.shape.report_s * self.rng.uniform(0.75, 1.25))
+            await asyncio.sleep(self.shape.heartbeat_interval_s * self.rng.uniform(0.75, 1.25))
             return at
         foreman = answer.get("foreman")
         if status == 421 and foreman in order and foreman != name:
@@ -510,7 +513,7 @@
 
     @staticmethod
     async def _standing(worker: Worker) -> None:
-        while worker.hung_at is not None and not worker.machine.gone:
+        while worker.hung_at is not None and not worker.machine.terminated:
             await asyncio.sleep(0.05)
 
     async def _reported(self, machine: str, message: dict[str, Any], name: str) -> Reply | None:
@@ -518,11 +521,11 @@
         await self._way()
         if self.hosts[name].node is None:
             return None
-        if self.apart(machine, name) or machine in self.mute or name in self.frozen:
+        if self.apart(machine, name) or machine in self.outbound_partitioned or name in self.frozen:
             await asyncio.sleep(_REPORT_S)
             return None
         reply = self._take(message, name)
-        if machine in self.deaf or reply is None:
+        if machine in self.inbound_partitioned or reply is None:
             await asyncio.sleep(_REPORT_S)
             return None
         await self._way()
@@ -534,7 +537,7 @@
         if node is None:
             return None
         found = wire.decode(orjson.dumps(message), wire.Heartbeat)
-        status, answer = host.context.run(node.take_report, found, MachineId(found.machine))
+        status, answer = host.context.run(node.handle_heartbeat, found, MachineId(found.machine))
         self.digest.add(self.now(), name, message, status, answer)
         self._sends(name, answer.get("orders", []))
         return status, answer
@@ -544,7 +547,7 @@
         node = self.hosts[name].node
         if node is None or node.leader is None:
             return
-        jobs = node.leader.book.jobs
+        jobs = node.leader.job_store.jobs
         for command in commands:
             job = jobs.get(JobId(job_of(command["piece"])))
             if command["verb"] == wire.START and (job is None or job.cancelled):
@@ -678,7 +681,7 @@
             self.begin(self._watch_end(job))
         if not job.done and self.rng.random() < self.at_end:
             # The leader hears of the end within a report period.
-            after_s = self.rng.uniform(0.0, 1.6 * self.shape.report_s)
+            after_s = self.rng.uniform(0.0, 1.6 * self.shape.heartbeat_interval_s)
             self.begin(self._cancel_until_told(job, after_s))
 
     def _look(self, job: UserJob) -> None:
@@ -698,7 +701,7 @@
 
     async def _watch_end(self, job: UserJob) -> None:
         """Asked about again and again until the end is told, and for a moment after it."""
-        until = self.now() + 1.6 * self.shape.report_s
+        until = self.now() + 1.6 * self.shape.heartbeat_interval_s
         while self.now() < until and not job.over:
             self.begin(self._poll(job))
             await asyncio.sleep(self.rng.uniform(0.02, 0.06))
@@ -856,7 +859,7 @@
             if reply is not None and reply[0] < 400:
                 self.breach("accepted", f"{odd} with status {reply[0]}")
 
-    async def strangers(self) -> None:
+    async def unbound_tasks(self) -> None:
         """Users also ask about jobs that no one has submitted."""
         while True:
             await asyncio.sleep(self.rng.uniform(5.0, 15.0))
@@ -908,7 +911,7 @@
 
         async def accepts(address: Address, timeout_s: float) -> bool | None:
             place = world._place(address)
-            if world.cloud.machines[place].gone or world.apart(_PROCESS.get().name, place):
+            if world.cloud.machines[place].terminated or world.apart(_PROCESS.get().name, place):
                 await asyncio.sleep(timeout_s)
                 return False
             return True
@@ -968,7 +971,7 @@
     for host in world.hosts.values():
         world.start(host)
     world.begin(world.watch())
-    world.begin(world.strangers())
+    world.begin(world.unbound_tasks())
     world.begin(world.successions())
     world.begin(world.odd_requests())
     world.begin(_arrivals(world, trouble_s))
--- a/tealrill/simulation/faults.py
+++ b/tealrill/simulation/faults.py
@@ -27,9 +27,10 @@
         until = self.world.now() + for_s
         kinds = [
             self.refused_then_out, self.refused_then_out, self.outage, self.cut_off, self.silent,
-            self.late_writes, self.late_copies, self.deaf, self.held, self.slow, self.ends,
-            self.ends, self.volley, self.reset_links, self.machine_dies, self.cancel_now,
-            self.cancel_now, self.cancel_at_end, self.lost_answers, self.for_next, self.mute,
+            self.late_writes, self.late_copies, self.inbound_partitioned, self.held, self.slow,
+            self.ends, self.ends, self.volley, self.reset_links, self.machine_dies, self.cancel_now,
+            self.cancel_now, self.cancel_at_end, self.lost_answers, self.for_next,
+            self.outbound_partitioned,
             self.close_looks, self.odd_requests, self.up_at_once, self.zone_away, self.parted,
             self.refused_and_called_off, self.flapping,
         ]  # fmt: skip
@@ -118,8 +119,8 @@
         text = f"{len(names)} machines are {name}"
         await self._for(text, seconds, lambda: which.difference_update(names))
 
-    async def deaf(self) -> None:
-        await self._some_are("deaf", self.world.deaf, [5.0, 12.0, 30.0])
+    async def inbound_partitioned(self) -> None:
+        await self._some_are("deaf", self.world.inbound_partitioned, [5.0, 12.0, 30.0])
 
     async def held(self) -> None:
         held_s, seconds = self.rng.choice([3.0, 9.0]), self.rng.choice([10.0, 30.0])
@@ -232,8 +233,8 @@
         seconds = self.rng.choice([15.0, 40.0])
         await self._level("reports are kept", self.world, "for_next", 0.3, seconds)
 
-    async def mute(self) -> None:
-        await self._some_are("mute", self.world.mute, [3.0, 10.0, 25.0])
+    async def outbound_partitioned(self) -> None:
+        await self._some_are("mute", self.world.outbound_partitioned, [3.0, 10.0, 25.0])
 
     async def close_looks(self) -> None:
         await self._level("close looks", self.world, "close_looks", True, 40.0)
--- a/tealrill/simulation/services.py
+++ b/tealrill/simulation/services.py
@@ -208,7 +208,7 @@
     spot: bool
     rented_at: float
     up_at: float
-    gone: bool = False
+    terminated: bool = False
 
 
 class Cloud:
@@ -241,7 +241,7 @@
         if path == "/hosts/release":
             for name in orjson.loads(body or b"{}")["kilns"]:
                 machine = self.machines.get(name)
-                if machine is not None and not machine.gone:
+                if machine is not None and not machine.terminated:
                     self.take(machine)
             return 200, {}
         if method == "POST":
@@ -255,11 +255,11 @@
 
     def alive(self) -> list[Machine]:
         """Rented, and neither given back nor dead."""
-        return [m for m in self.machines.values() if not m.gone]
+        return [m for m in self.machines.values() if not m.terminated]
 
     def take(self, machine: Machine) -> None:
         """It is gone, with all that ran on it."""
-        machine.gone = True
+        machine.terminated = True
         self.taken(machine)
 
     def _line(self, machine: Machine) -> dict[str, Any]:
@@ -326,8 +326,8 @@
     """A task has come onto this machine."""
     results: set[str]
     """Tasks that have completed anywhere."""
-    session: int = 1
-    seq: int = 0
+    incarnation: int = 1
+    sequence: int = 0
     token: int = 0
     renewed_at: float = 0.0
     tasks: dict[str, Task] = field(default_factory=dict)
@@ -350,7 +350,7 @@
         now = self.now()
         if now - self.renewed_at > self.lease_s:
             self.tasks.clear()
-            self.session += 1
+            self.incarnation += 1
             self.renewed_at = now
             return True
         if self.hung_at is not None:
@@ -386,7 +386,7 @@
         self.tick()
 
     def report(self) -> dict[str, Any]:
-        self.seq += 1
+        self.sequence += 1
         machine = self.machine
         lines = []
         for name, task in self.tasks.items():
@@ -394,7 +394,7 @@
             lines.append(line if task.why is None else {**line, "cause": task.why})
         return {
             "kiln": machine.id, "addr": machine.addr, "build": "m8", "hall": machine.zone,
-            "loaners": machine.spot, "shift": self.session, "tick": self.seq,
+            "loaners": machine.spot, "shift": self.incarnation, "tick": self.sequence,
             "baton": self.token, "warningS": None, "pieces": lines,
         }  # fmt: skip
 
@@ -428,7 +428,7 @@
         """Direct commands."""
         self.tick()
         message = orjson.loads(body or b"{}")
-        if message["baton"] < self.token or message["shift"] != self.session:
+        if message["baton"] < self.token or message["shift"] != self.incarnation:
             return 409, self.report()
         self.token = message["baton"]
         self.execute(message["orders"])
--- a/tealrill/state/job_store.py
+++ b/tealrill/state/job_store.py
@@ -1,8 +1,8 @@
 """The leader's memory of jobs and bindings, and what of it must still be written.
 
 A task is bound to (machine, session, attempt). Bindings are kept in chunks of tasks, one key each,
-so that many bindings go into one change. Nothing here does I/O: `state.keeper` writes the dirty
-chunks, and only a binding whose chunk version is committed may be started.
+so that many bindings go into one change. Nothing here does I/O: `state.write_batcher` writes the
+dirty chunks, and only a binding whose chunk version is committed may be started.
 """
 
 from __future__ import annotations
@@ -74,7 +74,7 @@
 
     task: TaskId
     machine: MachineId
-    session: Incarnation
+    incarnation: Incarnation
     attempt: Attempt
     backfilled: bool
     bound_at: Wall
@@ -85,7 +85,7 @@
     sent: HeartbeatSequence | None = None
     """The report whose response first carried the start."""
     seen: bool = False
-    direct_out: bool = False
+    direct_start_in_flight: bool = False
     """A start sent to the worker directly has no answer yet, and may arrive at any later time."""
     shown_in: HeartbeatSequence | None = None
     """The last list of this session that showed it."""
@@ -98,9 +98,11 @@
         return self.chunk.committed >= self.version
 
     @property
-    def untold(self) -> bool:
+    def never_sent(self) -> bool:
         """Certainly no start of it ever left."""
-        return not (self.seen or self.inherited or self.direct_out) and self.sent is None
+        return (
+            not (self.seen or self.inherited or self.direct_start_in_flight) and self.sent is None
+        )
 
 
 @dataclass(slots=True)
@@ -292,7 +294,7 @@
         job: Job,
         index: int,
         machine: MachineId,
-        session: Incarnation,
+        incarnation: Incarnation,
         zone: str,
         backfilled: bool,
         wall: Wall,
@@ -305,7 +307,7 @@
         binding = Binding(
             TaskId(job.id, index),
             machine,
-            session,
+            incarnation,
             task.next_attempt,
             backfilled,
             wall,
@@ -436,12 +438,12 @@
         elif chunk not in self.urgent:
             self.lazy[chunk] = None
 
-    def untold(self, chunk: Chunk) -> Iterator[Binding]:
+    def never_sent(self, chunk: Chunk) -> Iterator[Binding]:
         """Bindings in the chunk of which no start has left."""
         first = chunk.number * chunk.job.chunk_tasks
         for index in range(first, first + chunk.job.chunk_tasks):
             task = chunk.job.tasks.get(index)
-            if task is not None and task.binding is not None and task.binding.untold:
+            if task is not None and task.binding is not None and task.binding.never_sent:
                 yield task.binding
 
     def value(self, chunk: Chunk) -> dict[str, Any]:
@@ -459,7 +461,7 @@
                     [
                         task.next_attempt,
                         binding.machine,
-                        binding.session,
+                        binding.incarnation,
                         binding.attempt,
                         _BACKFILLED_FLAG * binding.backfilled + _DONE_FLAG * job.done[index],
                         round(binding.bound_at),
@@ -527,7 +529,7 @@
         binding = Binding(
             TaskId(job.id, index),
             bound.machine,
-            bound.session,
+            bound.incarnation,
             bound.attempt,
             bound.backfilled,
             bound.bound_at,
@@ -556,7 +558,7 @@
                 continue
             bound = _read_bound(entry)
             if not bound.done:
-                yield bound.machine, bound.session
+                yield bound.machine, bound.incarnation
     except (msgspec.ValidationError, IndexError, TypeError, ValueError) as error:
         raise RecordError(str(error)) from None
 
@@ -565,7 +567,7 @@
     """A bound task as a chunk keeps it."""
 
     machine: MachineId
-    session: Incarnation
+    incarnation: Incarnation
     attempt: Attempt
     backfilled: bool
     done: bool
@@ -574,13 +576,13 @@
 
 def _read_bound(entry: list[Any]) -> _BoundEntry:
     """Raises `ValueError` or `TypeError` if this version did not write it."""
-    _, name, session, attempt, flags, bound_at = entry
+    _, name, incarnation, attempt, flags, bound_at = entry
     machine = parse_machine_id(str(name))
     if machine is None:
         raise ValueError(f"{name!r} is no machine")
     return _BoundEntry(
         machine,
-        Incarnation(int(session)),
+        Incarnation(int(incarnation)),
         Attempt(int(attempt)),
         bool(int(flags) & _BACKFILLED_FLAG),
         bool(int(flags) & _DONE_FLAG),
--- a/tealrill/state/rate_limiter.py
+++ b/tealrill/state/rate_limiter.py
@@ -44,7 +44,7 @@
         self._depth = depth
         self._tokens = self.burst
         self._at: Monotonic = monotonic_now()
-        self._lines: dict[RequestPriority, deque[_Waiter]] = {
+        self._connections: dict[RequestPriority, deque[_Waiter]] = {
             rank: deque() for rank in RequestPriority
         }
         self._timer: asyncio.TimerHandle | None = None
@@ -69,27 +69,27 @@
 
     def wait_s(self, rank: RequestPriority) -> float:
         """About how long one who comes now waits behind those who wait before it, in seconds."""
-        ahead = sum(len(line) for of, line in self._lines.items() if of <= rank)
+        ahead = sum(len(line) for of, line in self._connections.items() if of <= rank)
         return max(0.0, (ahead + 1 - self.available(rank)) / self._rate)
 
     async def take(
         self, amount: float = 1.0, rank: RequestPriority = RequestPriority.FIRST
     ) -> None:
         """Waits until `amount` is there; an amount above the burst waits for a full bucket."""
-        if not any(line for of, line in self._lines.items() if of <= rank) and (
+        if not any(line for of, line in self._connections.items() if of <= rank) and (
             self.available(rank) >= self._need(amount, rank)
         ):
             self.spend(amount)
             return
         waiter = _Waiter(amount, asyncio.get_running_loop().create_future())
-        self._lines[rank].append(waiter)
+        self._connections[rank].append(waiter)
         self._serve()
         try:
             await waiter.turn
         except asyncio.CancelledError:
             if waiter.turn.cancelled():
                 with contextlib.suppress(ValueError):
-                    self._lines[rank].remove(waiter)
+                    self._connections[rank].remove(waiter)
             else:
                 # Its turn came in the moment in which nobody wanted it any more.
                 self._tokens += amount
@@ -117,7 +117,7 @@
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
-        for rank, line in self._lines.items():
+        for rank, line in self._connections.items():
             while line:
                 waiter = line[0]
                 short = self._need(waiter.amount, rank) - self.available(rank)
--- a/tealrill/state/write_batcher.py
+++ b/tealrill/state/write_batcher.py
@@ -78,7 +78,7 @@
     changes: list[dict[str, Any]] = field(default_factory=list)
     chunks: list[tuple[Chunk, int, int]] = field(default_factory=list)
     jobs: list[Job] = field(default_factory=list)
-    dropped: dict[str, Chunk] = field(default_factory=dict)
+    deregistered: dict[str, Chunk] = field(default_factory=dict)
     """Chunks that go with the end of their job."""
     garbage: list[str] = field(default_factory=list)
     joined: list[JoinedWrite] = field(default_factory=list)
@@ -93,14 +93,14 @@
     def __init__(
         self,
         client: StateClient,
-        book: JobStore,
+        job_store: JobStore,
         mine: Leadership,
         txn_ops: int,
         committed: Callable[[list[Chunk]], None],
         job_over: Callable[[Job], None],
     ) -> None:
         self._client = client
-        self._book = book
+        self._job_store = job_store
         self._fence = Fence(client, mine.stamp)
         self._txn_ops = txn_ops
         self._committed = committed
@@ -160,11 +160,11 @@
             return batch
         spare = min(room, max(0, int(self._client.writes.available(RequestPriority.LATER))))
         self._add_all(batch, [j for j in self.joined if j.ahead_at is None], spare)
-        for chunk in list(self._book.lazy):
+        for chunk in list(self._job_store.lazy):
             due = chunk.dirty_since is not None and now - chunk.dirty_since >= _LAZY_S
             if due and chunk.job not in batch.jobs and not self._add_chunk(batch, chunk, spare):
                 break
-        for key, stamp in list(self._book.garbage.items()):
+        for key, stamp in list(self._job_store.garbage.items()):
             if len(batch.changes) >= spare:
                 break
             batch.guards[key] = stamp
@@ -176,13 +176,13 @@
     def _add_awaited(self, batch: _Batch, room: int) -> bool:
         """False when something was left out, and nothing behind it may go before it."""
         ends: dict[int, list[Job]] = {}
-        for job in self._book.ending.values():
+        for job in self._job_store.ending.values():
             ends.setdefault(job.spec.rank, []).append(job)
         chunks: dict[int, list[Chunk]] = {}
-        for chunk in self._book.urgent:
+        for chunk in self._job_store.urgent:
             chunks.setdefault(chunk.job.spec.rank, []).append(chunk)
         for rank in sorted(ends.keys() | chunks.keys(), reverse=True):
-            tidy = rank not in chunks or len(self._book.garbage) >= _LEFTOVERS
+            tidy = rank not in chunks or len(self._job_store.garbage) >= _LEFTOVERS
             if not all(self._add_end(batch, job, room, tidy) for job in ends.get(rank, ())):
                 return False
             if not all(
@@ -206,8 +206,8 @@
         return kept if len(kept) <= _DROPPED_AT_ONCE else []
 
     def _add_end(self, batch: _Batch, job: Job, room: int, tidy: bool) -> bool:
-        dropped = self._chunks_to_drop(job) if tidy else []
-        if len(batch.changes) + 2 + len(dropped) > room:
+        deregistered = self._chunks_to_drop(job) if tidy else []
+        if len(batch.changes) + 2 + len(deregistered) > room:
             batch.complete = False
             return False
         if job.outcome == OUTCOME_DONE:
@@ -224,14 +224,14 @@
                 "spec": wire.plain(job.spec),
             }
         put = wire.put(over_key(job.id), value)
-        size = len(wire.encode(put)) + 400 + 300 * len(dropped)
+        size = len(wire.encode(put)) + 400 + 300 * len(deregistered)
         if batch.bytes + size > _TXN_BYTES:
             batch.complete = False
             return False
-        for chunk in dropped:
+        for chunk in deregistered:
             batch.guards[chunk.key] = chunk.stamp
             batch.changes.append(wire.delete(chunk.key))
-            batch.dropped[chunk.key] = chunk
+            batch.deregistered[chunk.key] = chunk
         batch.guards[job_key(job.id)] = job.stamp
         batch.guards[over_key(job.id)] = ABSENT
         if job.owner is not None and job.outcome != OUTCOME_CANCELLED:
@@ -257,7 +257,7 @@
         return True
 
     def _add_chunk(self, batch: _Batch, chunk: Chunk, room: int) -> bool:
-        change = wire.put(chunk.key, self._book.value(chunk))
+        change = wire.put(chunk.key, self._job_store.value(chunk))
         size = len(wire.encode(change)) + 200
         if len(batch.changes) >= room or batch.bytes + size > _TXN_BYTES:
             batch.complete = False
@@ -304,24 +304,24 @@
                 done = [index for since, index in chunk.news if since <= version]
                 chunk.news = [news for news in chunk.news if news[0] > version]
                 self.tasks_done(chunk.job, done)
-            if chunk.job.id not in self._book.jobs:
+            if chunk.job.id not in self._job_store.jobs:
                 # The job went away meanwhile; its chunk was written once more.
-                self._book.garbage[chunk.key] = revision
+                self._job_store.garbage[chunk.key] = revision
                 continue
             if chunk.version == version:
-                self._book.urgent.pop(chunk, None)
-                self._book.lazy.pop(chunk, None)
+                self._job_store.urgent.pop(chunk, None)
+                self._job_store.lazy.pop(chunk, None)
                 chunk.dirty_since = None
             elif not chunk.new_bindings:
-                self._book.urgent.pop(chunk, None)
-                self._book.lazy[chunk] = None
+                self._job_store.urgent.pop(chunk, None)
+                self._job_store.lazy[chunk] = None
                 chunk.dirty_since = monotonic_now()
         for key in batch.garbage:
-            self._book.garbage.pop(key, None)
-        for chunk in batch.dropped.values():
+            self._job_store.garbage.pop(key, None)
+        for chunk in batch.deregistered.values():
             chunk.stamp = ABSENT
         for job in batch.jobs:
-            self._book.ended(job)
+            self._job_store.ended(job)
             self._job_over(job)
         for joined in batch.joined:
             self.joined.pop(joined, None)
@@ -346,15 +346,15 @@
                     raise LeadershipLostError
             elif key in chunks:
                 chunks[key].stamp = stamp
-            elif key in batch.dropped:
-                batch.dropped[key].stamp = stamp
+            elif key in batch.deregistered:
+                batch.deregistered[key].stamp = stamp
             elif key in by_key:
                 await self._job_changed(by_key[key], stamp)
             elif key in batch.garbage:
                 if stamp == ABSENT:
-                    self._book.garbage.pop(key, None)
+                    self._job_store.garbage.pop(key, None)
                 else:
-                    self._book.garbage[key] = stamp
+                    self._job_store.garbage[key] = stamp
 
         for joined in batch.joined:
             if any(
@@ -366,15 +366,15 @@
 
     async def _job_changed(self, job: Job, stamp: Revision) -> None:
         """The job's record is gone: by this leader's own end of it, or by a cancellation."""
-        if stamp == job.stamp or job.id not in self._book.jobs:
+        if stamp == job.stamp or job.id not in self._job_store.jobs:
             return
         over = await self._read(over_key(job.id))
         if over is not None and over.value.get("status") == wire.JOB_DONE:
-            self._book.ended(job)
+            self._job_store.ended(job)
             self._job_over(job)
         elif over is not None:
             job.outcome = over.value.get("outcome", OUTCOME_CANCELLED)
-            self._book.cancel(job)
+            self._job_store.cancel(job)
             self._job_over(job)
 
     async def _read(self, key: str) -> wire.KeyValue | None:
--- a/tealrill/wire.py
+++ b/tealrill/wire.py
@@ -162,8 +162,8 @@
         "type": "build",
         "zone": "hall",
         "spot": "loaners",
-        "session": "shift",
-        "seq": "tick",
+        "incarnation": "shift",
+        "sequence": "tick",
         "token": "baton",
         "notice_s": "warningS",
         "tasks": "pieces",
@@ -176,8 +176,8 @@
     type: Name
     zone: Name
     spot: bool
-    session: Count
-    seq: Count
+    incarnation: Count
+    sequence: Count
     token: Count
     notice_s: Amount | None = None
     tasks: list[TaskStatus]
@@ -346,8 +346,8 @@
     return {"baton": token, "orders": commands}
 
 
-def direct_commands(token: int, session: int, commands: list[dict[str, Any]]) -> dict[str, Any]:
-    return {"baton": token, "shift": session, "orders": commands}
+def direct_commands(token: int, incarnation: int, commands: list[dict[str, Any]]) -> dict[str, Any]:
+    return {"baton": token, "shift": incarnation, "orders": commands}
 
 
 def redirect(leader: str | None) -> dict[str, Any]:
--- a/tests/samples.py
+++ b/tests/samples.py
@@ -63,8 +63,8 @@
 
 def report(
     machine: str,
-    session: int,
-    seq: int,
+    incarnation: int,
+    sequence: int,
     token: int,
     tasks: list[tuple[str, int, str, str | None]] = [],  # noqa: B006  (never changed)
 ) -> wire.Heartbeat:
@@ -75,8 +75,8 @@
         type="big",
         zone="north",
         spot=False,
-        session=session,
-        seq=seq,
+        incarnation=incarnation,
+        sequence=sequence,
         token=token,
         tasks=[
             wire.TaskStatus(task=task, attempt=attempt, state=state, why=why)  # type: ignore[arg-type]
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -263,14 +263,14 @@
         self.name = name
         self.spot = spot
         self.token = 0
-        self.seq = 0
+        self.sequence = 0
         self.tasks: dict[str, dict[str, Any]] = {}
 
     def report(self) -> dict[str, Any]:
-        self.seq += 1
+        self.sequence += 1
         return {
             "kiln": self.name, "addr": self.address, "build": "big", "hall": "north",
-            "loaners": self.spot, "shift": 1, "tick": self.seq, "baton": self.token,
+            "loaners": self.spot, "shift": 1, "tick": self.sequence, "baton": self.token,
             "warningS": None, "pieces": list(self.tasks.values()),
         }  # fmt: skip
 
--- a/tests/test_acknowledged_cancellations.py
+++ b/tests/test_acknowledged_cancellations.py
@@ -118,9 +118,9 @@
             self.state.up = self.rng.random() < 0.5
 
     def poll(self) -> None:
-        untold = [name for name in self.at if name not in self.told]
-        if untold and self.state.up:
-            name = untold[-1]
+        never_sent = [name for name in self.at if name not in self.told]
+        if never_sent and self.state.up:
+            name = never_sent[-1]
             if self.without == "polls":
                 self.told[name] = self.now
             else:
--- a/tests/test_bindings.py
+++ b/tests/test_bindings.py
@@ -50,7 +50,7 @@
 
     machine: str
     token: int
-    session: int
+    incarnation: int
     commands: list[dict[str, Any]]
     starts: list[Binding]
     fleet: Fleet
@@ -61,8 +61,8 @@
     """A worker as the protocol describes it."""
 
     id: str
-    session: int = 1
-    seq: int = 0
+    incarnation: int = 1
+    sequence: int = 0
     token: int = 0
     renewed_at: float = 0.0
     tasks: dict[str, tuple[int, str, str | None]] = field(default_factory=dict)
@@ -72,13 +72,13 @@
     def lapse(self, now: float) -> None:
         if now - self.renewed_at > LEASE_S:
             self.tasks.clear()
-            self.session += 1
+            self.incarnation += 1
             self.renewed_at = now
 
     def report(self) -> wire.Heartbeat:
-        self.seq += 1
+        self.sequence += 1
         lines = [(name, attempt, state, why) for name, (attempt, state, why) in self.tasks.items()]
-        return report(self.id, self.session, self.seq, self.token, lines)
+        return report(self.id, self.incarnation, self.sequence, self.token, lines)
 
     def execute(self, commands: list[dict[str, Any]]) -> None:
         for command in commands:
@@ -137,28 +137,28 @@
     def elect(self) -> None:
         """A new leader reads the records; whatever the old one sent may still be on its way."""
         self.term += 1
-        self.book = JobStore(4.0)
-        self.job = self.book.add(spec(pieces=TASKS), Wall(0.0), Revision(1))
+        self.job_store = JobStore(4.0)
+        self.job = self.job_store.add(spec(pieces=TASKS), Wall(0.0), Revision(1))
         self.fleet = self.fleet_class(
-            self.book, FencingToken(self.term), Monotonic(self.now), LEASE_S, DELEGATION_S
+            self.job_store, FencingToken(self.term), Monotonic(self.now), LEASE_S, DELEGATION_S
         )
         bindings = [
             binding
             for number, value in self.store.items()
-            for binding in self.book.load(self.job, number, copy.deepcopy(value), Revision(2))
+            for binding in self.job_store.load(self.job, number, copy.deepcopy(value), Revision(2))
         ]
         self.fleet.inherit(bindings, Monotonic(self.now))
 
     def bind(self) -> None:
         now = Monotonic(self.now)
-        usable = [m for m in self.fleet.machines.values() if m.placeable(now, LEASE_S)]
+        usable = [m for m in self.fleet.machines.values() if m.is_placeable(now, LEASE_S)]
         if usable and self.job.waiting > 0:
             machine = self.random.choice(usable)
             self.fleet.bind(self.job, machine, False, Wall(0.0), now)
 
     def commit(self) -> None:
         for chunk in self.job.chunks.values():
-            self.store[chunk.number] = copy.deepcopy(self.book.value(chunk))
+            self.store[chunk.number] = copy.deepcopy(self.job_store.value(chunk))
             chunk.committed = chunk.version
 
     def stop(self) -> None:
@@ -192,7 +192,7 @@
         beat, token, commands = response
         worker = self.workers[beat.report.machine]
         worker.lapse(self.now)
-        stale = worker.waiting_for != beat.number or worker.session != beat.report.session
+        stale = worker.waiting_for != beat.number or worker.incarnation != beat.report.incarnation
         if stale or token < worker.token:
             return
         worker.waiting_for = None
@@ -249,7 +249,7 @@
 
     def command_directly(self) -> None:
         machine = self.fleet.machines.get(MachineId(self.random.choice(MACHINES)))
-        if machine is None or machine.session is None:
+        if machine is None or machine.incarnation is None:
             return
         starts = self.fleet.direct_starts(machine)
         commands = self.fleet.stops(machine, Monotonic(self.now))
@@ -257,7 +257,7 @@
         if commands:
             self.fleet.direct_sent(starts)
             self.directs.append(
-                Direct(machine.id, self.term, machine.session, commands, starts, self.fleet)
+                Direct(machine.id, self.term, machine.incarnation, commands, starts, self.fleet)
             )
 
     def direct_round_trip(self) -> None:
@@ -275,7 +275,7 @@
     def _direct_arrives(self, direct: Direct, lost: bool) -> None:
         worker = self.workers[direct.machine]
         worker.lapse(self.now)
-        refused = direct.token < worker.token or direct.session != worker.session
+        refused = direct.token < worker.token or direct.incarnation != worker.incarnation
         if not refused:
             worker.token = max(worker.token, direct.token)
             worker.execute(direct.commands)
@@ -284,7 +284,7 @@
             return
         if refused:
             self.fleet.direct_refused(direct.starts)
-        self.fleet.direct_report(answer, MachineId(worker.id), Monotonic(self.now), Wall(0.0))
+        self.fleet.handle_direct_reply(answer, MachineId(worker.id), Monotonic(self.now), Wall(0.0))
         if not refused:
             self.fleet.direct_executed(direct.starts)
 
@@ -314,11 +314,11 @@
         if machine is not None:
             worker = self.workers[machine.id]
             worker.tasks.clear()
-            worker.session += 1
+            worker.incarnation += 1
             worker.waiting_for = None
             worker.renewed_at = self.now
             self.fleet.released(machine.id, Monotonic(self.now))
-            self.fleet.gone.clear()
+            self.fleet.terminated.clear()
 
     ACTIONS: ClassVar[dict[Callable[[Cluster], None], int]] = {
         elect: 1,
@@ -433,7 +433,7 @@
 class TakesReportsInAnyOrder(Fleet):
     @staticmethod
     def _out_of_date(machine: Machine, report: wire.Heartbeat) -> bool:
-        return machine.session is not None and report.session < machine.session
+        return machine.incarnation is not None and report.incarnation < machine.incarnation
 
 
 class ForgetsDirectStartsUnderWay(Fleet):
@@ -458,15 +458,15 @@
 def work_for_who_answers(patch: pytest.MonkeyPatch) -> None:
     """A machine that answers direct commands may be given work, whether or not it reports."""
 
-    def placeable(self: Machine, now: Monotonic, silence_s: float) -> bool:
+    def is_placeable(self: Machine, now: Monotonic, silence_s: float) -> bool:
         return (
-            self.in_order
-            and self.heard_at is not None
-            and now - self.heard_at <= silence_s
+            self.is_in_order
+            and self.last_contact_at is not None
+            and now - self.last_contact_at <= silence_s
             and now >= self.refused_until
         )
 
-    patch.setattr(Machine, "placeable", placeable)
+    patch.setattr(Machine, "is_placeable", is_placeable)
 
 
 class CountsSilenceFromTheSessionBefore(Fleet):
@@ -474,7 +474,7 @@
     first report, so this clause shows only with that one taken away as well."""
 
     def _renewed_at(self, machine: Machine) -> Monotonic:
-        machine.begun_at = None
+        machine.incarnation_seen_at = None
         return super()._renewed_at(machine)
 
 
@@ -594,14 +594,14 @@
         work_for_who_answers(monkeypatch)
     cluster = Cluster(0, fleet_class)
     machine = cluster.workers["m-1"]
-    for seq in (1, 2):
-        beat = report("m-1", 1, seq, cluster.term)
+    for sequence in (1, 2):
+        beat = report("m-1", 1, sequence, cluster.term)
         cluster.fleet.report(beat, MachineId("m-1"), Monotonic(cluster.now), Wall(0.0))
     cluster.now += LEASE_S + DELEGATION_S + 2.0
     machine.lapse(cluster.now)
-    machine.seq, machine.token = 3, cluster.term
-    answer = report("m-1", machine.session, machine.seq, cluster.term)
-    cluster.fleet.direct_report(answer, MachineId("m-1"), Monotonic(cluster.now), Wall(0.0))
+    machine.sequence, machine.token = 3, cluster.term
+    answer = report("m-1", machine.incarnation, machine.sequence, cluster.term)
+    cluster.fleet.handle_direct_reply(answer, MachineId("m-1"), Monotonic(cluster.now), Wall(0.0))
     cluster.bind()
     if reports_first:
         # It has not reported in this session: nothing is bound there.
@@ -634,20 +634,20 @@
     assert commands == [wire.start("wk-000412/0", 1)]
     cluster.fleet.stop(binding, "test", 0.0, Monotonic(100.0))
     answer = report(machine, 1, 3, cluster.term)
-    cluster.fleet.direct_report(answer, machine, Monotonic(100.0), Wall(0.0))
+    cluster.fleet.handle_direct_reply(answer, machine, Monotonic(100.0), Wall(0.0))
     assert list(cluster.job.bindings()) == [binding]
     cluster.fleet.report(report(machine, 1, 4, cluster.term), machine, Monotonic(100.0), Wall(0.0))
     assert list(cluster.job.bindings()) == []
 
 
 def test_an_attempt_is_forgotten_only_when_it_is_settled() -> None:
-    book = JobStore(4.0)
-    job = book.add(spec(), Wall(0.0), Revision(1))
+    job_store = JobStore(4.0)
+    job = job_store.add(spec(), Wall(0.0), Revision(1))
     chunk = Chunk(job, 0, version=3, committed=2)
     assert not Exit(chunk, 3).settled
     chunk.committed = 3
     assert Exit(chunk, 3).settled
-    fleet = Fleet(book, FencingToken(1), Monotonic(0.0), LEASE_S)
+    fleet = Fleet(job_store, FencingToken(1), Monotonic(0.0), LEASE_S)
     fleet.inherit([], Monotonic(0.0))
     assert fleet.report(report("m-1", 1, 1, 1), MachineId("m-1"), Monotonic(0.0), Wall(0.0)) == []
     machine = fleet.machines[MachineId("m-1")]
--- a/tests/test_blame.py
+++ b/tests/test_blame.py
@@ -34,7 +34,7 @@
 
     def __init__(self, seed: int, jobs: list[_Job], machines: dict[str, tuple[str, bool]]) -> None:
         self.rng = random.Random(seed)
-        self.blame = FailureAttribution()
+        self.failure_attribution = FailureAttribution()
         self.jobs = jobs
         self.machines = machines
         self.now = 100.0
@@ -50,7 +50,7 @@
 
     def _called(self, found: list[MachineId]) -> None:
         for machine in found:
-            if self.blame.may_drain(len(self.machines)):
+            if self.failure_attribution.may_drain(len(self.machines)):
                 self.drained.add(machine)
 
     def _ends(self, job: _Job) -> None:
@@ -61,25 +61,25 @@
             if (job.mistaken or faulty) and ran_s > self.rng.uniform(0.0, 0.5):
                 job.running.remove((machine, since))
                 self.used[machine] -= 1
-                found = self.blame.failed(job.id, machine, ran_s, job.done > 0, now)
+                found = self.failure_attribution.failed(job.id, machine, ran_s, job.done > 0, now)
                 self._called(found)
             elif not (job.mistaken or faulty) and ran_s >= job.run_s:
                 job.running.remove((machine, since))
                 self.used[machine] -= 1
                 job.done += 1
-                self._called(self.blame.succeeded(job.id, machine, now))
+                self._called(self.failure_attribution.succeeded(job.id, machine, now))
 
     def _starts(self, job: _Job) -> None:
         now = Monotonic(self.now)
         waiting = job.tasks - job.done - len(job.running)
-        if self.blame.on_trial(job.id):
+        if self.failure_attribution.on_trial(job.id):
             longest = max((self.now - since for _, since in job.running), default=0.0)
-            self._called(self.blame.survived(job.id, longest, now))
-            most = self.blame.most(job.id, len(job.running), longest, now)
+            self._called(self.failure_attribution.survived(job.id, longest, now))
+            most = self.failure_attribution.most(job.id, len(job.running), longest, now)
             waiting = waiting if most is None else min(waiting, most)
         if waiting <= 0:
             return
-        avoided = self.blame.avoided(job.id, now)
+        avoided = self.failure_attribution.avoided(job.id, now)
         for name, (kind, _) in self.machines.items():
             machine = MachineId(name)
             if kind not in job.kinds or name in self.drained or machine in avoided:
@@ -147,59 +147,63 @@
     world = _World(1, [job], _fleet(10, faulty=1))
     world.run(4.0)
     # The others have run for longer than any took to fail: nothing is held back any more.
-    assert not world.blame.on_trial(job.id)
+    assert not world.failure_attribution.on_trial(job.id)
     world.run(10.0)
     assert job.done == 40
 
 
 def test_a_take_over_begins_with_one_try() -> None:
-    blame = FailureAttribution()
-    blame.inherited(JobId("wk-1"), 3)
+    failure_attribution = FailureAttribution()
+    failure_attribution.inherited(JobId("wk-1"), 3)
     now = Monotonic(10.0)
-    assert blame.most(JobId("wk-1"), 0, 0.0, now) == 1
-    assert blame.most(JobId("wk-1"), 1, 0.5, now) == 0
+    assert failure_attribution.most(JobId("wk-1"), 0, 0.0, now) == 1
+    assert failure_attribution.most(JobId("wk-1"), 1, 0.5, now) == 0
     # It may have been stopped only: then it goes on as soon as one has run for a moment.
-    assert blame.most(JobId("wk-1"), 1, 2.5, now) is None
+    assert failure_attribution.most(JobId("wk-1"), 1, 2.5, now) is None
     # And a failure goes on where the former leader's gaps had come to.
-    blame.failed(JobId("wk-1"), MachineId("m-1"), 0.0, False, now)
-    assert blame.most(JobId("wk-1"), 0, 0.0, Monotonic(now + 3.9)) == 0
-    assert blame.most(JobId("wk-1"), 0, 0.0, Monotonic(now + 4.1)) == 1
+    failure_attribution.failed(JobId("wk-1"), MachineId("m-1"), 0.0, False, now)
+    assert failure_attribution.most(JobId("wk-1"), 0, 0.0, Monotonic(now + 3.9)) == 0
+    assert failure_attribution.most(JobId("wk-1"), 0, 0.0, Monotonic(now + 4.1)) == 1
     # What was bound once was neither stopped nor lost.
-    blame.inherited(JobId("wk-2"), 1)
-    assert not blame.on_trial(JobId("wk-2"))
+    failure_attribution.inherited(JobId("wk-2"), 1)
+    assert not failure_attribution.on_trial(JobId("wk-2"))
 
 
 def test_old_evidence_and_what_is_over_are_dropped() -> None:
-    blame = FailureAttribution()
+    failure_attribution = FailureAttribution()
     machine = MachineId("m-1")
-    assert not blame.failed(JobId("wk-1"), machine, 0.0, True, Monotonic(0.0))
+    assert not failure_attribution.failed(JobId("wk-1"), machine, 0.0, True, Monotonic(0.0))
     # Long after it, another job's failure is the first one again.
-    assert not blame.failed(JobId("wk-2"), machine, 0.0, True, Monotonic(301.0))
-    assert blame.failed(JobId("wk-3"), machine, 0.0, True, Monotonic(302.0)) == [machine]
+    assert not failure_attribution.failed(JobId("wk-2"), machine, 0.0, True, Monotonic(301.0))
+    assert failure_attribution.failed(JobId("wk-3"), machine, 0.0, True, Monotonic(302.0)) == [
+        machine
+    ]
     for number in range(1000):
         job = JobId(f"wk-{number}")
-        blame.failed(job, MachineId(f"m-{number}"), 0.0, False, Monotonic(400.0))
-        blame.forget_job(job)
-        blame.forget_machine(MachineId(f"m-{number}"))
-    assert len(blame._jobs) <= 1 and len(blame._machines) <= 2
+        failure_attribution.failed(job, MachineId(f"m-{number}"), 0.0, False, Monotonic(400.0))
+        failure_attribution.forget_job(job)
+        failure_attribution.forget_machine(MachineId(f"m-{number}"))
+    assert len(failure_attribution._jobs) <= 1 and len(failure_attribution._machines) <= 2
 
 
 def test_a_success_clears_a_machine() -> None:
-    blame = FailureAttribution()
+    failure_attribution = FailureAttribution()
     machine = MachineId("m-1")
-    blame.failed(JobId("wk-1"), machine, 0.0, True, Monotonic(0.0))
-    blame.succeeded(JobId("wk-9"), machine, Monotonic(1.0))
-    assert not blame.failed(JobId("wk-2"), machine, 0.0, True, Monotonic(2.0))
+    failure_attribution.failed(JobId("wk-1"), machine, 0.0, True, Monotonic(0.0))
+    failure_attribution.succeeded(JobId("wk-9"), machine, Monotonic(1.0))
+    assert not failure_attribution.failed(JobId("wk-2"), machine, 0.0, True, Monotonic(2.0))
 
 
 def test_no_more_than_a_part_of_the_fleet_is_called_faulty() -> None:
-    blame = FailureAttribution()
+    failure_attribution = FailureAttribution()
     drained = 0
     for number in range(100):
         machine = MachineId(f"m-{number}")
         for job in range(2):
-            found = blame.failed(JobId(f"wk-{job}"), machine, 0.0, True, Monotonic(1.0))
-            drained += bool(found) and blame.may_drain(100)
+            found = failure_attribution.failed(
+                JobId(f"wk-{job}"), machine, 0.0, True, Monotonic(1.0)
+            )
+            drained += bool(found) and failure_attribution.may_drain(100)
     assert drained == 5
 
 
@@ -229,12 +233,14 @@
 
 def test_a_failure_late_in_a_long_task_does_not_keep_the_others_waiting() -> None:
     """They waited beside room until one task had run for twice as long as the one that failed."""
-    blame = FailureAttribution()
+    failure_attribution = FailureAttribution()
     job, faulty = JobId("wk-1"), MachineId("m-1")
-    blame.failed(job, faulty, 100.0, False, Monotonic(100.0))
+    failure_attribution.failed(job, faulty, 100.0, False, Monotonic(100.0))
     # Others of it have run as long without failing, or one that was begun since for a while.
-    assert blame.most(job, 9, 100.0, Monotonic(102.0)) is None
-    assert blame.most(job, 1, 40.0, Monotonic(150.0)) == 0
-    assert blame.most(job, 1, 45.0, Monotonic(150.0)) is None
+    assert failure_attribution.most(job, 9, 100.0, Monotonic(102.0)) is None
+    assert failure_attribution.most(job, 1, 40.0, Monotonic(150.0)) == 0
+    assert failure_attribution.most(job, 1, 45.0, Monotonic(150.0)) is None
     # It is not called sound for that, and the machine not faulty.
-    assert not blame.survived(job, 100.0, Monotonic(160.0)) and blame.on_trial(job)
+    assert not failure_attribution.survived(
+        job, 100.0, Monotonic(160.0)
+    ) and failure_attribution.on_trial(job)
--- a/tests/test_boots.py
+++ b/tests/test_boots.py
@@ -24,7 +24,7 @@
 def _seen(*took_s: float, at: float = 100.0) -> BootTimeEstimator:
     boots = BootTimeEstimator()
     for each in took_s:
-        boots.came(_KIND, each, Monotonic(at))
+        boots.registered(_KIND, each, Monotonic(at))
     return boots
 
 
@@ -37,7 +37,7 @@
     # Boots of another zone say nothing, and neither do those of long ago.
     other = BootTimeEstimator()
     for _ in range(9):
-        other.came(("m8", "south"), 30.0, Monotonic(100.0))
+        other.registered(("m8", "south"), 30.0, Monotonic(100.0))
     assert _patience(other) == 120.0
     assert _patience(_seen(*[30.0] * 9), now=191.0) == 120.0
 
@@ -59,37 +59,39 @@
     assert 1.75 * _NOMINAL_S <= _patience(_seen(*took_s), now) <= 4 * _NOMINAL_S
 
 
-def _renter(fleet: Fleet) -> Provisioner:
+def _provisioner(fleet: Fleet) -> Provisioner:
     return Provisioner(cast(Cloud, None), fleet, FencingToken(3), 2.0, *recorded_at_once())
 
 
 def test_nothing_is_late_in_a_zone_that_is_not_heard() -> None:
     fleet = Fleet(JobStore(8.0), FencingToken(3), Monotonic(0.0), 8.0)
-    renter = _renter(fleet)
+    provisioner = _provisioner(fleet)
     kind = wire.MachineType(name="m8", cpus=8.0, gpus=0.0, memory_gb=32.0, price=1.0,
                             spot_price=0.4, boot_s=_NOMINAL_S, zones=["north"])  # fmt: skip
-    renter.take_catalogue(wire.Catalogue(types=[kind]))
+    provisioner.take_catalogue(wire.Catalogue(types=[kind]))
     for number in range(7):
-        renter._rented(f"m-{number}", Rental("m8", "north", False, 7), Monotonic(0.0), booted=True)
+        provisioner._rented(
+            f"m-{number}", Rental("m8", "north", False, 7), Monotonic(0.0), booted=True
+        )
     machines = list(fleet.machines.values())
     for machine in machines[:6]:
-        renter.came(machine, Monotonic(30.0))
+        provisioner.registered(machine, Monotonic(30.0))
     late = machines[6]
     late.listed = wire.MACHINE_BOOTING
-    renter.cut_zones = lambda: frozenset({"north"})
-    renter._still_starting(late, Monotonic(70.0))
+    provisioner.partitioned_zones = lambda: frozenset({"north"})
+    provisioner._still_starting(late, Monotonic(70.0))
     assert not late.releasing
-    renter.cut_zones = frozenset
-    renter._still_starting(late, Monotonic(59.0))
+    provisioner.partitioned_zones = frozenset
+    provisioner._still_starting(late, Monotonic(59.0))
     assert not late.releasing
-    renter._still_starting(late, Monotonic(70.0))
+    provisioner._still_starting(late, Monotonic(70.0))
     assert late.releasing
 
 
 def test_machines_of_a_former_term_say_nothing_about_boots() -> None:
     fleet = Fleet(JobStore(8.0), FencingToken(3), Monotonic(0.0), 8.0)
-    renter = _renter(fleet)
+    provisioner = _provisioner(fleet)
     for number in range(9):
         known = Machine(MachineId(f"m-{number}"), "m8", "north", False, Monotonic(-500.0))
-        renter.came(known, Monotonic(5.0))
-    assert renter.boots.patience_s(_KIND, _NOMINAL_S, Monotonic(5.0)) == 4 * _NOMINAL_S
+        provisioner.registered(known, Monotonic(5.0))
+    assert provisioner.boots.patience_s(_KIND, _NOMINAL_S, Monotonic(5.0)) == 4 * _NOMINAL_S
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -79,11 +79,11 @@
     async def wait() -> float:
         found = RateLimiter(1.0)
         await found.take()
-        gone = [asyncio.create_task(found.take()) for _ in range(50)]
+        terminated = [asyncio.create_task(found.take()) for _ in range(50)]
         await asyncio.sleep(0.1)
-        for task in gone:
+        for task in terminated:
             task.cancel()
-        await asyncio.gather(*gone, return_exceptions=True)
+        await asyncio.gather(*terminated, return_exceptions=True)
         await found.take()
         return asyncio.get_running_loop().time()
 
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -78,7 +78,7 @@
     node.election.known = KnownLeader("node-1", FencingToken(3), Revision(7))
     message: wire.Heartbeat = report("m-1", 1, 1, 3)
     for _ in range(3):
-        assert node.take_report(message, MachineId("m-1"))[0] == 421
+        assert node.handle_heartbeat(message, MachineId("m-1"))[0] == 421
     shown: dict[str, Any] = node.describe()
     assert shown["reports"] == {"renewed": 0, "delegated": 0, "redirected": 3, "refused": 0}
     assert shown["state_interruptions"] == 0 and "renews" not in shown and "held_by" not in shown
--- a/tests/test_cost.py
+++ b/tests/test_cost.py
@@ -364,14 +364,14 @@
     """1,200 machines of 32 processors that are heard, with tasks of a few jobs on them."""
 
     def __init__(self, tasks: int) -> None:
-        self.dispatcher, self.fleet, self.book, self.renter = _dispatcher()
+        self.scheduling_loop, self.fleet, self.job_store, self.provisioner = _dispatcher()
         self.now = 100.0
-        self.seq = 0
+        self.sequence = 0
         self.names = [MachineId(f"m-{n:06d}") for n in range(1200)]
         for name in self.names:
             self.beat(name)
         self.jobs = [
-            self.book.add(
+            self.job_store.add(
                 spec(id=f"wk-{n:06d}", pieces=1200, vcpus=32.0 / tasks, memoryGb=0.1),
                 Wall(0.0),
                 Revision(1),
@@ -388,19 +388,19 @@
         self.survey()
 
     def beat(self, name: MachineId, ended: str = "") -> None:
-        self.seq += 1
+        self.sequence += 1
         machine = self.fleet.machines.get(name)
         bound = machine.bindings.values() if machine is not None else ()
         lines: list[tuple[str, int, str, str | None]] = [
             (str(b.task), int(b.attempt), *(("ended", "done") if str(b.task) == ended else _RUNS))
             for b in bound
         ]
-        heard = report(name, 1, self.seq, 1, lines)
+        heard = report(name, 1, self.sequence, 1, lines)
         heard = msgspec.structs.replace(heard, type="huge")
         self.fleet.report(heard, name, Monotonic(self.now), Wall(self.now))
 
     def survey(self) -> list[MachineView]:
-        return self.dispatcher._survey(Monotonic(self.now))[0]
+        return self.scheduling_loop._survey(Monotonic(self.now))[0]
 
 
 _RUNS: tuple[str, str | None] = ("running", None)
@@ -454,13 +454,13 @@
 def test_lost_tasks_are_looked_at_by_jobs(monkeypatch: pytest.MonkeyPatch) -> None:
     """2,000 tasks of four jobs lapse with 500 machines, and are placed again in one pass."""
     world = _Large(4)
-    gone = world.names[:500]
+    terminated = world.names[:500]
     world.now += 9.0
     for name in world.names[500:]:
         world.beat(name)
     world.fleet.check_silence(Monotonic(world.now))
-    assert all(world.fleet.machines[name].lapsed for name in gone)
+    assert all(world.fleet.machines[name].lease_expired for name in terminated)
     assert sum(job.waiting for job in world.jobs) == 2000
     looks = _counted(monkeypatch, planner._Pass, "_candidates", lambda *_: 1)
-    world.dispatcher.run(Monotonic(world.now), Wall(world.now))
+    world.scheduling_loop.run(Monotonic(world.now), Wall(world.now))
     assert len(looks) == 4
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -49,37 +49,46 @@
 
 
 def _dispatcher(
-    report_s: float = 0.0, types: Sequence[dict[str, Any]] = (_TYPE, _LARGE)
+    heartbeat_interval_s: float = 0.0, types: Sequence[dict[str, Any]] = (_TYPE, _LARGE)
 ) -> tuple[SchedulingLoop, Fleet, JobStore, _NoRentals]:
     params = settings.parse(orjson.dumps(SETTINGS)).params
-    book = JobStore(8.0)
-    fleet = Fleet(book, FencingToken(1), Monotonic(0.0), params.workers.lease_s, 0.0, report_s)
+    job_store = JobStore(8.0)
+    fleet = Fleet(
+        job_store,
+        FencingToken(1),
+        Monotonic(0.0),
+        params.workers.lease_s,
+        0.0,
+        heartbeat_interval_s,
+    )
     fleet.inherit([], Monotonic(0.0))
-    renter = _NoRentals(cast(Cloud, None), fleet, FencingToken(1), 2.0, *recorded_at_once())
-    renter.take_catalogue(wire.decode(orjson.dumps({"builds": list(types)}), wire.Catalogue))
-    dispatcher = SchedulingLoop(book, fleet, renter, Estimates(), params, lambda _: None)
-    return dispatcher, fleet, book, renter
+    provisioner = _NoRentals(cast(Cloud, None), fleet, FencingToken(1), 2.0, *recorded_at_once())
+    provisioner.take_catalogue(wire.decode(orjson.dumps({"builds": list(types)}), wire.Catalogue))
+    scheduling_loop = SchedulingLoop(
+        job_store, fleet, provisioner, Estimates(), params, lambda _: None
+    )
+    return scheduling_loop, fleet, job_store, provisioner
 
 
-def _beat(fleet: Fleet, seq: int, now: float) -> None:
-    fleet.report(report("m-1", 1, seq, 1), MachineId("m-1"), Monotonic(now), Wall(now))
+def _beat(fleet: Fleet, sequence: int, now: float) -> None:
+    fleet.report(report("m-1", 1, sequence, 1), MachineId("m-1"), Monotonic(now), Wall(now))
 
 
 def test_an_idle_machine_goes_back_though_tasks_wait_that_do_not_fit_it() -> None:
-    dispatcher, fleet, book, renter = _dispatcher()
-    book.add(spec(vcpus=32.0), Wall(0.0), Revision(1))
+    scheduling_loop, fleet, job_store, provisioner = _dispatcher()
+    job_store.add(spec(vcpus=32.0), Wall(0.0), Revision(1))
     for second in range(100):
         _beat(fleet, second + 1, float(second))
-        dispatcher.run(Monotonic(float(second)), Wall(float(second)))
-    assert renter.asked > 0
+        scheduling_loop.run(Monotonic(float(second)), Wall(float(second)))
+    assert provisioner.asked > 0
     assert fleet.machines[MachineId("m-1")].releasing
 
 
 def test_a_job_is_placed_and_its_binding_waits_for_the_record() -> None:
-    dispatcher, fleet, book, _ = _dispatcher()
-    job = book.add(spec(pieces=2), Wall(0.0), Revision(1))
+    scheduling_loop, fleet, job_store, _ = _dispatcher()
+    job = job_store.add(spec(pieces=2), Wall(0.0), Revision(1))
     _beat(fleet, 1, 0.0)
-    dispatcher.run(Monotonic(0.0), Wall(0.0))
+    scheduling_loop.run(Monotonic(0.0), Wall(0.0))
     assert job.bound_count == 2
     machine = fleet.machines[MachineId("m-1")]
     assert fleet.direct_starts(machine) == []
@@ -90,24 +99,24 @@
 
 def test_a_wish_for_machines_that_was_put_off_brings_another_pass_soon() -> None:
     """The reckoning is not made in every pass, and a burst must not wait for the next idle one."""
-    dispatcher, _, book, renter = _dispatcher()
-    book.add(spec(vcpus=32.0), Wall(0.0), Revision(1))
-    dispatcher.run(Monotonic(0.0), Wall(0.0))
-    asked = renter.asked
-    book.add(spec(id="wk-000413", vcpus=32.0), Wall(0.0), Revision(2))
-    dispatcher.run(Monotonic(0.1), Wall(0.1))
-    assert dispatcher.put_off and renter.asked == asked
-    dispatcher.run(Monotonic(RENT_EVERY_S), Wall(RENT_EVERY_S))
-    assert not dispatcher.put_off and renter.asked > asked
+    scheduling_loop, _, job_store, provisioner = _dispatcher()
+    job_store.add(spec(vcpus=32.0), Wall(0.0), Revision(1))
+    scheduling_loop.run(Monotonic(0.0), Wall(0.0))
+    asked = provisioner.asked
+    job_store.add(spec(id="wk-000413", vcpus=32.0), Wall(0.0), Revision(2))
+    scheduling_loop.run(Monotonic(0.1), Wall(0.1))
+    assert scheduling_loop.put_off and provisioner.asked == asked
+    scheduling_loop.run(Monotonic(RENT_EVERY_S), Wall(RENT_EVERY_S))
+    assert not scheduling_loop.put_off and provisioner.asked > asked
 
 
 class _Play:
     """Some machines and jobs, and what may happen to them."""
 
     def __init__(self) -> None:
-        self.dispatcher, self.fleet, self.book, self.renter = _dispatcher()
+        self.scheduling_loop, self.fleet, self.job_store, self.provisioner = _dispatcher()
         self.now = 0.0
-        self.seq = 0
+        self.sequence = 0
         self.jobs = 0
 
     def submit(self) -> None:
@@ -115,31 +124,35 @@
         changes: dict[str, Any] = {"id": f"wk-{self.jobs:06d}", "bundle": f"img-{self.jobs % 3}"}
         changes["urgency"] = "urgent" if self.jobs % 2 else "standard"
         changes["lineup"] = "quick" if self.jobs % 2 else "train"
-        self.dispatcher.submitted(spec(**changes), Monotonic(self.now))
-        self.book.add(spec(**changes), Wall(self.now), Revision(1))
+        self.scheduling_loop.submitted(spec(**changes), Monotonic(self.now))
+        self.job_store.add(spec(**changes), Wall(self.now), Revision(1))
 
-    def beat(self, name: str, state: str, session: int = 1, **changes: Any) -> None:
+    def beat(self, name: str, state: str, incarnation: int = 1, **changes: Any) -> None:
         """A report in which all that is bound to the machine has this state."""
-        self.seq += 1
+        self.sequence += 1
         machine = self.fleet.machines.get(MachineId(name))
-        bound = machine.bindings.values() if machine is not None and session == 1 else ()
+        bound = machine.bindings.values() if machine is not None and incarnation == 1 else ()
         why = "done" if state == "ended" else None
         lines = [(str(b.task), int(b.attempt), state, why) for b in bound]
-        heard = msgspec.structs.replace(report(name, session, self.seq, 1, lines), **changes)
+        heard = msgspec.structs.replace(
+            report(name, incarnation, self.sequence, 1, lines), **changes
+        )
         self.fleet.report(heard, MachineId(name), Monotonic(self.now), Wall(self.now))
 
     def stop(self) -> None:
-        for job in list(self.book.jobs.values()):
+        for job in list(self.job_store.jobs.values()):
             for binding in list(job.bindings())[:1]:
                 self.fleet.stop(binding, "preemption", 5.0, Monotonic(self.now))
 
     def check(self) -> None:
-        kept = _plain(self.dispatcher.view(Monotonic(self.now), Wall(self.now)).machines)
+        kept = _plain(self.scheduling_loop.view(Monotonic(self.now), Wall(self.now)).machines)
         for machine in self.fleet.machines.values():
             machine.touch()
             if isinstance(machine, _Sticky):
                 machine.forget()
-        assert kept == _plain(self.dispatcher.view(Monotonic(self.now), Wall(self.now)).machines)
+        assert kept == _plain(
+            self.scheduling_loop.view(Monotonic(self.now), Wall(self.now)).machines
+        )
 
     def run(self, steps: list[int]) -> None:
         for step in steps:
@@ -149,7 +162,7 @@
                 case 0 | 1:
                     self.submit()
                 case 2 | 3 | 4:
-                    self.dispatcher.run(Monotonic(self.now), Wall(self.now))
+                    self.scheduling_loop.run(Monotonic(self.now), Wall(self.now))
                 case 5 | 6:
                     self.beat(name, "running")
                 case 7:
@@ -159,7 +172,7 @@
                 case 9:
                     self.beat(name, "running", type="huge")
                 case 10:
-                    self.beat(name, "pulling", session=2 + step // 60)
+                    self.beat(name, "pulling", incarnation=2 + step // 60)
             self.check()
 
 
@@ -198,8 +211,8 @@
     play.run([5, 16, 27])
     play.now += 10.0
     larger = {"builds": [{**_TYPE, "vcpus": 12}]}
-    play.renter.take_catalogue(wire.decode(orjson.dumps(larger), wire.Catalogue))
-    assert not play.dispatcher.view(Monotonic(play.now), Wall(play.now)).machines
+    play.provisioner.take_catalogue(wire.decode(orjson.dumps(larger), wire.Catalogue))
+    assert not play.scheduling_loop.view(Monotonic(play.now), Wall(play.now)).machines
     play.beat("m-1", "running")
     play.check()
 
@@ -209,19 +222,19 @@
     play = _Play()
     play.run([5, 16, 27, 0, 1, 2])
     made: list[MachineId] = []
-    fresh = play.dispatcher._fresh
+    fresh = play.scheduling_loop._fresh
 
     def counted(machine: machines.Machine, kind: wire.MachineType) -> MachineView:
         made.append(machine.id)
         return fresh(machine, kind)
 
-    play.dispatcher.view(Monotonic(play.now), Wall(play.now))
-    monkeypatch.setattr(play.dispatcher, "_fresh", counted)
+    play.scheduling_loop.view(Monotonic(play.now), Wall(play.now))
+    monkeypatch.setattr(play.scheduling_loop, "_fresh", counted)
     play.beat("m-1", "running")
-    play.dispatcher.view(Monotonic(play.now), Wall(play.now))
+    play.scheduling_loop.view(Monotonic(play.now), Wall(play.now))
     assert made == ["m-1"]
     play.beat("m-1", "running")
-    play.dispatcher.view(Monotonic(play.now), Wall(play.now))
+    play.scheduling_loop.view(Monotonic(play.now), Wall(play.now))
     assert made == ["m-1"]
 
 
@@ -259,10 +272,10 @@
 def test_of_a_list_with_one_change_one_line_is_taken_in(monkeypatch: pytest.MonkeyPatch) -> None:
     """On a machine with many tasks nearly every report brings a change of one of them."""
     play = _Play()
-    book, fleet = play.book, play.fleet
+    job_store, fleet = play.job_store, play.fleet
     play.beat("m-1", "running")
     machine = fleet.machines[MachineId("m-1")]
-    job = book.add(spec(pieces=100, vcpus=0.01, memoryGb=0.01), Wall(0.0), Revision(1))
+    job = job_store.add(spec(pieces=100, vcpus=0.01, memoryGb=0.01), Wall(0.0), Revision(1))
     for _ in range(100):
         assert fleet.bind(job, machine, False, Wall(0.0), Monotonic(play.now)) is not None
     play.beat("m-1", "running")
@@ -281,13 +294,13 @@
     monkeypatch.setattr(machines, "parse_task_id", counted)
     monkeypatch.setattr(Fleet, "_progress", counted_progress)
     ended = next(iter(machine.bindings))
-    play.seq += 1
+    play.sequence += 1
     lines = [
         (str(b.task), int(b.attempt), "ended" if b.task == ended else "running",
          "done" if b.task == ended else None)
         for b in machine.bindings.values()
     ]  # fmt: skip
-    heard = report("m-1", 1, play.seq, 1, lines)
+    heard = report("m-1", 1, play.sequence, 1, lines)
     fleet.report(heard, machine.id, Monotonic(play.now), Wall(play.now))
     assert taken == [ended] and not parsed
     assert len(machine.bindings) == 99 and job.done_count == 1
@@ -301,8 +314,8 @@
         (str(b.task), int(b.attempt), "running", None) for b in machine.bindings.values()
     ]
 
-    def beat(seq: int) -> list[dict[str, Any]] | None:
-        heard = report("m-2", 1, 1000 + seq, 1, lines)
+    def beat(sequence: int) -> list[dict[str, Any]] | None:
+        heard = report("m-2", 1, 1000 + sequence, 1, lines)
         return play.fleet.report(heard, machine.id, Monotonic(play.now), Wall(play.now))
 
     assert lines and beat(1) == [] and beat(2) == []
@@ -325,18 +338,20 @@
     """So many jobs from submission to the end of their records."""
     for _ in range(count):
         play.now += 1.0
-        job = play.book.add(spec(id=f"wk-{play.jobs:06d}", pieces=1), Wall(play.now), Revision(1))
+        job = play.job_store.add(
+            spec(id=f"wk-{play.jobs:06d}", pieces=1), Wall(play.now), Revision(1)
+        )
         play.jobs += 1
         play.beat("m-1", "ended")  # nothing is bound: an empty report
-        play.dispatcher.run(Monotonic(play.now), Wall(play.now))
+        play.scheduling_loop.run(Monotonic(play.now), Wall(play.now))
         for chunk in job.chunks.values():
             chunk.committed = chunk.version
         play.beat("m-1", "ended")
         for chunk in job.chunks.values():
             chunk.committed, chunk.stamp = chunk.version, Revision(play.jobs)
         assert job.complete
-        play.book.ended(job)
-        play.book.garbage.clear()  # the records are removed
+        play.job_store.ended(job)
+        play.job_store.garbage.clear()  # the records are removed
         play.beat("m-1", "running")
 
 
@@ -348,8 +363,8 @@
     before = len(gc.get_objects())
     _finish_jobs(play, 10_000)
     gc.collect()
-    assert not play.book.jobs and not play.book.ending
-    assert not play.book.urgent and not play.book.lazy
+    assert not play.job_store.jobs and not play.job_store.ending
+    assert not play.job_store.urgent and not play.job_store.lazy
     assert len(gc.get_objects()) < before + 500
 
 
@@ -375,8 +390,8 @@
         for _ in range(5):
             play.submit()
             play.now += 1.0
-            play.dispatcher.run(Monotonic(play.now), Wall(play.now))
-        assert play.dispatcher.last.head is not None
+            play.scheduling_loop.run(Monotonic(play.now), Wall(play.now))
+        assert play.scheduling_loop.last.head is not None
         assert not any(isinstance(found, _Pass | View) for found in gc.get_objects())
     finally:
         gc.enable()
