--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -69,7 +69,7 @@
         self.answers: dict[str, list[str]] = {}
         self.alive: dict[str, bool] = {}
         self.held: list[tuple[float, Any]] = []
-        self.gone: set[str] = set()
+        self.terminated: set[str] = set()
         self.count = 0
 
     def hire(self, term: int, name: str, count: int) -> list[str]:
@@ -92,7 +92,7 @@
         for name in names:
             if self.alive.pop(name, None) is None:
                 continue
-            self.gone.add(name)
+            self.terminated.add(name)
             worked = self.world.work.pop(name, 0)
             if worked > term:
                 raise Broken(f"term {term} ended work of term {worked} on {name}")
@@ -143,19 +143,19 @@
         mine = Leadership(
             FencingToken(number), Revision(stamp), LeaseId(1), Monotonic(world.now), Monotonic(1e9)
         )
-        book = JobStore(8.0)
-        self.fleet = Fleet(book, FencingToken(number), Monotonic(world.now), 8.0)
-        self.keeper = WriteBatcher(
-            cast(StateClient, world.store), book, mine, 12, lambda _: None, lambda _: None
+        job_store = JobStore(8.0)
+        self.fleet = Fleet(job_store, FencingToken(number), Monotonic(world.now), 8.0)
+        self.write_batcher = WriteBatcher(
+            cast(StateClient, world.store), job_store, mine, 12, lambda _: None, lambda _: None
         )
-        self.intents = IntentLog(self.keeper.join, FencingToken(number), 8.0)
+        self.intent_log = IntentLog(self.write_batcher.join, FencingToken(number), 8.0)
         duties = [
             Duty(n, FencingToken(number), Monotonic(world.now), self.valid)
             for n in ("rent", "return")
         ]
         cloud = cast(Cloud, _Cloud(world, number))
-        self.renter = Provisioner(
-            cloud, self.fleet, FencingToken(number), 2.0, self.intents, *duties
+        self.provisioner = Provisioner(
+            cloud, self.fleet, FencingToken(number), 2.0, self.intent_log, *duties
         )
         self.tasks: list[asyncio.Task[None]] = []
 
@@ -165,8 +165,12 @@
     async def start(self) -> None:
         entries, _ = await self.world.store.scan(CLOUD_PREFIX)
         self.fleet.inherit([], Monotonic(self.world.now))
-        self.renter.inherit(entries, Monotonic(self.world.now), Wall(self.world.now))
-        loops = (self.keeper.run, self.renter.run_returns, self.renter.run_releases)
+        self.provisioner.inherit(entries, Monotonic(self.world.now), Wall(self.world.now))
+        loops = (
+            self.write_batcher.run,
+            self.provisioner.run_returns,
+            self.provisioner.run_releases,
+        )
         self.tasks = [asyncio.create_task(self._ends(loop)) for loop in loops]
 
     async def _ends(self, loop: Any) -> None:
@@ -180,20 +184,20 @@
     def act(self) -> None:
         """Its workers report, and what it may use has work of this term from then on."""
         for name in self.world.cloud.alive:
-            self.world.seq += 1
+            self.world.sequence += 1
             machine_id = MachineId(name)
-            heard = report(name, 1, self.world.seq, self.number)
+            heard = report(name, 1, self.world.sequence, self.number)
             at = Monotonic(self.world.now)
             self.fleet.report(heard, machine_id, at, Wall(at))
             machine = self.fleet.machines.get(machine_id)
-            if machine is not None and machine.placeable(at, 8.0):
+            if machine is not None and machine.is_placeable(at, 8.0):
                 self.world.work[name] = self.number
 
     def wish(self) -> None:
         rng = self.world.rng
         if rng.random() < 0.5:
-            self.renter.rent(Rental(*_KIND, rng.randrange(1, 60)), Monotonic(self.world.now))
-        known = [m for m in self.fleet.machines.values() if m.heard_at and not m.releasing]
+            self.provisioner.rent(Rental(*_KIND, rng.randrange(1, 60)), Monotonic(self.world.now))
+        known = [m for m in self.fleet.machines.values() if m.last_contact_at and not m.releasing]
         for machine in rng.sample(known, min(len(known), rng.randrange(30))):
             machine.releasing = True
             self.world.work.pop(machine.id, None)
@@ -210,7 +214,7 @@
         self.broken: list[Broken] = []
         self.calm = False
         self.checked = True
-        self.seq = 0
+        self.sequence = 0
         self.term: _Term | None = None
         self.terms: list[_Term] = []
 
@@ -265,7 +269,7 @@
         for _ in range(60):
             await asyncio.sleep(2.0)
             last.act()
-            last.renter._take_list(self.cloud.listed(), Monotonic(self.now))
+            last.provisioner._take_list(self.cloud.listed(), Monotonic(self.now))
         if self.broken:
             raise self.broken[0]
         alive = set(self.cloud.alive)
@@ -275,11 +279,11 @@
         assert not idle, f"{idle} were to go back"
         left = [k for k in self.store.keys if k.startswith(CLOUD_PREFIX)]
         assert not left, f"records that nobody needs: {left}"
-        assert last.intents.open == 0 and not last.intents._kept
+        assert last.intent_log.open == 0 and not last.intent_log._kept
 
     def close(self) -> None:
         for term in self.terms:
-            term.renter.close()
+            term.provisioner.close()
             for task in term.tasks:
                 task.cancel()
 
@@ -435,9 +439,9 @@
         fleet = Fleet(JobStore(8.0), FencingToken(4), monotonic_now(), 8.0)
         cloud = cast(Cloud, None)
         holds = [Duty(n, FencingToken(4), Monotonic(0.0), lambda: True) for n in ("a", "b")]
-        renter = Provisioner(cloud, fleet, FencingToken(4), 2.0, second, *holds)
-        renter._ask = lambda request: asyncio.sleep(0, 0)  # type: ignore[method-assign]
-        renter.inherit([], monotonic_now(), Wall(5.0))
+        provisioner = Provisioner(cloud, fleet, FencingToken(4), 2.0, second, *holds)
+        provisioner._ask = lambda request: asyncio.sleep(0, 0)  # type: ignore[method-assign]
+        provisioner.inherit([], monotonic_now(), Wall(5.0))
         assert set(fleet.machines) == {"m-7", "m-8"}
         assert all(m.releasing and m.returned for m in fleet.machines.values())
 
@@ -506,12 +510,16 @@
 def test_rentals_go_before_bindings_once_they_have_waited() -> None:
     """A fall's bindings use every change for seconds, and its replacements boot meanwhile."""
     store = Store(random.Random(1), True)
-    book = JobStore(8.0)
+    job_store = JobStore(8.0)
     mine = Leadership(FencingToken(1), Revision(1), LeaseId(1), Monotonic(0.0), Monotonic(9.0))
-    found = WriteBatcher(cast(StateClient, store), book, mine, 3, lambda _: None, lambda _: None)
+    found = WriteBatcher(
+        cast(StateClient, store), job_store, mine, 3, lambda _: None, lambda _: None
+    )
     for number in range(5):
-        job = book.add(spec(id=f"wk-{number:06d}"), Wall(0.0), Revision(1))
-        book.bind(job, 0, MachineId("m-1"), cast(Any, 1), "north", False, Wall(0.0), Monotonic(0.0))
+        job = job_store.add(spec(id=f"wk-{number:06d}"), Wall(0.0), Revision(1))
+        job_store.bind(
+            job, 0, MachineId("m-1"), cast(Any, 1), "north", False, Wall(0.0), Monotonic(0.0)
+        )
     put = wire.put("cloud/rent/tr-1-1", {})
     rent = JoinedWrite(
         {"cloud/rent/tr-1-1": ABSENT}, [put], lambda _: None, lambda _: None, Monotonic(1.0)
@@ -543,16 +551,16 @@
             for n in ("a", "b")
         ]
         cloud = _Granting()
-        renter = Provisioner(cast(Cloud, cloud), fleet, FencingToken(3), 2.0, found, *holds)
-        renter.rent(Rental(*_KIND, 2), monotonic_now())
+        provisioner = Provisioner(cast(Cloud, cloud), fleet, FencingToken(3), 2.0, found, *holds)
+        provisioner.rent(Rental(*_KIND, 2), monotonic_now())
         await asyncio.sleep(5.0)
-        assert renter.asked_for(_KIND) == (not alone) and len(fleet.machines) == 2 * alone
+        assert provisioner.asked_for(_KIND) == (not alone) and len(fleet.machines) == 2 * alone
         # It comes back: the record is written, and then what the cloud has answered meanwhile.
         joined[0].applied(Revision(1))
         await asyncio.sleep(1.0)
-        assert not renter.asked_for(_KIND) and set(fleet.machines) == {"m-1", "m-2"}
+        assert not provisioner.asked_for(_KIND) and set(fleet.machines) == {"m-1", "m-2"}
         assert joined[1].changes[0]["value"]["names"] == ["m-1", "m-2"]
-        renter.close()
+        provisioner.close()
         return cloud.asked, joined, found
 
     loop = JumpingLoop()
--- a/tests/test_exclusion.py
+++ b/tests/test_exclusion.py
@@ -198,7 +198,7 @@
         self.election.others_up = self.extension.others_up
         self.extension.is_excluded = lambda mine, other: self._exclusions(mine).is_excluded(other)
         if world.without != "relying":
-            self.extension.prolonged = lambda mine, until: self._exclusions(mine).hold_until(until)
+            self.extension.extended = lambda mine, until: self._exclusions(mine).hold_until(until)
         # Cancellations bound it more tightly; what is looked for here is two leaders.
         self.extension.seen = lambda: CancellationKnowledge(Revision(1 << 40), Monotonic(1e9))
         self.peers = peers
--- a/tests/test_falls.py
+++ b/tests/test_falls.py
@@ -51,8 +51,8 @@
     taken: bool = False
     hung_until: float = 0.0
     renewed_at: float | None = None
-    session: int = 1
-    seq: int = 0
+    incarnation: int = 1
+    sequence: int = 0
     token: int = 0
     tasks: dict[tuple[str, int], float] = field(default_factory=dict)
     """Task and attempt, and when it ends."""
@@ -71,7 +71,7 @@
     def rent(self, rental: Rental, now: Monotonic) -> None:
         kind = (rental.type, rental.zone, rental.spot)
         names = self._world.rent(rental, now)
-        self.refusals.answered(kind, rental.count, len(names), now)
+        self.capacity_backoff.answered(kind, rental.count, len(names), now)
         for name in names:
             self._rented(name, rental, now)
         if names:
@@ -84,14 +84,14 @@
         self.term = 0
         self.workers: dict[MachineId, _Worker] = {}
         self.cut: set[str] = set()
-        self.deaf = False
+        self.inbound_partitioned = False
         self.refuses = False
         self.one_at_a_time = False
         self.state_away = False
         self.made = 0
         self.submitted = 0
         self.lists: list[list[wire.ListedMachine]] = [[]]
-        self.book = JobStore(8.0)
+        self.job_store = JobStore(8.0)
         self.elect()
         for _ in range(jobs):
             self.submit()
@@ -102,32 +102,32 @@
         """A new leader with the records of the last one, and nothing else."""
         params = daemon_settings.parse(orjson.dumps(SETTINGS)).params
         self.term += 1
-        former, self.book = self.book, JobStore(8.0)
+        former, self.job_store = self.job_store, JobStore(8.0)
         now = Monotonic(self.now)
-        self.fleet = Fleet(self.book, FencingToken(self.term), now, _LEASE_S)
+        self.fleet = Fleet(self.job_store, FencingToken(self.term), now, _LEASE_S)
         bindings = []
         for job in former.jobs.values():
-            taken = self.book.add(job.spec, Wall(self.now), Revision(1))
+            taken = self.job_store.add(job.spec, Wall(self.now), Revision(1))
             for chunk in job.chunks.values():
                 if chunk.committed:
                     value = orjson.loads(orjson.dumps(former.value(chunk)))
-                    bindings += self.book.load(taken, chunk.number, value, Revision(1))
+                    bindings += self.job_store.load(taken, chunk.number, value, Revision(1))
         self.fleet.inherit(bindings, now)
-        self.renter = _Cloud(self)
-        self.renter.take_catalogue(wire.decode(orjson.dumps(_CATALOGUE), wire.Catalogue))
-        self.dispatcher = SchedulingLoop(
-            self.book, self.fleet, self.renter, Estimates(), params, lambda _: None
+        self.provisioner = _Cloud(self)
+        self.provisioner.take_catalogue(wire.decode(orjson.dumps(_CATALOGUE), wire.Catalogue))
+        self.scheduling_loop = SchedulingLoop(
+            self.job_store, self.fleet, self.provisioner, Estimates(), params, lambda _: None
         )
-        self.prober = Prober(self.fleet, params.workers.report_s, lambda: 1000)
+        self.prober = Prober(self.fleet, params.workers.heartbeat_interval_s, lambda: 1000)
         prober = self.prober
-        self.dispatcher.hearing = lambda: prober.hearing
+        self.scheduling_loop.diagnosis = lambda: prober.diagnosis
 
     def submit(self) -> None:
         self.submitted += 1
         changes: dict[str, Any] = {"id": f"wk-{self.submitted:06d}", "pieces": 20, "vcpus": 4.0}
         # No deadline: nothing but the queue and what was lost asks for machines.
         changes.update(guessS=float(_RUN_S), dueS=None, lineup="train", crew="blue")
-        self.book.add(spec(**changes), Wall(self.now), Revision(1))
+        self.job_store.add(spec(**changes), Wall(self.now), Revision(1))
 
     # -- the cloud ------------------------------------------------------------------------------
 
@@ -156,12 +156,14 @@
             ]
         )  # fmt: skip
         if int(self.now) % 3 == 0:
-            self.renter._take_list(self.lists[max(0, len(self.lists) - 3)], Monotonic(self.now))
+            self.provisioner._take_list(
+                self.lists[max(0, len(self.lists) - 3)], Monotonic(self.now)
+            )
 
     def _releases(self) -> None:
         for machine in [m for m in self.fleet.machines.values() if m.releasing]:
             self.workers.pop(machine.id, None)
-            self.renter._freed(machine)
+            self.provisioner._freed(machine)
             self.fleet.released(machine.id, Monotonic(self.now))
 
     # -- workers --------------------------------------------------------------------------------
@@ -176,10 +178,14 @@
         if self.now - since > _LEASE_S:
             worker.tasks.clear()
             worker.done.clear()
-            worker.session, worker.renewed_at, worker.up_at = worker.session + 1, None, self.now
+            worker.incarnation, worker.renewed_at, worker.up_at = (
+                worker.incarnation + 1,
+                None,
+                self.now,
+            )
 
     def _reports(self, worker: _Worker) -> None:
-        worker.seq += 1
+        worker.sequence += 1
         lines = [
             wire.TaskStatus(task=task, attempt=attempt, state=state, why=why)  # type: ignore[arg-type]
             for keys, state, why in (
@@ -190,8 +196,8 @@
         ]
         heard = wire.Heartbeat(
             machine=str(worker.name), addr="127.0.0.1:9000", type="big", zone=worker.zone,
-            spot=worker.spot, session=worker.session, seq=worker.seq, token=worker.token,
-            tasks=lines,
+            spot=worker.spot, incarnation=worker.incarnation, sequence=worker.sequence,
+            token=worker.token, tasks=lines,
         )  # fmt: skip
         now = Monotonic(self.now)
         commands = self.fleet.report(heard, worker.name, now, Wall(self.now))
@@ -216,7 +222,7 @@
     def heard(self, worker: _Worker) -> bool:
         return not (
             worker.dead or worker.taken or self.now < worker.up_at or self.now < worker.hung_until
-            or worker.zone in self.cut or self.deaf
+            or worker.zone in self.cut or self.inbound_partitioned
         )  # fmt: skip
 
     # -- time -----------------------------------------------------------------------------------
@@ -236,23 +242,25 @@
         self.fleet.check_silence(now)
         for machine in self.prober.look(now):
             there = self.workers.get(machine.id)
-            reached = there is not None and not (there.dead or there.taken or self.deaf)
+            reached = there is not None and not (
+                there.dead or there.taken or self.inbound_partitioned
+            )
             self.prober.tried(machine, reached and there is not None and there.zone not in self.cut)
         self._list()
-        self.dispatcher.run(now, Wall(self.now))
+        self.scheduling_loop.run(now, Wall(self.now))
         self._commits()
         self._releases()
 
     def _commits(self) -> None:
         if self.state_away:
             return
-        for chunk in [*self.book.urgent, *self.book.lazy]:
+        for chunk in [*self.job_store.urgent, *self.job_store.lazy]:
             chunk.committed, chunk.new_bindings = chunk.version, 0
-        self.book.urgent.clear()
-        self.book.lazy.clear()
-        for job in list(self.book.jobs.values()):
+        self.job_store.urgent.clear()
+        self.job_store.lazy.clear()
+        for job in list(self.job_store.jobs.values()):
             if job.complete:
-                self.book.ended(job)
+                self.job_store.ended(job)
                 self.submit()
 
     def play(self, seconds: int) -> int:
@@ -301,7 +309,7 @@
         worker.taken = True
     world.play(6)
     # Missed, tried twice, judged; nothing has lapsed yet.
-    assert not any(m.lapsed for m in world.fleet.machines.values())
+    assert not any(m.lease_expired for m in world.fleet.machines.values())
     assert len(world.standing()) >= 0.9 * most
 
 
@@ -343,10 +351,10 @@
 def test_a_leader_that_hears_nobody_rents_and_returns_nothing() -> None:
     world = _settled()
     made, names = world.made, set(world.workers)
-    world.deaf = True
+    world.inbound_partitioned = True
     world.play(20)
     assert world.made - made <= 2 and names <= set(world.workers)
-    assert world.prober.hearing.deaf
+    assert world.prober.diagnosis.inbound_partitioned
 
 
 def test_a_fall_of_all_kinds_at_once_with_a_takeover_in_its_middle() -> None:
@@ -404,7 +412,7 @@
     world.play(2)
     assert world.made == made
     world.play(4)
-    assert world.dispatcher._acquainted
+    assert world.scheduling_loop._acquainted
 
 
 def _fall(world: _World, kind: str) -> None:
@@ -419,11 +427,11 @@
     if kind == "cut":
         world.cut = {"south"}
     elif kind == "deaf":
-        world.deaf = True
+        world.inbound_partitioned = True
 
 
 def _heal(world: _World) -> None:
-    world.cut, world.deaf = set(), False
+    world.cut, world.inbound_partitioned = set(), False
 
 
 _KINDS = ["dead", "taken", "hung", "cut", "deaf"]
@@ -547,8 +555,8 @@
             world.cut.add("south")
             later(seconds, world.cut.clear)
         elif kind == "deaf":
-            world.deaf = True
-            later(min(seconds, 15), lambda: setattr(world, "deaf", False))
+            world.inbound_partitioned = True
+            later(min(seconds, 15), lambda: setattr(world, "inbound_partitioned", False))
         elif kind == "refuses":
             world.refuses = True
             later(seconds, lambda: setattr(world, "refuses", False))
--- a/tests/test_formats.py
+++ b/tests/test_formats.py
@@ -115,14 +115,14 @@
 
 @given(st.lists(st.sampled_from(["bind", "backfill", "release", "done"]), max_size=40))
 def test_a_chunk_read_back_says_what_was_written(steps: list[str]) -> None:
-    book = JobStore(4.0)
-    job = book.add(spec(pieces=6), Wall(0.0), Revision(3))
+    job_store = JobStore(4.0)
+    job = job_store.add(spec(pieces=6), Wall(0.0), Revision(3))
     for step in steps:
         bound = list(job.bindings())
         if step in ("bind", "backfill"):
-            index = book.take_task(job)
+            index = job_store.take_task(job)
             if index is not None:
-                book.bind(
+                job_store.bind(
                     job,
                     index,
                     MachineId("m-1"),
@@ -133,22 +133,22 @@
                     NOW,
                 )
         elif bound and step == "release":
-            book.release(bound[0], "north", NOW)
+            job_store.release(bound[0], "north", NOW)
         elif bound:
-            book.complete(job, bound[0].task.index, NOW)
-            book.release(bound[0], "north", NOW)
+            job_store.complete(job, bound[0].task.index, NOW)
+            job_store.release(bound[0], "north", NOW)
     again = JobStore(4.0)
     copy = again.add(spec(pieces=6), Wall(0.0), Revision(3))
     for number, chunk in job.chunks.items():
-        again.load(copy, number, orjson.loads(orjson.dumps(book.value(chunk))), Revision(9))
+        again.load(copy, number, orjson.loads(orjson.dumps(job_store.value(chunk))), Revision(9))
 
     def facts(b: Any) -> tuple[Any, ...]:
-        return (b.task, b.machine, b.session, b.attempt, b.backfilled, b.bound_at)
+        return (b.task, b.machine, b.incarnation, b.attempt, b.backfilled, b.bound_at)
 
     assert {facts(b) for b in copy.bindings()} == {facts(b) for b in job.bindings()}
     assert copy.done == job.done
     assert copy.waiting == job.waiting
-    assert again.team_cpus.get("blue", 0.0) == book.team_cpus.get("blue", 0.0)
+    assert again.team_cpus.get("blue", 0.0) == job_store.team_cpus.get("blue", 0.0)
     for index, task in job.tasks.items():
         if not job.done[index]:
             assert copy.tasks[index].next_attempt == task.next_attempt
@@ -156,14 +156,14 @@
 
 @given(st.floats(1.0, 64.0))
 def test_a_full_chunk_fits_its_value(value_kb: float) -> None:
-    book = JobStore(value_kb)
+    job_store = JobStore(value_kb)
     size = chunk_size(value_kb)
-    job = book.add(spec(pieces=size), Wall(0.0), Revision(3))
+    job = job_store.add(spec(pieces=size), Wall(0.0), Revision(3))
     for _ in range(size):
-        index = book.take_task(job)
+        index = job_store.take_task(job)
         assert index is not None
-        book.bind(
+        job_store.bind(
             job, index, MachineId("m" * 64), Incarnation(10**6), "north", True, Wall(1.8e9), NOW
         )
     (chunk,) = job.chunks.values()
-    assert len(orjson.dumps(book.value(chunk))) <= value_kb * 1024
+    assert len(orjson.dumps(job_store.value(chunk))) <= value_kb * 1024
--- a/tests/test_golden_records.py
+++ b/tests/test_golden_records.py
@@ -136,16 +136,16 @@
     return wire.Catalogue(types=[big])
 
 
-def _intake(client: _Client) -> Admission:
+def _admission(client: _Client) -> Admission:
     return Admission(cast(Any, client), settings.parse(orjson.dumps(SETTINGS)), _catalogue)
 
 
-def _graph_intake(client: _Client, intake: Admission) -> GraphAdmission:
+def _graph_intake(client: _Client, admission: Admission) -> GraphAdmission:
     async def counts(_: str) -> None:
         return None
 
     given = settings.parse(orjson.dumps(SETTINGS))
-    return GraphAdmission(cast(Any, client), given, GraphFeatures(on=True), intake, counts)
+    return GraphAdmission(cast(Any, client), given, GraphFeatures(on=True), admission, counts)
 
 
 def _spec(text: bytes | None = None) -> wire.JobSpec:
@@ -163,7 +163,7 @@
     """`job/ID` as the node that accepts the job writes it."""
     client = _Client()
     time_is(record.at)
-    asyncio.run(_intake(client).submit(wire.encode(record.spec)))
+    asyncio.run(_admission(client).submit(wire.encode(record.spec)))
     return client.put(state_book.job_key(JobId(record.spec.id)))
 
 
@@ -184,7 +184,7 @@
             tail_s=[node.tail_s],
         ),
     )
-    term = SimpleNamespace(_term=SimpleNamespace(keeper=SimpleNamespace(join=joined.append)))
+    term = SimpleNamespace(_term=SimpleNamespace(write_batcher=SimpleNamespace(join=joined.append)))
     GraphLeaderExtension._join_release(cast(Any, term), cast(Any, live), 0)
     return joined[0].changes[0]["value"]
 
@@ -196,16 +196,16 @@
 
 def read_chunk(value: Any) -> Any:
     """`run/ID/CHUNK` taken over into a new leader's book."""
-    book = JobStore(_VALUE_KB)
-    job = book.add(_spec(), Wall(0.0), Revision(3))
-    bindings = book.load(job, 0, value, Revision(9))
-    return book, job, bindings, list(state_book.chunk_bindings(value))
+    job_store = JobStore(_VALUE_KB)
+    job = job_store.add(_spec(), Wall(0.0), Revision(3))
+    bindings = job_store.load(job, 0, value, Revision(9))
+    return job_store, job, bindings, list(state_book.chunk_bindings(value))
 
 
 def write_chunk(read: Any) -> Any:
     """`run/ID/CHUNK` as the leader writes it."""
-    book, job, _, _ = read
-    return book.value(job.chunks[0])
+    job_store, job, _, _ = read
+    return job_store.value(job.chunks[0])
 
 
 def read_over(value: Any) -> Any:
@@ -219,8 +219,8 @@
 
 def write_end(read: Any) -> Any:
     """`over/ID` as the leader writes it."""
-    book = JobStore(_VALUE_KB)
-    job = book.add(read.spec or _spec(), Wall(0.0), Revision(3))
+    job_store = JobStore(_VALUE_KB)
+    job = job_store.add(read.spec or _spec(), Wall(0.0), Revision(3))
     job.outcome = read.outcome
     job.bound_count = int(read.spec is not None)
     batch = _Batch()
@@ -233,7 +233,7 @@
     """`over/ID` as the node that cancels the job writes it."""
     job = JobId(read.spec.id)
     client = _Client({state_book.job_key(job): {"spec": wire.plain(read.spec), "at": 0.0}})
-    asyncio.run(_intake(client).cancel(job))
+    asyncio.run(_admission(client).cancel(job))
     return client.put(state_book.over_key(job))
 
 
@@ -244,7 +244,7 @@
     term = SimpleNamespace(
         _orphans={job: (Revision(3), read.spec)},
         _burials=set(),
-        _term=SimpleNamespace(keeper=SimpleNamespace(join=joined.append)),
+        _term=SimpleNamespace(write_batcher=SimpleNamespace(join=joined.append)),
     )
     GraphLeaderExtension._bury(cast(Any, term), job)
     return joined[0].changes[1]["value"]
@@ -253,7 +253,7 @@
 def _cancel_gated(index: int) -> _Client:
     head = Head(v=records.VERSION, status="accepted", at=0.0, digest="", nodes=9, edges=0, parts=1)
     client = _Client({records.graph_key("fam1"): msgspec.to_builtins(head)})
-    graphs = _graph_intake(client, _intake(client))
+    graphs = _graph_intake(client, _admission(client))
     asyncio.run(graphs.cancel(model.node_id("fam1", index)))
     return client
 
@@ -420,12 +420,12 @@
 def answer(what: str, kept: dict[str, Any], *given: Any) -> Any:
     """Status, body and delay of the answer to a user, with `kept` in the state service."""
     client = _Client(kept)
-    intake = _intake(client)
-    graphs = intake.names = _graph_intake(client, intake)
+    admission = _admission(client)
+    graphs = admission.names = _graph_intake(client, admission)
     calls: dict[str, Callable[..., Any]] = {
-        "submit": lambda body: intake.submit(wire.encode(body)),
-        "status": intake.status,
-        "cancel": intake.cancel,
+        "submit": lambda body: admission.submit(wire.encode(body)),
+        "status": admission.status,
+        "cancel": admission.cancel,
         "submit graph": lambda body: graphs.submit(wire.encode(body)),
         "put part": lambda graph, part, body: graphs.put_part(graph, part, wire.encode(body)),
         "seal": lambda graph, body: graphs.seal(graph, wire.encode(body)),
@@ -469,8 +469,8 @@
     "build": lambda r: r.type,
     "hall": lambda r: r.zone,
     "loaners": lambda r: r.spot,
-    "shift": lambda r: r.session,
-    "tick": lambda r: r.seq,
+    "shift": lambda r: r.incarnation,
+    "tick": lambda r: r.sequence,
     "baton": lambda r: r.token,
     "warningS": lambda r: r.notice_s,
     "pieces": lambda r: [[t.task, t.attempt, t.state, t.why, t.saved] for t in r.tasks],
@@ -507,7 +507,7 @@
 _CHUNK: Final[Fields] = {
     "done": lambda r: list(r[1].done),
     "bound": lambda r: [
-        [b.task.index, b.machine, b.session, b.attempt, b.backfilled, b.bound_at] for b in r[2]
+        [b.task.index, b.machine, b.incarnation, b.attempt, b.backfilled, b.bound_at] for b in r[2]
     ],
     "attempts": lambda r: {str(i): t.next_attempt for i, t in sorted(r[1].tasks.items())},
     "errors": lambda r: {str(i): t.errors for i, t in sorted(r[1].tasks.items())},
@@ -570,7 +570,7 @@
         [o.kind, o.job_class, o.share, o.times, o.within_s] for o in r.params.objectives
     ],
     "workers": lambda r: [
-        r.params.workers.report_s, r.params.workers.lease_s, r.params.workers.cancel_s
+        r.params.workers.heartbeat_interval_s, r.params.workers.lease_s, r.params.workers.cancel_s
     ],
     "state": lambda r: [
         r.params.state.rps, r.params.state.write_rps, r.params.state.value_kb,
--- a/tests/test_graphs.py
+++ b/tests/test_graphs.py
@@ -222,20 +222,22 @@
 def test_failures_are_counted_across_a_take_over() -> None:
     value: dict[str, Any] | None = None
     for _ in range(3):
-        book = JobStore(8.0)
-        job = book.add(spec(id="fam1-00000", pieces=2), Wall(0.0), Revision(1))
+        job_store = JobStore(8.0)
+        job = job_store.add(spec(id="fam1-00000", pieces=2), Wall(0.0), Revision(1))
         job.most_errors = 2
         if value is not None:
-            book.load(job, 0, value, Revision(1))
-        index = book.take_task(job)
+            job_store.load(job, 0, value, Revision(1))
+        index = job_store.take_task(job)
         assert index == 0 and job.outcome == "done"
         machine = MachineId("m-1")
-        binding = book.bind(job, 0, machine, Incarnation(1), "", False, Wall(0.0), Monotonic(0.0))
-        book.task_failed(job, 0)
-        book.release(binding, "", Monotonic(0.0))
-        value = orjson.loads(orjson.dumps(book.value(job.chunks[0])))
+        binding = job_store.bind(
+            job, 0, machine, Incarnation(1), "", False, Wall(0.0), Monotonic(0.0)
+        )
+        job_store.task_failed(job, 0)
+        job_store.release(binding, "", Monotonic(0.0))
+        value = orjson.loads(orjson.dumps(job_store.value(job.chunks[0])))
     # The third failure of one task is one too many, whoever led at the first.
-    assert job.outcome == "failed" and job.id in book.ending and job.waiting == 0
+    assert job.outcome == "failed" and job.id in job_store.ending and job.waiting == 0
 
 
 # -- decisions ------------------------------------------------------------------------------------
@@ -295,17 +297,19 @@
         await part._load("fam1")
         part._advance()
         asked: list[Any] = []
-        leader.renter.take_catalogue(wire.decode(orjson.dumps({"builds": [_TYPE]}), wire.Catalogue))
-        leader.renter.rent = lambda rental, now: asked.append(rental)  # type: ignore[method-assign]
-        batch = leader.keeper._gather(monotonic_now())
-        await leader.keeper._commit(batch)
+        leader.provisioner.take_catalogue(
+            wire.decode(orjson.dumps({"builds": [_TYPE]}), wire.Catalogue)
+        )
+        leader.provisioner.rent = lambda rental, now: asked.append(rental)  # type: ignore[method-assign]
+        batch = leader.write_batcher._gather(monotonic_now())
+        await leader.write_batcher._commit(batch)
         leader._add_job("job/fam1-00000", store.keys["job/fam1-00000"][0], Revision(store.epoch))
         leader.fleet.report(report("m-1", 1, 1, 1), MachineId("m-1"), monotonic_now(), wall_now())
         # The first node runs on the only machine and ends within a boot: what is behind it boots.
-        leader.dispatcher.run(monotonic_now(), wall_now())
+        leader.scheduling_loop.run(monotonic_now(), wall_now())
         asked.clear()
-        leader.dispatcher._rent_at = Monotonic(0.0)
-        leader.dispatcher.run(monotonic_now(), wall_now())
+        leader.scheduling_loop._rent_at = Monotonic(0.0)
+        leader.scheduling_loop.run(monotonic_now(), wall_now())
         assert sum(rental.count for rental in asked) == 2
         (wish,) = leader._upcoming(monotonic_now(), 20.0)
         assert wish[1] == 3
@@ -328,13 +332,13 @@
         leader, part = _leader(store)
         await leader._load()
         part._advance()
-        waiting = {job.id: job.waiting for job in leader.book.jobs.values()}
+        waiting = {job.id: job.waiting for job in leader.job_store.jobs.values()}
         assert waiting == {"fam1-00000": 0, "wk-1": 6}
-        assert not leader.keeper.joined
+        assert not leader.write_batcher.joined
         # Cancelled by a node that can read it: what of it runs is stopped all the same.
         store.execute([], [wire.delete("job/fam1")])
         leader.job_changed(wire.WatchEvent(delete="job/fam1", version=store.epoch))
-        assert "fam1-00000" not in leader.book.jobs and "wk-1" in leader.book.jobs
+        assert "fam1-00000" not in leader.job_store.jobs and "wk-1" in leader.job_store.jobs
 
     asyncio.run(scenario())
 
@@ -346,9 +350,9 @@
         for name in [n for n, (head, _) in part._drafts.items() if head.status == "expired"]:
             await part._clear_up(name)
         part._advance()
-        batch = leader.keeper._gather(Monotonic(monotonic_now() + 10.0))
+        batch = leader.write_batcher._gather(Monotonic(monotonic_now() + 10.0))
         if batch.changes:
-            await leader.keeper._commit(batch)
+            await leader.write_batcher._commit(batch)
         for at, event in store.log:
             if at > seen and (event.put or event.delete or "").startswith("job/"):
                 leader.job_changed(event)
@@ -410,9 +414,9 @@
             assert counts["ready"] + counts["released"] == 10
             batch_sizes = []
             part._advance()
-            while (batch := leader.keeper._gather(monotonic_now())).changes:
+            while (batch := leader.write_batcher._gather(monotonic_now())).changes:
                 batch_sizes.append(len(batch.changes))
-                await leader.keeper._commit(batch)
+                await leader.write_batcher._commit(batch)
             # Before the first of them is heard of, the next leader takes over.
             assert sum(batch_sizes) in (10, 0)
         released = [key for key in store.keys if key.startswith("job/fam1-")]
@@ -431,12 +435,12 @@
         await leader._load()
         await part._load("fam1")
         part._advance()
-        await leader.keeper._commit(leader.keeper._gather(monotonic_now()))
+        await leader.write_batcher._commit(leader.write_batcher._gather(monotonic_now()))
         record = store.keys["job/fam1-00000"][0]
         assert record["due_s"] == pytest.approx(70.0, abs=5.0) and record["tail_s"] == 30.0
         job = leader._add_job("job/fam1-00000", record, Revision(store.epoch))
         assert job is not None and job.due_s == record["due_s"]
-        (view,) = leader.dispatcher.view(monotonic_now(), wall_now()).jobs
+        (view,) = leader.scheduling_loop.view(monotonic_now(), wall_now()).jobs
         assert isinstance(view, JobView) and view.graph == "fam1" and view.latest_s[0] > 50.0
         assert job_key(job.id) in store.keys
 
--- a/tests/test_graphs_node.py
+++ b/tests/test_graphs_node.py
@@ -364,7 +364,7 @@
                     await asyncio.sleep(0.02)
                     leader = world.node.leader
                     assert leader is not None
-                    used = max(used, leader.book.team_cpus.get("red", 0.0))
+                    used = max(used, leader.job_store.team_cpus.get("red", 0.0))
                     running = [(w, n) for w in workers for n, t in w.tasks.items()
                                if t["status"] == "running"]  # fmt: skip
                     most = max(most, len(running))
--- a/tests/test_graphs_records.py
+++ b/tests/test_graphs_records.py
@@ -232,7 +232,7 @@
 
     async def begin(self) -> None:
         self.seen = int((await self.leader._load()).revision)
-        for job in self.leader.book.jobs.values():
+        for job in self.leader.job_store.jobs.values():
             self.running += job.bindings()
 
     @property
@@ -263,12 +263,12 @@
         self.hear(self.service.store.epoch)
 
     def bind(self, share: float) -> None:
-        for job in list(self.leader.book.jobs.values()):
+        for job in list(self.leader.job_store.jobs.values()):
             while job.waiting > 0 and self.service.rng.random() < share:
-                index = self.leader.book.take_task(job)
+                index = self.leader.job_store.take_task(job)
                 if index is None:
                     break
-                self.leader.book.bind(
+                self.leader.job_store.bind(
                     job,
                     index,
                     MachineId("m-1"),
@@ -280,26 +280,26 @@
                 )
 
     async def commit(self) -> None:
-        batch = self.leader.keeper._gather(Monotonic(monotonic_now() + 10.0))
+        batch = self.leader.write_batcher._gather(Monotonic(monotonic_now() + 10.0))
         if batch.changes:
-            await self.leader.keeper._commit(batch)
+            await self.leader.write_batcher._commit(batch)
 
     def work(self, fail: float, rest: float = 0.3) -> None:
         """Tasks start once their record is committed, and end somehow."""
-        for job in list(self.leader.book.jobs.values()):
+        for job in list(self.leader.job_store.jobs.values()):
             for binding in list(job.bindings()):
                 if not binding.committed or self.service.rng.random() < rest:
                     continue
                 if job.cancelled or job.outcome != "done":
-                    self.leader.book.release(binding, "", monotonic_now())
+                    self.leader.job_store.release(binding, "", monotonic_now())
                     continue
                 index = binding.task.index
                 if self.service.rng.random() < fail:
-                    self.leader.book.task_failed(job, index)
+                    self.leader.job_store.task_failed(job, index)
                 else:
                     self.service.store.completed.setdefault(job.id, set()).add(index)
-                    self.leader.book.complete(job, index, monotonic_now())
-                self.leader.book.release(binding, "", monotonic_now())
+                    self.leader.job_store.complete(job, index, monotonic_now())
+                self.leader.job_store.release(binding, "", monotonic_now())
 
 
 class Service:
@@ -310,10 +310,10 @@
         parsed = settings.parse(orjson.dumps(SETTINGS))
         self.nodes: list[tuple[Admission, GraphAdmission]] = []
         for _ in range(3):
-            intake = Admission(client, parsed, lambda: _CATALOGUE)
-            graphs = GraphAdmission(client, parsed, _FEATURES, intake, self._no_counts)
-            intake.names = graphs
-            self.nodes.append((intake, graphs))
+            admission = Admission(client, parsed, lambda: _CATALOGUE)
+            graphs = GraphAdmission(client, parsed, _FEATURES, admission, self._no_counts)
+            admission.names = graphs
+            self.nodes.append((admission, graphs))
         self.models = {name: Model(name, self._graph()) for name in _NAMES}
         self.store.models = self.models
         self.bodies = {name: self._body(name) for name in _NAMES}
@@ -382,11 +382,11 @@
 
     async def poll(self) -> None:
         name = self.rng.choice(_NAMES)
-        intake, graphs = self._node()
+        admission, graphs = self._node()
         self._told_graph(name, await graphs.show(name))
         index = self.rng.randrange(len(self.models[name].nodes) + 1)
         job = self.models[name].job(index)
-        reply = await intake.status(job)
+        reply = await admission.status(job)
         if index == len(self.models[name].nodes):
             if reply.status != 404:
                 raise Contradiction(f"{job} invented")
@@ -395,14 +395,14 @@
 
     async def cancel(self) -> None:
         name = self.rng.choice(_NAMES)
-        intake, graphs = self._node()
+        admission, graphs = self._node()
         if self.rng.random() < 0.3:
             self.cancelled.add(name)
             self._told_graph(name, await graphs.cancel_graph(name))
         elif self.rng.random() < 0.5:
             index = self.rng.randrange(len(self.models[name].nodes))
             self.cancelled.add(self.models[name].job(index))
-            self._told_job(name, index, await intake.cancel(self.models[name].job(index)))
+            self._told_job(name, index, await admission.cancel(self.models[name].job(index)))
 
     async def late(self) -> None:
         if self.store.late:
@@ -523,12 +523,12 @@
             over = self.store.keys.get(f"over/{name}")
             if self.told.get(name) is not None and over is None:
                 raise Contradiction(f"{name} never came to its end")
-            intake, graphs = self._node()
+            admission, graphs = self._node()
             self._told_graph(name, await graphs.show(name))
             if over is None or not over[0].get("nodes"):
                 continue
             for index in range(len(model.nodes)):
-                reply = await intake.status(model.job(index))
+                reply = await admission.status(model.job(index))
                 if reply.body.get("status") not in ("done", "aborted"):
                     raise Contradiction(f"{model.job(index)} is {reply.body}")
                 self._told_job(name, index, reply)
@@ -561,7 +561,7 @@
     def joined(guards: dict[str, Revision], *rest: Any) -> Any:
         return write_batcher.JoinedWrite({k: v for k, v in guards.items() if "-" in k}, *rest)
 
-    patch.setattr(graph_term, "Joined", joined)
+    patch.setattr(graph_term, "JoinedWrite", joined)
 
 
 def _unguarded(patch: pytest.MonkeyPatch, method: str, guard: Callable[[Any], str]) -> None:
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -104,8 +104,8 @@
         )
         self.leader.fleet.inherit([], monotonic_now())
         catalogue = wire.decode(orjson.dumps({"builds": [{**_TYPE, "vcpus": 16}]}), wire.Catalogue)
-        self.leader.renter.take_catalogue(catalogue)
-        self.leader.renter.rent = lambda *_: None  # type: ignore[method-assign]
+        self.leader.provisioner.take_catalogue(catalogue)
+        self.leader.provisioner.rent = lambda *_: None  # type: ignore[method-assign]
         self.tasks: dict[str, dict[tuple[str, int], str]] = {}
         self.seqs: dict[str, int] = {}
         self.machines = self.jobs = 0
@@ -130,8 +130,10 @@
                 self.tasks[name].pop((str(order["piece"]), cast(int, order["try"])))
 
     async def commit_all(self) -> None:
-        while (batch := self.leader.keeper._gather(Monotonic(monotonic_now() + 10.0))).changes:
-            await self.leader.keeper._commit(batch)
+        while (
+            batch := self.leader.write_batcher._gather(Monotonic(monotonic_now() + 10.0))
+        ).changes:
+            await self.leader.write_batcher._commit(batch)
 
     async def wave(self) -> None:
         """Machines are rented, run some jobs and go back."""
@@ -142,7 +144,7 @@
             name = f"m-127.{1 + number // 62500}.{number // 250 % 250}.{1 + number % 250}"
             names.append(name)
             self.tasks[name], self.seqs[name] = {}, 0
-            self.leader.renter._rented(name, Rental("big", "north", False, 1), monotonic_now())
+            self.leader.provisioner._rented(name, Rental("big", "north", False, 1), monotonic_now())
             self.beat(name)
         for _ in range(_WAVE * _JOBS):
             self.jobs += 1
@@ -154,7 +156,7 @@
                 {"spec": wire.plain(job), "at": wall_now()},
                 stamp,
             )
-        self.leader.dispatcher.run(monotonic_now(), wall_now())
+        self.leader.scheduling_loop.run(monotonic_now(), wall_now())
         await self.commit_all()
         while self.leader._orders:
             await asyncio.gather(*self.leader._orders.values())
@@ -181,11 +183,11 @@
         before = len(gc.get_objects())
         while world.machines < 5000:
             await world.wave()
-            assert len(world.leader._lines) == 0
+            assert len(world.leader._connections) == 0
         assert world.jobs == 20_000
         await asyncio.sleep(0.2)
         gc.collect()
-        assert not world.leader.book.jobs and not world.leader.fleet.machines
+        assert not world.leader.job_store.jobs and not world.leader.fleet.machines
         assert len(gc.get_objects()) < before + 1000
         assert len(asyncio.all_tasks()) <= 2
         # Clients were closed with their machines; the server hears of it a moment later.
--- a/tests/test_keeper.py
+++ b/tests/test_keeper.py
@@ -42,10 +42,15 @@
         self.store.calm = True
         self.rate = _Rate(tokens)
         self.store.writes = self.rate  # type: ignore[assignment]
-        self.book = JobStore(8.0)
+        self.job_store = JobStore(8.0)
         mine = Leadership(FencingToken(1), Revision(1), LeaseId(1), NOW, Monotonic(1e9))
-        self.keeper = WriteBatcher(
-            cast(StateClient, self.store), self.book, mine, txn_ops, lambda _: None, lambda _: None
+        self.write_batcher = WriteBatcher(
+            cast(StateClient, self.store),
+            self.job_store,
+            mine,
+            txn_ops,
+            lambda _: None,
+            lambda _: None,
         )
 
     def job(self, number: int, urgency: str, pieces: int = 1) -> Job:
@@ -53,25 +58,27 @@
         spec = wire.decode(orjson.dumps(changes), wire.JobSpec)
         self.store.epoch += 1
         self.store.keys[job_key(spec.id)] = ({"spec": wire.plain(spec)}, self.store.epoch)  # type: ignore[arg-type]
-        return self.book.add(spec, Wall(0.0), Revision(self.store.epoch))
+        return self.job_store.add(spec, Wall(0.0), Revision(self.store.epoch))
 
     def bind(self, job: Job) -> None:
-        index = self.book.take_task(job)
+        index = self.job_store.take_task(job)
         assert index is not None
-        self.book.bind(job, index, MachineId("m-1"), Incarnation(1), "north", False, Wall(0.0), NOW)
+        self.job_store.bind(
+            job, index, MachineId("m-1"), Incarnation(1), "north", False, Wall(0.0), NOW
+        )
 
     def finish(self, job: Job, release: bool = True) -> None:
         for binding in list(job.bindings()):
-            self.book.complete(job, binding.task.index, NOW)
+            self.job_store.complete(job, binding.task.index, NOW)
             if release:
-                self.book.release(binding, "north", NOW)
+                self.job_store.release(binding, "north", NOW)
 
     def write(self) -> list[str]:
         """One transaction: the jobs it ends and the jobs it binds tasks of, in its order."""
-        batch = self.keeper._gather(NOW)
+        batch = self.write_batcher._gather(NOW)
         if not batch.changes:
             return []
-        asyncio.run(self.keeper._commit(batch))
+        asyncio.run(self.write_batcher._commit(batch))
         ended = [f"end {job.id}" for job in batch.jobs]
         return ended + [f"bind {chunk.job.id}" for chunk, _, new in batch.chunks if new]
 
@@ -150,7 +157,7 @@
     assert term.write() == ["end wk-1"]
     assert "run/wk-1/00000" not in term.store.keys
     assert over_key(job.id) in term.store.keys and job_key(job.id) not in term.store.keys
-    assert not term.book.garbage and not term.book.lazy and not term.book.jobs
+    assert not term.job_store.garbage and not term.job_store.lazy and not term.job_store.jobs
 
 
 def test_a_chunk_with_a_binding_that_stands_does_not_go_with_the_end() -> None:
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -51,7 +51,7 @@
 
     def silent(self: Fleet, now: Monotonic) -> list[Machine]:
         known = self.machines.values()
-        return [m for m in known if m.heard_at is not None and now - m.heard_at > 0.8]
+        return [m for m in known if m.last_contact_at is not None and now - m.last_contact_at > 0.8]
 
     patch.setattr(Fleet, "silent", silent)
 
--- a/tests/test_lease_extension.py
+++ b/tests/test_lease_extension.py
@@ -219,7 +219,7 @@
     told: list[str] = []
     extension.cancelled = told.append
 
-    def prolonged(last: ExtensionAnswer) -> bool:
+    def extended(last: ExtensionAnswer) -> bool:
         left = iter([ExtensionAnswer(True, cancelled=["wk-2"]), last])
 
         async def ask(*_: object) -> ExtensionAnswer:
@@ -232,8 +232,8 @@
         asyncio.run(extension._seek(mine))
         return mine.valid_until > 101.0
 
-    assert prolonged(ExtensionAnswer(True))
-    assert not prolonged(ExtensionAnswer(False, "no answer"))
+    assert extended(ExtensionAnswer(True))
+    assert not extended(ExtensionAnswer(False, "no answer"))
     # With what this node itself acknowledged, which may not have come back to it.
     assert set(told) == {"wk-1", "wk-2"}
 
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -74,7 +74,7 @@
     )
     client = cast(StateClient, _Client(None, 0))
     found = Leader(parsed, client, cast(Cloud, None), cast(Election, None), mine, Estimates())
-    found.dispatcher._command_now = lambda _: None
+    found.scheduling_loop._command_now = lambda _: None
     return found
 
 
@@ -106,7 +106,7 @@
             world.leader.known if world.leader is not None else CancellationKnowledge()
         )
         self.extension.cancelled = lambda job: world.learns(job)
-        self.extension.vouched = lambda _, at: world.vouched(at)
+        self.extension.cancellations_known_until = lambda _, at: world.cancellations_known_until(at)
 
     async def _ask(self, number: Any, request: ExtensionRequest) -> ExtensionAnswer:
         answer: ExtensionAnswer = await self.world.hosts[number].extension.asked(request)
@@ -130,8 +130,8 @@
         self.down = False
         self.refused: set[int] = set()
         self.stuck = False
-        self.deaf = False
-        self.gone: dict[str, int] = {}
+        self.inbound_partitioned = False
+        self.terminated: dict[str, int] = {}
         self.told: dict[str, Monotonic] = {}
         self.stopped_knowing = 0
         self.hosts = [_Host(self, n, Revision(10)) for n in range(_HOSTS)]
@@ -166,15 +166,15 @@
         assert leader is not None
         bindings: list[Binding] = []
         for job_id in self.records or _JOBS:
-            job = leader.book.add(spec(id=job_id, pieces=1), Wall(0.0), Revision(1))
+            job = leader.job_store.add(spec(id=job_id, pieces=1), Wall(0.0), Revision(1))
             if job_id in self.records:
-                bindings += leader.book.load(job, 0, self.records[job_id], Revision(2))
+                bindings += leader.job_store.load(job, 0, self.records[job_id], Revision(2))
         leader.fleet.inherit(bindings, self.now)
         leader.seen = CancellationKnowledge(Revision(self.revision), self.now)
-        for name in self.gone:
-            job = leader.book.jobs[JobId(name)]
-            leader.book.cancel(job)
-            leader.dispatcher.cancel(job, self.now)
+        for name in self.terminated:
+            job = leader.job_store.jobs[JobId(name)]
+            leader.job_store.cancel(job)
+            leader.scheduling_loop.cancel(job, self.now)
 
     def _bind(self) -> None:
         leader = self.leader
@@ -183,24 +183,24 @@
         self.beat()
         machine = leader.fleet.machines[_MACHINE]
         for job_id in _JOBS:
-            job = leader.book.jobs[job_id]
+            job = leader.job_store.jobs[job_id]
             assert leader.fleet.bind(job, machine, False, Wall(0.0), self.now) is not None
             (chunk,) = job.chunks.values()
-            self.records[job_id] = leader.book.value(chunk)
+            self.records[job_id] = leader.job_store.value(chunk)
             chunk.committed = chunk.version
         self.beat()
         assert len(self.worker.tasks) == len(_JOBS)
 
     def learns(self, name: str) -> None:
         if self.leader is not None and self.leader.fleet.loaded:
-            job = self.leader.book.jobs.get(JobId(name))
+            job = self.leader.job_store.jobs.get(JobId(name))
             if job is not None and not job.cancelled:
                 self.stopped_knowing += 1
             self.leader.job_cancelled(name)
 
-    def vouched(self, at: Monotonic) -> None:
+    def cancellations_known_until(self, at: Monotonic) -> None:
         assert self.leader is not None
-        self.leader.vouched(at)
+        self.leader.cancellations_known_until(at)
 
     def _leading(self) -> Leader | None:
         leader = self.leader
@@ -223,7 +223,7 @@
                 if self.now >= self.reads_at:
                     self._load()
             elif not self.stuck:
-                for name in self.gone:
+                for name in self.terminated:
                     self.learns(name)
                 leader.seen = CancellationKnowledge(Revision(self.revision), self.now)
         else:
@@ -251,7 +251,7 @@
         found = leader.fleet.report(message, _MACHINE, self.now, Wall(0.0))
         if not leader.fleet.loaded:
             found = []
-        if found is None or self.deaf:
+        if found is None or self.inbound_partitioned:
             return
         worker.token = leader._mine.term
         worker.renewed_at = self.now
@@ -291,7 +291,7 @@
         if self.down:
             # After an outage leases have their full time again.
             self.key_until = Monotonic(max(self.key_until, self.now + TTL_S))
-        self.down, self.refused, self.stuck, self.deaf = False, set(), False, False
+        self.down, self.refused, self.stuck, self.inbound_partitioned = False, set(), False, False
         for host in self.hosts:
             if host.first is None:
                 host.first = Revision(self.revision)
@@ -311,14 +311,14 @@
         self.stuck = True
 
     def hear_nothing(self) -> None:
-        self.deaf = self.rng.random() < 0.3
+        self.inbound_partitioned = self.rng.random() < 0.3
 
     def cancel(self) -> None:
         serving = [n for n in range(_HOSTS) if self.serves(n)]
-        left = [name for name in _JOBS if name not in self.gone]
+        left = [name for name in _JOBS if name not in self.terminated]
         if serving and left:
             self.revision += 1
-            self.gone[left[0]] = self.revision
+            self.terminated[left[0]] = self.revision
             if self.rng.random() < 0.8:
                 self._tell(left[0], self.rng.choice(serving))
             if self.rng.random() < 0.3:
@@ -326,12 +326,12 @@
 
     def poll(self) -> None:
         serving = [n for n in range(_HOSTS) if self.serves(n)]
-        untold = [name for name in self.gone if name not in self.told]
-        if serving and untold:
-            self._tell(untold[0], self.rng.choice(serving))
+        never_sent = [name for name in self.terminated if name not in self.told]
+        if serving and never_sent:
+            self._tell(never_sent[0], self.rng.choice(serving))
 
     def _tell(self, name: str, host: int) -> None:
-        self.hosts[host].known.add(name, Revision(self.gone[name]))
+        self.hosts[host].known.add(name, Revision(self.terminated[name]))
         self.told[name] = self.now
 
     def check(self) -> None:
@@ -372,7 +372,7 @@
 
     on(refused_s / 2)
     world.revision += 1
-    world.gone[_JOBS[0]] = world.revision
+    world.terminated[_JOBS[0]] = world.revision
     world._tell(_JOBS[0], 1)
     on(refused_s / 2)
     world.outage()
@@ -381,7 +381,7 @@
     assert states.pop(f"{_JOBS[0]}/0", "ended") == "ended"
     # The other jobs' tasks were kept all the time.
     assert list(states.values()) == ["running"] * (len(_JOBS) - 1)
-    assert world.worker.session == 1 and world.stopped_knowing == 1
+    assert world.worker.incarnation == 1 and world.stopped_knowing == 1
 
 
 def test_where_cancel_s_is_short_a_watch_in_its_ordinary_pace_is_enough() -> None:
@@ -398,9 +398,9 @@
     fleet = leader.fleet
     fleet.inherit([], Monotonic(100.0))
     leader.seen = CancellationKnowledge(Revision(5), Monotonic(100.0))
-    job = leader.book.add(spec(pieces=1), Wall(0.0), Revision(1))
-    for seq in (1, 2):
-        fleet.report(report(_MACHINE, 1, seq, 1), _MACHINE, Monotonic(100.0), Wall(0.0))
+    job = leader.job_store.add(spec(pieces=1), Wall(0.0), Revision(1))
+    for sequence in (1, 2):
+        fleet.report(report(_MACHINE, 1, sequence, 1), _MACHINE, Monotonic(100.0), Wall(0.0))
     machine = fleet.machines[_MACHINE]
     binding = fleet.bind(job, machine, False, Wall(0.0), Monotonic(100.0))
     assert binding is not None
@@ -409,8 +409,8 @@
     return leader, fleet, job, binding
 
 
-def _beat(fleet: Fleet, seq: int, at: float, *tasks: Any, session: int = 1) -> Any:
-    message = report(_MACHINE, session, seq, 1, list(tasks))
+def _beat(fleet: Fleet, sequence: int, at: float, *tasks: Any, incarnation: int = 1) -> Any:
+    message = report(_MACHINE, incarnation, sequence, 1, list(tasks))
     return fleet.report(message, _MACHINE, Monotonic(at), Wall(0.0))
 
 
@@ -434,12 +434,12 @@
     leader.job_cancelled("wk-000412")
     since = next(iter(job.bindings())).stop
     assert since is not None
-    patience_s = fleet.stop_within_s
+    patience_s = fleet.stop_timeout_s
     assert patience_s + 8.0 < 20.0
     in_vain = [wire.stop("wk-000412/0", 1, 0.0)]
     assert _beat(fleet, 3, since.since + patience_s - 0.1) == in_vain
     assert _beat(fleet, 4, since.since + patience_s + 0.1) is None
-    assert _beat(fleet, 5, since.since + patience_s + 0.2, session=2) is not None
+    assert _beat(fleet, 5, since.since + patience_s + 0.2, incarnation=2) is not None
     assert not list(job.bindings())
 
 
@@ -447,22 +447,24 @@
     # Its end can't be written before the outage is over; its other task ran on until then.
     leader, fleet, job, binding = _bound()
     fleet.direct_executed([binding])
-    leader.book.give_up(job, OUTCOME_FAILED)
+    leader.job_store.give_up(job, OUTCOME_FAILED)
     leader.job_cancelled("wk-000412")
     assert binding.stop is not None and binding.stop.reason == "cancelled"
-    assert job.outcome == OUTCOME_FAILED and job.id in leader.book.ending
+    assert job.outcome == OUTCOME_FAILED and job.id in leader.job_store.ending
 
 
 def test_a_done_jobs_bound_task_is_known_to_the_next_leader() -> None:
     """One machine called it done, another one still has it."""
     leader, _, job, binding = _bound()
-    leader.book.complete(job, 0, Monotonic(101.0))
-    assert job.id in leader.book.ending and list(job.bindings()) == [binding]
-    leader.keeper._client = cast(Any, SimpleNamespace(writes=RateLimiter(1000.0)))
-    batch = leader.keeper._gather(Monotonic(101.0))
+    leader.job_store.complete(job, 0, Monotonic(101.0))
+    assert job.id in leader.job_store.ending and list(job.bindings()) == [binding]
+    leader.write_batcher._client = cast(Any, SimpleNamespace(writes=RateLimiter(1000.0)))
+    batch = leader.write_batcher._gather(Monotonic(101.0))
     (over,) = [c for c in batch.changes if c.get("set") == over_key(job.id)]
     assert over["value"]["status"] == wire.JOB_DONE
-    chunk = wire.Entry(key=binding.chunk.key, value=leader.book.value(binding.chunk), version=3)
+    chunk = wire.Entry(
+        key=binding.chunk.key, value=leader.job_store.value(binding.chunk), version=3
+    )
 
     class Client:
         async def scan(self, prefix: str) -> tuple[list[wire.Entry], Revision]:
@@ -474,9 +476,9 @@
     later = _leader(_settings(), 2, Monotonic(110.0))
     later._client = cast(StateClient, Client())
     asyncio.run(later._load())
-    (taken,) = later.book.jobs[job.id].bindings()
+    (taken,) = later.job_store.jobs[job.id].bindings()
     assert taken.machine == _MACHINE and taken.stop is not None
-    assert not later.book.garbage
+    assert not later.job_store.garbage
 
 
 # -- machines that hear nothing -------------------------------------------------------------------
@@ -486,43 +488,47 @@
     """A machine's reports: session, sequence number, time."""
     fleet = Fleet(JobStore(8.0), FencingToken(1), Monotonic(0.0), 8.0)
     fleet.inherit([], Monotonic(0.0))
-    for session, seq, at in beats:
-        _beat(fleet, seq, at, session=session)
+    for incarnation, sequence, at in beats:
+        _beat(fleet, sequence, at, incarnation=incarnation)
     return fleet
 
 
 def test_a_machine_that_lapses_though_it_is_answered_gets_no_work() -> None:
     # Deaf ones took tasks in each new session, and gave them back a lease later.
-    deaf = _heard((1, 1, 0.0), (1, 4, 5.0), (2, 7, 10.0)).machines[_MACHINE]
-    assert deaf.deaf and not deaf.placeable(Monotonic(10.0), 5.0)
+    inbound_partitioned = _heard((1, 1, 0.0), (1, 4, 5.0), (2, 7, 10.0)).machines[_MACHINE]
+    assert inbound_partitioned.inbound_partitioned and not inbound_partitioned.is_placeable(
+        Monotonic(10.0), 5.0
+    )
     # Its next report but two comes here: it has asked the other nodes meanwhile.
     fleet = _heard((1, 1, 0.0), (1, 4, 5.0), (2, 7, 10.0), (2, 10, 25.0))
-    assert fleet.machines[_MACHINE].deaf
+    assert fleet.machines[_MACHINE].inbound_partitioned
     # The one after the last, within the time in which an answer must have come: it hears.
-    _beat(fleet, 11, 27.0, session=2)
-    assert fleet.machines[_MACHINE].placeable(Monotonic(27.0), 5.0)
+    _beat(fleet, 11, 27.0, incarnation=2)
+    assert fleet.machines[_MACHINE].is_placeable(Monotonic(27.0), 5.0)
 
 
 def test_a_machine_that_stood_still_is_not_deaf() -> None:
     fleet = _heard((1, 1, 0.0), (1, 2, 1.0), (2, 3, 20.0))
-    assert not fleet.machines[_MACHINE].deaf
+    assert not fleet.machines[_MACHINE].inbound_partitioned
 
 
 def test_a_direct_command_without_an_answer_stops_new_work_until_two_reports_in_a_row() -> None:
     fleet = _heard((1, 1, 0.0), (1, 2, 1.0))
     machine = fleet.machines[_MACHINE]
-    machine.call_deaf(True)
-    assert not machine.placeable(Monotonic(1.5), 5.0)
+    machine.mark_inbound_partitioned(True)
+    assert not machine.is_placeable(Monotonic(1.5), 5.0)
     _beat(fleet, 4, 2.0)
-    assert machine.deaf, "a report between them went elsewhere"
+    assert machine.inbound_partitioned, "a report between them went elsewhere"
     _beat(fleet, 5, 7.0)
-    assert machine.deaf, "it may have waited for an answer in vain"
+    assert machine.inbound_partitioned, "it may have waited for an answer in vain"
     _beat(fleet, 6, 8.0)
-    assert machine.placeable(Monotonic(8.0), 5.0)
+    assert machine.is_placeable(Monotonic(8.0), 5.0)
 
 
 @pytest.mark.parametrize(("took_s", "deaf"), [(2.0, True), (3.0, False)])
-def test_a_node_that_is_late_itself_calls_no_machine_deaf(took_s: float, deaf: bool) -> None:
+def test_a_node_that_is_late_itself_calls_no_machine_deaf(
+    took_s: float, inbound_partitioned: bool
+) -> None:
     leader, fleet, _, binding = _bound()
     machine = fleet.machines[_MACHINE]
     at = [0.0]
@@ -532,11 +538,11 @@
             at[0] += took_s
             raise NoAnswerError("TimeoutError", True, silent=True)
 
-    leader._lines = cast(Any, ConnectionPool())
+    leader._connections = cast(Any, ConnectionPool())
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(leader_module, "monotonic_now", lambda: at[0])
         assert not asyncio.run(leader._send_directly(machine, b"", [binding]))
-    assert machine.deaf is deaf
+    assert machine.inbound_partitioned is inbound_partitioned
 
 
 # -- delegations ----------------------------------------------------------------------------------
@@ -550,16 +556,16 @@
     stop = binding.stop
     assert stop is not None
     machine = fleet.machines[_MACHINE]
-    machine.heard_at = machine.answered_at = stop.since
+    machine.last_contact_at = machine.answered_at = stop.since
     at = stop.since
-    while not fleet.unstopped(at):
+    while not fleet.has_overdue_stop(at):
         at = Monotonic(at + 0.5)
-    assert fleet.silent(at) == [] or at - stop.since <= fleet.stop_within_s + 0.5
+    assert fleet.silent(at) == [] or at - stop.since <= fleet.stop_timeout_s + 0.5
     # A watch's pace, the wait, a delegation that was confirmed at the last moment, the lease.
     assert 3.0 + (at - stop.since) + 2.5 + 8.0 < 24.0
     # One that is heard has been told with its reports' answers.
-    machine.heard_at = at
-    assert not fleet.unstopped(at)
+    machine.last_contact_at = at
+    assert not fleet.has_overdue_stop(at)
 
 
 # -- who tells a user vouches for it --------------------------------------------------------------
@@ -590,19 +596,19 @@
 _NODE = {"spec": wire.plain(spec(id="lab1-0")), "at": 1.0, "owner": "lab1"}
 
 
-def _intake(records: _Records) -> Admission:
+def _admission(records: _Records) -> Admission:
     return Admission(cast(StateClient, records), _settings(), lambda: None)
 
 
 def test_a_nodes_poll_that_tells_of_its_graphs_end_is_acknowledged() -> None:
     # The node that cancelled the graph may be gone, or its transaction was executed late: then
     # nobody would tell a leader that goes on through an outage.
-    intake = _intake(_Records(job__lab1_0=(_NODE, 7), over__lab1=(_GRAPH_OVER, 44)))
-    reply = asyncio.run(intake.status("lab1-0"))
+    admission = _admission(_Records(job__lab1_0=(_NODE, 7), over__lab1=(_GRAPH_OVER, 44)))
+    reply = asyncio.run(admission.status("lab1-0"))
     assert (reply.status, reply.body["status"]) == (200, wire.JOB_CANCELLED)
-    assert intake.acknowledged.since(Revision(43)) == ["lab1"]
+    assert admission.acknowledged.since(Revision(43)) == ["lab1"]
     # Between two records nothing final is said.
-    unclear = _intake(_Records(job__lab1_0=(_NODE, 7)))
+    unclear = _admission(_Records(job__lab1_0=(_NODE, 7)))
     assert asyncio.run(unclear.status("lab1-0")).status == 503
     assert not unclear.acknowledged.since(Revision(0))
 
@@ -612,13 +618,13 @@
         return None
 
     records = _Records(over__lab1=(_GRAPH_OVER, 44))
-    intake = _intake(records)
+    admission = _admission(records)
     graphs = GraphAdmission(
-        cast(StateClient, records), _settings(), GraphFeatures(), intake, counts
+        cast(StateClient, records), _settings(), GraphFeatures(), admission, counts
     )
-    intake.names = graphs
+    admission.names = graphs
     assert asyncio.run(graphs.show("lab1")).body["status"] == wire.JOB_CANCELLED
-    assert intake.acknowledged.since(Revision(43)) == ["lab1"]
+    assert admission.acknowledged.since(Revision(43)) == ["lab1"]
 
 
 # -- records that can't be read -------------------------------------------------------------------
@@ -650,9 +656,9 @@
     leader = _leader(_settings(), 2, Monotonic(110.0))
     leader._client = cast(StateClient, Client())
     asyncio.run(leader._load())
-    assert set(leader.book.jobs) == {good, odd}
-    assert leader.book.jobs[good].waiting == 6 and leader.book.jobs[odd].waiting == 0
-    assert not leader.book.garbage and leader.fleet.loaded
+    assert set(leader.job_store.jobs) == {good, odd}
+    assert leader.job_store.jobs[good].waiting == 6 and leader.job_store.jobs[odd].waiting == 0
+    assert not leader.job_store.garbage and leader.fleet.loaded
 
 
 def test_a_watch_that_brought_nothing_is_followed_by_a_question() -> None:
@@ -700,20 +706,20 @@
         return found
 
     client._http.request = request  # type: ignore[method-assign,assignment]
-    intake = Admission(client, parsed, lambda: None)
+    admission = Admission(client, parsed, lambda: None)
 
     async def scenario() -> None:
         for _ in range(50):
-            assert (await intake.status("wk-000001")).status == 503
+            assert (await admission.status("wk-000001")).status == 503
         assert len(asked) == 3 and client.away
         # Half a second later one is tried again, though nothing else was.
         at[0] += 0.7
-        assert (await intake.status("wk-000001")).status == 503 and len(asked) == 4
+        assert (await admission.status("wk-000001")).status == 503 and len(asked) == 4
         answers.append(404)
         with contextlib.suppress(StateError):
             await client.get("leader")
         assert not client.away
-        assert (await intake.status("wk-000001")).status == 404
+        assert (await admission.status("wk-000001")).status == 404
 
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(client_module, "monotonic_now", lambda: at[0])
--- a/tests/test_meetings_lab.py
+++ b/tests/test_meetings_lab.py
@@ -185,11 +185,11 @@
 async def _mute(world: SimulatedCluster) -> None:
     """Half of the machines reach no controller; what they do is called off, and leaders end."""
     names = sorted(world.workers)[::2]
-    world.mute.update(names)
+    world.outbound_partitioned.update(names)
     await asyncio.sleep(2.0)
     await world.cancel_now(2)
     # From when the leader must have noticed; they answer direct commands all the time.
-    await asyncio.sleep(4.0 * world.shape.report_s)
+    await asyncio.sleep(4.0 * world.shape.heartbeat_interval_s)
     world.quiet.update(names)
     for _ in range(5):
         await world.cancel_now(1)
@@ -198,10 +198,10 @@
         _end_leader(world)
         await asyncio.sleep(5.0)
     world.quiet.clear()
-    world.mute.clear()
-    gone = [name for name in names if world.cloud.machines[name].gone]
-    if gone:
-        world.breach("returned", f"{gone} were mute for a short spell")
+    world.outbound_partitioned.clear()
+    terminated = [name for name in names if world.cloud.machines[name].terminated]
+    if terminated:
+        world.breach("returned", f"{terminated} were mute for a short spell")
 
 
 async def _zones_lose_machines(world: SimulatedCluster) -> None:
@@ -212,12 +212,12 @@
         for machine in world.cloud.alive()[number % 2 :: 3]:
             world.cloud.take(machine)
         world.parted = True
-        unlisted = [frozenset((name, "cloud")) for name in world.hosts]
-        world.cut.update(unlisted)
+        missing_from_lists = [frozenset((name, "cloud")) for name in world.hosts]
+        world.cut.update(missing_from_lists)
         _end_leader(world, 0.5)
         await asyncio.sleep(6.0)
         world.parted = False
-        world.cut.difference_update(unlisted)
+        world.cut.difference_update(missing_from_lists)
 
 
 async def _zones_parted(world: SimulatedCluster) -> None:
@@ -477,7 +477,7 @@
 
 def _out_for_ever(patch: Patch) -> None:
     """A worker is renewed though a start of a cancelled job is on its way to it."""
-    patch.setattr(Fleet, "_must_lapse", lambda *_: False)
+    patch.setattr(Fleet, "_must_let_lease_expire", lambda *_: False)
 
 
 def _no_stops(patch: Patch) -> None:
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -331,8 +331,8 @@
         world.node._client.end_lease = counted  # type: ignore[method-assign]
         await world.node.hand_over("the test says so")
         assert len(ended) == 1 and world.node.election.mine is None
-        assert leader.intents.full, "nothing new is asked for"
-        for job in leader.book.jobs.values():
+        assert leader.intent_log.full, "nothing new is asked for"
+        for job in leader.job_store.jobs.values():
             assert all(chunk.committed == chunk.version for chunk in job.chunks.values())
         # One that does not lead has nothing to hand over.
         await world.node.hand_over("once more")
--- a/tests/test_open_jobs.py
+++ b/tests/test_open_jobs.py
@@ -70,8 +70,8 @@
         del self.keys[key]
         self.log.append(wire.WatchEvent(delete=key, version=self.revision))
 
-    def bind(self, job: str, session: int = 1, done: bool = False) -> None:
-        entry = [2, MACHINE, session, 1, 2 * done, 100]
+    def bind(self, job: str, incarnation: int = 1, done: bool = False) -> None:
+        entry = [2, MACHINE, incarnation, 1, 2 * done, 100]
         self.put(f"run/{job}/0", {"n": 8, "tasks": [entry, [2], 0, -1]})
 
 
@@ -148,7 +148,7 @@
         for job in (*JOBS, OWNED, LATE):
             self.store.bind(job)
         self.cancelled_at: dict[str, Monotonic] = {}
-        self.session, self.renewed_at = 1, self.now
+        self.incarnation, self.renewed_at = 1, self.now
         self.running = {*JOBS, OWNED}
         self.start_arrives_at = self.now + self.rng.uniform(0.0, DAY_S)
         self.reach = [Reach(self.store, self.rng) for _ in range(2)]
@@ -213,18 +213,18 @@
 
     def _work(self) -> None:
         if self.now - self.renewed_at > WORKERS.lease_s:
-            self.session += 1
+            self.incarnation += 1
             self.renewed_at = self.now
             self.running.clear()
         if self.now >= self.start_arrives_at:
             self.start_arrives_at = 1e9
-            if self.session == 1:
+            if self.incarnation == 1:
                 self.running.add(LATE)
         for job in self.running:
             if self.now > self.cancelled_at.get(job, 1e9) + WORKERS.cancel_s:
                 self.late.append(f"{job} at {self.now}, cancelled at {self.cancelled_at[job]}")
         if self.now >= self.reports_at:
-            pause_s = WORKERS.report_s * self.rng.uniform(0.75, 1.25)
+            pause_s = WORKERS.heartbeat_interval_s * self.rng.uniform(0.75, 1.25)
             self.reports_at = Monotonic(self.now + pause_s)
             self.report(self.rng.choice(self.delegates))
 
@@ -232,7 +232,7 @@
         tasks: list[tuple[str, int, str, str | None]] = [
             (f"{job}/0", 1, "running", None) for job in sorted(self.running)
         ]
-        message = report(MACHINE, self.session, 1, LEADER.term, tasks)
+        message = report(MACHINE, self.incarnation, 1, LEADER.term, tasks)
         if delegate.renews(message, MACHINE, self.now) is not None:
             self.renewals += 1
             self.renewed_at = self.now
@@ -373,7 +373,7 @@
 def test_a_worker_of_open_jobs_is_renewed_for_as_long_as_they_are_open() -> None:
     world = _calm()
     asyncio.run(world.play())
-    assert world.session == 1 and world.renewals > DAY_S / 2
+    assert world.incarnation == 1 and world.renewals > DAY_S / 2
 
 
 def test_a_worker_is_renewed_again_once_its_lease_has_ended_the_cancelled_task() -> None:
@@ -383,7 +383,7 @@
     asyncio.run(world.play(renewal_bound_s(WORKERS) - 2.0))
     assert world.renewed_at > world.cancelled_at[JOBS[0]], "not before the bound is near"
     asyncio.run(world.play(40.0))
-    assert world.session == 2 and not world.running and not world.late
+    assert world.incarnation == 2 and not world.running and not world.late
 
 
 def test_what_ended_by_itself_and_exited_tasks_hold_up_nothing() -> None:
@@ -391,7 +391,7 @@
     world.store.delete(f"job/{JOBS[1]}")
     world.store.bind(JOBS[1], done=True)
     world.running.discard(JOBS[1])
-    world.store.bind(JOBS[1], session=0)
+    world.store.bind(JOBS[1], incarnation=0)
     asyncio.run(world.play(5.0))
     exited: list[tuple[str, int, str, str | None]] = [(f"{JOBS[1]}/0", 1, wire.EXITED, "done")]
     message = report(MACHINE, 1, 9, LEADER.term, exited)
@@ -409,7 +409,7 @@
     asyncio.run(world.play(1.0))
     assert world.renewals > 0
     asyncio.run(world.play(40.0))
-    assert world.session == 2 and not world.late
+    assert world.incarnation == 2 and not world.late
 
 
 # -- what can't be read ---------------------------------------------------------------------------
@@ -448,12 +448,12 @@
     world = _calm()
     asyncio.run(world.play(5.0))
     before = [reach.requests for reach in world.reach]
-    strangers: list[tuple[str, int, str, str | None]] = [
+    unbound_tasks: list[tuple[str, int, str, str | None]] = [
         (f"wk-{number:06d}/0", 1, "running", None) for number in range(5000, 7000)
     ]
-    strangers.append(("no task", 1, "running", None))
+    unbound_tasks.append(("no task", 1, "running", None))
     delegate = world.delegates[0]
-    assert delegate.renews(report(MACHINE, 1, 9, 3, strangers), MACHINE, world.now) is None
+    assert delegate.renews(report(MACHINE, 1, 9, 3, unbound_tasks), MACHINE, world.now) is None
     assert delegate.renews(report(MACHINE, 1, 9, LEADER.term + 1), MACHINE, world.now) is None
     assert [reach.requests for reach in world.reach] == before
 
@@ -464,7 +464,7 @@
     many = [f"wk-{number:06d}" for number in range(100, 120)]
     for job in many:
         world.store.put(f"job/{job}", {})
-        world.store.bind(job, session=2)
+        world.store.bind(job, incarnation=2)
     asyncio.run(jobs.refresh())
     opened = world.now
     world.now = Monotonic(world.now + 1.0)
@@ -476,4 +476,4 @@
     asyncio.run(jobs.refresh())
     assert jobs.known_through == world.now
     machine_left = jobs._left[MACHINE]
-    assert sum(left.session == Incarnation(2) for left in machine_left) == len(many)
+    assert sum(left.incarnation == Incarnation(2) for left in machine_left) == len(many)
--- a/tests/test_prober.py
+++ b/tests/test_prober.py
@@ -79,7 +79,7 @@
 
 def _hear(fleet: Fleet, names: range, now: float) -> None:
     for n in names:
-        fleet.machines[MachineId(f"m-{n}")].heard_at = Monotonic(now)
+        fleet.machines[MachineId(f"m-{n}")].last_contact_at = Monotonic(now)
 
 
 def test_attempts_are_bounded_and_the_longest_untried_go_first() -> None:
@@ -113,8 +113,8 @@
         await asyncio.sleep(0.01)
         _hear(fleet, range(20, 40), 11.0)
         prober.look(Monotonic(11.0))
-        assert set(prober.hearing.verdicts.values()) == {Suspicion.GONE}
-        assert len(prober.hearing.verdicts) == 20
+        assert set(prober.diagnosis.verdicts.values()) == {Suspicion.GONE}
+        assert len(prober.diagnosis.verdicts) == 20
         # At the limit of sockets a few attempts go on, so that a verdict is still reached.
         spare = -100
         assert len(prober.look(Monotonic(20.0))) == prober_module._FEWEST
@@ -129,13 +129,13 @@
         machine.addr = "10.0.0.1:9000"
 
         async def reach(_: Address, __: float) -> bool:
-            machine.heard_at = Monotonic(5.0)
+            machine.last_contact_at = Monotonic(5.0)
             return False
 
         prober = Prober(fleet, _REPORT_S, lambda: 10, reach)
         prober._try(machine, Monotonic(4.0))
         await asyncio.sleep(0.01)
-        assert machine.misses == 0 and prober._under_way == {}
+        assert machine.failed_connects == 0 and prober._under_way == {}
 
     asyncio.run(scenario())
 
@@ -234,7 +234,7 @@
         try:
             await world.until_it_leads()
             node: Controller = world.node
-            monkeypatch.setattr(node._giveway, "better", better)
+            monkeypatch.setattr(node._transfer, "better", better)
             monkeypatch.setattr(node.election, "resign", resign)
             for n in range(3):
                 worker = Worker(f"m-00000{n}")
@@ -278,27 +278,27 @@
         return answer
 
 
-def _renter(answers: list[list[str] | None]) -> tuple[Provisioner, _Cloud, Fleet]:
+def _provisioner(answers: list[list[str] | None]) -> tuple[Provisioner, _Cloud, Fleet]:
     fleet = Fleet(JobStore(8.0), FencingToken(1), Monotonic(0.0), 8.0)
     fleet.inherit([], Monotonic(0.0))
     cloud = _Cloud(answers)
-    renter = Provisioner(cast(Cloud, cloud), fleet, FencingToken(1), 2.0, *recorded_at_once())
-    return renter, cloud, fleet
+    provisioner = Provisioner(cast(Cloud, cloud), fleet, FencingToken(1), 2.0, *recorded_at_once())
+    return provisioner, cloud, fleet
 
 
 def test_a_large_wish_goes_out_in_the_fewest_requests() -> None:
     async def scenario() -> None:
         names = [[f"m-{part}-{n}" for n in range(count)] for part, count in enumerate((50, 50, 20))]
-        renter, cloud, fleet = _renter([*names, []])
+        provisioner, cloud, fleet = _provisioner([*names, []])
         granted: list[int] = []
-        renter.granted = lambda rental: granted.append(rental.count)
-        renter.rent(Rental("big", "north", True, 120), Monotonic(0.0))
-        renter.rent(Rental("big", "north", True, 120), Monotonic(0.0))
-        assert sum(r.count for r in renter.under_way()) == 120
+        provisioner.granted = lambda rental: granted.append(rental.count)
+        provisioner.rent(Rental("big", "north", True, 120), Monotonic(0.0))
+        provisioner.rent(Rental("big", "north", True, 120), Monotonic(0.0))
+        assert sum(r.count for r in provisioner.under_way()) == 120
         await asyncio.sleep(0.01)
         assert cloud.asked == [50, 50, 20]
-        assert not renter.requests and granted == [50, 50, 20] and len(fleet.machines) == 120
-        renter.rent(Rental("big", "north", True, 1), Monotonic(0.0))
+        assert not provisioner.requests and granted == [50, 50, 20] and len(fleet.machines) == 120
+        provisioner.rent(Rental("big", "north", True, 1), Monotonic(0.0))
         await asyncio.sleep(0.01)
         assert cloud.asked[3:] == [1], "all were answered, so more may be asked for"
 
@@ -307,10 +307,10 @@
 
 def test_what_the_cloud_does_not_have_is_not_asked_for_again_and_again() -> None:
     async def scenario() -> None:
-        renter, cloud, fleet = _renter([[f"m-{n}" for n in range(30)]])
-        renter.rent(Rental("big", "north", True, 300), Monotonic(0.0))
+        provisioner, cloud, fleet = _provisioner([[f"m-{n}" for n in range(30)]])
+        provisioner.rent(Rental("big", "north", True, 300), Monotonic(0.0))
         await asyncio.sleep(0.01)
-        assert cloud.asked == [50] and not renter.requests and len(fleet.machines) == 30
+        assert cloud.asked == [50] and not provisioner.requests and len(fleet.machines) == 30
 
     asyncio.run(scenario())
 
@@ -319,11 +319,11 @@
     """The cloud has places only once they are released, and takes few calls."""
 
     async def scenario() -> None:
-        renter, cloud, fleet = _renter([["m-9"]])
+        provisioner, cloud, fleet = _provisioner([["m-9"]])
         name = MachineId("m-0")
         fleet.report(report(name, 1, 1, 1), name, Monotonic(0.0), Wall(0.0))
         fleet.machines[name].releasing = True
-        renter.rent(Rental("big", "north", True, 1), Monotonic(0.0))
+        provisioner.rent(Rental("big", "north", True, 1), Monotonic(0.0))
         await asyncio.sleep(0.25)
         assert cloud.asked == []
         fleet.released(name, Monotonic(1.0))
@@ -347,37 +347,39 @@
     """Doubled and missing names, machines nobody asked for: nothing is lost, nothing loops."""
 
     async def scenario() -> None:
-        renter, cloud, fleet = _renter([brought])
-        renter.rent(Rental("big", "north", True, 3), Monotonic(0.0))
+        provisioner, cloud, fleet = _provisioner([brought])
+        provisioner.rent(Rental("big", "north", True, 3), Monotonic(0.0))
         await asyncio.sleep(0.01)
         assert set(fleet.machines) == kept
-        assert cloud.asked == [3] and not renter.requests
-        assert renter.refusals.refused(("big", "north", True), Monotonic(1.0)) == (len(kept) < 3)
+        assert cloud.asked == [3] and not provisioner.requests
+        assert provisioner.capacity_backoff.refused(("big", "north", True), Monotonic(1.0)) == (
+            len(kept) < 3
+        )
 
     asyncio.run(scenario())
 
 
 def test_a_machine_of_a_kind_that_the_catalogue_lost_harms_nothing() -> None:
-    renter, _, fleet = _renter([])
+    provisioner, _, fleet = _provisioner([])
     line = wire.ListedMachine(id="m-1", type="lost", zone="north", spot=True, state="running")
-    renter.take_catalogue(wire.decode(b'{"builds":[]}', wire.Catalogue))
-    renter._take_list([line, line], Monotonic(100.0))
+    provisioner.take_catalogue(wire.decode(b'{"builds":[]}', wire.Catalogue))
+    provisioner._take_list([line, line], Monotonic(100.0))
     assert set(fleet.machines) == {"m-1"} and not fleet.machines[MachineId("m-1")].releasing
 
 
 def test_an_idle_machine_that_goes_back_does_not_end_a_refusal() -> None:
     """Only those that died leave places for sure; the others once had cheap kinds asked for again
     and again while dear ones were to be had."""
-    renter, _, fleet = _renter([])
+    provisioner, _, fleet = _provisioner([])
     kind = ("big", "north", False)
     for name in ("m-1", "m-2"):
         fleet.report(report(name, 1, 1, 1), MachineId(name), Monotonic(0.0), Wall(0.0))
     idle, dead = (fleet.machines[MachineId(name)] for name in ("m-1", "m-2"))
-    renter.refusals.answered(kind, 1, 0, Monotonic(0.0))
-    renter._freed(idle)
-    assert renter.refusals.refused(kind, Monotonic(4.0))
-    assert not renter.refusals.refused(kind, Monotonic(5.5))
-    renter.refusals.answered(kind, 1, 0, Monotonic(5.5))
-    dead.misses = 2
-    renter._freed(dead)
-    assert not renter.refusals.refused(kind, Monotonic(5.6))
+    provisioner.capacity_backoff.answered(kind, 1, 0, Monotonic(0.0))
+    provisioner._freed(idle)
+    assert provisioner.capacity_backoff.refused(kind, Monotonic(4.0))
+    assert not provisioner.capacity_backoff.refused(kind, Monotonic(5.5))
+    provisioner.capacity_backoff.answered(kind, 1, 0, Monotonic(5.5))
+    dead.failed_connects = 2
+    provisioner._freed(dead)
+    assert not provisioner.capacity_backoff.refused(kind, Monotonic(5.6))
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -140,8 +140,8 @@
         parsed = settings.parse(orjson.dumps(SETTINGS))
         self.nodes = [Admission(client, parsed, lambda: _CATALOGUE) for _ in range(3)]
         self.client = client
-        self.book = JobStore(8.0)
-        self.keeper = self._keeper(Revision(1))
+        self.job_store = JobStore(8.0)
+        self.write_batcher = self._keeper(Revision(1))
         self.running: dict[tuple[str, int], int] = {}
         """Started attempts that no proof has ended, by job and task."""
         self.told: dict[str, str] = {}
@@ -184,12 +184,12 @@
 
     def _keeper(self, stamp: Revision) -> WriteBatcher:
         mine = Leadership(FencingToken(1), stamp, LeaseId(1), NOW, Monotonic(1e9))
-        return WriteBatcher(self.client, self.book, mine, 12, self._start, lambda _: None)
+        return WriteBatcher(self.client, self.job_store, mine, 12, self._start, lambda _: None)
 
     def _start(self, chunks: list[Chunk]) -> None:
         """What is committed may run from now on."""
         for chunk in chunks:
-            for binding in self.book.untold(chunk):
+            for binding in self.job_store.never_sent(chunk):
                 place = (binding.task.job, binding.task.index)
                 if place in self.running or binding.task.index in self.finished[place[0]]:
                     raise Contradiction(f"{binding.task} runs twice")
@@ -200,45 +200,45 @@
         """The leader's process ends in the middle of anything, and another one is elected."""
         self.store.epoch += 1
         self.store.keys[LEADER_KEY] = ({}, self.store.epoch)
-        self.book = JobStore(8.0)
-        self.keeper = self._keeper(Revision(self.store.keys[LEADER_KEY][1]))
+        self.job_store = JobStore(8.0)
+        self.write_batcher = self._keeper(Revision(self.store.keys[LEADER_KEY][1]))
         entries, _ = await self.store.scan("")
         for entry in entries:
             if entry.key.startswith("job/"):
                 spec = wire.decode(orjson.dumps(entry.value["spec"]), wire.JobSpec)
-                self.book.add(spec, Wall(0.0), Revision(entry.version))
+                self.job_store.add(spec, Wall(0.0), Revision(entry.version))
         for entry in entries:
             if entry.key.startswith("run/"):
                 name, number = entry.key.removeprefix("run/").split("/")
-                job = self.book.jobs.get(JobId(name))
+                job = self.job_store.jobs.get(JobId(name))
                 if job is None:
-                    self.book.garbage[entry.key] = Revision(entry.version)
+                    self.job_store.garbage[entry.key] = Revision(entry.version)
                 else:
-                    self.book.load(job, int(number), entry.value, Revision(entry.version))
+                    self.job_store.load(job, int(number), entry.value, Revision(entry.version))
 
     async def lead(self) -> None:
         """The leader takes up a job, binds a task, counts one done, or writes its book."""
         name = JobId(self.rng.choice(JOBS))
-        job = self.book.jobs.get(name)
+        job = self.job_store.jobs.get(name)
         kept = self.store.keys.get(job_key(name))
         if job is None and kept is not None:
             spec = wire.decode(orjson.dumps(kept[0]["spec"]), wire.JobSpec)
-            self.book.add(spec, Wall(0.0), Revision(kept[1]))
+            self.job_store.add(spec, Wall(0.0), Revision(kept[1]))
         elif job is not None and not job.cancelled and self.rng.random() < 0.6:
-            index = self.book.take_task(job)
+            index = self.job_store.take_task(job)
             if index is not None:
-                self.book.bind(
+                self.job_store.bind(
                     job, index, MachineId("m-1"), Incarnation(1), "north", False, Wall(0.0), NOW
                 )
             for binding in list(job.bindings())[:1]:
                 if binding.committed:
                     self.finished[name].add(binding.task.index)
                     self.running.pop((name, binding.task.index), None)
-                    self.book.complete(job, binding.task.index, NOW)
-                    self.book.release(binding, "north", NOW)
-        batch = self.keeper._gather(NOW)
+                    self.job_store.complete(job, binding.task.index, NOW)
+                    self.job_store.release(binding, "north", NOW)
+        batch = self.write_batcher._gather(NOW)
         if batch.changes:
-            await self.keeper._commit(batch)
+            await self.write_batcher._commit(batch)
 
     def _told(self, name: str, reply: Reply) -> None:
         before = self.told.get(name)
@@ -296,13 +296,13 @@
 
 
 def _submit_all(store: Store, count: int) -> list[Reply]:
-    intake = Admission(
+    admission = Admission(
         cast(StateClient, store), settings.parse(orjson.dumps(SETTINGS)), lambda: _CATALOGUE
     )
 
     async def run() -> list[Reply]:
         bodies = [orjson.dumps({**SUBMISSION, "id": f"wk-{n}"}) for n in range(count)]
-        return list(await asyncio.gather(*map(intake.submit, bodies)))
+        return list(await asyncio.gather(*map(admission.submit, bodies)))
 
     return asyncio.run(run())
 
@@ -323,12 +323,12 @@
 def test_the_tasks_of_a_large_job_cost_a_key_for_each_chunk_and_not_one_each() -> None:
     service = Service(0)
     spec = wire.decode(orjson.dumps({**SUBMISSION, "pieces": 150}), wire.JobSpec)
-    job = service.book.add(spec, Wall(0.0), Revision(1))
+    job = service.job_store.add(spec, Wall(0.0), Revision(1))
     for index in range(150):
-        service.book.bind(
+        service.job_store.bind(
             job, index, MachineId("m-1"), Incarnation(1), "north", False, Wall(0.0), NOW
         )
-    batch = service.keeper._gather(NOW)
+    batch = service.write_batcher._gather(NOW)
     assert len(batch.changes) == len(job.chunks) == 2
     assert not any(binding.committed for binding in job.bindings())
 
@@ -336,23 +336,23 @@
 def test_an_urgent_jobs_binding_does_not_wait_for_hundreds_of_others() -> None:
     """After a fall all that was lost is bound again at once, and changes are few."""
     client = cast(StateClient, Store(random.Random(1), True))
-    book = JobStore(8.0)
+    job_store = JobStore(8.0)
     mine = Leadership(FencingToken(1), Revision(1), LeaseId(1), NOW, Monotonic(1e9))
-    keeper = WriteBatcher(client, book, mine, 4, lambda _: None, lambda _: None)
+    write_batcher = WriteBatcher(client, job_store, mine, 4, lambda _: None, lambda _: None)
 
     def bind(number: int, urgency: str) -> None:
         changes = {**SUBMISSION, "id": f"wk-{number:06d}", "urgency": urgency}
-        job = book.add(
+        job = job_store.add(
             wire.decode(orjson.dumps(changes), wire.JobSpec), Wall(0.0), Revision(number)
         )
-        index = book.take_task(job)
+        index = job_store.take_task(job)
         assert index is not None
-        book.bind(job, index, MachineId("m-1"), Incarnation(1), "north", False, Wall(0.0), NOW)
+        job_store.bind(job, index, MachineId("m-1"), Incarnation(1), "north", False, Wall(0.0), NOW)
 
     for number in range(1, 11):
         bind(number, "standard")
     bind(11, "urgent")
-    batch = keeper._gather(NOW)
+    batch = write_batcher._gather(NOW)
     written = [chunk.job.id for chunk, _, _ in batch.chunks]
     # Within a class they go in the order in which they came.
     assert written == ["wk-000011", "wk-000001", "wk-000002", "wk-000003"]
--- a/tests/test_renewal_delegation.py
+++ b/tests/test_renewal_delegation.py
@@ -206,8 +206,8 @@
         "shift": 1, "tick": 1, "baton": 3, "warningS": None, "pieces": [],
     }  # fmt: skip
     report = wire.decode(orjson.dumps(beat), wire.Heartbeat)
-    assert node.take_report(report, MachineId("m-1")) == (421, {"foreman": "node-1"})
+    assert node.handle_heartbeat(report, MachineId("m-1")) == (421, {"foreman": "node-1"})
     node._delegate._cut_since = Monotonic(0.0)
-    assert node.take_report(report, MachineId("m-1")) == (421, {})
+    assert node.handle_heartbeat(report, MachineId("m-1")) == (421, {})
     node._delegate._heard()
-    assert node.take_report(report, MachineId("m-1")) == (421, {"foreman": "node-1"})
+    assert node.handle_heartbeat(report, MachineId("m-1")) == (421, {"foreman": "node-1"})
--- a/tests/test_submissions.py
+++ b/tests/test_submissions.py
@@ -79,8 +79,8 @@
 
 def _submit(body: bytes, client: _Client, catalogue: wire.Catalogue | None = _CATALOGUE) -> Reply:
     parsed = settings.parse(orjson.dumps(SETTINGS))
-    intake = Admission(cast(StateClient, client), parsed, lambda: catalogue)
-    return asyncio.run(intake.submit(body))
+    admission = Admission(cast(StateClient, client), parsed, lambda: catalogue)
+    return asyncio.run(admission.submit(body))
 
 
 @st.composite
--- a/tests/test_waits.py
+++ b/tests/test_waits.py
@@ -35,12 +35,14 @@
 class _World:
     """A leader in its first moments, with one machine that reports."""
 
-    def __init__(self, report_s: float = _REPORT_S) -> None:
-        self.report_s = report_s
+    def __init__(self, heartbeat_interval_s: float = _REPORT_S) -> None:
+        self.heartbeat_interval_s = heartbeat_interval_s
         self.now = Monotonic(0.0)
         # There are no more machines than those that are up, and none is dearer than the others.
-        self.dispatcher, self.fleet, self.book, _ = _dispatcher(report_s, [_TYPE])
-        self.seq = 0
+        self.scheduling_loop, self.fleet, self.job_store, _ = _dispatcher(
+            heartbeat_interval_s, [_TYPE]
+        )
+        self.sequence = 0
         self.lines: list[tuple[str, int, str, str | None]] = []
         self.number = 0
 
@@ -54,19 +56,19 @@
     def job(self, **changes: Any) -> Job:
         self.number += 1
         description = spec(id=f"wk-{self.number:06d}", pieces=1, **changes)
-        return self.book.add(description, Wall(self.now), Revision(1))
+        return self.job_store.add(description, Wall(self.now), Revision(1))
 
     def bound(self, job: Job, machine: str) -> Binding:
         """By a former leader, to a machine of which nothing was heard since."""
-        chunk = self.book._chunk(job, 0)
+        chunk = self.job_store._chunk(job, 0)
         value = {"n": 1, "tasks": [[2, machine, 1, 1, 0, 5.0]]}
         del job.chunks[chunk.number]
-        (binding,) = self.book.load(job, 0, value, Revision(2))
+        (binding,) = self.job_store.load(job, 0, value, Revision(2))
         return binding
 
     def beat(self) -> None:
-        self.seq += 1
-        message = report("m-1", 1, self.seq, 1, self.lines)
+        self.sequence += 1
+        message = report("m-1", 1, self.sequence, 1, self.lines)
         self.fleet.report(message, MachineId("m-1"), self.now, Wall(self.now))
 
     def until_placed(self, job: Job, most_s: float = 90.0) -> float:
@@ -76,9 +78,9 @@
             assert self.now - began <= most_s, "it still waits"
             self.fleet.check_silence(self.now)
             self.beat()
-            self.dispatcher.run(self.now, Wall(self.now))
-            self.now = Monotonic(self.now + self.report_s)
-        return self.now - began - self.report_s
+            self.scheduling_loop.run(self.now, Wall(self.now))
+            self.now = Monotonic(self.now + self.heartbeat_interval_s)
+        return self.now - began - self.heartbeat_interval_s
 
 
 def test_without_a_hold_there_is_no_wait() -> None:
@@ -88,13 +90,15 @@
 
 
 @pytest.mark.parametrize("report_s", [1.0, 2.5, 5.0, 6.0])
-def test_a_machine_that_was_called_deaf_has_work_again_two_reports_later(report_s: float) -> None:
+def test_a_machine_that_was_called_deaf_has_work_again_two_reports_later(
+    heartbeat_interval_s: float,
+) -> None:
     """Where reports come more than 4.8 s apart, it stayed deaf for ever."""
-    world = _World(report_s)
+    world = _World(heartbeat_interval_s)
     world.begin()
-    world.fleet.machines[MachineId("m-1")].call_deaf(True)
-    world.now = Monotonic(world.now + report_s)
-    assert world.until_placed(world.job()) <= 2 * report_s
+    world.fleet.machines[MachineId("m-1")].mark_inbound_partitioned(True)
+    world.now = Monotonic(world.now + heartbeat_interval_s)
+    assert world.until_placed(world.job()) <= 2 * heartbeat_interval_s
 
 
 def test_a_refusal_keeps_a_machine_back_for_two_seconds() -> None:
@@ -114,7 +118,7 @@
     world.lines = [("wk-000777/0", 3, "running", None)]
     world.beat()
     job = world.job()
-    world.dispatcher.run(world.now, Wall(world.now))
+    world.scheduling_loop.run(world.now, Wall(world.now))
     assert not job.bound_count
     world.lines = []
     assert world.until_placed(job) <= 1.0
@@ -125,12 +129,12 @@
     world = _World()
     world.begin()
     job = world.job()
-    blame = world.fleet.blame
+    failure_attribution = world.fleet.failure_attribution
     for _ in range(failures):
-        trial = blame._jobs.get(job.id)
+        trial = failure_attribution._jobs.get(job.id)
         if trial is not None:
             world.now = Monotonic(max(world.now, trial.next_at))
-        blame.failed(job.id, MachineId("m-1"), 0.2, False, world.now)
+        failure_attribution.failed(job.id, MachineId("m-1"), 0.2, False, world.now)
         world.beat()
     assert world.until_placed(job) <= blame_module._MOST_GAP_S + 1.0
 
@@ -152,7 +156,7 @@
         # The list says that it is in this machine's zone, or in the other one.
         zone = "north" if "samePlace" in rule else "south"
         world.fleet.locate(world.fleet.machines[MachineId("m-9")], "big", zone, False)
-    world.dispatcher.run(world.now, Wall(world.now))
+    world.scheduling_loop.run(world.now, Wall(world.now))
     assert (job.bound_count == 2) is known
     if not known:
         # Its lease is over 8.5 s after the election, and only then.
@@ -162,16 +166,16 @@
             world.now = Monotonic(world.now + 1.0)
             world.beat()
             world.fleet.check_silence(world.now)
-            world.dispatcher.run(world.now, Wall(world.now))
+            world.scheduling_loop.run(world.now, Wall(world.now))
         assert _LEASE_S < took_s <= _LEASE_S + 2.0
 
 
 def test_a_limit_counts_what_may_still_run_and_no_longer() -> None:
     """All that the team may use is bound to a machine that is gone."""
     world = _World()
-    gone = world.job(crew="red", vcpus=64.0)
-    world.begin(world.bound(gone, "m-9"))
-    gone.cancelled = True
+    terminated = world.job(crew="red", vcpus=64.0)
+    world.begin(world.bound(terminated, "m-9"))
+    terminated.cancelled = True
     waiting = world.job(crew="red")
     other = world.job(crew="blue")
     assert world.until_placed(other) == 0.0
@@ -199,7 +203,7 @@
 @pytest.mark.parametrize(
     "hold",
     [
-        lambda world: world.fleet.machines[MachineId("m-1")].call_deaf(True),
+        lambda world: world.fleet.machines[MachineId("m-1")].mark_inbound_partitioned(True),
         lambda world: setattr(world.fleet.machines[MachineId("m-1")], "current", False),
     ],
 )
@@ -218,14 +222,14 @@
     world.begin()
     for _ in range(6):
         world.now = Monotonic(world.now + 1.0)
-        world.seq += 1
-        answer = report("m-1", 1, world.seq, 1)
-        world.fleet.direct_report(answer, MachineId("m-1"), world.now, Wall(world.now))
+        world.sequence += 1
+        answer = report("m-1", 1, world.sequence, 1)
+        world.fleet.handle_direct_reply(answer, MachineId("m-1"), world.now, Wall(world.now))
     job = world.job()
-    world.dispatcher.run(world.now, Wall(world.now))
+    world.scheduling_loop.run(world.now, Wall(world.now))
     assert not job.bound_count
     machine = world.fleet.machines[MachineId("m-1")]
-    assert machine.heard_at == world.now and not machine.releasing
+    assert machine.last_contact_at == world.now and not machine.releasing
     assert world.until_placed(job) == 0.0
 
 
@@ -235,13 +239,13 @@
     world.begin()
     job = world.job(crew="red", vcpus=0.1)
     for attempt in range(10_000):
-        binding = world.book.bind(
+        binding = world.job_store.bind(
             job, 0, MachineId("m-1"), Incarnation(1), "north", False, Wall(0.0), world.now
         )
         assert binding.attempt == Attempt(attempt + 1)
-        world.book.release(binding, "north", world.now)
-    world.book.cancel(job)
+        world.job_store.release(binding, "north", world.now)
+    world.job_store.cancel(job)
     whole = world.job(crew="red", vcpus=8.0)
-    assert abs(world.book.team_cpus["red"]) < 1e-6
+    assert abs(world.job_store.team_cpus["red"]) < 1e-6
     assert world.until_placed(whole) == 0.0
     assert TaskId(JobId("wk-000002"), 0) in world.fleet.machines[MachineId("m-1")].bindings
--- a/tools/falls.py
+++ b/tools/falls.py
@@ -160,7 +160,7 @@
 
 def course(report: Heartbeat, log: str, at_s: float) -> Course:
     """Follows one fall through a day."""
-    known = lapsed = granted_at = None
+    known = lease_expired = granted_at = None
     granted = asked = noticed = 0
     for match in map(_LINE.match, log.splitlines()):
         if match is None or not at_s <= float(match[1]) <= at_s + _AFTER_S:
@@ -170,7 +170,7 @@
         if known is None and noticed >= _KNOWN:
             known = after
         if " lapsed in session " in text and after < 60.0:
-            lapsed = after
+            lease_expired = after
         rental = _RENTAL.match(text)
         if rental is not None:
             granted, asked = granted + int(rental[1]), asked + int(rental[2])
@@ -186,7 +186,7 @@
     fell = lowest.cpus < _BACK * used
     return Course(
         known,
-        lapsed,
+        lease_expired,
         granted_at,
         lowest.cpus / used,
         back - at_s if back is not None and fell else (0.0 if not fell else None),
--- a/tools/graph_cost.py
+++ b/tools/graph_cost.py
@@ -166,15 +166,15 @@
         "label": "big", "vcpus": 8, "gpus": 0, "memoryGb": 64, "localGb": 50, "fetchGbPerS": 1.0,
         "price": 1.0, "marketPrice": 0.4, "startupS": 20, "halls": ["north"],
     }  # fmt: skip
-    leader.renter.take_catalogue(wire.decode(orjson.dumps({"builds": [kind]}), wire.Catalogue))
-    leader.renter.rent = lambda *_: None  # type: ignore[method-assign]
+    leader.provisioner.take_catalogue(wire.decode(orjson.dumps({"builds": [kind]}), wire.Catalogue))
+    leader.provisioner.rent = lambda *_: None  # type: ignore[method-assign]
     for number in range(machines):
         name = f"m-{number}"
         heard = report(name, 1, 1, 1)
         leader.fleet.report(heard, MachineId(name), monotonic_now(), wall_now())
     for number in range(jobs):
         job = spec(id=f"wk-{number}", vcpus=2.0, pieces=20)
-        leader.book.add(job, wall_now(), Revision(1))
+        leader.job_store.add(job, wall_now(), Revision(1))
     live = _live(families("fam1", nodes))
     if gated:
         part = cast(GraphLeaderExtension, leader.parts[0])
@@ -182,7 +182,7 @@
         part._live["fam1"] = live
     while (index := live.progress.next_ready()) is not None:
         live.progress.released(index)
-        record = leader.book.add(live.spec(index), wall_now(), Revision(1))
+        record = leader.job_store.add(live.spec(index), wall_now(), Revision(1))
         if gated:
             record.owner = live.owner
             live.jobs[index] = record
@@ -191,11 +191,11 @@
 
 def _passes(leader: Leader, count: int) -> float:
     """Seconds of processor time a pass."""
-    leader.dispatcher.run(monotonic_now(), wall_now())
+    leader.scheduling_loop.run(monotonic_now(), wall_now())
     began = time.process_time()
     for _ in range(count):
-        leader.dispatcher._rent_at = Monotonic(0.0)
-        leader.dispatcher.run(monotonic_now(), wall_now())
+        leader.scheduling_loop._rent_at = Monotonic(0.0)
+        leader.scheduling_loop.run(monotonic_now(), wall_now())
     return (time.process_time() - began) / count
 
 
