--- a/tealrill/simulation/clock.py
+++ b/tealrill/simulation/clock.py
@@ -5,6 +5,7 @@
 import asyncio
 import contextlib
 import contextvars
+import gc
 import heapq
 import itertools
 import random
@@ -111,6 +112,10 @@
     )
     before = random.getstate()
     random.seed(f"module/{seed}")
+    # What a collection ends (abandoned coroutines, their timers) it would end at moments that
+    # depend on everything that the process did before.
+    collects = gc.isenabled()
+    gc.disable()
     try:
         with (
             mock.patch.object(types, "time", clocks),
@@ -121,5 +126,7 @@
         ):
             yield loop, rng
     finally:
+        if collects:
+            gc.enable()
         random.setstate(before)
         loop.close()
