--- a/tealrill/daemon.py
+++ b/tealrill/daemon.py
@@ -395,9 +395,9 @@
 def _user_rules(prefix: str, users: JobRequests) -> list[Any]:
     jobs = prefix + wire.JOBS_PATH
     return [
-        (jobs, JobsHandler, {"intake": users}),
-        (jobs + r"/([^/]+)", JobHandler, {"intake": users}),
-        (jobs + r"/([^/]+)/" + wire.CANCEL_PATH, CancelHandler, {"intake": users}),
+        (jobs, JobsHandler, {"admission": users}),
+        (jobs + r"/([^/]+)", JobHandler, {"admission": users}),
+        (jobs + r"/([^/]+)/" + wire.CANCEL_PATH, CancelHandler, {"admission": users}),
     ]
 
 
--- a/tealrill/profiling.py
+++ b/tealrill/profiling.py
@@ -30,9 +30,9 @@
 
 CAUSES: Final[dict[str, str]] = {
     "reports: decoding": "tealrill.api.front:_Request._report",
-    "reports: taking in": "tealrill.fleet.machines:Fleet._take_in",
+    "reports: taking in": "tealrill.fleet.machines:Fleet._process",
     "reports: commands": "tealrill.fleet.machines:Fleet._commands",
-    "reports: the rest": "tealrill.daemon:Controller.take_report",
+    "reports: the rest": "tealrill.daemon:Controller.handle_heartbeat",
     "answers written": "tealrill.api.front:answer",
     "passes: the rest": "tealrill.fleet.dispatch:SchedulingLoop.run",
     "passes: machines": "tealrill.fleet.dispatch:SchedulingLoop._survey",
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -525,7 +525,7 @@
     assert machine.is_placeable(Monotonic(8.0), 5.0)
 
 
-@pytest.mark.parametrize(("took_s", "deaf"), [(2.0, True), (3.0, False)])
+@pytest.mark.parametrize(("took_s", "inbound_partitioned"), [(2.0, True), (3.0, False)])
 def test_a_node_that_is_late_itself_calls_no_machine_deaf(
     took_s: float, inbound_partitioned: bool
 ) -> None:
--- a/tests/test_waits.py
+++ b/tests/test_waits.py
@@ -89,7 +89,7 @@
     assert world.until_placed(world.job()) == 0.0
 
 
-@pytest.mark.parametrize("report_s", [1.0, 2.5, 5.0, 6.0])
+@pytest.mark.parametrize("heartbeat_interval_s", [1.0, 2.5, 5.0, 6.0])
 def test_a_machine_that_was_called_deaf_has_work_again_two_reports_later(
     heartbeat_interval_s: float,
 ) -> None:
