--- a/tealrill/client/__init__.py
+++ b/tealrill/client/__init__.py
@@ -23,7 +23,7 @@
 from tealrill.client.graph import Graph, ObjectRef, Task, each, ended, failed
 from tealrill.client.protocol import (
     ClientError,
-    NotFound,
+    NotFoundError,
     RequestRejectedError,
     Response,
     RetriesExhaustedError,
@@ -36,7 +36,7 @@
     "Client",
     "ClientError",
     "Graph",
-    "NotFound",
+    "NotFoundError",
     "ObjectRef",
     "RequestRejectedError",
     "Response",
--- a/tealrill/client/connection.py
+++ b/tealrill/client/connection.py
@@ -48,6 +48,7 @@
         }
 
     def next(self) -> None:
+        """Go on to the next address."""
         self._at = (self._at + 1) % len(self._urls)
 
 
@@ -81,6 +82,7 @@
         return self._client.show_graph(self.graph)
 
     def status(self, ref: ObjectRef) -> dict[str, Any]:
+        """Return the status of one node."""
         return self._client.job_status(ref.id)
 
     def cancel(self) -> str:
@@ -95,8 +97,11 @@
         timeout_s: float | None = None,
         poll_s: float = _POLL_S,
     ) -> tuple[list[ObjectRef], list[ObjectRef]]:
-        """Waits until `num_returns` of the nodes (default: all) have ended in any way, or for
-        `timeout_s`; those that have and those that have not, in the order given."""
+        """Wait until `num_returns` of the nodes (default: all) have ended in any way.
+
+        Returns those that have and those that have not, in the order given, after `timeout_s` at
+        the latest.
+        """
         chosen = self._refs if refs is None else list(refs)
         call = _wait(self._client, self.graph, chosen, num_returns, timeout_s, poll_s)
         return _parted(chosen, self._client.do(call))
@@ -123,10 +128,11 @@
         self.close()
 
     def close(self) -> None:
+        """Close the connections."""
         self._http.close()
 
     def do(self, call: Call[T]) -> T:
-        """Runs one call to its end."""
+        """Run one call to its end."""
         answer: Response | None = None
         try:
             while True:
@@ -148,33 +154,38 @@
             return Response(0, {})
 
     def submit(self, graph: Graph) -> Run:
-        """Submits a graph; under the same id it is the same graph, however often."""
+        """Submit a graph; under the same id it is the same graph, however often."""
         self.submit_graph(graph.head, graph.nodes)
         return Run(self, graph.id, graph.refs)
 
     def submit_graph(self, head: dict[str, Any], nodes: Sequence[dict[str, Any]]) -> dict[str, Any]:
-        """The same in the protocol's words."""
+        """Submit a graph in the words of the protocol."""
         return self.do(protocol.submit_graph(self.clock, self.retry, head, nodes))
 
     def show_graph(self, graph: str) -> dict[str, Any]:
+        """Return a graph's status and counts."""
         return self.do(protocol.show_graph(self.clock, self.retry, graph))
 
     def list_nodes(
         self, graph: str, state: str | None = None, most: int | None = None
     ) -> list[dict[str, Any]]:
+        """Return the nodes of a graph, those in `state` only if one is given."""
         return self.do(protocol.list_nodes(self.clock, self.retry, graph, state, most))
 
     def cancel_graph(self, graph: str) -> dict[str, Any]:
+        """Cancel a graph; all its unfinished nodes are cancelled."""
         return self.do(protocol.cancel_graph(self.clock, self.retry, graph))
 
     def submit_job(self, job: dict[str, Any]) -> dict[str, Any]:
-        """A plain job in the protocol's words."""
+        """Submit a plain job, in the words of the protocol."""
         return self.do(protocol.submit_job(self.clock, self.retry, job))
 
     def job_status(self, job_id: str) -> dict[str, Any]:
+        """Return a job's status and its counts of tasks."""
         return self.do(protocol.job_status(self.clock, self.retry, job_id))
 
     def cancel_job(self, job_id: str) -> dict[str, Any]:
+        """Cancel a job; repeating it gives the same answer."""
         return self.do(protocol.cancel_job(self.clock, self.retry, job_id))
 
 
@@ -187,12 +198,15 @@
         self._refs = list(refs)
 
     async def progress(self) -> dict[str, Any]:
+        """Return status and counts of nodes by state, as the service has them."""
         return await self._client.show_graph(self.graph)
 
     async def status(self, ref: ObjectRef) -> dict[str, Any]:
+        """Return the status of one node."""
         return await self._client.job_status(ref.id)
 
     async def cancel(self) -> str:
+        """Cancel the graph and return how it ended: `aborted`, unless it had ended before."""
         return str((await self._client.cancel_graph(self.graph))["status"])
 
     async def wait(
@@ -203,13 +217,14 @@
         timeout_s: float | None = None,
         poll_s: float = _POLL_S,
     ) -> tuple[list[ObjectRef], list[ObjectRef]]:
+        """Wait until `num_returns` of the nodes (default: all) have ended, as `Run.wait` does."""
         chosen = self._refs if refs is None else list(refs)
         call = _wait(self._client, self.graph, chosen, num_returns, timeout_s, poll_s)
         return _parted(chosen, await self._client.do(call))
 
 
 class AsyncClient:
-    """The same for asyncio."""
+    """The client for asyncio; `Client` says what each call does."""
 
     def __init__(self, addresses: str | Sequence[str], retry: Retry | None = None) -> None:
         self._turns = _Turns(addresses)
@@ -229,10 +244,11 @@
         await self.close()
 
     async def close(self) -> None:
+        """Close the connections."""
         await self._http.aclose()
 
     async def do(self, call: Call[T]) -> T:
-        """Runs one call to its end."""
+        """Run one call to its end."""
         answer: Response | None = None
         try:
             while True:
@@ -254,30 +270,38 @@
             return Response(0, {})
 
     async def submit(self, graph: Graph) -> AsyncRun:
+        """Submit a graph; under the same id it is the same graph, however often."""
         await self.submit_graph(graph.head, graph.nodes)
         return AsyncRun(self, graph.id, graph.refs)
 
     async def submit_graph(
         self, head: dict[str, Any], nodes: Sequence[dict[str, Any]]
     ) -> dict[str, Any]:
+        """Submit a graph in the words of the protocol."""
         return await self.do(protocol.submit_graph(self.clock, self.retry, head, nodes))
 
     async def show_graph(self, graph: str) -> dict[str, Any]:
+        """Return a graph's status and counts."""
         return await self.do(protocol.show_graph(self.clock, self.retry, graph))
 
     async def list_nodes(
         self, graph: str, state: str | None = None, most: int | None = None
     ) -> list[dict[str, Any]]:
+        """Return the nodes of a graph, those in `state` only if one is given."""
         return await self.do(protocol.list_nodes(self.clock, self.retry, graph, state, most))
 
     async def cancel_graph(self, graph: str) -> dict[str, Any]:
+        """Cancel a graph; all its unfinished nodes are cancelled."""
         return await self.do(protocol.cancel_graph(self.clock, self.retry, graph))
 
     async def submit_job(self, job: dict[str, Any]) -> dict[str, Any]:
+        """Submit a plain job, in the words of the protocol."""
         return await self.do(protocol.submit_job(self.clock, self.retry, job))
 
     async def job_status(self, job_id: str) -> dict[str, Any]:
+        """Return a job's status and its counts of tasks."""
         return await self.do(protocol.job_status(self.clock, self.retry, job_id))
 
     async def cancel_job(self, job_id: str) -> dict[str, Any]:
+        """Cancel a job; repeating it gives the same answer."""
         return await self.do(protocol.cancel_job(self.clock, self.retry, job_id))
--- a/tealrill/client/protocol.py
+++ b/tealrill/client/protocol.py
@@ -40,7 +40,7 @@
         self.body = body
 
 
-class NotFound(RequestRejectedError):
+class NotFoundError(RequestRejectedError):
     """There is no such job or graph."""
 
 
@@ -119,8 +119,9 @@
     message: Any = None,
     good: frozenset[int] = SUBMIT,
 ) -> Call[Response]:
-    """One request, repeated until its answer is final; raises `RequestRejectedError` or
-    `RetriesExhaustedError`.
+    """Repeat one request until its answer is final.
+
+    Raises `RequestRejectedError` or `RetriesExhaustedError`.
     """
     body = None if message is None else orjson.dumps(message)
     until = clock.now() + retry.total_s
@@ -132,7 +133,7 @@
         if response.status in good:
             return response
         if response.status == 404:
-            raise NotFound(404, response.body)
+            raise NotFoundError(404, response.body)
         if response.status in _FINAL_ERRORS:
             raise RequestRejectedError(response.status, response.body)
         if response.status:
@@ -154,11 +155,13 @@
 
 
 def job_status(clock: Clock, retry: Retry, job_id: str) -> Call[dict[str, Any]]:
+    """Ask for the status of a job."""
     response = yield from call(clock, retry, "GET", f"/v2/runs/{job_id}")
     return response.body
 
 
 def cancel_job(clock: Clock, retry: Retry, job_id: str) -> Call[dict[str, Any]]:
+    """Cancel a job."""
     response = yield from call(clock, retry, "POST", f"/v2/runs/{job_id}/cancel", {})
     return response.body
 
@@ -206,11 +209,13 @@
 
 
 def show_graph(clock: Clock, retry: Retry, graph: str) -> Call[dict[str, Any]]:
+    """Ask for the status of a graph and the counts of its nodes."""
     response = yield from call(clock, retry, "GET", f"/v2/graphs/{graph}")
     return response.body
 
 
 def cancel_graph(clock: Clock, retry: Retry, graph: str) -> Call[dict[str, Any]]:
+    """Cancel a graph."""
     response = yield from call(clock, retry, "POST", f"/v2/graphs/{graph}/cancel", {})
     return response.body
 
--- a/tealrill/webhooks/__init__.py
+++ b/tealrill/webhooks/__init__.py
@@ -13,7 +13,7 @@
     answer = receiver.take(headers, body)      # a status and a body for the HTTP response
 """
 
-from tealrill.webhooks.inbox import Inbox, VerificationResult
-from tealrill.webhooks.verifier import Answer, Event, Receiver, VerificationError
+from tealrill.webhooks.inbox import DeliveryResult, Inbox
+from tealrill.webhooks.verifier import Answer, Event, Receiver, RetryLaterError
 
-__all__ = ["Answer", "Event", "Inbox", "Receiver", "VerificationError", "VerificationResult"]
+__all__ = ["Answer", "DeliveryResult", "Event", "Inbox", "Receiver", "RetryLaterError"]
--- a/tealrill/webhooks/inbox.py
+++ b/tealrill/webhooks/inbox.py
@@ -37,8 +37,8 @@
 """The highest number that SQLite keeps."""
 
 
-class VerificationResult(enum.Enum):
-    """What became of an event."""
+class DeliveryResult(enum.Enum):
+    """The outcome of one delivery."""
 
     APPLIED = "applied"
     REPEATED = "repeated"
@@ -55,7 +55,7 @@
     """One SQLite file, shared by any number of threads and processes."""
 
     def __init__(self, path: str | Path) -> None:
-        """Opens the file, or makes it; raises `InboxError`.
+        """Open the file or create it; raises `InboxError`.
 
         The effects of events may be tables in the same file; `connection` is for making them.
         """
@@ -87,6 +87,7 @@
                 raise InboxError(f"{self._path}: version {row[0]}; this program reads {_VERSION}")
 
     def close(self) -> None:
+        """Close the connection to the file."""
         self.connection.close()
 
     @contextlib.contextmanager
@@ -107,8 +108,8 @@
         number: int,
         after: int,
         apply: Callable[[sqlite3.Connection], object],
-    ) -> VerificationResult:
-        """Applies event `number` unless it was before; `after` is the event that it comes after.
+    ) -> DeliveryResult:
+        """Apply event `number` unless it was before; `after` is the event that it comes after.
 
         `apply` works on the connection that it is given and neither commits nor rolls back. What it
         raises is raised here, and nothing of the event has happened.
@@ -119,9 +120,9 @@
             last = self._last(subscription)
             if number <= last:
                 if not self._fill(subscription, number):
-                    return VerificationResult.REPEATED
+                    return DeliveryResult.REPEATED
             elif after > last:
-                return VerificationResult.EARLY
+                return DeliveryResult.EARLY
             else:
                 if number > last + 1:
                     self.connection.execute(
@@ -134,7 +135,7 @@
                     (subscription, number),
                 )
             apply(self.connection)
-            return VerificationResult.APPLIED
+            return DeliveryResult.APPLIED
 
     def _last(self, subscription: str) -> int:
         row = self.connection.execute(
--- a/tealrill/webhooks/verifier.py
+++ b/tealrill/webhooks/verifier.py
@@ -20,18 +20,18 @@
 from standardwebhooks import Webhook, WebhookVerificationError
 
 from tealrill.errors import TealrillError
-from tealrill.webhooks.inbox import Inbox, VerificationResult
+from tealrill.webhooks.inbox import DeliveryResult, Inbox
 
 STRUCTURED: Final = "application/cloudevents+json"
 MOST_BODY: Final = 64 * 1024
 _STATUSES: Final = {
-    VerificationResult.APPLIED: 200,
-    VerificationResult.REPEATED: 200,
-    VerificationResult.EARLY: 409,
+    DeliveryResult.APPLIED: 200,
+    DeliveryResult.REPEATED: 200,
+    DeliveryResult.EARLY: 409,
 }
 
 
-class VerificationError(TealrillError):
+class RetryLaterError(TealrillError):
     """Raised by a handler: nothing of the event is kept, and the sender is to come again."""
 
     def __init__(self, why: str, retry_after_s: int = 5) -> None:
@@ -64,12 +64,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """What to answer."""
+    """The HTTP response to one delivery."""
 
     status: int
     body: bytes
     headers: dict[str, str] = field(default_factory=dict)
-    verdict: VerificationResult | None = None
+    verdict: DeliveryResult | None = None
 
 
 Handler = Callable[[Event, sqlite3.Connection], object]
@@ -80,20 +80,22 @@
     """Takes web hooks for an inbox."""
 
     def __init__(self, inbox: Inbox, handler: Handler, secrets: Sequence[str] = ()) -> None:
-        """`secrets` are those shared with the sender (`whsec_...`); any of them may have signed, so
-        that keys can be changed. Without one, signatures are not looked at."""
+        """Take deliveries for `inbox`, each event's effect applied by `handler`.
+
+        `secrets` are those shared with the sender (`whsec_...`); any of them may have signed, so
+        that keys can be rotated. Without one, signatures are not verified.
+        """
         self._inbox = inbox
         self._handler = handler
         self._keys = [Webhook(secret) for secret in secrets]
 
     def take(self, headers: Mapping[str, str], body: bytes) -> Answer:
-        """Checks, applies and answers one request. Safe to be called from any thread."""
+        """Verify, apply and answer one request. Thread-safe."""
         names = {name.lower(): value for name, value in headers.items()}
         try:
             self._check(names, body)
             event = read(names, body)
-            if self._keys and names["webhook-id"] != event.id:
-                raise WebhookError(400, "webhook-id is not the event's id")
+            self._check_id(names, event)
         except WebhookError as error:
             return _answer(error.status, {"error": str(error)})
         try:
@@ -103,7 +105,7 @@
                 event.after,
                 lambda connection: self._handler(event, connection),
             )
-        except VerificationError as error:
+        except RetryLaterError as error:
             after = {"Retry-After": str(error.retry_after_s)}
             return _answer(503, {"error": str(error)}, after)
         except sqlite3.OperationalError as error:
@@ -112,6 +114,11 @@
         found = {"verdict": verdict.value, "last": self._inbox.last(event.subscription)}
         return _answer(_STATUSES[verdict], found, verdict=verdict)
 
+    def _check_id(self, names: Mapping[str, str], event: Event) -> None:
+        """Only the header's id is signed; the event's must be the same."""
+        if self._keys and names["webhook-id"] != event.id:
+            raise WebhookError(400, "webhook-id is not the event's id")
+
     def _check(self, names: Mapping[str, str], body: bytes) -> None:
         """The signature, by any of the keys. Comparison in constant time is the library's."""
         if len(body) > MOST_BODY:
@@ -120,27 +127,30 @@
             return
         if not names.get("content-type", "").lower().startswith(STRUCTURED):
             raise WebhookError(415, f"signed events come as {STRUCTURED}")
-        for key in self._keys:
-            try:
-                key.verify(body, dict(names), json_parse=False)
-                return
-            except (WebhookVerificationError, ValueError, binascii.Error, OverflowError):
-                continue
-        raise WebhookError(401, "no key has signed this, or its time is off")
+        if not any(_is_signed_by(key, names, body) for key in self._keys):
+            raise WebhookError(401, "no key has signed this, or its time is off")
+
+
+def _is_signed_by(key: Webhook, names: Mapping[str, str], body: bytes) -> bool:
+    try:
+        key.verify(body, dict(names), json_parse=False)
+    except (WebhookVerificationError, ValueError, binascii.Error, OverflowError):
+        return False
+    return True
 
 
 def _answer(
     status: int,
     body: dict[str, Any],
     headers: dict[str, str] | None = None,
-    verdict: VerificationResult | None = None,
+    verdict: DeliveryResult | None = None,
 ) -> Answer:
     given = {"Content-Type": "application/json", **(headers or {})}
     return Answer(status, orjson.dumps(body), given, verdict)
 
 
 def read(names: Mapping[str, str], body: bytes) -> Event:
-    """An event from a request, in structured or binary mode; raises `WebhookError`."""
+    """Parse an event from a request, in structured or binary mode; raises `WebhookError`."""
     try:
         found = from_http_event(HTTPMessage(dict(names), body))
         event = _event(found)
--- a/tests/test_receiver.py
+++ b/tests/test_webhooks.py
@@ -17,7 +17,7 @@
 from hypothesis import strategies as st
 from standardwebhooks import Webhook
 
-from tealrill.webhooks import Answer, Event, Inbox, Receiver, VerificationError, VerificationResult
+from tealrill.webhooks import Answer, DeliveryResult, Event, Inbox, Receiver, RetryLaterError
 from tealrill.webhooks.inbox import InboxError
 
 _OLD, _NEW = "whsec_" + "b2xkLWtleS1vbGQta2V5", "whsec_" + "bmV3LWtleS1uZXcta2V5"
@@ -86,7 +86,7 @@
     inbox, sender = _inbox(), _Sender()
     ever_dead: set[int] = set()
 
-    def send(number: int, after: int, crash: bool = False) -> VerificationResult | None:
+    def send(number: int, after: int, crash: bool = False) -> DeliveryResult | None:
         sender.sent.append((number, after))
 
         def apply(db: sqlite3.Connection) -> None:
@@ -108,8 +108,8 @@
             if sender.dead:
                 number = sender.dead[0]
                 assert send(number, number - 1) in (
-                    VerificationResult.APPLIED,
-                    VerificationResult.REPEATED,
+                    DeliveryResult.APPLIED,
+                    DeliveryResult.REPEATED,
                 )
                 if act == "resend":
                     sender.dead.pop(0)
@@ -121,7 +121,7 @@
             sender.next += 1
             continue
         verdict = send(sender.next, sender.settled, crash=act == "crash")
-        assert verdict in (VerificationResult.APPLIED, VerificationResult.REPEATED, None)
+        assert verdict in (DeliveryResult.APPLIED, DeliveryResult.REPEATED, None)
         if act == "deliver":
             sender.acknowledged.append(sender.next)
             sender.settled = sender.next
@@ -149,12 +149,12 @@
     assert (answer.status, orjson.loads(answer.body)["last"]) == (409, 0)
     # Given up by the sender, the first two are passed over; one of them comes after all.
     body = _body(3, after=0)
-    assert receiver.take(_headers(body, None, 3), body).verdict is VerificationResult.APPLIED
+    assert receiver.take(_headers(body, None, 3), body).verdict is DeliveryResult.APPLIED
     for _ in range(2):
         body = _body(2)
         answer = receiver.take(_headers(body, None, 2), body)
         assert answer.status == 200
-    assert answer.verdict is VerificationResult.REPEATED
+    assert answer.verdict is DeliveryResult.REPEATED
 
 
 def test_a_process_that_is_killed_in_the_middle_leaves_nothing_half_done(tmp_path: Path) -> None:
@@ -180,7 +180,7 @@
 
 def test_threads_that_bring_the_same_event_apply_it_once(tmp_path: Path) -> None:
     inboxes = [_inbox(tmp_path / "inbox.db") for _ in range(4)]
-    verdicts: list[VerificationResult] = []
+    verdicts: list[DeliveryResult] = []
 
     def bring(inbox: Inbox) -> None:
         for number in range(1, 21):
@@ -192,7 +192,7 @@
         thread.start()
     for thread in threads:
         thread.join()
-    assert verdicts.count(VerificationResult.APPLIED) == 20 and len(verdicts) == 80
+    assert verdicts.count(DeliveryResult.APPLIED) == 20 and len(verdicts) == 80
     assert _charges(inboxes[0]) == list(range(1, 21))
 
 
@@ -296,7 +296,7 @@
     def handler(event: Event, db: sqlite3.Connection) -> None:
         _charge(event, db)
         if busy.pop():
-            raise VerificationError("the ledger is closed", retry_after_s=30)
+            raise RetryLaterError("the ledger is closed", retry_after_s=30)
 
     receiver = Receiver(inbox, handler)
     body = _body(1)
@@ -305,5 +305,5 @@
     answer = receiver.take(_headers(body, None, 1), body)
     assert (answer.status, answer.headers["Retry-After"]) == (503, "30")
     assert _charges(inbox) == []
-    assert receiver.take(_headers(body, None, 1), body).verdict is VerificationResult.APPLIED
+    assert receiver.take(_headers(body, None, 1), body).verdict is DeliveryResult.APPLIED
     assert _charges(inbox) == [1]
