--- a/tealrill/cli/draw.py
+++ b/tealrill/cli/draw.py
@@ -40,6 +40,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Box:
+    """One node of the drawing."""
+
     label: str
     tasks: int
     colour: str = "white"
--- a/tealrill/graphs/admission.py
+++ b/tealrill/graphs/admission.py
@@ -96,9 +96,7 @@
 
 
 class GraphAdmission:
-    """Submitting, showing and cancelling graphs, and the ids of their nodes
-    (`admission.ImplicitJobs`).
-    """
+    """Submit, show and cancel graphs; answer for the ids of their nodes as `ImplicitJobs`."""
 
     def __init__(
         self,
@@ -121,12 +119,14 @@
     # -- ids of nodes ---------------------------------------------------------------------------
 
     def claims(self, job_id: JobId) -> list[str]:
+        """Return the keys that must be absent where a plain job takes this id."""
         graph = graph_prefix(job_id)
         if graph is None:
             return []
         return [records.graph_key(graph), records.graph_over_key(graph)]
 
     async def status(self, job_id: JobId) -> ImplicitJob | None:
+        """Return the status of a node that has no record of its own."""
         node = parse_node_id(job_id)
         if node is None:
             return None
@@ -134,13 +134,14 @@
         if found.over is not None:
             cancelled = found.over.status == wire.JOB_CANCELLED
             outcome = OUTCOME_CANCELLED if cancelled else OUTCOME_SKIPPED
-            terminated = ImplicitJob(wire.JOB_CANCELLED, outcome)
-            return terminated if node[1] < found.over.nodes else None
+            never_released = ImplicitJob(wire.JOB_CANCELLED, outcome)
+            return never_released if node[1] < found.over.nodes else None
         if found.head is None or found.head.status != records.ACCEPTED:
             return None
         return ImplicitJob(wire.JOB_PENDING) if node[1] < found.head.nodes else None
 
     async def refusal(self, job_id: JobId) -> Reply | None:
+        """Return the answer to a plain job whose id belongs to a graph."""
         graph = graph_prefix(job_id)
         if graph is None:
             return None
@@ -151,6 +152,7 @@
         return None
 
     async def cancel(self, job_id: JobId) -> Revision | None:
+        """Cancel a gated node; the revision that made it true, or None."""
         node = parse_node_id(job_id)
         assert node is not None
         found = await self._find(node[0])
@@ -213,12 +215,15 @@
     # -- submitting -----------------------------------------------------------------------------
 
     async def submit(self, body: bytes) -> Reply:
+        """Submit a graph, or begin one that comes in parts."""
         return await self._guarded(self._submit, body)
 
     async def put_part(self, graph: str, number: int, body: bytes) -> Reply:
+        """Add a part to an open graph."""
         return await self._guarded(self._put_part, graph, number, body)
 
     async def seal(self, graph: str, body: bytes) -> Reply:
+        """Accept an open graph once all its parts are there."""
         return await self._guarded(self._seal_request, graph, body)
 
     async def _guarded(self, call: Callable[..., Awaitable[Reply]], *arguments: Any) -> Reply:
@@ -451,6 +456,7 @@
     # -- showing --------------------------------------------------------------------------------
 
     async def show(self, graph: str) -> Reply:
+        """Answer with a graph's status and counts."""
         return await self._guarded(self._show, graph)
 
     async def _show(self, graph: str) -> Reply:
@@ -487,6 +493,7 @@
         return counts
 
     async def nodes(self, graph: str, state: str | None, start: int, most: int) -> Reply:
+        """Answer with nodes in their order, `most` at a time."""
         return await self._guarded(self._nodes, graph, state, start, most)
 
     async def _nodes(self, graph: str, state: str | None, start: int, most: int) -> Reply:
@@ -519,8 +526,10 @@
         )
 
     async def _states(self, graph: str, start: int) -> dict[int, str]:
-        """Of `_PAGE` nodes from `start` on, those that have a record, read in the order in which
-        records move."""
+        """Return the states of those of `_PAGE` nodes from `start` on that have a record.
+
+        They are read in the order in which records move.
+        """
         found: dict[int, str] = {}
         for own, over in ((JOB_PREFIX, False), (OVER_PREFIX, True)):
             after = f"{own}{node_id(graph, start - 1)}" if start else None
@@ -545,6 +554,7 @@
     # -- cancelling -----------------------------------------------------------------------------
 
     async def cancel_graph(self, graph: str) -> Reply:
+        """Cancel a graph and all its nodes."""
         return await self._guarded(self._cancel_graph, graph)
 
     async def _cancel_graph(self, graph: str) -> Reply:
--- a/tealrill/graphs/api.py
+++ b/tealrill/graphs/api.py
@@ -37,17 +37,26 @@
 
 
 class GraphsHandler(_GraphHandler):
+    """Graphs as a collection."""
+
     async def post(self) -> None:
+        """Submit a graph, or begin one."""
         await self.settle(self._graphs.submit(self.request.body))
 
 
 class GraphHandler(_GraphHandler):
+    """One graph."""
+
     async def get(self, graph: str) -> None:
+        """Answer with a graph's status and counts."""
         await self.settle(self._graphs.show(graph))
 
 
 class PartHandler(_GraphHandler):
+    """One part of an open graph."""
+
     async def put(self, graph: str, number: str) -> None:
+        """Add a part."""
         if int(number) >= MOST_PARTS:
             self.reply(400, {"error": f"parts are numbered below {MOST_PARTS}", "field": "part"})
             return
@@ -55,17 +64,26 @@
 
 
 class SealHandler(_GraphHandler):
+    """The end of an open graph's submission."""
+
     async def post(self, graph: str) -> None:
+        """Seal the graph."""
         await self.settle(self._graphs.seal(graph, self.request.body))
 
 
 class CancelGraphHandler(_GraphHandler):
+    """A graph's cancellation."""
+
     async def post(self, graph: str) -> None:
+        """Cancel the graph."""
         await self.settle(self._graphs.cancel_graph(graph))
 
 
 class NodesHandler(_GraphHandler):
+    """The nodes of a graph, page by page."""
+
     async def get(self, graph: str) -> None:
+        """Answer with nodes in their order."""
         numbers = {}
         for name, default, highest in (("from", 0, 10**9), ("most", 100, _MOST_LISTED)):
             text = self.get_argument(name, str(default))
@@ -82,9 +100,11 @@
     """What the leader knows of a live graph; 404 from a node that does not lead."""
 
     def initialize(self, counts: Callable[[str], dict[str, int] | None]) -> None:
+        """Take the function that knows the counts."""
         self._counts = counts
 
     def get(self, graph: str) -> None:
+        """Answer with the counts of a live graph."""
         counts = self._counts(graph)
         if counts is None:
             self.reply(404, {"error": "not known here"})
@@ -106,6 +126,7 @@
 
 
 def user_routes(graphs: GraphAdmission, relay: Relay) -> list[Any]:
+    """Return the routes for users."""
     return _routes("", {"graphs": graphs, "relay": relay})
 
 
--- a/tealrill/graphs/extension.py
+++ b/tealrill/graphs/extension.py
@@ -28,11 +28,13 @@
         self.term: GraphLeaderExtension | None = None
 
     def here(self, graph: str) -> dict[str, int] | None:
+        """Return the counts of a graph's nodes if this member leads, else None."""
         if self.term is None or self._election.leading(monotonic_now()) is None:
             return None
         return self.term.counts(graph)
 
     async def anywhere(self, graph: str) -> dict[str, int] | None:
+        """Return the counts from here or from the leader; None if neither answers."""
         counts = self.here(graph)
         known = self._election.known
         peer = self._peers.get(known.host) if known is not None else None
--- a/tealrill/graphs/leader_extension.py
+++ b/tealrill/graphs/leader_extension.py
@@ -99,6 +99,7 @@
     kinds: dict[bytes, JobView] = field(default_factory=dict)
 
     def node(self, index: int) -> Node:
+        """Return a node as its user wrote it."""
         part = bisect_right(self.first, index) - 1
         nodes = self.unpacked.get(part)
         if nodes is None:
@@ -109,11 +110,14 @@
         return nodes[index - self.first[part]]
 
     def spec(self, index: int) -> wire.JobSpec:
+        """Return a node as the job that it is."""
         return node_spec(self.name, index, self.head.defaults, self.node(index))
 
     def due_s(self, index: int, spec: wire.JobSpec, now: float) -> float | None:
-        """The node's deadline from now: its own, or what the graph's leaves before the path
-        behind it."""
+        """Return the seconds until the node is due.
+
+        Its own deadline counts, or what the graph's leaves before the path behind the node.
+        """
         due = [] if spec.deadline_s is None else [spec.deadline_s]
         if self.head.due_s is not None:
             left_s = self.head.at + self.head.due_s - self.progress.tail_s[index] - now
@@ -121,6 +125,7 @@
         return min(due, default=None)
 
     def backlog(self) -> int:
+        """Return how many of its jobs are released and not yet started."""
         return self.in_flight + sum(job.waiting > 0 for job in self.jobs.values())
 
 
@@ -156,6 +161,7 @@
     # -- what is heard --------------------------------------------------------------------------
 
     def read(self, entries: Sequence[wire.Entry]) -> None:
+        """Take all records under `job/` that are no jobs."""
         present = {entry.key: entry for entry in entries}
         # What was missed of the nodes' ends is read again with the graph.
         self._live.clear()
@@ -168,6 +174,7 @@
         self._wake.set()
 
     def seen(self, key: str, value: Any, version: Revision) -> None:
+        """Take one such record, None as its value if it was removed."""
         about = records.graph_of_word(key)
         if about is not None:
             self._take_word(about, value, version)
@@ -211,6 +218,7 @@
         self._aside[name] = owner or Owner(records.graph_key(name), version, name)
 
     def take(self, job: Job, value: dict[str, Any]) -> bool:
+        """Take a job that a graph owns; False if no graph known here does."""
         name, node = value["owner"], parse_node_id(job.id)
         if node is None or node[0] != name:
             return False
@@ -243,12 +251,14 @@
         return True
 
     def over(self, job: Job) -> None:
+        """Settle the node whose job has ended."""
         node = parse_node_id(job.id)
         if job.owner is None or node is None:
             return
         self._settle(job.owner.name, node[1], outcome_state(job.outcome))
 
     def cancelled(self, name: str) -> None:
+        """Stop a graph that another member has called cancelled."""
         if name in self._heads or name in self._aside:
             self._gone(name, "another node acknowledged its cancellation")
 
@@ -342,6 +352,7 @@
     # -- the loop -------------------------------------------------------------------------------
 
     async def run(self) -> None:
+        """Release, end and remove what is due, until the term ends."""
         while True:
             self._wake.clear()
             pause_s: float | None = None
@@ -639,6 +650,7 @@
         return None if live is None else live.progress.counted()
 
     def describe(self) -> dict[str, Any]:
+        """Return the graphs' counts, for operators."""
         return {
             "graphs": {name: live.progress.counted() for name, live in self._live.items()},
             "open": len(self._drafts),
--- a/tealrill/graphs/model.py
+++ b/tealrill/graphs/model.py
@@ -52,6 +52,7 @@
         self.status = status
 
     def body(self) -> dict[str, Any]:
+        """Return the error as the body of a response."""
         found: dict[str, Any] = {"error": str(self)}
         if self.node is not None:
             found["node"] = self.node
@@ -82,6 +83,7 @@
     """How often one of its tasks is tried again after an error; None: as the graph says."""
 
     def edges(self) -> Iterator[Edge]:
+        """Return the edges of the graph, those of a node in its order."""
         for edge in self.after:
             yield Edge(node=edge) if isinstance(edge, str) else edge
 
@@ -107,10 +109,14 @@
 
 
 class PartBody(msgspec.Struct, frozen=True, kw_only=True):
+    """The body of a request that adds a part."""
+
     nodes: list[Node]
 
 
 class SealBody(msgspec.Struct, frozen=True, kw_only=True):
+    """The body of a request that seals a graph."""
+
     parts: Annotated[int, Meta(ge=1, le=MOST_PARTS)]
 
 
@@ -124,6 +130,7 @@
 
 
 def node_id(graph: str, index: int) -> JobId:
+    """Return the job id of a graph's node."""
     return JobId(f"{graph}-{index:0{ID_DIGITS}d}")
 
 
@@ -229,17 +236,21 @@
 
     @property
     def nodes(self) -> int:
+        """The number of nodes."""
         return len(self.tasks)
 
     @property
     def edges(self) -> int:
+        """Return the edges of the graph, those of a node in its order."""
         return len(self.out_node)
 
     def followers(self, index: int) -> Iterator[tuple[int, int]]:
+        """Yield the nodes that wait for this one, with the kind of edge."""
         for at in range(self.out_first[index], self.out_first[index + 1]):
             yield self.out_node[at], self.out_kind[at]
 
     def awaited(self, index: int) -> Iterator[tuple[int, int]]:
+        """Yield the nodes that this one waits for, with the kind of edge."""
         for at in range(self.in_first[index], self.in_first[index + 1]):
             yield self.in_node[at], self.in_kind[at]
 
--- a/tealrill/graphs/records.py
+++ b/tealrill/graphs/records.py
@@ -92,14 +92,17 @@
 
 
 def graph_key(graph: str) -> str:
+    """Return the key of a graph's head while it is open or accepted."""
     return JOB_PREFIX + graph
 
 
 def graph_over_key(graph: str) -> str:
+    """Return the key that tells how a graph ended."""
     return OVER_PREFIX + graph
 
 
 def word_key(graph: str) -> str:
+    """Return the key by which a member tells the leader of a cancelled gated node."""
     return JOB_PREFIX + graph + _WORD
 
 
@@ -110,10 +113,12 @@
 
 
 def parts_prefix(graph: str) -> str:
+    """Return the prefix of a graph's parts."""
     return f"{PART_PREFIX}{graph}/"
 
 
 def fragment_key(graph: str, part: int, fragment: int) -> str:
+    """Return the key of one fragment of a part."""
     return f"{PART_PREFIX}{graph}/{part:05d}.{fragment:02d}"
 
 
@@ -131,6 +136,7 @@
 
 
 def read_over(value: Any) -> Over:
+    """Read how a graph ended; raises `GraphRecordError`."""
     return _read(value, Over)
 
 
--- a/tealrill/graphs/tracker.py
+++ b/tealrill/graphs/tracker.py
@@ -40,6 +40,7 @@
 
 
 def outcome_state(outcome: str) -> int:
+    """Return the state of a node whose job ended with `outcome`."""
     return _OUTCOMES.get(outcome, OVER_CANCELLED)
 
 
@@ -93,9 +94,11 @@
         return not any(self.counts[:OVER_DONE])
 
     def counted(self) -> dict[str, int]:
+        """Return the number of nodes by state."""
         return dict(zip(STATES, self.counts, strict=True))
 
     def waits_each(self, index: int) -> tuple[int, ...]:
+        """Return the nodes that this one waits for task by task."""
         return self._each.get(index, ())
 
     def is_followed(self, index: int) -> bool:
@@ -143,6 +146,7 @@
 
     @property
     def has_ready(self) -> bool:
+        """Whether a node may be released."""
         return self.counts[READY] > 0 and bool(self._ready)
 
     def put_back(self, index: int) -> None:
--- a/tealrill/profiling.py
+++ b/tealrill/profiling.py
@@ -74,6 +74,8 @@
 
 
 class Cost(msgspec.Struct):
+    """Calls and processor time of one cause."""
+
     calls: int = 0
     cpu_s: float = 0.0
 
