--- a/docs/examples/family.py
+++ b/docs/examples/family.py
@@ -9,6 +9,7 @@
 
 
 def draw(graph_id: str, scripts: list[str]) -> Graph:
+    """Return the graph for the given scripts."""
     graph = Graph(
         graph_id,
         team="red",
@@ -38,6 +39,7 @@
 
 
 def main() -> None:
+    """Submit the graph and wait for its end."""
     graph = draw("family2", ["latin", "greek", "cyrillic"])
     with Client("127.0.0.1:18080") as client:
         run = client.submit(graph)
--- a/tealrill/client/graph.py
+++ b/tealrill/client/graph.py
@@ -64,6 +64,7 @@
     when: str = "done"
 
     def edge(self) -> str | dict[str, Any]:
+        """Return the reference as an edge in the words of the protocol."""
         if not self.each and self.when == "done":
             return self.ref.key
         return {"node": self.ref.key, "each": self.each, "when": self.when}
@@ -135,6 +136,7 @@
         return [self.remote(value) for value in values]
 
     def __call__(self, *_: Any, **__: Any) -> Any:
+        """Refuse: the function's body runs on a machine."""
         raise TypeError(f"{self.__name__} runs as a task: use {self.__name__}.remote(...)")
 
 
@@ -210,6 +212,7 @@
 
     @property
     def refs(self) -> list[ObjectRef]:
+        """References to all nodes, in the order in which they were added."""
         return list(self._refs.values())
 
     @property
@@ -219,6 +222,7 @@
 
     @property
     def nodes(self) -> list[dict[str, Any]]:
+        """The nodes in the words of the protocol."""
         return self._nodes
 
     def message(self) -> dict[str, Any]:
--- a/tools/falls.py
+++ b/tools/falls.py
@@ -68,11 +68,15 @@
 
 
 class Event(msgspec.Struct):
+    """Something that the day brought about."""
+
     at_s: float
     what: str
 
 
 class Cost(msgspec.Struct):
+    """What the machines of a day cost."""
+
     price: float
     useful: float
     rented: int
@@ -82,11 +86,15 @@
 
 
 class Target(msgspec.Struct):
+    """One objective and how it was met."""
+
     value: float
     met: bool
 
 
 class Requests(msgspec.Struct):
+    """Requests of users and their answers."""
+
     requests: int
     refused: int = 0
     no_capacity: int = 0
@@ -94,10 +102,12 @@
 
 
 class Rules(msgspec.Struct):
+    """Rules of the protocol that were broken."""
+
     total: int
 
 
-class Heartbeat(msgspec.Struct):
+class DayReport(msgspec.Struct):
     """The parts of a day's report that are used here."""
 
     scenario: str
@@ -110,8 +120,9 @@
     rules_broken: Rules
 
 
-def read(path: Path) -> Heartbeat:
-    return msgspec.json.decode(path.read_bytes(), type=Heartbeat)
+def read(path: Path) -> DayReport:
+    """Read a report of the bench."""
+    return msgspec.json.decode(path.read_bytes(), type=DayReport)
 
 
 # -- days -----------------------------------------------------------------------------------------
@@ -158,7 +169,7 @@
 _RENTAL: Final = re.compile(r"rental \S+: (\d+) of (\d+) ")
 
 
-def course(report: Heartbeat, log: str, at_s: float) -> Course:
+def course(report: DayReport, log: str, at_s: float) -> Course:
     """Follows one fall through a day."""
     known = lease_expired = granted_at = None
     granted = asked = noticed = 0
@@ -227,6 +238,7 @@
 
 @click.group(help=__doc__)
 def main() -> None:
+    """Days that bring falls of many machines, and what their reports show."""
     pass
 
 
--- a/tools/graph_study.py
+++ b/tools/graph_study.py
@@ -107,7 +107,7 @@
         begins = max((ends[up] for up, _ in shape.awaited(index)), default=0.0)
         ends[index] = begins + took[index]
     work = sum(t * c for t, c in zip(took, cpus, strict=True))
-    return max(max(ends), work / capacity)
+    return max(*ends, work / capacity)
 
 
 def finishing_time(
--- a/tools/load.py
+++ b/tools/load.py
@@ -78,6 +78,7 @@
 
 
 def settings_for(state: standins.State, cloud: standins.Cloud) -> dict[str, Any]:
+    """Return the node's settings, with the stand-ins' addresses."""
     return {
         "host_name": "node-0",
         "zone": "north",
@@ -100,6 +101,7 @@
 
 
 def sample_job(number: int, luck: random.Random) -> dict[str, Any]:
+    """Return one job as a user submits it."""
     quick = luck.random() < 0.6
     return {
         **SUBMISSION,
@@ -163,11 +165,13 @@
         self._cloud.hired, self._cloud.returned = self.hired, self.returned
 
     def up(self, name: str, within_s: float) -> _Worker:
+        """Begin a machine's worker, which sends its first heartbeat within `within_s` seconds."""
         worker = _Worker(name, self._luck, self._task_s)
         self.workers[name] = (worker, asyncio.create_task(worker.run(self._node, within_s)))
         return worker
 
     def hired(self, name: str) -> None:
+        """Begin the worker of a machine that was rented."""
         self._cloud.machines[name]["status"] = "running"
         self.up(name, _BOOT_S)
 
@@ -179,6 +183,7 @@
             self._cloud.most += 1
 
     def running(self) -> int:
+        """The number of machines whose worker runs."""
         return sum(
             task["status"] == "running"
             for worker, _ in self.workers.values()
--- a/tools/margins.py
+++ b/tools/margins.py
@@ -95,6 +95,7 @@
 @click.option("--cancel-s", required=True, type=click.FloatRange(min=0.0, min_open=True))
 @click.option("--most", default=5, type=click.IntRange(min=0), help="Jobs that are listed.")
 def main(logs: tuple[Path, ...], cancel_s: float, most: int) -> None:
+    """Print how soon the tasks of cancelled jobs were gone."""
     for log in logs:
         try:
             with log.open(errors="replace") as lines:
--- a/tools/profiles.py
+++ b/tools/profiles.py
@@ -37,6 +37,7 @@
 
     @property
     def cpu_s(self) -> float:
+        """The day's processor time in seconds."""
         return sum(cost.cpu_s for cost in self.costs.values())
 
     def mean(self, name: str) -> float:
@@ -94,6 +95,7 @@
 
 @click.group(help=__doc__)
 def main() -> None:
+    """Tables and plots of processor time by cause."""
     pass
 
 
--- a/tools/served.py
+++ b/tools/served.py
@@ -71,6 +71,7 @@
 
     @property
     def least(self) -> float:
+        """The least share of the row."""
         return min(found[0] for found in (self.served, self.in_time) if found is not None)
 
 
@@ -85,6 +86,7 @@
 
 
 def rows(entry: Entry) -> Iterator[Row]:
+    """Yield one row a day of an entry."""
     for day in entry.days:
         spent = day.spent or Spent()
         spent_s = sum(spent.world) + sum(spent.processes)
@@ -121,6 +123,7 @@
 @click.argument("entries", nargs=-1, required=True, type=click.Path(path_type=Path))
 @click.option("--under", type=click.FloatRange(0.0, 1.0), default=1.0)
 def main(entries: tuple[Path, ...], under: float) -> None:
+    """Print a row for each day of the entries."""
     shown = Table(title="least shares; simulated machines")
     for column in ("entry", "site", "day", "least served", "least in time", "processor s"):
         shown.add_column(column)
--- a/tools/variants.py
+++ b/tools/variants.py
@@ -572,8 +572,11 @@
     broken: Sequence[str] = (),
     jobs: Sequence[dict[str, Any]] = (),
 ) -> str:
-    """A day's file; of the classes in `broken` four in a hundred jobs are mistaken, and `jobs`
-    says what else is different of a class."""
+    """Return a day's file.
+
+    Of the classes in `broken` four in a hundred jobs are mistaken, and `jobs` says what else is
+    different of a class.
+    """
     held: dict[str, Any] = {"name": name, "slot": "scale", "light": False, "seed": seed}
     changed = {str(job["name"]): dict(job) for job in jobs}
     for named in broken:
@@ -589,6 +592,7 @@
 
 @click.group(help=__doc__)
 def main() -> None:
+    """Deployments and days of our own for the bench."""
     pass
 
 
