--- a/tests/test_falls_tool.py
+++ b/tests/test_falls_tool.py
@@ -20,7 +20,7 @@
 """
 
 
-def _report() -> falls.Heartbeat:
+def _report() -> falls.DayReport:
     def window(at_s: float, cpus: float, cost: float) -> falls.Window:
         return falls.Window(at_s, 100, 0, 10, cpus, 3, cost)
 
@@ -31,7 +31,7 @@
     targets = [falls.Target(0.9, True), falls.Target(0.1, False)]
     event = [falls.Event(200.0, "machines die")]
     rules = falls.Rules(0)
-    return falls.Heartbeat("deaths", windows, event, cost, targets, requests, requests, rules)
+    return falls.DayReport("deaths", windows, event, cost, targets, requests, requests, rules)
 
 
 def test_a_fall_is_followed_through_a_day() -> None:
