--- a/tealrill/extensions.py
+++ b/tealrill/extensions.py
@@ -14,9 +14,10 @@
 from tealrill.scheduler.model import JobView
 from tealrill.settings import Settings
 from tealrill.state.admission import ImplicitJobs
+from tealrill.state.bindings import Job, Owner
 from tealrill.state.client import StateClient
 from tealrill.state.fencing import Leadership
-from tealrill.state.job_store import Job, JobStore, Owner
+from tealrill.state.job_store import JobStore
 from tealrill.state.write_batcher import WriteBatcher
 from tealrill.types import Monotonic, Revision
 
--- a/tealrill/fleet/dispatch.py
+++ b/tealrill/fleet/dispatch.py
@@ -29,7 +29,8 @@
 )
 from tealrill.scheduler.plan import plan
 from tealrill.settings import Params
-from tealrill.state.job_store import Binding, Job, JobStore
+from tealrill.state.bindings import Binding, Job
+from tealrill.state.job_store import JobStore
 from tealrill.types import JobId, MachineId, Monotonic, Revision, Wall
 
 log = logging.getLogger(__name__)
--- a/tealrill/fleet/machines.py
+++ b/tealrill/fleet/machines.py
@@ -27,7 +27,8 @@
 from tealrill.scheduler.capacity import Kind
 from tealrill.scheduler.failure_attribution import FailureAttribution
 from tealrill.scheduler.model import MachineView
-from tealrill.state.job_store import Binding, Chunk, Job, JobStore, Stop
+from tealrill.state.bindings import Binding, Chunk, Job, Stop
+from tealrill.state.job_store import JobStore
 from tealrill.types import (
     CLOCK_DRIFT,
     Attempt,
--- a/tealrill/graphs/leader_extension.py
+++ b/tealrill/graphs/leader_extension.py
@@ -44,14 +44,13 @@
     outcome_state,
 )
 from tealrill.scheduler.model import JobView
+from tealrill.state.bindings import Job, Owner
 from tealrill.state.client import StateError
-from tealrill.state.job_store import (
+from tealrill.state.records import (
     JOB_PREFIX,
     OUTCOME_CANCELLED,
     OUTCOME_DONE,
     OUTCOME_SKIPPED,
-    Job,
-    Owner,
     job_key,
     over_key,
 )
--- a/tealrill/graphs/records.py
+++ b/tealrill/graphs/records.py
@@ -27,7 +27,7 @@
 from tealrill import wire
 from tealrill.errors import TealrillError
 from tealrill.graphs.model import Node, Retries
-from tealrill.state.job_store import JOB_PREFIX, OUTCOME_CANCELLED, OUTCOME_DONE, OVER_PREFIX
+from tealrill.state.records import JOB_PREFIX, OUTCOME_CANCELLED, OUTCOME_DONE, OVER_PREFIX
 from tealrill.types import JobId
 
 PART_PREFIX: Final = "part/"
--- a/tealrill/graphs/tracker.py
+++ b/tealrill/graphs/tracker.py
@@ -13,12 +13,7 @@
 from typing import Final
 
 from tealrill.graphs.model import DONE, EACH, ENDED, FAILED, Shape
-from tealrill.state.job_store import (
-    OUTCOME_CANCELLED,
-    OUTCOME_DONE,
-    OUTCOME_FAILED,
-    OUTCOME_SKIPPED,
-)
+from tealrill.state.records import OUTCOME_CANCELLED, OUTCOME_DONE, OUTCOME_FAILED, OUTCOME_SKIPPED
 
 GATED: Final = 0
 READY: Final = 1
--- a/tealrill/leader/leader.py
+++ b/tealrill/leader/leader.py
@@ -29,18 +29,15 @@
 from tealrill.scheduler.estimates import Estimates
 from tealrill.scheduler.model import JobView
 from tealrill.settings import Settings, SettingsError
+from tealrill.state.bindings import Binding, Chunk, Job, Owner
 from tealrill.state.client import StateClient, StateError
 from tealrill.state.fencing import Duty, Leadership
-from tealrill.state.job_store import (
+from tealrill.state.job_store import JobStore
+from tealrill.state.records import (
     JOB_PREFIX,
     OUTCOME_CANCELLED,
     OUTCOME_DONE,
     RUN_PREFIX,
-    Binding,
-    Chunk,
-    Job,
-    JobStore,
-    Owner,
     RecordError,
     over_key,
 )
--- a/tealrill/leadership/open_jobs.py
+++ b/tealrill/leadership/open_jobs.py
@@ -22,7 +22,7 @@
 from tealrill import wire
 from tealrill.settings import Workers
 from tealrill.state.client import StateClient, StateError
-from tealrill.state.job_store import (
+from tealrill.state.records import (
     JOB_PREFIX,
     OVER_PREFIX,
     RUN_PREFIX,
--- a/tealrill/state/admission.py
+++ b/tealrill/state/admission.py
@@ -29,7 +29,8 @@
     StateUnavailableError,
     TransactionRejectedError,
 )
-from tealrill.state.job_store import (
+from tealrill.state.rate_limiter import RequestPriority
+from tealrill.state.records import (
     JOB_PREFIX,
     OUTCOME_CANCELLED,
     OVER_PREFIX,
@@ -37,7 +38,6 @@
     job_key,
     over_key,
 )
-from tealrill.state.rate_limiter import RequestPriority
 from tealrill.types import ABSENT, JobId, Revision, parse_job_id, wall_now
 
 log = logging.getLogger(__name__)
--- a/tealrill/state/job_store.py
+++ b/tealrill/state/job_store.py
@@ -1,25 +1,32 @@
 """The leader's memory of jobs and bindings, and what of it must still be written.
 
-A task is bound to (machine, session, attempt). Bindings are kept in chunks of tasks, one key each,
-so that many bindings go into one change. Nothing here does I/O: `state.write_batcher` writes the
-dirty chunks, and only a binding whose chunk version is committed may be started.
+A task is bound to (machine, incarnation, attempt). Bindings are kept in chunks of tasks, one key
+each, so that many bindings go into one change. Nothing here does I/O: `state.write_batcher` writes
+the dirty chunks, and only a binding whose chunk version is committed may be started.
 """
 
 from __future__ import annotations
 
 import heapq
 from collections.abc import Iterator
-from dataclasses import dataclass, field
-from typing import Any, Final, NamedTuple
-
-import msgspec
+from typing import Any
 
 from tealrill import wire
-from tealrill.errors import TealrillError
+from tealrill.state.bindings import Binding, Chunk, Job, Task
+from tealrill.state.records import (
+    NEVER_BOUND,
+    OUTCOME_DONE,
+    OUTCOME_FAILED,
+    TASK_DONE,
+    BoundEntry,
+    RecordError,
+    chunk_size,
+    decode_chunk,
+    encode_chunk,
+)
 from tealrill.types import (
     ABSENT,
     Attempt,
-    HeartbeatSequence,
     Incarnation,
     JobId,
     MachineId,
@@ -27,183 +34,11 @@
     Revision,
     TaskId,
     Wall,
-    parse_machine_id,
 )
 
-JOB_PREFIX: Final = "job/"
-"""Jobs by their ids. Names that are no job ids belong to subsystems, whose records are then seen in
-the same reading and the same watch as the jobs that depend on them."""
-RUN_PREFIX: Final = "run/"
-OVER_PREFIX: Final = "over/"
-_DONE: Final = -1
-_BACKFILLED_FLAG: Final = 1
-_DONE_FLAG: Final = 2
-_ENTRY_BYTES: Final = 100
-"""Most that one bound task takes in a record: the machine's name is at most 64 bytes."""
-_MOST_IN_CHUNK: Final = 128
-
-
-OUTCOME_DONE: Final = "done"
-OUTCOME_FAILED: Final = "failed"
-"""A task failed more often than the job's bound allows."""
-OUTCOME_SKIPPED: Final = "skipped"
-"""What the job waits for can't come any more."""
-OUTCOME_CANCELLED: Final = "cancelled"
-
-
-class RecordError(TealrillError):
-    """A record in the state service that this version did not write."""
-
-
-def job_key(job: JobId) -> str:
-    return JOB_PREFIX + job
-
-
-def over_key(job: JobId) -> str:
-    return OVER_PREFIX + job
-
-
-def chunk_size(value_kb: float) -> int:
-    """Tasks per chunk, such that a chunk with every task bound fits a value."""
-    return max(1, min(_MOST_IN_CHUNK, int((value_kb * 1024 - 64) // _ENTRY_BYTES)))
-
-
-@dataclass(slots=True, eq=False)
-class Binding:
-    """A task's place. While it stands the task can be started nowhere else."""
-
-    task: TaskId
-    machine: MachineId
-    incarnation: Incarnation
-    attempt: Attempt
-    backfilled: bool
-    bound_at: Wall
-    chunk: Chunk
-    version: int
-    """The chunk's version that holds this binding; it may be started once that is committed."""
-    inherited: bool = False
-    sent: HeartbeatSequence | None = None
-    """The report whose response first carried the start."""
-    seen: bool = False
-    direct_start_in_flight: bool = False
-    """A start sent to the worker directly has no answer yet, and may arrive at any later time."""
-    shown_in: HeartbeatSequence | None = None
-    """The last list of this session that showed it."""
-    state: str | None = None
-    running_since: Monotonic | None = None
-    stop: Stop | None = None
-
-    @property
-    def committed(self) -> bool:
-        return self.chunk.committed >= self.version
-
-    @property
-    def never_sent(self) -> bool:
-        """Certainly no start of it ever left."""
-        return (
-            not (self.seen or self.inherited or self.direct_start_in_flight) and self.sent is None
-        )
-
-
-@dataclass(slots=True)
-class Stop:
-    """Why a bound task is to be stopped, and how long it may save."""
-
-    reason: str
-    grace_s: float
-    since: Monotonic
-
-
-@dataclass(slots=True, eq=False)
-class Task:
-    """A task that was bound at least once and is not done."""
-
-    next_attempt: Attempt = Attempt(1)
-    binding: Binding | None = None
-    errors: int = 0
-
-
-@dataclass(slots=True, eq=False)
-class Owner:
-    """A record that a job belongs to: while it stands in this version the job may run and end."""
-
-    key: str
-    stamp: Revision
-    name: str
-
-
-@dataclass(slots=True, eq=False)
-class Chunk:
-    """The record of a run of a job's tasks."""
-
-    job: Job
-    number: int
-    stamp: Revision = ABSENT
-    version: int = 0
-    committed: int = 0
-    dirty_since: Monotonic | None = None
-    new_bindings: int = 0
-    news: list[tuple[int, int]] = field(default_factory=list)
-    """For a job whose followers wait for single tasks: versions and the tasks they made done."""
-
-    @property
-    def key(self) -> str:
-        return f"{RUN_PREFIX}{self.job.id}/{self.number:05d}"
-
-
-@dataclass(slots=True, eq=False)
-class Job:
-    """An accepted job that still has something to be done."""
-
-    id: JobId
-    spec: wire.JobSpec
-    submitted: Wall
-    stamp: Revision
-    chunk_tasks: int
-    done: bytearray
-    done_count: int = 0
-    bound_count: int = 0
-    fresh: int = 0
-    """Tasks from this index on were never bound, unless they are in `tasks` or done."""
-    requeued: list[int] = field(default_factory=list)
-    tasks: dict[int, Task] = field(default_factory=dict)
-    chunks: dict[int, Chunk] = field(default_factory=dict)
-    zone_counts: dict[str, int] = field(default_factory=dict)
-    cancelled: bool = False
-    due_s: float | None = None
-    """Its deadline, from its submission."""
-    owner: Owner | None = None
-    tail_s: float = 0.0
-    """Estimated time that what depends on it takes after it."""
-    most_errors: int | None = None
-    """How often one task may fail before the job has failed; None: it is tried for ever."""
-    outcome: str = OUTCOME_DONE
-    """How it ends, once it is in `JobStore.ending`."""
-    opened: bytearray | None = None
-    """For a job whose tasks are let go one by one: which of them were."""
-    closed: int = 0
-    """Tasks that were not."""
-    followed: bool = False
-    """Others wait for its single tasks, so that a done one is written without delay."""
-
-    @property
-    def waiting(self) -> int:
-        if self.cancelled or self.outcome != OUTCOME_DONE:
-            return 0
-        return self.spec.tasks - self.done_count - self.bound_count - self.closed
-
-    @property
-    def complete(self) -> bool:
-        return not self.cancelled and self.done_count >= self.spec.tasks
-
-    def bindings(self) -> Iterator[Binding]:
-        for task in self.tasks.values():
-            if task.binding is not None:
-                yield task.binding
-
 
 class JobStore:
-    """All jobs that are not over, with their bindings, and what of it is not yet written."""
+    """All jobs that have not ended, with their bindings, and what of it is not yet written."""
 
     def __init__(self, value_kb: float) -> None:
         self.jobs: dict[JobId, Job] = {}
@@ -218,6 +53,7 @@
         self._chunk_tasks = chunk_size(value_kb)
 
     def add(self, spec: wire.JobSpec, submitted: Wall, stamp: Revision) -> Job:
+        """Take in a job whose record stands in version `stamp`."""
         job_id = JobId(spec.id)
         job = Job(job_id, spec, submitted, stamp, self._chunk_tasks, bytearray(spec.tasks))
         job.due_s = spec.deadline_s
@@ -227,13 +63,13 @@
     # -- jobs whose tasks are let go one by one ----------------------------------------------
 
     def close_tasks(self, job: Job) -> None:
-        """Before any of it is known: none of its tasks may start until it is opened."""
+        """Let none of the job's tasks start before it is opened, before any of it is known."""
         job.opened = bytearray(job.spec.tasks)
         job.closed = job.spec.tasks
         job.fresh = job.spec.tasks
 
     def open_task(self, job: Job, index: int) -> bool:
-        """Lets one task go; True the first time."""
+        """Let one task start, and return True the first time."""
         if job.opened is None or job.opened[index]:
             return False
         self._count_open(job, index)
@@ -242,7 +78,7 @@
         return True
 
     def follow(self, job: Job, now: Monotonic) -> list[int]:
-        """From here on others wait for its single tasks; those that are written down as done."""
+        """Let others wait for its single tasks; return those that are committed as done."""
         job.followed = True
         kept: list[int] = []
         for number, chunk in job.chunks.items():
@@ -263,7 +99,7 @@
             job.closed -= 1
 
     def clear(self) -> None:
-        """Back to nothing, for a new attempt to read the records."""
+        """Forget everything, for a new attempt to read the records."""
         for part in (self.jobs, self.urgent, self.lazy, self.ending, self.garbage):
             part.clear()
         self.team_cpus.clear()
@@ -273,7 +109,7 @@
     # -- bindings ---------------------------------------------------------------------------
 
     def take_task(self, job: Job) -> int | None:
-        """The next task of the job that is neither bound nor done."""
+        """Return the next task of the job that is neither bound nor done; None if there is none."""
         while job.requeued:
             index = heapq.heappop(job.requeued)
             if self._free(job, index):
@@ -300,6 +136,7 @@
         wall: Wall,
         now: Monotonic,
     ) -> Binding:
+        """Bind a task that `take_task` gave; it may be started once its chunk is committed."""
         task = job.tasks.setdefault(index, Task())
         assert task.binding is None and not job.cancelled and not job.done[index]
         chunk = self._chunk(job, index)
@@ -331,7 +168,7 @@
         self.rank_cpus[rank] = self.rank_cpus.get(rank, 0.0) + job.spec.cpus
 
     def release(self, binding: Binding, zone: str, now: Monotonic) -> None:
-        """Ends a binding. The caller has the proof that the task is gone from its machine."""
+        """End a binding. The caller has the proof that the task is gone from its machine."""
         job = binding.chunk.job
         index = binding.task.index
         task = job.tasks.get(index)
@@ -358,7 +195,7 @@
             heapq.heappush(job.requeued, index)
 
     def complete(self, job: Job, index: int, now: Monotonic) -> bool:
-        """Counts a task as done, whichever attempt said so; True the first time."""
+        """Count a task as done, whichever attempt said so, and return True the first time."""
         if job.done[index] or job.spec.is_service:
             return False
         job.done[index] = 1
@@ -375,7 +212,7 @@
         return True
 
     def task_failed(self, job: Job, index: int) -> None:
-        """Counts an error of a task. Called before its binding is released, which writes it."""
+        """Count an error of a task. Called before its binding is released, which writes it."""
         task = job.tasks.get(index)
         if task is None or job.most_errors is None:
             return
@@ -384,21 +221,21 @@
             self.give_up(job, OUTCOME_FAILED)
 
     def give_up(self, job: Job, outcome: str) -> None:
-        """Ends a job that is not done: nothing more of it starts, what runs is stopped after."""
+        """End a job that is not done: nothing more of it starts, what runs is stopped after."""
         if job.cancelled or job.complete or job.outcome != OUTCOME_DONE:
             return
         job.outcome = outcome
         self.ending[job.id] = job
 
     def cancel(self, job: Job) -> None:
-        """The job's record is over: nothing of it may start any more."""
+        """Note that the job's record has ended: nothing of it may start any more."""
         job.cancelled = True
         self.ending.pop(job.id, None)
         if job.bound_count == 0:
             self._drop(job)
 
     def ended(self, job: Job) -> None:
-        """The end of the job is committed; bindings that still stand go with their chunks."""
+        """Note that the job's end is committed; bindings that still stand go with their chunks."""
         self.ending.pop(job.id, None)
         job.cancelled = True
         if job.bound_count == 0:
@@ -428,7 +265,7 @@
     def _mark(
         self, chunk: Chunk, now: Monotonic, urgent: bool = False, hurry: bool = False
     ) -> None:
-        """A chunk has to be written: `urgent` for a new binding, `hurry` for what others await."""
+        """Mark a chunk to be written: `urgent` for a new binding, `hurry` for what others await."""
         if chunk.dirty_since is None:
             chunk.dirty_since = now
         if urgent or hurry:
@@ -439,7 +276,7 @@
             self.lazy[chunk] = None
 
     def never_sent(self, chunk: Chunk) -> Iterator[Binding]:
-        """Bindings in the chunk of which no start has left."""
+        """Yield the bindings in the chunk of which no start has left."""
         first = chunk.number * chunk.job.chunk_tasks
         for index in range(first, first + chunk.job.chunk_tasks):
             task = chunk.job.tasks.get(index)
@@ -447,7 +284,7 @@
                 yield task.binding
 
     def value(self, chunk: Chunk) -> dict[str, Any]:
-        """The chunk as it is kept: per task -1 (done), 0 (never bound), [next attempt] or bound."""
+        """Return the chunk as it is kept."""
         job = chunk.job
         first = chunk.number * job.chunk_tasks
         last = min(first + job.chunk_tasks, job.spec.tasks)
@@ -457,36 +294,35 @@
             binding = task.binding if task is not None else None
             if binding is not None and task is not None:
                 # A task that is done stays bound until its machine is known to have let go of it.
-                entries.append(
-                    [
-                        task.next_attempt,
-                        binding.machine,
-                        binding.incarnation,
-                        binding.attempt,
-                        _BACKFILLED_FLAG * binding.backfilled + _DONE_FLAG * job.done[index],
-                        round(binding.bound_at),
-                    ]
+                bound = BoundEntry(
+                    binding.machine,
+                    binding.incarnation,
+                    binding.attempt,
+                    binding.backfilled,
+                    bool(job.done[index]),
+                    binding.bound_at,
                 )
+                entries.append(bound.encode(task.next_attempt))
             elif job.done[index]:
-                entries.append(_DONE)
+                entries.append(TASK_DONE)
             else:
-                entries.append([task.next_attempt] if task is not None else 0)
-        value: dict[str, Any] = {"n": job.chunk_tasks, "tasks": entries}
+                entries.append([task.next_attempt] if task is not None else NEVER_BOUND)
         errors = {
             str(index - first): job.tasks[index].errors
             for index in range(first, last)
             if index in job.tasks and job.tasks[index].errors and not job.done[index]
         }
-        if errors:
-            value["errors"] = errors
-        return value
+        return encode_chunk(job.chunk_tasks, entries, errors)
 
     def load(self, job: Job, number: int, value: Any, stamp: Revision) -> list[Binding]:
-        """Takes over a chunk that a former leader wrote; returns the bindings that stand."""
+        """Take over a chunk that a former leader wrote, and return the bindings that stand.
+
+        Raises `RecordError` if this version can't read it.
+        """
         try:
-            record = msgspec.convert(value, _ChunkRecord)
-        except msgspec.ValidationError as error:
-            raise RecordError(f"{job.id}/{number}: {error}") from None
+            record = decode_chunk(value)
+        except RecordError as error:
+            raise RecordError(f"{job.id}/{number}: {error}") from error
         job.chunk_tasks = record.n
         chunk = Chunk(job, number, stamp, version=1, committed=1)
         job.chunks[number] = chunk
@@ -496,13 +332,13 @@
             if index >= job.spec.tasks:
                 raise RecordError(f"{job.id}/{number}: more tasks than the job has")
             if isinstance(entry, int):
-                if entry == _DONE:
+                if entry == TASK_DONE:
                     self._load_done(job, index)
                 continue
             try:
                 bindings.extend(self._load_entry(job, chunk, index, entry))
-            except (IndexError, TypeError, ValueError):
-                raise RecordError(f"{job.id}/{index}: {entry!r}") from None
+            except (IndexError, TypeError, ValueError) as error:
+                raise RecordError(f"{job.id}/{index}: {entry!r}") from error
         for place, errors in record.errors.items():
             task = job.tasks.get(number * record.n + int(place) if place.isdigit() else -1)
             if task is not None:
@@ -523,7 +359,7 @@
         if len(entry) == 1:
             heapq.heappush(job.requeued, index)
             return []
-        bound = _read_bound(entry)
+        bound = BoundEntry.decode(entry)
         if bound.done:
             self._load_done(job, index)
         binding = Binding(
@@ -542,56 +378,6 @@
         return [binding]
 
     def place_inherited(self, binding: Binding, zone: str) -> None:
+        """Count an inherited binding in its machine's zone, once that is known."""
         counts = binding.chunk.job.zone_counts
         counts[zone] = counts.get(zone, 0) + 1
-
-
-def chunk_bindings(value: Any) -> Iterator[tuple[MachineId, Incarnation]]:
-    """The machines and sessions to which a chunk's unfinished tasks are bound.
-
-    Raises `RecordError` if this version can't read it.
-    """
-    try:
-        record = msgspec.convert(value, _ChunkRecord)
-        for entry in record.tasks:
-            if isinstance(entry, int) or len(entry) == 1:
-                continue
-            bound = _read_bound(entry)
-            if not bound.done:
-                yield bound.machine, bound.incarnation
-    except (msgspec.ValidationError, IndexError, TypeError, ValueError) as error:
-        raise RecordError(str(error)) from None
-
-
-class _BoundEntry(NamedTuple):
-    """A bound task as a chunk keeps it."""
-
-    machine: MachineId
-    incarnation: Incarnation
-    attempt: Attempt
-    backfilled: bool
-    done: bool
-    bound_at: Wall
-
-
-def _read_bound(entry: list[Any]) -> _BoundEntry:
-    """Raises `ValueError` or `TypeError` if this version did not write it."""
-    _, name, incarnation, attempt, flags, bound_at = entry
-    machine = parse_machine_id(str(name))
-    if machine is None:
-        raise ValueError(f"{name!r} is no machine")
-    return _BoundEntry(
-        machine,
-        Incarnation(int(incarnation)),
-        Attempt(int(attempt)),
-        bool(int(flags) & _BACKFILLED_FLAG),
-        bool(int(flags) & _DONE_FLAG),
-        Wall(float(bound_at)),
-    )
-
-
-class _ChunkRecord(msgspec.Struct):
-    n: int
-    tasks: list[int | list[Any]]
-    errors: dict[str, int] = {}
-    """Failures by the task's place in the chunk; kept for jobs with a bound on them."""
--- a/tealrill/state/write_batcher.py
+++ b/tealrill/state/write_batcher.py
@@ -15,6 +15,7 @@
 
 from tealrill import wire
 from tealrill.errors import TealrillError
+from tealrill.state.bindings import Chunk, Job, Owner
 from tealrill.state.client import (
     GuardsFailed,
     OutcomeUnknownError,
@@ -24,17 +25,9 @@
     TransactionRejectedError,
 )
 from tealrill.state.fencing import LEADER_KEY, Fence, Leadership
-from tealrill.state.job_store import (
-    OUTCOME_CANCELLED,
-    OUTCOME_DONE,
-    Chunk,
-    Job,
-    JobStore,
-    Owner,
-    job_key,
-    over_key,
-)
+from tealrill.state.job_store import JobStore
 from tealrill.state.rate_limiter import RequestPriority
+from tealrill.state.records import OUTCOME_CANCELLED, OUTCOME_DONE, job_key, over_key
 from tealrill.types import ABSENT, Monotonic, Revision, monotonic_now
 
 log = logging.getLogger(__name__)
--- a/tests/test_bindings.py
+++ b/tests/test_bindings.py
@@ -21,7 +21,8 @@
 
 from tealrill import wire
 from tealrill.fleet.machines import Exit, Fleet, Machine
-from tealrill.state.job_store import Binding, Chunk, JobStore
+from tealrill.state.bindings import Binding, Chunk
+from tealrill.state.job_store import JobStore
 from tealrill.types import FencingToken, MachineId, Monotonic, Revision, Wall
 from tests.samples import report, spec
 
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -23,7 +23,8 @@
 from tealrill.scheduler.estimates import Estimates
 from tealrill.scheduler.model import MachineView, View
 from tealrill.scheduler.plan import _Pass
-from tealrill.state.job_store import Job, JobStore
+from tealrill.state.bindings import Job
+from tealrill.state.job_store import JobStore
 from tealrill.types import (
     FencingToken,
     MachineId,
--- a/tests/test_formats.py
+++ b/tests/test_formats.py
@@ -10,7 +10,8 @@
 from hypothesis import strategies as st
 
 from tealrill import settings, wire
-from tealrill.state.job_store import JobStore, chunk_size
+from tealrill.state.job_store import JobStore
+from tealrill.state.records import chunk_size
 from tealrill.types import (
     Incarnation,
     JobId,
--- a/tests/test_golden_records.py
+++ b/tests/test_golden_records.py
@@ -42,11 +42,13 @@
 from tealrill.leadership.lease_extension import ExtensionAnswer, ExtensionRequest, Presence
 from tealrill.scheduler.capacity import Rental
 from tealrill.state import fencing
-from tealrill.state import job_store as state_book
+from tealrill.state import records as state_records
 from tealrill.state.acknowledged_cancellations import AcknowledgedCancellations
 from tealrill.state.admission import Admission
+from tealrill.state.bindings import Chunk, Owner
 from tealrill.state.client import Committed, GuardsFailed
-from tealrill.state.job_store import JobStore, Owner, RecordError
+from tealrill.state.job_store import JobStore
+from tealrill.state.records import RecordError
 from tealrill.state.write_batcher import JoinedWrite, WriteBatcher, _Batch
 from tealrill.types import ABSENT, FencingToken, JobId, LeaseId, Revision, Wall
 from tests.samples import SETTINGS, SUBMISSION
@@ -164,7 +166,7 @@
     client = _Client()
     time_is(record.at)
     asyncio.run(_admission(client).submit(wire.encode(record.spec)))
-    return client.put(state_book.job_key(JobId(record.spec.id)))
+    return client.put(state_records.job_key(JobId(record.spec.id)))
 
 
 def write_released_node(record: Any) -> Any:
@@ -199,7 +201,7 @@
     job_store = JobStore(_VALUE_KB)
     job = job_store.add(_spec(), Wall(0.0), Revision(3))
     bindings = job_store.load(job, 0, value, Revision(9))
-    return job_store, job, bindings, list(state_book.chunk_bindings(value))
+    return job_store, job, bindings, list(state_records.chunk_bindings(value))
 
 
 def write_chunk(read: Any) -> Any:
@@ -225,16 +227,16 @@
     job.bound_count = int(read.spec is not None)
     batch = _Batch()
     WriteBatcher._add_end(cast(Any, None), batch, job, 10, False)
-    key = state_book.over_key(job.id)
+    key = state_records.over_key(job.id)
     return next(c["value"] for c in batch.changes if c.get("set") == key)
 
 
 def write_cancellation(read: Any) -> Any:
     """`over/ID` as the node that cancels the job writes it."""
     job = JobId(read.spec.id)
-    client = _Client({state_book.job_key(job): {"spec": wire.plain(read.spec), "at": 0.0}})
+    client = _Client({state_records.job_key(job): {"spec": wire.plain(read.spec), "at": 0.0}})
     asyncio.run(_admission(client).cancel(job))
-    return client.put(state_book.over_key(job))
+    return client.put(state_records.over_key(job))
 
 
 def write_burial(read: Any) -> Any:
@@ -260,7 +262,7 @@
 
 def write_gated_cancellation(_: Any) -> Any:
     """`over/NODE` as the node that cancels a gated node writes it."""
-    return _cancel_gated(2).put(state_book.over_key(model.node_id("fam1", 2)))
+    return _cancel_gated(2).put(state_records.over_key(model.node_id("fam1", 2)))
 
 
 def write_word(value: Any) -> Any:
@@ -761,10 +763,10 @@
 }
 
 KEYS: Final[dict[str, Callable[..., Any]]] = {
-    "job": state_book.job_key,
-    "over": state_book.over_key,
+    "job": state_records.job_key,
+    "over": state_records.over_key,
     "run": lambda job, number: (
-        state_book.Chunk(
+        Chunk(
             JobStore(_VALUE_KB).add(
                 _spec(orjson.dumps({**SUBMISSION, "id": job})), Wall(0.0), ABSENT
             ),
@@ -813,8 +815,8 @@
         wire.JOBS_PATH, wire.CANCEL_PATH, wire.HEALTH_PATH, wire.REPORT_PATH, wire.COMMANDS_PATH
     ],
     "outcomes": [
-        state_book.OUTCOME_DONE, state_book.OUTCOME_FAILED, state_book.OUTCOME_SKIPPED,
-        state_book.OUTCOME_CANCELLED,
+        state_records.OUTCOME_DONE, state_records.OUTCOME_FAILED, state_records.OUTCOME_SKIPPED,
+        state_records.OUTCOME_CANCELLED,
     ],
 }  # fmt: skip
 
--- a/tests/test_graphs.py
+++ b/tests/test_graphs.py
@@ -28,7 +28,8 @@
 from tealrill.scheduler.queue import order
 from tealrill.state.client import GuardsFailed, StateClient
 from tealrill.state.fencing import Leadership
-from tealrill.state.job_store import JobStore, job_key
+from tealrill.state.job_store import JobStore
+from tealrill.state.records import job_key
 from tealrill.types import (
     FencingToken,
     Incarnation,
--- a/tests/test_graphs_records.py
+++ b/tests/test_graphs_records.py
@@ -31,9 +31,10 @@
 from tealrill.scheduler.estimates import Estimates
 from tealrill.state import write_batcher
 from tealrill.state.admission import Admission, Reply
+from tealrill.state.bindings import Binding
 from tealrill.state.client import Committed, GuardsFailed, StateClient
 from tealrill.state.fencing import LEADER_KEY, Leadership
-from tealrill.state.job_store import Binding, JobStore
+from tealrill.state.job_store import JobStore
 from tealrill.state.rate_limiter import RequestPriority
 from tealrill.state.write_batcher import LeadershipLostError, WriteBatcher
 from tealrill.types import (
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -25,7 +25,7 @@
 from tealrill.scheduler.estimates import Estimates
 from tealrill.state.client import StateClient
 from tealrill.state.fencing import LEADER_KEY, Leadership
-from tealrill.state.job_store import job_key
+from tealrill.state.records import job_key
 from tealrill.types import (
     FencingToken,
     LeaseId,
--- a/tests/test_keeper.py
+++ b/tests/test_keeper.py
@@ -11,10 +11,12 @@
 
 from tealrill import wire
 from tealrill.state import write_batcher as keeper_module
+from tealrill.state.bindings import Job
 from tealrill.state.client import StateClient
 from tealrill.state.fencing import Leadership
-from tealrill.state.job_store import Job, JobStore, job_key, over_key
+from tealrill.state.job_store import JobStore
 from tealrill.state.rate_limiter import RequestPriority
+from tealrill.state.records import job_key, over_key
 from tealrill.state.write_batcher import WriteBatcher
 from tealrill.types import FencingToken, Incarnation, LeaseId, MachineId, Monotonic, Revision, Wall
 from tests.samples import SUBMISSION
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -20,8 +20,9 @@
 from tealrill.simulation.cluster import Shape, SimulatedCluster, play
 from tealrill.state.admission import Admission
 from tealrill.state.admission import Reply as UserReply
+from tealrill.state.bindings import Job
 from tealrill.state.client import StateClient
-from tealrill.state.job_store import Job, JobStore
+from tealrill.state.job_store import JobStore
 from tealrill.types import JobId, Monotonic
 from tests.test_flapping import LONG_JOBS
 
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -44,6 +44,7 @@
 from tealrill.state import client as client_module
 from tealrill.state.acknowledged_cancellations import AcknowledgedCancellations
 from tealrill.state.admission import Admission
+from tealrill.state.bindings import Binding, Job
 from tealrill.state.client import (
     OutcomeUnknownError,
     StateClient,
@@ -51,8 +52,9 @@
     StateUnavailableError,
 )
 from tealrill.state.fencing import Leadership
-from tealrill.state.job_store import OUTCOME_FAILED, RUN_PREFIX, Binding, Job, JobStore, over_key
+from tealrill.state.job_store import JobStore
 from tealrill.state.rate_limiter import RateLimiter, RequestPriority
+from tealrill.state.records import OUTCOME_FAILED, RUN_PREFIX, over_key
 from tealrill.types import FencingToken, JobId, LeaseId, MachineId, Monotonic, Revision, Wall
 from tests.samples import SETTINGS, report, spec
 from tests.test_bindings import Worker
--- a/tests/test_meetings_lab.py
+++ b/tests/test_meetings_lab.py
@@ -26,9 +26,11 @@
 from tealrill.simulation.faults import FaultInjector
 from tealrill.state.acknowledged_cancellations import AcknowledgedCancellations
 from tealrill.state.admission import Admission, Reply
+from tealrill.state.bindings import Job
 from tealrill.state.client import Committed, OutcomeUnknownError
 from tealrill.state.fencing import Fence
-from tealrill.state.job_store import Job, JobStore, job_key
+from tealrill.state.job_store import JobStore
+from tealrill.state.records import job_key
 from tealrill.state.write_batcher import WriteBatcher
 from tealrill.types import JobId, Monotonic, Revision, monotonic_now
 from tests.test_bindings import work_for_who_answers
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -23,6 +23,7 @@
 
 from tealrill import settings, wire
 from tealrill.state.admission import Admission, Reply
+from tealrill.state.bindings import Chunk
 from tealrill.state.client import (
     Committed,
     GuardsFailed,
@@ -32,8 +33,9 @@
     StateUnavailableError,
 )
 from tealrill.state.fencing import LEADER_KEY, Leadership
-from tealrill.state.job_store import Chunk, JobStore, job_key
+from tealrill.state.job_store import JobStore
 from tealrill.state.rate_limiter import RateLimiter, RequestPriority
+from tealrill.state.records import job_key
 from tealrill.state.write_batcher import WriteBatcher
 from tealrill.types import (
     FencingToken,
--- a/tests/test_waits.py
+++ b/tests/test_waits.py
@@ -14,7 +14,7 @@
 
 from tealrill.scheduler import failure_attribution as blame_module
 from tealrill.scheduler.model import Policy
-from tealrill.state.job_store import Binding, Job
+from tealrill.state.bindings import Binding, Job
 from tealrill.types import (
     Attempt,
     Incarnation,
--- a/tools/graph_cost.py
+++ b/tools/graph_cost.py
@@ -40,9 +40,9 @@
 from tealrill.leadership.election import Election
 from tealrill.scheduler.estimates import Estimates
 from tealrill.settings import Address
+from tealrill.state.bindings import Owner
 from tealrill.state.client import StateClient
 from tealrill.state.fencing import Leadership
-from tealrill.state.job_store import Owner
 from tealrill.types import (
     FencingToken,
     LeaseId,
