--- a/tealrill/fleet/dispatch.py
+++ b/tealrill/fleet/dispatch.py
@@ -8,7 +8,8 @@
 from typing import Final
 
 from tealrill import wire
-from tealrill.fleet.machines import Fleet, Machine
+from tealrill.fleet.inventory import Fleet
+from tealrill.fleet.machine import Machine
 from tealrill.fleet.provisioning import Provisioner
 from tealrill.scheduler import capacity, failure_detector
 from tealrill.scheduler.capacity import Offer, Rental
@@ -218,7 +219,7 @@
             if machine.releasing or machine.draining or machine.preemption_notice_until is not None:
                 continue
             verdict = self._verdict(machine)
-            silent_s = self._fleet.silence_s_of(machine, now)
+            silent_s = self._fleet.leases.silence_s_of(machine, now)
             if silent_s <= self._silence_s or _boots(machine, verdict):
                 continue
             kind = self._provisioner.type_of(machine.type)
@@ -402,7 +403,7 @@
     ) -> None:
         """Adds to `told` the machine that has to hear of it."""
         machine = self._fleet.machines.get(binding.machine)
-        if self._fleet.stop(binding, reason, grace_s, now) and machine is not None:
+        if self._fleet.commands.stop(binding, reason, grace_s, now) and machine is not None:
             told[machine] = None
 
     def _tell(self, machines: dict[Machine, None]) -> None:
@@ -419,7 +420,9 @@
         if not self._acquainted:
             # Machines that a new leader has not heard yet seem to have no room. In the first second
             # of a term one rented 116 of them a second time, the dear ones too.
-            self._acquainted = not self._fleet.still_coming(now, _HEARD_SHARE, self._coming_s)
+            self._acquainted = not self._fleet.leases.still_coming(
+                now, _HEARD_SHARE, self._coming_s
+            )
             if not self._acquainted:
                 self.put_off = True
                 return
@@ -589,7 +592,7 @@
                 if not spec.saves or binding.stop is not None or binding.running_since is None:
                     continue
                 if remaining_s(self._run_s(spec), now - binding.running_since) > left_s:
-                    told |= self._fleet.stop(binding, "notice", spec.save_s, now)
+                    told |= self._fleet.commands.stop(binding, "notice", spec.save_s, now)
             if told:
                 self._command_now(machine)
 
@@ -650,7 +653,7 @@
         keeps every silent machine from lapsing, it is the only one: 109 machines' tasks once waited
         for 35 s behind a partition that did not concern them.
         """
-        silent_s = self._fleet.silence_s_of(machine, now)
+        silent_s = self._fleet.leases.silence_s_of(machine, now)
         return (
             machine.missing_from_lists >= failure_detector.LISTS
             or silent_s > self._params.workers.lease_s
@@ -663,7 +666,7 @@
             return
         terminated = self._gone(machine)
         patience_s = self._params.workers.lease_s if terminated else _UNHEARD_BOOTS * kind.boot_s
-        if self._fleet.silence_s_of(machine, now) > patience_s + kind.boot_s:
+        if self._fleet.leases.silence_s_of(machine, now) > patience_s + kind.boot_s:
             self._release(machine, "gone" if terminated else "never heard")
 
     def _release(self, machine: Machine, why: str) -> None:
--- a/tealrill/fleet/prober.py
+++ b/tealrill/fleet/prober.py
@@ -16,7 +16,8 @@
 from collections.abc import Awaitable, Callable
 from typing import Final
 
-from tealrill.fleet.machines import Fleet, Machine
+from tealrill.fleet.inventory import Fleet
+from tealrill.fleet.machine import Machine
 from tealrill.http import accepts
 from tealrill.scheduler import failure_detector
 from tealrill.scheduler.failure_detector import Diagnosis, Evidence, Suspicion
@@ -81,7 +82,9 @@
         known = [m for m in self._fleet.machines.values() if m.up and m.zone]
         missed_s = failure_detector.live_within_s(self._report_s)
         silent = [
-            m for m in known if self._fleet.silence_s_of(m, now) > missed_s and not m.releasing
+            m
+            for m in known
+            if self._fleet.leases.silence_s_of(m, now) > missed_s and not m.releasing
         ]
         if not silent:
             self._judge([], now)
@@ -121,7 +124,7 @@
         return Evidence(
             machine.id,
             machine.zone,
-            self._fleet.silence_s_of(machine, now),
+            self._fleet.leases.silence_s_of(machine, now),
             machine.failed_connects,
             machine.accepts,
             machine.missing_from_lists,
--- a/tealrill/fleet/provisioning.py
+++ b/tealrill/fleet/provisioning.py
@@ -20,7 +20,8 @@
 from tealrill.fleet.capacity_backoff import CapacityBackoff
 from tealrill.fleet.cloud import MOST_RELEASED, MOST_RENTED, Cloud, CloudError, NoCapacityError
 from tealrill.fleet.intent_log import IntentLog
-from tealrill.fleet.machines import Fleet, Machine
+from tealrill.fleet.inventory import Fleet
+from tealrill.fleet.machine import Machine
 from tealrill.scheduler.boot_times import BootTimeEstimator
 from tealrill.scheduler.capacity import Kind, Offer, Rental
 from tealrill.state.fencing import Duty, NotHolderError
--- a/tealrill/leader/leader.py
+++ b/tealrill/leader/leader.py
@@ -16,8 +16,10 @@
 from tealrill.fleet.cloud import Cloud
 from tealrill.fleet.connections import ConnectionPool
 from tealrill.fleet.dispatch import RENT_EVERY_S, SchedulingLoop
+from tealrill.fleet.heartbeats import NewerTokenError
 from tealrill.fleet.intent_log import CLOUD_PREFIX, IntentLog
-from tealrill.fleet.machines import CompletedTask, Fleet, Machine, NewerTokenError
+from tealrill.fleet.inventory import Fleet
+from tealrill.fleet.machine import CompletedTask, Machine
 from tealrill.fleet.prober import Prober
 from tealrill.fleet.provisioning import Provisioner
 from tealrill.http import NoAnswerError
@@ -128,7 +130,10 @@
         spare_s = workers.cancel_s - workers.lease_s
         self.fleet.stop_timeout_s = max(_STOP_S, spare_s / 2)
         self._delegations = Delegations(
-            client, mine.term, mine.stamp, lambda: self.fleet.delegation_ended(monotonic_now())
+            client,
+            mine.term,
+            mine.stamp,
+            lambda: self.fleet.leases.delegation_ended(monotonic_now()),
         )
         self.fleet.changed = self.wake
         self.fleet.finished = self._finished
@@ -574,19 +579,19 @@
     async def _check_silence(self) -> None:
         """Machines lapse only once it is seen that no other node could have renewed them."""
         now = monotonic_now()
-        silent = self.fleet.silent(now)
+        silent = self.fleet.leases.silent(now)
         # What its user was told is cancelled must not be kept running by a delegate, nor what this
         # leader may not know of. Once its machine would have lapsed without delegates is too late:
         # the delegation's end and the worker's lease come after it, and left a second of
         # `cancel_s`.
         self._tell_knowledge(now)
-        has_overdue_stop = self.fleet.has_overdue_stop(now) or not self.informed(now)
+        has_overdue_stop = self.fleet.heartbeats.has_overdue_stop(now) or not self.informed(now)
         if not silent and not has_overdue_stop:
             await self._delegations.clear()
             return
         has_overdue_stop |= any(b.chunk.job.cancelled for m in silent for b in m.bindings.values())
         if not await self._delegations.stand(now, revoke=has_overdue_stop):
-            self.fleet.check_silence(now)
+            self.fleet.leases.check_silence(now)
 
     # -- workers --------------------------------------------------------------------------------
 
@@ -595,7 +600,7 @@
     ) -> list[dict[str, object]] | None:
         """Commands for the response; None if the worker is to go elsewhere."""
         try:
-            commands = self.fleet.report(report, machine_id, now, wall_now())
+            commands = self.fleet.heartbeats.process(report, machine_id, now, wall_now())
         except NewerTokenError as error:
             log.info("term %d: %s", self._mine.term, error)
             self._election.step_down("a worker knows a newer term")
@@ -618,14 +623,14 @@
             await self._send_all(machine)
 
     async def _send_all(self, machine: Machine) -> None:
-        stops = self.fleet.stops(machine, monotonic_now())
+        stops = self.fleet.commands.stops(machine, monotonic_now())
         while self._valid() and machine.incarnation is not None:
-            starts = self.fleet.direct_starts(machine)
+            starts = self.fleet.commands.direct_starts(machine)
             commands = stops + [wire.start(str(b.task), b.attempt) for b in starts]
             if not commands:
                 return
             body = wire.encode(wire.direct_commands(self._mine.term, machine.incarnation, commands))
-            self.fleet.direct_sent(starts)
+            self.fleet.commands.direct_sent(starts)
             if not await self._send_directly(machine, body, starts):
                 return
             self.wake()
@@ -651,16 +656,16 @@
             if isinstance(error, SettingsError) or (
                 isinstance(error, NoAnswerError) and not error.sent
             ):
-                self.fleet.direct_refused(starts)
+                self.fleet.commands.direct_refused(starts)
             return False
         if answer.status in (400, 409):
             log.info("commands for %s refused: status %d", machine.id, answer.status)
-            self.fleet.direct_refused(starts)
+            self.fleet.commands.direct_refused(starts)
         if report is None:
             return False
         # The report goes first: with its sequence number known, an older report that does not
         # list the task yet can't be taken for proof that it is gone.
-        self.fleet.handle_direct_reply(report, machine.id, monotonic_now(), wall_now())
+        self.fleet.heartbeats.handle_direct_reply(report, machine.id, monotonic_now(), wall_now())
         if answer.status == 200:
-            self.fleet.direct_executed(starts)
+            self.fleet.commands.direct_executed(starts)
         return answer.status == 200
--- a/tealrill/profiling.py
+++ b/tealrill/profiling.py
@@ -30,8 +30,8 @@
 
 CAUSES: Final[dict[str, str]] = {
     "reports: decoding": "tealrill.api.front:_Request._report",
-    "reports: taking in": "tealrill.fleet.machines:Fleet._process",
-    "reports: commands": "tealrill.fleet.machines:Fleet._commands",
+    "reports: taking in": "tealrill.fleet.heartbeats:HeartbeatProcessor._process",
+    "reports: commands": "tealrill.fleet.commands:Commands.for_response",
     "reports: the rest": "tealrill.daemon:Controller.handle_heartbeat",
     "answers written": "tealrill.api.front:answer",
     "passes: the rest": "tealrill.fleet.dispatch:SchedulingLoop.run",
@@ -53,7 +53,7 @@
     "wishes: laying": "tealrill.scheduler.capacity:FreeCapacity.lay",
     "wishes: reckoning": "tealrill.scheduler.capacity:rentals",
     "silence: judging": "tealrill.fleet.prober:Prober.look",
-    "silence: leases": "tealrill.fleet.machines:Fleet.silent",
+    "silence: leases": "tealrill.fleet.leases:Leases.silent",
     "records: gathering": "tealrill.state.write_batcher:WriteBatcher._gather",
     "records: applied": "tealrill.state.write_batcher:WriteBatcher._apply",
     "jobs watched": "tealrill.leader.leader:Leader.job_changed",
--- a/tests/test_bindings.py
+++ b/tests/test_bindings.py
@@ -20,7 +20,12 @@
 from hypothesis import strategies as st
 
 from tealrill import wire
-from tealrill.fleet.machines import Exit, Fleet, Machine
+from tealrill.fleet.commands import Commands
+from tealrill.fleet.heartbeats import HeartbeatProcessor
+from tealrill.fleet.inventory import Fleet
+from tealrill.fleet.leases import Leases
+from tealrill.fleet.machine import Exit, Machine
+from tealrill.fleet.reconciliation import Reconciler
 from tealrill.state.job_store import Binding, Chunk, JobStore
 from tealrill.types import FencingToken, MachineId, Monotonic, Revision, Wall
 from tests.samples import report, spec
@@ -164,7 +169,7 @@
     def stop(self) -> None:
         bindings = list(self.job.bindings())
         if bindings:
-            self.fleet.stop(self.random.choice(bindings), "test", 0.0, Monotonic(self.now))
+            self.fleet.commands.stop(self.random.choice(bindings), "test", 0.0, Monotonic(self.now))
 
     # -- reports --------------------------------------------------------------------------------
 
@@ -181,7 +186,9 @@
         if beat is None or beat.report.token > self.term:
             return
         machine_id = MachineId(beat.report.machine)
-        commands = self.fleet.report(beat.report, machine_id, Monotonic(self.now), Wall(0.0))
+        commands = self.fleet.heartbeats.process(
+            beat.report, machine_id, Monotonic(self.now), Wall(0.0)
+        )
         if commands is not None:
             self.responses.append((beat, self.term, commands))
 
@@ -251,11 +258,11 @@
         machine = self.fleet.machines.get(MachineId(self.random.choice(MACHINES)))
         if machine is None or machine.incarnation is None:
             return
-        starts = self.fleet.direct_starts(machine)
-        commands = self.fleet.stops(machine, Monotonic(self.now))
+        starts = self.fleet.commands.direct_starts(machine)
+        commands = self.fleet.commands.stops(machine, Monotonic(self.now))
         commands += [wire.start(str(b.task), b.attempt) for b in starts]
         if commands:
-            self.fleet.direct_sent(starts)
+            self.fleet.commands.direct_sent(starts)
             self.directs.append(
                 Direct(machine.id, self.term, machine.incarnation, commands, starts, self.fleet)
             )
@@ -283,10 +290,12 @@
         if lost or direct.fleet is not self.fleet or answer.token > self.term:
             return
         if refused:
-            self.fleet.direct_refused(direct.starts)
-        self.fleet.handle_direct_reply(answer, MachineId(worker.id), Monotonic(self.now), Wall(0.0))
+            self.fleet.commands.direct_refused(direct.starts)
+        self.fleet.heartbeats.handle_direct_reply(
+            answer, MachineId(worker.id), Monotonic(self.now), Wall(0.0)
+        )
         if not refused:
-            self.fleet.direct_executed(direct.starts)
+            self.fleet.commands.direct_executed(direct.starts)
 
     # -- time, tasks, the cloud -----------------------------------------------------------------
 
@@ -295,11 +304,11 @@
         for worker in self.workers.values():
             worker.lapse(self.now)
         if self.delegation != (self.term, False):
-            self.fleet.check_silence(Monotonic(self.now))
+            self.fleet.leases.check_silence(Monotonic(self.now))
         elif self.random.random() < 0.5:
             # The leader closes a delegation, or has removed it because all machines were heard.
             self.delegation = (self.term, True) if self.random.random() < 0.5 else None
-            self.fleet.delegation_ended(Monotonic(self.now))
+            self.fleet.leases.delegation_ended(Monotonic(self.now))
 
     def a_task_exits(self) -> None:
         worker = self.random.choice(list(self.workers.values()))
@@ -375,7 +384,9 @@
         if self.old:
             found = self.random.choice(self.old[-12:])
             if found.token <= self.term:
-                self.fleet.report(found, MachineId(found.machine), Monotonic(self.now), Wall(0.0))
+                self.fleet.heartbeats.process(
+                    found, MachineId(found.machine), Monotonic(self.now), Wall(0.0)
+                )
 
     def kept_for_the_next(self) -> None:
         """Copies reach a new leader first, and then it acts."""
@@ -415,44 +426,68 @@
 
 
 class StartsBeforeTheRecord(Fleet):
-    @staticmethod
-    def _may_start(binding: Binding) -> bool:
-        return binding.stop is None and not binding.inherited
+    class _Commands(Commands):
+        @staticmethod
+        def _may_start(binding: Binding) -> bool:
+            return binding.stop is None and not binding.inherited
+
+    def __init__(self, *args: Any) -> None:
+        super().__init__(*args)
+        self.commands = self._Commands(self)
 
 
 class TrustsReportsOfOlderTerms(Fleet):
-    def report(
-        self, report: wire.Heartbeat, machine_id: MachineId, now: Monotonic, wall: Wall
-    ) -> Any:
-        newer = wire.Heartbeat(
-            **{**{f: getattr(report, f) for f in report.__struct_fields__}, "token": self._term}
-        )
-        return super().report(newer, machine_id, now, wall)
+    class _Heartbeats(HeartbeatProcessor):
+        def process(
+            self, heartbeat: wire.Heartbeat, machine_id: MachineId, now: Monotonic, wall: Wall
+        ) -> Any:
+            fields = {f: getattr(heartbeat, f) for f in heartbeat.__struct_fields__}
+            newer = wire.Heartbeat(**{**fields, "token": self._term})
+            return super().process(newer, machine_id, now, wall)
+
+    def __init__(self, *args: Any) -> None:
+        super().__init__(*args)
+        self.heartbeats = self._Heartbeats(self, args[1], 0.0)
 
 
 class TakesReportsInAnyOrder(Fleet):
-    @staticmethod
-    def _out_of_date(machine: Machine, report: wire.Heartbeat) -> bool:
-        return machine.incarnation is not None and report.incarnation < machine.incarnation
+    class _Heartbeats(HeartbeatProcessor):
+        @staticmethod
+        def _out_of_date(machine: Machine, heartbeat: wire.Heartbeat) -> bool:
+            return machine.incarnation is not None and heartbeat.incarnation < machine.incarnation
+
+    def __init__(self, *args: Any) -> None:
+        super().__init__(*args)
+        self.heartbeats = self._Heartbeats(self, args[1], 0.0)
 
 
 class ForgetsDirectStartsUnderWay(Fleet):
-    def direct_sent(self, bindings: Any) -> None:
-        return
+    class _Commands(Commands):
+        def direct_sent(self, bindings: Any) -> None:
+            return
+
+    def __init__(self, *args: Any) -> None:
+        super().__init__(*args)
+        self.commands = self._Commands(self)
 
 
 class LapsesTooSoon(Fleet):
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
-        self._silence_s = LEASE_S / 3
+        self.leases.silence_s = LEASE_S / 3
 
 
 class CountsSilenceFromNothing(Fleet):
     """A new leader that does not count its election as a possible renewal."""
 
-    def check_silence(self, now: Monotonic) -> None:
-        self._elected_at = self._elsewhere_until = Monotonic(0.0)
-        super().check_silence(now)
+    class _Leases(Leases):
+        def check_silence(self, now: Monotonic) -> None:
+            self._elected_at = self._elsewhere_until = Monotonic(0.0)
+            super().check_silence(now)
+
+    def __init__(self, *args: Any) -> None:
+        super().__init__(*args)
+        self.leases = self._Leases(self, *args[2:5])
 
 
 def work_for_who_answers(patch: pytest.MonkeyPatch) -> None:
@@ -473,16 +508,26 @@
     """A session that only a direct command's answer has shown. Nothing is bound in one before its
     first report, so this clause shows only with that one taken away as well."""
 
-    def _renewed_at(self, machine: Machine) -> Monotonic:
-        machine.incarnation_seen_at = None
-        return super()._renewed_at(machine)
+    class _Leases(Leases):
+        def _renewed_at(self, machine: Machine) -> Monotonic:
+            machine.incarnation_seen_at = None
+            return super()._renewed_at(machine)
+
+    def __init__(self, *args: Any) -> None:
+        super().__init__(*args)
+        self.leases = self._Leases(self, *args[2:5])
 
 
 class ForgetsRevokedDelegations(Fleet):
     """A delegate may act on its delegation for a moment after it was closed."""
 
-    def delegation_ended(self, now: Monotonic) -> None:
-        return
+    class _Leases(Leases):
+        def delegation_ended(self, now: Monotonic) -> None:
+            return
+
+    def __init__(self, *args: Any) -> None:
+        super().__init__(*args)
+        self.leases = self._Leases(self, *args[2:5])
 
 
 class ForgetsDelegationsOfEarlierTerms(Fleet):
@@ -490,15 +535,20 @@
 
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
-        self._elsewhere_until = self._elected_at
+        self.leases._elsewhere_until = self.leases._elected_at
 
 
 class IgnoresWhatIsListed(Fleet):
     """Releases a binding whenever a report does not list it, even before a start could arrive."""
 
-    def _missing(self, machine: Machine, binding: Binding, *args: Any) -> None:
-        binding.seen = True
-        super()._missing(machine, binding, *args)
+    class _Reconciler(Reconciler):
+        def _missing(self, machine: Machine, binding: Binding, *args: Any) -> None:
+            binding.seen = True
+            super()._missing(machine, binding, *args)
+
+    def __init__(self, *args: Any) -> None:
+        super().__init__(*args)
+        self.reconciler = self._Reconciler(self)
 
 
 @pytest.mark.parametrize(
@@ -565,20 +615,20 @@
     if new_leader:
         cluster.elect()
     else:
-        cluster.fleet.delegation_ended(Monotonic(cluster.now))
+        cluster.fleet.leases.delegation_ended(Monotonic(cluster.now))
     asked, ends = cluster.now + DELEGATION_S, cluster.now
     # The worker's report is answered at the end of the delegation, and renews it from its sending.
     term, until = cluster.permitted
     assert asked <= until and term == cluster.term - new_leader
     worker.renewed_at = asked
     cluster.now = ends + LEASE_S + 1.0
-    cluster.fleet.check_silence(Monotonic(cluster.now))
+    cluster.fleet.leases.check_silence(Monotonic(cluster.now))
     assert cluster.now - worker.renewed_at < LEASE_S
     still_bound = bool(list(cluster.job.bindings()))
     forgotten = ForgetsDelegationsOfEarlierTerms if new_leader else ForgetsRevokedDelegations
     assert still_bound is (kept or fleet_class is not forgotten)
     cluster.now = asked + LEASE_S + 1.0
-    cluster.fleet.check_silence(Monotonic(cluster.now))
+    cluster.fleet.leases.check_silence(Monotonic(cluster.now))
     assert not list(cluster.job.bindings())
 
 
@@ -596,12 +646,14 @@
     machine = cluster.workers["m-1"]
     for sequence in (1, 2):
         beat = report("m-1", 1, sequence, cluster.term)
-        cluster.fleet.report(beat, MachineId("m-1"), Monotonic(cluster.now), Wall(0.0))
+        cluster.fleet.heartbeats.process(beat, MachineId("m-1"), Monotonic(cluster.now), Wall(0.0))
     cluster.now += LEASE_S + DELEGATION_S + 2.0
     machine.lapse(cluster.now)
     machine.sequence, machine.token = 3, cluster.term
     answer = report("m-1", machine.incarnation, machine.sequence, cluster.term)
-    cluster.fleet.handle_direct_reply(answer, MachineId("m-1"), Monotonic(cluster.now), Wall(0.0))
+    cluster.fleet.heartbeats.handle_direct_reply(
+        answer, MachineId("m-1"), Monotonic(cluster.now), Wall(0.0)
+    )
     cluster.bind()
     if reports_first:
         # It has not reported in this session: nothing is bound there.
@@ -610,11 +662,11 @@
     cluster.commit()
     while not machine.tasks:
         cluster.direct_round_trip()
-    cluster.fleet.check_silence(Monotonic(cluster.now))
+    cluster.fleet.leases.check_silence(Monotonic(cluster.now))
     assert bool(list(cluster.job.bindings())) is (fleet_class is Fleet)
     # Nothing more is heard: its lease, counted from then, ends the binding.
     cluster.now += LEASE_S + 1.0
-    cluster.fleet.check_silence(Monotonic(cluster.now))
+    cluster.fleet.leases.check_silence(Monotonic(cluster.now))
     assert not list(cluster.job.bindings())
 
 
@@ -623,20 +675,22 @@
     cluster = Cluster(0, Fleet)
     for name in MACHINES:
         beat = report(name, 1, 1, cluster.term)
-        cluster.fleet.report(beat, MachineId(name), Monotonic(100.0), Wall(0.0))
+        cluster.fleet.heartbeats.process(beat, MachineId(name), Monotonic(100.0), Wall(0.0))
     cluster.bind()
     (binding,) = cluster.job.bindings()
     cluster.commit()
     machine = binding.machine
-    commands = cluster.fleet.report(
+    commands = cluster.fleet.heartbeats.process(
         report(machine, 1, 2, cluster.term), machine, Monotonic(100.0), Wall(0.0)
     )
     assert commands == [wire.start("wk-000412/0", 1)]
-    cluster.fleet.stop(binding, "test", 0.0, Monotonic(100.0))
+    cluster.fleet.commands.stop(binding, "test", 0.0, Monotonic(100.0))
     answer = report(machine, 1, 3, cluster.term)
-    cluster.fleet.handle_direct_reply(answer, machine, Monotonic(100.0), Wall(0.0))
+    cluster.fleet.heartbeats.handle_direct_reply(answer, machine, Monotonic(100.0), Wall(0.0))
     assert list(cluster.job.bindings()) == [binding]
-    cluster.fleet.report(report(machine, 1, 4, cluster.term), machine, Monotonic(100.0), Wall(0.0))
+    cluster.fleet.heartbeats.process(
+        report(machine, 1, 4, cluster.term), machine, Monotonic(100.0), Wall(0.0)
+    )
     assert list(cluster.job.bindings()) == []
 
 
@@ -649,12 +703,17 @@
     assert Exit(chunk, 3).settled
     fleet = Fleet(job_store, FencingToken(1), Monotonic(0.0), LEASE_S)
     fleet.inherit([], Monotonic(0.0))
-    assert fleet.report(report("m-1", 1, 1, 1), MachineId("m-1"), Monotonic(0.0), Wall(0.0)) == []
+    assert (
+        fleet.heartbeats.process(
+            report("m-1", 1, 1, 1), MachineId("m-1"), Monotonic(0.0), Wall(0.0)
+        )
+        == []
+    )
     machine = fleet.machines[MachineId("m-1")]
     binding = fleet.bind(job, machine, False, Wall(0.0), Monotonic(0.0))
     assert binding is not None
-    fleet.direct_sent([binding])
+    fleet.commands.direct_sent([binding])
     # A direct start that may still arrive would run a forgotten attempt again.
     assert not Exit(chunk, 3, binding).settled
-    fleet.direct_executed([binding])
+    fleet.commands.direct_executed([binding])
     assert Exit(chunk, 3, binding).settled
--- a/tests/test_boots.py
+++ b/tests/test_boots.py
@@ -9,7 +9,8 @@
 
 from tealrill import wire
 from tealrill.fleet.cloud import Cloud
-from tealrill.fleet.machines import Fleet, Machine
+from tealrill.fleet.inventory import Fleet
+from tealrill.fleet.machine import Machine
 from tealrill.fleet.provisioning import Provisioner
 from tealrill.scheduler.boot_times import BootTimeEstimator
 from tealrill.scheduler.capacity import Rental
--- a/tests/test_cost.py
+++ b/tests/test_cost.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from tealrill.fleet.dispatch import SchedulingLoop
-from tealrill.fleet.machines import Fleet
+from tealrill.fleet.reconciliation import Reconciler
 from tealrill.scheduler import capacity, preemption, reservation
 from tealrill.scheduler import plan as planner
 from tealrill.scheduler.capacity import FreeCapacity, Offer, rentals
@@ -397,7 +397,7 @@
         ]
         heard = report(name, 1, self.sequence, 1, lines)
         heard = msgspec.structs.replace(heard, type="huge")
-        self.fleet.report(heard, name, Monotonic(self.now), Wall(self.now))
+        self.fleet.heartbeats.process(heard, name, Monotonic(self.now), Wall(self.now))
 
     def survey(self) -> list[MachineView]:
         return self.scheduling_loop._survey(Monotonic(self.now))[0]
@@ -411,7 +411,7 @@
 ) -> None:
     """1,200 machines, 30,000 running tasks."""
     world = _Large(25)
-    lists = _counted(monkeypatch, Fleet, "_take_list", lambda *_, **__: 1)
+    lists = _counted(monkeypatch, Reconciler, "reconcile", lambda *_, **__: 1)
     fresh = _counted(monkeypatch, SchedulingLoop, "_fresh", lambda *_: 1)
     asked = _counted(monkeypatch, SchedulingLoop, "_machine", lambda *_: 1)
     world.beat(world.names[7])
@@ -424,7 +424,7 @@
 ) -> None:
     world = _Large(4)
     fresh = _counted(monkeypatch, SchedulingLoop, "_fresh", lambda *_: 1)
-    taken = _counted(monkeypatch, Fleet, "_progress", lambda *_: 1)
+    taken = _counted(monkeypatch, Reconciler, "_progress", lambda *_: 1)
     for name in world.names[:200]:
         ended = next(iter(world.fleet.machines[name].named))
         world.beat(name, ended)
@@ -458,7 +458,7 @@
     world.now += 9.0
     for name in world.names[500:]:
         world.beat(name)
-    world.fleet.check_silence(Monotonic(world.now))
+    world.fleet.leases.check_silence(Monotonic(world.now))
     assert all(world.fleet.machines[name].lease_expired for name in terminated)
     assert sum(job.waiting for job in world.jobs) == 2000
     looks = _counted(monkeypatch, planner._Pass, "_candidates", lambda *_: 1)
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -14,11 +14,13 @@
 from hypothesis import strategies as st
 
 from tealrill import settings, wire
-from tealrill.fleet import machines
+from tealrill.fleet import heartbeats, inventory, reconciliation
 from tealrill.fleet.cloud import Cloud
 from tealrill.fleet.dispatch import RENT_EVERY_S, SchedulingLoop
-from tealrill.fleet.machines import Fleet
+from tealrill.fleet.inventory import Fleet
+from tealrill.fleet.machine import Machine
 from tealrill.fleet.provisioning import Provisioner
+from tealrill.fleet.reconciliation import Reconciler
 from tealrill.leader.leader import pass_gap_s
 from tealrill.scheduler.estimates import Estimates
 from tealrill.scheduler.model import MachineView, View
@@ -71,7 +73,9 @@
 
 
 def _beat(fleet: Fleet, sequence: int, now: float) -> None:
-    fleet.report(report("m-1", 1, sequence, 1), MachineId("m-1"), Monotonic(now), Wall(now))
+    fleet.heartbeats.process(
+        report("m-1", 1, sequence, 1), MachineId("m-1"), Monotonic(now), Wall(now)
+    )
 
 
 def test_an_idle_machine_goes_back_though_tasks_wait_that_do_not_fit_it() -> None:
@@ -91,10 +95,10 @@
     scheduling_loop.run(Monotonic(0.0), Wall(0.0))
     assert job.bound_count == 2
     machine = fleet.machines[MachineId("m-1")]
-    assert fleet.direct_starts(machine) == []
+    assert fleet.commands.direct_starts(machine) == []
     for chunk in job.chunks.values():
         chunk.committed = chunk.version
-    assert len(fleet.direct_starts(machine)) == 2
+    assert len(fleet.commands.direct_starts(machine)) == 2
 
 
 def test_a_wish_for_machines_that_was_put_off_brings_another_pass_soon() -> None:
@@ -137,12 +141,12 @@
         heard = msgspec.structs.replace(
             report(name, incarnation, self.sequence, 1, lines), **changes
         )
-        self.fleet.report(heard, MachineId(name), Monotonic(self.now), Wall(self.now))
+        self.fleet.heartbeats.process(heard, MachineId(name), Monotonic(self.now), Wall(self.now))
 
     def stop(self) -> None:
         for job in list(self.job_store.jobs.values()):
             for binding in list(job.bindings())[:1]:
-                self.fleet.stop(binding, "preemption", 5.0, Monotonic(self.now))
+                self.fleet.commands.stop(binding, "preemption", 5.0, Monotonic(self.now))
 
     def check(self) -> None:
         kept = _plain(self.scheduling_loop.view(Monotonic(self.now), Wall(self.now)).machines)
@@ -176,7 +180,7 @@
             self.check()
 
 
-class _Sticky(machines.Machine):
+class _Sticky(Machine):
     """A machine whose view is not dropped when something in it changes."""
 
     def forget(self) -> None:
@@ -200,7 +204,8 @@
 
 
 def test_a_kept_view_that_is_never_dropped_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(machines, "Machine", _Sticky)
+    for module in (heartbeats, inventory):
+        monkeypatch.setattr(module, "Machine", _Sticky)
     with pytest.raises(AssertionError):
         _Play().run([5, 16, 27, 0, 1, 2, 5, 16, 27])
 
@@ -224,7 +229,7 @@
     made: list[MachineId] = []
     fresh = play.scheduling_loop._fresh
 
-    def counted(machine: machines.Machine, kind: wire.MachineType) -> MachineView:
+    def counted(machine: Machine, kind: wire.MachineType) -> MachineView:
         made.append(machine.id)
         return fresh(machine, kind)
 
@@ -247,18 +252,18 @@
     machine = play.fleet.machines[MachineId("m-2")]
     read: list[str] = []
     taken: list[str] = []
-    take_list, progress = Fleet._take_list, Fleet._progress
+    reconcile, progress = Reconciler.reconcile, Reconciler._progress
 
-    def counted(fleet: Fleet, of: machines.Machine, *rest: Any, **more: Any) -> None:
+    def counted(self: Reconciler, of: Machine, *rest: Any, **more: Any) -> None:
         read.append(of.id)
-        take_list(fleet, of, *rest, **more)
+        reconcile(self, of, *rest, **more)
 
-    def counted_progress(fleet: Fleet, of: machines.Machine, *rest: Any) -> None:
+    def counted_progress(self: Reconciler, of: Machine, *rest: Any) -> None:
         taken.append(of.id)
-        progress(fleet, of, *rest)
+        progress(self, of, *rest)
 
-    monkeypatch.setattr(Fleet, "_take_list", counted)
-    monkeypatch.setattr(Fleet, "_progress", counted_progress)
+    monkeypatch.setattr(Reconciler, "reconcile", counted)
+    monkeypatch.setattr(Reconciler, "_progress", counted_progress)
     assert machine.bindings
     play.beat("m-2", "running")
     read.clear()
@@ -281,18 +286,18 @@
     play.beat("m-1", "running")
     parsed: list[str] = []
     taken: list[TaskId] = []
-    progress = Fleet._progress
+    progress = Reconciler._progress
 
     def counted(text: str) -> TaskId | None:
         parsed.append(text)
         return parse_task_id(text)
 
-    def counted_progress(of: Fleet, machine: machines.Machine, binding: Any, *rest: Any) -> None:
+    def counted_progress(of: Reconciler, machine: Machine, binding: Any, *rest: Any) -> None:
         taken.append(binding.task)
         progress(of, machine, binding, *rest)
 
-    monkeypatch.setattr(machines, "parse_task_id", counted)
-    monkeypatch.setattr(Fleet, "_progress", counted_progress)
+    monkeypatch.setattr(reconciliation, "parse_task_id", counted)
+    monkeypatch.setattr(Reconciler, "_progress", counted_progress)
     ended = next(iter(machine.bindings))
     play.sequence += 1
     lines = [
@@ -301,7 +306,7 @@
         for b in machine.bindings.values()
     ]  # fmt: skip
     heard = report("m-1", 1, play.sequence, 1, lines)
-    fleet.report(heard, machine.id, Monotonic(play.now), Wall(play.now))
+    fleet.heartbeats.process(heard, machine.id, Monotonic(play.now), Wall(play.now))
     assert taken == [ended] and not parsed
     assert len(machine.bindings) == 99 and job.done_count == 1
 
@@ -316,11 +321,11 @@
 
     def beat(sequence: int) -> list[dict[str, Any]] | None:
         heard = report("m-2", 1, 1000 + sequence, 1, lines)
-        return play.fleet.report(heard, machine.id, Monotonic(play.now), Wall(play.now))
+        return play.fleet.heartbeats.process(heard, machine.id, Monotonic(play.now), Wall(play.now))
 
     assert lines and beat(1) == [] and beat(2) == []
     binding = next(iter(machine.bindings.values()))
-    play.fleet.stop(binding, "preemption", 0.0, Monotonic(play.now))
+    play.fleet.commands.stop(binding, "preemption", 0.0, Monotonic(play.now))
     stop = wire.stop(str(binding.task), binding.attempt, 0.0)
     # Repeated until it is seen to be carried out.
     assert (beat(3), beat(4)) == ([stop], [stop])
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -20,7 +20,7 @@
 from tealrill.fleet import intent_log, provisioning
 from tealrill.fleet.cloud import Cloud, CloudError, NoCapacityError
 from tealrill.fleet.intent_log import CLOUD_PREFIX, IntentLog, RentRecord, ReturnRecord
-from tealrill.fleet.machines import Fleet
+from tealrill.fleet.inventory import Fleet
 from tealrill.fleet.provisioning import Provisioner
 from tealrill.scheduler.capacity import Rental
 from tealrill.state import fencing, rate_limiter, write_batcher
@@ -188,7 +188,7 @@
             machine_id = MachineId(name)
             heard = report(name, 1, self.world.sequence, self.number)
             at = Monotonic(self.world.now)
-            self.fleet.report(heard, machine_id, at, Wall(at))
+            self.fleet.heartbeats.process(heard, machine_id, at, Wall(at))
             machine = self.fleet.machines.get(machine_id)
             if machine is not None and machine.is_placeable(at, 8.0):
                 self.world.work[name] = self.number
--- a/tests/test_falls.py
+++ b/tests/test_falls.py
@@ -19,7 +19,7 @@
 from tealrill import wire
 from tealrill.fleet.cloud import Cloud
 from tealrill.fleet.dispatch import SchedulingLoop
-from tealrill.fleet.machines import Fleet
+from tealrill.fleet.inventory import Fleet
 from tealrill.fleet.prober import Prober
 from tealrill.fleet.provisioning import Provisioner
 from tealrill.scheduler import failure_detector
@@ -200,7 +200,7 @@
             token=worker.token, tasks=lines,
         )  # fmt: skip
         now = Monotonic(self.now)
-        commands = self.fleet.report(heard, worker.name, now, Wall(self.now))
+        commands = self.fleet.heartbeats.process(heard, worker.name, now, Wall(self.now))
         if commands is None:
             return
         worker.renewed_at, worker.token = self.now, self.term
@@ -239,7 +239,7 @@
             if self.heard(worker):
                 self._reports(worker)
         now = Monotonic(self.now)
-        self.fleet.check_silence(now)
+        self.fleet.leases.check_silence(now)
         for machine in self.prober.look(now):
             there = self.workers.get(machine.id)
             reached = there is not None and not (
--- a/tests/test_falls_tool.py
+++ b/tests/test_falls_tool.py
@@ -15,7 +15,7 @@
   203.0000 kiln-1 I tealrill.fleet.prober: 2 machines are judged gone, 2 more
   206.5000 kiln-1 I tealrill.fleet.prober: 90 machines are judged gone, 88 more
   207.0000 kiln-1 I tealrill.fleet.provisioning: rental tr-1-4: 0 of 50 szedo-32 in obuda, spot
-  216.0000 kiln-1 I tealrill.fleet.machines: machine m-000006 lapsed in session 1 with 3 tasks
+  216.0000 kiln-1 I tealrill.fleet.leases: machine m-000006 lapsed in session 1 with 3 tasks
   217.0000 kiln-1 I tealrill.fleet.provisioning: rental tr-1-5: 40 of 50 szedo-32 in obuda, spot
 """
 
--- a/tests/test_graphs.py
+++ b/tests/test_graphs.py
@@ -304,7 +304,9 @@
         batch = leader.write_batcher._gather(monotonic_now())
         await leader.write_batcher._commit(batch)
         leader._add_job("job/fam1-00000", store.keys["job/fam1-00000"][0], Revision(store.epoch))
-        leader.fleet.report(report("m-1", 1, 1, 1), MachineId("m-1"), monotonic_now(), wall_now())
+        leader.fleet.heartbeats.process(
+            report("m-1", 1, 1, 1), MachineId("m-1"), monotonic_now(), wall_now()
+        )
         # The first node runs on the only machine and ends within a boot: what is behind it boots.
         leader.scheduling_loop.run(monotonic_now(), wall_now())
         asked.clear()
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -13,8 +13,10 @@
 from click.testing import CliRunner
 
 from tealrill import wire
+from tealrill.fleet.commands import Commands
 from tealrill.fleet.dispatch import SchedulingLoop
-from tealrill.fleet.machines import Fleet, Machine
+from tealrill.fleet.leases import Leases
+from tealrill.fleet.machine import Machine
 from tealrill.leader.leader import Leader
 from tealrill.simulation.__main__ import main
 from tealrill.simulation.cluster import Shape, SimulatedCluster, play
@@ -49,11 +51,11 @@
 def _lapses_at_once(patch: pytest.MonkeyPatch) -> None:
     """A machine that is silent for a moment has its tasks given away."""
 
-    def silent(self: Fleet, now: Monotonic) -> list[Machine]:
-        known = self.machines.values()
+    def silent(self: Leases, now: Monotonic) -> list[Machine]:
+        known = self._fleet.machines.values()
         return [m for m in known if m.last_contact_at is not None and now - m.last_contact_at > 0.8]
 
-    patch.setattr(Fleet, "silent", silent)
+    patch.setattr(Leases, "silent", silent)
 
 
 def _deaf_to_users(patch: pytest.MonkeyPatch) -> None:
@@ -175,9 +177,9 @@
 
 def _starts_whatever_is_bound(patch: pytest.MonkeyPatch) -> None:
     """A task whose job was called off is started all the same, and never told to stop."""
-    patch.setattr(Fleet, "_may_start", staticmethod(lambda b: b.committed and not b.inherited))
-    patch.setattr(Fleet, "_to_send", lambda _, b: b.committed and not b.inherited)
-    patch.setattr(Fleet, "stop", lambda *_: True)
+    patch.setattr(Commands, "_may_start", staticmethod(lambda b: b.committed and not b.inherited))
+    patch.setattr(Commands, "_to_send", lambda _, b: b.committed and not b.inherited)
+    patch.setattr(Commands, "stop", lambda *_: True)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -25,7 +25,7 @@
 from tealrill import settings, wire
 from tealrill.features import GraphFeatures
 from tealrill.fleet.cloud import Cloud
-from tealrill.fleet.machines import Fleet
+from tealrill.fleet.inventory import Fleet
 from tealrill.graphs.admission import GraphAdmission
 from tealrill.http import Answer as HttpAnswer
 from tealrill.http import NoAnswerError
@@ -157,7 +157,9 @@
         self.term += 1
         self.leads = host
         self.leader = _leader(self.settings, self.term, self.now)
-        self.leader.fleet._silence_s = 1e9  # Nothing is bound anew: no proof is looked at here.
+        self.leader.fleet.leases.silence_s = (
+            1e9  # Nothing is bound anew: no proof is looked at here.
+        )
         self.key_until = Monotonic(self.now + TTL_S)
         self.reads_at = Monotonic(self.now + self.rng.choice([0.2, 0.2, 2.0, 6.0]))
 
@@ -248,7 +250,7 @@
         if not self._informed(leader):
             return
         message = worker.report()
-        found = leader.fleet.report(message, _MACHINE, self.now, Wall(0.0))
+        found = leader.fleet.heartbeats.process(message, _MACHINE, self.now, Wall(0.0))
         if not leader.fleet.loaded:
             found = []
         if found is None or self.inbound_partitioned:
@@ -400,24 +402,26 @@
     leader.seen = CancellationKnowledge(Revision(5), Monotonic(100.0))
     job = leader.job_store.add(spec(pieces=1), Wall(0.0), Revision(1))
     for sequence in (1, 2):
-        fleet.report(report(_MACHINE, 1, sequence, 1), _MACHINE, Monotonic(100.0), Wall(0.0))
+        fleet.heartbeats.process(
+            report(_MACHINE, 1, sequence, 1), _MACHINE, Monotonic(100.0), Wall(0.0)
+        )
     machine = fleet.machines[_MACHINE]
     binding = fleet.bind(job, machine, False, Wall(0.0), Monotonic(100.0))
     assert binding is not None
     binding.chunk.committed = binding.version
-    fleet.direct_sent([binding])
+    fleet.commands.direct_sent([binding])
     return leader, fleet, job, binding
 
 
 def _beat(fleet: Fleet, sequence: int, at: float, *tasks: Any, incarnation: int = 1) -> Any:
     message = report(_MACHINE, incarnation, sequence, 1, list(tasks))
-    return fleet.report(message, _MACHINE, Monotonic(at), Wall(0.0))
+    return fleet.heartbeats.process(message, _MACHINE, Monotonic(at), Wall(0.0))
 
 
 def test_a_start_that_is_out_is_not_waited_for_for_ever() -> None:
     # Neither listed nor answered: a task that was to be stopped stayed bound with its machine.
     _, fleet, job, binding = _bound()
-    fleet.stop(binding, "preemption", 0.0, Monotonic(101.0))
+    fleet.commands.stop(binding, "preemption", 0.0, Monotonic(101.0))
     commands = _beat(fleet, 3, 101.5)
     # The stop does nothing yet; started, the task is listed and stopped then.
     assert commands == [wire.stop("wk-000412/0", 1, 0.0), wire.start("wk-000412/0", 1)]
@@ -446,7 +450,7 @@
 def test_a_job_that_fails_is_stopped_when_its_user_cancels_it_in_an_outage() -> None:
     # Its end can't be written before the outage is over; its other task ran on until then.
     leader, fleet, job, binding = _bound()
-    fleet.direct_executed([binding])
+    fleet.commands.direct_executed([binding])
     leader.job_store.give_up(job, OUTCOME_FAILED)
     leader.job_cancelled("wk-000412")
     assert binding.stop is not None and binding.stop.reason == "cancelled"
@@ -551,21 +555,21 @@
 def test_a_delegation_is_closed_in_time_for_a_cancelled_task_beyond_a_cut() -> None:
     """Counted from the confirmation: the wait, the delegation's end, the worker's lease."""
     leader, fleet, _, binding = _bound(cancel_s=24.0)
-    fleet.direct_executed([binding])
+    fleet.commands.direct_executed([binding])
     leader.job_cancelled("wk-000412")
     stop = binding.stop
     assert stop is not None
     machine = fleet.machines[_MACHINE]
     machine.last_contact_at = machine.answered_at = stop.since
     at = stop.since
-    while not fleet.has_overdue_stop(at):
+    while not fleet.heartbeats.has_overdue_stop(at):
         at = Monotonic(at + 0.5)
-    assert fleet.silent(at) == [] or at - stop.since <= fleet.stop_timeout_s + 0.5
+    assert fleet.leases.silent(at) == [] or at - stop.since <= fleet.stop_timeout_s + 0.5
     # A watch's pace, the wait, a delegation that was confirmed at the last moment, the lease.
     assert 3.0 + (at - stop.since) + 2.5 + 8.0 < 24.0
     # One that is heard has been told with its reports' answers.
     machine.last_contact_at = at
-    assert not fleet.has_overdue_stop(at)
+    assert not fleet.heartbeats.has_overdue_stop(at)
 
 
 # -- who tells a user vouches for it --------------------------------------------------------------
--- a/tests/test_meetings_lab.py
+++ b/tests/test_meetings_lab.py
@@ -17,7 +17,10 @@
 import pytest
 
 from tealrill import wire
-from tealrill.fleet.machines import Fleet, Machine
+from tealrill.fleet.commands import Commands
+from tealrill.fleet.heartbeats import HeartbeatProcessor
+from tealrill.fleet.leases import Leases
+from tealrill.fleet.machine import Machine
 from tealrill.fleet.provisioning import Provisioner
 from tealrill.leader.leader import Leader
 from tealrill.leadership.election import Election
@@ -409,18 +412,18 @@
 
 def _any_order(patch: Patch) -> None:
     """Reports count whichever is the newer one."""
-    patch.setattr(Fleet, "_out_of_date", staticmethod(lambda *_: False))
+    patch.setattr(HeartbeatProcessor, "_out_of_date", staticmethod(lambda *_: False))
 
 
 def _any_token(patch: Patch) -> None:
     """Lists of reports sent before the term count."""
-    whole = Fleet.report
+    whole = HeartbeatProcessor.process
 
-    def report(self: Fleet, report: wire.Heartbeat, *given: Any) -> Any:
+    def process(self: HeartbeatProcessor, report: wire.Heartbeat, *given: Any) -> Any:
         values = {f: getattr(report, f) for f in report.__struct_fields__}
         return whole(self, wire.Heartbeat(**{**values, "token": self._term}), *given)
 
-    patch.setattr(Fleet, "report", report)
+    patch.setattr(HeartbeatProcessor, "process", process)
 
 
 def _end_unguarded(patch: Patch) -> None:
@@ -445,7 +448,7 @@
     """A machine lapses whether or not another node may have renewed it."""
 
     async def check(self: Leader) -> None:
-        self.fleet.check_silence(monotonic_now())
+        self.fleet.leases.check_silence(monotonic_now())
 
     patch.setattr(Leader, "_check_silence", check)
 
@@ -453,20 +456,20 @@
 def _silence_from_nothing(patch: Patch) -> None:
     """A new leader counts silence as if nobody had renewed workers before it."""
 
-    def renewed_at(self: Fleet, machine: Machine) -> Monotonic:
+    def renewed_at(self: Leases, machine: Machine) -> Monotonic:
         return machine.answered_at if machine.answered_at is not None else Monotonic(0.0)
 
-    patch.setattr(Fleet, "_renewed_at", renewed_at)
+    patch.setattr(Leases, "_renewed_at", renewed_at)
 
 
 def _unread_renews(patch: Patch) -> None:
     """A leader renews workers before it has read the records."""
-    whole = Fleet.report
+    whole = HeartbeatProcessor.process
 
-    def report(self: Fleet, *given: Any) -> Any:
-        return whole(self, *given) if self.loaded else []
+    def process(self: HeartbeatProcessor, *given: Any) -> Any:
+        return whole(self, *given) if self._fleet.loaded else []
 
-    patch.setattr(Fleet, "report", report)
+    patch.setattr(HeartbeatProcessor, "process", process)
     patch.setattr(Leader, "informed", lambda *_: True)
 
 
@@ -477,20 +480,20 @@
 
 def _out_for_ever(patch: Patch) -> None:
     """A worker is renewed though a start of a cancelled job is on its way to it."""
-    patch.setattr(Fleet, "_must_let_lease_expire", lambda *_: False)
+    patch.setattr(HeartbeatProcessor, "_must_let_lease_expire", lambda *_: False)
 
 
 def _no_stops(patch: Patch) -> None:
     """A machine that was told once to stop a task is not told again."""
-    whole = Fleet.stops
+    whole = Commands.stops
     told: set[object] = set()
 
-    def stops(self: Fleet, machine: Machine, now: Monotonic) -> Any:
+    def stops(self: Commands, machine: Machine, now: Monotonic) -> Any:
         found = [c for c in whole(self, machine, now) if (c["piece"], c["try"]) not in told]
         told.update((c["piece"], c["try"]) for c in found)
         return found
 
-    patch.setattr(Fleet, "stops", stops)
+    patch.setattr(Commands, "stops", stops)
 
 
 @dataclass(frozen=True)
--- a/tests/test_prober.py
+++ b/tests/test_prober.py
@@ -17,7 +17,7 @@
 from tealrill.fleet import prober as prober_module
 from tealrill.fleet.cloud import Cloud, NoCapacityError
 from tealrill.fleet.connections import ConnectionPool
-from tealrill.fleet.machines import Fleet
+from tealrill.fleet.inventory import Fleet
 from tealrill.fleet.prober import Prober
 from tealrill.fleet.provisioning import Provisioner
 from tealrill.http import accepts
@@ -72,7 +72,7 @@
     fleet.inherit([], Monotonic(0.0))
     for n in range(count):
         name = MachineId(f"m-{n}")
-        fleet.report(report(name, 1, 1, 1), name, Monotonic(0.0), Wall(0.0))
+        fleet.heartbeats.process(report(name, 1, 1, 1), name, Monotonic(0.0), Wall(0.0))
         fleet.machines[name].zone = zone
     return fleet
 
@@ -321,7 +321,7 @@
     async def scenario() -> None:
         provisioner, cloud, fleet = _provisioner([["m-9"]])
         name = MachineId("m-0")
-        fleet.report(report(name, 1, 1, 1), name, Monotonic(0.0), Wall(0.0))
+        fleet.heartbeats.process(report(name, 1, 1, 1), name, Monotonic(0.0), Wall(0.0))
         fleet.machines[name].releasing = True
         provisioner.rent(Rental("big", "north", True, 1), Monotonic(0.0))
         await asyncio.sleep(0.25)
@@ -373,7 +373,7 @@
     provisioner, _, fleet = _provisioner([])
     kind = ("big", "north", False)
     for name in ("m-1", "m-2"):
-        fleet.report(report(name, 1, 1, 1), MachineId(name), Monotonic(0.0), Wall(0.0))
+        fleet.heartbeats.process(report(name, 1, 1, 1), MachineId(name), Monotonic(0.0), Wall(0.0))
     idle, dead = (fleet.machines[MachineId(name)] for name in ("m-1", "m-2"))
     provisioner.capacity_backoff.answered(kind, 1, 0, Monotonic(0.0))
     provisioner._freed(idle)
--- a/tests/test_waits.py
+++ b/tests/test_waits.py
@@ -69,14 +69,14 @@
     def beat(self) -> None:
         self.sequence += 1
         message = report("m-1", 1, self.sequence, 1, self.lines)
-        self.fleet.report(message, MachineId("m-1"), self.now, Wall(self.now))
+        self.fleet.heartbeats.process(message, MachineId("m-1"), self.now, Wall(self.now))
 
     def until_placed(self, job: Job, most_s: float = 90.0) -> float:
         """How long it takes until the job has a place beside whatever else there is."""
         began = self.now
         while not job.bound_count:
             assert self.now - began <= most_s, "it still waits"
-            self.fleet.check_silence(self.now)
+            self.fleet.leases.check_silence(self.now)
             self.beat()
             self.scheduling_loop.run(self.now, Wall(self.now))
             self.now = Monotonic(self.now + self.heartbeat_interval_s)
@@ -165,7 +165,7 @@
             took_s += 1.0
             world.now = Monotonic(world.now + 1.0)
             world.beat()
-            world.fleet.check_silence(world.now)
+            world.fleet.leases.check_silence(world.now)
             world.scheduling_loop.run(world.now, Wall(world.now))
         assert _LEASE_S < took_s <= _LEASE_S + 2.0
 
@@ -224,7 +224,9 @@
         world.now = Monotonic(world.now + 1.0)
         world.sequence += 1
         answer = report("m-1", 1, world.sequence, 1)
-        world.fleet.handle_direct_reply(answer, MachineId("m-1"), world.now, Wall(world.now))
+        world.fleet.heartbeats.handle_direct_reply(
+            answer, MachineId("m-1"), world.now, Wall(world.now)
+        )
     job = world.job()
     world.scheduling_loop.run(world.now, Wall(world.now))
     assert not job.bound_count
--- a/tools/graph_cost.py
+++ b/tools/graph_cost.py
@@ -171,7 +171,7 @@
     for number in range(machines):
         name = f"m-{number}"
         heard = report(name, 1, 1, 1)
-        leader.fleet.report(heard, MachineId(name), monotonic_now(), wall_now())
+        leader.fleet.heartbeats.process(heard, MachineId(name), monotonic_now(), wall_now())
     for number in range(jobs):
         job = spec(id=f"wk-{number}", vcpus=2.0, pieces=20)
         leader.job_store.add(job, wall_now(), Revision(1))
