--- a/tealrill/simulation/__main__.py
+++ b/tealrill/simulation/__main__.py
@@ -16,8 +16,9 @@
 
 import click
 
-from tealrill.simulation.cluster import Shape, play
 from tealrill.simulation.day_digests import differing_days, read_days, write_days
+from tealrill.simulation.process import Shape
+from tealrill.simulation.scenario import play
 
 
 class _Format(logging.Formatter):
--- a/tealrill/simulation/cluster.py
+++ b/tealrill/simulation/cluster.py
@@ -8,183 +8,45 @@
 import math
 import random
 from collections.abc import Callable, Coroutine, Iterator
-from dataclasses import dataclass, field
 from typing import Any, Final
 from unittest import mock
 
 import orjson
 
-from tealrill import http, settings, wire
+from tealrill import http, wire
 from tealrill.api.relay import PEER_PREFIX
-from tealrill.daemon import Controller
-from tealrill.features import Features, GraphFeatures
 from tealrill.fleet import prober
 from tealrill.fleet.catalogue import CATALOGUE_PATH
 from tealrill.http import Answer, NoAnswerError
 from tealrill.leadership.lease_extension import EXTENSION_PATH, PING_PATH, ExtensionRequest
-from tealrill.settings import Address, Settings
-from tealrill.simulation.clock import Loop, NumberedTask, simulated
-from tealrill.simulation.graph_users import submit_graphs
-from tealrill.simulation.services import (
-    Cloud,
-    Description,
-    Machine,
-    NoReplyError,
-    Reply,
-    State,
-    Worker,
-    job_of,
+from tealrill.settings import Address
+from tealrill.simulation.clock import Loop, simulated
+from tealrill.simulation.cloud_service import CloudService, Machine
+from tealrill.simulation.process import (
+    PROCESS,
+    Host,
+    Process,
+    Shape,
+    SocketlessController,
+    create_process_task,
+    zone_of_controller,
 )
+from tealrill.simulation.replies import NoReplyError, Reply
+from tealrill.simulation.state_service import StateService
 from tealrill.simulation.traffic_digest import TrafficDigest
+from tealrill.simulation.users import UserJob
+from tealrill.simulation.worker import Description, Worker, job_of
 from tealrill.state.admission import Reply as UserReply
 from tealrill.types import JobId, MachineId
 
-_PROCESS: contextvars.ContextVar[Process] = contextvars.ContextVar("process")
 _STATE, _CLOUD = "state", "cloud"
-_KNOWN_S: Final = 75.0
-"""So long after the last trouble every job must have had an answer."""
+ANSWER_WITHIN_S: Final = 75.0
+"""Within this time after the last fault every job must have had an answer."""
 _PATIENCE_S: Final = 5.0
 _REPORT_S: Final = 4.0
 """So long a worker waits for an answer."""
-_BESIDE_S: Final = 90.0
+PLACE_WITHIN_S: Final = 90.0
 """So long no task may wait beside room for it once the troubles are over."""
-TEAMS: Final = ("blue", "red")
-
-
-@dataclass
-class Process:
-    """One process of a controller; all its tasks end with it."""
-
-    name: str
-    tasks: dict[asyncio.Task[Any], None] = field(default_factory=dict)
-    """In the order in which they began: by that of a set, the same seed gave other days."""
-
-
-def _task(
-    loop: Loop,
-    work: Coroutine[Any, Any, Any],
-    context: contextvars.Context | None = None,
-) -> asyncio.Task[Any]:
-    """A task, counted among those of the process that began it."""
-    found = NumberedTask(work, loop=loop, context=context)
-    process = context.get(_PROCESS) if context is not None else _PROCESS.get(None)
-    if process is not None:
-        process.tasks[found] = None
-        found.add_done_callback(lambda task: process.tasks.pop(task, None))
-    return found
-
-
-@dataclass(frozen=True)
-class Shape:
-    """A deployment."""
-
-    nodes: int = 3
-    machines: int = 8
-    heartbeat_interval_s: float = 1.0
-    lease_s: float = 8.0
-    cancel_s: float = 28.0
-    limit_vcpus: float = 40.0
-    """Of each team."""
-    every_s: float = 4.0
-    """Between two jobs, on average."""
-    jobs: tuple[tuple[int, float], ...] = ((1, 4.0), (2, 9.0), (3, 15.0), (6, 8.0), (2, 60.0))
-    """Tasks and run times of jobs, drawn from."""
-    cancelled: float = 0.4
-    """The share of jobs that are cancelled some time."""
-    zoned: float = 1 / 3
-    """The share of larger jobs with a rule about zones."""
-    graphs: bool = False
-    """Users submit graphs of dependent jobs too."""
-
-    def settings(self, number: int) -> Settings:
-        hosts = [f"host-{n}" for n in range(self.nodes)]
-        values = {
-            "host_name": hosts[number],
-            "zone": _zone(number),
-            "client_listen": f"10.0.0.{number + 1}:8080",
-            "cluster_listen": f"10.0.0.{number + 1}:8081",
-            "members": [
-                {"host_name": h, "zone": _zone(n), "peer_addr": f"10.0.0.{n + 1}:8081"}
-                for n, h in enumerate(hosts)
-                if n != number
-            ],
-            "services": {"cloud": "10.2.0.2:8443", "state": "10.2.0.1:2379"},
-            "params": {
-                "count": self.nodes,
-                "zones": ["north", "south"],
-                "teams": [{"name": team, "cpus_max": self.limit_vcpus} for team in TEAMS],
-                "workers": {
-                    "report_s": self.heartbeat_interval_s, "lease_s": self.lease_s, "cancel_s":
-                    self.cancel_s,
-                },
-                "state": {"rps": 900.0, "write_rps": 150.0, "value_kb": 8.0, "txn_ops": 16},
-                "cloud": {"rps": 20.0, "list_lag_s": 4.0},
-                "quota": {"cpu_share": 1.0, "ram_mb": 400.0, "fd_limit": 800},
-            },
-        }  # fmt: skip
-        return settings.parse(orjson.dumps(values))
-
-    def features(self) -> Features:
-        """What is switched on at every node."""
-        return Features(graphs=GraphFeatures(on=self.graphs))
-
-
-def _zone(number: int) -> str:
-    return ("north", "south")[number % 2]
-
-
-class _SocketlessController(Controller):
-    """A node that is spoken to by the lab and not by sockets."""
-
-    def _listen(self) -> None:
-        return
-
-
-@dataclass
-class Host:
-    """A controller's machine and its process."""
-
-    name: str
-    node: _SocketlessController | None = None
-    process: Process | None = None
-    context: contextvars.Context = field(default_factory=contextvars.copy_context)
-
-
-@dataclass
-class UserJob:
-    """A job as its user knows it."""
-
-    id: str
-    body: dict[str, Any]
-    accepted: bool = False
-    cancel_at: float | None = None
-    asked_to_cancel: bool = False
-    cancelled_at: float | None = None
-    """When its user was first told that it is cancelled."""
-    done: bool = False
-    answered_at: float = 0.0
-    looked_at: bool = False
-    """It is being asked about at all nodes again and again."""
-    beside_since: float | None = None
-    """From when on a task of it has waited beside room."""
-
-    @property
-    def path(self) -> str:
-        return f"{wire.JOBS_PATH}/{self.id}"
-
-    @property
-    def tasks(self) -> set[str]:
-        return {f"{self.id}/{n}" for n in range(self.body["pieces"])}
-
-    @property
-    def over(self) -> bool:
-        """Its user knows that it is done, or cancelled."""
-        return self.done or self.cancelled_at is not None
-
-    @property
-    def told(self) -> tuple[bool, bool, bool]:
-        """What its user has been told of: accepted, cancelled, done."""
-        return self.accepted, self.cancelled_at is not None, self.done
 
 
 class SimulatedCluster:
@@ -194,9 +56,9 @@
         self.loop, self.rng, self.shape = loop, rng, shape
         self.digest = TrafficDigest()
         """Over all that crosses the network and all that is written to the state service."""
-        self.state = State(rng, self.now)
+        self.state = StateService(rng, self.now)
         self.state.written = lambda changes: self.digest.add(self.now(), _STATE, changes)
-        self.cloud = Cloud(rng, self.now, shape.machines)
+        self.cloud = CloudService(rng, self.now, shape.machines)
         self.cloud.booted, self.cloud.taken = self._rented, self._taken
         self.hosts = {f"host-{n}": Host(f"host-{n}") for n in range(shape.nodes)}
         self.workers: dict[str, Worker] = {}
@@ -245,7 +107,7 @@
         self._tasks: set[asyncio.Task[Any]] = set()
         self._context = contextvars.copy_context()
         """The world's own, in which no process runs."""
-        loop.set_task_factory(_task)  # type: ignore[arg-type]
+        loop.set_task_factory(create_process_task)  # type: ignore[arg-type]
 
     def now(self) -> float:
         return self.loop.passed
@@ -266,7 +128,8 @@
 
     # -- the network ------------------------------------------------------------------------------
 
-    def _place(self, address: Address) -> str:
+    def endpoint_of(self, address: Address) -> str:
+        """Return the name of the service, controller or machine that listens there."""
         if address.host == "10.2.0.1":
             return _STATE
         if address.host == "10.2.0.2":
@@ -278,7 +141,11 @@
     def _zone_of(self, name: str) -> str | None:
         if name.startswith("m-"):
             return self.cloud.machines[name].zone
-        return _zone(int(name.removeprefix("host-"))) if name.startswith("host-") else None
+        return (
+            zone_of_controller(int(name.removeprefix("host-")))
+            if name.startswith("host-")
+            else None
+        )
 
     def apart(self, one: str, other: str) -> bool:
         if self.away or self.parted:
@@ -308,7 +175,7 @@
         check: Callable[[], None] | None,
     ) -> Answer:
         """One request of a node's, as `http.Client.request` makes it."""
-        source, place = _PROCESS.get().name, self._place(address)
+        source, place = PROCESS.get().name, self.endpoint_of(address)
         if place.startswith("m-"):
             # They leave now: what the node learns while they are on their way is too late.
             self._sends(source, orjson.loads(body or b"{}").get("orders", []))
@@ -410,10 +277,10 @@
             return
         host.context = contextvars.copy_context()
         host.process = Process(host.name)
-        host.context.run(_PROCESS.set, host.process)
+        host.context.run(PROCESS.set, host.process)
         number = int(host.name.removeprefix("host-"))
         host.node = host.context.run(
-            _SocketlessController, self.shape.settings(number), self.shape.features()
+            SocketlessController, self.shape.settings(number), self.shape.features()
         )
         task = self.begin(host.node.run(), host.context)
         task.add_done_callback(lambda task: self._ended(host, task))
@@ -792,10 +659,10 @@
                 open_ = job.accepted and not job.over
                 if self._beside_room(job, open_, now):
                     said.add(job.id)
-                    self.breach("waited", f"{job.id}: {_BESIDE_S:.0f} s beside room")
-                if open_ and now - max(job.answered_at, self.calm_since) > _KNOWN_S:
+                    self.breach("waited", f"{job.id}: {PLACE_WITHIN_S:.0f} s beside room")
+                if open_ and now - max(job.answered_at, self.calm_since) > ANSWER_WITHIN_S:
                     said.add(job.id)
-                    self.breach("forgotten", f"{job.id}: no answer for {_KNOWN_S:.0f} s")
+                    self.breach("forgotten", f"{job.id}: no answer for {ANSWER_WITHIN_S:.0f} s")
 
     def _beside_room(self, job: UserJob, open_: bool, now: float) -> bool:
         """Whether a task of it has waited for too long though a machine has room for it."""
@@ -804,7 +671,7 @@
             return False
         if job.beside_since is None:
             job.beside_since = now
-        return now - job.beside_since > _BESIDE_S
+        return now - job.beside_since > PLACE_WITHIN_S
 
     def _has_room(self, job: UserJob) -> bool:
         body = job.body
@@ -821,7 +688,7 @@
                     used += self.descriptions[number].vcpus
                     if self.jobs[number].body["crew"] == body["crew"]:
                         team += self.descriptions[number].vcpus
-            rooms.append((worker.machine.zone, worker.machine.spot, Cloud.VCPUS - used))
+            rooms.append((worker.machine.zone, worker.machine.spot, CloudService.VCPUS - used))
         if job.tasks <= placed:
             return False
         if body["samePlace"] or body["scatter"] or team + need > self.shape.limit_vcpus:
@@ -902,7 +769,7 @@
             check: Callable[[], None] | None = None,
         ) -> Answer:
             # What a process that stands still sends, and what comes back to it, waits.
-            name = _PROCESS.get().name
+            name = PROCESS.get().name
             await world.thawed(name)
             try:
                 return await world.call(client._address, method, path, body, timeout_s, check)
@@ -910,8 +777,8 @@
                 await world.thawed(name)
 
         async def accepts(address: Address, timeout_s: float) -> bool | None:
-            place = world._place(address)
-            if world.cloud.machines[place].terminated or world.apart(_PROCESS.get().name, place):
+            place = world.endpoint_of(address)
+            if world.cloud.machines[place].terminated or world.apart(PROCESS.get().name, place):
                 await asyncio.sleep(timeout_s)
                 return False
             return True
@@ -921,103 +788,3 @@
             mock.patch.object(prober, "accepts", accepts),
         ):
             yield world
-
-
-# -- a day ----------------------------------------------------------------------------------------
-
-
-Script = Callable[["SimulatedCluster"], Coroutine[Any, Any, None]]
-"""The troubles of a day; it ends when they have ended."""
-
-
-def play(
-    seed: int,
-    shape: Shape | None = None,
-    trouble_s: float = 150.0,
-    script: Script | None = None,
-    calm_s: float = max(_KNOWN_S, _BESIDE_S) + 60.0,
-    until: str = "",
-) -> SimulatedCluster:
-    """One day of troubles, and then quiet until every job that can has ended.
-
-    With `until` it ends once that rule is broken, and with `script` its troubles are these and not
-    drawn ones. After less quiet than a job may go without an answer nobody asks what was left.
-    """
-    from tealrill.simulation.faults import FaultInjector
-
-    with connected(seed, shape or Shape()) as world:
-        asyncio.set_event_loop(world.loop)
-
-        async def drawn(world: SimulatedCluster) -> None:
-            await FaultInjector(world).run(trouble_s)
-
-        try:
-            day = world.begin(_day(world, script or drawn, trouble_s, calm_s))
-
-            def breached(rule: str) -> None:
-                if rule == until:
-                    day.cancel()
-
-            world.breached = breached
-            with contextlib.suppress(asyncio.CancelledError):
-                world.loop.run_until_complete(day)
-            world.loop.run_until_complete(_close(world))
-        finally:
-            asyncio.set_event_loop(None)
-    return world
-
-
-async def _day(world: SimulatedCluster, script: Script, trouble_s: float, calm_s: float) -> None:
-    for host in world.hosts.values():
-        world.start(host)
-    world.begin(world.watch())
-    world.begin(world.unbound_tasks())
-    world.begin(world.successions())
-    world.begin(world.odd_requests())
-    world.begin(_arrivals(world, trouble_s))
-    if world.shape.graphs:
-        world.begin(submit_graphs(world, TEAMS, trouble_s))
-    await asyncio.sleep(20.0)
-    await script(world)
-    world.calm_since = world.now()
-    world.note("all troubles are over")
-    await asyncio.sleep(calm_s)
-    if world.starts == 0:
-        world.breach("nothing_ran", "no task was started")
-    for job in world.jobs.values() if calm_s >= _KNOWN_S else ():
-        if job.accepted and not job.asked_to_cancel and not job.tasks <= world.results:
-            world.breach("left", f"{job.id} did not run to its end")
-
-
-async def _close(world: SimulatedCluster) -> None:
-    own = asyncio.current_task()
-    for task in asyncio.all_tasks():
-        if task is not own:
-            task.cancel()
-    await asyncio.sleep(0.1)
-
-
-async def _arrivals(world: SimulatedCluster, until_s: float) -> None:
-    rng = world.rng
-    number = 0
-    while world.now() < until_s:
-        number += 1
-        job_id = f"wk-{number:06d}"
-        pieces, run_s = rng.choice(world.shape.jobs)
-        vcpus = rng.choice([2.0, 4.0])
-        ruled = pieces > 1 and rng.random() < world.shape.zoned
-        zoned = rng.choice(["samePlace", "scatter"]) if ruled else ""
-        body = {
-            "id": job_id, "lineup": "any", "crew": rng.choice(TEAMS), "shape": "sweep",
-            "urgency": rng.choice(["urgent", "standard"]), "pieces": pieces, "vcpus": vcpus,
-            "gpus": 0.0, "memoryGb": 1.0, "bundle": "img", "sizeGb": 0.1, "builds": None,
-            "hall": rng.choice([None, None, "south"]), "samePlace": zoned == "samePlace",
-            "scatter": zoned == "scatter", "loaners": rng.random() < 0.7, "guessS": run_s,
-            "snapshotS": 0.0, "flushS": 0.0, "dueS": None,
-        }  # fmt: skip
-        world.descriptions[job_id] = Description(pieces, run_s, vcpus)
-        job = world.jobs[job_id] = UserJob(job_id, body)
-        if rng.random() < world.shape.cancelled:
-            job.cancel_at = world.now() + rng.uniform(2.0, 60.0)
-        world.begin(world.user(job))
-        await asyncio.sleep(rng.expovariate(1 / world.shape.every_s))
--- a/tealrill/simulation/day_digests.py
+++ b/tealrill/simulation/day_digests.py
@@ -9,7 +9,8 @@
 
 import msgspec
 
-from tealrill.simulation.cluster import Shape, play
+from tealrill.simulation.process import Shape
+from tealrill.simulation.scenario import play
 
 _TROUBLE_S: Final = 90.0
 _SEEDS_PER_KIND: Final = 10
--- a/tealrill/simulation/faults.py
+++ b/tealrill/simulation/faults.py
@@ -7,7 +7,8 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from tealrill.simulation.cluster import Host, SimulatedCluster
+    from tealrill.simulation.cluster import SimulatedCluster
+    from tealrill.simulation.process import Host
 
 Undo = Callable[[], None]
 
--- a/tealrill/simulation/graph_users.py
+++ b/tealrill/simulation/graph_users.py
@@ -9,7 +9,7 @@
 
 from tealrill.graphs.admission import GraphAdmission
 from tealrill.graphs.model import node_id
-from tealrill.simulation.services import Description
+from tealrill.simulation.worker import Description
 
 if TYPE_CHECKING:
     from tealrill.simulation.cluster import SimulatedCluster
--- /dev/null
+++ b/tealrill/simulation/scenario.py
@@ -0,0 +1,115 @@
+"""A simulated day: arrivals of jobs, faults, and the calm after them."""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+from collections.abc import Callable, Coroutine
+from typing import Any
+
+from tealrill.simulation.cluster import (
+    ANSWER_WITHIN_S,
+    PLACE_WITHIN_S,
+    SimulatedCluster,
+    connected,
+)
+from tealrill.simulation.faults import FaultInjector
+from tealrill.simulation.graph_users import submit_graphs
+from tealrill.simulation.process import TEAMS, Shape
+from tealrill.simulation.users import UserJob
+from tealrill.simulation.worker import Description
+
+Script = Callable[[SimulatedCluster], Coroutine[Any, Any, None]]
+"""The faults of a day; it returns when all of them have ended."""
+
+
+def play(
+    seed: int,
+    shape: Shape | None = None,
+    trouble_s: float = 150.0,
+    script: Script | None = None,
+    calm_s: float = max(ANSWER_WITHIN_S, PLACE_WITHIN_S) + 60.0,
+    until: str = "",
+) -> SimulatedCluster:
+    """Play one day: faults, then `calm_s` without any, in which every job that can has to end.
+
+    Without `script` the faults are drawn from the seed for `trouble_s`. With `until` the day ends
+    once that invariant is violated. Jobs left over are looked for only if the calm is at least as
+    long as a job may go without an answer.
+    """
+    with connected(seed, shape or Shape()) as world:
+        asyncio.set_event_loop(world.loop)
+
+        async def drawn(world: SimulatedCluster) -> None:
+            await FaultInjector(world).run(trouble_s)
+
+        try:
+            day = world.begin(_day(world, script or drawn, trouble_s, calm_s))
+
+            def breached(rule: str) -> None:
+                if rule == until:
+                    day.cancel()
+
+            world.breached = breached
+            with contextlib.suppress(asyncio.CancelledError):
+                world.loop.run_until_complete(day)
+            world.loop.run_until_complete(_close(world))
+        finally:
+            asyncio.set_event_loop(None)
+    return world
+
+
+async def _day(world: SimulatedCluster, script: Script, trouble_s: float, calm_s: float) -> None:
+    for host in world.hosts.values():
+        world.start(host)
+    world.begin(world.watch())
+    world.begin(world.unbound_tasks())
+    world.begin(world.successions())
+    world.begin(world.odd_requests())
+    world.begin(_arrivals(world, trouble_s))
+    if world.shape.graphs:
+        world.begin(submit_graphs(world, TEAMS, trouble_s))
+    await asyncio.sleep(20.0)
+    await script(world)
+    world.calm_since = world.now()
+    world.note("all troubles are over")
+    await asyncio.sleep(calm_s)
+    if world.starts == 0:
+        world.breach("nothing_ran", "no task was started")
+    for job in world.jobs.values() if calm_s >= ANSWER_WITHIN_S else ():
+        if job.accepted and not job.asked_to_cancel and not job.tasks <= world.results:
+            world.breach("left", f"{job.id} did not run to its end")
+
+
+async def _close(world: SimulatedCluster) -> None:
+    own = asyncio.current_task()
+    for task in asyncio.all_tasks():
+        if task is not own:
+            task.cancel()
+    await asyncio.sleep(0.1)
+
+
+async def _arrivals(world: SimulatedCluster, until_s: float) -> None:
+    rng = world.rng
+    number = 0
+    while world.now() < until_s:
+        number += 1
+        job_id = f"wk-{number:06d}"
+        pieces, run_s = rng.choice(world.shape.jobs)
+        vcpus = rng.choice([2.0, 4.0])
+        ruled = pieces > 1 and rng.random() < world.shape.zoned
+        zoned = rng.choice(["samePlace", "scatter"]) if ruled else ""
+        body = {
+            "id": job_id, "lineup": "any", "crew": rng.choice(TEAMS), "shape": "sweep",
+            "urgency": rng.choice(["urgent", "standard"]), "pieces": pieces, "vcpus": vcpus,
+            "gpus": 0.0, "memoryGb": 1.0, "bundle": "img", "sizeGb": 0.1, "builds": None,
+            "hall": rng.choice([None, None, "south"]), "samePlace": zoned == "samePlace",
+            "scatter": zoned == "scatter", "loaners": rng.random() < 0.7, "guessS": run_s,
+            "snapshotS": 0.0, "flushS": 0.0, "dueS": None,
+        }  # fmt: skip
+        world.descriptions[job_id] = Description(pieces, run_s, vcpus)
+        job = world.jobs[job_id] = UserJob(job_id, body)
+        if rng.random() < world.shape.cancelled:
+            job.cancel_at = world.now() + rng.uniform(2.0, 60.0)
+        world.begin(world.user(job))
+        await asyncio.sleep(rng.expovariate(1 / world.shape.every_s))
--- /dev/null
+++ b/tealrill/simulation/state_service.py
@@ -0,0 +1,190 @@
+"""The stand-in for the state service, written from the protocol."""
+
+from __future__ import annotations
+
+import asyncio
+import random
+from collections.abc import Callable
+from typing import Any
+from urllib.parse import parse_qs, unquote, urlsplit
+
+import orjson
+
+from tealrill.simulation.replies import NoReplyError, Reply
+
+
+class StateService:
+    """A key-value store with versions, leases and watches, and the faults injected into it.
+
+    Faults: outages, refusal of single controllers, transactions carried out late, lost answers,
+    slow answers. Calling it handles one request.
+    """
+
+    def __init__(self, rng: random.Random, now: Callable[[], float]) -> None:
+        self.rng, self.now = rng, now
+        self.keys: dict[str, tuple[Any, int, int | None]] = {}
+        self.epoch = 0
+        self.log: list[tuple[int, dict[str, Any]]] = []
+        self.leases: dict[int, tuple[float, float]] = {}
+        """By number: when it expires, and its length, both in seconds."""
+        self.down = False
+        self.refused: set[str] = set()
+        self.late = 0.0
+        """Share of transactions that get no answer and are carried out later."""
+        self.lost = 0.0
+        """Share of changes that are carried out at once and whose answer alone is lost."""
+        self.slow_s = 0.0
+        self.scan_s = 0.0
+        """How long reading a range takes."""
+        self.written: Callable[[list[dict[str, Any]]], None] = lambda _: None
+        """Called with the changes of each transaction that is carried out."""
+        self._numbers = 0
+        self._changed = asyncio.Event()
+        self._tasks: set[asyncio.Task[None]] = set()
+
+    def outage(self, begins: bool) -> None:
+        """Begin or end an outage; at its end every lease has its full time again."""
+        if self.down and not begins:
+            self.leases = {n: (self.now() + ttl, ttl) for n, (_, ttl) in self.leases.items()}
+        self.down = begins
+        self._wake()
+
+    def _wake(self) -> None:
+        self._changed.set()
+        self._changed = asyncio.Event()
+
+    def expire(self) -> None:
+        """Delete the leases that have expired, with their keys; an outage stops the clock."""
+        if self.down:
+            return
+        over = {n for n, (until, _) in self.leases.items() if until <= self.now()}
+        for number in over:
+            del self.leases[number]
+        for key in [k for k, (_, _, lease) in self.keys.items() if lease in over]:
+            self._apply([{"delete": key}])
+
+    def _apply(self, changes: list[dict[str, Any]]) -> None:
+        self.written(changes)
+        self.epoch += 1
+        for change in changes:
+            if "set" in change:
+                entry = (change["value"], self.epoch, change.get("hold"))
+                self.keys[change["set"]] = entry
+                event = {"set": change["set"], "value": change["value"], "stamp": self.epoch}
+            else:
+                self.keys.pop(change["delete"], None)
+                event = {"delete": change["delete"], "stamp": self.epoch}
+            self.log.append((self.epoch, event))
+        self._wake()
+
+    async def __call__(self, source: str, method: str, target: str, body: bytes | None) -> Reply:
+        """Handle one request."""
+        if self.slow_s:
+            await asyncio.sleep(self.rng.uniform(0.3, 1.0) * self.slow_s)
+        if self.down or source in self.refused:
+            return 503, {}
+        self.expire()
+        url = urlsplit(target)
+        query = {name: values[0] for name, values in parse_qs(url.query).items()}
+        parts = url.path.strip("/").split("/")
+        if parts[0] == "kv" and len(parts) > 1:
+            return self._get(unquote(url.path.removeprefix("/kv/")))
+        if parts[0] == "kv":
+            if self.scan_s:
+                await asyncio.sleep(self.scan_s)
+            return self._scan(query)
+        if parts[0] == "commit":
+            return await self._commit(orjson.loads(body or b"{}"))
+        if parts[0] == "watch":
+            return await self._watch(source, query)
+        return self._lease(method, parts, orjson.loads(body) if body else {})
+
+    def _get(self, key: str) -> Reply:
+        entry = self.keys.get(key)
+        if entry is None:
+            return 404, {"epoch": self.epoch}
+        found = {"path": key, "value": entry[0], "stamp": entry[1]}
+        return 200, found if entry[2] is None else {**found, "hold": entry[2]}
+
+    def _scan(self, query: dict[str, str]) -> Reply:
+        under, after = query["under"], query.get("from", "")
+        found = sorted(k for k in self.keys if k.startswith(under) and k > after)
+        part = found[: int(query.get("most", "1000"))]
+        entries = [{"path": k, "value": self.keys[k][0], "stamp": self.keys[k][1]} for k in part]
+        return 200, {
+            "entries": entries, "truncated": len(part) < len(found), "epoch": self.epoch
+        }  # fmt: skip
+
+    async def _commit(self, message: dict[str, Any]) -> Reply:
+        if message.get("apply") and self.rng.random() < self.late:
+            task = asyncio.create_task(self._later(message))
+            self._tasks.add(task)
+            task.add_done_callback(self._tasks.discard)
+            raise NoReplyError
+        reply = self._execute(message)
+        if self.rng.random() < self.lost:
+            raise NoReplyError
+        return reply
+
+    async def _later(self, message: dict[str, Any]) -> None:
+        await asyncio.sleep(self.rng.uniform(2.0, 12.0))
+        while self.down:
+            await asyncio.sleep(0.5)
+        self.expire()
+        self._execute(message)
+
+    def _execute(self, message: dict[str, Any]) -> Reply:
+        failed = [
+            g["path"]
+            for g in message.get("guards", [])
+            if self.keys.get(g["path"], (None, 0, None))[1] != g["stamp"]
+        ]
+        if failed:
+            return 409, {"failed": failed, "epoch": self.epoch}
+        changes = message.get("apply") or []
+        if any(c.get("hold") is not None and c["hold"] not in self.leases for c in changes):
+            return 400, {"error": "no such lease"}
+        if changes:
+            self._apply(changes)
+        return 200, {"epoch": self.epoch}
+
+    async def _watch(self, source: str, query: dict[str, str]) -> Reply:
+        since, under = int(query["from"]), query["under"]
+        until = self.now() + int(query.get("holdMs", "0")) / 1000
+        while True:
+            # In an outage, and where one is refused, open watches wait.
+            shut = self.down or source in self.refused
+            if not shut:
+                self.expire()
+                found = [
+                    e for at, e in self.log
+                    if at > since and (e.get("set") or e["delete"]).startswith(under)
+                ]  # fmt: skip
+                if found or self.now() >= until:
+                    return 200, {"epoch": self.epoch, "log": found}
+            pause = 1.0 if shut else min(0.5, max(0.001, until - self.now()))
+            try:
+                async with asyncio.timeout(pause):
+                    await self._changed.wait()
+            except TimeoutError:
+                pass
+
+    def _lease(self, method: str, parts: list[str], body: dict[str, Any]) -> Reply:
+        reply = self._leased(method, parts, body)
+        if self.rng.random() < self.lost:
+            raise NoReplyError
+        return reply
+
+    def _leased(self, method: str, parts: list[str], body: dict[str, Any]) -> Reply:
+        if len(parts) == 1:
+            self._numbers += 1
+            ttl = body["ttlMs"] / 1000
+            self.leases[self._numbers] = (self.now() + ttl, ttl)
+            return 200, {"hold": self._numbers}
+        number = int(parts[1])
+        if number not in self.leases:
+            return 404, {}
+        _, ttl = self.leases[number]
+        self.leases[number] = (self.now() + (0.0 if method == "DELETE" else ttl), ttl)
+        self.expire()
+        return 200, {}
--- /dev/null
+++ b/tealrill/simulation/worker.py
@@ -0,0 +1,163 @@
+"""The stand-in for a machine's worker, written from the protocol."""
+
+from __future__ import annotations
+
+import math
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from typing import Any
+
+import orjson
+
+from tealrill import wire
+from tealrill.simulation.cloud_service import CloudService, Machine
+from tealrill.simulation.replies import Reply
+
+
+def job_of(task: str) -> str:
+    """Return the job's id in a task's name, whose form the simulation chooses."""
+    return task.partition("/")[0]
+
+
+@dataclass
+class Task:
+    """An attempt of a task on a machine."""
+
+    attempt: int
+    state: str = wire.FETCHING
+    why: str | None = None
+    due: float = 0.0
+    """When its present state ends."""
+
+
+@dataclass
+class Description:
+    """The tasks, run time and size of a job, as its worker learns them from the uploaded image."""
+
+    pieces: int
+    run_s: float
+    vcpus: float
+
+
+@dataclass
+class Worker:
+    """The worker of a machine, as the protocol describes it; `tick` advances its state."""
+
+    machine: Machine
+    lease_s: float
+    now: Callable[[], float]
+    jobs: dict[str, Description]
+    started: Callable[[Worker, str], None]
+    """Called when a task starts to run on this machine."""
+    results: set[str]
+    """Tasks that have completed on any machine."""
+    incarnation: int = 1
+    sequence: int = 0
+    token: int = 0
+    renewed_at: float = 0.0
+    tasks: dict[str, Task] = field(default_factory=dict)
+    completed: Callable[[Worker, str], None] = lambda _, __: None
+    """Called when a task of this machine has completed."""
+    fetched_at: float = math.inf
+    """When it has fetched the image of the jobs."""
+    hung_at: float | None = None
+    """When the machine was paused; requests to it wait until it is resumed."""
+
+    def __post_init__(self) -> None:
+        self.renewed_at = self.now()
+
+    def on(self) -> list[str]:
+        """Return the tasks that occupy this machine as the invariants count them."""
+        return [n for n, t in self.tasks.items() if t.state in (wire.RUNNING, wire.SAVING)]
+
+    def tick(self) -> bool:
+        """Advance to the present moment; return whether a heartbeat is due at once."""
+        now = self.now()
+        if now - self.renewed_at > self.lease_s:
+            self.tasks.clear()
+            self.incarnation += 1
+            self.renewed_at = now
+            return True
+        if self.hung_at is not None:
+            return False
+        changed = False
+        for name, task in self.tasks.items():
+            if task.state == wire.EXITED or now < task.due:
+                continue
+            job = self.jobs[job_of(name)]
+            if task.state == wire.FETCHING:
+                task.state = wire.RUNNING
+                task.due = now + (0.0 if name in self.results else job.run_s)
+                self.started(self, name)
+            else:
+                task.state, task.why = wire.EXITED, wire.WHY_DONE
+                self.results.add(name)
+                self.completed(self, name)
+            changed = True
+        return changed
+
+    def hang(self) -> None:
+        """Pause the machine."""
+        if self.hung_at is None:
+            self.tick()
+            self.hung_at = self.now()
+
+    def resume(self) -> None:
+        """End the pause; its tasks continue unless its lease has expired."""
+        if self.hung_at is None:
+            return
+        paused_s, self.hung_at = self.now() - self.hung_at, None
+        for task in self.tasks.values():
+            task.due += paused_s
+        self.tick()
+
+    def report(self) -> dict[str, Any]:
+        """Return the next heartbeat message."""
+        self.sequence += 1
+        machine = self.machine
+        lines = []
+        for name, task in self.tasks.items():
+            line = {"piece": name, "try": task.attempt, "status": task.state}
+            lines.append(line if task.why is None else {**line, "cause": task.why})
+        return {
+            "kiln": machine.id, "addr": machine.addr, "build": "m8", "hall": machine.zone,
+            "loaners": machine.spot, "shift": self.incarnation, "tick": self.sequence,
+            "baton": self.token, "warningS": None, "pieces": lines,
+        }  # fmt: skip
+
+    def execute(self, commands: list[dict[str, Any]]) -> None:
+        """Execute start, stop and forget commands; repeated ones have no effect."""
+        for command in commands:
+            name, attempt = command["piece"], command["try"]
+            known = self.tasks.get(name)
+            if command["verb"] == wire.START:
+                if known is None or (known.attempt != attempt and known.state == wire.EXITED):
+                    self._start(name, attempt)
+            elif known is None or known.attempt != attempt:
+                continue
+            elif command["verb"] == wire.STOP and known.state != wire.EXITED:
+                known.state, known.why = wire.EXITED, wire.WHY_STOPPED
+            elif command["verb"] == wire.FORGET and known.state == wire.EXITED:
+                del self.tasks[name]
+
+    def _start(self, name: str, attempt: int) -> None:
+        job = self.jobs[job_of(name)]
+        used = sum(
+            self.jobs[job_of(n)].vcpus for n, t in self.tasks.items() if t.state != wire.EXITED
+        )
+        self.fetched_at = min(self.fetched_at, self.now() + 0.5)
+        if used + job.vcpus > CloudService.VCPUS:
+            self.tasks[name] = Task(attempt, wire.EXITED, "no_room")
+        else:
+            # All jobs have one image, which a machine fetches once.
+            self.tasks[name] = Task(attempt, due=max(self.now(), self.fetched_at))
+
+    async def __call__(self, source: str, method: str, target: str, body: bytes | None) -> Reply:
+        """Handle a request with commands; status 409 if its fencing token or incarnation is old."""
+        self.tick()
+        message = orjson.loads(body or b"{}")
+        if message["baton"] < self.token or message["shift"] != self.incarnation:
+            return 409, self.report()
+        self.token = message["baton"]
+        self.execute(message["orders"])
+        return 200, self.report()
--- a/tests/test_meetings_lab.py
+++ b/tests/test_fault_combinations.py
@@ -22,8 +22,10 @@
 from tealrill.leader.leader import Leader
 from tealrill.leadership.election import Election
 from tealrill.leadership.lease_extension import CancellationKnowledge
-from tealrill.simulation.cluster import Script, Shape, SimulatedCluster, play
+from tealrill.simulation.cluster import SimulatedCluster
 from tealrill.simulation.faults import FaultInjector
+from tealrill.simulation.process import Shape
+from tealrill.simulation.scenario import Script, play
 from tealrill.state.acknowledged_cancellations import AcknowledgedCancellations
 from tealrill.state.admission import Admission, Reply
 from tealrill.state.client import Committed, OutcomeUnknownError
--- a/tests/test_flapping.py
+++ b/tests/test_flapping.py
@@ -16,8 +16,10 @@
 import pytest
 
 from tealrill.simulation.clock import STEADY_AT
-from tealrill.simulation.cluster import Shape, SimulatedCluster, play
+from tealrill.simulation.cluster import SimulatedCluster
 from tealrill.simulation.faults import CUT, FROZEN, GONE, REFUSED, FaultInjector
+from tealrill.simulation.process import Shape
+from tealrill.simulation.scenario import play
 from tealrill.types import Monotonic
 
 LONG_JOBS = ((2, 70.0), (3, 90.0), (1, 120.0))
--- a/tests/test_lab.py
+++ b/tests/test_simulation.py
@@ -17,7 +17,9 @@
 from tealrill.fleet.machines import Fleet, Machine
 from tealrill.leader.leader import Leader
 from tealrill.simulation.__main__ import main
-from tealrill.simulation.cluster import Shape, SimulatedCluster, play
+from tealrill.simulation.cluster import SimulatedCluster
+from tealrill.simulation.process import Shape
+from tealrill.simulation.scenario import play
 from tealrill.state.admission import Admission
 from tealrill.state.admission import Reply as UserReply
 from tealrill.state.client import StateClient
