--- a/tealrill/fleet/intent_log.py
+++ b/tealrill/fleet/intent_log.py
@@ -24,7 +24,7 @@
 from tealrill import wire
 from tealrill.fleet.cloud import MOST_RELEASED
 from tealrill.scheduler.capacity import Rental
-from tealrill.state.write_batcher import JoinedWrite
+from tealrill.state.transaction_batch import JoinedWrite
 from tealrill.types import (
     ABSENT,
     FencingToken,
--- a/tealrill/graphs/leader_extension.py
+++ b/tealrill/graphs/leader_extension.py
@@ -54,7 +54,7 @@
     job_key,
     over_key,
 )
-from tealrill.state.write_batcher import JoinedWrite
+from tealrill.state.transaction_batch import JoinedWrite
 from tealrill.types import ABSENT, JobId, Monotonic, Revision, monotonic_now, parse_job_id, wall_now
 
 log = logging.getLogger(__name__)
--- a/tealrill/state/write_batcher.py
+++ b/tealrill/state/write_batcher.py
@@ -1,8 +1,8 @@
-"""Writes the leader's book to the state service: one transaction in flight, the rest gathers.
+"""Group commit of the leader's job store: one transaction in flight, the rest gathers.
 
-Every change is guarded by its own key's stamp and by the leader's, so a twin of a transaction that
-got no answer fails if it is executed late. After no answer the keys are read back before anything
-is claimed.
+Every change is guarded by its own key's stamp and by the leader's, so a duplicate of a transaction
+that got no answer fails if it is executed late. After no answer the keys are read back before
+anything is claimed.
 """
 
 from __future__ import annotations
@@ -10,8 +10,7 @@
 import asyncio
 import logging
 from collections.abc import Callable
-from dataclasses import dataclass, field
-from typing import Any, Final
+from typing import Final
 
 from tealrill import wire
 from tealrill.errors import TealrillError
@@ -27,17 +26,15 @@
 from tealrill.state.fencing import LEADER_KEY, Fence, Leadership
 from tealrill.state.job_store import JobStore
 from tealrill.state.rate_limiter import RequestPriority
-from tealrill.state.records import OUTCOME_CANCELLED, OUTCOME_DONE, job_key, over_key
+from tealrill.state.records import OUTCOME_CANCELLED, job_key, over_key
+from tealrill.state.transaction_batch import JoinedWrite, TransactionBatch
 from tealrill.types import ABSENT, Monotonic, Revision, monotonic_now
 
 log = logging.getLogger(__name__)
 
 _LAZY_S: Final = 2.0
 """How long a change that nobody waits for may gather more of its kind."""
-_TXN_BYTES: Final = 60 * 1024
 _BACK_OFF_S: Final = 0.2
-_DROPPED_AT_ONCE: Final = 2
-"""Chunks that go with a job's end; a larger job's are removed when there is time."""
 _LEFTOVERS: Final = 32
 """With so many chunks left over, they go with ends though bindings wait."""
 
@@ -46,55 +43,21 @@
     """The guard on the leader's key failed: somebody else leads, or nobody."""
 
 
-@dataclass(slots=True, eq=False)
-class JoinedWrite:
-    """Changes of a subsystem that go into the leader's transactions, all or none of them."""
-
-    guards: dict[str, Revision]
-    changes: list[dict[str, Any]]
-    applied: Callable[[Revision], None]
-    """They were executed, in this revision."""
-    refused: Callable[[dict[str, wire.KeyValue | None]], None]
-    """They were not, and will not be; with the guards' keys as they were read back since."""
-    ahead_at: Monotonic | None = None
-    """For what somebody waits for: right behind new bindings, and from this moment on before them,
-    whatever else there is to write. None: when there is room for what can wait."""
-
-    @property
-    def size(self) -> int:
-        return sum(len(wire.encode(change)) for change in self.changes) + 100 * len(self.guards)
-
-
-@dataclass(slots=True)
-class _Batch:
-    guards: dict[str, Revision] = field(default_factory=dict)
-    changes: list[dict[str, Any]] = field(default_factory=list)
-    chunks: list[tuple[Chunk, int, int]] = field(default_factory=list)
-    jobs: list[Job] = field(default_factory=list)
-    deregistered: dict[str, Chunk] = field(default_factory=dict)
-    """Chunks that go with the end of their job."""
-    garbage: list[str] = field(default_factory=list)
-    joined: list[JoinedWrite] = field(default_factory=list)
-    bytes: int = 0
-    complete: bool = True
-    """False when something that is due had to be left out."""
-
-
 class WriteBatcher:
-    """Commits what is dirty, for one term."""
+    """Commits what is dirty, for one term of leadership."""
 
     def __init__(
         self,
         client: StateClient,
         job_store: JobStore,
-        mine: Leadership,
+        leadership: Leadership,
         txn_ops: int,
         committed: Callable[[list[Chunk]], None],
         job_over: Callable[[Job], None],
     ) -> None:
         self._client = client
         self._job_store = job_store
-        self._fence = Fence(client, mine.stamp)
+        self._fence = Fence(client, leadership.stamp)
         self._txn_ops = txn_ops
         self._committed = committed
         self._job_over = job_over
@@ -109,15 +72,16 @@
         """A guard on the record that jobs belong to failed."""
 
     def join(self, joined: JoinedWrite) -> None:
+        """Take in a subsystem's write, and wake the loop."""
         self.joined[joined] = None
         self._wake.set()
 
     def wake(self) -> None:
-        """Something urgent is dirty."""
+        """Note that something urgent is dirty."""
         self._wake.set()
 
     async def run(self) -> None:
-        """Ends with `LeadershipLostError`."""
+        """Commit until leadership is lost; raises `LeadershipLostError` then."""
         while True:
             batch = self._gather(monotonic_now())
             self.under_way = bool(batch.changes)
@@ -133,8 +97,8 @@
 
     # -- what goes into the next transaction ----------------------------------------------------
 
-    def _gather(self, now: Monotonic) -> _Batch:
-        """What users wait for by urgency class, then the rest.
+    def _gather(self, now: Monotonic) -> TransactionBatch:
+        """Gather what users wait for by urgency class, then the rest.
 
         Within a class ends of jobs go first, then new bindings in the order in which they came:
         after a fall the bindings of hundreds of lost tasks would otherwise go before an urgent
@@ -142,32 +106,31 @@
         finds no room is waited for: an end takes several changes, and bindings of one change each
         used up the rate before there was ever room for it.
         """
-        batch = _Batch()
+        batch = TransactionBatch()
         room = min(self._txn_ops, int(self._client.writes.available()))
         awaited = {j: j.ahead_at for j in self.joined if j.ahead_at is not None}
-        if not (
+        if (
             self._add_all(batch, [j for j, at in awaited.items() if now >= at], room)
             and self._add_awaited(batch, room)
             and self._add_all(batch, [j for j in awaited if j not in batch.joined], room)
         ):
-            return batch
-        spare = min(room, max(0, int(self._client.writes.available(RequestPriority.LATER))))
-        self._add_all(batch, [j for j in self.joined if j.ahead_at is None], spare)
+            spare = min(room, max(0, int(self._client.writes.available(RequestPriority.LATER))))
+            self._add_deferred(batch, spare, now)
+        return batch
+
+    def _add_deferred(self, batch: TransactionBatch, room: int, now: Monotonic) -> None:
+        """Add what nobody waits for."""
+        self._add_all(batch, [j for j in self.joined if j.ahead_at is None], room)
         for chunk in list(self._job_store.lazy):
             due = chunk.dirty_since is not None and now - chunk.dirty_since >= _LAZY_S
-            if due and chunk.job not in batch.jobs and not self._add_chunk(batch, chunk, spare):
+            if due and chunk.job not in batch.jobs and not self._add_chunk(batch, chunk, room):
                 break
         for key, stamp in list(self._job_store.garbage.items()):
-            if len(batch.changes) >= spare:
+            if not batch.add_obsolete(key, stamp, room):
                 break
-            batch.guards[key] = stamp
-            batch.changes.append(wire.delete(key))
-            batch.garbage.append(key)
-            batch.bytes += 2 * len(key) + 60
-        return batch
 
-    def _add_awaited(self, batch: _Batch, room: int) -> bool:
-        """False when something was left out, and nothing behind it may go before it."""
+    def _add_awaited(self, batch: TransactionBatch, room: int) -> bool:
+        """Add ends and new bindings; return False when one found no room: nothing may pass it."""
         ends: dict[int, list[Job]] = {}
         for job in self._job_store.ending.values():
             ends.setdefault(job.spec.rank, []).append(job)
@@ -175,8 +138,8 @@
         for chunk in self._job_store.urgent:
             chunks.setdefault(chunk.job.spec.rank, []).append(chunk)
         for rank in sorted(ends.keys() | chunks.keys(), reverse=True):
-            tidy = rank not in chunks or len(self._job_store.garbage) >= _LEFTOVERS
-            if not all(self._add_end(batch, job, room, tidy) for job in ends.get(rank, ())):
+            drop_chunks = rank not in chunks or len(self._job_store.garbage) >= _LEFTOVERS
+            if not all(batch.add_end(job, room, drop_chunks) for job in ends.get(rank, ())):
                 return False
             if not all(
                 self._add_chunk(batch, chunk, room)
@@ -186,89 +149,16 @@
                 return False
         return True
 
-    def _chunks_to_drop(self, job: Job) -> list[Chunk]:
-        """Chunks that can go with the job's end: nothing of it is left on any machine.
-
-        Left for later they lay about in an overload, and every take-over looked up each one's job:
-        two seconds of 200 leftovers, once. But bindings of the same class don't wait for it, as
-        long as there are few: it is one more change, and cost urgent starts 0.02 in time.
-        """
-        if job.outcome != OUTCOME_DONE or job.bound_count:
-            return []
-        kept = [chunk for chunk in job.chunks.values() if chunk.stamp != ABSENT]
-        return kept if len(kept) <= _DROPPED_AT_ONCE else []
-
-    def _add_end(self, batch: _Batch, job: Job, room: int, tidy: bool) -> bool:
-        deregistered = self._chunks_to_drop(job) if tidy else []
-        if len(batch.changes) + 2 + len(deregistered) > room:
-            batch.complete = False
-            return False
-        if job.outcome == OUTCOME_DONE:
-            value: dict[str, Any] = {"status": wire.JOB_DONE, "tasks": job.spec.tasks}
-            if job.bound_count:
-                # A task that one machine has called done is still on another: without the
-                # description a new leader would take its binding for a leftover.
-                value["spec"] = wire.plain(job.spec)
-        else:
-            # The description stays: a new leader needs it until the job's tasks are gone.
-            value = {
-                "status": wire.JOB_CANCELLED,
-                "outcome": job.outcome,
-                "spec": wire.plain(job.spec),
-            }
-        put = wire.put(over_key(job.id), value)
-        size = len(wire.encode(put)) + 400 + 300 * len(deregistered)
-        if batch.bytes + size > _TXN_BYTES:
-            batch.complete = False
-            return False
-        for chunk in deregistered:
-            batch.guards[chunk.key] = chunk.stamp
-            batch.changes.append(wire.delete(chunk.key))
-            batch.deregistered[chunk.key] = chunk
-        batch.guards[job_key(job.id)] = job.stamp
-        batch.guards[over_key(job.id)] = ABSENT
-        if job.owner is not None and job.outcome != OUTCOME_CANCELLED:
-            # Once its owner's end was told to anybody, it can't become done any more.
-            batch.guards[job.owner.key] = job.owner.stamp
-        batch.changes += [wire.delete(job_key(job.id)), put]
-        batch.bytes += size
-        batch.jobs.append(job)
-        return True
-
-    def _add_all(self, batch: _Batch, wanted: list[JoinedWrite], room: int) -> bool:
-        return all(self._add_joined(batch, joined, room) for joined in wanted)
+    @staticmethod
+    def _add_all(batch: TransactionBatch, writes: list[JoinedWrite], room: int) -> bool:
+        return all(batch.add_joined(joined, room) for joined in writes)
 
-    def _add_joined(self, batch: _Batch, joined: JoinedWrite, room: int) -> bool:
-        size = joined.size
-        if len(batch.changes) + len(joined.changes) > room or batch.bytes + size > _TXN_BYTES:
-            batch.complete = False
-            return False
-        batch.guards.update(joined.guards)
-        batch.changes += joined.changes
-        batch.bytes += size
-        batch.joined.append(joined)
-        return True
-
-    def _add_chunk(self, batch: _Batch, chunk: Chunk, room: int) -> bool:
-        change = wire.put(chunk.key, self._job_store.value(chunk))
-        size = len(wire.encode(change)) + 200
-        if len(batch.changes) >= room or batch.bytes + size > _TXN_BYTES:
-            batch.complete = False
-            return False
-        batch.guards[chunk.key] = chunk.stamp
-        if chunk.new_bindings:
-            # Nothing may be bound for a job whose user was already told that it is cancelled.
-            batch.guards[job_key(chunk.job.id)] = chunk.job.stamp
-            if chunk.job.owner is not None:
-                batch.guards[chunk.job.owner.key] = chunk.job.owner.stamp
-        batch.changes.append(change)
-        batch.chunks.append((chunk, chunk.version, chunk.new_bindings))
-        batch.bytes += size
-        return True
+    def _add_chunk(self, batch: TransactionBatch, chunk: Chunk, room: int) -> bool:
+        return batch.add_chunk(chunk, self._job_store.value(chunk), room)
 
     # -- the transaction ------------------------------------------------------------------------
 
-    async def _commit(self, batch: _Batch) -> None:
+    async def _commit(self, batch: TransactionBatch) -> None:
         self._client.writes.spend(len(batch.changes))
         try:
             result = await self._fence.commit(batch.guards, batch.changes, paid=True)
@@ -288,7 +178,7 @@
             else:
                 self._apply(batch, result.revision)
 
-    def _apply(self, batch: _Batch, revision: Revision) -> None:
+    def _apply(self, batch: TransactionBatch, revision: Revision) -> None:
         for chunk, version, new_bindings in batch.chunks:
             chunk.stamp = revision
             chunk.committed = max(chunk.committed, version)
@@ -309,9 +199,9 @@
                 self._job_store.urgent.pop(chunk, None)
                 self._job_store.lazy[chunk] = None
                 chunk.dirty_since = monotonic_now()
-        for key in batch.garbage:
+        for key in batch.obsolete:
             self._job_store.garbage.pop(key, None)
-        for chunk in batch.deregistered.values():
+        for chunk in batch.dropped_chunks.values():
             chunk.stamp = ABSENT
         for job in batch.jobs:
             self._job_store.ended(job)
@@ -321,17 +211,17 @@
             joined.applied(revision)
         self._committed([chunk for chunk, _, new_bindings in batch.chunks if new_bindings])
 
-    async def _reread(self, batch: _Batch, keys: list[str]) -> None:
-        """Learns how things stand for keys whose guards failed or may have changed."""
-        chunks = {chunk.key: chunk for chunk, _, _ in batch.chunks}
+    async def _reread(self, batch: TransactionBatch, keys: list[str]) -> None:
+        """Read back keys whose guards failed or may have changed, and take over their stamps."""
+        chunks = batch.dropped_chunks | {write.chunk.key: write.chunk for write in batch.chunks}
         jobs = {job.id: job for job in batch.jobs}
-        jobs.update({chunk.job.id: chunk.job for chunk, _, _ in batch.chunks})
-        by_key = {job_key(job.id): job for job in jobs.values()}
+        jobs.update({write.chunk.job.id: write.chunk.job for write in batch.chunks})
+        jobs_by_key = {job_key(job.id): job for job in jobs.values()}
         owners = {job.owner.key: job.owner for job in jobs.values() if job.owner is not None}
         found: dict[str, wire.KeyValue | None] = {}
         for key in keys:
             entry = found[key] = await self._read(key)
-            stamp = ABSENT if entry is None else Revision(entry.version)
+            stamp = _stamp(entry)
             if key in owners and stamp != owners[key].stamp:
                 self.owner_gone(owners[key])
             if key == LEADER_KEY:
@@ -339,26 +229,32 @@
                     raise LeadershipLostError
             elif key in chunks:
                 chunks[key].stamp = stamp
-            elif key in batch.deregistered:
-                batch.deregistered[key].stamp = stamp
-            elif key in by_key:
-                await self._job_changed(by_key[key], stamp)
-            elif key in batch.garbage:
-                if stamp == ABSENT:
-                    self._job_store.garbage.pop(key, None)
-                else:
-                    self._job_store.garbage[key] = stamp
+            elif key in jobs_by_key:
+                await self._job_changed(jobs_by_key[key], stamp)
+            elif key in batch.obsolete:
+                self._obsolete_changed(key, stamp)
+        self._refuse_outdated(batch.joined, found)
+
+    def _obsolete_changed(self, key: str, stamp: Revision) -> None:
+        """Take over the stamp of an obsolete chunk; absent, it needs no removal any more."""
+        if stamp == ABSENT:
+            self._job_store.garbage.pop(key, None)
+        else:
+            self._job_store.garbage[key] = stamp
 
-        for joined in batch.joined:
+    def _refuse_outdated(
+        self, writes: list[JoinedWrite], found: dict[str, wire.KeyValue | None]
+    ) -> None:
+        """Drop the writes of subsystems that can't be executed any more, executed or not."""
+        for joined in writes:
             if any(
                 key in found and _stamp(found[key]) != stamp for key, stamp in joined.guards.items()
             ):
-                # Executed or not, it can't be executed any more.
                 self.joined.pop(joined, None)
                 joined.refused({key: found[key] for key in joined.guards if key in found})
 
     async def _job_changed(self, job: Job, stamp: Revision) -> None:
-        """The job's record is gone: by this leader's own end of it, or by a cancellation."""
+        """Find out why the job's record is gone: this leader's own end of it, or a cancellation."""
         if stamp == job.stamp or job.id not in self._job_store.jobs:
             return
         over = await self._read(over_key(job.id))
--- a/tests/samples.py
+++ b/tests/samples.py
@@ -10,7 +10,7 @@
 from tealrill.fleet.intent_log import IntentLog
 from tealrill.scheduler.model import JobView, MachineView, Pace, RunningTask
 from tealrill.state.fencing import Duty
-from tealrill.state.write_batcher import JoinedWrite
+from tealrill.state.transaction_batch import JoinedWrite
 from tealrill.types import FencingToken, JobId, MachineId, Monotonic, Revision, TaskId
 
 SETTINGS: dict[str, Any] = {
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -27,7 +27,8 @@
 from tealrill.state.client import GuardsFailed, StateClient
 from tealrill.state.fencing import LEADER_KEY, Duty, Fence, Leadership, NotHolderError
 from tealrill.state.job_store import JobStore
-from tealrill.state.write_batcher import JoinedWrite, LeadershipLostError, WriteBatcher
+from tealrill.state.transaction_batch import JoinedWrite
+from tealrill.state.write_batcher import LeadershipLostError, WriteBatcher
 from tealrill.types import (
     ABSENT,
     FencingToken,
--- a/tests/test_golden_records.py
+++ b/tests/test_golden_records.py
@@ -49,7 +49,7 @@
 from tealrill.state.client import Committed, GuardsFailed
 from tealrill.state.job_store import JobStore
 from tealrill.state.records import RecordError
-from tealrill.state.write_batcher import JoinedWrite, WriteBatcher, _Batch
+from tealrill.state.transaction_batch import JoinedWrite, TransactionBatch
 from tealrill.types import ABSENT, FencingToken, JobId, LeaseId, Revision, Wall
 from tests.samples import SETTINGS, SUBMISSION
 
@@ -225,8 +225,8 @@
     job = job_store.add(read.spec or _spec(), Wall(0.0), Revision(3))
     job.outcome = read.outcome
     job.bound_count = int(read.spec is not None)
-    batch = _Batch()
-    WriteBatcher._add_end(cast(Any, None), batch, job, 10, False)
+    batch = TransactionBatch()
+    batch.add_end(job, 10, False)
     key = state_records.over_key(job.id)
     return next(c["value"] for c in batch.changes if c.get("set") == key)
 
--- a/tests/test_graphs_records.py
+++ b/tests/test_graphs_records.py
@@ -29,14 +29,14 @@
 from tealrill.leader.leader import Leader
 from tealrill.leadership.election import Election
 from tealrill.scheduler.estimates import Estimates
-from tealrill.state import write_batcher
 from tealrill.state.admission import Admission, Reply
 from tealrill.state.bindings import Binding
 from tealrill.state.client import Committed, GuardsFailed, StateClient
 from tealrill.state.fencing import LEADER_KEY, Leadership
 from tealrill.state.job_store import JobStore
 from tealrill.state.rate_limiter import RequestPriority
-from tealrill.state.write_batcher import LeadershipLostError, WriteBatcher
+from tealrill.state.transaction_batch import JoinedWrite, TransactionBatch
+from tealrill.state.write_batcher import LeadershipLostError
 from tealrill.types import (
     FencingToken,
     Incarnation,
@@ -560,30 +560,30 @@
 
 def _unguarded_releases(patch: pytest.MonkeyPatch) -> None:
     def joined(guards: dict[str, Revision], *rest: Any) -> Any:
-        return write_batcher.JoinedWrite({k: v for k, v in guards.items() if "-" in k}, *rest)
+        return JoinedWrite({k: v for k, v in guards.items() if "-" in k}, *rest)
 
     patch.setattr(graph_term, "JoinedWrite", joined)
 
 
 def _unguarded(patch: pytest.MonkeyPatch, method: str, guard: Callable[[Any], str]) -> None:
-    whole = getattr(WriteBatcher, method)
+    whole = getattr(TransactionBatch, method)
 
-    def add(self: WriteBatcher, batch: Any, item: Any, *rest: Any) -> bool:
-        before = set(batch.guards)
-        added = bool(whole(self, batch, item, *rest))
+    def add(self: TransactionBatch, item: Any, *rest: Any) -> bool:
+        before = set(self.guards)
+        added = bool(whole(self, item, *rest))
         if guard(item) not in before:
-            batch.guards.pop(guard(item), None)
+            self.guards.pop(guard(item), None)
         return added
 
-    patch.setattr(WriteBatcher, method, add)
+    patch.setattr(TransactionBatch, method, add)
 
 
 def _unguarded_ends(patch: pytest.MonkeyPatch) -> None:
-    _unguarded(patch, "_add_end", lambda job: job.owner.key if job.owner else "")
+    _unguarded(patch, "add_end", lambda job: job.owner.key if job.owner else "")
 
 
 def _unguarded_bindings(patch: pytest.MonkeyPatch) -> None:
-    _unguarded(patch, "_add_chunk", lambda chunk: chunk.job.owner.key if chunk.job.owner else "")
+    _unguarded(patch, "add_chunk", lambda chunk: chunk.job.owner.key if chunk.job.owner else "")
 
 
 def _hasty_followers(patch: pytest.MonkeyPatch) -> None:
--- a/tests/test_meetings_lab.py
+++ b/tests/test_meetings_lab.py
@@ -31,7 +31,7 @@
 from tealrill.state.fencing import Fence
 from tealrill.state.job_store import JobStore
 from tealrill.state.records import job_key
-from tealrill.state.write_batcher import WriteBatcher
+from tealrill.state.transaction_batch import TransactionBatch
 from tealrill.types import JobId, Monotonic, Revision, monotonic_now
 from tests.test_bindings import work_for_who_answers
 
@@ -427,15 +427,15 @@
 
 def _end_unguarded(patch: Patch) -> None:
     """A job is called done whether or not it was cancelled meanwhile."""
-    whole = WriteBatcher._add_end
+    whole = TransactionBatch.add_end
 
-    def add_end(self: WriteBatcher, batch: Any, job: Job, *given: Any) -> bool:
-        found = whole(self, batch, job, *given)
-        batch.guards.pop(job_key(job.id), None)
-        batch.guards.pop(f"over/{job.id}", None)
+    def add_end(self: TransactionBatch, job: Job, *given: Any) -> bool:
+        found = whole(self, job, *given)
+        self.guards.pop(job_key(job.id), None)
+        self.guards.pop(f"over/{job.id}", None)
         return found
 
-    patch.setattr(WriteBatcher, "_add_end", add_end)
+    patch.setattr(TransactionBatch, "add_end", add_end)
 
 
 def _acknowledges_nothing(patch: Patch) -> None:
