--- a/tealrill/daemon.py
+++ b/tealrill/daemon.py
@@ -120,7 +120,7 @@
         self.subsystems = self._switched_on()
         for subsystem in self.subsystems:
             if subsystem.names is not None:
-                self.admission.names = subsystem.names
+                self.admission.implicit_jobs = subsystem.names
 
     def _switched_on(self) -> list[Extension]:
         """What is off is not even imported."""
--- a/tealrill/state/admission.py
+++ b/tealrill/state/admission.py
@@ -14,10 +14,8 @@
 from dataclasses import dataclass
 from typing import Any, Final, Protocol
 
-import orjson
-
 from tealrill import wire
-from tealrill.settings import Settings, Team
+from tealrill.settings import Settings
 from tealrill.state.acknowledged_cancellations import AcknowledgedCancellations
 from tealrill.state.client import (
     Committed,
@@ -38,6 +36,13 @@
     job_key,
     over_key,
 )
+from tealrill.state.validation import (
+    CatalogueUnknownError,
+    JobRejectedError,
+    JobValidator,
+    decode_job,
+    requested_job_id,
+)
 from tealrill.types import ABSENT, JobId, Revision, parse_job_id, wall_now
 
 log = logging.getLogger(__name__)
@@ -63,6 +68,10 @@
     return Reply(503, {"error": why}, retry_after_s=1, elsewhere=elsewhere)
 
 
+def _rejected(error: JobRejectedError) -> Reply:
+    return Reply(error.status, {"error": str(error)})
+
+
 _NOT_FOUND: Final = Reply(404, {"error": "no such job"})
 
 
@@ -80,20 +89,20 @@
     """Job ids that belong to a subsystem's record, whether or not they have one of their own."""
 
     def claims(self, job_id: JobId) -> list[str]:
-        """Keys that must be absent for somebody else's job of this id to be accepted."""
+        """Return the keys that must be absent for somebody else's job of this id to be accepted."""
 
     async def status(self, job_id: JobId) -> ImplicitJob | None:
-        """Of an id without a record of its own; None if it is no job at all."""
+        """Return the status of an id without a record of its own; None if it is no job."""
 
     async def refusal(self, job_id: JobId) -> Reply | None:
-        """Why a job of this id can't be accepted, if that will not change."""
+        """Return why a job of this id can't be accepted, if that will not change."""
 
     async def cancel(self, job_id: JobId) -> Revision | None:
-        """Cancels a job without a record of its own; None if that has to be looked at again."""
+        """Cancel a job without a record of its own; None if that has to be looked at again."""
 
 
 class Admission:
-    """What users ask for."""
+    """Accepts, shows and cancels jobs for users."""
 
     def __init__(
         self,
@@ -102,18 +111,17 @@
         catalogue: Callable[[], wire.Catalogue | None],
     ) -> None:
         self._client = client
-        self._teams: dict[str, Team] = {t.name: t for t in settings.params.teams}
-        self._value_bytes = int(settings.params.state.value_kb * 1024)
-        self._catalogue = catalogue
+        self._validator = JobValidator(settings, catalogue)
         self._over: OrderedDict[JobId, wire.KeyValue] = OrderedDict()
         self.acknowledged = AcknowledgedCancellations(lambda: client.first_seen)
-        self.names: ImplicitJobs | None = None
+        self.implicit_jobs: ImplicitJobs | None = None
         self.counts: Callable[[JobId], tuple[int, int] | None] = lambda _: None
         """Done and running tasks as the leader's memory has them; None elsewhere."""
 
     # -- submissions ----------------------------------------------------------------------------
 
     async def submit(self, body: bytes) -> Reply:
+        """Accept a job, or repeat the answer to an earlier submission of it."""
         try:
             return await self._submit(body)
         except StateError as error:
@@ -121,16 +129,13 @@
             return _unavailable("the state service can't be reached")
 
     async def _submit(self, body: bytes) -> Reply:
-        job_id = _id_in(body)
+        job_id = requested_job_id(body)
         problem: Reply | None = None
         spec: wire.JobSpec | None = None
-        if len(body) > wire.MAX_BODY:
-            problem = Reply(400, {"error": "the body is larger than 64 KiB"})
-        else:
-            try:
-                spec = wire.decode(body, wire.JobSpec)
-            except wire.MalformedMessageError as error:
-                problem = Reply(400, {"error": str(error)})
+        try:
+            spec = decode_job(body)
+        except JobRejectedError as error:
+            problem = _rejected(error)
         if spec is not None:
             problem = self.problem(spec, job_id)
         if problem is None and spec is not None and job_id is not None:
@@ -145,34 +150,17 @@
     def problem(
         self, spec: wire.JobSpec, job_id: JobId | None, beside_bytes: int = 100
     ) -> Reply | None:
-        """What stands against a job; `beside_bytes` is what its record holds beside it."""
-        if job_id is None:
-            return Reply(400, {"error": "id: malformed - at `$.id`"})
-        if len(wire.encode(spec)) + beside_bytes > self._value_bytes:
-            return Reply(400, {"error": "the job's description is too long - at `$.builds`"})
-        team = self._teams.get(spec.team)
-        if team is None:
-            return Reply(422, {"error": f"unknown team {spec.team!r} - at `$.crew`"})
-        catalogue = self._catalogue()
-        if catalogue is None:
-            return _unavailable("the machine types are not known yet")
-        field = _fits_nothing(spec, catalogue)
-        if field is not None:
-            return Reply(422, {"error": f"a task fits no allowed machine type - at `$.{field}`"})
-        # What a machine or a zone holds at a time is no limit on an array, whose tasks may follow
-        # each other; a service's and a gang's run all at once.
-        tasks = spec.tasks if spec.is_service or spec.is_gang else 1
-        for field, need, most in (
-            ("vcpus", spec.cpus, team.cpus_max),
-            ("gpus", spec.gpus, team.gpus_max),
-        ):
-            if most > 0 and need * tasks > most:
-                why = f"the job needs more than the team's limit - at `$.{field}`"
-                return Reply(422, {"error": why})
+        """Return what stands against a job; `beside_bytes` is what its record holds beside it."""
+        try:
+            self._validator.check(spec, job_id, beside_bytes)
+        except JobRejectedError as error:
+            return _rejected(error)
+        except CatalogueUnknownError as error:
+            return _unavailable(str(error))
         return None
 
     def _reach(self) -> None:
-        """Raises `StateUnavailableError` at once while the state service is away.
+        """Raise `StateUnavailableError` at once while the state service is away.
 
         Each user's try would be one more request in vain, here and at the node that it is handed
         to: 70,000 in one outage of three minutes, and most of a day's processor time.
@@ -185,8 +173,8 @@
         if not self._client.accepts.take_now():
             return self._refuse(job_id, "too many submissions", elsewhere=False)
         guards = [wire.guard(job_key(job_id), ABSENT), wire.guard(over_key(job_id), ABSENT)]
-        if self.names is not None:
-            guards += [wire.guard(key, ABSENT) for key in self.names.claims(job_id)]
+        if self.implicit_jobs is not None:
+            guards += [wire.guard(key, ABSENT) for key in self.implicit_jobs.claims(job_id)]
         record = {"spec": wire.plain(spec), "at": wall_now()}
         try:
             result = await self._commit_accepted(guards, [wire.put(job_key(job_id), record)])
@@ -203,14 +191,14 @@
             log.debug("job %s accepted", job_id)
             return Reply(201, wire.accepted(job_id, wire.JOB_PENDING))
         known = await self._known(job_id)
-        if known is None and self.names is not None:
-            known = await self.names.refusal(job_id)
+        if known is None and self.implicit_jobs is not None:
+            known = await self.implicit_jobs.refusal(job_id)
         return known or _unavailable("not decided")
 
     async def _commit_accepted(
         self, guards: list[Any], changes: list[Any]
     ) -> Committed | GuardsFailed:
-        """Sent again after a moment when the state service is at its limit, which soon passes."""
+        """Commit, and send again after a moment while the state service is at its limit."""
         for pause_s in _ACCEPT_PAUSES_S:
             try:
                 return await self._client.commit(guards, changes, paid=True)
@@ -224,7 +212,7 @@
         return _unavailable(why, elsewhere)
 
     async def _known(self, job_id: JobId) -> Reply | None:
-        """The answer to a repeated submission; None if the job is not known.
+        """Return the answer to a repeated submission; None if the job is not known.
 
         What can't be told at this moment is no leave to call it malformed: it may be accepted.
         """
@@ -238,6 +226,7 @@
     # -- polls ----------------------------------------------------------------------------------
 
     async def status(self, text: str) -> Reply:
+        """Return the status of the job whose id is `text`."""
         job_id = parse_job_id(text)
         if job_id is None:
             return _NOT_FOUND
@@ -249,39 +238,43 @@
 
     async def _status(self, job_id: JobId) -> Reply:
         over = self._over.get(job_id)
+        if over is not None:
+            return self._final(job_id, over)
+        self._reach()
+        # The counts may lag, the record may not: read first, it was as old as the counts' way
+        # when it was told, and another node had said `done` meanwhile.
+        done, running = await self._counts(job_id)
+        entry = await self._client.get(job_key(job_id), RequestPriority.USERS)
+        owner = entry.value.get("owner") if entry is not None else None
+        if (
+            owner is not None
+            and await self._client.get(JOB_PREFIX + owner, RequestPriority.USERS) is None
+        ):
+            return await self._status_after_owner(job_id, owner)
+        if entry is not None:
+            status = wire.JOB_RUNNING if running else wire.JOB_PENDING
+            return Reply(200, wire.job_status(job_id, status, done, running))
+        over = await self._read_over(job_id)
         if over is None:
-            self._reach()
-            # The counts may lag, the record may not: read first, it was as old as the counts' way
-            # when it was told, and another node had said `done` meanwhile.
-            done, running = await self._counts(job_id)
-            entry = await self._client.get(job_key(job_id), RequestPriority.USERS)
-            owner = entry.value.get("owner") if entry is not None else None
-            if (
-                owner is not None
-                and await self._client.get(JOB_PREFIX + owner, RequestPriority.USERS) is None
-            ):
-                # The owner's end is the job's, though its record is not moved yet.
-                over = await self._read_over(job_id)
-                if over is None:
-                    end = await self._client.get(OVER_PREFIX + owner, RequestPriority.USERS)
-                    if end is None:
-                        return _unavailable("its owner's record is being moved")
-                    # The user is told here, perhaps before whoever cancelled the owner could be.
-                    self.acknowledge(owner, Revision(end.version))
-                    body = wire.job_status(job_id, wire.JOB_CANCELLED)
-                    return Reply(200, {**body, "outcome": OUTCOME_CANCELLED})
-                return self._final(job_id, over)
-            if entry is not None:
-                status = wire.JOB_RUNNING if running else wire.JOB_PENDING
-                return Reply(200, wire.job_status(job_id, status, done, running))
-            over = await self._read_over(job_id)
-            if over is None:
-                return await self._nameless(job_id)
+            return await self._implicit_status(job_id)
         return self._final(job_id, over)
 
-    async def _nameless(self, job_id: JobId) -> Reply:
-        """A job without a record of its own."""
-        found = await self.names.status(job_id) if self.names is not None else None
+    async def _status_after_owner(self, job_id: JobId, owner: str) -> Reply:
+        """Return the owner's end: it is the job's, though its record is not moved yet."""
+        over = await self._read_over(job_id)
+        if over is not None:
+            return self._final(job_id, over)
+        end = await self._client.get(OVER_PREFIX + owner, RequestPriority.USERS)
+        if end is None:
+            return _unavailable("its owner's record is being moved")
+        # The user is told here, perhaps before whoever cancelled the owner could be.
+        self.acknowledge(owner, Revision(end.version))
+        body = wire.job_status(job_id, wire.JOB_CANCELLED)
+        return Reply(200, {**body, "outcome": OUTCOME_CANCELLED})
+
+    async def _implicit_status(self, job_id: JobId) -> Reply:
+        """Return the status of a job without a record of its own."""
+        found = await self.implicit_jobs.status(job_id) if self.implicit_jobs is not None else None
         if found is None:
             return _NOT_FOUND
         if found.status == wire.JOB_CANCELLED:
@@ -335,6 +328,7 @@
     # -- cancellations --------------------------------------------------------------------------
 
     async def cancel(self, text: str) -> Reply:
+        """Cancel the job whose id is `text`, once and for ever."""
         job_id = parse_job_id(text)
         if job_id is None:
             return _NOT_FOUND
@@ -348,13 +342,13 @@
         return _unavailable("the state service can't be reached")
 
     async def _cancel(self, job_id: JobId) -> Reply | None:
-        """None when it has to be looked at again."""
+        """Try to cancel a job; return None when it has to be looked at again."""
         self._reach()
         entry = await self._client.get(job_key(job_id))
         if entry is None:
             over = await self._read_over(job_id, RequestPriority.FIRST)
             if over is None:
-                return await self._cancel_nameless(job_id)
+                return await self._cancel_implicit(job_id)
             return Reply(200, wire.accepted(job_id, over.value["status"]))
         # The description stays: a new leader needs it until the job's tasks are gone.
         record = {"status": wire.JOB_CANCELLED, "spec": entry.value["spec"]}
@@ -375,15 +369,15 @@
         self.acknowledge(job_id, result.revision)
         return Reply(200, wire.accepted(job_id, wire.JOB_CANCELLED))
 
-    async def _cancel_nameless(self, job_id: JobId) -> Reply | None:
-        found = await self.names.status(job_id) if self.names is not None else None
-        if self.names is None or found is None:
+    async def _cancel_implicit(self, job_id: JobId) -> Reply | None:
+        found = await self.implicit_jobs.status(job_id) if self.implicit_jobs is not None else None
+        if self.implicit_jobs is None or found is None:
             return _NOT_FOUND
         if found.status == wire.JOB_CANCELLED:
             over = await self._read_over(job_id, RequestPriority.FIRST)
             status = over.value["status"] if over is not None else found.status
             return Reply(200, wire.accepted(job_id, status))
-        revision = await self.names.cancel(job_id)
+        revision = await self.implicit_jobs.cancel(job_id)
         if revision is None:
             return None
         log.info("job %s cancelled before it was released", job_id)
@@ -391,32 +385,5 @@
         return Reply(200, wire.accepted(job_id, wire.JOB_CANCELLED))
 
     def acknowledge(self, job_id: str, revision: Revision) -> None:
-        """From here on the user may be told."""
+        """Note that the user may be told of a cancellation in this revision from here on."""
         self.acknowledged.add(job_id, revision)
-
-
-def _id_in(body: bytes) -> JobId | None:
-    """The job id in a body that may be malformed otherwise."""
-    try:
-        message = orjson.loads(body)
-    except orjson.JSONDecodeError:
-        return None
-    text = message.get("id") if isinstance(message, dict) else None
-    return parse_job_id(text) if isinstance(text, str) else None
-
-
-def _fits_nothing(spec: wire.JobSpec, catalogue: wire.Catalogue) -> str | None:
-    """The field that leaves no machine type for a task; None if there is one."""
-    left = catalogue.types
-    conditions: tuple[tuple[str, Callable[[wire.MachineType], bool]], ...] = (
-        ("builds", lambda kind: spec.types is None or kind.name in spec.types),
-        ("hall", lambda kind: spec.zone is None or spec.zone in kind.zones),
-        ("vcpus", lambda kind: spec.cpus <= kind.cpus),
-        ("gpus", lambda kind: spec.gpus <= kind.gpus),
-        ("memoryGb", lambda kind: spec.memory_gb <= kind.memory_gb),
-    )
-    for field, holds in conditions:
-        left = [kind for kind in left if holds(kind)]
-        if not left:
-            return field
-    return None
--- a/tests/test_golden_records.py
+++ b/tests/test_golden_records.py
@@ -423,7 +423,7 @@
     """Status, body and delay of the answer to a user, with `kept` in the state service."""
     client = _Client(kept)
     admission = _admission(client)
-    graphs = admission.names = _graph_intake(client, admission)
+    graphs = admission.implicit_jobs = _graph_intake(client, admission)
     calls: dict[str, Callable[..., Any]] = {
         "submit": lambda body: admission.submit(wire.encode(body)),
         "status": admission.status,
--- a/tests/test_graphs_records.py
+++ b/tests/test_graphs_records.py
@@ -313,7 +313,7 @@
         for _ in range(3):
             admission = Admission(client, parsed, lambda: _CATALOGUE)
             graphs = GraphAdmission(client, parsed, _FEATURES, admission, self._no_counts)
-            admission.names = graphs
+            admission.implicit_jobs = graphs
             self.nodes.append((admission, graphs))
         self.models = {name: Model(name, self._graph()) for name in _NAMES}
         self.store.models = self.models
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -624,7 +624,7 @@
     graphs = GraphAdmission(
         cast(StateClient, records), _settings(), GraphFeatures(), admission, counts
     )
-    admission.names = graphs
+    admission.implicit_jobs = graphs
     assert asyncio.run(graphs.show("lab1")).body["status"] == wire.JOB_CANCELLED
     assert admission.acknowledged.since(Revision(43)) == ["lab1"]
 
