--- a/tealrill/api/admin.py
+++ b/tealrill/api/admin.py
@@ -8,14 +8,19 @@
 
 
 class Described(Protocol):
-    def describe(self) -> dict[str, Any]: ...
+    """A component that reports its state to operators."""
+
+    def describe(self) -> dict[str, Any]:
+        """Return the current state as JSON-serializable values."""
 
 
 class AdminStateHandler(JsonHandler):
-    """What this node knows of the service."""
+    """GET: the state of this controller."""
 
     def initialize(self, node: Described) -> None:
+        """Set the component to describe."""
         self._node = node
 
     def get(self) -> None:
+        """Answer with the state of this controller."""
         self.reply(200, self._node.describe())
--- a/tealrill/api/base.py
+++ b/tealrill/api/base.py
@@ -1,4 +1,4 @@
-"""What all handlers share: JSON in, JSON out, errors included."""
+"""The base of all request handlers: JSON in, JSON out, errors included."""
 
 from __future__ import annotations
 
@@ -13,19 +13,23 @@
     """A handler that answers everything, errors included, in JSON."""
 
     def set_default_headers(self) -> None:
+        """Declare JSON content and hide the server's version."""
         self.set_header("Content-Type", "application/json")
         self.clear_header("Server")
 
     def reply(self, status: int, body: Any, retry_after_s: int | None = None) -> None:
+        """Finish the response with `body` encoded as JSON."""
         self.set_status(status)
         if retry_after_s is not None:
             self.set_header("Retry-After", str(retry_after_s))
         self.finish(wire.encode(body))
 
     def write_error(self, status_code: int, **_: Any) -> None:
+        """Answer an unhandled error with its reason phrase."""
         self.finish(wire.encode({"error": self._reason}))
 
     def compute_etag(self) -> str | None:
+        """Return None: responses carry no entity tag."""
         return None
 
 
@@ -33,6 +37,7 @@
     """Any path that is not served."""
 
     def prepare(self) -> None:
+        """Answer 404 before any method is looked up."""
         self.reply(404, {"error": "no such path"})
 
 
--- a/tealrill/api/front.py
+++ b/tealrill/api/http_frontend.py
@@ -1,6 +1,6 @@
-"""What stands before the handlers: workers' reports, large bodies, idle connections.
+"""The HTTP front end before the handlers: heartbeats, large bodies, idle connections.
 
-Nine of ten requests are reports, several hundred a second on a share of a core. Routed through
+Nine of ten requests are heartbeats, several hundred a second on a share of a core. Routed through
 tornado's application, each would cost several times what its content does; so they are answered
 here, from tornado's own connection. Everything else goes on to the application.
 
@@ -27,44 +27,46 @@
 
 log = logging.getLogger(__name__)
 
-HeartbeatHandler = tuple[int, dict[str, Any]]
-TakeReport = Callable[[wire.Heartbeat, MachineId], HeartbeatHandler]
+HeartbeatReply = tuple[int, dict[str, Any]]
+HeartbeatHandler = Callable[[wire.Heartbeat, MachineId], HeartbeatReply]
 
 _IDLE_S: Final = 600.0
 """A connection on which no request begins for so long is closed: a machine that lost its power
 never closes its own."""
 _MAX_RECEIVED: Final = 1024 * 1024
 """Larger bodies than the protocol allows are read up to here, so that they get a JSON answer."""
-_TURN_EVERY: Final = 8
+_YIELD_EVERY: Final = 8
 """Requests of one connection after which others have a turn in any case."""
-_MOST_HEAD: Final = 256
-_MOST_HEADS: Final = 1024
+_MAX_CACHED_HEAD: Final = 256
+_MAX_CACHED_HEADS: Final = 1024
 """Bytes of a request's head that is kept taken apart, and how many of them."""
-_PIECE: Final = 16 * 1024
+_READ_CHUNK: Final = 16 * 1024
 """Most that a connection's own buffer takes from the network at once."""
 
 
 class BodyMemory:
-    """Bytes of bodies that are held at this moment, out of a bound."""
+    """The bytes of request bodies that are held, up to a bound."""
 
-    def __init__(self, most: int) -> None:
-        self._most = most
-        self._now = 0
+    def __init__(self, limit: int) -> None:
+        self._limit = limit
+        self._held_bytes = 0
 
-    def take(self, size: int) -> bool:
-        if self._now + size > self._most:
+    def reserve(self, size: int) -> bool:
+        """Account for `size` more bytes; False if that would exceed the bound."""
+        if self._held_bytes + size > self._limit:
             return False
-        self._now += size
+        self._held_bytes += size
         return True
 
-    def give_back(self, size: int) -> None:
-        self._now -= size
+    def release(self, size: int) -> None:
+        """Return `size` reserved bytes."""
+        self._held_bytes -= size
 
 
 def answer(
     connection: httputil.HTTPConnection, status: int, body: Any, retry_after_s: int | None = None
 ) -> None:
-    """Writes a whole JSON response."""
+    """Write a whole JSON response."""
     content = wire.encode(body)
     headers = httputil.HTTPHeaders(
         {"Content-Type": "application/json", "Content-Length": str(len(content))}
@@ -77,20 +79,18 @@
 
 
 class HttpFrontend(httputil.HTTPServerConnectionDelegate):
-    """Takes every request of a server; `handle_heartbeat` answers workers, `application` the
-    rest.
-    """
+    """The delegate of a server: `handle_heartbeat` answers workers, `application` the rest."""
 
     def __init__(
         self,
         application: httputil.HTTPServerConnectionDelegate,
-        most_held: int,
-        handle_heartbeat: TakeReport | None = None,
+        max_held_bytes: int,
+        handle_heartbeat: HeartbeatHandler | None = None,
     ) -> None:
         self.application = application
         self.handle_heartbeat = handle_heartbeat
-        self.reports = BodyMemory(most_held)
-        self.others = BodyMemory(most_held)
+        self.heartbeat_bodies = BodyMemory(max_held_bytes)
+        self.other_bodies = BodyMemory(max_held_bytes)
         """Apart, so that a flood of users' bodies keeps no worker from its lease."""
         self._requests: dict[Any, _Request] = {}
         """Per connection its last request, or the one that has not begun."""
@@ -98,36 +98,40 @@
     def start_request(
         self, server_conn: object, request_conn: httputil.HTTPConnection
     ) -> httputil.HTTPMessageDelegate:
+        """Create the collector of a connection's next request."""
         # Called when the one before is answered: until then its handler holds its body.
         self.on_close(server_conn)
         request = self._requests[server_conn] = _Request(self, server_conn, request_conn)
         return request
 
     def on_close(self, server_conn: object) -> None:
+        """Release what the last request of a closed connection holds."""
         request = self._requests.pop(server_conn, None)
         if request is not None:
-            request.give_back()
+            request.release()
 
     @property
     def connections(self) -> int:
+        """Return the number of open connections."""
         return len(self._requests)
 
     async def close_idle(self, now: Monotonic) -> None:
-        """tornado's own time-out would set a timer for every request."""
+        """Close connections idle for too long; tornado's own timeout sets a timer per request."""
         for connection, request in list(self._requests.items()):
-            if not request.began and now - request.since > _IDLE_S:
+            if not request.has_begun and now - request.since > _IDLE_S:
                 await connection.close()
 
 
 class Server(httpserver.HTTPServer):
-    """tornado's server, which does not tell its delegate that a connection is gone."""
+    """The HTTP server; tornado's own does not tell its delegate that a connection closed."""
 
     def __init__(self, front: HttpFrontend) -> None:
-        super().__init__(front, max_body_size=_MAX_RECEIVED, chunk_size=_PIECE)
+        super().__init__(front, max_body_size=_MAX_RECEIVED, chunk_size=_READ_CHUNK)
         self._front = front
         self.conn_params.header_timeout = None
 
     def handle_stream(self, stream: iostream.IOStream, address: Any) -> None:
+        """Serve an accepted connection."""
         send_at_once(stream)
         context = _HTTPRequestContext(stream, address, self.protocol, self.trusted_downstream)
         connection = _Connection(stream, self.conn_params, context)
@@ -135,6 +139,7 @@
         connection.start_serving(self)
 
     def on_close(self, server_conn: object) -> None:
+        """Forward the end of a connection to the front end."""
         super().on_close(server_conn)
         self._front.on_close(server_conn)
 
@@ -166,7 +171,9 @@
                     message.close()
                     return
                 served += 1
-                if self.stream._read_buffer_size or served % _TURN_EVERY == 0:
+                # tornado has no public name for the bytes it has read ahead.
+                read_ahead = self.stream._read_buffer_size  # noqa: SLF001
+                if read_ahead or served % _YIELD_EVERY == 0:
                     # The next one is here already, or may be at the socket: others first.
                     await asyncio.sleep(0)
         finally:
@@ -186,8 +193,8 @@
         if head is None:
             head = super()._parse_headers(data)
             # What comes from workers says little; others' heads are long, and hardly ever again.
-            if len(data) <= _MOST_HEAD and "," not in head[1].get("Content-Length", ""):
-                if len(self._heads) >= _MOST_HEADS:
+            if len(data) <= _MAX_CACHED_HEAD and "," not in head[1].get("Content-Length", ""):
+                if len(self._heads) >= _MAX_CACHED_HEADS:
                     self._heads.clear()
                 self._heads[data] = head
         return head
@@ -200,16 +207,16 @@
         self, front: HttpFrontend, server_conn: object, connection: httputil.HTTPConnection
     ) -> None:
         self.since = monotonic_now()
-        self.began = False
+        self.has_begun = False
         self._front = front
         self._server_conn = server_conn
         self._connection = connection
-        self._next: httputil.HTTPMessageDelegate | None = None
-        """What answers it; None for a report."""
-        self._held = front.reports
+        self._delegate: httputil.HTTPMessageDelegate | None = None
+        """What answers it; None for a heartbeat."""
+        self._held = front.heartbeat_bodies
         self._chunks: list[bytes] = []
         self._size = 0
-        self._refusal: tuple[int, str, int | None] | None = None
+        self._rejection: tuple[int, str, int | None] | None = None
         """Why the body is being dropped: status, error, and when to come again."""
 
     def headers_received(
@@ -217,7 +224,7 @@
         start_line: httputil.RequestStartLine | httputil.ResponseStartLine,
         headers: httputil.HTTPHeaders,
     ) -> Awaitable[None] | None:
-        self.began = True
+        self.has_begun = True
         assert isinstance(start_line, httputil.RequestStartLine)
         if (
             self._front.handle_heartbeat is not None
@@ -225,55 +232,55 @@
             and start_line.method == "POST"
         ):
             return None
-        self._held = self._front.others
-        self._next = self._front.application.start_request(self._server_conn, self._connection)
-        return self._next.headers_received(start_line, headers)
+        self._held = self._front.other_bodies
+        self._delegate = self._front.application.start_request(self._server_conn, self._connection)
+        return self._delegate.headers_received(start_line, headers)
 
     def data_received(self, chunk: bytes) -> Awaitable[None] | None:
-        if self._refusal is not None:
+        if self._rejection is not None:
             return None
-        if self._next is None and self._size + len(chunk) > wire.MAX_BODY:
-            self._refusal = (400, "the body is larger than 64 KiB", None)
-        elif not self._held.take(len(chunk)):
+        if self._delegate is None and self._size + len(chunk) > wire.MAX_BODY:
+            self._rejection = (400, "the body is larger than 64 KiB", None)
+        elif not self._held.reserve(len(chunk)):
             # Whether the job was accepted before can't be told without its id: no 400.
-            self._refusal = (503, "too much at once", 1)
+            self._rejection = (503, "too much at once", 1)
         else:
             self._size += len(chunk)
             self._chunks.append(chunk)
             return None
-        self.give_back()
+        self.release()
         return None
 
-    def give_back(self) -> None:
-        self._held.give_back(self._size)
+    def release(self) -> None:
+        self._held.release(self._size)
         self._size = 0
         self._chunks.clear()
 
     def finish(self) -> None:
         body = b"".join(self._chunks)
         self._chunks.clear()
-        if self._refusal is not None:
-            status, error, retry_after_s = self._refusal
+        if self._rejection is not None:
+            status, error, retry_after_s = self._rejection
             answer(self._connection, status, {"error": error}, retry_after_s)
-        elif self._next is None:
-            answer(self._connection, *self._report(body))
+        elif self._delegate is None:
+            answer(self._connection, *self._handle_heartbeat(body))
         else:
             if body:
-                self._next.data_received(body)
-            self._next.finish()
+                self._delegate.data_received(body)
+            self._delegate.finish()
 
     def on_connection_close(self) -> None:
-        if self._next is not None:
-            self._next.on_connection_close()
+        if self._delegate is not None:
+            self._delegate.on_connection_close()
 
-    def _report(self, body: bytes) -> HeartbeatHandler:
+    def _handle_heartbeat(self, body: bytes) -> HeartbeatReply:
         handle_heartbeat = self._front.handle_heartbeat
         assert handle_heartbeat is not None
         try:
-            report = wire.decode(body, wire.Heartbeat)
+            heartbeat = wire.decode(body, wire.Heartbeat)
         except wire.MalformedMessageError as error:
             return 400, {"error": str(error)}
-        machine_id = parse_machine_id(report.machine)
+        machine_id = parse_machine_id(heartbeat.machine)
         if machine_id is None:
             return 400, {"error": "malformed machine id - at `$.kiln`"}
-        return handle_heartbeat(report, machine_id)
+        return handle_heartbeat(heartbeat, machine_id)
--- a/tealrill/api/peers.py
+++ b/tealrill/api/peers.py
@@ -13,9 +13,11 @@
     """A leader asks this node not to stand for election while the state service is down."""
 
     def initialize(self, extension: LeaseExtension) -> None:
+        """Set the lease extension that decides."""
         self._extension = extension
 
     async def post(self) -> None:
+        """Answer a leader's extension request; 400 if it is malformed."""
         try:
             request = wire.decode(self.request.body, ExtensionRequest)
         except wire.MalformedMessageError as error:
@@ -28,9 +30,11 @@
     """Whether this node can be reached from another, and whether it leads."""
 
     def initialize(self, extension: LeaseExtension) -> None:
+        """Set the lease extension that knows who leads."""
         self._extension = extension
 
     def get(self) -> None:
+        """Answer with this controller's presence."""
         self.reply(200, self._extension.presence())
 
 
@@ -38,9 +42,11 @@
     """The machine types as this node knows them."""
 
     def initialize(self, known: Callable[[], wire.Catalogue | None]) -> None:
+        """Set the function that returns the catalogue, or None while it is unknown."""
         self._known = known
 
     def get(self) -> None:
+        """Answer with the catalogue; 503 while it is unknown."""
         known = self._known()
         if known is None:
             self.reply(503, {"error": "not known yet"}, retry_after_s=1)
--- a/tealrill/api/relay.py
+++ b/tealrill/api/relay.py
@@ -32,15 +32,20 @@
 
 
 class JobRequests(Protocol):
-    """What users may ask of a node."""
+    """The requests of users."""
 
-    async def submit(self, body: bytes) -> Reply: ...
-    async def status(self, text: str) -> Reply: ...
-    async def cancel(self, text: str) -> Reply: ...
+    async def submit(self, body: bytes) -> Reply:
+        """Submit the job described by the request body."""
+
+    async def status(self, text: str) -> Reply:
+        """Return the status of the job with the id in `text`."""
+
+    async def cancel(self, text: str) -> Reply:
+        """Cancel the job with the id in `text`."""
 
 
 class Relay:
-    """Answers from here, or by way of another node."""
+    """Answers from this controller, or by way of another one."""
 
     def __init__(self, local: JobRequests, settings: Settings, failing: Callable[[], bool]) -> None:
         self._local = local
@@ -51,14 +56,17 @@
         self._in_vain_at = Monotonic(-math.inf)
 
     async def submit(self, body: bytes) -> Reply:
+        """Submit the job described by the request body."""
         there = (wire.JOBS_PATH, "POST", body)
         return await self.either(self._local.submit(body), there, _SLOW_S)
 
     async def status(self, text: str) -> Reply:
+        """Return the status of the job with the id in `text`."""
         there = (f"{wire.JOBS_PATH}/{text}", "GET", None)
         return await self.either(self._local.status(text), there, _SLOW_POLL_S)
 
     async def cancel(self, text: str) -> Reply:
+        """Cancel the job with the id in `text`."""
         there = (f"{wire.JOBS_PATH}/{text}/{wire.CANCEL_PATH}", "POST", b"")
         return await self.either(self._local.cancel(text), there, _SLOW_POLL_S)
 
--- a/tealrill/daemon.py
+++ b/tealrill/daemon.py
@@ -17,7 +17,7 @@
 from tealrill import wire
 from tealrill.api.admin import AdminStateHandler
 from tealrill.api.base import NotFound, no_access_log
-from tealrill.api.front import HttpFrontend, Server
+from tealrill.api.http_frontend import HttpFrontend, Server
 from tealrill.api.peers import CatalogueHandler, LeaseExtensionHandler, PingHandler
 from tealrill.api.relay import PEER_PREFIX, JobRequests, Relay
 from tealrill.api.users import CancelHandler, HealthHandler, JobHandler, JobsHandler
@@ -384,7 +384,7 @@
             plan = leader.scheduling_loop.last
             shown["machines"] = len(leader.fleet.machines)
             shown["jobs"] = len(leader.job_store.jobs)
-            shown["head"] = plan.head
+            shown["head"] = plan.reserved_job
             shown["duties"] = leader.duties()
             shown["waiting"] = {job.id: left for job, left in plan.unplaced}
             for part in leader.parts:
--- a/tealrill/fleet/dispatch.py
+++ b/tealrill/fleet/dispatch.py
@@ -222,7 +222,7 @@
             if silent_s <= self._silence_s or _boots(machine, verdict):
                 continue
             kind = self._provisioner.type_of(machine.type)
-            back_s = failure_detector.back_in_s(verdict, silent_s)
+            back_s = failure_detector.expected_recovery_s(verdict, silent_s)
             if kind is not None and back_s is not None and back_s <= kind.boot_s:
                 found.append(self._seen(machine, kind, Monotonic(now + back_s)))
         return found
@@ -459,14 +459,16 @@
         if now < self._rent_at:
             return
         self._count_losses(now)
-        owed = self._capacity_losses.owed(now, len(self._fleet.machines))
-        if not owed:
+        replacement_capacity = self._capacity_losses.replacement_capacity(
+            now, len(self._fleet.machines)
+        )
+        if not replacement_capacity:
             return
         asked: dict[str, float] = {}
         for rental in self._provisioner.under_way():
             asked[rental.type] = asked.get(rental.type, 0.0) + self._cpus(rental)
         available = [o for o in self._available(now) if not self._is_dear(o.type, o.spot)]
-        for type_name, cpus in owed.items():
+        for type_name, cpus in replacement_capacity.items():
             offers = [o for o in available if o.type == type_name and o.cpus > 0]
             missing = cpus - asked.get(type_name, 0.0)
             if offers and missing > 0:
@@ -482,7 +484,7 @@
     def _count_losses(self, now: Monotonic) -> None:
         verdicts = self.diagnosis().verdicts
         heard_from = now - self._silence_s
-        some_lost = self._capacity_losses.some
+        some_lost = self._capacity_losses.has_losses
         for machine in self._fleet.machines.values():
             if (
                 machine.preemption_notice_until is not None
@@ -498,7 +500,7 @@
                 and machine.last_contact_at is not None
                 and machine.last_contact_at >= heard_from
             ):
-                self._capacity_losses.back(machine.id)
+                self._capacity_losses.recovered(machine.id)
 
     def _verdict(self, machine: Machine) -> Suspicion:
         """Late, if it has not been judged."""
--- a/tealrill/fleet/machines.py
+++ b/tealrill/fleet/machines.py
@@ -543,12 +543,12 @@
 
     def tries(self, job: Job, now: Monotonic) -> int | None:
         """How many tasks of a job that has failed may start now; None: as many as there are."""
-        if not self.failure_attribution.on_trial(job.id):
+        if not self.failure_attribution.is_on_probation(job.id):
             return None
         since = [b.running_since for b in job.bindings() if b.running_since is not None]
         longest_s = now - min(since) if since else 0.0
         self._call_faulty(self.failure_attribution.survived(job.id, longest_s, now))
-        return self.failure_attribution.most(job.id, job.bound_count, longest_s, now)
+        return self.failure_attribution.task_limit(job.id, job.bound_count, longest_s, now)
 
     def _stray_exit(
         self,
--- a/tealrill/fleet/provisioning.py
+++ b/tealrill/fleet/provisioning.py
@@ -471,7 +471,7 @@
         if machine.zone in self.partitioned_zones():
             return
         waited_s = now - machine.since
-        if waited_s > self.boots.patience_s((machine.type, machine.zone), kind.boot_s, now):
+        if waited_s > self.boots.boot_timeout_s((machine.type, machine.zone), kind.boot_s, now):
             log.info("machine %s did not come up in %.0f s", machine.id, waited_s)
             machine.releasing = True
 
--- a/tealrill/http.py
+++ b/tealrill/http.py
@@ -1,4 +1,4 @@
-"""A small HTTP client over tornado's own HTTP/1.1 connection, with connections kept open.
+"""An HTTP/1.1 client with persistent connections, over tornado's protocol implementation.
 
 tornado's simple client opens a connection for every request. With a share of a core and a limited
 number of sockets that costs more than the request itself, so idle connections are kept here and
@@ -51,20 +51,23 @@
         start_line: httputil.RequestStartLine | httputil.ResponseStartLine,
         headers: httputil.HTTPHeaders,
     ) -> None:
+        """Record the status and whether the connection stays open."""
         assert isinstance(start_line, httputil.ResponseStartLine)
         self.status = start_line.code
         self.keep = headers.get("Connection", "").lower() != "close"
 
     def data_received(self, chunk: bytes) -> None:
+        """Collect a part of the body."""
         self._chunks.append(chunk)
 
     def finish(self) -> None:
+        """Join the body and mark the response complete."""
         self.body = b"".join(self._chunks)
         self.complete = True
 
 
 def send_at_once(stream: iostream.IOStream) -> None:
-    """Whatever is written goes out at once, for as long as the connection stands.
+    """Disable Nagle's algorithm for as long as the connection stands.
 
     tornado sets that before each message and takes it back after it: two more system calls beside
     the three or four that a report takes.
@@ -78,7 +81,7 @@
 
 
 async def accepts(address: Address, timeout_s: float) -> bool | None:
-    """Whether something at the address takes connections, or refuses them; None if unknown.
+    """Return whether something at the address accepts or refuses connections; None if unknown.
 
     False is silence for all of the time. A machine that has lost power or is cut off is silent; one
     whose processes stand still connects all the same.
@@ -93,13 +96,14 @@
     try:
         async with asyncio.timeout(timeout_s):
             await stream.connect((address.host, address.port))
-        return True
     except TimeoutError:
         # Where this loop itself was late the answer may be waiting unread.
         return None if loop.time() - began > timeout_s + _LATE_S else False
     except (OSError, iostream.StreamClosedError) as error:
         cause = getattr(error, "real_error", None) or error
         return True if isinstance(cause, ConnectionRefusedError) else None
+    else:
+        return True
     finally:
         stream.close()
 
@@ -120,7 +124,7 @@
         timeout_s: float = 2.0,
         check: Callable[[], None] | None = None,
     ) -> Answer:
-        """One request and its response; raises `NoAnswerError`.
+        """Send one request and return its response; raise `NoAnswerError` if none came.
 
         `check` is called once there is a connection and before any byte leaves; it may raise.
         """
@@ -185,11 +189,12 @@
             stream.close()
 
     def close(self) -> None:
+        """Close all idle connections."""
         for stream in self._idle:
             stream.close()
         self._idle.clear()
 
 
 def peer_clients(settings: Settings, most: int = 1) -> dict[str, Client]:
-    """A client of each other member, by its host's name."""
+    """Return a client of each other member, by host name."""
     return {m.host_name: Client(parse_address(m.peer_addr), most) for m in settings.members}
--- a/tealrill/scheduler/capacity_losses.py
+++ b/tealrill/scheduler/capacity_losses.py
@@ -1,10 +1,13 @@
-"""What a fall took and has not been replaced yet. Ours; the paper's machine loses nothing.
+"""Capacity that a mass failure took and that has not been replaced yet.
+
+Ours; the paper's machine loses nothing.
 
 `capacity.rentals` follows the queue: tasks that find no room now, nor on machines that boot, nor
-where others end within a boot. After a fall of hundreds that is too slow. Room comes free all the
-time, so each moment's queue seems to fit into it, and the fleet grows by one machine at a time
-while jobs keep coming that need the fleet as it was. (220 machines of 362 died, and after 100 s
-some 240 were there again.) So what many machines lost together had in use is asked for at once.
+where others end within a boot. After a mass failure of hundreds that is too slow. Capacity comes
+free all the time, so each moment's queue seems to fit into it, and the fleet grows by one machine
+at a time while jobs keep coming that need the fleet as it was. (220 machines of 362 died, and after
+100 s some 240 were there again.) So what many machines lost together had in use is asked for at
+once.
 
 Single losses are left to the queue: each might as well have been given back soon.
 Pure state, without I/O and clock.
@@ -20,9 +23,9 @@
 from tealrill.types import MachineId, Monotonic
 
 _TOGETHER_S: Final = 20.0
-_FEWEST: Final = 5
-_SHARE: Final = 0.05
-"""Losses within `_TOGETHER_S` are a fall if there are so many, and so large a part of the fleet."""
+_MASS_FAILURE_MIN: Final = 5
+_MASS_FAILURE_SHARE: Final = 0.05
+"""Losses within `_TOGETHER_S` are a mass failure if they are so many and so large a part."""
 _KEPT_S: Final = 60.0
 """After so long the queue shows by itself what is missing."""
 
@@ -37,64 +40,67 @@
 
 
 class CapacityLosses:
-    """Processors lost together, by machine type; rentals granted pay them back."""
+    """Processors of failed machines that are not replaced yet, by machine type."""
 
     def __init__(self) -> None:
-        self._open: deque[_Loss] = deque()
-        self._known: dict[MachineId, _Loss] = {}
+        self._unreplaced: deque[_Loss] = deque()
+        self._by_machine: dict[MachineId, _Loss] = {}
 
     def lost(self, machine: MachineId, type_name: str, cpus: float, now: Monotonic) -> bool:
-        """A machine is gone, or going, with tasks on so many of its processors.
+        """Record a failed machine on which tasks used `cpus` processors.
 
-        Counted once a machine; True if it was not known before.
+        Each machine counts once; return True if it was not recorded before.
         """
-        if machine in self._known or not type_name:
+        if machine in self._by_machine or not type_name:
             return False
         loss = _Loss(machine, type_name, max(0.0, cpus), now)
-        self._known[machine] = loss
-        self._open.append(loss)
+        self._by_machine[machine] = loss
+        self._unreplaced.append(loss)
         return True
 
     @property
-    def some(self) -> bool:
-        """Whether any machine's loss is remembered."""
-        return bool(self._known)
+    def has_losses(self) -> bool:
+        """Return whether any machine's loss is remembered."""
+        return bool(self._by_machine)
 
-    def back(self, machine: MachineId) -> None:
-        """It is heard again after all."""
-        loss = self._known.pop(machine, None)
+    def recovered(self, machine: MachineId) -> None:
+        """Remove the loss of a machine that sends heartbeats again."""
+        loss = self._by_machine.pop(machine, None)
         if loss is not None:
             loss.cpus = 0.0
 
     def rented(self, type_name: str, cpus: float) -> None:
-        """Machines of that type were granted, for whatever reason they were asked for."""
-        for loss in self._open:
+        """Count granted machines as replacements, whatever they were requested for."""
+        for loss in self._unreplaced:
             if cpus <= 0:
                 return
             if loss.type == type_name:
-                paid = min(cpus, loss.cpus)
-                loss.cpus -= paid
-                cpus -= paid
+                replaced = min(cpus, loss.cpus)
+                loss.cpus -= replaced
+                cpus -= replaced
 
-    def owed(self, now: Monotonic, fleet: int) -> dict[str, float]:
-        """Processors to be replaced, by machine type; empty if it was no fall.
+    def replacement_capacity(self, now: Monotonic, fleet: int) -> dict[str, float]:
+        """Return the processors to replace by machine type; empty without a mass failure.
 
-        `fleet` is the number of machines there are, those lost included as long as they are known.
+        `fleet` is the number of machines, including failed ones for as long as they are known.
         """
-        while self._open and now - self._open[0].at > _KEPT_S:
-            self._known.pop(self._open.popleft().machine, None)
-        if not self.fell(fleet):
+        while self._unreplaced and now - self._unreplaced[0].at > _KEPT_S:
+            self._by_machine.pop(self._unreplaced.popleft().machine, None)
+        if not self.is_mass_failure(fleet):
             return {}
-        owed: dict[str, float] = {}
-        for loss in self._open:
+        replacement_capacity: dict[str, float] = {}
+        for loss in self._unreplaced:
             if loss.cpus > 0:
-                owed[loss.type] = owed.get(loss.type, 0.0) + loss.cpus
-        return owed
-
-    def fell(self, fleet: int) -> bool:
-        """Whether so many were lost within a short time that it is one event."""
-        most = max(_FEWEST, math.ceil(_SHARE * fleet))
-        times = [loss.at for loss in self._open]
+                replacement_capacity[loss.type] = (
+                    replacement_capacity.get(loss.type, 0.0) + loss.cpus
+                )
+        return replacement_capacity
+
+    def is_mass_failure(self, fleet: int) -> bool:
+        """Return whether so many machines failed within a short time that it is one event."""
+        threshold = max(_MASS_FAILURE_MIN, math.ceil(_MASS_FAILURE_SHARE * fleet))
+        times = [loss.at for loss in self._unreplaced]
         return any(
-            times[n + most - 1] - times[n] <= _TOGETHER_S for n in range(len(times) - most + 1)
+            times[n + threshold - 1] - times[n] <= _TOGETHER_S
+            for n in range(len(times) - threshold + 1)
         )
--- a/tealrill/scheduler/estimates.py
+++ b/tealrill/scheduler/estimates.py
@@ -23,6 +23,7 @@
         self._medians: dict[str, float] = {}
 
     def completed(self, team: str, estimate_s: float, ran_s: float) -> None:
+        """Record the run time of a completed task; ignored unless both times are positive."""
         if estimate_s <= 0 or ran_s <= 0:
             return
         for name in (team, _FLEET):
@@ -39,6 +40,7 @@
         return self._medians[name]
 
     def run_s(self, team: str, estimate_s: float) -> float:
+        """Return the expected run time of a team's task, in seconds."""
         return estimate_s * self.ratio(team)
 
 
@@ -49,6 +51,7 @@
         self._sizes: dict[str, deque[float]] = {}
 
     def submitted(self, job_class: str, cpus: float) -> None:
+        """Record the processors that a submitted job takes as a whole."""
         self._sizes.setdefault(job_class, deque(maxlen=WINDOW)).append(cpus)
 
     def large(self, job_class: str) -> float:
--- a/tealrill/scheduler/failure_detector.py
+++ b/tealrill/scheduler/failure_detector.py
@@ -1,10 +1,10 @@
-"""Judging silence together: what it means that machines are not heard. Ours; the paper has none.
+"""Failure detection for the whole fleet at once. Ours; the paper has none.
 
 One silent machine and three hundred look alike when each is judged by itself. Here the whole fleet
 is looked at: which zones are heard, whether anything still takes connections there, whether the
 cloud lists a machine, and whether it is this leader that hears nobody.
 
-A verdict decides only what is ours to decide: what is rented or given back, and who leads. **It
+A suspicion decides only what is ours to decide: what is rented or given back, and who leads. **It
 proves nothing about tasks**: a binding ends by the proofs in docs/design.md and by nothing else.
 Pure functions, no I/O and no clock; times are in seconds.
 """
@@ -38,7 +38,7 @@
 
 
 class Suspicion(Enum):
-    """What a machine's silence means, as far as can be seen from here."""
+    """The probable cause of a machine's silence."""
 
     LATE = "late"
     """Silent, and not known why."""
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Evidence:
-    """What is known of one machine that was heard once."""
+    """Observations of one machine that sent a heartbeat at least once."""
 
     machine: MachineId
     zone: str
@@ -68,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Diagnosis:
-    """The verdicts on all machines."""
+    """The suspicions about all silent machines."""
 
     verdicts: dict[MachineId, Suspicion]
     """Of the machines that are not heard."""
@@ -78,69 +78,71 @@
 
 
 def silent_after_s(heartbeat_interval_s: float) -> float:
-    """The silence after which a machine gets no more tasks."""
+    """Return the silence, in seconds, after which a machine gets no more tasks."""
     return _SILENT_REPORTS * heartbeat_interval_s
 
 
 def live_within_s(heartbeat_interval_s: float) -> float:
-    """A machine that is not cut off was heard within this time."""
+    """Return the seconds within which a machine that is not partitioned was heard."""
     return _LIVE_REPORTS * heartbeat_interval_s
 
 
-def judge(signs: Iterable[Evidence], heartbeat_interval_s: float) -> Diagnosis:
-    """One look at the whole fleet.
+def judge(observations: Iterable[Evidence], heartbeat_interval_s: float) -> Diagnosis:
+    """Diagnose the whole fleet from one set of observations.
 
-    A zone counts as heard by the machines that were heard within the last one and a half report
-    periods. At the begin of a cut the machines fall silent one after the other within a period:
-    judged by who is not yet called silent, the first ones would look like deaths in a zone that
-    is heard.
+    A zone counts as heard by the machines that were heard within the last one and a half heartbeat
+    intervals. When a partition begins the machines fall silent one after the other within an
+    interval: judged by who is not yet called silent, the first ones would look failed in a zone
+    that is heard.
     """
-    live: Counter[str] = Counter()
-    known: Counter[str] = Counter()
+    heard: Counter[str] = Counter()
+    reachable: Counter[str] = Counter()
     silent: list[Evidence] = []
-    for sign in signs:
-        if sign.silent_s <= live_within_s(heartbeat_interval_s):
-            live[sign.zone] += 1
-        elif sign.silent_s > _JUDGED_REPORTS * heartbeat_interval_s:
-            silent.append(sign)
-        if sign.missing_from_lists < LISTS and not sign.accepts:
+    for evidence in observations:
+        if evidence.silent_s <= live_within_s(heartbeat_interval_s):
+            heard[evidence.zone] += 1
+        elif evidence.silent_s > _JUDGED_REPORTS * heartbeat_interval_s:
+            silent.append(evidence)
+        if evidence.missing_from_lists < LISTS and not evidence.accepts:
             # A machine that the cloud took away or that takes connections says nothing of the way.
-            known[sign.zone] += 1
-    cut = frozenset(
+            reachable[evidence.zone] += 1
+    partitioned = frozenset(
         zone
-        for zone, count in known.items()
-        if count >= _FEWEST and live[zone] <= _HEARD_SHARE * count
+        for zone, count in reachable.items()
+        if count >= _FEWEST and heard[zone] <= _HEARD_SHARE * count
     )
-    verdicts = {sign.machine: _verdict(sign, sign.zone in cut) for sign in silent}
-    inbound_partitioned = bool(cut) and not any(live.values())
-    return Diagnosis(verdicts, cut, inbound_partitioned)
+    verdicts = {
+        evidence.machine: _suspect(evidence, evidence.zone in partitioned) for evidence in silent
+    }
+    inbound_partitioned = bool(partitioned) and not any(heard.values())
+    return Diagnosis(verdicts, partitioned, inbound_partitioned)
 
 
-def _verdict(sign: Evidence, zone_cut: bool) -> Suspicion:
-    if sign.missing_from_lists >= LISTS:
+def _suspect(evidence: Evidence, is_zone_partitioned: bool) -> Suspicion:
+    if evidence.missing_from_lists >= LISTS:
         return Suspicion.GONE
-    if sign.accepts:
+    if evidence.accepts:
         return Suspicion.HUNG
-    if zone_cut:
+    if is_zone_partitioned:
         return Suspicion.CUT
-    return Suspicion.GONE if sign.failed_connects >= MISSES else Suspicion.LATE
+    return Suspicion.GONE if evidence.failed_connects >= MISSES else Suspicion.LATE
 
 
-def back_in_s(verdict: Suspicion, silent_s: float) -> float | None:
-    """When a silent machine may be expected back; None for one that won't come.
+def expected_recovery_s(suspicion: Suspicion, silent_s: float) -> float | None:
+    """Return the seconds until a silent machine probably recovers; None if it won't.
 
-    Of a silence whose length nobody knows, the best guess is that it lasts as long again as it
-    has lasted so far. A replacement that boots for longer than that is not worth its price.
+    The best guess for a silence of unknown length is that it lasts as long again as it has lasted
+    so far. A replacement that boots for longer than that is not worth its price.
     """
-    if verdict is Suspicion.GONE:
+    if suspicion is Suspicion.GONE:
         return None
     return max(_SOON_S, silent_s)
 
 
 def is_bypassed_by_heartbeats(silent_s: float, heard: int, heartbeat_interval_s: float) -> bool:
-    """Whether a leader that has just heard `heard` machines hears nothing any more.
+    """Return whether a leader that recently heard `heard` machines hears none any more.
 
-    The more machines there are, the closer their reports come together: of three or more, one was
-    due long before the time that each of them may take has passed.
+    The more machines there are, the closer together their heartbeats come: of three or more, one
+    was due long before the interval of each has passed.
     """
     return heard >= _FEWEST and silent_s > live_within_s(heartbeat_interval_s)
--- a/tealrill/scheduler/model.py
+++ b/tealrill/scheduler/model.py
@@ -1,4 +1,4 @@
-"""What the scheduler sees and what it answers."""
+"""Input and output of the scheduler: the view of the cluster and the plan."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def remaining_s(run_s: float, ran_s: float) -> float:
-    """How much longer a task of this estimated length runs that has run for `ran_s`."""
+    """Return the remaining run time, in seconds, of a task that has run for `ran_s`."""
     return max(run_s - ran_s, min(_OVERDUE_S, _OVERDUE_PART * ran_s))
 
 
@@ -26,7 +26,7 @@
 
 @dataclass(slots=True, eq=False)
 class RunningTask:
-    """A task bound to a machine. It holds from pass to pass: what changes by itself is asked."""
+    """A task bound to a machine; kept from pass to pass, so nothing here depends on the time."""
 
     task: TaskId
     team: str
@@ -45,13 +45,14 @@
     save_s: float
 
     def ran_s(self, now: Monotonic) -> float:
+        """Return the run time so far, in seconds; 0 before the task began."""
         return now - self.since if self.since is not None else 0.0
 
 
 def ends_at(tasks: Iterable[RunningTask], now: Monotonic) -> list[Monotonic]:
-    """When tasks are expected to end; those that are being stopped at once.
+    """Return when tasks are expected to end; those that are being stopped end at once.
 
-    Asked for every task of a full fleet in a pass, so one call answers for a machine's.
+    Computed for every task of a full fleet in a pass, so one call serves a whole machine.
     """
     found: list[Monotonic] = []
     for task in tasks:
@@ -70,7 +71,7 @@
 
 @dataclass(slots=True, eq=False)
 class MachineView:
-    """A machine with its free room. The planner takes from the room as it places."""
+    """A machine with its free capacity, from which the planner deducts as it places tasks."""
 
     id: MachineId
     type: str
@@ -89,18 +90,19 @@
     """Its kind costs much more per processor than the cheapest."""
     running: Sequence[RunningTask]
     used: bool = False
-    """The planner has taken from its room, or given to it."""
+    """The planner has changed the free capacity."""
     backfilled: Sequence[RunningTask] = field(init=False)
-    """Of those that run, the ones placed out of their turn: nothing else is stopped for a class."""
+    """The running tasks that were backfilled: nothing else is preempted by urgency class."""
 
     def __post_init__(self) -> None:
         self.backfilled = [task for task in self.running if task.backfilled]
 
     def fits(self, job: JobView) -> bool:
+        """Return whether one task of the job fits into the free capacity."""
         return self.has(job.cpus, job.gpus, job.memory_gb)
 
     def has(self, cpus: float, gpus: float, memory_gb: float) -> bool:
-        """Whether so much is free."""
+        """Return whether so much is free."""
         return (
             self.cpus + SLACK >= cpus
             and self.memory_gb + SLACK >= memory_gb
@@ -108,17 +110,19 @@
         )
 
     def allows(self, job: JobView) -> bool:
+        """Return whether the job may run here and does not avoid this machine."""
         return job.may_use(self.type, self.zone, self.spot) and self.id not in job.avoids
 
-    def take(self, job: JobView) -> None:
+    def reserve_room(self, job: JobView) -> None:
+        """Deduct one task of the job from the free capacity."""
         self.used = True
         self.cpus -= job.cpus
         self.gpus -= job.gpus
         self.memory_gb -= job.memory_gb
         self.images.add(job.image)
 
-    def give(self, task: RunningTask) -> None:
-        """The room of a task that is being stopped."""
+    def release_room(self, task: RunningTask) -> None:
+        """Return the capacity of a task that is being stopped."""
         self.used = True
         self.cpus += task.cpus
         self.gpus += task.gpus
@@ -126,12 +130,12 @@
 
 
 SLACK = 1e-6
-"""Rooms are sums of decimal numbers."""
+"""Tolerance of comparisons: capacities are sums of decimal numbers."""
 
 
 @dataclass(slots=True, eq=False)
 class JobView:
-    """A job with tasks that wait."""
+    """A job with waiting tasks."""
 
     id: JobId
     team: str
@@ -154,7 +158,7 @@
     spot: bool
     zone_counts: dict[str, int]
     gang: bool = False
-    """Its tasks start only when there is room for all that wait."""
+    """Gang scheduling: its tasks start only when all that wait fit."""
     graph: str = ""
     """The graph that it is a node of."""
     tail_s: float = 0.0
@@ -165,7 +169,7 @@
     """Any of its tasks was ever given a machine."""
 
     def may_use(self, type_name: str, zone: str, spot: bool) -> bool:
-        """Whether the job allows a kind of machine."""
+        """Return whether the job allows a kind of machine."""
         return (
             (self.spot or not spot)
             and (self.zone is None or self.zone == zone)
@@ -173,7 +177,7 @@
         )
 
     def zone_room(self, zone: str) -> int:
-        """How many more of its tasks may be bound in a zone at this moment."""
+        """Return how many more of its tasks may be bound in a zone now."""
         if self.one_zone and any(n for z, n in self.zone_counts.items() if z != zone):
             return 0
         if self.spread:
@@ -183,7 +187,7 @@
 
 @dataclass(slots=True)
 class TeamView:
-    """What a team uses, its guarantee and its limit (0: none)."""
+    """A team's usage, its guaranteed quota and its limit (0: none)."""
 
     cpus: float
     gpus: float
@@ -193,7 +197,7 @@
     gpus_max: float
 
     def room(self, job: JobView) -> int:
-        """How many tasks of the job the team's limit still allows."""
+        """Return how many tasks of the job the team's limit still allows."""
         room = job.waiting
         if self.cpus_max > 0 and job.cpus > 0:
             room = min(room, int((self.cpus_max - self.cpus + SLACK) // job.cpus))
@@ -202,7 +206,7 @@
         return max(0, room)
 
     def guaranteed(self, job: JobView) -> bool:
-        """Whether one more task of the job still is within the guarantee."""
+        """Return whether one more task of the job is within the guaranteed quota."""
         if self.cpus_guaranteed <= 0 and self.gpus_guaranteed <= 0:
             return False
         return (
@@ -212,13 +216,13 @@
 
     @property
     def borrows(self) -> bool:
-        """Whether the team runs more than its guarantee."""
+        """Return whether the team uses more than its guaranteed quota."""
         return self.cpus > self.cpus_guaranteed + SLACK or self.gpus > self.gpus_guaranteed + SLACK
 
 
 @dataclass(slots=True)
 class View:
-    """Everything a pass looks at."""
+    """The input of one placement pass."""
 
     machines: list[MachineView]
     jobs: list[JobView]
@@ -227,7 +231,7 @@
     rank_cpus: dict[int, float] = field(default_factory=dict)
     """Processors that each urgency class uses."""
     coming: list[MachineView] = field(default_factory=list)
-    """Machines that were asked for and not yet granted."""
+    """Machines that were requested and not yet granted."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -240,28 +244,30 @@
 
 @dataclass(frozen=True, slots=True)
 class Policy:
-    """What operators may tune."""
+    """Parameters of the planner."""
 
     aging_s: float = 600.0
     """Waiting this long raises a job by one urgency class."""
     stop_cost_s: float = 1.5
-    """Nothing is stopped for a job that gets its room within this time anyway."""
+    """Nothing is preempted for a job whose reservation begins within this time anyway."""
     stop_share: float = 0.25
-    """At most this part of the backfilled tasks is stopped in one pass."""
+    """At most this part of the backfilled tasks is preempted in one pass."""
     reserved_tasks: int = 16
-    """For how many of the head job's tasks room is reserved."""
+    """The maximum number of the reserved job's tasks that get a reservation."""
     dear: float = 1.5
-    """A machine that costs this much more per task than the cheapest kind is dear."""
+    """A machine that costs this much more per task than the cheapest kind is expensive."""
     cheap_share: float = 0.8
-    """The part of the cheap machines that is counted on when jobs are kept off the dear ones."""
+    """The usable part of the inexpensive machines when jobs are kept off the expensive ones."""
     any_room_s: float = 60.0
-    """A job that has waited so long takes any room there is, on dear machines too."""
-    turn_s: float = 120.0
-    """A job of which nothing has begun for so long has its turn among its peers."""
+    """A job that has waited so long may use expensive machines too."""
+    starvation_guard_s: float = 120.0
+    """A job of which nothing has begun for so long is put before its peers."""
 
 
 @dataclass(frozen=True, slots=True)
 class Start:
+    """A task of `job` to be started on `machine`."""
+
     job: JobId
     machine: MachineId
     backfilled: bool
@@ -269,6 +275,8 @@
 
 @dataclass(frozen=True, slots=True)
 class StopTask:
+    """A running task to be preempted for another job, with `grace_s` seconds to checkpoint."""
+
     task: TaskId
     for_job: JobId
     grace_s: float
@@ -276,7 +284,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reservation:
-    """Room kept on one machine for tasks of the head job."""
+    """Capacity reserved on one machine for tasks of the reserved job."""
 
     machine: MachineId
     at: Monotonic
@@ -285,28 +293,30 @@
 
 @dataclass(slots=True)
 class Plan:
+    """The decisions of one placement pass."""
+
     starts: list[Start] = field(default_factory=list)
     stops: list[StopTask] = field(default_factory=list)
-    head: JobId | None = None
+    reserved_job: JobId | None = None
     unplaced: list[tuple[JobView, int]] = field(default_factory=list)
-    """Tasks that found no room, in the queue's order, for the size of the fleet."""
+    """Jobs with their number of unplaced tasks, in queue order; the input of scale-out."""
     affordable: set[JobView] = field(default_factory=set)
-    """Jobs that the cheap machines bring in by their deadline."""
+    """Jobs that the inexpensive machines finish by their deadline."""
     reserve: Callable[[], dict[MachineId, Reservation]] = dict
-    """Works out what is reserved for the head; to be asked while the view is as it was left."""
+    """Computes the reservations; valid only while the view is as the pass left it."""
     _reservations: dict[MachineId, Reservation] | None = None
 
     @property
     def reservations(self) -> dict[MachineId, Reservation]:
-        """Room kept for the head job, worked out when it is first asked for."""
+        """Return the reservations by machine, computed on first use."""
         if self._reservations is None:
             self._reservations = self.reserve()
         return self._reservations
 
     def settle(self) -> None:
-        """The pass is over, and its view is not kept for what was never asked.
+        """Release the view after the pass; reservations not computed yet are empty.
 
-        A plan that can still reserve holds its pass, and the pass its plan: left in that ring, old
-        views of the whole fleet waited for the collector, in 10 MB.
+        A plan that can still reserve references its pass, and the pass its plan: in that cycle, old
+        views of the whole fleet waited for the garbage collector, 10 MB of them.
         """
         self.reserve = dict
--- a/tealrill/scheduler/plan.py
+++ b/tealrill/scheduler/plan.py
@@ -1,8 +1,8 @@
 """One placement pass: `plan(view, now)`.
 
-In the queue's order every task that fits is placed. The first job with tasks that fit nowhere is
-the head: room is reserved for it, the jobs behind it may backfill, and backfilled tasks that hold
-room which the head could use are stopped.
+In queue order every task that fits is placed. The first job with tasks that fit nowhere is the
+reserved job: it gets a reservation, the jobs behind it may backfill the window before that, and
+backfilled tasks that occupy capacity which the reserved job could use are preempted.
 """
 
 from __future__ import annotations
@@ -28,49 +28,55 @@
 
 
 class _Pass:
+    """One placement pass over a view."""
+
     def __init__(self, view: View, now: Monotonic, policy: Policy) -> None:
         self.view = view
         self.now = now
         self.policy = policy
         self.plan = Plan()
-        self.up = [m for m in view.machines if m.ready_at <= now]
-        self.open = self._with_room()
-        self._filled = False
-        """Some of `open` have no room any more."""
-        self.head: JobView | None = None
+        self.ready = [m for m in view.machines if m.ready_at <= now]
+        self.with_room = self._machines_with_room()
+        self._has_filled = False
+        """Some of `with_room` are full by now."""
+        self.reserved_job: JobView | None = None
         self._windows: dict[MachineView, Window] | None = {}
-        self._most = 0
-        self.for_expected = self._room_for_expected()
+        self._reserved_tasks = 0
+        self.headroom_for_expected = self._compute_headroom_for_expected()
 
-    def _with_room(self) -> list[MachineView]:
-        """Machines with room for the least that any waiting job needs.
+    def _machines_with_room(self) -> list[MachineView]:
+        """Return the machines with room for the smallest needs of all waiting jobs.
 
-        Placing only takes from rooms. With a full fleet and a long queue, looking at every machine
-        for every job was most of what was left of a pass.
+        Placement only deducts capacity. With a full fleet and a long queue, looking at every
+        machine for every job was most of what was left of a pass.
         """
         jobs = self.view.jobs
-        self._least = (
+        self._smallest_needs = (
             min((job.cpus for job in jobs), default=math.inf),
             min((job.memory_gb for job in jobs), default=math.inf),
         )
-        return [m for m in self.up if self._has_room(m)]
+        return [m for m in self.ready if self._has_room(m)]
 
     def _has_room(self, machine: MachineView) -> bool:
-        cpus, memory_gb = self._least
+        cpus, memory_gb = self._smallest_needs
         return machine.has(cpus, 0.0, memory_gb)
 
-    def _room_for_expected(self) -> float:
-        """Processors that expected work could have at once: free ones, and stoppable backfill."""
+    def _compute_headroom_for_expected(self) -> float:
+        """Return the processors that expected work could have at once.
+
+        These are the free ones and those of preemptible backfilled tasks.
+        """
         expected = self.view.expected
         if expected is None:
             return 0.0
         return sum(
             max(0.0, m.cpus)
             + (sum(t.cpus for t in m.backfilled if t.rank < expected.rank) if m.backfilled else 0)
-            for m in self.up
+            for m in self.ready
         )
 
     def run(self) -> Plan:
+        """Return the decisions of the pass."""
         view = self.view
         fleet_cpus = sum(m.size for m in view.machines)
         cheap: dict[float, float] = {}
@@ -79,76 +85,80 @@
                 cheap[machine.size] = cheap.get(machine.size, 0.0) + machine.size
         self.plan.affordable = affordable(view.jobs, self.policy, cheap, view.rank_cpus)
         for job in order(view.jobs, view.teams, self.policy, fleet_cpus, view.rank_cpus):
-            allowed = self._allowed(job)
-            if allowed <= 0:
-                # Its team is at its limit. Looking for room all the same, for thousands of jobs on
-                # hundreds of machines with room, took a day over 400 s of processor time.
+            within_quota = self._within_quota(job)
+            if within_quota <= 0:
+                # Its team is at its limit. Looking for machines all the same, for thousands of jobs
+                # on hundreds of machines with room, took a day over 400 s of processor time.
                 continue
-            placed = self._place(job, allowed)
-            left = allowed - placed
+            placed = self._place(job, within_quota)
+            left = within_quota - placed
             if left <= 0:
                 continue
             self.plan.unplaced.append((job, left))
-            if self.head is None:
-                self._make_head(job, left)
-        if self.head is not None:
-            self._stop_for(self.head)
+            if self.reserved_job is None:
+                self._reserve_for(job, left)
+        if self.reserved_job is not None:
+            self._preempt_for(self.reserved_job)
         return self.plan
 
-    def _allowed(self, job: JobView) -> int:
+    def _within_quota(self, job: JobView) -> int:
         team = self.view.teams.get(job.team)
         return job.waiting if team is None else team.room(job)
 
     # -- placing --------------------------------------------------------------------------------
 
-    def _place(self, job: JobView, most: int) -> int:
+    def _place(self, job: JobView, limit: int) -> int:
         placed = 0
         candidates = self._candidates(job)
-        if job.gang and not self._all_fit(job, candidates, most):
+        if job.gang and not self._all_fit(job, candidates, limit):
             return 0
         for machine in candidates:
-            while placed < most and self._may_start(job, machine):
+            while placed < limit and self._may_start(job, machine):
                 self._start(job, machine)
                 placed += 1
-            if placed >= most:
+            if placed >= limit:
                 break
         return placed
 
-    def _all_fit(self, job: JobView, machines: list[MachineView], most: int) -> bool:
-        """Whether all waiting tasks of a gang may start now; a part of them would only wait."""
+    def _all_fit(self, job: JobView, machines: list[MachineView], limit: int) -> bool:
+        """Return whether all waiting tasks of a gang may start now.
+
+        A part of a gang would occupy capacity and only wait.
+        """
         room: dict[str, int] = {}
         for machine in machines:
             if self._may_start(job, machine) and machine not in self.windows:
                 fits = slots(job, machine.cpus, machine.gpus, machine.memory_gb)
                 room[machine.zone] = room.get(machine.zone, 0) + fits
         total = sum(min(count, job.zone_room(zone)) for zone, count in room.items())
-        return most >= job.waiting and total >= job.waiting
+        return limit >= job.waiting and total >= job.waiting
 
     def _candidates(self, job: JobView) -> list[MachineView]:
-        """Cheap machines first, then small ones, with the image, the fullest.
+        """Return the machines that fit the job, in the order of preference.
 
-        Small tasks spread over large machines would leave no room in one piece for large tasks,
-        and only full machines let others become empty and go back.
+        Inexpensive machines first, then small ones, then those with the image, then the fullest.
+        Small tasks spread over large machines would fragment them, and only bin packing lets other
+        machines become empty and be returned.
         """
-        if self._filled:
-            self._filled = False
-            self.open = [m for m in self.open if self._has_room(m)]
+        if self._has_filled:
+            self._has_filled = False
+            self.with_room = [m for m in self.with_room if self._has_room(m)]
         cpus, gpus, memory_gb = job.cpus - SLACK, job.gpus - SLACK, job.memory_gb - SLACK
         fitting = [
             m
-            for m in self._usable(job, self.open)
+            for m in self._usable(job, self.with_room)
             if m.cpus >= cpus and m.memory_gb >= memory_gb and m.gpus >= gpus and m.allows(job)
         ]
         if job.one_zone and not any(job.zone_counts.values()):
-            # Of what is not kept for the head: else it waits for that zone beside the other one.
+            # Of what is not reserved: else it waits for that zone beside the other one.
             fitting = self._best_zone([m for m in fitting if self._may_start(job, m)])
         fitting.sort(key=lambda m: (m.dear, m.size, job.image not in m.images, m.cpus, m.id))
         return fitting
 
     def _usable(self, job: JobView, machines: list[MachineView]) -> list[MachineView]:
-        """Dear machines are left to jobs that the cheap ones don't bring in by their deadline.
+        """Exclude expensive machines for jobs that meet their deadline without them.
 
-        But nobody waits for long beside room that it could have.
+        No job waits for longer than `any_room_s` beside capacity that it could have.
         """
         if job not in self.plan.affordable or job.waited_s >= self.policy.any_room_s:
             return machines
@@ -156,7 +166,7 @@
 
     @staticmethod
     def _best_zone(machines: list[MachineView]) -> list[MachineView]:
-        """For a job that must stay in one zone: the machines of the zone with the most room."""
+        """Return the machines of the zone with the most free processors, for a one-zone job."""
         room: dict[str, float] = {}
         for machine in machines:
             room[machine.zone] = room.get(machine.zone, 0.0) + machine.cpus
@@ -167,13 +177,13 @@
         if not machine.fits(job) or job.zone_room(machine.zone) <= 0:
             return False
         window = self.windows.get(machine)
-        if window is None or self.head is None:
+        if window is None or self.reserved_job is None:
             return True
         return (
             self._in_time(job, machine, window)
-            or window.beside(job)
+            or window.fits_beside(job)
             # Past the window only strictly lower classes: nothing may stop the others for it.
-            or job.rank < self.head.rank
+            or job.rank < self.reserved_job.rank
         )
 
     def _in_time(self, job: JobView, machine: MachineView, window: Window) -> bool:
@@ -182,14 +192,18 @@
 
     def _start(self, job: JobView, machine: MachineView) -> None:
         window = self.windows.get(machine)
-        if window is not None and not self._in_time(job, machine, window) and window.beside(job):
-            window.use_beside(job)
-        backfilled = self._is_backfill(job)
+        if (
+            window is not None
+            and not self._in_time(job, machine, window)
+            and window.fits_beside(job)
+        ):
+            window.reserve_beside(job)
+        backfilled = self._is_backfilled(job)
         if not backfilled:
-            self.for_expected -= job.cpus
-        machine.take(job)
+            self.headroom_for_expected -= job.cpus
+        machine.reserve_room(job)
         if not self._has_room(machine):
-            self._filled = True
+            self._has_filled = True
         job.waiting -= 1
         job.zone_counts[machine.zone] = job.zone_counts.get(machine.zone, 0) + 1
         team = self.view.teams.get(job.team)
@@ -198,42 +212,43 @@
             team.gpus += job.gpus
         self.plan.starts.append(Start(job.id, machine.id, backfilled))
 
-    def _is_backfill(self, job: JobView) -> bool:
-        """Out of its turn, or in room that is reserved for work expected at any moment.
+    def _is_backfilled(self, job: JobView) -> bool:
+        """Return whether a task starts ahead of the reserved job or in expected work's capacity.
 
-        The paper reserves for the job that waits. A class with an aim of a few seconds has no time
-        to wait, so its room is reserved before it comes; lower classes fill it, and may be stopped.
+        The paper reserves for the job that waits. A class whose service-level objective is a few
+        seconds has no time to wait, so its capacity is reserved before it comes; lower classes fill
+        it and may be preempted.
         """
-        if self.head is not None and job.rank < self.head.rank:
+        if self.reserved_job is not None and job.rank < self.reserved_job.rank:
             return True
         expected = self.view.expected
         return (
             expected is not None
             and job.rank < expected.rank
-            and self.for_expected - job.cpus < expected.cpus
+            and self.headroom_for_expected - job.cpus < expected.cpus
         )
 
-    # -- the head -------------------------------------------------------------------------------
+    # -- reservation and preemption -------------------------------------------------------------
 
-    def _make_head(self, job: JobView, left: int) -> None:
-        self.head = job
-        self.plan.head = job.id
-        self._most = min(left, self.policy.reserved_tasks)
+    def _reserve_for(self, job: JobView, left: int) -> None:
+        self.reserved_job = job
+        self.plan.reserved_job = job.id
+        self._reserved_tasks = min(left, self.policy.reserved_tasks)
         self._windows = None
         self.plan.reserve = self._reservations
 
     @property
     def windows(self) -> dict[MachineView, Window]:
-        """Where room is reserved for the head; worked out when something depends on it.
+        """Return the reservations of the reserved job by machine, computed on first use.
 
-        In an overload no job behind the head fits anywhere, and the ends of every running task were
-        gone through in vain. Nothing is placed between the choice of the head and the first
-        question, since every start asks: so it is what it would have been then.
+        In an overload no job behind the reserved one fits anywhere, and the ends of all running
+        tasks were computed in vain. Nothing is placed between the choice of the reserved job and
+        the first question, since every start asks: so the result is what it would have been then.
         """
         if self._windows is None:
-            assert self.head is not None
-            machines = self._usable(self.head, self.view.machines)
-            self._windows = reserve(self.head, machines, self.now, self._most)
+            assert self.reserved_job is not None
+            machines = self._usable(self.reserved_job, self.view.machines)
+            self._windows = reserve(self.reserved_job, machines, self.now, self._reserved_tasks)
         return self._windows
 
     def _reservations(self) -> dict[MachineId, Reservation]:
@@ -242,45 +257,45 @@
             for machine, window in self.windows.items()
         }
 
-    def _any_stoppable(self, head: JobView, guaranteed: bool) -> bool:
-        """Whether anything at all may be stopped for the head: of a lowest class nothing may."""
+    def _is_anything_preemptible(self, reserved_job: JobView, guaranteed: bool) -> bool:
+        """Return whether any task may be preempted; for the lowest class none may."""
         if guaranteed and any(t.borrows for t in self.view.teams.values()):
             return True
         return any(
-            t.rank < head.rank and not t.stopping
-            for m in self.up
+            t.rank < reserved_job.rank and not t.stopping
+            for m in self.ready
             if m.backfilled
             for t in m.backfilled
         )
 
-    def _stop_for(self, head: JobView) -> None:
-        """Stops backfilled tasks, least run time first, for room the head can use now."""
-        team = self.view.teams.get(head.team)
-        guaranteed = team is not None and team.guaranteed(head)
-        if not self._any_stoppable(head, guaranteed):
+    def _preempt_for(self, reserved_job: JobView) -> None:
+        """Preempt backfilled tasks, shortest run time first, for the reserved job."""
+        team = self.view.teams.get(reserved_job.team)
+        guaranteed = team is not None and team.guaranteed(reserved_job)
+        if not self._is_anything_preemptible(reserved_job, guaranteed):
             return
         soon = self.now + self.policy.stop_cost_s
         coming = sum(w.tasks for w in self.windows.values() if w.at <= soon)
-        wanted = min(self._allowed(head), self.policy.reserved_tasks) - coming
-        backfilled = sum(len(m.backfilled) for m in self.up)
+        wanted = min(self._within_quota(reserved_job), self.policy.reserved_tasks) - coming
+        backfilled = sum(len(m.backfilled) for m in self.ready)
         budget = max(1, math.ceil(backfilled * self.policy.stop_share))
         taken: set[RunningTask] = set()
-        machines = self._usable(head, self.up)
+        machines = self._usable(reserved_job, self.ready)
         while wanted > 0:
             victims = preemption.choose(
-                head, machines, self.view.teams, taken, guaranteed, self.now
+                reserved_job, machines, self.view.teams, taken, guaranteed, self.now
             )
             if victims is None or len(taken) + len(victims.tasks) > max(budget, len(victims.tasks)):
                 return
             taken.update(victims.tasks)
             for task in victims.tasks:
                 grace_s = task.save_s if task.saves else 0.0
-                self.plan.stops.append(StopTask(task.task, head.id, grace_s))
-                victims.machine.give(task)
-            victims.machine.take(head)
+                self.plan.stops.append(StopTask(task.task, reserved_job.id, grace_s))
+                victims.machine.release_room(task)
+            victims.machine.reserve_room(reserved_job)
             wanted -= 1
 
 
 def plan(view: View, now: Monotonic, policy: Policy) -> Plan:
-    """Plans one pass. The view's rooms and counts are used up by it."""
+    """Plan one pass. The capacities and counts of the view are consumed by it."""
     return _Pass(view, now, policy).run()
--- a/tealrill/scheduler/preemption.py
+++ b/tealrill/scheduler/preemption.py
@@ -1,7 +1,7 @@
-"""Which backfilled tasks are stopped for the head job: those that have run the shortest.
+"""Preemption for the reserved job: of the backfilled tasks, those that have run the shortest.
 
 From the paper's `duration-consumed` rule: the least work is lost that way. On one machine the
-smallest set that makes the room is taken, and of all machines the one where least work is lost.
+smallest sufficient set is taken, and of all machines the one where least work is lost.
 """
 
 from __future__ import annotations
@@ -14,16 +14,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Victims:
+    """Tasks of one machine whose preemption makes room for one task."""
+
     machine: MachineView
     tasks: list[RunningTask]
-    lost: float
+    lost_cpu_s: float
     """CPU seconds of work that the stop throws away."""
 
 
-def stoppable(
+def is_preemptible(
     task: RunningTask, job: JobView, teams: dict[str, TeamView], guaranteed: bool
 ) -> bool:
-    """Backfilled work of a strictly lower class; or, within a guarantee, what others borrow."""
+    """Return whether `task` may be preempted for `job`.
+
+    That is backfilled work of a strictly lower class or, within the quota of the job's team, work
+    of a team that borrows.
+    """
     if task.stopping:
         return False
     if task.backfilled and task.rank < job.rank:
@@ -32,7 +38,7 @@
     return guaranteed and task.team != job.team and other is not None and other.borrows
 
 
-def _enough(machine: MachineView, tasks: list[RunningTask], job: JobView) -> bool:
+def _makes_room(machine: MachineView, tasks: list[RunningTask], job: JobView) -> bool:
     return (
         machine.cpus + sum(t.cpus for t in tasks) + SLACK >= job.cpus
         and machine.memory_gb + sum(t.memory_gb for t in tasks) + SLACK >= job.memory_gb
@@ -43,20 +49,23 @@
 def _victims_on(
     machine: MachineView, job: JobView, candidates: list[RunningTask], now: Monotonic
 ) -> Victims | None:
-    """Least run time first until the room is there, less those that turn out not to be needed."""
+    """Return the victims on one machine, shortest run time first; None if that is not enough.
+
+    Tasks that turn out not to be needed are dropped from the set.
+    """
     chosen: list[RunningTask] = []
     for task in candidates:
-        if _enough(machine, chosen, job):
+        if _makes_room(machine, chosen, job):
             break
         chosen.append(task)
-    if not chosen or not _enough(machine, chosen, job):
+    if not chosen or not _makes_room(machine, chosen, job):
         return None
     for task in reversed(chosen[:]):
         rest = [other for other in chosen if other is not task]
-        if _enough(machine, rest, job):
+        if _makes_room(machine, rest, job):
             chosen = rest
-    lost = sum(t.cpus * (t.save_s if t.saves else t.ran_s(now)) for t in chosen)
-    return Victims(machine, chosen, lost)
+    lost_cpu_s = sum(t.cpus * (t.save_s if t.saves else t.ran_s(now)) for t in chosen)
+    return Victims(machine, chosen, lost_cpu_s)
 
 
 def choose(
@@ -67,7 +76,7 @@
     guaranteed: bool,
     now: Monotonic,
 ) -> Victims | None:
-    """The victims whose stop makes room for one task of the job at the least loss."""
+    """Return the victims whose preemption makes room for one task at the least lost work."""
     best: Victims | None = None
     for machine in machines:
         if not (guaranteed or machine.backfilled):
@@ -79,12 +88,12 @@
         candidates = [
             task
             for task in running
-            if task not in taken and stoppable(task, job, teams, guaranteed)
+            if task not in taken and is_preemptible(task, job, teams, guaranteed)
         ]
         if not candidates:
             continue
         candidates.sort(key=lambda task: task.ran_s(now))
         victims = _victims_on(machine, job, candidates, now)
-        if victims is not None and (best is None or victims.lost < best.lost):
+        if victims is not None and (best is None or victims.lost_cpu_s < best.lost_cpu_s):
             best = victims
     return best
--- a/tealrill/scheduler/reservation.py
+++ b/tealrill/scheduler/reservation.py
@@ -1,4 +1,4 @@
-"""Room for the head job: where and when its waiting tasks will fit.
+"""Reservations: where and when the waiting tasks of the reserved job will fit.
 
 The paper's jobs are rigid; an array's tasks are independent, so each gets its own earliest time.
 """
@@ -15,24 +15,25 @@
 
 @dataclass(slots=True)
 class Window:
-    """A machine on which room is reserved from `at` on."""
+    """A reservation on one machine from `at` on, with its backfill window before it."""
 
     at: Monotonic
     tasks: int
     spare_cpus: float
     spare_gpus: float
     spare_memory_gb: float
-    """Room left at `at` beside the reserved tasks."""
+    """Capacity left at `at` beside the reserved tasks."""
 
-    def beside(self, job: JobView) -> bool:
-        """Whether a task can stay past `at` without touching the reserved room."""
+    def fits_beside(self, job: JobView) -> bool:
+        """Return whether a task can run past `at` without touching the reservation."""
         return (
             self.spare_cpus >= job.cpus
             and self.spare_gpus >= job.gpus
             and self.spare_memory_gb >= job.memory_gb
         )
 
-    def use_beside(self, job: JobView) -> None:
+    def reserve_beside(self, job: JobView) -> None:
+        """Deduct one task of the job from the spare capacity."""
         self.spare_cpus -= job.cpus
         self.spare_gpus -= job.gpus
         self.spare_memory_gb -= job.memory_gb
@@ -42,18 +43,20 @@
 """When it is there, and how much: processors, accelerators, memory."""
 
 
-def first_room(job: JobView, machine: MachineView, now: Monotonic, by: Monotonic) -> Room | None:
-    """The earliest moment at which a task of the job fits, as running tasks end.
+def earliest_fit(
+    job: JobView, machine: MachineView, now: Monotonic, before: Monotonic
+) -> Room | None:
+    """Return when a task of the job first fits as running tasks end, and the capacity then.
 
-    None if it never does, or surely only after `by`.
+    None if it never does, or certainly only after `before`.
     """
     cpus, gpus, memory = machine.cpus, machine.gpus, machine.memory_gb
     at = max(now, machine.ready_at)
-    if at > by:
+    if at > before:
         return None
     if machine.fits(job):
         return at, cpus, gpus, memory
-    ends = [(end, n) for n, end in enumerate(ends_at(machine.running, now)) if end <= by]
+    ends = [(end, n) for n, end in enumerate(ends_at(machine.running, now)) if end <= before]
     ends.sort()
     for end, number in ends:
         task = machine.running[number]
@@ -72,7 +75,7 @@
 
 
 def slots(job: JobView, cpus: float, gpus: float, memory: float) -> int:
-    """How many tasks of the job fit into a room."""
+    """Return how many tasks of the job fit into the given capacity."""
     count = job.tasks
     for need, have in ((job.cpus, cpus), (job.gpus, gpus), (job.memory_gb, memory)):
         if need > 0:
@@ -81,25 +84,25 @@
 
 
 def reserve(
-    job: JobView, machines: list[MachineView], now: Monotonic, most: int
+    job: JobView, machines: list[MachineView], now: Monotonic, limit: int
 ) -> dict[MachineView, Window]:
-    """The earliest room for up to `most` of the job's waiting tasks, one machine after another.
+    """Reserve the earliest capacity for up to `limit` of the job's waiting tasks.
 
-    Every room found takes a task at least, so once there are as many rooms as tasks, a machine
-    whose room comes later than all of them is not looked at to its end. (Where every task's end was
-    worked out and sorted, that was a fifth of a full fleet's pass.)
+    Every machine found takes at least one task, so once there are as many machines as tasks, one
+    whose capacity comes later than all of them is not examined to its end. (Where every task's end
+    was computed and sorted, that was a fifth of a full fleet's pass.)
     """
-    wanted = min(most, job.waiting)
+    wanted = min(limit, job.waiting)
     if wanted <= 0:
         return {}
     found: list[RoomAt] = []
     latest: list[float] = []
     """The earliest moments so far, as many as there are tasks, the last of them on top."""
-    by = Monotonic(math.inf)
+    before = Monotonic(math.inf)
     for number, machine in enumerate(machines):
         if not machine.allows(job) or job.zone_room(machine.zone) <= 0:
             continue
-        room = first_room(job, machine, now, by)
+        room = earliest_fit(job, machine, now, before)
         if room is None:
             continue
         found.append((room[0], number, machine, room[1:]))
@@ -108,19 +111,19 @@
         else:
             heapq.heappushpop(latest, -room[0])
         if len(latest) == wanted:
-            by = Monotonic(-latest[0])
+            before = Monotonic(-latest[0])
     return windows(job, found, wanted)
 
 
 def windows(
     job: JobView,
     rooms: list[RoomAt],
-    most: int,
+    limit: int,
 ) -> dict[MachineView, Window]:
-    """The earliest of the rooms, until `most` tasks have theirs."""
+    """Return reservations on the earliest machines until `limit` tasks are covered."""
     rooms.sort()
     taken: dict[MachineView, Window] = {}
-    left = most
+    left = limit
     for at, _, machine, (cpus, gpus, memory) in rooms:
         if left <= 0:
             break
--- a/tealrill/settings.py
+++ b/tealrill/settings.py
@@ -20,6 +20,8 @@
 
 
 class Address(NamedTuple):
+    """A host and a TCP port."""
+
     host: str
     port: int
 
@@ -28,6 +30,7 @@
 
 
 def parse_address(text: str) -> Address:
+    """Parse `host:port`; raise `SettingsError` if it is malformed."""
     host, _, port = text.rpartition(":")
     if not host or not port.isascii() or not port.isdigit() or not 0 < int(port) < 65536:
         raise SettingsError(f"{text!r} is not host:port")
@@ -35,12 +38,16 @@
 
 
 class Member(msgspec.Struct, frozen=True):
+    """Another controller of the cluster."""
+
     host_name: str
     zone: str
     peer_addr: str
 
 
 class Services(msgspec.Struct, frozen=True):
+    """Addresses (`host:port`) of the services that the cluster depends on."""
+
     cloud: str
     state: str
 
@@ -66,12 +73,16 @@
 
 
 class Workers(msgspec.Struct, frozen=True, rename={"heartbeat_interval_s": "report_s"}):
+    """Timing of the workers, in seconds."""
+
     heartbeat_interval_s: Positive
     lease_s: Positive
     cancel_s: Positive
 
 
 class StateLimits(msgspec.Struct, frozen=True):
+    """Limits of the state service: requests and writes per second, value size, operations."""
+
     rps: Positive
     write_rps: Positive
     value_kb: Positive
@@ -79,17 +90,23 @@
 
 
 class CloudLimits(msgspec.Struct, frozen=True):
+    """Limits of the cloud interface: requests per second and the lag of its lists."""
+
     rps: Positive
     list_lag_s: NotNegative
 
 
 class Quota(msgspec.Struct, frozen=True):
+    """Resources that this process may use."""
+
     cpu_share: float = 1.0
     ram_mb: float = 1024.0
     fd_limit: int = 1024
 
 
 class Params(msgspec.Struct, frozen=True):
+    """Parameters of the platform that all controllers share."""
+
     zones: list[str]
     teams: list[Team]
     workers: Workers
@@ -101,6 +118,8 @@
 
 
 class Settings(msgspec.Struct, frozen=True):
+    """The settings of one controller."""
+
     host_name: str
     zone: str
     client_listen: str
@@ -111,6 +130,7 @@
 
     @property
     def nodes(self) -> int:
+        """Return the number of controllers, this one included."""
         return len(self.members) + 1
 
 
@@ -143,6 +163,7 @@
 
 
 def load(path: Path) -> Settings:
+    """Read and check a settings file; raise `SettingsError` if it is unusable."""
     try:
         body = path.read_bytes()
     except OSError as error:
--- a/tealrill/types.py
+++ b/tealrill/types.py
@@ -70,8 +70,10 @@
 
 
 def monotonic_now() -> Monotonic:
+    """Return the time of this process's steady clock, in seconds."""
     return Monotonic(time.monotonic())
 
 
 def wall_now() -> Wall:
+    """Return the wall-clock time, in seconds since 1970."""
     return Wall(time.time())
--- a/tests/plain.py
+++ b/tests/plain.py
@@ -9,7 +9,7 @@
 import math
 from collections.abc import Container
 
-from tealrill.scheduler.capacity import Kind, Offer, Rental, _part
+from tealrill.scheduler.capacity import Kind, Offer, Rental, _cpu_share
 from tealrill.scheduler.model import (
     SLACK,
     JobView,
@@ -23,7 +23,7 @@
     View,
 )
 from tealrill.scheduler.plan import _Pass
-from tealrill.scheduler.preemption import Victims, _victims_on, stoppable
+from tealrill.scheduler.preemption import Victims, _victims_on, is_preemptible
 from tealrill.scheduler.reservation import Window, windows
 from tealrill.types import Monotonic
 
@@ -46,18 +46,18 @@
     def _has_room(self, machine: MachineView) -> bool:
         return True
 
-    def _room_for_expected(self) -> float:
+    def _compute_headroom_for_expected(self) -> float:
         expected = self.view.expected
         if expected is None:
             return 0.0
         return sum(
             max(0.0, m.cpus)
             + sum(t.cpus for t in m.running if t.backfilled and t.rank < expected.rank)
-            for m in self.up
+            for m in self.ready
         )
 
-    def _make_head(self, job: JobView, left: int) -> None:
-        super()._make_head(job, left)
+    def _reserve_for(self, job: JobView, left: int) -> None:
+        super()._reserve_for(job, left)
         machines = self._usable(job, self.view.machines)
         self._windows = reserve(job, machines, self.now, min(left, self.policy.reserved_tasks))
         found = {
@@ -65,26 +65,26 @@
         }
         self.plan.reserve = lambda: found
 
-    def _stop_for(self, head: JobView) -> None:
-        team = self.view.teams.get(head.team)
-        guaranteed = team is not None and team.guaranteed(head)
+    def _preempt_for(self, reserved_job: JobView) -> None:
+        team = self.view.teams.get(reserved_job.team)
+        guaranteed = team is not None and team.guaranteed(reserved_job)
         soon = self.now + self.policy.stop_cost_s
         coming = sum(w.tasks for w in self.windows.values() if w.at <= soon)
-        wanted = min(self._allowed(head), self.policy.reserved_tasks) - coming
-        backfilled = sum(t.backfilled for m in self.up for t in m.running)
+        wanted = min(self._within_quota(reserved_job), self.policy.reserved_tasks) - coming
+        backfilled = sum(t.backfilled for m in self.ready for t in m.running)
         budget = max(1, math.ceil(backfilled * self.policy.stop_share))
         taken: set[RunningTask] = set()
-        machines = self._usable(head, self.up)
+        machines = self._usable(reserved_job, self.ready)
         while wanted > 0:
-            victims = choose(head, machines, self.view.teams, taken, guaranteed, self.now)
+            victims = choose(reserved_job, machines, self.view.teams, taken, guaranteed, self.now)
             if victims is None or len(taken) + len(victims.tasks) > max(budget, len(victims.tasks)):
                 return
             taken.update(victims.tasks)
             for task in victims.tasks:
                 grace_s = task.save_s if task.saves else 0.0
-                self.plan.stops.append(StopTask(task.task, head.id, grace_s))
-                victims.machine.give(task)
-            victims.machine.take(head)
+                self.plan.stops.append(StopTask(task.task, reserved_job.id, grace_s))
+                victims.machine.release_room(task)
+            victims.machine.reserve_room(reserved_job)
             wanted -= 1
 
 
@@ -93,19 +93,19 @@
 
 
 def reserve(
-    job: JobView, machines: list[MachineView], now: Monotonic, most: int
+    job: JobView, machines: list[MachineView], now: Monotonic, limit: int
 ) -> dict[MachineView, Window]:
     rooms = []
     for number, machine in enumerate(machines):
         if not machine.allows(job) or job.zone_room(machine.zone) <= 0:
             continue
-        room = _first_room(job, machine, now)
+        room = _earliest_fit(job, machine, now)
         if room is not None:
             rooms.append((room[0], number, machine, room[1:]))
-    return windows(job, rooms, min(most, job.waiting))
+    return windows(job, rooms, min(limit, job.waiting))
 
 
-def _first_room(
+def _earliest_fit(
     job: JobView, machine: MachineView, now: Monotonic
 ) -> tuple[Monotonic, float, float, float] | None:
     cpus, gpus, memory = machine.cpus, machine.gpus, machine.memory_gb
@@ -136,11 +136,13 @@
         if not machine.allows(job) or job.zone_room(machine.zone) <= 0:
             continue
         candidates = [
-            t for t in machine.running if t not in taken and stoppable(t, job, teams, guaranteed)
+            t
+            for t in machine.running
+            if t not in taken and is_preemptible(t, job, teams, guaranteed)
         ]
         candidates.sort(key=lambda task: task.ran_s(now))
         victims = _victims_on(machine, job, candidates, now)
-        if victims is not None and (best is None or victims.lost < best.lost):
+        if victims is not None and (best is None or victims.lost_cpu_s < best.lost_cpu_s):
             best = victims
     return best
 
@@ -154,25 +156,25 @@
         self.free = free
         self.used_cpu_s = 0.0
 
-    def lay(self, need: float, run_s: float, most: int, until: Monotonic) -> int:
+    def allocate(self, need: float, run_s: float, limit: int, until: Monotonic) -> int:
         supply = 0.0
         for at, cpus in self.free:
             if at <= until:
                 supply += cpus * (1 + (until - at) // run_s)
-        laid = min(most, max(0, int((supply - self.used_cpu_s / run_s + 1e-6) // need)))
-        self.used_cpu_s += laid * need * run_s
-        return laid
+        allocated = min(limit, max(0, int((supply - self.used_cpu_s / run_s + 1e-6) // need)))
+        self.used_cpu_s += allocated * need * run_s
+        return allocated
 
 
-def _lay(
-    job: JobView, most: int, rooms: list[_Room], sizes: dict[str, Offer], until: Monotonic
+def _allocate(
+    job: JobView, limit: int, rooms: list[_Room], sizes: dict[str, Offer], until: Monotonic
 ) -> int:
-    left = most
+    left = limit
     for room in rooms:
         if left > 0 and job.may_use(*room.kind):
-            need = _part(job, sizes[room.kind[0]])
-            left -= room.lay(need, max(1.0, job.estimate_s), left, until) if need > 0 else left
-    return most - left
+            need = _cpu_share(job, sizes[room.kind[0]])
+            left -= room.allocate(need, max(1.0, job.estimate_s), left, until) if need > 0 else left
+    return limit - left
 
 
 def _price(job: JobView, left: int, offer: Offer) -> float:
@@ -222,7 +224,7 @@
         wait_s = min(o.boot_s for o in fitting)
         if not cheap and job in affordable:
             wait_s = max(wait_s, job.latest_s[0])
-        left = waiting - _lay(job, waiting, rooms, sizes, Monotonic(now + wait_s))
+        left = waiting - _allocate(job, waiting, rooms, sizes, Monotonic(now + wait_s))
         if not cheap and job in affordable:
             continue
         while left > 0:
@@ -230,10 +232,12 @@
             if offer is None:
                 break
             room = _Room(offer.kind, [(Monotonic(now + offer.boot_s), offer.cpus)])
-            laid = _lay(job, left, [room], sizes, Monotonic(now + max(wait_s, offer.boot_s)))
-            if laid <= 0:
+            allocated = _allocate(
+                job, left, [room], sizes, Monotonic(now + max(wait_s, offer.boot_s))
+            )
+            if allocated <= 0:
                 break
-            left -= laid
+            left -= allocated
             rooms.append(room)
             wanted[offer] = wanted.get(offer, 0) + 1
             where = (offer.type, offer.zone)
--- a/tests/test_boots.py
+++ b/tests/test_boot_times.py
@@ -29,7 +29,7 @@
 
 
 def _patience(boots: BootTimeEstimator, now: float = 100.0) -> float:
-    return boots.patience_s(_KIND, _NOMINAL_S, Monotonic(now))
+    return boots.boot_timeout_s(_KIND, _NOMINAL_S, Monotonic(now))
 
 
 def test_without_others_to_compare_with_a_machine_is_waited_for_long() -> None:
@@ -94,4 +94,4 @@
     for number in range(9):
         known = Machine(MachineId(f"m-{number}"), "m8", "north", False, Monotonic(-500.0))
         provisioner.registered(known, Monotonic(5.0))
-    assert provisioner.boots.patience_s(_KIND, _NOMINAL_S, Monotonic(5.0)) == 4 * _NOMINAL_S
+    assert provisioner.boots.boot_timeout_s(_KIND, _NOMINAL_S, Monotonic(5.0)) == 4 * _NOMINAL_S
--- a/tests/test_cost.py
+++ b/tests/test_cost.py
@@ -131,7 +131,7 @@
     return (
         result.starts,
         result.stops,
-        result.head,
+        result.reserved_job,
         result.reservations,
         [(job.id, left) for job, left in result.unplaced],
         {job.id for job in result.affordable},
@@ -228,7 +228,7 @@
     result = plan(View(fleet, queue, teams, None, {}), NOW, Policy())
     assert asked == ["blue-1"] and len(result.starts) == 3
     # They are no reason for more machines either, nor is any of them the head.
-    assert not result.unplaced and result.head is None
+    assert not result.unplaced and result.reserved_job is None
 
 
 @settings(max_examples=60)
@@ -244,7 +244,7 @@
 @pytest.mark.parametrize(
     ("where", "name", "broken"),
     [
-        (capacity, "_ROUNDED", -5.0),
+        (capacity, "_ROUNDING", -5.0),
         (planner, "reserve", lambda job, machines, now, most: {}),
     ],
 )
@@ -305,7 +305,7 @@
     ends = _counted(monkeypatch, reservation, "ends_at", lambda tasks, now: len(tasks))
     fits = _counted(monkeypatch, MachineView, "fits", lambda machine, job: 1)
     result = plan(View(machines, jobs, {}), NOW, Policy())
-    assert len(result.unplaced) == 5000 and result.head is not None
+    assert len(result.unplaced) == 5000 and result.reserved_job is not None
     assert not ends and not fits
     # Asked for, they are the same as those of the plain planner.
     assert result.reservations and sum(ends) == 30_000
@@ -317,7 +317,7 @@
     """A machine whose tasks all end later than the rooms found so far is passed over."""
     machines = _full_fleet(1200, 25)
     reached = _counted(
-        monkeypatch, reservation, "first_room", lambda job, machine, now, by: by < NOW + 10.0
+        monkeypatch, reservation, "earliest_fit", lambda job, machine, now, by: by < NOW + 10.0
     )
     job = job_view("job-1", cpus=2.0, waiting=16, tasks=16)
     assert len(reservation.reserve(job, machines, NOW, 16)) <= 16
@@ -344,11 +344,11 @@
     assert sum(r.count for r in wished) > 1000
     # Not one for every pair of a job and a room that was there or was wished for before it.
     pairs = 500 * (600 + 0.5 * sum(r.count for r in wished))
-    assert 600 < made[0].looks < 0.08 * pairs
+    assert 600 < made[0].inspected < 0.08 * pairs
 
 
 def test_stops_look_at_backfilled_tasks_only(monkeypatch: pytest.MonkeyPatch) -> None:
-    looked = _counted(monkeypatch, preemption, "stoppable", lambda *_: 1)
+    looked = _counted(monkeypatch, preemption, "is_preemptible", lambda *_: 1)
     machines = _full_fleet(600, 16, rank=0)
     filled = _full_fleet(3, 16, rank=0, backfilled=True)
     head = job_view("job-1", rank=2, cpus=4.0, waiting=4, tasks=4)
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -391,7 +391,7 @@
             play.submit()
             play.now += 1.0
             play.scheduling_loop.run(Monotonic(play.now), Wall(play.now))
-        assert play.scheduling_loop.last.head is not None
+        assert play.scheduling_loop.last.reserved_job is not None
         assert not any(isinstance(found, _Pass | View) for found in gc.get_objects())
     finally:
         gc.enable()
--- a/tests/test_blame.py
+++ b/tests/test_failure_attribution.py
@@ -9,7 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tealrill.scheduler import failure_attribution as blame_module
+from tealrill.scheduler import failure_attribution as attribution_module
 from tealrill.scheduler.failure_attribution import FailureAttribution
 from tealrill.types import JobId, MachineId, Monotonic
 
@@ -72,10 +72,10 @@
     def _starts(self, job: _Job) -> None:
         now = Monotonic(self.now)
         waiting = job.tasks - job.done - len(job.running)
-        if self.failure_attribution.on_trial(job.id):
+        if self.failure_attribution.is_on_probation(job.id):
             longest = max((self.now - since for _, since in job.running), default=0.0)
             self._called(self.failure_attribution.survived(job.id, longest, now))
-            most = self.failure_attribution.most(job.id, len(job.running), longest, now)
+            most = self.failure_attribution.task_limit(job.id, len(job.running), longest, now)
             waiting = waiting if most is None else min(waiting, most)
         if waiting <= 0:
             return
@@ -147,7 +147,7 @@
     world = _World(1, [job], _fleet(10, faulty=1))
     world.run(4.0)
     # The others have run for longer than any took to fail: nothing is held back any more.
-    assert not world.failure_attribution.on_trial(job.id)
+    assert not world.failure_attribution.is_on_probation(job.id)
     world.run(10.0)
     assert job.done == 40
 
@@ -156,17 +156,17 @@
     failure_attribution = FailureAttribution()
     failure_attribution.inherited(JobId("wk-1"), 3)
     now = Monotonic(10.0)
-    assert failure_attribution.most(JobId("wk-1"), 0, 0.0, now) == 1
-    assert failure_attribution.most(JobId("wk-1"), 1, 0.5, now) == 0
+    assert failure_attribution.task_limit(JobId("wk-1"), 0, 0.0, now) == 1
+    assert failure_attribution.task_limit(JobId("wk-1"), 1, 0.5, now) == 0
     # It may have been stopped only: then it goes on as soon as one has run for a moment.
-    assert failure_attribution.most(JobId("wk-1"), 1, 2.5, now) is None
+    assert failure_attribution.task_limit(JobId("wk-1"), 1, 2.5, now) is None
     # And a failure goes on where the former leader's gaps had come to.
     failure_attribution.failed(JobId("wk-1"), MachineId("m-1"), 0.0, False, now)
-    assert failure_attribution.most(JobId("wk-1"), 0, 0.0, Monotonic(now + 3.9)) == 0
-    assert failure_attribution.most(JobId("wk-1"), 0, 0.0, Monotonic(now + 4.1)) == 1
+    assert failure_attribution.task_limit(JobId("wk-1"), 0, 0.0, Monotonic(now + 3.9)) == 0
+    assert failure_attribution.task_limit(JobId("wk-1"), 0, 0.0, Monotonic(now + 4.1)) == 1
     # What was bound once was neither stopped nor lost.
     failure_attribution.inherited(JobId("wk-2"), 1)
-    assert not failure_attribution.on_trial(JobId("wk-2"))
+    assert not failure_attribution.is_on_probation(JobId("wk-2"))
 
 
 def test_old_evidence_and_what_is_over_are_dropped() -> None:
@@ -208,7 +208,7 @@
 
 
 def _mistakes_cost(monkeypatch: pytest.MonkeyPatch, name: str, value: object) -> _World:
-    monkeypatch.setattr(blame_module, name, value)
+    monkeypatch.setattr(attribution_module, name, value)
     world = _World(3, _jobs(50, 20), _fleet(30))
     world.run(90.0)
     return world
@@ -224,8 +224,8 @@
 def test_without_the_question_of_how_jobs_do_elsewhere_sound_machines_are_lost(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(FailureAttribution, "on_trial", lambda *_: False)
-    monkeypatch.setattr(blame_module, "_UNCLEAR_JOBS", 2)
+    monkeypatch.setattr(FailureAttribution, "is_on_probation", lambda *_: False)
+    monkeypatch.setattr(attribution_module, "_MIN_UNCLEAR_JOBS", 2)
     world = _World(3, _jobs(50, 20, tasks=1), _fleet(30))
     world.run(30.0)
     assert world.drained
@@ -237,10 +237,10 @@
     job, faulty = JobId("wk-1"), MachineId("m-1")
     failure_attribution.failed(job, faulty, 100.0, False, Monotonic(100.0))
     # Others of it have run as long without failing, or one that was begun since for a while.
-    assert failure_attribution.most(job, 9, 100.0, Monotonic(102.0)) is None
-    assert failure_attribution.most(job, 1, 40.0, Monotonic(150.0)) == 0
-    assert failure_attribution.most(job, 1, 45.0, Monotonic(150.0)) is None
+    assert failure_attribution.task_limit(job, 9, 100.0, Monotonic(102.0)) is None
+    assert failure_attribution.task_limit(job, 1, 40.0, Monotonic(150.0)) == 0
+    assert failure_attribution.task_limit(job, 1, 45.0, Monotonic(150.0)) is None
     # It is not called sound for that, and the machine not faulty.
     assert not failure_attribution.survived(
         job, 100.0, Monotonic(160.0)
-    ) and failure_attribution.on_trial(job)
+    ) and failure_attribution.is_on_probation(job)
--- a/tests/test_silence.py
+++ b/tests/test_failure_detector.py
@@ -14,7 +14,7 @@
     MISSES,
     Evidence,
     Suspicion,
-    back_in_s,
+    expected_recovery_s,
     is_bypassed_by_heartbeats,
     judge,
     live_within_s,
@@ -108,7 +108,7 @@
                 not sign.accepts and sign.failed_connects >= MISSES
             )
             assert sign.missing_from_lists >= 2 or sign.zone not in diagnosis.partitioned_zones
-        assert back_in_s(verdict, sign.silent_s) is None or verdict is not Suspicion.GONE
+        assert expected_recovery_s(verdict, sign.silent_s) is None or verdict is not Suspicion.GONE
     for sign in signs:
         if sign.silent_s > silent_after_s(_REPORT_S):
             assert sign.machine in diagnosis.verdicts
@@ -116,9 +116,9 @@
 
 
 def test_a_silence_is_expected_to_last_as_long_again() -> None:
-    assert back_in_s(Suspicion.HUNG, 12.0) == 12.0
-    assert back_in_s(Suspicion.CUT, 0.5) == pytest.approx(2.0)
-    assert back_in_s(Suspicion.GONE, 12.0) is None
+    assert expected_recovery_s(Suspicion.HUNG, 12.0) == 12.0
+    assert expected_recovery_s(Suspicion.CUT, 0.5) == pytest.approx(2.0)
+    assert expected_recovery_s(Suspicion.GONE, 12.0) is None
 
 
 def test_a_leader_is_deaf_only_if_it_heard_several_machines() -> None:
@@ -138,35 +138,35 @@
 def test_what_was_in_use_on_machines_lost_together_is_owed() -> None:
     losses = CapacityLosses()
     _lose(losses, 20)
-    assert losses.owed(Monotonic(1.0), 200) == {"big": 120.0}
+    assert losses.replacement_capacity(Monotonic(1.0), 200) == {"big": 120.0}
     losses.rented("other", 50.0)
     losses.rented("big", 100.0)
-    assert losses.owed(Monotonic(1.0), 200) == {"big": 20.0}
+    assert losses.replacement_capacity(Monotonic(1.0), 200) == {"big": 20.0}
     losses.rented("big", 100.0)
-    assert losses.owed(Monotonic(1.0), 200) == {}
+    assert losses.replacement_capacity(Monotonic(1.0), 200) == {}
 
 
 def test_single_losses_and_losses_one_after_the_other_are_left_to_the_queue() -> None:
     losses = CapacityLosses()
     _lose(losses, 4)
-    assert losses.owed(Monotonic(0.0), 10) == {}
+    assert losses.replacement_capacity(Monotonic(0.0), 10) == {}
     apart = CapacityLosses()
     for n in range(12):
         _lose(apart, 1, at=6.0 * n)
-    assert apart.owed(Monotonic(67.0), 10) == {}
+    assert apart.replacement_capacity(Monotonic(67.0), 10) == {}
     _lose(losses, 5, at=1.0)
-    assert losses.owed(Monotonic(1.0), 200) == {}, "nine of two hundred are no fall"
-    assert losses.owed(Monotonic(1.0), 100) == {"big": 54.0}
+    assert losses.replacement_capacity(Monotonic(1.0), 200) == {}, "nine of two hundred are no fall"
+    assert losses.replacement_capacity(Monotonic(1.0), 100) == {"big": 54.0}
 
 
 def test_a_machine_is_counted_once_and_not_any_more_once_it_is_back() -> None:
     losses = CapacityLosses()
     _lose(losses, 10)
     _lose(losses, 10)
-    assert losses.owed(Monotonic(0.0), 50) == {"big": 60.0}
-    losses.back(MachineId("m-0.0-3"))
-    assert losses.owed(Monotonic(0.0), 50) == {"big": 54.0}
-    assert losses.owed(Monotonic(61.0), 50) == {}
+    assert losses.replacement_capacity(Monotonic(0.0), 50) == {"big": 60.0}
+    losses.recovered(MachineId("m-0.0-3"))
+    assert losses.replacement_capacity(Monotonic(0.0), 50) == {"big": 54.0}
+    assert losses.replacement_capacity(Monotonic(61.0), 50) == {}
 
 
 @given(
@@ -190,16 +190,16 @@
             losses.lost(MachineId(f"m-{number}"), "big", amount, now)
             lost[number] = max(amount, lost.get(number, 0.0))
         elif step == "back":
-            losses.back(MachineId(f"m-{number}"))
+            losses.recovered(MachineId(f"m-{number}"))
             lost.pop(number, None)
         elif step == "rented":
-            before = losses.owed(now, 0).get("big", 0.0)
+            before = losses.replacement_capacity(now, 0).get("big", 0.0)
             losses.rented("big", amount)
-            assert losses.owed(now, 0).get("big", 0.0) >= before - amount - 1e-6
+            assert losses.replacement_capacity(now, 0).get("big", 0.0) >= before - amount - 1e-6
         else:
             now = Monotonic(now + amount)
-            losses.owed(now, 0)
-        assert losses.owed(now, 0).get("big", 0.0) <= sum(lost.values()) + 1e-6
+            losses.replacement_capacity(now, 0)
+        assert losses.replacement_capacity(now, 0).get("big", 0.0) <= sum(lost.values()) + 1e-6
 
 
 # -- refusals -------------------------------------------------------------------------------------
--- a/tests/test_falls.py
+++ b/tests/test_falls.py
@@ -388,7 +388,7 @@
 
 def test_without_a_verdict_deaths_are_not_replaced(monkeypatch: pytest.MonkeyPatch) -> None:
     """The tests above depend on the judgement: without it the fleet stays small."""
-    monkeypatch.setattr(failure_detector, "_verdict", lambda *_: Suspicion.LATE)
+    monkeypatch.setattr(failure_detector, "_suspect", lambda *_: Suspicion.LATE)
     world = _World(jobs=8)
     world.play(60)
     most = len(world.standing())
--- a/tests/test_front.py
+++ b/tests/test_http_frontend.py
@@ -14,7 +14,7 @@
 from tornado.http1connection import HTTP1Connection
 
 from tealrill import wire
-from tealrill.api import front
+from tealrill.api import http_frontend
 from tealrill.http import Answer, Client
 from tealrill.settings import Address
 from tealrill.types import MachineId, Monotonic, monotonic_now
@@ -41,13 +41,15 @@
         self.go = asyncio.Event()
         self.reports: list[MachineId] = []
         application = web.Application([(r"/slow", _Slow, {"world": self})])
-        self.front = front.HttpFrontend(application, _MOST, self._take_report)
+        self.front = http_frontend.HttpFrontend(application, _MOST, self._take_report)
         sockets = netutil.bind_sockets(0, "127.0.0.1")
         self.address = Address("127.0.0.1", sockets[0].getsockname()[1])
-        self.server = front.Server(self.front)
+        self.server = http_frontend.Server(self.front)
         self.server.add_sockets(sockets)
 
-    def _take_report(self, report: wire.Heartbeat, machine: MachineId) -> front.HeartbeatHandler:
+    def _take_report(
+        self, report: wire.Heartbeat, machine: MachineId
+    ) -> http_frontend.HeartbeatReply:
         self.reports.append(machine)
         return 200, wire.report_answer(4, [])
 
@@ -200,7 +202,7 @@
             assert len(parsed) == 1
             for size in range(1, 12):
                 assert (await client.request("POST", wire.REPORT_PATH, b"x" * size)).status == 400
-            assert len(front._Message._heads) <= 8
+            assert len(http_frontend._Message._heads) <= 8
             long = {"X-Long": "y" * 1000}
             reader, writer = await asyncio.open_connection(*world.address)
             for _ in range(2):
@@ -209,10 +211,10 @@
                 writer.write(head.encode() + b"\r\n\r\n" + body)
                 assert (await reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 200")
                 await reader.readexactly(len(orjson.dumps(wire.report_answer(4, []))))
-            assert all(len(head) <= 256 for head in front._Message._heads)
+            assert all(len(head) <= 256 for head in http_frontend._Message._heads)
             writer.close()
 
     monkeypatch.setattr(HTTP1Connection, "_parse_headers", counted)
-    monkeypatch.setattr(front, "_MOST_HEADS", 8)
-    front._Message._heads.clear()
+    monkeypatch.setattr(http_frontend, "_MAX_CACHED_HEADS", 8)
+    http_frontend._Message._heads.clear()
     asyncio.run(scenario())
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -70,7 +70,7 @@
         )
         lower = job_view("fill-1", rank=rank, estimate_s=estimate_s)
         result = plan(View([machine], [_blocked_head(), lower], {}), NOW, Policy())
-        assert result.head == JobId("head-1")
+        assert result.reserved_job == JobId("head-1")
         return [(s.job, s.backfilled) for s in result.starts]
 
     assert starts(rank=2, estimate_s=15.0) == [("fill-1", False)]
@@ -264,9 +264,9 @@
     ready = {m.id: m.ready_at for m in machines}
     by_id = {job.id: job for job in jobs}
     result = plan(View(machines, jobs, {}), NOW, Policy())
-    if result.head is None:
+    if result.reserved_job is None:
         return
-    head = by_id[result.head]
+    head = by_id[result.reserved_job]
     for reservation in result.reservations.values():
         room = free[reservation.machine]
         assert reservation.at >= ready[reservation.machine]
@@ -340,7 +340,7 @@
         counted.append(size.type)
         return size.cpus
 
-    monkeypatch.setattr(capacity, "_part", part)
+    monkeypatch.setattr(capacity, "_cpu_share", part)
     offer = Offer("big", "north", False, 8.0, 0.0, 64.0, 1.0, 20.0, 1.0)
     machines = [machine_view(f"m-{n}", cpus=0.0) for n in range(300)]
     waiting = [(job_view(f"wk-{n}", cpus=4.0, waiting=9), 9) for n in range(5)]
@@ -390,7 +390,7 @@
     ]  # fmt: skip
     small = job_view("small-1", waited_s=1.0, latest_s=(500.0,))
     ordered = order([*jobs, small], {}, policy, 16.0, {})
-    waits = [j for j in jobs if not j.begun and j.waited_s >= policy.turn_s]
+    waits = [j for j in jobs if not j.begun and j.waited_s >= policy.starvation_guard_s]
     if waits:
         # One at a time, the one that has waited longest; all others behind what can be in time.
         assert ordered[0].waited_s == max(j.waited_s for j in waits) and not ordered[0].begun
--- a/tests/test_waits.py
+++ b/tests/test_waits.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from tealrill.scheduler import failure_attribution as blame_module
+from tealrill.scheduler import failure_attribution as attribution_module
 from tealrill.scheduler.model import Policy
 from tealrill.state.job_store import Binding, Job
 from tealrill.types import (
@@ -136,7 +136,7 @@
             world.now = Monotonic(max(world.now, trial.next_at))
         failure_attribution.failed(job.id, MachineId("m-1"), 0.2, False, world.now)
         world.beat()
-    assert world.until_placed(job) <= blame_module._MOST_GAP_S + 1.0
+    assert world.until_placed(job) <= attribution_module._MAX_GAP_S + 1.0
 
 
 @pytest.mark.parametrize("rule", [{"samePlace": True}, {"scatter": True}])
@@ -184,7 +184,7 @@
     assert _LEASE_S < took_s + 1.0 <= _LEASE_S + 3.0
 
 
-@pytest.mark.parametrize("waited_s", [0.0, Policy().turn_s, 3 * Policy().aging_s])
+@pytest.mark.parametrize("waited_s", [0.0, Policy().starvation_guard_s, 3 * Policy().aging_s])
 @pytest.mark.parametrize(
     "changes", [{"vcpus": 64.0}, {"builds": ["other"]}, {"hall": "south"}, {"memoryGb": 500.0}]
 )
