--- a/tealrill/api/http_frontend.py
+++ b/tealrill/api/http_frontend.py
@@ -15,7 +15,7 @@
 import http
 import logging
 from collections.abc import Awaitable, Callable
-from typing import Any, ClassVar, Final
+from typing import Any, ClassVar, Final, NamedTuple
 
 from tornado import httpserver, httputil, iostream
 from tornado.http1connection import HTTP1Connection, HTTP1ServerConnection
@@ -36,12 +36,12 @@
 _MAX_RECEIVED: Final = 1024 * 1024
 """Larger bodies than the protocol allows are read up to here, so that they get a JSON answer."""
 _YIELD_EVERY: Final = 8
-"""Requests of one connection after which others have a turn in any case."""
+"""Requests of one connection after which it yields to others in any case."""
 _MAX_CACHED_HEAD: Final = 256
 _MAX_CACHED_HEADS: Final = 1024
-"""Bytes of a request's head that is kept taken apart, and how many of them."""
+"""The largest header block, in bytes, that is cached once parsed, and their number."""
 _READ_CHUNK: Final = 16 * 1024
-"""Most that a connection's own buffer takes from the network at once."""
+"""The maximum number of bytes that a connection reads from the network at once."""
 
 
 class BodyMemory:
@@ -174,7 +174,7 @@
                 # tornado has no public name for the bytes it has read ahead.
                 read_ahead = self.stream._read_buffer_size  # noqa: SLF001
                 if read_ahead or served % _YIELD_EVERY == 0:
-                    # The next one is here already, or may be at the socket: others first.
+                    # The next request is buffered, or may be at the socket: others go first.
                     await asyncio.sleep(0)
         finally:
             delegate.on_close(self)
@@ -184,7 +184,7 @@
 
 
 class _Message(HTTP1Connection):
-    """tornado's message, which takes a head apart once: workers send the same again and again."""
+    """A message whose header block is parsed once: workers send the same again and again."""
 
     _heads: ClassVar[dict[bytes, _Head]] = {}
 
@@ -200,8 +200,16 @@
         return head
 
 
+class _Rejection(NamedTuple):
+    """The answer to a request whose body is dropped."""
+
+    status: int
+    error: str
+    retry_after_s: int | None = None
+
+
 class _Request(httputil.HTTPMessageDelegate):
-    """One request: its body is collected here, then answered or handed on in one piece."""
+    """One request: its body is collected, then answered or forwarded in one piece."""
 
     def __init__(
         self, front: HttpFrontend, server_conn: object, connection: httputil.HTTPConnection
@@ -216,8 +224,8 @@
         self._held = front.heartbeat_bodies
         self._chunks: list[bytes] = []
         self._size = 0
-        self._rejection: tuple[int, str, int | None] | None = None
-        """Why the body is being dropped: status, error, and when to come again."""
+        self._rejection: _Rejection | None = None
+        """Why the body is being dropped."""
 
     def headers_received(
         self,
@@ -240,10 +248,10 @@
         if self._rejection is not None:
             return None
         if self._delegate is None and self._size + len(chunk) > wire.MAX_BODY:
-            self._rejection = (400, "the body is larger than 64 KiB", None)
+            self._rejection = _Rejection(400, "the body is larger than 64 KiB")
         elif not self._held.reserve(len(chunk)):
             # Whether the job was accepted before can't be told without its id: no 400.
-            self._rejection = (503, "too much at once", 1)
+            self._rejection = _Rejection(503, "too much at once", retry_after_s=1)
         else:
             self._size += len(chunk)
             self._chunks.append(chunk)
--- a/tealrill/api/peers.py
+++ b/tealrill/api/peers.py
@@ -10,7 +10,7 @@
 
 
 class LeaseExtensionHandler(JsonHandler):
-    """A leader asks this node not to stand for election while the state service is down."""
+    """A leader asks this controller not to stand for election while the state service is down."""
 
     def initialize(self, extension: LeaseExtension) -> None:
         """Set the lease extension that decides."""
@@ -27,7 +27,7 @@
 
 
 class PingHandler(JsonHandler):
-    """Whether this node can be reached from another, and whether it leads."""
+    """Whether this controller can be reached from another, and whether it leads."""
 
     def initialize(self, extension: LeaseExtension) -> None:
         """Set the lease extension that knows who leads."""
@@ -39,7 +39,7 @@
 
 
 class CatalogueHandler(JsonHandler):
-    """The machine types as this node knows them."""
+    """The machine types as this controller knows them."""
 
     def initialize(self, known: Callable[[], wire.Catalogue | None]) -> None:
         """Set the function that returns the catalogue, or None while it is unknown."""
--- a/tealrill/api/relay.py
+++ b/tealrill/api/relay.py
@@ -1,9 +1,10 @@
-"""Users' requests on a node that can't reach the state service, while another one can.
+"""Users' requests on a controller that can't reach the state service, while another one can.
 
-A cut between this node and the state service, or a refusal that reaches this node alone, looks to
-its users like an outage. Every node gives the same answers from the same records, so the request is
-handed to another node when the own attempt was refused or is slow. Both may succeed: each change is
-guarded by its key's version, so the second finds what the first has done.
+A cut between this controller and the state service, or a refusal that reaches this controller
+alone, looks to its users like an outage. Every controller gives the same answers from the same
+records, so the request is handed to another controller when the own attempt was refused or is slow.
+Both may succeed: each change is guarded by its key's version, so the second finds what the first
+has done.
 """
 
 from __future__ import annotations
@@ -28,7 +29,7 @@
 _SLOW_POLL_S: Final = 0.4
 _TIMEOUT_S: Final = 0.6
 _AGAIN_S: Final = 0.2
-"""While no node settles anything, one request in so long tries whether that is still so."""
+"""While no controller settles anything, one request in so long tries whether that is still so."""
 
 
 class JobRequests(Protocol):
@@ -77,10 +78,10 @@
         slow_s: float,
         timeout_s: float = _TIMEOUT_S,
     ) -> Reply:
-        """The first answer that settles the request; if none does, that of this node.
+        """Return the first conclusive answer; if there is none, that of this controller.
 
-        `there` is the same request as another node takes it: path, method and body. It is sent when
-        the own attempt could not be made, or has taken `slow_s`.
+        `there` is the same request as another controller takes it: path, method and body. It is
+        sent when the own attempt could not be made, or has taken `slow_s`.
         """
         here = asyncio.create_task(local)
         other: asyncio.Task[Reply | None] | None = None
@@ -100,7 +101,7 @@
                 other.cancel()
 
     def _worth_asking(self) -> bool:
-        """Whether another node may settle what this one can't; in an outage none does."""
+        """Return whether another controller may answer; in an outage none does."""
         if not self._peers:
             return False
         some = self._in_vain < 2 * len(self._peers)
@@ -109,16 +110,16 @@
     async def _ask(
         self, path: str, method: str, body: bytes | None, timeout_s: float
     ) -> Reply | None:
-        """Another node's answer; None if it brings nothing either."""
+        """Return another controller's answer, or None if it has none either."""
         peer = self._peers[0]
         try:
             answer = await peer.request(method, PEER_PREFIX + path, body, timeout_s)
             reply = Reply(answer.status, wire.decode(answer.body, dict[str, Any]))
         except (NoAnswerError, wire.MalformedMessageError) as error:
-            log.debug("asking another node: %s", error)
+            log.debug("request to another controller failed: error=%s", error)
             reply = None
         if reply is None or reply.status >= 500:
-            # The next request goes to the next node.
+            # The next request goes to the next controller.
             self._peers = [*self._peers[1:], peer]
             self._in_vain += 1
             self._in_vain_at = monotonic_now()
--- a/tealrill/http.py
+++ b/tealrill/http.py
@@ -89,7 +89,7 @@
     try:
         stream = iostream.IOStream(socket.socket())
     except OSError:
-        # No socket left: that is this node's trouble and says nothing of the other.
+        # No socket left: that is this controller's trouble and says nothing of the other.
         return None
     loop = asyncio.get_running_loop()
     began = loop.time()
--- a/tealrill/profiling.py
+++ b/tealrill/profiling.py
@@ -50,7 +50,7 @@
     "passes: losses": "tealrill.fleet.dispatch:SchedulingLoop._restore",
     "wishes for machines": "tealrill.fleet.dispatch:SchedulingLoop._rent",
     "wishes: choosing": "tealrill.scheduler.capacity:_choose",
-    "wishes: laying": "tealrill.scheduler.capacity:FreeCapacity.allocate",
+    "wishes: laying": "tealrill.scheduler.free_capacity:FreeCapacity.allocate",
     "wishes: reckoning": "tealrill.scheduler.capacity:rentals",
     "silence: judging": "tealrill.fleet.prober:Prober.look",
     "silence: leases": "tealrill.fleet.machines:Fleet.silent",
--- /dev/null
+++ b/tealrill/scheduler/free_capacity.py
@@ -0,0 +1,197 @@
+"""Free capacity over time: how many waiting tasks machines can take by a given moment.
+
+One processor may serve several tasks one after the other. Pure state, without I/O and clock.
+"""
+
+from __future__ import annotations
+
+import math
+from collections.abc import Container, Iterable, Sequence
+from itertools import repeat
+from typing import Final
+
+from tealrill.scheduler.model import JobView, Kind, MachineView, ends_at
+from tealrill.types import Monotonic
+
+_SHORTEST_S: Final = 1.0
+_ROUNDING: Final = 1e-4
+"""Larger than the rounding error of sums of some hundred decimal numbers."""
+
+
+def coming_free(machine: MachineView, now: Monotonic) -> list[tuple[Monotonic, float]]:
+    """Return when a machine's processors come free: now (or once booted) and as tasks end."""
+    free = [(max(now, machine.ready_at), max(0.0, machine.cpus))]
+    ends = ends_at(machine.running, now)
+    free += [(end, task.cpus) for end, task in zip(ends, machine.running, strict=True)]
+    return free
+
+
+class _Horizon:
+    """The capacity of all machines until one moment, one list entry per machine."""
+
+    def __init__(self, until: Monotonic) -> None:
+        self.until = until
+        self.cpus: list[float] = []
+        """Processors that come free by then."""
+        self.cpu_s: list[float] = []
+        """Their processor seconds from when they come free until then."""
+        self.longest_s: list[float] = []
+        """The time from when the first of them comes free."""
+        self.shortest_s: list[float] = []
+        """Tasks that run for less surely find no place there by then."""
+
+    def add(self, free: Sequence[tuple[Monotonic, float]], least: float | None) -> None:
+        cpus = cpu_s = longest_s = 0.0
+        for at, count in free:
+            if at <= self.until:
+                cpus += count
+                cpu_s += count * (self.until - at)
+                longest_s = max(longest_s, self.until - at)
+        self.cpus.append(cpus)
+        self.cpu_s.append(cpu_s)
+        self.longest_s.append(longest_s)
+        self.shortest_s.append(0.0)
+        self.update(len(self.cpus) - 1, 0.0, least)
+
+    def update(self, number: int, used_cpu_s: float, least: float | None) -> None:
+        """Update a machine's entry after `used_cpu_s` of it was allocated.
+
+        No job takes less of it than `least` processors. A processor that comes free serves at most
+        one task more than fits into its time until then: `run` seconds of each are available beside
+        that time, less what is used.
+        """
+        if least is None:
+            self.shortest_s[number] = math.inf
+            return
+        beside = self.cpus[number] + _ROUNDING - least
+        missing = used_cpu_s - self.cpu_s[number]
+        if least <= 0:
+            shortest_s = 0.0
+        elif missing > 0:
+            shortest_s = missing / beside if beside > 0 else math.inf
+        elif beside >= 0 or missing / beside >= _SHORTEST_S:
+            shortest_s = 0.0
+        else:
+            # Not even one task fits beside, and no run is as short as the time until then.
+            shortest_s = math.inf
+        self.shortest_s[number] = shortest_s
+
+
+class FreeCapacity:
+    """Capacity for waiting tasks, on machines and on those about to be rented.
+
+    Tasks are allocated in the order of the machines. Most are full when the later jobs of a long
+    queue are allocated. Examined for every job, they were the most expensive part of the leader's
+    work in an overload, so each keeps how long a task must run to find a place there, and a machine
+    that can't serve a job costs one comparison.
+    """
+
+    def __init__(
+        self,
+        kinds: Sequence[Kind],
+        jobs: Sequence[Sequence[float | None]],
+        common: Container[Monotonic],
+    ) -> None:
+        """Prepare for the `kinds` of machines and the `jobs` to be allocated.
+
+        `jobs` has for every job its task's share of each kind, as `_cpu_shares` returns it;
+        `common` has the moments that many jobs ask for. (Kept for the moments of single jobs as
+        well, the horizons cost more than they saved.)
+        """
+        self._common = common
+        self._kinds = {kind: number for number, kind in enumerate(kinds)}
+        self._least = [
+            min((share for share in of_kind if share is not None), default=None)
+            for of_kind in zip(*jobs, strict=True)
+        ]
+        """The smallest share that any of the jobs takes; None where none of them may run."""
+        self._kind: list[int] = []
+        self._free: list[Sequence[tuple[Monotonic, float]]] = []
+        """Per machine the processors that come free, and when."""
+        self._used_cpu_s: list[float] = []
+        self._horizons: dict[Monotonic, _Horizon] = {}
+        self.inspected = 0
+        """Machines examined more closely than by a comparison."""
+
+    def add(self, kind: Kind, free: Sequence[tuple[Monotonic, float]]) -> int:
+        """Append a machine's capacity; return its number."""
+        number = self._kinds[kind]
+        self._kind.append(number)
+        self._free.append(free)
+        self._used_cpu_s.append(0.0)
+        for horizon in self._horizons.values():
+            horizon.add(free, self._least[number])
+        return len(self._kind) - 1
+
+    def _horizon(self, until: Monotonic) -> _Horizon:
+        found = self._horizons.get(until)
+        if found is None:
+            found = self._horizons[until] = _Horizon(until)
+            for free, kind in zip(self._free, self._kind, strict=True):
+                found.add(free, self._least[kind])
+        return found
+
+    def allocate(
+        self,
+        job: JobView,
+        limit: int,
+        shares: Sequence[float | None],
+        until: Monotonic,
+        first: int = 0,
+    ) -> int:
+        """Allocate up to `limit` tasks that can start by `until`; return how many fitted.
+
+        `shares` has a task's share of each kind of machine, see `_cpu_shares`. Only machines from
+        number `first` on are used. One processor may serve several tasks one after the other.
+        """
+        run_s = max(_SHORTEST_S, job.estimate_s)
+        horizon = self._horizon(until) if until in self._common else None
+        shortest: Iterable[float] = repeat(0.0, len(self._kind) - first)
+        if horizon is not None:
+            shortest = horizon.shortest_s[first:] if first else horizon.shortest_s
+        left = limit
+        for number, shortest_s in enumerate(shortest, first):
+            if shortest_s > run_s:
+                continue
+            if left <= 0:
+                break
+            need = shares[self._kind[number]]
+            if need is None:
+                continue
+            if need <= 0:
+                return limit
+            self.inspected += 1
+            allocated = min(left, self._fitting(number, need, run_s, until, horizon))
+            if allocated > 0:
+                left -= allocated
+                self._use(number, allocated * need * run_s)
+        return limit - left
+
+    def _fitting(
+        self, number: int, need: float, run_s: float, until: Monotonic, horizon: _Horizon | None
+    ) -> int:
+        """Return how many tasks of `need` processors a machine still takes; may be negative."""
+        used_cpus = self._used_cpu_s[number] / run_s
+        if horizon is not None and horizon.longest_s[number] < run_s:
+            supply = horizon.cpus[number]
+        elif (
+            horizon is not None
+            and horizon.cpus[number] + horizon.cpu_s[number] / run_s - used_cpus + _ROUNDING < need
+        ):
+            return 0
+        else:
+            supply = self._supply(number, run_s, until)
+        return int((supply - used_cpus + 1e-6) // need)
+
+    def _supply(self, number: int, run_s: float, until: Monotonic) -> float:
+        """Return the processors for tasks of that length; one serving two in turn counts twice."""
+        supply = 0.0
+        for at, cpus in self._free[number]:
+            if at <= until:
+                supply += cpus * (1 + (until - at) // run_s)
+        return supply
+
+    def _use(self, number: int, cpu_s: float) -> None:
+        self._used_cpu_s[number] += cpu_s
+        for horizon in self._horizons.values():
+            horizon.update(number, self._used_cpu_s[number], self._least[self._kind[number]])
--- a/tealrill/scheduler/model.py
+++ b/tealrill/scheduler/model.py
@@ -7,6 +7,9 @@
 
 from tealrill.types import JobId, MachineId, Monotonic, TaskId
 
+Kind = tuple[str, str, bool]
+"""A kind of machine: type, zone, spot."""
+
 _OVERDUE_S = 5.0
 """A task that outlived its estimate is expected to end within this or a part of its run time."""
 _OVERDUE_PART = 0.25
--- a/tealrill/scheduler/reservation.py
+++ b/tealrill/scheduler/reservation.py
@@ -39,13 +39,13 @@
         self.spare_memory_gb -= job.memory_gb
 
 
-Room = tuple[Monotonic, float, float, float]
-"""When it is there, and how much: processors, accelerators, memory."""
+Fit = tuple[Monotonic, float, float, float]
+"""When a task first fits, and the capacity then: processors, GPUs, memory in GB."""
 
 
 def earliest_fit(
     job: JobView, machine: MachineView, now: Monotonic, before: Monotonic
-) -> Room | None:
+) -> Fit | None:
     """Return when a task of the job first fits as running tasks end, and the capacity then.
 
     None if it never does, or certainly only after `before`.
@@ -70,8 +70,8 @@
     return None
 
 
-RoomAt = tuple[Monotonic, int, MachineView, tuple[float, float, float]]
-"""When a room is there, its place among equals, its machine, and how much it is."""
+RankedFit = tuple[Monotonic, int, MachineView, tuple[float, float, float]]
+"""When a task first fits, the rank among equals, the machine, and the capacity then."""
 
 
 def slots(job: JobView, cpus: float, gpus: float, memory: float) -> int:
@@ -95,21 +95,21 @@
     wanted = min(limit, job.waiting)
     if wanted <= 0:
         return {}
-    found: list[RoomAt] = []
+    found: list[RankedFit] = []
     latest: list[float] = []
     """The earliest moments so far, as many as there are tasks, the last of them on top."""
     before = Monotonic(math.inf)
     for number, machine in enumerate(machines):
         if not machine.allows(job) or job.zone_room(machine.zone) <= 0:
             continue
-        room = earliest_fit(job, machine, now, before)
-        if room is None:
+        fit = earliest_fit(job, machine, now, before)
+        if fit is None:
             continue
-        found.append((room[0], number, machine, room[1:]))
+        found.append((fit[0], number, machine, fit[1:]))
         if len(latest) < wanted:
-            heapq.heappush(latest, -room[0])
+            heapq.heappush(latest, -fit[0])
         else:
-            heapq.heappushpop(latest, -room[0])
+            heapq.heappushpop(latest, -fit[0])
         if len(latest) == wanted:
             before = Monotonic(-latest[0])
     return windows(job, found, wanted)
@@ -117,14 +117,14 @@
 
 def windows(
     job: JobView,
-    rooms: list[RoomAt],
+    fits: list[RankedFit],
     limit: int,
 ) -> dict[MachineView, Window]:
     """Return reservations on the earliest machines until `limit` tasks are covered."""
-    rooms.sort()
+    fits.sort()
     taken: dict[MachineView, Window] = {}
     left = limit
-    for at, _, machine, (cpus, gpus, memory) in rooms:
+    for at, _, machine, (cpus, gpus, memory) in fits:
         if left <= 0:
             break
         tasks = min(left, slots(job, cpus, gpus, memory))
--- a/tealrill/settings.py
+++ b/tealrill/settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings file, checked; fields that are not known here are ignored."""
+"""The validated settings file; unknown fields are ignored."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class SettingsError(TealrillError):
-    """The settings can't be used; the text names the field."""
+    """The settings are unusable; the message names the field."""
 
 
 class Address(NamedTuple):
@@ -53,7 +53,7 @@
 
 
 class Team(msgspec.Struct, frozen=True):
-    """A team's guarantee and limit; 0 means none."""
+    """A team's guaranteed quota and its limit; 0 means none."""
 
     name: str
     cpus: NotNegative = 0.0
@@ -63,7 +63,7 @@
 
 
 class Objective(msgspec.Struct, frozen=True, rename={"job_class": "class"}):
-    """What is expected for a class of jobs."""
+    """A service-level objective for a class of jobs."""
 
     kind: str
     job_class: str | None = None
@@ -147,17 +147,17 @@
         try:
             parse_address(text)
         except SettingsError as error:
-            raise SettingsError(f"{field}: {error}") from None
+            raise SettingsError(f"{field}: {error}") from error
 
 
 def parse(body: bytes) -> Settings:
-    """Settings from JSON; `SettingsError` says in one line what is wrong with which field."""
+    """Parse settings from JSON; raise a `SettingsError` that names the field in one line."""
     try:
         settings = msgspec.convert(orjson.loads(body), Settings)
     except msgspec.ValidationError as error:
-        raise SettingsError(str(error)) from None
+        raise SettingsError(str(error)) from error
     except orjson.JSONDecodeError as error:
-        raise SettingsError(f"not JSON: {error}") from None
+        raise SettingsError(f"not JSON: {error}") from error
     _check_addresses(settings)
     return settings
 
@@ -167,5 +167,5 @@
     try:
         body = path.read_bytes()
     except OSError as error:
-        raise SettingsError(f"{path}: {error.strerror}") from None
+        raise SettingsError(f"{path}: {error.strerror}") from error
     return parse(body)
--- a/tealrill/types.py
+++ b/tealrill/types.py
@@ -43,17 +43,20 @@
 
 
 def parse_job_id(text: str) -> JobId | None:
-    """The job id in `text`, or None when it has not the form that users' ids always have."""
+    """Return the job id in `text`, or None when it is malformed."""
     return JobId(text) if _JOB_ID.fullmatch(text) else None
 
 
 def parse_machine_id(text: str) -> MachineId | None:
-    """The machine id in `text`; bounded, so that a record of bindings always fits its value."""
+    """Return the machine id in `text`, or None when it is malformed.
+
+    Its length is bounded, so that a record of bindings always fits its value.
+    """
     return MachineId(text) if _MACHINE_ID.fullmatch(text) else None
 
 
 def parse_task_id(text: str) -> TaskId | None:
-    """The task id in `text`, or None when it is malformed."""
+    """Return the task id in `text`, or None when it is malformed."""
     job, slash, index = text.partition("/")
     if not slash or not index.isascii() or not index.isdigit() or len(index) > 9:
         return None
@@ -62,7 +65,7 @@
 
 
 def lower_bound_deadline(since: Monotonic, length_s: float, margin_s: float) -> Monotonic:
-    """Until when something that another clock measures has certainly not ended.
+    """Return the time before which an interval measured by another clock has not ended.
 
     Two clocks that each run up to 0.05% off differ by at most 0.1%.
     """
--- a/tests/test_boot_times.py
+++ b/tests/test_boot_times.py
@@ -1,4 +1,4 @@
-"""When a machine that does not come up is given up."""
+"""Boot timeouts of machines that do not come up."""
 
 from __future__ import annotations
 
--- a/tests/test_cost.py
+++ b/tests/test_cost.py
@@ -13,9 +13,10 @@
 
 from tealrill.fleet.dispatch import SchedulingLoop
 from tealrill.fleet.machines import Fleet
-from tealrill.scheduler import capacity, preemption, reservation
+from tealrill.scheduler import free_capacity, preemption, reservation
 from tealrill.scheduler import plan as planner
-from tealrill.scheduler.capacity import FreeCapacity, Offer, rentals
+from tealrill.scheduler.capacity import Offer, rentals
+from tealrill.scheduler.free_capacity import FreeCapacity
 from tealrill.scheduler.model import (
     Expected,
     JobView,
@@ -244,7 +245,7 @@
 @pytest.mark.parametrize(
     ("where", "name", "broken"),
     [
-        (capacity, "_ROUNDING", -5.0),
+        (free_capacity, "_ROUNDING", -5.0),
         (planner, "reserve", lambda job, machines, now, most: {}),
     ],
 )
--- a/tests/test_failure_attribution.py
+++ b/tests/test_failure_attribution.py
@@ -1,4 +1,4 @@
-"""Whose fault a failure is: mistaken jobs beside faulty machines, on generated small fleets."""
+"""Failure attribution: broken jobs beside faulty machines, on generated small fleets."""
 
 from __future__ import annotations
 
--- a/tests/test_failure_detector.py
+++ b/tests/test_failure_detector.py
@@ -1,4 +1,4 @@
-"""What silence means, what a fall took, and what the cloud refused: pure parts."""
+"""Failure detection, replacement after mass failures and capacity backoff: pure parts."""
 
 from __future__ import annotations
 
--- a/tests/test_http_frontend.py
+++ b/tests/test_http_frontend.py
@@ -1,5 +1,4 @@
-"""What stands before the handlers: reports take the short way, bodies and idle connections are
-bounded."""
+"""The HTTP front end: heartbeats are answered directly, bodies and connections are bounded."""
 
 from __future__ import annotations
 
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -1,4 +1,4 @@
-"""Users' requests by way of another node."""
+"""Users' requests by way of another controller."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 class _Peer:
-    """Another node; None for one that can't be reached."""
+    """Another controller; None for one that can't be reached."""
 
     def __init__(self, status: int | None) -> None:
         self.status = status
@@ -63,7 +63,7 @@
 
 def test_what_this_node_settles_is_not_asked_elsewhere(monkeypatch: pytest.MonkeyPatch) -> None:
     assert _submit(monkeypatch, _ACCEPTED, 201) == (201, 0)
-    # A budget that is used up is no reason to use another node's.
+    # A budget that is used up is no reason to use another controller's.
     assert _submit(monkeypatch, _FULL, 201) == (503, 0)
 
 
@@ -97,7 +97,7 @@
     assert submitted(50) == {503} and other.asked == 2
     at[0] += 0.3
     assert submitted(50) == {503} and other.asked == 3
-    # It is found at once when another node settles something again.
+    # It is found at once when another controller settles something again.
     at[0] += 0.3
     other.status = 201
     assert submitted(50) == {201} and other.asked == 53
