--- a/tealrill/fleet/capacity_backoff.py
+++ b/tealrill/fleet/capacity_backoff.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 from typing import Final
 
-from tealrill.scheduler.capacity import Kind
+from tealrill.scheduler.model import Kind
 from tealrill.types import Monotonic
 
 _FIRST_S: Final = 10.0
--- a/tealrill/fleet/inventory.py
+++ b/tealrill/fleet/inventory.py
@@ -88,12 +88,12 @@
 
     def tries(self, job: Job, now: Monotonic) -> int | None:
         """Return how many tasks of a failed job may start now; None for as many as there are."""
-        if not self.failure_attribution.on_trial(job.id):
+        if not self.failure_attribution.is_on_probation(job.id):
             return None
         since = [b.running_since for b in job.bindings() if b.running_since is not None]
         longest_s = now - min(since) if since else 0.0
         self.drain_faulty(self.failure_attribution.survived(job.id, longest_s, now))
-        return self.failure_attribution.most(job.id, job.bound_count, longest_s, now)
+        return self.failure_attribution.task_limit(job.id, job.bound_count, longest_s, now)
 
     def drain_faulty(self, found: Iterable[MachineId]) -> None:
         """Place nothing more on these machines, and return them once they are empty."""
--- a/tealrill/fleet/machine.py
+++ b/tealrill/fleet/machine.py
@@ -6,8 +6,7 @@
 from typing import Final
 
 from tealrill import wire
-from tealrill.scheduler.capacity import Kind
-from tealrill.scheduler.model import MachineView
+from tealrill.scheduler.model import Kind, MachineView
 from tealrill.state.bindings import Binding, Chunk, Job
 from tealrill.types import (
     Attempt,
--- a/tealrill/settings.py
+++ b/tealrill/settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings file, checked; fields that are not known here are ignored."""
+"""The validated settings file; unknown fields are ignored."""
 
 from __future__ import annotations
 
@@ -16,10 +16,12 @@
 
 
 class SettingsError(TealrillError):
-    """The settings can't be used; the text names the field."""
+    """The settings are unusable; the message names the field."""
 
 
 class Address(NamedTuple):
+    """A host and a TCP port."""
+
     host: str
     port: int
 
@@ -28,6 +30,7 @@
 
 
 def parse_address(text: str) -> Address:
+    """Parse `host:port`; raise `SettingsError` if it is malformed."""
     host, _, port = text.rpartition(":")
     if not host or not port.isascii() or not port.isdigit() or not 0 < int(port) < 65536:
         raise SettingsError(f"{text!r} is not host:port")
@@ -35,18 +38,22 @@
 
 
 class Member(msgspec.Struct, frozen=True):
+    """Another controller of the cluster."""
+
     host_name: str
     zone: str
     peer_addr: str
 
 
 class Services(msgspec.Struct, frozen=True):
+    """Addresses (`host:port`) of the services that the cluster depends on."""
+
     cloud: str
     state: str
 
 
 class Team(msgspec.Struct, frozen=True):
-    """A team's guarantee and limit; 0 means none."""
+    """A team's guaranteed quota and its limit; 0 means none."""
 
     name: str
     cpus: NotNegative = 0.0
@@ -56,7 +63,7 @@
 
 
 class Objective(msgspec.Struct, frozen=True, rename={"job_class": "class"}):
-    """What is expected for a class of jobs."""
+    """A service-level objective for a class of jobs."""
 
     kind: str
     job_class: str | None = None
@@ -66,12 +73,16 @@
 
 
 class Workers(msgspec.Struct, frozen=True, rename={"heartbeat_interval_s": "report_s"}):
+    """Timing of the workers, in seconds."""
+
     heartbeat_interval_s: Positive
     lease_s: Positive
     cancel_s: Positive
 
 
 class StateLimits(msgspec.Struct, frozen=True):
+    """Limits of the state service: requests and writes per second, value size, operations."""
+
     rps: Positive
     write_rps: Positive
     value_kb: Positive
@@ -79,17 +90,23 @@
 
 
 class CloudLimits(msgspec.Struct, frozen=True):
+    """Limits of the cloud interface: requests per second and the lag of its lists."""
+
     rps: Positive
     list_lag_s: NotNegative
 
 
 class Quota(msgspec.Struct, frozen=True):
+    """Resources that this process may use."""
+
     cpu_share: float = 1.0
     ram_mb: float = 1024.0
     fd_limit: int = 1024
 
 
 class Params(msgspec.Struct, frozen=True):
+    """Parameters of the platform that all controllers share."""
+
     zones: list[str]
     teams: list[Team]
     workers: Workers
@@ -101,6 +118,8 @@
 
 
 class Settings(msgspec.Struct, frozen=True):
+    """The settings of one controller."""
+
     host_name: str
     zone: str
     client_listen: str
@@ -111,6 +130,7 @@
 
     @property
     def nodes(self) -> int:
+        """Return the number of controllers, this one included."""
         return len(self.members) + 1
 
 
@@ -127,24 +147,25 @@
         try:
             parse_address(text)
         except SettingsError as error:
-            raise SettingsError(f"{field}: {error}") from None
+            raise SettingsError(f"{field}: {error}") from error
 
 
 def parse(body: bytes) -> Settings:
-    """Settings from JSON; `SettingsError` says in one line what is wrong with which field."""
+    """Parse settings from JSON; raise a `SettingsError` that names the field in one line."""
     try:
         settings = msgspec.convert(orjson.loads(body), Settings)
     except msgspec.ValidationError as error:
-        raise SettingsError(str(error)) from None
+        raise SettingsError(str(error)) from error
     except orjson.JSONDecodeError as error:
-        raise SettingsError(f"not JSON: {error}") from None
+        raise SettingsError(f"not JSON: {error}") from error
     _check_addresses(settings)
     return settings
 
 
 def load(path: Path) -> Settings:
+    """Read and check a settings file; raise `SettingsError` if it is unusable."""
     try:
         body = path.read_bytes()
     except OSError as error:
-        raise SettingsError(f"{path}: {error.strerror}") from None
+        raise SettingsError(f"{path}: {error.strerror}") from error
     return parse(body)
