--- a/tealrill/simulation/faults.py
+++ b/tealrill/simulation/faults.py
@@ -159,7 +159,7 @@
             hang_s = self.rng.choice([hang_s, 1.3 * shape.lease_s, shape.cancel_s + 4.0])
         count = self.rng.choice([1, 4, 12])
         self.world.note(f"{count} jobs are called off, machines hang for {hang_s:.1f} s")
-        await self.world.cancel_now(count, hang_s)
+        await self.world.users.cancel_now(count, hang_s)
         await asyncio.sleep(hang_s)
 
     async def refused_and_called_off(self) -> None:
@@ -220,7 +220,7 @@
         for pause_s in (0.2, 1.0, *(self.rng.uniform(0.1, 0.25) * for_s for _ in range(2))):
             await asyncio.sleep(pause_s)
             self.world.note("jobs are called off")
-            await self.world.cancel_now(self.rng.choice([2, 4]))
+            await self.world.users.cancel_now(self.rng.choice([2, 4]))
 
     async def cancel_at_end(self) -> None:
         seconds = self.rng.choice([10.0, 40.0])
--- /dev/null
+++ b/tealrill/simulation/network.py
@@ -0,0 +1,178 @@
+"""The simulated network: links, partitions, and the delivery of requests."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+from typing import TYPE_CHECKING, Final
+
+import orjson
+
+from tealrill import wire
+from tealrill.api.relay import PEER_PREFIX
+from tealrill.fleet.catalogue import CATALOGUE_PATH
+from tealrill.http import Answer, NoAnswerError
+from tealrill.leadership.lease_extension import EXTENSION_PATH, PING_PATH, ExtensionRequest
+from tealrill.settings import Address
+from tealrill.simulation.process import PROCESS, Host, zone_of_controller
+from tealrill.simulation.replies import NoReplyError, Reply
+from tealrill.simulation.users import call_user_api
+
+if TYPE_CHECKING:
+    from tealrill.simulation.cluster import SimulatedCluster
+
+STATE: Final = "state"
+_CLOUD: Final = "cloud"
+
+
+class Network:
+    """Carries requests between controllers, services and machines; the cluster has its faults."""
+
+    def __init__(self, world: SimulatedCluster) -> None:
+        self.world = world
+
+    def endpoint_of(self, address: Address) -> str:
+        """Return the name of the service, controller or machine that listens there."""
+        if address.host == "10.2.0.1":
+            return STATE
+        if address.host == "10.2.0.2":
+            return _CLOUD
+        if address.host.startswith("10.0.0."):
+            return f"host-{int(address.host.rpartition('.')[2]) - 1}"
+        return self.world.by_address[f"{address.host}:{address.port}"]
+
+    def _zone_of(self, name: str) -> str | None:
+        if name.startswith("m-"):
+            return self.world.cloud.machines[name].zone
+        return (
+            zone_of_controller(int(name.removeprefix("host-")))
+            if name.startswith("host-")
+            else None
+        )
+
+    def partitioned(self, one: str, other: str) -> bool:
+        """Return whether the link between two endpoints is cut."""
+        if self.world.away or self.world.parted:
+            zones = self._zone_of(one), self._zone_of(other)
+            if zones[0] != zones[1] and (
+                not self.world.away.isdisjoint(zones) or (self.world.parted and None not in zones)
+            ):
+                return True
+        pair = frozenset("workers" if name.startswith("m-") else name for name in (one, other))
+        return pair in self.world.cut
+
+    async def wait_until_resumed(self, name: str) -> None:
+        """Return once that controller's process is not paused."""
+        while name in self.world.frozen:
+            await asyncio.sleep(0.05)
+
+    async def delay(self) -> None:
+        """Wait for the latency of one way."""
+        await asyncio.sleep(
+            self.world.rng.uniform(0.0003, 0.002) + self.world.rng.uniform(0.0, self.world.links_s)
+        )
+
+    async def call(
+        self,
+        address: Address,
+        method: str,
+        path: str,
+        body: bytes | None,
+        timeout_s: float,
+        check: Callable[[], None] | None,
+    ) -> Answer:
+        """Carry one request of a controller and its answer, as `http.Client.request` does.
+
+        Raises:
+            NoAnswerError: A partition, a host without a process, or no answer within `timeout_s`.
+        """
+        source, place = PROCESS.get().name, self.endpoint_of(address)
+        if place.startswith("m-"):
+            # Checked as they leave: what the controller learns later comes too late.
+            self.world.invariants.check_commands(
+                source, orjson.loads(body or b"{}").get("orders", [])
+            )
+        self.world.digest.add(self.world.now(), source, place, method, path, body or b"")
+        await self.delay()
+        host = self.world.hosts.get(place)
+        if self.partitioned(source, place) or (
+            place in self.world.inbound_partitioned and place.startswith("m-")
+        ):
+            await asyncio.sleep(timeout_s)
+            raise NoAnswerError("TimeoutError", self.world.rng.random() < 0.5, silent=True)
+        if host is not None and host.node is None:
+            raise NoAnswerError("refused", False, refused=True)
+        if check is not None:
+            check()
+        answered: asyncio.Future[Reply] = self.world.loop.create_future()
+        work = self._deliver(answered, source, place, method, path, body)
+        self.world.begin(work, host.context if host is not None else None)
+        try:
+            async with asyncio.timeout(timeout_s):
+                status, value = await asyncio.shield(answered)
+                await self.delay()
+        except TimeoutError:
+            raise NoAnswerError("TimeoutError", True, silent=True) from None
+        if self.partitioned(source, place):
+            raise NoAnswerError("StreamClosedError", True)
+        answer = Answer()
+        answer.status, answer.body, answer.complete = status, orjson.dumps(value), True
+        self.world.digest.add(self.world.now(), place, source, status, answer.body)
+        return answer
+
+    async def _deliver(
+        self,
+        answered: asyncio.Future[Reply],
+        source: str,
+        place: str,
+        method: str,
+        path: str,
+        body: bytes | None,
+    ) -> None:
+        held = place.startswith("m-") and self.world.held_s > 0
+        if held and self.world.rng.random() < 0.5:
+            if self.world.off_on_the_way:
+                self.world.users.cancel_started(body)
+            await asyncio.sleep(self.world.rng.uniform(0.0, self.world.held_s))
+        try:
+            if place == STATE:
+                reply = await self.world.state(source, method, path, body)
+            elif place == _CLOUD:
+                reply = await self.world.cloud(source, method, path, body)
+            elif place in self.world.hosts:
+                await self.wait_until_resumed(place)
+                reply = await self._peer(self.world.hosts[place], method, path, body)
+            else:
+                reply = await self._call_worker(source, place, method, path, body)
+        except NoReplyError:
+            return
+        if held and self.world.rng.random() < 0.5:
+            await asyncio.sleep(self.world.rng.uniform(0.0, self.world.held_s))
+        if not answered.done():
+            answered.set_result(reply)
+
+    async def _call_worker(
+        self, source: str, place: str, method: str, path: str, body: bytes | None
+    ) -> Reply:
+        """Pass a request to a machine's worker, once the machine is not paused."""
+        worker = self.world.workers.get(place)
+        while worker is not None and worker.hung_at is not None:
+            await asyncio.sleep(0.05)
+        if worker is None or worker.machine.terminated:
+            raise NoReplyError
+        return await worker(source, method, path, body)
+
+    async def _peer(self, host: Host, method: str, path: str, body: bytes | None) -> Reply:
+        node = host.node
+        if node is None:
+            raise NoReplyError
+        if path == EXTENSION_PATH:
+            found = await node._extension.asked(wire.decode(body or b"", ExtensionRequest))
+            return 200, orjson.loads(wire.encode(found))
+        if path == PING_PATH:
+            return 200, orjson.loads(wire.encode(node._extension.presence()))
+        if path == CATALOGUE_PATH:
+            known = node._catalogues.known
+            return (503, {}) if known is None else (200, orjson.loads(wire.encode(known)))
+        answer = await call_user_api(node.admission, method, path.removeprefix(PEER_PREFIX), body)
+        return answer.status, answer.body
--- a/tealrill/simulation/scenario.py
+++ b/tealrill/simulation/scenario.py
@@ -7,14 +7,10 @@
 from collections.abc import Callable, Coroutine
 from typing import Any
 
-from tealrill.simulation.cluster import (
-    ANSWER_WITHIN_S,
-    PLACE_WITHIN_S,
-    SimulatedCluster,
-    connected,
-)
+from tealrill.simulation.cluster import SimulatedCluster, connected
 from tealrill.simulation.faults import FaultInjector
 from tealrill.simulation.graph_users import submit_graphs
+from tealrill.simulation.invariants import ANSWER_WITHIN_S, PLACE_WITHIN_S
 from tealrill.simulation.process import TEAMS, Shape
 from tealrill.simulation.users import UserJob
 from tealrill.simulation.worker import Description
@@ -62,10 +58,10 @@
 async def _day(world: SimulatedCluster, script: Script, trouble_s: float, calm_s: float) -> None:
     for host in world.hosts.values():
         world.start(host)
-    world.begin(world.watch())
-    world.begin(world.unbound_tasks())
-    world.begin(world.successions())
-    world.begin(world.odd_requests())
+    world.begin(world.invariants.watch())
+    world.begin(world.users.ask_for_unknown_jobs())
+    world.begin(world.worker_fleet.replay_at_elections())
+    world.begin(world.users.send_invalid_requests())
     world.begin(_arrivals(world, trouble_s))
     if world.shape.graphs:
         world.begin(submit_graphs(world, TEAMS, trouble_s))
@@ -111,5 +107,5 @@
         job = world.jobs[job_id] = UserJob(job_id, body)
         if rng.random() < world.shape.cancelled:
             job.cancel_at = world.now() + rng.uniform(2.0, 60.0)
-        world.begin(world.user(job))
+        world.begin(world.users.run_job(job))
         await asyncio.sleep(rng.expovariate(1 / world.shape.every_s))
--- /dev/null
+++ b/tealrill/simulation/worker_fleet.py
@@ -0,0 +1,163 @@
+"""The workers of all machines: their heartbeats, and copies of these that arrive late."""
+
+from __future__ import annotations
+
+import asyncio
+from typing import TYPE_CHECKING, Any, Final
+
+import orjson
+
+from tealrill import wire
+from tealrill.simulation.cloud_service import Machine
+from tealrill.simulation.replies import Reply
+from tealrill.simulation.worker import Worker
+from tealrill.types import MachineId
+
+if TYPE_CHECKING:
+    from tealrill.simulation.cluster import SimulatedCluster
+
+_HEARTBEAT_TIMEOUT_S: Final = 4.0
+
+
+class WorkerFleet:
+    """Runs the workers of the rented machines; the cluster has them by their names."""
+
+    def __init__(self, world: SimulatedCluster) -> None:
+        self.world = world
+        self._kept: list[dict[str, Any]] = []
+        """Heartbeats whose copies are delivered at the next election."""
+
+    def boot(self, machine: Machine) -> None:
+        """Start the worker of a rented machine once the machine is up."""
+        self.world.by_address[machine.addr] = machine.id
+        self.world.begin(self._run(machine))
+
+    def clear(self, machine: Machine) -> None:
+        """End the tasks of a terminated machine."""
+        worker = self.world.workers.get(machine.id)
+        if worker is not None:
+            worker.tasks.clear()
+
+    async def _run(self, machine: Machine) -> None:
+        await asyncio.sleep(machine.up_at - self.world.now())
+        if machine.terminated:
+            return
+        worker = Worker(
+            machine,
+            self.world.shape.lease_s,
+            self.world.now,
+            self.world.descriptions,
+            self.world.invariants.check_start,
+            self.world.results,
+        )
+        worker.completed = self.world.users.task_completed
+        self.world.workers[machine.id] = worker
+        self.world.begin(self._tick(worker))
+        order = list(self.world.hosts)
+        at = self.world.rng.randrange(len(order))
+        while not machine.terminated:
+            at = await self._send_heartbeat(worker, order, at)
+
+    async def _tick(self, worker: Worker) -> None:
+        while not worker.machine.terminated:
+            worker.tick()
+            await asyncio.sleep(0.1)
+
+    async def _send_heartbeat(self, worker: Worker, order: list[str], at: int) -> int:
+        """Send one heartbeat, obey its answer; return the index of the next one's receiver."""
+        await self._wait_until_resumed(worker)
+        worker.tick()
+        message = worker.report()
+        incarnation, sent, name = worker.incarnation, self.world.now(), order[at]
+        if self.world.rng.random() < self.world.copies:
+            self.world.begin(self._deliver_copy(message, name))
+        if self.world.rng.random() < self.world.for_next:
+            self._kept.append(message)
+        reply = await self._exchange_heartbeat(worker.machine.id, message, name)
+        await self._wait_until_resumed(worker)
+        if reply is None or self.world.now() - sent > _HEARTBEAT_TIMEOUT_S:
+            await asyncio.sleep(1.0)
+            return (at + 1) % len(order)
+        status, answer = reply
+        worker.tick()
+        if status == 200:
+            if worker.incarnation == incarnation and answer.get("baton", -1) >= worker.token:
+                newer = answer["baton"] > worker.token
+                worker.token = answer["baton"]
+                worker.renewed_at = max(worker.renewed_at, sent)
+                worker.execute(answer["orders"])
+                if newer or answer["orders"]:
+                    await asyncio.sleep(0.5)
+                    return at
+            await asyncio.sleep(
+                self.world.shape.heartbeat_interval_s * self.world.rng.uniform(0.75, 1.25)
+            )
+            return at
+        foreman = answer.get("foreman")
+        if status == 421 and foreman in order and foreman != name:
+            await asyncio.sleep(self.world.rng.uniform(0.0, 0.5))
+            return order.index(foreman)
+        await asyncio.sleep(1.0)
+        return (at + 1) % len(order)
+
+    @staticmethod
+    async def _wait_until_resumed(worker: Worker) -> None:
+        while worker.hung_at is not None and not worker.machine.terminated:
+            await asyncio.sleep(0.05)
+
+    async def _exchange_heartbeat(
+        self, machine: str, message: dict[str, Any], name: str
+    ) -> Reply | None:
+        """Return the answer to a heartbeat, None after the timeout or a refused connection."""
+        await self.world.network.delay()
+        if self.world.hosts[name].node is None:
+            return None
+        if (
+            self.world.network.partitioned(machine, name)
+            or machine in self.world.outbound_partitioned
+            or name in self.world.frozen
+        ):
+            await asyncio.sleep(_HEARTBEAT_TIMEOUT_S)
+            return None
+        reply = self.deliver_heartbeat(message, name)
+        if machine in self.world.inbound_partitioned or reply is None:
+            await asyncio.sleep(_HEARTBEAT_TIMEOUT_S)
+            return None
+        await self.world.network.delay()
+        return reply
+
+    def deliver_heartbeat(self, message: dict[str, Any], name: str) -> Reply | None:
+        """Return a controller's answer to a heartbeat, None if no process runs there."""
+        host = self.world.hosts[name]
+        node = host.node
+        if node is None:
+            return None
+        found = wire.decode(orjson.dumps(message), wire.Heartbeat)
+        status, answer = host.context.run(node.handle_heartbeat, found, MachineId(found.machine))
+        self.world.digest.add(self.world.now(), name, message, status, answer)
+        self.world.invariants.check_commands(name, answer.get("orders", []))
+        return status, answer
+
+    async def _deliver_copy(self, message: dict[str, Any], name: str) -> None:
+        await asyncio.sleep(self.world.rng.uniform(2.0, 2.5 * self.world.shape.lease_s))
+        if not self.world.network.partitioned(message["kiln"], name):
+            self.deliver_heartbeat(message, name)
+
+    async def replay_at_elections(self) -> None:
+        """Deliver the heartbeats kept back to every controller whenever a leader is elected."""
+        known = None
+        while True:
+            await asyncio.sleep(0.05)
+            host = self.world.leader()
+            mine = host.node.election.mine if host is not None and host.node is not None else None
+            if mine is None or mine.term == known:
+                continue
+            known, kept, self._kept = mine.term, self._kept, []
+            for message in kept:
+                for name in self.world.hosts:
+                    self.world.begin(self._deliver_to_successor(message, name))
+
+    async def _deliver_to_successor(self, message: dict[str, Any], name: str) -> None:
+        """Deliver it while the records are read, or after the first bindings."""
+        await asyncio.sleep(self.world.rng.choice([0.0, 0.1, 0.5, 2.0, 5.0]))
+        self.deliver_heartbeat(message, name)
--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -56,7 +56,7 @@
     world.close_looks, world.at_end, world.odd, world.state.slow_s = True, 0.5, True, 0.05
     for number in range(8):
         await asyncio.sleep(3.0)
-        await world.cancel_now(2)
+        await world.users.cancel_now(2)
         host = world.rng.choice(list(world.hosts.values()))
         pair = frozenset((host.name, "state"))
         if number % 4 == 0:
@@ -96,7 +96,7 @@
     """Each team uses what it may; jobs on machines that hang are called off, and leaders follow."""
     for _ in range(3):
         await asyncio.sleep(6.0)
-        await world.cancel_now(3, hang_s=0.8 * world.shape.lease_s, within_s=0.1)
+        await world.users.cancel_now(3, hang_s=0.8 * world.shape.lease_s, within_s=0.1)
         await asyncio.sleep(0.3)
         _end_leader(world)
         await asyncio.sleep(8.0)
@@ -117,7 +117,7 @@
 
 async def _called_off_again_and_again(world: SimulatedCluster) -> None:
     for _ in range(50):
-        await world.cancel_now(1, within_s=0.02)
+        await world.users.cancel_now(1, within_s=0.02)
         await asyncio.sleep(0.1)
 
 
@@ -163,7 +163,7 @@
     world.links_s = 0.5
     for _ in range(3):
         await asyncio.sleep(8.0)
-        await world.cancel_now(2)
+        await world.users.cancel_now(2)
     _end_leader(world)
     await asyncio.sleep(8.0)
     world.links_s = 0.0
@@ -189,12 +189,12 @@
     names = sorted(world.workers)[::2]
     world.outbound_partitioned.update(names)
     await asyncio.sleep(2.0)
-    await world.cancel_now(2)
+    await world.users.cancel_now(2)
     # From when the leader must have noticed; they answer direct commands all the time.
     await asyncio.sleep(4.0 * world.shape.heartbeat_interval_s)
     world.quiet.update(names)
     for _ in range(5):
-        await world.cancel_now(1)
+        await world.users.cancel_now(1)
         await asyncio.sleep(4.0)
     for _ in range(2):
         _end_leader(world)
@@ -248,7 +248,7 @@
     await asyncio.sleep(4.0)
     world.state.scan_s = 2.0
     _end_leader(world, 0.1)
-    await world.cancel_now(6)
+    await world.users.cancel_now(6)
     until = world.now() + world.shape.cancel_s + 10.0
     while world.now() < until:
         await asyncio.sleep(0.05)
@@ -268,7 +268,7 @@
     pairs = [frozenset((host.name, other)) for other in ("state", *world.hosts)]
     world.cut.update(pairs)
     await asyncio.sleep(5.0)
-    await world.cancel_now(4)
+    await world.users.cancel_now(4)
     await asyncio.sleep(world.shape.cancel_s + 4.0)
     world.cut.difference_update(pairs)
 
@@ -287,7 +287,7 @@
     shape = world.shape
     for hang_s in (0.9 * shape.lease_s, 1.4 * shape.lease_s, shape.cancel_s + 4.0):
         await asyncio.sleep(5.0)
-        await world.cancel_now(4, hang_s)
+        await world.users.cancel_now(4, hang_s)
         await asyncio.sleep(hang_s)
 
 
