--- /dev/null
+++ b/tealrill/fleet/placement.py
@@ -0,0 +1,97 @@
+"""The carrying out of a plan: bindings, and stops for preemption, cancellation and notice."""
+
+from __future__ import annotations
+
+import logging
+from collections.abc import Callable
+
+from tealrill import wire
+from tealrill.fleet.inventory import Fleet
+from tealrill.fleet.machine import Machine
+from tealrill.scheduler.model import Plan, remaining_s
+from tealrill.state.job_store import Binding, Job, JobStore
+from tealrill.types import Monotonic, Wall
+
+log = logging.getLogger(__name__)
+
+
+class Placement:
+    """Turns plans into wanted bindings and stops, and has machines told of stops."""
+
+    def __init__(
+        self,
+        job_store: JobStore,
+        fleet: Fleet,
+        run_s: Callable[[wire.JobSpec], float],
+        command_now: Callable[[Machine], None],
+    ) -> None:
+        self._job_store = job_store
+        self._fleet = fleet
+        self._run_s = run_s
+        self._command_now = command_now
+
+    def start(self, result: Plan, now: Monotonic, wall: Wall) -> None:
+        """Bind the tasks that the plan starts."""
+        for start in result.starts:
+            job = self._job_store.jobs.get(start.job)
+            machine = self._fleet.machines.get(start.machine)
+            if job is None or machine is None:
+                continue
+            binding = self._fleet.bind(job, machine, start.backfilled, wall, now)
+            if binding is not None:
+                note = " as backfill" if start.backfilled else ""
+                log.debug("task %s bound to %s%s", binding.task, machine.id, note)
+
+    def stop(self, result: Plan, now: Monotonic) -> None:
+        """Stop the tasks that the plan preempts."""
+        told: dict[Machine, None] = {}
+        for stop in result.stops:
+            job = self._job_store.jobs.get(stop.task.job)
+            task = job.tasks.get(stop.task.index) if job is not None else None
+            binding = task.binding if task is not None else None
+            if binding is None:
+                continue
+            log.info("stopping %s on %s for %s", stop.task, binding.machine, stop.for_job)
+            self._want_stopped(binding, "preemption", stop.grace_s, now, told)
+        self._tell(told)
+
+    def cancel(self, job: Job, now: Monotonic) -> None:
+        """Stop every task of a cancelled job; nothing that it still does is of use."""
+        told: dict[Machine, None] = {}
+        for binding in list(job.bindings()):
+            self._want_stopped(binding, "cancelled", 0.0, now, told)
+        self._tell(told)
+
+    def drain_noticed(self, now: Monotonic) -> None:
+        """Have tasks save at once that can, and won't end before their machine's notice does."""
+        for machine in self._fleet.machines.values():
+            if machine.preemption_notice_until is None or not machine.bindings:
+                continue
+            told = False
+            # The notice may run to half its nominal value.
+            left_s = 0.5 * (machine.preemption_notice_until - now)
+            for binding in list(machine.bindings.values()):
+                spec = binding.chunk.job.spec
+                if not spec.saves or binding.stop is not None or binding.running_since is None:
+                    continue
+                if remaining_s(self._run_s(spec), now - binding.running_since) > left_s:
+                    told |= self._fleet.commands.stop(binding, "notice", spec.save_s, now)
+            if told:
+                self._command_now(machine)
+
+    def _want_stopped(
+        self,
+        binding: Binding,
+        reason: str,
+        grace_s: float,
+        now: Monotonic,
+        told: dict[Machine, None],
+    ) -> None:
+        """Adds to `told` the machine that has to hear of it."""
+        machine = self._fleet.machines.get(binding.machine)
+        if self._fleet.commands.stop(binding, reason, grace_s, now) and machine is not None:
+            told[machine] = None
+
+    def _tell(self, machines: dict[Machine, None]) -> None:
+        for machine in machines:
+            self._command_now(machine)
--- a/tealrill/leader/leader.py
+++ b/tealrill/leader/leader.py
@@ -13,9 +13,10 @@
 
 from tealrill import wire
 from tealrill.extensions import LeaderExtension, LeadershipContext
+from tealrill.fleet.autoscaling import RENT_EVERY_S
 from tealrill.fleet.cloud import Cloud
 from tealrill.fleet.connections import ConnectionPool
-from tealrill.fleet.dispatch import RENT_EVERY_S, SchedulingLoop
+from tealrill.fleet.dispatch import SchedulingLoop
 from tealrill.fleet.heartbeats import NewerTokenError
 from tealrill.fleet.intent_log import CLOUD_PREFIX, IntentLog
 from tealrill.fleet.inventory import Fleet
@@ -170,12 +171,12 @@
             self.write_batcher,
             self._valid,
             self._stop,
-            self.scheduling_loop.remaining_s,
-            self.scheduling_loop.view_of,
+            self.scheduling_loop.snapshots.remaining_s,
+            self.scheduling_loop.snapshots.view_of,
         )
         self.parts = [part(term) for part in parts]
         if self.parts:
-            self.scheduling_loop.upcoming = self._upcoming
+            self.scheduling_loop.autoscaler.upcoming = self._upcoming
             self.write_batcher.tasks_done = self._tasks_done
             self.write_batcher.owner_gone = self._owner_gone
         self.exclusions = Exclusions(
@@ -334,7 +335,7 @@
         for job in list(self.job_store.jobs.values()):
             if job.cancelled:
                 self.job_store.cancel(job)
-                self.scheduling_loop.cancel(job, now)
+                self.scheduling_loop.placement.cancel(job, now)
         log.info(
             "term %d: %d jobs and %d bindings read",
             self._mine.term,
@@ -353,7 +354,7 @@
             log.error("record of job %s: %s", job_id, error)
             self._unread.add(job_id)
             return None
-        self.scheduling_loop.submitted(record.spec, monotonic_now())
+        self.scheduling_loop.snapshots.submitted(record.spec, monotonic_now())
         job = self.job_store.add(record.spec, Wall(record.at), stamp)
         if record.owner is not None:
             self._give_to_owner(job, value)
@@ -376,7 +377,7 @@
 
     def _stop(self, job: Job) -> None:
         self.job_store.cancel(job)
-        self.scheduling_loop.cancel(job, monotonic_now())
+        self.scheduling_loop.placement.cancel(job, monotonic_now())
         self.wake()
 
     def _over(self, job: Job) -> None:
@@ -502,7 +503,7 @@
             # it fails and finds out. That may take as long as an outage, and of a job that ends
             # without being done tasks may run: they are stopped at its end in any case.
             if job.outcome != OUTCOME_DONE:
-                self.scheduling_loop.cancel(job, monotonic_now())
+                self.scheduling_loop.placement.cancel(job, monotonic_now())
             return
         log.info("job %s was cancelled; %d of its tasks are bound", job.id, job.bound_count)
         job.outcome = OUTCOME_CANCELLED
@@ -532,7 +533,7 @@
         else:
             log.info("job %s is over: %s", job.id, job.outcome)
         if job.cancelled:
-            self.scheduling_loop.cancel(job, monotonic_now())
+            self.scheduling_loop.placement.cancel(job, monotonic_now())
         self._over(job)
 
     def _finished(self, finished: CompletedTask) -> None:
@@ -550,7 +551,7 @@
                 self.write_batcher.wake()
             gap_s = pass_gap_s(monotonic_now() - began)
             await asyncio.sleep(gap_s)
-            pause_s = RENT_EVERY_S if self.scheduling_loop.put_off else _PASS_EVERY_S
+            pause_s = RENT_EVERY_S if self.scheduling_loop.autoscaler.put_off else _PASS_EVERY_S
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(pause_s - gap_s):
                     await self._wake.wait()
--- a/tests/test_cost.py
+++ b/tests/test_cost.py
@@ -11,8 +11,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tealrill.fleet.dispatch import SchedulingLoop
 from tealrill.fleet.reconciliation import Reconciler
+from tealrill.fleet.snapshot import SnapshotBuilder
 from tealrill.scheduler import capacity, preemption, reservation
 from tealrill.scheduler import plan as planner
 from tealrill.scheduler.capacity import FreeCapacity, Offer, rentals
@@ -400,7 +400,7 @@
         self.fleet.heartbeats.process(heard, name, Monotonic(self.now), Wall(self.now))
 
     def survey(self) -> list[MachineView]:
-        return self.scheduling_loop._survey(Monotonic(self.now))[0]
+        return self.scheduling_loop.snapshots._survey(Monotonic(self.now))[0]
 
 
 _RUNS: tuple[str, str | None] = ("running", None)
@@ -412,8 +412,8 @@
     """1,200 machines, 30,000 running tasks."""
     world = _Large(25)
     lists = _counted(monkeypatch, Reconciler, "reconcile", lambda *_, **__: 1)
-    fresh = _counted(monkeypatch, SchedulingLoop, "_fresh", lambda *_: 1)
-    asked = _counted(monkeypatch, SchedulingLoop, "_machine", lambda *_: 1)
+    fresh = _counted(monkeypatch, SnapshotBuilder, "_fresh", lambda *_: 1)
+    asked = _counted(monkeypatch, SnapshotBuilder, "_machine", lambda *_: 1)
     world.beat(world.names[7])
     assert len(world.survey()) == 1200
     assert not lists and not fresh and not asked
@@ -423,7 +423,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     world = _Large(4)
-    fresh = _counted(monkeypatch, SchedulingLoop, "_fresh", lambda *_: 1)
+    fresh = _counted(monkeypatch, SnapshotBuilder, "_fresh", lambda *_: 1)
     taken = _counted(monkeypatch, Reconciler, "_progress", lambda *_: 1)
     for name in world.names[:200]:
         ended = next(iter(world.fleet.machines[name].named))
@@ -441,8 +441,8 @@
     world.now += 6.0
     for name in world.names[:600]:
         world.beat(name)
-    asked = _counted(monkeypatch, SchedulingLoop, "_machine", lambda *_: 1)
-    fresh = _counted(monkeypatch, SchedulingLoop, "_fresh", lambda *_: 1)
+    asked = _counted(monkeypatch, SnapshotBuilder, "_machine", lambda *_: 1)
+    fresh = _counted(monkeypatch, SnapshotBuilder, "_fresh", lambda *_: 1)
     assert len(world.survey()) == 600
     assert len(asked) == 600 and not fresh
     for name in world.names[600:]:
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -15,8 +15,9 @@
 
 from tealrill import settings, wire
 from tealrill.fleet import heartbeats, inventory, reconciliation
+from tealrill.fleet.autoscaling import RENT_EVERY_S
 from tealrill.fleet.cloud import Cloud
-from tealrill.fleet.dispatch import RENT_EVERY_S, SchedulingLoop
+from tealrill.fleet.dispatch import SchedulingLoop
 from tealrill.fleet.inventory import Fleet
 from tealrill.fleet.machine import Machine
 from tealrill.fleet.provisioning import Provisioner
@@ -109,9 +110,9 @@
     asked = provisioner.asked
     job_store.add(spec(id="wk-000413", vcpus=32.0), Wall(0.0), Revision(2))
     scheduling_loop.run(Monotonic(0.1), Wall(0.1))
-    assert scheduling_loop.put_off and provisioner.asked == asked
+    assert scheduling_loop.autoscaler.put_off and provisioner.asked == asked
     scheduling_loop.run(Monotonic(RENT_EVERY_S), Wall(RENT_EVERY_S))
-    assert not scheduling_loop.put_off and provisioner.asked > asked
+    assert not scheduling_loop.autoscaler.put_off and provisioner.asked > asked
 
 
 class _Play:
@@ -128,7 +129,7 @@
         changes: dict[str, Any] = {"id": f"wk-{self.jobs:06d}", "bundle": f"img-{self.jobs % 3}"}
         changes["urgency"] = "urgent" if self.jobs % 2 else "standard"
         changes["lineup"] = "quick" if self.jobs % 2 else "train"
-        self.scheduling_loop.submitted(spec(**changes), Monotonic(self.now))
+        self.scheduling_loop.snapshots.submitted(spec(**changes), Monotonic(self.now))
         self.job_store.add(spec(**changes), Wall(self.now), Revision(1))
 
     def beat(self, name: str, state: str, incarnation: int = 1, **changes: Any) -> None:
@@ -149,13 +150,15 @@
                 self.fleet.commands.stop(binding, "preemption", 5.0, Monotonic(self.now))
 
     def check(self) -> None:
-        kept = _plain(self.scheduling_loop.view(Monotonic(self.now), Wall(self.now)).machines)
+        kept = _plain(
+            self.scheduling_loop.snapshots.view(Monotonic(self.now), Wall(self.now)).machines
+        )
         for machine in self.fleet.machines.values():
             machine.touch()
             if isinstance(machine, _Sticky):
                 machine.forget()
         assert kept == _plain(
-            self.scheduling_loop.view(Monotonic(self.now), Wall(self.now)).machines
+            self.scheduling_loop.snapshots.view(Monotonic(self.now), Wall(self.now)).machines
         )
 
     def run(self, steps: list[int]) -> None:
@@ -217,7 +220,7 @@
     play.now += 10.0
     larger = {"builds": [{**_TYPE, "vcpus": 12}]}
     play.provisioner.take_catalogue(wire.decode(orjson.dumps(larger), wire.Catalogue))
-    assert not play.scheduling_loop.view(Monotonic(play.now), Wall(play.now)).machines
+    assert not play.scheduling_loop.snapshots.view(Monotonic(play.now), Wall(play.now)).machines
     play.beat("m-1", "running")
     play.check()
 
@@ -227,19 +230,19 @@
     play = _Play()
     play.run([5, 16, 27, 0, 1, 2])
     made: list[MachineId] = []
-    fresh = play.scheduling_loop._fresh
+    fresh = play.scheduling_loop.snapshots._fresh
 
     def counted(machine: Machine, kind: wire.MachineType) -> MachineView:
         made.append(machine.id)
         return fresh(machine, kind)
 
-    play.scheduling_loop.view(Monotonic(play.now), Wall(play.now))
-    monkeypatch.setattr(play.scheduling_loop, "_fresh", counted)
+    play.scheduling_loop.snapshots.view(Monotonic(play.now), Wall(play.now))
+    monkeypatch.setattr(play.scheduling_loop.snapshots, "_fresh", counted)
     play.beat("m-1", "running")
-    play.scheduling_loop.view(Monotonic(play.now), Wall(play.now))
+    play.scheduling_loop.snapshots.view(Monotonic(play.now), Wall(play.now))
     assert made == ["m-1"]
     play.beat("m-1", "running")
-    play.scheduling_loop.view(Monotonic(play.now), Wall(play.now))
+    play.scheduling_loop.snapshots.view(Monotonic(play.now), Wall(play.now))
     assert made == ["m-1"]
 
 
--- a/tests/test_graphs.py
+++ b/tests/test_graphs.py
@@ -310,7 +310,7 @@
         # The first node runs on the only machine and ends within a boot: what is behind it boots.
         leader.scheduling_loop.run(monotonic_now(), wall_now())
         asked.clear()
-        leader.scheduling_loop._rent_at = Monotonic(0.0)
+        leader.scheduling_loop.autoscaler._rent_at = Monotonic(0.0)
         leader.scheduling_loop.run(monotonic_now(), wall_now())
         assert sum(rental.count for rental in asked) == 2
         (wish,) = leader._upcoming(monotonic_now(), 20.0)
@@ -442,7 +442,7 @@
         assert record["due_s"] == pytest.approx(70.0, abs=5.0) and record["tail_s"] == 30.0
         job = leader._add_job("job/fam1-00000", record, Revision(store.epoch))
         assert job is not None and job.due_s == record["due_s"]
-        (view,) = leader.scheduling_loop.view(monotonic_now(), wall_now()).jobs
+        (view,) = leader.scheduling_loop.snapshots.view(monotonic_now(), wall_now()).jobs
         assert isinstance(view, JobView) and view.graph == "fam1" and view.latest_s[0] > 50.0
         assert job_key(job.id) in store.keys
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -13,10 +13,12 @@
 from click.testing import CliRunner
 
 from tealrill import wire
+from tealrill.fleet.autoscaling import Autoscaler
 from tealrill.fleet.commands import Commands
 from tealrill.fleet.dispatch import SchedulingLoop
 from tealrill.fleet.leases import Leases
 from tealrill.fleet.machine import Machine
+from tealrill.fleet.snapshot import SnapshotBuilder
 from tealrill.leader.leader import Leader
 from tealrill.simulation.__main__ import main
 from tealrill.simulation.cluster import Shape, SimulatedCluster, play
@@ -64,19 +66,19 @@
 
 
 def _boundless(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(SchedulingLoop, "_teams", lambda _: {})
+    patch.setattr(SnapshotBuilder, "_teams", lambda _: {})
 
 
 def _anywhere(patch: pytest.MonkeyPatch) -> None:
-    whole = SchedulingLoop._job
+    whole = SnapshotBuilder._job
 
-    def job(self: SchedulingLoop, *given: Any) -> Any:
+    def job(self: SnapshotBuilder, *given: Any) -> Any:
         found = whole(self, *given)
         found.zone = None
         found.spot = True
         return found
 
-    patch.setattr(SchedulingLoop, "_job", job)
+    patch.setattr(SnapshotBuilder, "_job", job)
 
 
 def _soon_done(patch: pytest.MonkeyPatch) -> None:
@@ -114,13 +116,13 @@
 
 def _passes_over(patch: pytest.MonkeyPatch) -> None:
     """Every third job is never placed, and the machines that it could use stay."""
-    whole = SchedulingLoop._waiting
+    whole = SnapshotBuilder._waiting
 
-    def waiting(self: SchedulingLoop, job: Job, now: Monotonic) -> int:
+    def waiting(self: SnapshotBuilder, job: Job, now: Monotonic) -> int:
         return 0 if job.id.endswith(("3", "6", "9")) else whole(self, job, now)
 
-    patch.setattr(SchedulingLoop, "_waiting", waiting)
-    patch.setattr(SchedulingLoop, "_return", lambda *_: None)
+    patch.setattr(SnapshotBuilder, "_waiting", waiting)
+    patch.setattr(Autoscaler, "return_unneeded", lambda *_: None)
 
 
 def _takes_anything(patch: pytest.MonkeyPatch) -> None:
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -74,7 +74,7 @@
     )
     client = cast(StateClient, _Client(None, 0))
     found = Leader(parsed, client, cast(Cloud, None), cast(Election, None), mine, Estimates())
-    found.scheduling_loop._command_now = lambda _: None
+    found.scheduling_loop.placement._command_now = lambda _: None
     return found
 
 
@@ -176,7 +176,7 @@
         for name in self.terminated:
             job = leader.job_store.jobs[JobId(name)]
             leader.job_store.cancel(job)
-            leader.scheduling_loop.cancel(job, self.now)
+            leader.scheduling_loop.placement.cancel(job, self.now)
 
     def _bind(self) -> None:
         leader = self.leader
--- a/tools/graph_cost.py
+++ b/tools/graph_cost.py
@@ -194,7 +194,7 @@
     leader.scheduling_loop.run(monotonic_now(), wall_now())
     began = time.process_time()
     for _ in range(count):
-        leader.scheduling_loop._rent_at = Monotonic(0.0)
+        leader.scheduling_loop.autoscaler._rent_at = Monotonic(0.0)
         leader.scheduling_loop.run(monotonic_now(), wall_now())
     return (time.process_time() - began) / count
 
