--- a/tealrill/daemon.py
+++ b/tealrill/daemon.py
@@ -351,7 +351,7 @@
 
     def _cancelled_elsewhere(self, job: str) -> None:
         if self.leader is not None:
-            self.leader.job_cancelled(job)
+            self.leader.lifecycle.on_cancelled(job)
 
     # -- what is shown --------------------------------------------------------------------------
 
--- a/tealrill/extensions.py
+++ b/tealrill/extensions.py
@@ -1,7 +1,7 @@
 """What a subsystem may bring, and what it gets: the only kinds that the wiring knows.
 
-A subsystem is a package that the core does not import. `controller.py` makes those that are
-switched on, serves their routes and runs their loops; `leader.py` gives each a part in its term.
+A subsystem is a package that the core does not import. `daemon.py` makes those that are switched
+on, serves their routes and runs their loops; `leader/leader.py` gives each a part in its term.
 """
 
 from __future__ import annotations
--- a/tealrill/profiling.py
+++ b/tealrill/profiling.py
@@ -56,7 +56,7 @@
     "silence: leases": "tealrill.fleet.machines:Fleet.silent",
     "records: gathering": "tealrill.state.write_batcher:WriteBatcher._gather",
     "records: applied": "tealrill.state.write_batcher:WriteBatcher._apply",
-    "jobs watched": "tealrill.leader.leader:Leader.job_changed",
+    "jobs watched": "tealrill.leader.job_watch:JobWatch.job_changed",
     "the cloud's list": "tealrill.fleet.provisioning:Provisioner._take_list",
 }
 """Causes of cost and the functions that bear them, as module:name."""
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -62,11 +62,11 @@
     client, cloud = cast(StateClient, Store()), cast(Cloud, None)
     leader = Leader(PARSED, client, cloud, cast(Election, None), mine, Estimates())
     leader.fleet.loaded = True
-    leader.seen = CancellationKnowledge(Revision(41), now)
+    leader.job_watch.seen = CancellationKnowledge(Revision(41), now)
     for later_s in (0.0, 1.0, 30.0, 31.0):
-        leader._tell_knowledge(Monotonic(now + later_s))
-    leader.seen = CancellationKnowledge(Revision(50), Monotonic(now + 31.0))
-    leader._tell_knowledge(Monotonic(now + 32.0))
+        leader.lease_expiry._log_knowledge(Monotonic(now + later_s))
+    leader.job_watch.seen = CancellationKnowledge(Revision(50), Monotonic(now + 31.0))
+    leader.lease_expiry._log_knowledge(Monotonic(now + 32.0))
     assert _texts(caplog, "cancellations are known") == [
         "term 3: does not renew workers; cancellations are known up to revision 41, 30.0 s ago",
         "term 3: renews workers; cancellations are known up to revision 50, 1.0 s ago",
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -19,7 +19,7 @@
 from tealrill.fleet.dispatch import RENT_EVERY_S, SchedulingLoop
 from tealrill.fleet.machines import Fleet
 from tealrill.fleet.provisioning import Provisioner
-from tealrill.leader.leader import pass_gap_s
+from tealrill.leader.loops import pass_gap_s
 from tealrill.scheduler.estimates import Estimates
 from tealrill.scheduler.model import MachineView, View
 from tealrill.scheduler.plan import _Pass
--- a/tests/test_golden_records.py
+++ b/tests/test_golden_records.py
@@ -35,7 +35,7 @@
 from tealrill.graphs.leader_extension import GraphLeaderExtension
 from tealrill.graphs.model import Node, PartBody, SealBody, Submission
 from tealrill.graphs.records import GraphRecordError, Head
-from tealrill.leader import leader
+from tealrill.leader import job_lifecycle, record_loader
 from tealrill.leadership import election, renewal_delegation
 from tealrill.leadership.election import Election
 from tealrill.leadership.exclusion import ExclusionRecord
@@ -191,7 +191,7 @@
 
 def read_node_job(value: Any) -> Any:
     """The plain job's part and the subsystem's part of `job/NODE`."""
-    return msgspec.convert(value, leader._JobRecord), records.read_node_job(value)
+    return msgspec.convert(value, job_lifecycle.JobRecord), records.read_node_job(value)
 
 
 def read_chunk(value: Any) -> Any:
@@ -213,7 +213,7 @@
     final = Admission._final(
         cast(Any, None), JobId("wk-000412"), wire.KeyValue(value=value, version=3)
     )
-    spec = msgspec.convert(value, leader._JobRecord).spec if "spec" in value else None
+    spec = msgspec.convert(value, job_lifecycle.JobRecord).spec if "spec" in value else None
     return SimpleNamespace(told=final.body, outcome=records.outcome_of(value), spec=spec)
 
 
@@ -610,7 +610,7 @@
 KINDS: Final[dict[str, Kind]] = {
     # Records.
     "job": _record(
-        _convert(leader._JobRecord),
+        _convert(job_lifecycle.JobRecord),
         {
             "job": lambda r: r.spec.id,
             "at": lambda r: r.at,
@@ -771,7 +771,7 @@
             number,
         ).key
     ),
-    "run read": lambda key: list(leader._chunk_of(key)),
+    "run read": lambda key: list(record_loader._parse_chunk_key(key)),
     "leader": lambda: fencing.LEADER_KEY,
     "term": lambda: election.TERM_KEY,
     "out": election.exclusion_key,
--- a/tests/test_graphs.py
+++ b/tests/test_graphs.py
@@ -293,7 +293,7 @@
         nodes += [_node(f"b{i}", "a", **large) for i in range(3)]
         _accepted(store, nodes)
         leader, part = _leader(store)
-        await leader._load()
+        await leader.record_loader.load()
         await part._load("fam1")
         part._advance()
         asked: list[Any] = []
@@ -303,7 +303,9 @@
         leader.provisioner.rent = lambda rental, now: asked.append(rental)  # type: ignore[method-assign]
         batch = leader.write_batcher._gather(monotonic_now())
         await leader.write_batcher._commit(batch)
-        leader._add_job("job/fam1-00000", store.keys["job/fam1-00000"][0], Revision(store.epoch))
+        leader.lifecycle.add(
+            "job/fam1-00000", store.keys["job/fam1-00000"][0], Revision(store.epoch)
+        )
         leader.fleet.report(report("m-1", 1, 1, 1), MachineId("m-1"), monotonic_now(), wall_now())
         # The first node runs on the only machine and ends within a boot: what is behind it boots.
         leader.scheduling_loop.run(monotonic_now(), wall_now())
@@ -311,9 +313,9 @@
         leader.scheduling_loop._rent_at = Monotonic(0.0)
         leader.scheduling_loop.run(monotonic_now(), wall_now())
         assert sum(rental.count for rental in asked) == 2
-        (wish,) = leader._upcoming(monotonic_now(), 20.0)
+        (wish,) = leader.lifecycle.upcoming(monotonic_now(), 20.0)
         assert wish[1] == 3
-        assert not leader._upcoming(monotonic_now(), 10.0)
+        assert not leader.lifecycle.upcoming(monotonic_now(), 10.0)
 
     asyncio.run(scenario())
 
@@ -330,14 +332,14 @@
             wire.put("job/wk-1", {"spec": wire.plain(spec(id="wk-1")), "at": 0.0}),
         ])  # fmt: skip
         leader, part = _leader(store)
-        await leader._load()
+        await leader.record_loader.load()
         part._advance()
         waiting = {job.id: job.waiting for job in leader.job_store.jobs.values()}
         assert waiting == {"fam1-00000": 0, "wk-1": 6}
         assert not leader.write_batcher.joined
         # Cancelled by a node that can read it: what of it runs is stopped all the same.
         store.execute([], [wire.delete("job/fam1")])
-        leader.job_changed(wire.WatchEvent(delete="job/fam1", version=store.epoch))
+        leader.job_watch.job_changed(wire.WatchEvent(delete="job/fam1", version=store.epoch))
         assert "fam1-00000" not in leader.job_store.jobs and "wk-1" in leader.job_store.jobs
 
     asyncio.run(scenario())
@@ -355,7 +357,7 @@
             await leader.write_batcher._commit(batch)
         for at, event in store.log:
             if at > seen and (event.put or event.delete or "").startswith("job/"):
-                leader.job_changed(event)
+                leader.job_watch.job_changed(event)
         seen = store.epoch
 
 
@@ -371,7 +373,7 @@
                 key = records.fragment_key("fam1", part_number, number)
                 store.execute([], [wire.put(key, value)])
         leader, part = _leader(store)
-        await leader._load()
+        await leader.record_loader.load()
         await _settle_down(leader, part, store)
         assert "job/fam1" in store.keys and len(store.keys) == 43
         # Ten seconds later its time is up. A part that is on its way requires the open head.
@@ -407,7 +409,7 @@
         store.execute([], done)
         for _ in range(2):
             leader, part = _leader(store)
-            await leader._load()
+            await leader.record_loader.load()
             await part._load("fam1")
             counts = part.counts("fam1")
             assert counts is not None and counts["done"] == 2000
@@ -432,13 +434,13 @@
         nodes = [_node("a", guessS=10.0), _node("b", "a", guessS=30.0)]
         _accepted(store, nodes, due_s=100.0)
         leader, part = _leader(store)
-        await leader._load()
+        await leader.record_loader.load()
         await part._load("fam1")
         part._advance()
         await leader.write_batcher._commit(leader.write_batcher._gather(monotonic_now()))
         record = store.keys["job/fam1-00000"][0]
         assert record["due_s"] == pytest.approx(70.0, abs=5.0) and record["tail_s"] == 30.0
-        job = leader._add_job("job/fam1-00000", record, Revision(store.epoch))
+        job = leader.lifecycle.add("job/fam1-00000", record, Revision(store.epoch))
         assert job is not None and job.due_s == record["due_s"]
         (view,) = leader.scheduling_loop.view(monotonic_now(), wall_now()).jobs
         assert isinstance(view, JobView) and view.graph == "fam1" and view.latest_s[0] > 50.0
--- a/tests/test_graphs_records.py
+++ b/tests/test_graphs_records.py
@@ -231,7 +231,7 @@
         """Started tasks."""
 
     async def begin(self) -> None:
-        self.seen = int((await self.leader._load()).revision)
+        self.seen = int((await self.leader.record_loader.load()).revision)
         for job in self.leader.job_store.jobs.values():
             self.running += job.bindings()
 
@@ -244,7 +244,7 @@
         for at, event in list(self.service.store.log):
             key = event.put or event.delete or ""
             if self.seen < at <= until and key.startswith("job/"):
-                self.leader.job_changed(event)
+                self.leader.job_watch.job_changed(event)
         self.seen = max(self.seen, until)
 
     async def look(self) -> None:
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -151,15 +151,15 @@
             job = spec(id=f"wk-{self.jobs}", pieces=1, dueS=None)
             self.store.execute([], [wire.put(job_key(job.id), {"spec": wire.plain(job), "at": 0})])  # type: ignore[arg-type]
             stamp = Revision(self.store.epoch)
-            self.leader._add_job(
+            self.leader.lifecycle.add(
                 job_key(job.id),  # type: ignore[arg-type]
                 {"spec": wire.plain(job), "at": wall_now()},
                 stamp,
             )
         self.leader.scheduling_loop.run(monotonic_now(), wall_now())
         await self.commit_all()
-        while self.leader._orders:
-            await asyncio.gather(*self.leader._orders.values())
+        while self.leader.direct_commands._tasks:
+            await asyncio.gather(*self.leader.direct_commands._tasks.values())
         for name in names:
             assert len(self.tasks[name]) == _JOBS
             self.tasks[name] = dict.fromkeys(self.tasks[name], "ended")
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -15,7 +15,7 @@
 from tealrill import wire
 from tealrill.fleet.dispatch import SchedulingLoop
 from tealrill.fleet.machines import Fleet, Machine
-from tealrill.leader.leader import Leader
+from tealrill.leader.job_lifecycle import JobLifecycle
 from tealrill.simulation.__main__ import main
 from tealrill.simulation.cluster import Shape, SimulatedCluster, play
 from tealrill.state.admission import Admission
@@ -58,7 +58,7 @@
 
 def _deaf_to_users(patch: pytest.MonkeyPatch) -> None:
     """The leader never hears of a cancellation."""
-    patch.setattr(Leader, "job_cancelled", lambda *_: None)
+    patch.setattr(JobLifecycle, "on_cancelled", lambda *_: None)
 
 
 def _boundless(patch: pytest.MonkeyPatch) -> None:
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -29,7 +29,7 @@
 from tealrill.graphs.admission import GraphAdmission
 from tealrill.http import Answer as HttpAnswer
 from tealrill.http import NoAnswerError
-from tealrill.leader import leader as leader_module
+from tealrill.leader import direct_commands, job_watch
 from tealrill.leader.leader import Leader
 from tealrill.leadership.election import TTL_S, Election
 from tealrill.leadership.lease_extension import (
@@ -170,7 +170,7 @@
             if job_id in self.records:
                 bindings += leader.job_store.load(job, 0, self.records[job_id], Revision(2))
         leader.fleet.inherit(bindings, self.now)
-        leader.seen = CancellationKnowledge(Revision(self.revision), self.now)
+        leader.job_watch.seen = CancellationKnowledge(Revision(self.revision), self.now)
         for name in self.terminated:
             job = leader.job_store.jobs[JobId(name)]
             leader.job_store.cancel(job)
@@ -196,7 +196,7 @@
             job = self.leader.job_store.jobs.get(JobId(name))
             if job is not None and not job.cancelled:
                 self.stopped_knowing += 1
-            self.leader.job_cancelled(name)
+            self.leader.lifecycle.on_cancelled(name)
 
     def cancellations_known_until(self, at: Monotonic) -> None:
         assert self.leader is not None
@@ -225,7 +225,7 @@
             elif not self.stuck:
                 for name in self.terminated:
                     self.learns(name)
-                leader.seen = CancellationKnowledge(Revision(self.revision), self.now)
+                leader.job_watch.seen = CancellationKnowledge(Revision(self.revision), self.now)
         else:
             mine.troubled = True
             asyncio.run(self.hosts[self.leads].extension._seek(mine))
@@ -397,7 +397,7 @@
     leader = _leader(_settings(8.0, cancel_s), 1, Monotonic(100.0))
     fleet = leader.fleet
     fleet.inherit([], Monotonic(100.0))
-    leader.seen = CancellationKnowledge(Revision(5), Monotonic(100.0))
+    leader.job_watch.seen = CancellationKnowledge(Revision(5), Monotonic(100.0))
     job = leader.job_store.add(spec(pieces=1), Wall(0.0), Revision(1))
     for sequence in (1, 2):
         fleet.report(report(_MACHINE, 1, sequence, 1), _MACHINE, Monotonic(100.0), Wall(0.0))
@@ -431,7 +431,7 @@
 def test_a_start_of_a_cancelled_job_that_is_out_ends_with_the_workers_lease() -> None:
     # It may arrive after any time and then run: only a new session takes it back.
     leader, fleet, job, _ = _bound()
-    leader.job_cancelled("wk-000412")
+    leader.lifecycle.on_cancelled("wk-000412")
     since = next(iter(job.bindings())).stop
     assert since is not None
     patience_s = fleet.stop_timeout_s
@@ -448,7 +448,7 @@
     leader, fleet, job, binding = _bound()
     fleet.direct_executed([binding])
     leader.job_store.give_up(job, OUTCOME_FAILED)
-    leader.job_cancelled("wk-000412")
+    leader.lifecycle.on_cancelled("wk-000412")
     assert binding.stop is not None and binding.stop.reason == "cancelled"
     assert job.outcome == OUTCOME_FAILED and job.id in leader.job_store.ending
 
@@ -474,8 +474,8 @@
             return wire.KeyValue(value=over["value"], version=4) if key == over["set"] else None
 
     later = _leader(_settings(), 2, Monotonic(110.0))
-    later._client = cast(StateClient, Client())
-    asyncio.run(later._load())
+    later.record_loader._client = cast(StateClient, Client())
+    asyncio.run(later.record_loader.load())
     (taken,) = later.job_store.jobs[job.id].bindings()
     assert taken.machine == _MACHINE and taken.stop is not None
     assert not later.job_store.garbage
@@ -538,10 +538,10 @@
             at[0] += took_s
             raise NoAnswerError("TimeoutError", True, silent=True)
 
-    leader._connections = cast(Any, ConnectionPool())
+    leader.direct_commands._connections = cast(Any, ConnectionPool())
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(leader_module, "monotonic_now", lambda: at[0])
-        assert not asyncio.run(leader._send_directly(machine, b"", [binding]))
+        patch.setattr(direct_commands, "monotonic_now", lambda: at[0])
+        assert not asyncio.run(leader.direct_commands._request(machine, b"", [binding]))
     assert machine.inbound_partitioned is inbound_partitioned
 
 
@@ -552,7 +552,7 @@
     """Counted from the confirmation: the wait, the delegation's end, the worker's lease."""
     leader, fleet, _, binding = _bound(cancel_s=24.0)
     fleet.direct_executed([binding])
-    leader.job_cancelled("wk-000412")
+    leader.lifecycle.on_cancelled("wk-000412")
     stop = binding.stop
     assert stop is not None
     machine = fleet.machines[_MACHINE]
@@ -654,8 +654,8 @@
             return None
 
     leader = _leader(_settings(), 2, Monotonic(110.0))
-    leader._client = cast(StateClient, Client())
-    asyncio.run(leader._load())
+    leader.record_loader._client = cast(StateClient, Client())
+    asyncio.run(leader.record_loader.load())
     assert set(leader.job_store.jobs) == {good, odd}
     assert leader.job_store.jobs[good].waiting == 6 and leader.job_store.jobs[odd].waiting == 0
     assert not leader.job_store.garbage and leader.fleet.loaded
@@ -675,17 +675,17 @@
                 raise asyncio.CancelledError
             return wire.WatchResult(revision=len(asked), events=[])
 
-    leader._client = cast(StateClient, Client())
+    leader.job_watch._client = cast(StateClient, Client())
 
     async def scenario() -> None:
         with pytest.MonkeyPatch.context() as patch:
-            patch.setattr(leader_module, "_RETRY_S", 0.0)
+            patch.setattr(job_watch, "_RETRY_S", 0.0)
             with pytest.raises(asyncio.CancelledError):
-                await leader._watch_jobs(CancellationKnowledge(Revision(0), Monotonic(1.0)))
+                await leader.job_watch.run(CancellationKnowledge(Revision(0), Monotonic(1.0)))
 
     asyncio.run(scenario())
     assert asked == [2.0, 2.0, 0.0, 0.0, 2.0, 2.0]
-    assert leader.seen.revision == 5
+    assert leader.job_watch.seen.revision == 5
 
 
 def test_while_the_state_service_is_away_users_are_answered_at_once() -> None:
--- a/tests/test_meetings_lab.py
+++ b/tests/test_meetings_lab.py
@@ -20,6 +20,8 @@
 from tealrill.fleet.machines import Fleet, Machine
 from tealrill.fleet.provisioning import Provisioner
 from tealrill.leader.leader import Leader
+from tealrill.leader.loops import LeaseExpiryLoop
+from tealrill.leader.record_loader import RecordLoader
 from tealrill.leadership.election import Election
 from tealrill.leadership.lease_extension import CancellationKnowledge
 from tealrill.simulation.cluster import Script, Shape, SimulatedCluster, play
@@ -363,7 +365,7 @@
     async def nothing(*_: object) -> None:
         return
 
-    patch.setattr(Leader, "_load_over", nothing)
+    patch.setattr(RecordLoader, "_load_ended", nothing)
 
 
 def _limits_forget(patch: Patch) -> None:
@@ -385,15 +387,15 @@
 
 def _watch_begins_late(patch: Patch) -> None:
     """The watch of jobs begins where the reading ended, and not where it began."""
-    whole = Leader._load
+    whole = RecordLoader.load
 
-    async def load(self: Leader) -> CancellationKnowledge:
+    async def load(self: RecordLoader) -> CancellationKnowledge:
         seen = await whole(self)
         await asyncio.sleep(0.3)
         _, revision = await self._client.scan("job/")
         return CancellationKnowledge(revision, seen.at)
 
-    patch.setattr(Leader, "_load", load)
+    patch.setattr(RecordLoader, "load", load)
 
 
 def _rented_anew(patch: Patch) -> None:
@@ -444,10 +446,10 @@
 def _delegates_ignored(patch: Patch) -> None:
     """A machine lapses whether or not another node may have renewed it."""
 
-    async def check(self: Leader) -> None:
-        self.fleet.check_silence(monotonic_now())
+    async def check(self: LeaseExpiryLoop) -> None:
+        self._fleet.check_silence(monotonic_now())
 
-    patch.setattr(Leader, "_check_silence", check)
+    patch.setattr(LeaseExpiryLoop, "_check", check)
 
 
 def _silence_from_nothing(patch: Patch) -> None:
