--- a/tealrill/cli/__init__.py
+++ b/tealrill/cli/__init__.py
@@ -15,9 +15,9 @@
 import click
 
 from tealrill import __version__, features
-from tealrill.daemon import configure_logging
-from tealrill.daemon import serve as serve_node
 from tealrill.http import Client, NoAnswerError
+from tealrill.process import configure_logging
+from tealrill.process import serve as serve_node
 from tealrill.settings import SettingsError, load, parse_address
 
 
--- a/tealrill/daemon.py
+++ b/tealrill/daemon.py
@@ -1,15 +1,10 @@
-"""Wires one controller node together: servers, election, and the leader's term when it has one."""
+"""One controller: its servers, its election, and the leader's term when it has one."""
 
 from __future__ import annotations
 
 import asyncio
-import contextlib
-import gc
 import logging
-import os
-import signal
 from collections.abc import Callable, Coroutine
-from dataclasses import asdict, dataclass
 from typing import Any, Final
 
 from tornado import web
@@ -26,7 +21,7 @@
 from tealrill.fleet.catalogue import CATALOGUE_PATH, Catalogues
 from tealrill.fleet.cloud import Cloud
 from tealrill.leader.leader import Leader
-from tealrill.leadership.election import Election, is_held_by_lease
+from tealrill.leadership.election import Election
 from tealrill.leadership.lease_extension import (
     EXTENSION_PATH,
     PING_PATH,
@@ -43,6 +38,7 @@
 from tealrill.state.admission import Admission
 from tealrill.state.client import StateClient
 from tealrill.state.fencing import Leadership
+from tealrill.status import HeartbeatCounts, describe_node
 from tealrill.types import JobId, MachineId, Monotonic, monotonic_now
 
 log = logging.getLogger(__name__)
@@ -50,8 +46,6 @@
 _HELD_PART: Final = 0.1
 """The part of the machine's memory that held bodies may take, reports and others each."""
 _CLOSE_IDLE_S: Final = 30.0
-_COLLECT: Final = (10_000, 20, 10)
-"""New objects, and younger collections, before each generation is looked through."""
 _HAND_OVER_S: Final = 1.0
 """What is under way is waited for so long; the lease is three times that."""
 _HAND_OVER_LOOK_S: Final = 0.02
@@ -62,22 +56,11 @@
 _HEARD_BEFORE: Final = 2
 
 
-@dataclass(slots=True)
-class HeartbeatCounts:
-    """Workers' reports since the start of this process, by what they were answered."""
-
-    renewed: int = 0
-    """By this node as the leader."""
-    delegated: int = 0
-    """By this node in the leader's place."""
-    redirected: int = 0
-    refused: int = 0
-
-
 class Controller:
     """One controller process."""
 
     def __init__(self, settings: Settings, features: Features | None = None) -> None:
+        """Wire the controller together; without `features` all extensions are off."""
         params = settings.params
         self._settings = settings
         self._features = features or Features()
@@ -88,42 +71,42 @@
         self.election = Election(
             self._client, settings.host_name, self._leader_changed.set, PROMISE_S
         )
-        self.election.has_quorum_reach = self._well_placed
+        self.election.has_quorum_reach = self._has_quorum_reach
         self.leader: Leader | None = None
         self._catalogues = Catalogues(settings, self._cloud)
         self.admission = Admission(self._client, settings, lambda: self._catalogues.known)
         self.admission.counts = self._counts
-        self._extension = LeaseExtension(
+        self._lease_extension = LeaseExtension(
             settings, self._client, self.election, self.admission.acknowledged
         )
-        self.election.nobody_leads = self._extension.nobody_leads
-        self.election.others_up = self._extension.others_up
-        self._delegate = RenewalDelegate(settings, self._client, self.election)
+        self.election.nobody_leads = self._lease_extension.nobody_leads
+        self.election.others_up = self._lease_extension.others_up
+        self._renewal_delegate = RenewalDelegate(settings, self._client, self.election)
         self._revocation = LeaseRevocation(
-            settings, self._client, self.election, lambda: self._delegate.unheard_since
+            settings, self._client, self.election, lambda: self._renewal_delegate.unheard_since
         )
-        self._extension.lost_term = lambda: self._revocation.lost_term
-        self._extension.seen = lambda: (
+        self._lease_extension.lost_term = lambda: self._revocation.lost_term
+        self._lease_extension.seen = lambda: (
             self.leader.known if self.leader is not None else CancellationKnowledge()
         )
-        self._extension.cancellations_known_until = self._vouched
-        self._extension.cancelled = self._cancelled_elsewhere
-        self._extension.is_excluded = self._is_excluded
-        self._extension.extended = self._prolonged
+        self._lease_extension.cancellations_known_until = self._cancellations_known_until
+        self._lease_extension.cancelled = self._cancelled_elsewhere
+        self._lease_extension.is_excluded = self._is_excluded
+        self._lease_extension.extended = self._on_lease_extended
         self._last_report: Monotonic | None = None
         self._report_counts = HeartbeatCounts()
         self._transfer = LeadershipTransfer(settings)
-        self._extension.reports = lambda: self._transfer.recent(monotonic_now())
+        self._lease_extension.reports = lambda: self._transfer.recent(monotonic_now())
         self._fronts: list[HttpFrontend] = []
         self.servers: list[Server] = []
         self._relay = Relay(self.admission, settings, lambda: self._client.failing)
-        self.subsystems = self._switched_on()
-        for subsystem in self.subsystems:
-            if subsystem.names is not None:
-                self.admission.names = subsystem.names
+        self.extensions = self._enabled_extensions()
+        for extension in self.extensions:
+            if extension.names is not None:
+                self.admission.names = extension.names
 
-    def _switched_on(self) -> list[Extension]:
-        """What is off is not even imported."""
+    def _enabled_extensions(self) -> list[Extension]:
+        """Make the extensions that are switched on; what is off is not even imported."""
         found: list[Extension] = []
         if self._features.graphs.on:
             from tealrill.graphs.extension import graphs
@@ -143,19 +126,19 @@
     # -- running --------------------------------------------------------------------------------
 
     async def run(self, *more: Callable[[], Coroutine[Any, Any, None]]) -> None:
-        """Serves until it is cancelled; `more` are loops that run beside the node's own."""
+        """Serve until it is cancelled; `more` are loops that run beside the controller's own."""
         self._listen()
         async with asyncio.TaskGroup() as group:
             group.create_task(self.election.run())
-            group.create_task(self._extension.run())
-            group.create_task(self._delegate.run())
+            group.create_task(self._lease_extension.run())
+            group.create_task(self._renewal_delegate.run())
             group.create_task(self._revocation.run())
             group.create_task(self._terms())
             group.create_task(self._catalogues.run())
-            group.create_task(self._check_hearing())
+            group.create_task(self._check_reachability())
             group.create_task(self._close_idle())
-            for subsystem in self.subsystems:
-                for loop in subsystem.loops:
+            for extension in self.extensions:
+                for loop in extension.loops:
                     group.create_task(loop())
             for loop in more:
                 group.create_task(loop())
@@ -167,14 +150,14 @@
         ]
         operators: list[Any] = [
             (r"/admin/state", AdminStateHandler, {"node": self}),
-            (EXTENSION_PATH, LeaseExtensionHandler, {"extension": self._extension}),
-            (PING_PATH, PingHandler, {"extension": self._extension}),
+            (EXTENSION_PATH, LeaseExtensionHandler, {"extension": self._lease_extension}),
+            (PING_PATH, PingHandler, {"extension": self._lease_extension}),
             (CATALOGUE_PATH, CatalogueHandler, {"known": lambda: self._catalogues.known}),
             *_user_rules(PEER_PREFIX, self.admission),
         ]
-        for subsystem in self.subsystems:
-            users += subsystem.user_routes
-            operators += subsystem.peer_routes
+        for extension in self.extensions:
+            users += extension.user_routes
+            operators += extension.peer_routes
         most_held = int(_HELD_PART * self._settings.params.quota.ram_mb * 1024 * 1024)
         for rules, where, handle_heartbeat in (
             (users, self._settings.client_listen, self.handle_heartbeat),
@@ -198,7 +181,7 @@
                 await front.close_idle(monotonic_now())
 
     async def _terms(self) -> None:
-        """Runs a `Leader` for as long as the election says so."""
+        """Run a `Leader` for as long as the election says so."""
         while True:
             await self._leader_changed.wait()
             self._leader_changed.clear()
@@ -213,7 +196,7 @@
                 self.election,
                 mine,
                 self._estimates,
-                [subsystem.term for subsystem in self.subsystems if subsystem.term is not None],
+                [extension.term for extension in self.extensions if extension.term is not None],
                 self._catalogues.known,
             )
             self.leader = leader
@@ -243,21 +226,24 @@
     def handle_heartbeat(
         self, report: wire.Heartbeat, machine_id: MachineId
     ) -> tuple[int, dict[str, Any]]:
-        """A worker's report, answered with 200 only by a leader that is valid at this moment, and
-        that knows what users were told is cancelled."""
+        """Process a worker's heartbeat; return the status and the body of the response.
+
+        Only a leader that is valid at this moment, and that knows what users were told is
+        cancelled, responds with 200, or a node that renews in its place.
+        """
         now = monotonic_now()
         self._last_report = now
         self._transfer.took(now)
         mine = self.election.leading(now)
         if mine is None or self.leader is None or not self.leader.informed(now):
-            term = self._delegate.renews(report, machine_id, now)
+            term = self._renewal_delegate.renews(report, machine_id, now)
             if term is not None:
                 # The leader can't hear this worker, and waits for it.
                 self._report_counts.delegated += 1
                 return 200, wire.report_answer(term, [])
             known = self.election.known
             host = known.host if known is not None else None
-            if host == self._settings.host_name or self._delegate.leader_silent:
+            if host == self._settings.host_name or self._renewal_delegate.leader_silent:
                 # Sent to a leader that does not answer this node either, a worker loses 4 s of its
                 # lease there; asking the next node costs 1 s.
                 host = None
@@ -270,7 +256,7 @@
         self._report_counts.renewed += 1
         return 200, wire.report_answer(mine.term, commands)
 
-    def _well_placed(self) -> bool:
+    def _has_quorum_reach(self) -> bool:
         """Whether workers reach this node, and whether there can be workers in its own zone.
 
         A leader in a zone without machines is cut off from all of them in turn by every cut of its
@@ -292,8 +278,8 @@
     def _report_s(self) -> float:
         return self._settings.params.workers.heartbeat_interval_s
 
-    async def _check_hearing(self) -> None:
-        """A leader that no worker reaches any more lets somebody else lead."""
+    async def _check_reachability(self) -> None:
+        """Let somebody else lead when no worker reaches this leader any more."""
         while True:
             due = monotonic_now() + _TERM_CHECK_S
             await asyncio.sleep(_TERM_CHECK_S)
@@ -316,7 +302,7 @@
                 await self.election.resign("workers report to others only", _RESIGN_PAUSE_S)
 
     async def hand_over(self, why: str) -> None:
-        """Gives up leading in good order: what was begun is written, the rest is left recorded.
+        """Give up leading in good order: what was begun is written, the rest is left recorded.
 
         The next leader starts as soon as the lease's end is seen, instead of a lease later. A node
         that does not lead has nothing to hand over.
@@ -331,7 +317,7 @@
         await self.election.resign(why, _RESIGN_PAUSE_S)
 
     def _leader_in(self, mine: Leadership) -> Leader | None:
-        """The leader of just this term."""
+        """Return the leader of just this term, None if there is none."""
         leader = self.leader
         return leader if leader is not None and leader.leads(mine) else None
 
@@ -339,12 +325,12 @@
         leader = self._leader_in(mine)
         return leader is not None and leader.exclusions.is_excluded(host)
 
-    def _prolonged(self, mine: Leadership, until: Monotonic) -> None:
+    def _on_lease_extended(self, mine: Leadership, until: Monotonic) -> None:
         leader = self._leader_in(mine)
         if leader is not None:
             leader.exclusions.hold_until(until)
 
-    def _vouched(self, mine: Leadership, at: Monotonic) -> None:
+    def _cancellations_known_until(self, mine: Leadership, at: Monotonic) -> None:
         leader = self._leader_in(mine)
         if leader is not None:
             leader.cancellations_known_until(at)
@@ -363,33 +349,15 @@
         return (job.done_count, job.bound_count) if job is not None else (0, 0)
 
     def describe(self) -> dict[str, Any]:
-        """This node's state, for operators."""
-        known = self.election.known
-        shown: dict[str, Any] = {
-            "node": self._settings.host_name,
-            "leader": known.host if known is not None else None,
-            "term": known.term if known is not None else None,
-            "reports": asdict(self._report_counts),
-            "state_interruptions": self._client.interruptions,
-        }
-        mine = self.election.mine
-        if mine is not None:
-            shown["valid_s"] = round(mine.valid_until - monotonic_now(), 1)
-            shown["held_by"] = "lease" if is_held_by_lease(mine) else "promises"
-        delegated = self._delegate.describe(monotonic_now())
-        if delegated is not None:
-            shown["renews"] = delegated
-        leader = self.leader
-        if leader is not None:
-            plan = leader.scheduling_loop.last
-            shown["machines"] = len(leader.fleet.machines)
-            shown["jobs"] = len(leader.job_store.jobs)
-            shown["head"] = plan.head
-            shown["duties"] = leader.duties()
-            shown["waiting"] = {job.id: left for job, left in plan.unplaced}
-            for part in leader.parts:
-                shown.update(part.describe())
-        return shown
+        """Return this controller's state, for operators."""
+        return describe_node(
+            self._settings.host_name,
+            self.election,
+            self._renewal_delegate,
+            self._report_counts,
+            self._client.interruptions,
+            self.leader,
+        )
 
 
 def _user_rules(prefix: str, users: JobRequests) -> list[Any]:
@@ -399,85 +367,3 @@
         (jobs + r"/([^/]+)", JobHandler, {"admission": users}),
         (jobs + r"/([^/]+)/" + wire.CANCEL_PATH, CancelHandler, {"admission": users}),
     ]
-
-
-def configure_logging() -> None:
-    """Logs to standard error at the level that `LOG_LEVEL` names."""
-    names = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
-    level = names.get(os.environ.get("LOG_LEVEL", "info").lower(), logging.INFO)
-    logging.basicConfig(level=level, format="%(levelname).1s %(name)s: %(message)s")
-    logging.getLogger("asyncio").setLevel(logging.ERROR)
-    logging.getLogger("tornado.access").setLevel(logging.ERROR)
-
-
-def spare_collector() -> None:
-    """Looks for garbage cycles more rarely, and not among what was there at the start.
-
-    Nearly everything here is freed by its last reference; the records that live long were gone
-    through again and again. What is found later takes at most a few MB meanwhile.
-    """
-    gc.collect()
-    gc.freeze()
-    gc.set_threshold(*_COLLECT)
-
-
-def new_loop() -> asyncio.AbstractEventLoop:
-    """libuv's loop where there is one; it is not built for every platform, and nothing needs it."""
-    try:
-        import uvloop
-    except ImportError:
-        return asyncio.new_event_loop()
-    return uvloop.new_event_loop()
-
-
-def serve(settings: Settings, features: Features) -> None:
-    """Runs a node until the process is killed."""
-    spare_collector()
-    if features.profile.on:
-        # The profiler charges the turns of the loop that is written in Python.
-        asyncio.run(_profiled(settings, features))
-    else:
-        with asyncio.Runner(loop_factory=new_loop) as runner:
-            runner.run(run_until_told(Controller(settings, features)))
-
-
-async def run_until_told(node: Controller) -> None:
-    """Runs the node until it fails or is told to stop (SIGTERM), and then hands its duties over."""
-    told = asyncio.Event()
-    # Where signals can't be taken, the process is killed as before.
-    with contextlib.suppress(NotImplementedError, RuntimeError, ValueError, OSError):
-        asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, told.set)
-    running = asyncio.create_task(node.run())
-    waiting = asyncio.create_task(told.wait())
-    await asyncio.wait({running, waiting}, return_when=asyncio.FIRST_COMPLETED)
-    waiting.cancel()
-    if not running.done():
-        await node.hand_over("this node is told to stop")
-        running.cancel()
-    with contextlib.suppress(asyncio.CancelledError):
-        await running
-
-
-async def _profiled(settings: Settings, features: Features) -> None:
-    from tealrill.profiling import ProfileLog, Size
-
-    watch = ProfileLog(settings.host_name, features.profile.every_s)
-    watch.install()
-    node = Controller(settings, features)
-
-    def size() -> Size | None:
-        leader = node.leader
-        if leader is None or not leader.fleet.loaded:
-            return None
-        machines = leader.fleet.machines.values()
-        jobs = leader.job_store.jobs.values()
-        return Size(
-            monotonic_now(),
-            len(machines),
-            sum(m.lease_expired or m.id in leader.prober.diagnosis.verdicts for m in machines),
-            sum(job.waiting > 0 for job in jobs),
-            sum(job.waiting for job in jobs),
-            sum(len(m.bindings) for m in machines),
-        )
-
-    await node.run(lambda: watch.run(size))
--- a/tealrill/simulation/cluster.py
+++ b/tealrill/simulation/cluster.py
@@ -381,10 +381,10 @@
         if node is None:
             raise NoReplyError
         if path == EXTENSION_PATH:
-            found = await node._extension.asked(wire.decode(body or b"", ExtensionRequest))
+            found = await node._lease_extension.asked(wire.decode(body or b"", ExtensionRequest))
             return 200, orjson.loads(wire.encode(found))
         if path == PING_PATH:
-            return 200, orjson.loads(wire.encode(node._extension.presence()))
+            return 200, orjson.loads(wire.encode(node._lease_extension.presence()))
         if path == CATALOGUE_PATH:
             known = node._catalogues.known
             return (503, {}) if known is None else (200, orjson.loads(wire.encode(known)))
--- a/tealrill/simulation/graph_users.py
+++ b/tealrill/simulation/graph_users.py
@@ -46,9 +46,9 @@
     host = world.rng.choice(list(world.hosts.values()))
     if host.node is None or host.name in world.frozen:
         return
-    for subsystem in host.node.subsystems:
-        if isinstance(subsystem.names, GraphAdmission):
-            task = world.begin(subsystem.names.submit(body), host.context)
+    for extension in host.node.extensions:
+        if isinstance(extension.names, GraphAdmission):
+            task = world.begin(extension.names.submit(body), host.context)
             await asyncio.wait({task}, timeout=5.0)
             if task.done() and not task.cancelled() and task.exception() is None:
                 reply = task.result()
--- /dev/null
+++ b/tealrill/status.py
@@ -0,0 +1,59 @@
+"""What a controller shows its operators of itself and of the service."""
+
+from __future__ import annotations
+
+from dataclasses import asdict, dataclass
+from typing import Any
+
+from tealrill.leader.leader import Leader
+from tealrill.leadership.election import Election, is_held_by_lease
+from tealrill.leadership.renewal_delegation import RenewalDelegate
+from tealrill.types import monotonic_now
+
+
+@dataclass(slots=True)
+class HeartbeatCounts:
+    """Workers' heartbeats since the start of this process, by the response."""
+
+    renewed: int = 0
+    """By this node as the leader."""
+    delegated: int = 0
+    """By this node in the leader's place."""
+    redirected: int = 0
+    refused: int = 0
+
+
+def describe_node(
+    host: str,
+    election: Election,
+    delegate: RenewalDelegate,
+    counts: HeartbeatCounts,
+    state_interruptions: int,
+    leader: Leader | None,
+) -> dict[str, Any]:
+    """Return the state of the controller on `host`, as `/admin/state` shows it."""
+    known = election.known
+    shown: dict[str, Any] = {
+        "node": host,
+        "leader": known.host if known is not None else None,
+        "term": known.term if known is not None else None,
+        "reports": asdict(counts),
+        "state_interruptions": state_interruptions,
+    }
+    mine = election.mine
+    if mine is not None:
+        shown["valid_s"] = round(mine.valid_until - monotonic_now(), 1)
+        shown["held_by"] = "lease" if is_held_by_lease(mine) else "promises"
+    delegated = delegate.describe(monotonic_now())
+    if delegated is not None:
+        shown["renews"] = delegated
+    if leader is not None:
+        plan = leader.scheduling_loop.last
+        shown["machines"] = len(leader.fleet.machines)
+        shown["jobs"] = len(leader.job_store.jobs)
+        shown["head"] = plan.head
+        shown["duties"] = leader.duties()
+        shown["waiting"] = {job.id: left for job, left in plan.unplaced}
+        for extension in leader.parts:
+            shown.update(extension.describe())
+    return shown
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -18,10 +18,11 @@
 from tealrill import features, settings, wire
 from tealrill.api.relay import PEER_PREFIX
 from tealrill.cli import main
-from tealrill.daemon import Controller, new_loop, run_until_told
+from tealrill.daemon import Controller
 from tealrill.fleet.catalogue import CATALOGUE_PATH
 from tealrill.http import Answer, Client
 from tealrill.leadership.lease_extension import EXTENSION_PATH, PING_PATH, ExtensionRequest
+from tealrill.process import new_event_loop, run_until_stopped
 from tealrill.types import LeaseId
 from tests.samples import SETTINGS, SUBMISSION
 from tests.standins import Cloud, State, Worker
@@ -124,7 +125,7 @@
             await test(world)
 
     # On the loop that the daemon runs on.
-    with asyncio.Runner(loop_factory=new_loop) as runner:
+    with asyncio.Runner(loop_factory=new_event_loop) as runner:
         runner.run(run())
 
 
@@ -344,7 +345,7 @@
 def test_a_node_that_is_told_to_stop_ends() -> None:
     async def run() -> None:
         world = World()
-        task = asyncio.create_task(run_until_told(world.node))
+        task = asyncio.create_task(run_until_stopped(world.node))
         world.task = cast(Any, task)
         await world.until_it_leads()
         signal.raise_signal(signal.SIGTERM)
@@ -355,5 +356,5 @@
             server.stop()
             await server.close_all_connections()
 
-    with asyncio.Runner(loop_factory=new_loop) as runner:
+    with asyncio.Runner(loop_factory=new_event_loop) as runner:
         runner.run(run())
--- a/tests/test_renewal_delegation.py
+++ b/tests/test_renewal_delegation.py
@@ -207,7 +207,7 @@
     }  # fmt: skip
     report = wire.decode(orjson.dumps(beat), wire.Heartbeat)
     assert node.handle_heartbeat(report, MachineId("m-1")) == (421, {"foreman": "node-1"})
-    node._delegate._cut_since = Monotonic(0.0)
+    node._renewal_delegate._cut_since = Monotonic(0.0)
     assert node.handle_heartbeat(report, MachineId("m-1")) == (421, {})
-    node._delegate._heard()
+    node._renewal_delegate._heard()
     assert node.handle_heartbeat(report, MachineId("m-1")) == (421, {"foreman": "node-1"})
