--- a/tealrill/leadership/election.py
+++ b/tealrill/leadership/election.py
@@ -1,9 +1,9 @@
-"""Who leads.
+"""The election of the leader, and the renewal of its lease.
 
 The key `leader` is attached to a lease, the key `term` only ever grows, and both are set in one
-transaction. The term is the token that workers see. A leader counts itself valid from the moment
-it *sent* its last successful renewal, shortened by the most that two steady clocks may differ;
-after that it says nothing to workers until it knows more.
+transaction. The term is the fencing token that workers see. A leader counts itself valid from the
+moment it *sent* its last successful renewal, shortened by the most that two steady clocks may
+differ; after that it says nothing to workers until it knows more.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 import secrets
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
-from typing import Any, Final
+from typing import Any, Final, NamedTuple
 
 import msgspec
 
@@ -35,6 +35,7 @@
     ABSENT,
     CLOCK_DRIFT,
     FencingToken,
+    LeaseId,
     Monotonic,
     Revision,
     Wall,
@@ -64,11 +65,14 @@
 
 
 def exclusion_key(host: str) -> str:
+    """Return the key that keeps a member from standing."""
     return EXCLUSION_PREFIX + host
 
 
 @dataclass(frozen=True, slots=True)
 class KnownLeader:
+    """The leader as another member reads it from its key."""
+
     host: str
     term: FencingToken
     stamp: Revision = ABSENT
@@ -82,12 +86,28 @@
     term: int
 
 
+class _Leaderless(NamedTuple):
+    """That nobody led was seen."""
+
+    stamp: Revision
+    """The version of the term's key at that time."""
+    since: Monotonic
+
+
+class _Candidacy(NamedTuple):
+    """A transaction that elects this node, if it is committed."""
+
+    term: FencingToken
+    guards: list[dict[str, Any]]
+    changes: list[dict[str, Any]]
+
+
 async def _not_known() -> bool:
     return False
 
 
 def follows_itself(holder: dict[str, Any], now: Wall) -> int:
-    """How often in a row the holder's host will have followed itself within a short time."""
+    """Return how often in a row the holder's host will have followed itself shortly after."""
     elected, again = holder.get("at"), holder.get("again")
     if not isinstance(elected, int | float) or not isinstance(again, int):
         return 0
@@ -95,6 +115,7 @@
 
 
 def _validity(sent: Monotonic) -> Monotonic:
+    """Return until when a lease that was renewed by a request sent then is valid."""
     return lower_bound_deadline(sent, TTL_S, _MARGIN_S)
 
 
@@ -113,6 +134,10 @@
         changed: Callable[[], None],
         promised_s: float = 0.0,
     ) -> None:
+        """Stand for `host`; `changed` is called whenever its leadership begins or ends.
+
+        `promised_s` is for how long a former process of this host may have promised not to stand.
+        """
         self._client = client
         self._host = host
         self._promised_until = monotonic_now()
@@ -128,21 +153,22 @@
         self._states = ChangeLog(log)
         """Whom this node follows, or why it does not stand."""
         self._standing: FencingToken | None = None
-        """An election of this node that is under way, or that brought no answer: it may take place
-        at any later time."""
+        """The term of an election of this node that is in flight, or that brought no answer.
+
+        It may take place at any later time.
+        """
         self._incarnation = secrets.token_hex(8)
         self._changed = changed
         self._not_before = Monotonic(0.0)
-        self._alone: tuple[Revision, Monotonic] | None = None
-        """While this host may not stand: that nobody led was seen in this version of the term's
-        key, and when first."""
+        self._leaderless: _Leaderless | None = None
+        """While this host may not stand: when nobody was first seen to lead."""
         self.mine: Leadership | None = None
         self.known: KnownLeader | None = None
         self.has_quorum_reach: Callable[[], bool] = lambda: True
         """Whether workers reach this node well; one that they don't reach lets others go first."""
 
     def leading(self, now: Monotonic) -> Leadership | None:
-        """The current term if this node may act on it at this very moment."""
+        """Return the current term if this node may act on it at this very moment."""
         mine = self.mine
         return mine if mine is not None and mine.valid(now) else None
 
@@ -152,7 +178,7 @@
         return max(self._promised_until, self._restarted_until)
 
     def promise(self, term: FencingToken, until: Monotonic) -> str:
-        """Not to stand before `until`; or why that can't be promised."""
+        """Promise not to stand before `until`; return why that can't be promised, or nothing."""
         if self.mine is not None and term > self.mine.term:
             # Whoever asks was elected later, so the key of this node's term has gone. While the
             # state service refuses this node it can't see that, and its refusal to promise ended
@@ -171,6 +197,7 @@
         return ""
 
     async def run(self) -> None:
+        """Follow the leader, stand when there is none, and keep what was won, for ever."""
         while True:
             try:
                 if self.mine is None:
@@ -182,7 +209,7 @@
                 await asyncio.sleep(random.uniform(0.2, 0.5))
 
     def step_down(self, why: str) -> None:
-        """Forgets a term that is certainly or possibly over."""
+        """Forget a term that is certainly or possibly over."""
         if self.mine is not None:
             log.info("term %d: no longer leader: %s", self.mine.term, why)
             self.mine = None
@@ -191,7 +218,7 @@
             self._changed()
 
     async def resign(self, why: str, pause_s: float) -> None:
-        """Hands leadership to somebody better placed."""
+        """Hand leadership to somebody better placed, and don't stand for `pause_s` seconds."""
         mine = self.mine
         self._not_before = Monotonic(monotonic_now() + pause_s)
         self.step_down(why)
@@ -200,6 +227,7 @@
                 await self._client.end_lease(mine.lease)
 
     async def _hold(self, mine: Leadership) -> None:
+        """Renew the lease of this node's term once."""
         sent = monotonic_now()
         try:
             alive = await self._client.extend_lease(mine.lease, timeout_s=0.6)
@@ -225,6 +253,7 @@
         await asyncio.sleep(_RENEW_S)
 
     async def _follow(self) -> None:
+        """Watch the leader for a time, or stand if there is none."""
         entries, revision = await self._client.scan(LEADER_KEY)
         entry = next((e for e in entries if e.key == LEADER_KEY), None)
         if entry is None:
@@ -233,18 +262,7 @@
             return
         holder = entry.value if isinstance(entry.value, dict) else {}
         if holder.get("host") == self._host:
-            # This host's former process is gone, and with it whatever it might still have said.
-            again = follows_itself(holder, wall_now())
-            if holder.get("incarnation") == self._incarnation:
-                await self._withdraw(entry)
-            elif again > _OFTEN and await self.others_up():
-                # It ends again and again, perhaps by leading. At once back each time, it would keep
-                # the lease from all others: one that ended every second was elected 12 times.
-                log.info("this host has led %d times in a row: others go first", again)
-                self._not_before = Monotonic(monotonic_now() + _YIELD_S)
-                await self._withdraw(entry)
-            else:
-                await self._stand(Revision(entry.version), again)
+            await self._replace_own_key(entry, holder)
             return
         self.known = self._read_leader(entry)
         if self.known is not None:
@@ -254,8 +272,25 @@
             )
         await self._client.watch(LEADER_KEY, revision, _WATCH_S)
 
+    async def _replace_own_key(self, entry: wire.Entry, holder: dict[str, Any]) -> None:
+        """Stand in the place of this host's former process, or let others go first.
+
+        That process is gone, and with it whatever it might still have said.
+        """
+        again = follows_itself(holder, wall_now())
+        if holder.get("incarnation") == self._incarnation:
+            await self._withdraw(entry)
+        elif again > _OFTEN and await self.others_up():
+            # It ends again and again, perhaps by leading. At once back each time, it would keep
+            # the lease from all others: one that ended every second was elected 12 times.
+            log.info("this host has led %d times in a row: others go first", again)
+            self._not_before = Monotonic(monotonic_now() + _YIELD_S)
+            await self._withdraw(entry)
+        else:
+            await self._stand(Revision(entry.version), again)
+
     def _read_leader(self, entry: wire.Entry) -> KnownLeader | None:
-        """Another member's record; None if this version can't read it.
+        """Read another member's record; None if this version can't.
 
         Nobody is deposed by that: the key stands until its lease ends.
         """
@@ -267,24 +302,22 @@
         return KnownLeader(record.host, FencingToken(record.term), Revision(entry.version))
 
     async def _withdraw(self, entry: wire.Entry) -> None:
-        """Removes a key of this host: set by this very process in a term that it no longer knows
-        of, or by a former one."""
+        """Remove a key of this host.
+
+        It was set by this very process in a term that it no longer knows of, or by a former one.
+        """
         await self._client.commit(
             [wire.guard(LEADER_KEY, entry.version)], [wire.delete(LEADER_KEY)]
         )
 
     async def _stand(self, stamp: Revision, again: int = 0) -> None:
-        pause = self._not_before - monotonic_now()
-        if stamp == ABSENT:
-            pause = max(
-                pause, 0.0 if self.has_quorum_reach() else _OTHERS_FIRST_S
-            ) + random.uniform(0, 0.05)
-        if pause > 0:
-            if pause > _OTHERS_FIRST_S + 0.1:
-                self._states.info("nobody leads; this node lets others stand first")
-            await asyncio.sleep(min(pause, 1.0))
-            if pause > 1.0:
-                return
+        """Stand for election once.
+
+        `stamp` is the version of the key that this host's former process left, if it did, and
+        `again` how often in a row this host will have followed itself.
+        """
+        if not await self._wait_for_turn(stamp):
+            return
         last = await self._client.get(TERM_KEY)
         if last is not None and type(last.value) is not int:
             # A term of this node's making might be an earlier one.
@@ -293,6 +326,44 @@
             return
         sent = monotonic_now()
         lease = await self._client.create_lease(TTL_S)
+        candidacy = self._candidacy(stamp, again, last, lease)
+        # A key that this host's former process left is no other leader's, and a service without a
+        # term has had no leader who could hold a promise.
+        bound = stamp == ABSENT and last is not None
+        # Looked at last of all: a promise may have been given while the rest was awaited.
+        if bound and (
+            not await self._free_of_former_promises() or monotonic_now() < self._promised_until
+        ):
+            self._states.info("nobody leads; this node may be bound by a promise not to stand")
+            await asyncio.sleep(0.05)
+            return
+        revision = await self._commit(candidacy)
+        if revision is None:
+            with contextlib.suppress(StateError):
+                await self._client.end_lease(lease)
+            return
+        now = monotonic_now()
+        self._won(
+            Leadership(candidacy.term, revision, lease, now, _validity(sent), renewed_at=sent)
+        )
+
+    async def _wait_for_turn(self, stamp: Revision) -> bool:
+        """Let others stand first where they should; return whether to stand now."""
+        pause_s = self._not_before - monotonic_now()
+        if stamp == ABSENT:
+            pause_s = max(
+                pause_s, 0.0 if self.has_quorum_reach() else _OTHERS_FIRST_S
+            ) + random.uniform(0, 0.05)
+        if pause_s > 0:
+            if pause_s > _OTHERS_FIRST_S + 0.1:
+                self._states.info("nobody leads; this node lets others stand first")
+            await asyncio.sleep(min(pause_s, 1.0))
+        return pause_s <= 1.0
+
+    def _candidacy(
+        self, stamp: Revision, again: int, last: wire.KeyValue | None, lease: LeaseId
+    ) -> _Candidacy:
+        """Make the transaction that elects this node for the term after `last`."""
         term = FencingToken((last.value if last is not None else 0) + 1)
         value = {
             "host": self._host,
@@ -308,37 +379,26 @@
             wire.guard(exclusion_key(self._host), ABSENT),
         ]
         changes = [wire.put(LEADER_KEY, value, lease), wire.put(TERM_KEY, term)]
-        # A key that this host's former process left is no other leader's, and a service without a
-        # term has had no leader who could hold a promise.
-        bound = stamp == ABSENT and last is not None
-        # Looked at last of all: a promise may have been given while the rest was awaited.
-        if bound and (
-            not await self._free_of_former_promises() or monotonic_now() < self._promised_until
-        ):
-            self._states.info("nobody leads; this node may be bound by a promise not to stand")
-            await asyncio.sleep(0.05)
-            return
-        self._states.info(f"nobody leads; this node stands for term {term}")
-        self._standing = term
+        return _Candidacy(term, guards, changes)
+
+    async def _commit(self, candidacy: _Candidacy) -> Revision | None:
+        """Return the revision at which this node was elected, None if it was not."""
+        self._states.info(f"nobody leads; this node stands for term {candidacy.term}")
+        self._standing = candidacy.term
         try:
-            result = await self._client.commit(guards, changes)
-            revision = result.revision if isinstance(result, Committed) else None
+            result = await self._client.commit(candidacy.guards, candidacy.changes)
             self._standing = None
             if isinstance(result, GuardsFailed) and exclusion_key(self._host) in result.keys:
                 await self._readmit_itself()
         except (TransactionRejectedError, StateUnavailableError):
-            revision = self._standing = None
+            self._standing = None
+            return None
         except OutcomeUnknownError:
-            revision = await self._read_back(term)
-        if revision is None:
-            with contextlib.suppress(StateError):
-                await self._client.end_lease(lease)
-            return
-        now = monotonic_now()
-        self._won(Leadership(term, revision, lease, now, _validity(sent), renewed_at=sent))
+            return await self._read_back(candidacy.term)
+        return result.revision if isinstance(result, Committed) else None
 
     async def _readmit_itself(self) -> None:
-        """This host was excluded while it was silent, and may be the only one that is left.
+        """Readmit this host, excluded while it was silent, if it may be the only one left.
 
         A leader that excludes it may go on without its promise until `READMISSION_S` after its
         lease has ended. Only an election changes the term's key: as it is the one that was read
@@ -349,14 +409,14 @@
         stamp = Revision(term.version) if term is not None else ABSENT
         now = monotonic_now()
         if leader is not None:
-            self._alone = None
-        elif self._alone is None or self._alone[0] != stamp:
+            self._leaderless = None
+        elif self._leaderless is None or self._leaderless.stamp != stamp:
             log.info("this host may not stand: it was silent")
-            self._alone = (stamp, now)
-        elif now - self._alone[1] >= READMISSION_S * CLOCK_DRIFT:
+            self._leaderless = _Leaderless(stamp, now)
+        elif now - self._leaderless.since >= READMISSION_S * CLOCK_DRIFT:
             entry = await self._client.get(exclusion_key(self._host))
             if entry is not None:
-                log.info("this host has seen nobody lead for %.0f s", now - self._alone[1])
+                log.info("this host has seen nobody lead for %.0f s", now - self._leaderless.since)
                 guards = [
                     wire.guard(LEADER_KEY, ABSENT),
                     wire.guard(TERM_KEY, stamp),
@@ -376,7 +436,7 @@
         return monotonic_now() >= self._restarted_until
 
     async def _read_back(self, term: FencingToken) -> Revision | None:
-        """After an election without an answer: whether it took place."""
+        """Return the revision of an election without an answer, None if it did not take place."""
         entry = await self._client.get(LEADER_KEY)
         if (
             entry is not None
@@ -387,6 +447,7 @@
         return None
 
     def _won(self, mine: Leadership) -> None:
+        """Begin a term."""
         log.info("term %d: elected, its key is at revision %d", mine.term, mine.stamp)
         self._states.forget()
         self.mine = mine
