--- a/tealrill/leadership/exclusion.py
+++ b/tealrill/leadership/exclusion.py
@@ -89,10 +89,11 @@
         return host in self._certain
 
     def hold_until(self, until: Monotonic) -> None:
-        """The term is prolonged until then by what `is_excluded` said: nobody is let in before."""
+        """Readmit nobody before `until`: the term is extended until then by `is_excluded`."""
         self._relied_until = Monotonic(max(self._relied_until, until))
 
     async def run(self) -> None:
+        """Exclude members that are silent and readmit those that answer, for ever."""
         while True:
             try:
                 await self.turn()
@@ -101,14 +102,14 @@
             await asyncio.sleep(_LOOK_EVERY_S)
 
     async def turn(self) -> None:
-        """One look, and before some of them a reading of all records."""
+        """Probe once, and read all records before some of the probes."""
         if self._looks % _READ_EVERY == 0:
             await self._read()
         await self.look()
         self._looks += 1
 
     def close(self) -> None:
-        """The term is over."""
+        """Close the connections to other members; the term is over."""
         for peer in self._peers.values():
             peer.close()
 
@@ -126,7 +127,7 @@
         self._read_before = True
 
     async def look(self) -> None:
-        """One question to every other member, and what follows from the answers."""
+        """Ask every other member once, and exclude or readmit by the answers."""
         asked = [self._answers(peer) for peer in self._peers.values()]
         for host, answers in zip(self._peers, await asyncio.gather(*asked), strict=True):
             now = self._now()
@@ -154,14 +155,14 @@
         await self._change(host, wire.delete(exclusion_key(host)))
 
     async def _exclude(self, host: str) -> None:
-        """Written anew if it is there: a removal under way names its former version."""
+        """Write the record, anew if it is there: a removal in flight names its former version."""
         log.info("term %d: %s is silent and may not stand", self._term, host)
         record = wire.plain(ExclusionRecord(self._term))
         if await self._change(host, wire.put(exclusion_key(host), record)):
             self._certain.add(host)
 
     async def _change(self, host: str, change: dict[str, Any]) -> bool:
-        """True if it certainly was made; otherwise the record is read."""
+        """Return whether the change certainly was made; otherwise the record is read."""
         guards = {exclusion_key(host): self._records.get(host, ABSENT)}
         try:
             result = await self._fence.commit(guards, [change])
