--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -22,7 +22,7 @@
 from tealrill.fleet.machine import Machine
 from tealrill.fleet.provisioning import Provisioner
 from tealrill.fleet.reconciliation import Reconciler
-from tealrill.leader.leader import pass_gap_s
+from tealrill.leader.loops import pass_gap_s
 from tealrill.scheduler.estimates import Estimates
 from tealrill.scheduler.model import MachineView, View
 from tealrill.scheduler.plan import _Pass
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -19,7 +19,7 @@
 from tealrill.fleet.leases import Leases
 from tealrill.fleet.machine import Machine
 from tealrill.fleet.snapshot import SnapshotBuilder
-from tealrill.leader.leader import Leader
+from tealrill.leader.job_lifecycle import JobLifecycle
 from tealrill.simulation.__main__ import main
 from tealrill.simulation.cluster import SimulatedCluster
 from tealrill.simulation.process import Shape
@@ -65,7 +65,7 @@
 
 def _deaf_to_users(patch: pytest.MonkeyPatch) -> None:
     """The leader never hears of a cancellation."""
-    patch.setattr(Leader, "job_cancelled", lambda *_: None)
+    patch.setattr(JobLifecycle, "on_cancelled", lambda *_: None)
 
 
 def _boundless(patch: pytest.MonkeyPatch) -> None:
