--- a/tealrill/state/client.py
+++ b/tealrill/state/client.py
@@ -21,7 +21,7 @@
 from tealrill.types import LeaseId, Revision, monotonic_now
 
 _PAGE = 500
-_MOST_POLL_WAIT_S = 1.0
+_MAX_POLL_WAIT_S = 1.0
 """A poll whose turn would come later is refused at once: its user asks again, here or elsewhere."""
 _FAILURES = 3
 _AWAY_S = 0.6
@@ -54,6 +54,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Committed:
+    """The transaction was executed, in this revision."""
+
     revision: Revision
 
 
@@ -89,7 +91,7 @@
         to more than the rate; where that shows, the state service answers 429."""
 
     def set_leading(self, leads: bool) -> None:
-        """The leader keeps the book, so it has the larger share."""
+        """Set the shares of the limits; the leader has the larger one, for the records."""
         self._leads = leads
         self.requests.set_rate(self._share() * self._limits.rps)
         share = _LEADER_WRITES if leads else self._share()
@@ -100,16 +102,17 @@
             return 0.95
         return _LEADER_SHARE if self._leads else 0.35 / (self._nodes - 1)
 
-    async def _take(self, rank: RequestPriority) -> None:
-        """A turn; raises `RateLimitedError` at once for a poll whose turn would come too late."""
-        if rank is RequestPriority.USERS and self.requests.wait_s(rank) > _MOST_POLL_WAIT_S:
+    async def _acquire(self, rank: RequestPriority) -> None:
+        """Wait for a request; `RateLimitedError` at once for a poll that would wait too long."""
+        if rank is RequestPriority.USERS and self.requests.wait_s(rank) > _MAX_POLL_WAIT_S:
             raise RateLimitedError("more polls than there are requests for")
         await self.requests.take(rank=rank)
 
     async def get(
         self, key: str, rank: RequestPriority = RequestPriority.FIRST
     ) -> wire.KeyValue | None:
-        await self._take(rank)
+        """Read a key; None if it does not exist."""
+        await self._acquire(rank)
         answer = await self._send("GET", "/kv/" + quote(key, safe="/"))
         if answer.status == 404:
             return None
@@ -122,8 +125,8 @@
         most: int,
         rank: RequestPriority = RequestPriority.FIRST,
     ) -> wire.Entries:
-        """Up to `most` keys under a prefix, those behind `after` only."""
-        await self._take(rank)
+        """Read up to `most` keys under a prefix, those behind `after` only."""
+        await self._acquire(rank)
         query: dict[str, Any] = {"under": prefix, "most": most}
         if after is not None:
             query["from"] = after
@@ -136,7 +139,7 @@
     async def scan(
         self, prefix: str, rank: RequestPriority = RequestPriority.FIRST
     ) -> tuple[list[wire.Entry], Revision]:
-        """All keys under a prefix, and the revision from which a watch misses nothing.
+        """Read all keys under a prefix, and the revision from which a watch misses nothing.
 
         The pages are read one after the other; the first page's revision is the one returned.
         """
@@ -161,7 +164,7 @@
         paid: bool = False,
         timeout_s: float = 2.0,
     ) -> Committed | GuardsFailed:
-        """One transaction. With `paid` the caller has already taken its share of the changes."""
+        """Commit a transaction. With `paid` the caller has taken its share of the changes."""
         if not paid:
             await self.writes.take(len(changes))
         await self.requests.take()
@@ -172,12 +175,13 @@
         return Committed(Revision(self._read(answer, wire.RevisionOnly).revision))
 
     async def create_lease(self, ttl_s: float) -> LeaseId:
+        """Create a lease that lasts `ttl_s` seconds unless it is extended."""
         await self.requests.take()
         answer = await self._send("POST", "/holds", wire.encode(wire.lease_request(ttl_s)), 1.0)
         return LeaseId(self._read(answer, wire.Lease).lease)
 
     async def extend_lease(self, lease: LeaseId, timeout_s: float) -> bool:
-        """False when the lease has ended."""
+        """Extend a lease; return False when it has ended."""
         await self.requests.take()
         answer = await self._send("POST", f"/holds/{lease}/extend", None, timeout_s)
         if answer.status == 404:
@@ -186,14 +190,17 @@
         return True
 
     async def end_lease(self, lease: LeaseId) -> None:
-        """Returns once it has certainly ended."""
+        """End a lease; return once it has certainly ended."""
         await self.requests.take()
         answer = await self._send("DELETE", f"/holds/{lease}", None, 1.0)
         if answer.status != 404:
             self._check(answer)
 
     async def watch(self, prefix: str, since: Revision, hold_s: float) -> wire.WatchResult | None:
-        """Changes after `since`; None when that is too old. A silent connection is given up."""
+        """Wait up to `hold_s` seconds for changes after `since`; None when that is too old.
+
+        A silent connection is given up.
+        """
         await self.requests.take()
         query = urlencode(
             {"under": prefix, "from": since, "holdMs": round(hold_s * 1000)}, safe="/"
@@ -208,13 +215,15 @@
 
     @property
     def away(self) -> bool:
-        """Several exchanges in a row have just failed; the election's own tries go on and say when
-        that is over."""
+        """Whether several exchanges in a row have just failed.
+
+        The election's own tries go on, and show when that is over.
+        """
         return self._failures >= _FAILURES and monotonic_now() - self._failed_at < _AWAY_S
 
     @property
     def failing(self) -> bool:
-        """The last exchange brought no answer, or 503."""
+        """Whether the last exchange brought no answer, or 503."""
         return self._failures > 0
 
     def _exchanged(self, failed: bool) -> None:
@@ -230,13 +239,13 @@
     ) -> Answer:
         try:
             answer = await self._http.request(method, path, body, timeout_s)
-            self._exchanged(answer.status == 503)
-            return answer
         except NoAnswerError as error:
             self._exchanged(True)
             if error.sent:
-                raise OutcomeUnknownError(str(error)) from None
-            raise StateUnavailableError(str(error)) from None
+                raise OutcomeUnknownError(str(error)) from error
+            raise StateUnavailableError(str(error)) from error
+        self._exchanged(answer.status == 503)
+        return answer
 
     @staticmethod
     def _check(answer: Answer, ok: int = 200) -> None:
@@ -254,4 +263,4 @@
         try:
             return wire.decode(answer.body, kind)
         except wire.MalformedMessageError as error:
-            raise OutcomeUnknownError(str(error)) from None
+            raise OutcomeUnknownError(str(error)) from error
--- a/tealrill/state/fencing.py
+++ b/tealrill/state/fencing.py
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True)
 class Leadership:
-    """One term of this node."""
+    """One term of this node as the leader."""
 
     term: FencingToken
     stamp: Revision
@@ -43,6 +43,7 @@
     """When its last successful renewal was sent: the lease stood for `TTL_S` from then."""
 
     def valid(self, now: Monotonic) -> bool:
+        """Return whether this node may act as the leader at that moment."""
         return now < self.valid_until
 
 
@@ -58,13 +59,13 @@
         self.token = token
 
     def guards(self, others: dict[str, Revision]) -> dict[str, Revision]:
-        """The guards of a transaction: the keys that it depends on, and the holder's right."""
+        """Return a transaction's guards: the keys that it depends on, and the holder's right."""
         return {LEADER_KEY: self.token, **others}
 
     async def commit(
         self, guards: dict[str, Revision], changes: list[dict[str, Any]], paid: bool = False
     ) -> Committed | GuardsFailed:
-        """One transaction of the holder; raises what `StateClient.commit` raises."""
+        """Commit a transaction of the holder; raises what `StateClient.commit` raises."""
         full = [wire.guard(key, stamp) for key, stamp in self.guards(guards).items()]
         return await self._client.commit(full, changes, paid=paid)
 
@@ -84,15 +85,19 @@
     """What was done under it last, for operators."""
 
     def check(self) -> None:
-        """Raises `NotHolderError`. To be asked after every wait, right before something leaves."""
+        """Raise `NotHolderError` unless the holder may act at this moment.
+
+        To be asked after every wait, right before something leaves.
+        """
         if not self.valid():
             raise NotHolderError(f"{self.name}: epoch {self.epoch} is over, or may be")
 
     def did(self, what: str) -> None:
+        """Note what was done under the duty last."""
         self.last = what
 
     def describe(self, now: Monotonic, open_count: int) -> dict[str, Any]:
-        """For operators: epoch, since when in seconds, what is open and what was done last."""
+        """Return for operators: epoch, time held in seconds, what is open and was done last."""
         return {
             "epoch": self.epoch,
             "held_s": round(now - self.since, 1),
--- a/tealrill/wire.py
+++ b/tealrill/wire.py
@@ -1,6 +1,6 @@
 """Every name that goes over a wire, and the structs that the rest of the program works with.
 
-The protocol has words of its own (a session is a `shift`, a token a `baton`); they stop here.
+The protocol has words of its own (an incarnation is a `shift`, a token a `baton`); they stop here.
 Messages are read by orjson and checked by msgspec; unknown fields are ignored.
 """
 
@@ -117,18 +117,22 @@
 
     @property
     def rank(self) -> int:
+        """Urgency class; a higher one goes first."""
         return RANKS[self.priority]
 
     @property
     def saves(self) -> bool:
+        """Whether its tasks save progress that a later attempt goes on from."""
         return self.checkpoint_s > 0
 
     @property
     def is_gang(self) -> bool:
+        """Whether its tasks run all at once or not at all."""
         return self.kind == GANG
 
     @property
     def is_service(self) -> bool:
+        """Whether its tasks run until the job is cancelled."""
         return self.kind == SERVICE
 
 
@@ -144,7 +148,7 @@
         "saved": "stored",
     },
 ):
-    """One task in a worker's report."""
+    """One task in a worker's heartbeat."""
 
     task: str
     attempt: Count
@@ -198,7 +202,7 @@
         "zones": "halls",
     },
 ):
-    """One line of the cloud's catalogue."""
+    """A machine type of the cloud's catalogue."""
 
     name: Name
     cpus: Amount
@@ -213,6 +217,8 @@
 
 
 class Catalogue(msgspec.Struct, frozen=True, kw_only=True, rename={"types": "builds"}):
+    """The machine types that the cloud lets out."""
+
     types: list[MachineType]
 
 
@@ -222,7 +228,7 @@
     kw_only=True,
     rename={"type": "build", "zone": "hall", "spot": "loaners", "state": "status", "age_s": "ageS"},
 ):
-    """One line of the cloud's machine list."""
+    """A machine of the cloud's machine list."""
 
     id: Name
     addr: str = ""
@@ -236,11 +242,15 @@
 class MachineList(
     msgspec.Struct, frozen=True, kw_only=True, rename={"machines": "kilns", "more": "truncated"}
 ):
+    """The cloud's machines, or a page of them; `more` says that some are missing."""
+
     machines: list[ListedMachine]
     more: bool = False
 
 
 class Rented(msgspec.Struct, frozen=True, kw_only=True, rename={"machines": "kilns"}):
+    """The names of the machines that a rent request brought."""
+
     machines: list[Name]
 
 
@@ -258,6 +268,8 @@
     kw_only=True,
     rename={"items": "entries", "more": "truncated", "revision": "epoch"},
 ):
+    """A page of keys with their values, as of a revision; `more` says that others follow."""
+
     items: list[Entry]
     more: bool = False
     revision: int
@@ -266,27 +278,37 @@
 class KeyValue(
     msgspec.Struct, frozen=True, kw_only=True, rename={"version": "stamp", "lease": "hold"}
 ):
+    """The value of one key, the version that set it, and the lease it ends with."""
+
     value: Any
     version: int
     lease: int | None = None
 
 
 class RevisionOnly(msgspec.Struct, frozen=True, kw_only=True, rename={"revision": "epoch"}):
+    """The revision that a committed transaction made."""
+
     revision: int
 
 
 class Conflict(msgspec.Struct, frozen=True, kw_only=True, rename={"revision": "epoch"}):
+    """The keys whose guards did not hold; nothing was changed."""
+
     failed: list[str]
     revision: int = 0
 
 
 class Lease(msgspec.Struct, frozen=True, kw_only=True, rename={"lease": "hold"}):
+    """The id of a lease."""
+
     lease: int
 
 
 class WatchEvent(
     msgspec.Struct, frozen=True, kw_only=True, rename={"put": "set", "version": "stamp"}
 ):
+    """A change of one key: a value that was put, or a deletion."""
+
     put: str | None = None
     delete: str | None = None
     value: Any = None
@@ -296,77 +318,91 @@
 class WatchResult(
     msgspec.Struct, frozen=True, kw_only=True, rename={"revision": "epoch", "events": "log"}
 ):
+    """The changes that a watch saw, up to a revision."""
+
     revision: int
     events: list[WatchEvent]
 
 
 def decode(body: bytes, kind: type[T]) -> T:
-    """Reads one message; `MalformedMessageError` names the field that is wrong."""
+    """Read a message; raises `MalformedMessageError`, which names the field that is wrong."""
     try:
         return msgspec.convert(orjson.loads(body), kind)
     except msgspec.ValidationError as error:
-        raise MalformedMessageError(str(error)) from None
+        raise MalformedMessageError(str(error)) from error
     except orjson.JSONDecodeError as error:
-        raise MalformedMessageError(f"not JSON: {error}") from None
+        raise MalformedMessageError(f"not JSON: {error}") from error
 
 
 def encode(message: Any) -> bytes:
-    """JSON of plain values or of a struct (by its wire names)."""
+    """Return the JSON of plain values, or of a struct by its wire names."""
     if isinstance(message, msgspec.Struct):
         message = msgspec.to_builtins(message)
     return orjson.dumps(message)
 
 
 def plain(message: msgspec.Struct) -> Any:
-    """The struct as plain values, by its wire names."""
+    """Return the struct as plain values, by its wire names."""
     return msgspec.to_builtins(message)
 
 
 def job_status(job_id: str, status: str, done: int = 0, running: int = 0) -> dict[str, Any]:
+    """Return the body that shows a job, with the numbers of its done and running tasks."""
     return {"id": job_id, "status": status, "done": done, "running": running}
 
 
 def accepted(job_id: str, status: str) -> dict[str, Any]:
+    """Return the body that answers a submission or a cancellation."""
     return {"id": job_id, "status": status}
 
 
 def start(task: str, attempt: int) -> dict[str, Any]:
+    """Return the command to start an attempt of a task."""
     return {"verb": START, "piece": task, "try": attempt}
 
 
 def stop(task: str, attempt: int, grace_s: float) -> dict[str, Any]:
+    """Return the command to stop an attempt, which may save for `grace_s` seconds."""
     return {"verb": STOP, "piece": task, "try": attempt, "windupS": grace_s}
 
 
 def forget(task: str, attempt: int) -> dict[str, Any]:
+    """Return the command to drop what a worker keeps of an ended attempt."""
     return {"verb": FORGET, "piece": task, "try": attempt}
 
 
 def report_answer(token: int, commands: list[dict[str, Any]]) -> dict[str, Any]:
+    """Return the response to a heartbeat: the fencing token and commands."""
     return {"baton": token, "orders": commands}
 
 
 def direct_commands(token: int, incarnation: int, commands: list[dict[str, Any]]) -> dict[str, Any]:
+    """Return the body of commands sent to a worker between its heartbeats."""
     return {"baton": token, "shift": incarnation, "orders": commands}
 
 
 def redirect(leader: str | None) -> dict[str, Any]:
+    """Return the body that names the leader's address, as far as it is known."""
     return {"foreman": leader} if leader is not None else {}
 
 
 def rent_request(name: str, type_name: str, zone: str, spot: bool, count: int) -> dict[str, Any]:
+    """Return the request for `count` machines; a repetition has the same name."""
     return {"hire": name, "build": type_name, "hall": zone, "loaners": spot, "howMany": count}
 
 
 def release_request(machines: list[str]) -> dict[str, Any]:
+    """Return the request to give machines back."""
     return {"kilns": machines}
 
 
 def guard(key: str, version: int) -> dict[str, Any]:
+    """Return the condition that a key stands in this version; 0 requires its absence."""
     return {"path": key, "stamp": version}
 
 
 def put(key: str, value: Any, lease: int | None = None) -> dict[str, Any]:
+    """Return the change that sets a key, which ends with the lease if one is given."""
     change = {"set": key, "value": value}
     if lease is not None:
         change["hold"] = lease
@@ -374,12 +410,15 @@
 
 
 def delete(key: str) -> dict[str, Any]:
+    """Return the change that deletes a key."""
     return {"delete": key}
 
 
 def transaction(guards: list[dict[str, Any]], changes: list[dict[str, Any]]) -> dict[str, Any]:
+    """Return the body of a transaction."""
     return {"guards": guards, "apply": changes}
 
 
 def lease_request(ttl_s: float) -> dict[str, Any]:
+    """Return the request for a lease of `ttl_s` seconds."""
     return {"ttlMs": round(ttl_s * 1000)}
