--- a/tests/test_keeper.py
+++ b/tests/test_write_batcher.py
@@ -10,7 +10,7 @@
 import pytest
 
 from tealrill import wire
-from tealrill.state import write_batcher as keeper_module
+from tealrill.state import write_batcher as batcher_module
 from tealrill.state.bindings import Job
 from tealrill.state.client import StateClient
 from tealrill.state.fencing import Leadership
@@ -117,7 +117,7 @@
         return "run/wk-1/00000" in term.store.keys
 
     assert left_over()
-    monkeypatch.setattr(keeper_module, "_LEFTOVERS", 0)
+    monkeypatch.setattr(batcher_module, "_LEFTOVERS", 0)
     assert not left_over()
 
 
