--- a/tealrill/simulation/clock.py
+++ b/tealrill/simulation/clock.py
@@ -19,15 +19,17 @@
 from tealrill import types
 
 STEADY_AT = 1_000.0
+"""The monotonic clock at the beginning, in seconds."""
 _WALL_AT = 1_700_000_000.0
 
 
 class _Selector(selectors.SelectSelector):
-    """Where the loop would wait, time goes on instead."""
+    """Advances simulated time where the loop would wait."""
 
     loop: Loop
 
     def select(self, timeout: float | None = None) -> list[Any]:
+        """Return the files that are ready, or advance the time by `timeout` seconds."""
         found = super().select(0)
         if not found:
             if timeout is None:
@@ -37,7 +39,7 @@
 
 
 class NumberedTask(asyncio.Task[Any]):
-    """A task whose hash is its number in the day.
+    """A task whose hash is its number within the day.
 
     Task groups cancel their tasks in the order of a set. With hashes made from memory addresses the
     same seed gave other days from run to run.
@@ -52,7 +54,7 @@
 
 
 class NumberedTimer(asyncio.TimerHandle):
-    """A timer that goes after those set before it for the same moment.
+    """A timer that fires after those set before it for the same moment.
 
     The loop's heap alone leaves open which of them goes first. That hung on cancelled timers, which
     leave the heap when garbage is collected.
@@ -68,7 +70,7 @@
 
 
 class Loop(asyncio.SelectorEventLoop):
-    """Runs what is due, then jumps to what is due next."""
+    """An event loop that runs what is due, then jumps to the moment of what is due next."""
 
     def __init__(self) -> None:
         self.passed = 0.0
@@ -80,6 +82,7 @@
         super().__init__(selector)
 
     def time(self) -> float:
+        """Return the simulated time in seconds since the loop was made."""
         return self.passed
 
     def call_at(  # type: ignore[override]  # typeshed ties the arguments to the callback
@@ -89,7 +92,7 @@
         *args: Any,
         context: contextvars.Context | None = None,
     ) -> asyncio.TimerHandle:
-        """As the loop's own, with a total order of the timers."""
+        """Set a timer, as the base class does, with a total order of the timers."""
         timer = NumberedTimer(next(self.timer_numbers), when, callback, args, self, context)
         timer._scheduled = True
         heapq.heappush(self._scheduled, timer)
@@ -103,7 +106,7 @@
 
 @contextlib.contextmanager
 def simulated(seed: int) -> Iterator[tuple[Loop, random.Random]]:
-    """A loop, and all clocks and all chance of the program under its rule."""
+    """Yield a loop and a random generator, which drive the clocks and random numbers in use."""
     loop = Loop()
     rng = random.Random(seed)
     own = random.Random(f"program/{seed}")
@@ -112,8 +115,8 @@
     )
     before = random.getstate()
     random.seed(f"module/{seed}")
-    # What a collection ends (abandoned coroutines, their timers) it would end at moments that
-    # depend on everything that the process did before.
+    # A collection closes abandoned coroutines and their timers, at moments that depend on
+    # everything that the process did before.
     collects = gc.isenabled()
     gc.disable()
     try:
--- a/tealrill/simulation/cluster.py
+++ b/tealrill/simulation/cluster.py
@@ -15,6 +15,7 @@
 from tealrill.fleet import prober
 from tealrill.http import Answer
 from tealrill.settings import Address
+from tealrill.simulation.active_faults import ActiveFaults
 from tealrill.simulation.clock import Loop, simulated
 from tealrill.simulation.cloud_service import CloudService
 from tealrill.simulation.invariants import Invariants
@@ -50,35 +51,7 @@
         self.hosts = {f"host-{n}": Host(f"host-{n}") for n in range(shape.nodes)}
         self.workers: dict[str, Worker] = {}
         self.by_address: dict[str, str] = {}
-        self.cut: set[frozenset[str]] = set()
-        """Links that are cut; "workers" stands for all machines."""
-        self.frozen: set[str] = set()
-        """Paused controllers: requests to them and answers to theirs wait."""
-        self.away: set[str] = set()
-        """Zones that are partitioned from everything outside."""
-        self.parted = False
-        """Whether the zones are partitioned from each other, but not from the services."""
-        self.inbound_partitioned: set[str] = set()
-        self.outbound_partitioned: set[str] = set()
-        """Machines that can't open connections to controllers."""
-        self.quiet: set[str] = set()
-        """Machines that must not be given work now."""
-        self.copies = 0.0
-        """Share of reports of which a copy arrives again."""
-        self.for_next = 0.0
-        """Share of reports of which a copy reaches every controller as a leader begins."""
-        self.close_looks = False
-        """Users ask at all nodes at once when they were told something new."""
-        self.at_end = 0.0
-        """Share of jobs that are cancelled in the moment of their end."""
-        self.odd = False
-        """Users send what can't be taken, and what was sent before."""
-        self.held_s = 0.0
-        """Commands and their answers are held up by up to so long."""
-        self.links_s = 0.0
-        """Each way between two machines takes up to so long."""
-        self.off_on_the_way = False
-        """Jobs are called off while the start of one of their tasks is held up."""
+        self.active_faults = ActiveFaults()
         self.descriptions: dict[str, Description] = {}
         self.results: set[str] = set()
         self.jobs: dict[str, UserJob] = {}
--- a/tealrill/simulation/faults.py
+++ b/tealrill/simulation/faults.py
@@ -1,4 +1,4 @@
-"""Troubles of a simulated day: several at a time, drawn from the day's seed."""
+"""Fault injection: faults that overlap, drawn from the seed of the day."""
 
 from __future__ import annotations
 
@@ -13,28 +13,49 @@
 Undo = Callable[[], None]
 
 FROZEN, GONE, CUT, REFUSED = LOSSES = ("frozen", "gone", "cut", "refused")
-"""How a leader is lost: it stands still, its machine is gone, nothing reaches it, or the state
-service refuses it alone."""
+"""How a leader is lost: its process is paused, its machine is gone, it is partitioned from
+everything, or the state service refuses it alone."""
 
 
 class FaultInjector:
-    """Draws meetings: one trouble after the other begins, and each lasts for a while."""
+    """Injects combinations of faults: one begins after the other, and each lasts for a while."""
 
     def __init__(self, world: SimulatedCluster) -> None:
         self.world, self.rng = world, world.rng
 
     async def run(self, for_s: float) -> None:
-        """Ends once every trouble has ended."""
+        """Inject faults for `for_s`, and return once all of them have ended."""
         until = self.world.now() + for_s
         kinds = [
-            self.refused_then_out, self.refused_then_out, self.outage, self.cut_off, self.silent,
-            self.late_writes, self.late_copies, self.inbound_partitioned, self.held, self.slow,
-            self.ends, self.ends, self.volley, self.reset_links, self.machine_dies, self.cancel_now,
-            self.cancel_now, self.cancel_at_end, self.lost_answers, self.for_next,
-            self.outbound_partitioned,
-            self.close_looks, self.odd_requests, self.up_at_once, self.zone_away, self.parted,
-            self.refused_and_called_off, self.flapping,
-        ]  # fmt: skip
+            self.refuse_leader_before_outage,
+            self.refuse_leader_before_outage,
+            self.outage,
+            self.partition_leader,
+            self.isolate_controller,
+            self.delay_transactions,
+            self.duplicate_heartbeats,
+            self.partition_machines_inbound,
+            self.delay_commands,
+            self.slow_state_service,
+            self.kill_controller,
+            self.kill_controller,
+            self.kill_all_controllers,
+            self.cut_link,
+            self.terminate_machine,
+            self.cancel_running,
+            self.cancel_running,
+            self.cancel_at_end,
+            self.lose_answers,
+            self.replay_heartbeats,
+            self.partition_machines_outbound,
+            self.poll_closely,
+            self.send_invalid_requests,
+            self.boot_at_once,
+            self.isolate_zone,
+            self.partition_zones,
+            self.cancel_while_refused,
+            self.flapping,
+        ]
         tasks: list[asyncio.Task[None]] = []
         while self.world.now() < until:
             kind = self.rng.choice(kinds)
@@ -58,8 +79,8 @@
         undo()
         self.world.note(f"{name} is over")
 
-    async def refused_then_out(self) -> None:
-        """The state service refuses the leader alone, then everybody."""
+    async def refuse_leader_before_outage(self) -> None:
+        """Let the state service refuse the leader alone, then everybody."""
         host, state = self._busiest(), self.world.state
         before = self.rng.choice([0.7, 1.5, 2.5, 5.0, 12.0])
         state.refused.add(host.name)
@@ -69,49 +90,58 @@
         state.refused.discard(host.name)
 
     async def outage(self) -> None:
+        """Begin an outage of the state service."""
         self.world.state.outage(True)
         seconds = self.rng.choice([3.0, 12.0, 30.0])
         await self._for("an outage", seconds, lambda: self.world.state.outage(False))
 
     async def _level(self, name: str, thing: object, field: str, at: float, seconds: float) -> None:
-        """What is 0 without trouble stands at a level for a while."""
+        """Set a field that is 0 or False without a fault, and reset it after a while."""
         off = False if isinstance(at, bool) else 0.0
         setattr(thing, field, at)
         await self._for(name, seconds, lambda: setattr(thing, field, off))
 
     async def _links(self, name: str, host: Host, others: list[str], seconds: float) -> None:
         pairs = [frozenset((host.name, other)) for other in others]
-        self.world.cut.update(pairs)
+        self.world.active_faults.cut_links.update(pairs)
         await self._for(
-            f"{host.name} {name}", seconds, lambda: self.world.cut.difference_update(pairs)
+            f"{host.name} {name}",
+            seconds,
+            lambda: self.world.active_faults.cut_links.difference_update(pairs),
         )
 
     def _members(self, host: Host) -> list[str]:
         return [name for name in self.world.hosts if name != host.name]
 
-    async def cut_off(self) -> None:
-        """The leader loses state service and controllers; workers and users still reach it."""
+    async def partition_leader(self) -> None:
+        """Partition the leader from state service and controllers, not from workers and users."""
         host = self._busiest()
         others = ["state", *self._members(host)]
         await self._links("is cut off", host, others, self.rng.choice([6.0, 20.0, 40.0]))
 
-    async def reset_links(self) -> None:
+    async def cut_link(self) -> None:
+        """Cut the link of a controller to one service or to the workers."""
         host = self._any()
         other = self.rng.choice(["state", "workers", "cloud"])
         await self._links("loses a link", host, [other], self.rng.choice([4.0, 15.0]))
 
-    async def silent(self) -> None:
+    async def isolate_controller(self) -> None:
+        """Partition a controller from everything but its users."""
         host = self._any()
         others = ["state", "cloud", "workers", *self._members(host)]
         await self._links("is silent", host, others, self.rng.choice([10.0, 40.0]))
 
-    async def late_writes(self) -> None:
+    async def delay_transactions(self) -> None:
+        """Carry out a share of the transactions late and without an answer."""
         share, seconds = self.rng.choice([0.1, 0.4]), self.rng.choice([10.0, 30.0])
         await self._level("late writes", self.world.state, "late", share, seconds)
 
-    async def late_copies(self) -> None:
+    async def duplicate_heartbeats(self) -> None:
+        """Deliver duplicates of heartbeats late."""
         seconds = self.rng.choice([15.0, 40.0])
-        await self._level("late copies of reports", self.world, "copies", 0.3, seconds)
+        await self._level(
+            "late copies of reports", self.world.active_faults, "duplicate_share", 0.3, seconds
+        )
 
     async def _some_are(self, name: str, which: set[str], for_s: list[float]) -> None:
         names = [n for n in self.world.workers if self.rng.random() < 0.4]
@@ -120,39 +150,48 @@
         text = f"{len(names)} machines are {name}"
         await self._for(text, seconds, lambda: which.difference_update(names))
 
-    async def inbound_partitioned(self) -> None:
-        await self._some_are("deaf", self.world.inbound_partitioned, [5.0, 12.0, 30.0])
+    async def partition_machines_inbound(self) -> None:
+        """Partition some machines from what controllers send."""
+        await self._some_are(
+            "deaf", self.world.active_faults.inbound_partitioned, [5.0, 12.0, 30.0]
+        )
 
-    async def held(self) -> None:
+    async def delay_commands(self) -> None:
+        """Delay the delivery of commands and of their answers."""
         held_s, seconds = self.rng.choice([3.0, 9.0]), self.rng.choice([10.0, 30.0])
-        await self._level("commands are held", self.world, "held_s", held_s, seconds)
+        await self._level(
+            "commands are held", self.world.active_faults, "command_delay_s", held_s, seconds
+        )
 
-    async def slow(self) -> None:
+    async def slow_state_service(self) -> None:
+        """Slow the answers of the state service."""
         slow_s, seconds = self.rng.choice([0.3, 0.8, 1.6]), self.rng.choice([8.0, 25.0])
         await self._level("the state service is slow", self.world.state, "slow_s", slow_s, seconds)
 
-    async def ends(self) -> None:
+    async def kill_controller(self) -> None:
+        """Kill a controller once or several times; it restarts."""
         host = self._busiest() if self.rng.random() < 0.6 else self._any()
         for _ in range(self.rng.choice([1, 1, 4])):
             self.world.end(host, self._back_s())
             await asyncio.sleep(self.rng.choice([0.5, 1.0, 4.0]))
 
-    async def volley(self) -> None:
-        """All controllers, again and again; some are back at once."""
+    async def kill_all_controllers(self) -> None:
+        """Kill all controllers, perhaps several times; some restart at once."""
         for _ in range(self.rng.choice([1, 3])):
             for host in self.world.hosts.values():
                 self.world.end(host, self._back_s())
             await asyncio.sleep(self.rng.choice([0.7, 2.0]))
 
-    async def machine_dies(self) -> None:
+    async def terminate_machine(self) -> None:
+        """Terminate a machine."""
         alive = self.world.cloud.alive()
         if alive:
             machine = self.rng.choice(alive)
             self.world.note(f"{machine.id} dies")
             self.world.cloud.take(machine)
 
-    async def cancel_now(self, hang_s: float | None = None) -> None:
-        """Jobs that run are called off; their machines hang for less, or for more, than a lease."""
+    async def cancel_running(self, hang_s: float | None = None) -> None:
+        """Cancel jobs that run and pause their machines, for less or for more than a lease."""
         shape = self.world.shape
         if hang_s is None:
             hang_s = self.rng.choice([0.0, 0.0, 0.5 * shape.lease_s, 0.95 * shape.lease_s])
@@ -162,13 +201,13 @@
         await self.world.users.cancel_now(count, hang_s)
         await asyncio.sleep(hang_s)
 
-    async def refused_and_called_off(self) -> None:
-        """Called off in the moment of the refusal, a second before an outage beyond `cancel_s`."""
+    async def cancel_while_refused(self) -> None:
+        """Cancel jobs as the leader is refused, a second before an outage beyond `cancel_s`."""
         host, state = self._busiest(), self.world.state
         state.refused.add(host.name)
         self.world.note(f"{host.name} is refused")
         await asyncio.sleep(self.rng.choice([0.0, 0.1, 0.6]))
-        await self.cancel_now(0.0)
+        await self.cancel_running(0.0)
         await asyncio.sleep(1.0)
         state.outage(True)
         seconds = self.world.shape.cancel_s + self.rng.choice([3.0, 15.0])
@@ -176,7 +215,7 @@
         state.refused.discard(host.name)
 
     async def flapping(self, way: str = "", for_s: float = 0.0) -> None:
-        """The state service goes away again and again, and the leader is lost meanwhile.
+        """Let the state service fail again and again, and lose the leader meanwhile.
 
         `way` is how it is lost: one of `LOSSES`, drawn if empty; `for_s` is how long both last.
         """
@@ -193,7 +232,7 @@
         await asyncio.gather(loss, cancellations)
 
     async def _flap(self, down_s: float) -> None:
-        """One outage; right before and after it answers are lost, and writes are late."""
+        """Begin one short outage; right before and after it answers are lost, writes are late."""
         state = self.world.state
         state.lost, state.late = 0.3, 0.1
         await asyncio.sleep(0.1)
@@ -211,56 +250,80 @@
             everybody = ["workers", "state", *self._members(host)]
             await self._links(f"is lost ({way})", host, everybody, for_s)
         else:
-            which = self.world.frozen if way == FROZEN else self.world.state.refused
+            which = self.world.active_faults.paused if way == FROZEN else self.world.state.refused
             which.add(host.name)
             await self._for(f"{host.name} is {way}", for_s, lambda: which.discard(host.name))
 
     async def _cancellations(self, for_s: float) -> None:
-        """Users call off what runs: right at the beginning, and some more in the first half."""
+        """Cancel jobs that run: at the beginning, and some more in the first half."""
         for pause_s in (0.2, 1.0, *(self.rng.uniform(0.1, 0.25) * for_s for _ in range(2))):
             await asyncio.sleep(pause_s)
             self.world.note("jobs are called off")
             await self.world.users.cancel_now(self.rng.choice([2, 4]))
 
     async def cancel_at_end(self) -> None:
+        """Cancel jobs at the moment of their end."""
         seconds = self.rng.choice([10.0, 40.0])
-        await self._level("jobs are called off at their ends", self.world, "at_end", 0.7, seconds)
+        await self._level(
+            "jobs are called off at their ends",
+            self.world.active_faults,
+            "cancel_at_end_share",
+            0.7,
+            seconds,
+        )
 
-    async def lost_answers(self) -> None:
+    async def lose_answers(self) -> None:
+        """Lose answers of the state service to changes that it carries out."""
         share, seconds = self.rng.choice([0.2, 0.6]), self.rng.choice([5.0, 20.0])
         await self._level("answers are lost", self.world.state, "lost", share, seconds)
 
-    async def for_next(self) -> None:
+    async def replay_heartbeats(self) -> None:
+        """Replay heartbeats to all controllers at the next election."""
         seconds = self.rng.choice([15.0, 40.0])
-        await self._level("reports are kept", self.world, "for_next", 0.3, seconds)
+        await self._level(
+            "reports are kept", self.world.active_faults, "replay_share", 0.3, seconds
+        )
 
-    async def outbound_partitioned(self) -> None:
-        await self._some_are("mute", self.world.outbound_partitioned, [3.0, 10.0, 25.0])
+    async def partition_machines_outbound(self) -> None:
+        """Keep some machines from opening connections to controllers."""
+        await self._some_are(
+            "mute", self.world.active_faults.outbound_partitioned, [3.0, 10.0, 25.0]
+        )
 
-    async def close_looks(self) -> None:
-        await self._level("close looks", self.world, "close_looks", True, 40.0)
+    async def poll_closely(self) -> None:
+        """Let users poll all controllers at once."""
+        await self._level("close looks", self.world.active_faults, "close_polling", True, 40.0)
 
-    async def odd_requests(self) -> None:
-        await self._level("odd requests", self.world, "odd", True, 30.0)
+    async def send_invalid_requests(self) -> None:
+        """Let users send invalid and repeated requests."""
+        await self._level("odd requests", self.world.active_faults, "invalid_requests", True, 30.0)
 
-    async def up_at_once(self) -> None:
-        """Machines die, and new ones work before their rental is answered."""
+    async def boot_at_once(self) -> None:
+        """Terminate machines, whose replacements are up before their rental is answered."""
         cloud = self.world.cloud
         cloud.at_once, cloud.answers_s = True, self.rng.choice([0.0, 1.5])
         for _ in range(3):
-            await self.machine_dies()
+            await self.terminate_machine()
 
         def undo() -> None:
             cloud.at_once, cloud.answers_s = False, 0.0
 
         await self._for("machines are up at once", 30.0, undo)
 
-    async def zone_away(self) -> None:
+    async def isolate_zone(self) -> None:
+        """Partition a zone from everything outside."""
         zone = self.rng.choice(["north", "south"])
-        self.world.away.add(zone)
+        self.world.active_faults.isolated_zones.add(zone)
         seconds = self.world.shape.lease_s * self.rng.choice([0.5, 1.2, 2.5])
-        await self._for(f"{zone} is cut off", seconds, lambda: self.world.away.discard(zone))
+        await self._for(
+            f"{zone} is cut off",
+            seconds,
+            lambda: self.world.active_faults.isolated_zones.discard(zone),
+        )
 
-    async def parted(self) -> None:
+    async def partition_zones(self) -> None:
+        """Partition the zones from each other, but not from the services."""
         seconds = self.world.shape.lease_s * self.rng.choice([0.5, 1.2, 2.5])
-        await self._level("the zones are parted", self.world, "parted", True, seconds)
+        await self._level(
+            "the zones are parted", self.world.active_faults, "zones_partitioned", True, seconds
+        )
--- a/tealrill/simulation/graph_users.py
+++ b/tealrill/simulation/graph_users.py
@@ -44,7 +44,7 @@
 
 async def _submit(world: SimulatedCluster, body: bytes) -> None:
     host = world.rng.choice(list(world.hosts.values()))
-    if host.node is None or host.name in world.frozen:
+    if host.node is None or host.name in world.active_faults.paused:
         return
     for subsystem in host.node.subsystems:
         if isinstance(subsystem.names, GraphAdmission):
--- a/tealrill/simulation/invariants.py
+++ b/tealrill/simulation/invariants.py
@@ -43,7 +43,7 @@
         most = (job.body["pieces"] + 1) // 2 if job.body["scatter"] else len(zones)
         if (job.body["samePlace"] and len(set(zones)) > 1) or zones.count(own.zone) > most:
             self.world.breach("wrong_place", f"{name} in {own.zone}, beside {zones}")
-        if own.id in self.world.quiet:
+        if own.id in self.world.active_faults.must_stay_idle:
             self.world.breach("given_work", f"{name} on {own.id}")
         if (
             job.cancelled_at is not None
--- a/tealrill/simulation/network.py
+++ b/tealrill/simulation/network.py
@@ -52,24 +52,26 @@
 
     def partitioned(self, one: str, other: str) -> bool:
         """Return whether the link between two endpoints is cut."""
-        if self.world.away or self.world.parted:
+        if self.world.active_faults.isolated_zones or self.world.active_faults.zones_partitioned:
             zones = self._zone_of(one), self._zone_of(other)
             if zones[0] != zones[1] and (
-                not self.world.away.isdisjoint(zones) or (self.world.parted and None not in zones)
+                not self.world.active_faults.isolated_zones.isdisjoint(zones)
+                or (self.world.active_faults.zones_partitioned and None not in zones)
             ):
                 return True
         pair = frozenset("workers" if name.startswith("m-") else name for name in (one, other))
-        return pair in self.world.cut
+        return pair in self.world.active_faults.cut_links
 
     async def wait_until_resumed(self, name: str) -> None:
         """Return once that controller's process is not paused."""
-        while name in self.world.frozen:
+        while name in self.world.active_faults.paused:
             await asyncio.sleep(0.05)
 
     async def delay(self) -> None:
         """Wait for the latency of one way."""
         await asyncio.sleep(
-            self.world.rng.uniform(0.0003, 0.002) + self.world.rng.uniform(0.0, self.world.links_s)
+            self.world.rng.uniform(0.0003, 0.002)
+            + self.world.rng.uniform(0.0, self.world.active_faults.link_delay_s)
         )
 
     async def call(
@@ -96,7 +98,7 @@
         await self.delay()
         host = self.world.hosts.get(place)
         if self.partitioned(source, place) or (
-            place in self.world.inbound_partitioned and place.startswith("m-")
+            place in self.world.active_faults.inbound_partitioned and place.startswith("m-")
         ):
             await asyncio.sleep(timeout_s)
             raise NoAnswerError("TimeoutError", self.world.rng.random() < 0.5, silent=True)
@@ -129,11 +131,13 @@
         path: str,
         body: bytes | None,
     ) -> None:
-        held = place.startswith("m-") and self.world.held_s > 0
+        held = place.startswith("m-") and self.world.active_faults.command_delay_s > 0
         if held and self.world.rng.random() < 0.5:
-            if self.world.off_on_the_way:
+            if self.world.active_faults.cancel_in_flight:
                 self.world.users.cancel_started(body)
-            await asyncio.sleep(self.world.rng.uniform(0.0, self.world.held_s))
+            await asyncio.sleep(
+                self.world.rng.uniform(0.0, self.world.active_faults.command_delay_s)
+            )
         try:
             if place == STATE:
                 reply = await self.world.state(source, method, path, body)
@@ -147,7 +151,9 @@
         except NoReplyError:
             return
         if held and self.world.rng.random() < 0.5:
-            await asyncio.sleep(self.world.rng.uniform(0.0, self.world.held_s))
+            await asyncio.sleep(
+                self.world.rng.uniform(0.0, self.world.active_faults.command_delay_s)
+            )
         if not answered.done():
             answered.set_result(reply)
 
--- a/tealrill/simulation/users.py
+++ b/tealrill/simulation/users.py
@@ -99,7 +99,7 @@
         node = host.node
         if node is None:
             return None
-        if host.name in self.world.frozen:
+        if host.name in self.world.active_faults.paused:
             await asyncio.sleep(patience_s)
             return None
         raw = orjson.dumps(body) if body is not None else None
@@ -195,16 +195,16 @@
         job = self.world.jobs[job_of(name)]
         if not job.tasks <= self.world.results:
             return
-        if self.world.close_looks:
+        if self.world.active_faults.close_polling:
             self.world.begin(self._watch_end(job))
-        if not job.done and self.world.rng.random() < self.world.at_end:
+        if not job.done and self.world.rng.random() < self.world.active_faults.cancel_at_end_share:
             # The leader learns of the end within a heartbeat interval.
             after_s = self.world.rng.uniform(0.0, 1.6 * self.world.shape.heartbeat_interval_s)
             self.world.begin(self._cancel_until_acknowledged(job, after_s))
 
     def _poll_closely(self, job: UserJob) -> None:
         """Poll all controllers at once, also by repeated submissions."""
-        if self.world.close_looks and not job.looked_at:
+        if self.world.active_faults.close_polling and not job.looked_at:
             job.looked_at = True
             self.world.begin(self._poll_all(job))
 
@@ -272,7 +272,7 @@
         number = 0
         while True:
             await asyncio.sleep(self.world.rng.uniform(0.3, 1.0))
-            if not self.world.odd or not self.world.jobs:
+            if not self.world.active_faults.invalid_requests or not self.world.jobs:
                 continue
             number += 1
             job = self.world.rng.choice(list(self.world.jobs.values()))
--- a/tealrill/simulation/worker_fleet.py
+++ b/tealrill/simulation/worker_fleet.py
@@ -69,9 +69,9 @@
         worker.tick()
         message = worker.report()
         incarnation, sent, name = worker.incarnation, self.world.now(), order[at]
-        if self.world.rng.random() < self.world.copies:
+        if self.world.rng.random() < self.world.active_faults.duplicate_share:
             self.world.begin(self._deliver_copy(message, name))
-        if self.world.rng.random() < self.world.for_next:
+        if self.world.rng.random() < self.world.active_faults.replay_share:
             self._kept.append(message)
         reply = await self._exchange_heartbeat(worker.machine.id, message, name)
         await self._wait_until_resumed(worker)
@@ -114,13 +114,13 @@
             return None
         if (
             self.world.network.partitioned(machine, name)
-            or machine in self.world.outbound_partitioned
-            or name in self.world.frozen
+            or machine in self.world.active_faults.outbound_partitioned
+            or name in self.world.active_faults.paused
         ):
             await asyncio.sleep(_HEARTBEAT_TIMEOUT_S)
             return None
         reply = self.deliver_heartbeat(message, name)
-        if machine in self.world.inbound_partitioned or reply is None:
+        if machine in self.world.active_faults.inbound_partitioned or reply is None:
             await asyncio.sleep(_HEARTBEAT_TIMEOUT_S)
             return None
         await self.world.network.delay()
--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -53,7 +53,12 @@
 async def _looked_at_closely(world: SimulatedCluster) -> None:
     """All nodes are asked at once whenever something was told, while records move: jobs end, are
     called off and are sent anew, and nodes are refused, cut off and begin."""
-    world.close_looks, world.at_end, world.odd, world.state.slow_s = True, 0.5, True, 0.05
+    (
+        world.active_faults.close_polling,
+        world.active_faults.cancel_at_end_share,
+        world.active_faults.invalid_requests,
+        world.state.slow_s,
+    ) = True, 0.5, True, 0.05
     for number in range(8):
         await asyncio.sleep(3.0)
         await world.users.cancel_now(2)
@@ -62,21 +67,26 @@
         if number % 4 == 0:
             world.state.refused.add(host.name)
         elif number % 4 == 1:
-            world.cut.add(pair)
+            world.active_faults.cut_links.add(pair)
         elif number % 4 == 2:
             world.end(host, 0.3)
         else:
             world.state.late = 0.7
         await asyncio.sleep(2.5)
         world.state.refused.discard(host.name)
-        world.cut.discard(pair)
+        world.active_faults.cut_links.discard(pair)
         world.state.late = 0.0
-    world.close_looks, world.at_end, world.odd, world.state.slow_s = False, 0.0, False, 0.0
+    (
+        world.active_faults.close_polling,
+        world.active_faults.cancel_at_end_share,
+        world.active_faults.invalid_requests,
+        world.state.slow_s,
+    ) = False, 0.0, False, 0.0
 
 
 async def _answers_lost(world: SimulatedCluster) -> None:
     """Every second change is carried out and its writer does not know, while leaders end."""
-    world.state.lost, world.close_looks = 0.5, True
+    world.state.lost, world.active_faults.close_polling = 0.5, True
     for _ in range(4):
         await asyncio.sleep(8.0)
         _end_leader(world, 0.3)
@@ -140,11 +150,11 @@
 
 async def _kept_reports(world: SimulatedCluster) -> None:
     """Copies of old reports reach every controller as each leader begins, and some later."""
-    world.for_next, world.copies = 0.9, 0.9
+    world.active_faults.replay_share, world.active_faults.duplicate_share = 0.9, 0.9
     for _ in range(6):
         await asyncio.sleep(6.0)
         _end_leader(world, 0.5)
-    world.for_next = world.copies = 0.0
+    world.active_faults.replay_share = world.active_faults.duplicate_share = 0.0
 
 
 async def _flood(world: SimulatedCluster) -> None:
@@ -160,47 +170,55 @@
 
 async def _more_than_room(world: SimulatedCluster) -> None:
     """More work than room, urgent and not, over links that take up to half a second each way."""
-    world.links_s = 0.5
+    world.active_faults.link_delay_s = 0.5
     for _ in range(3):
         await asyncio.sleep(8.0)
         await world.users.cancel_now(2)
     _end_leader(world)
     await asyncio.sleep(8.0)
-    world.links_s = 0.0
+    world.active_faults.link_delay_s = 0.0
 
 
 async def _off_at_the_end(world: SimulatedCluster) -> None:
     """Jobs are called off, asked about and sent again in the moment of their end."""
-    world.at_end, world.close_looks, world.odd = 1.0, True, True
+    (
+        world.active_faults.cancel_at_end_share,
+        world.active_faults.close_polling,
+        world.active_faults.invalid_requests,
+    ) = 1.0, True, True
     world.state.slow_s = 0.3
     await asyncio.sleep(40.0)
-    world.at_end, world.close_looks, world.odd = 0.0, False, False
+    (
+        world.active_faults.cancel_at_end_share,
+        world.active_faults.close_polling,
+        world.active_faults.invalid_requests,
+    ) = 0.0, False, False
     world.state.slow_s = 0.0
 
 
 async def _refused_and_off(world: SimulatedCluster) -> None:
     """Called off as the leader alone is refused; a second later an outage beyond `cancel_s`."""
     await asyncio.sleep(4.0)
-    await FaultInjector(world).refused_and_called_off()
+    await FaultInjector(world).cancel_while_refused()
 
 
 async def _mute(world: SimulatedCluster) -> None:
     """Half of the machines reach no controller; what they do is called off, and leaders end."""
     names = sorted(world.workers)[::2]
-    world.outbound_partitioned.update(names)
+    world.active_faults.outbound_partitioned.update(names)
     await asyncio.sleep(2.0)
     await world.users.cancel_now(2)
     # From when the leader must have noticed; they answer direct commands all the time.
     await asyncio.sleep(4.0 * world.shape.heartbeat_interval_s)
-    world.quiet.update(names)
+    world.active_faults.must_stay_idle.update(names)
     for _ in range(5):
         await world.users.cancel_now(1)
         await asyncio.sleep(4.0)
     for _ in range(2):
         _end_leader(world)
         await asyncio.sleep(5.0)
-    world.quiet.clear()
-    world.outbound_partitioned.clear()
+    world.active_faults.must_stay_idle.clear()
+    world.active_faults.outbound_partitioned.clear()
     terminated = [name for name in names if world.cloud.machines[name].terminated]
     if terminated:
         world.breach("returned", f"{terminated} were mute for a short spell")
@@ -213,25 +231,25 @@
         await asyncio.sleep(5.0)
         for machine in world.cloud.alive()[number % 2 :: 3]:
             world.cloud.take(machine)
-        world.parted = True
+        world.active_faults.zones_partitioned = True
         missing_from_lists = [frozenset((name, "cloud")) for name in world.hosts]
-        world.cut.update(missing_from_lists)
+        world.active_faults.cut_links.update(missing_from_lists)
         _end_leader(world, 0.5)
         await asyncio.sleep(6.0)
-        world.parted = False
-        world.cut.difference_update(missing_from_lists)
+        world.active_faults.zones_partitioned = False
+        world.active_faults.cut_links.difference_update(missing_from_lists)
 
 
 async def _zones_parted(world: SimulatedCluster) -> None:
     """A zone with workers and controllers is kept apart for longer than the workers' lease."""
     await asyncio.sleep(4.0)
-    world.parted = True
+    world.active_faults.zones_partitioned = True
     await asyncio.sleep(2.5 * world.shape.lease_s)
-    world.parted = False
+    world.active_faults.zones_partitioned = False
     await asyncio.sleep(5.0)
-    world.away.add("south")
+    world.active_faults.isolated_zones.add("south")
     await asyncio.sleep(1.5 * world.shape.lease_s)
-    world.away.clear()
+    world.active_faults.isolated_zones.clear()
 
 
 async def _nobody_leads(world: SimulatedCluster) -> None:
@@ -266,19 +284,22 @@
     if host is None:
         return
     pairs = [frozenset((host.name, other)) for other in ("state", *world.hosts)]
-    world.cut.update(pairs)
+    world.active_faults.cut_links.update(pairs)
     await asyncio.sleep(5.0)
     await world.users.cancel_now(4)
     await asyncio.sleep(world.shape.cancel_s + 4.0)
-    world.cut.difference_update(pairs)
+    world.active_faults.cut_links.difference_update(pairs)
 
 
 async def _held(world: SimulatedCluster) -> None:
     """Commands and answers are held for longer than `cancel_s`; jobs are called off while a start
     of theirs is on its way."""
-    world.held_s, world.off_on_the_way = 2.0 * world.shape.cancel_s, True
+    world.active_faults.command_delay_s, world.active_faults.cancel_in_flight = (
+        2.0 * world.shape.cancel_s,
+        True,
+    )
     await asyncio.sleep(25.0)
-    world.held_s, world.off_on_the_way = 0.0, False
+    world.active_faults.command_delay_s, world.active_faults.cancel_in_flight = 0.0, False
     await asyncio.sleep(2.0 * world.shape.cancel_s)
 
 
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -168,11 +168,11 @@
 
 
 async def _odd_requests(world: SimulatedCluster) -> None:
-    world.odd = world.off_on_the_way = True
-    world.held_s = 2.0
+    world.active_faults.invalid_requests = world.active_faults.cancel_in_flight = True
+    world.active_faults.command_delay_s = 2.0
     await asyncio.sleep(20.0)
-    world.odd = world.off_on_the_way = False
-    world.held_s = 0.0
+    world.active_faults.invalid_requests = world.active_faults.cancel_in_flight = False
+    world.active_faults.command_delay_s = 0.0
 
 
 def _starts_whatever_is_bound(patch: pytest.MonkeyPatch) -> None:
