--- a/tealrill/scheduler/queue.py
+++ b/tealrill/scheduler/queue.py
@@ -151,7 +151,8 @@
     left = set(jobs)
     for deadline in range(max((len(job.latest_s) for job in jobs), default=0)):
         chosen = _feasible((j for j in left if _is_possible(j, deadline)), deadline, cpus, ahead)
-        for job in chosen:
+        # Not in the set's own order: sums of floats would differ from process to process.
+        for job in (job for job in jobs if job in chosen):
             places[job] = (number, deadline, job.latest_s[deadline])
             ahead += _work_cpu_s(job)
         left -= chosen
