--- a/tealrill/extensions.py
+++ b/tealrill/extensions.py
@@ -42,11 +42,13 @@
 
 
 class LeaderExtension(Protocol):
-    """A subsystem's part of a term. Every call but `run` returns at once."""
+    """An extension's part of a term. Every call but `run` returns at once."""
 
     def read(self, entries: Sequence[wire.Entry]) -> None:
-        """All records under `job/` that are no jobs, at the term's start and after a watch that
-        began too late. Called before the jobs are added."""
+        """Take all records under `job/` that are no jobs.
+
+        Called at the term's start and after a watch that began too late, before the jobs are added.
+        """
 
     def seen(self, key: str, value: Any, version: Revision) -> None:
         """Such a record was written; None as its value if it was removed."""
@@ -70,10 +72,10 @@
         """Tasks that will wait for machines within so many seconds."""
 
     def describe(self) -> dict[str, Any]:
-        """For operators."""
+        """Return what operators are shown."""
 
     async def run(self) -> None:
-        """The subsystem's loop; ends with the term."""
+        """Run the extension's loop; ends with the term."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/tealrill/fleet/autoscaling.py
+++ b/tealrill/fleet/autoscaling.py
@@ -287,7 +287,7 @@
             self._release(machine, "gone" if terminated else "never heard")
 
     def _release(self, machine: Machine, why: str) -> None:
-        log.info("returning machine %s: %s", machine.id, why)
+        log.info("releasing machine: machine=%s reason=%s", machine.id, why)
         machine.releasing = True
 
 
--- a/tealrill/fleet/capacity_backoff.py
+++ b/tealrill/fleet/capacity_backoff.py
@@ -34,6 +34,7 @@
         self._kinds: dict[Kind, _Refusal] = {}
 
     def refused(self, kind: Kind, now: Monotonic) -> bool:
+        """Return whether the cloud has just refused machines of this kind."""
         known = self._kinds.get(kind)
         return known is not None and now < known.until
 
--- a/tealrill/fleet/catalogue.py
+++ b/tealrill/fleet/catalogue.py
@@ -51,6 +51,7 @@
         self.known: wire.Catalogue | None = None
 
     async def run(self) -> None:
+        """Keep the catalogue known and fresh; never returns."""
         while True:
             found = await (self._first() if self.known is None else self._ask_cloud())
             self.known = found or self.known
--- a/tealrill/fleet/cloud.py
+++ b/tealrill/fleet/cloud.py
@@ -39,6 +39,7 @@
         self.budget = RateLimiter(rate * self._share(False))
 
     def set_leading(self, leads: bool) -> None:
+        """Give the leader the larger share of the cloud's request rate."""
         self.budget.set_rate(self._rate * self._share(leads))
 
     def _share(self, leads: bool) -> float:
@@ -47,6 +48,7 @@
         return 0.7 if leads else 0.2 / (self._nodes - 1)
 
     async def catalogue(self) -> wire.Catalogue:
+        """Return the machine types that the cloud offers; raises `CloudError`."""
         await self.budget.take(rank=RequestPriority.LATER)
         return self._read(await self._send("GET", "/catalog"), wire.Catalogue)
 
--- a/tealrill/fleet/connections.py
+++ b/tealrill/fleet/connections.py
@@ -43,6 +43,7 @@
 
     @property
     def most(self) -> int:
+        """The largest number of connections to workers that may be kept."""
         left = self._sockets - _OTHERS - self._machines()
         return max(_FEWEST, min(int(_SHARE * self._sockets), left))
 
@@ -54,8 +55,9 @@
     async def request(
         self, machine: MachineId, addr: str, path: str, body: bytes, timeout_s: float
     ) -> Answer:
-        """One POST to a worker; raises `http.NoAnswerError`, or `SettingsError` for a bad
-        address.
+        """Send one POST to a worker.
+
+        Raises `http.NoAnswerError`, or `SettingsError` for a malformed address.
         """
         client = self._client(machine, addr)
         self._used[machine] = self._used.get(machine, 0) + 1
@@ -114,5 +116,6 @@
             known[1].close()
 
     def close(self) -> None:
+        """Close all connections."""
         for machine in list(self._clients):
             self.drop(machine)
--- a/tealrill/fleet/heartbeats.py
+++ b/tealrill/fleet/heartbeats.py
@@ -143,7 +143,11 @@
             return False
         for b in machine.bindings.values():
             if b.direct_start_in_flight and not b.seen and self._overdue(b, now):
-                log.info("machine %s is not renewed: a start of %s is out", machine.id, b.task)
+                log.info(
+                    "lease not renewed: machine=%s, direct start unaccounted for: task=%s",
+                    machine.id,
+                    b.task,
+                )
                 return True
         return False
 
@@ -169,14 +173,16 @@
             return
         if heartbeat.incarnation > machine.incarnation:
             if answered_at is not None and now - answered_at < self._fleet.leases.silence_s:
-                log.info("machine %s lapsed though its reports were answered", machine.id)
+                log.info(
+                    "lease expired although heartbeats were acknowledged: machine=%s", machine.id
+                )
                 machine.mark_inbound_partitioned(True)
         elif (
             machine.inbound_partitioned
             and heartbeat.sequence == machine.sequence + 1
             and now - last_contact_at < self._hears_s
         ):
-            log.info("machine %s hears again", machine.id)
+            log.info("inbound partition healed: machine=%s", machine.id)
             machine.mark_inbound_partitioned(False)
             self._fleet.changed()
 
@@ -187,7 +193,7 @@
         if machine is None:
             machine = Machine(machine_id, heartbeat.type, heartbeat.zone, heartbeat.spot, now)
             self._fleet.machines[machine_id] = machine
-            log.info("machine %s reports, not known before", machine_id)
+            log.info("heartbeat of an unknown machine: machine=%s", machine_id)
         return machine
 
     @staticmethod
@@ -223,7 +229,9 @@
         machine.failed_connects, machine.accepts, machine.expired_cpus = 0, False, 0.0
         if heartbeat.notice_s is not None:
             if machine.preemption_notice_until is None:
-                log.info("machine %s has notice: %.0f s", machine.id, heartbeat.notice_s)
+                log.info(
+                    "preemption notice: machine=%s within_s=%.0f", machine.id, heartbeat.notice_s
+                )
                 self._fleet.changed()
             machine.preemption_notice_until = Monotonic(now + heartbeat.notice_s)
         was_current = machine.current
@@ -243,7 +251,7 @@
         self._fleet.locate(machine, heartbeat.type, heartbeat.zone, heartbeat.spot)
 
     def _new_session(self, machine: Machine, incarnation: Incarnation, now: Monotonic) -> None:
-        log.info("machine %s begins session %d", machine.id, incarnation)
+        log.info("new incarnation: machine=%s incarnation=%d", machine.id, incarnation)
         for binding in list(machine.bindings.values()):
             self._fleet.unbind(machine, binding, now, "later session")
         machine.exited.clear()
--- a/tealrill/fleet/intent_log.py
+++ b/tealrill/fleet/intent_log.py
@@ -124,6 +124,7 @@
 
     @property
     def open(self) -> int:
+        """The number of open requests."""
         return len(self.rents) + len(self.returns)
 
     # -- records --------------------------------------------------------------------------------
--- a/tealrill/fleet/inventory.py
+++ b/tealrill/fleet/inventory.py
@@ -102,9 +102,15 @@
             if machine is None or machine.draining:
                 continue
             if not self.failure_attribution.may_drain(len(self.machines)):
-                log.warning("machine %s seems faulty, as too many others do", machine_id)
+                log.warning(
+                    "machine suspected faulty, not drained: machine=%s, too many others are",
+                    machine_id,
+                )
                 continue
-            log.info("machine %s is faulty: jobs that do well elsewhere failed", machine_id)
+            log.info(
+                "machine drained as faulty: machine=%s, jobs failed that succeed elsewhere",
+                machine_id,
+            )
             machine.draining = "faulty"
             machine.touch()
             self.changed()
--- a/tealrill/fleet/leases.py
+++ b/tealrill/fleet/leases.py
@@ -78,7 +78,7 @@
         """
         for machine in self.silent(now):
             log.info(
-                "machine %s lapsed in session %d with %d tasks",
+                "lease expired: machine=%s incarnation=%d tasks=%d",
                 machine.id,
                 machine.incarnation,
                 len(machine.bindings),
--- a/tealrill/fleet/placement.py
+++ b/tealrill/fleet/placement.py
@@ -52,7 +52,12 @@
             binding = task.binding if task is not None else None
             if binding is None:
                 continue
-            log.info("stopping %s on %s for %s", stop.task, binding.machine, stop.for_job)
+            log.info(
+                "preempting: task=%s machine=%s for_job=%s",
+                stop.task,
+                binding.machine,
+                stop.for_job,
+            )
             self._want_stopped(binding, "preemption", stop.grace_s, now, told)
         self._tell(told)
 
--- a/tealrill/fleet/prober.py
+++ b/tealrill/fleet/prober.py
@@ -62,6 +62,7 @@
         """Called when the verdicts have changed."""
 
     async def run(self) -> None:
+        """Probe silent machines until the term ends."""
         due = self._now() + LOOK_EVERY_S
         try:
             while True:
@@ -136,10 +137,15 @@
             names = {m for m, v in diagnosis.verdicts.items() if v is verdict}
             new = names - {m for m, v in self.diagnosis.verdicts.items() if v is verdict}
             if new:
-                log.info("%d machines are judged %s, %d more", len(names), verdict.value, len(new))
+                log.info(
+                    "machines suspected: count=%d suspicion=%s new=%d",
+                    len(names),
+                    verdict.value,
+                    len(new),
+                )
         if diagnosis.partitioned_zones != self.diagnosis.partitioned_zones:
             log.info(
-                "zones not heard: %s", ", ".join(sorted(diagnosis.partitioned_zones)) or "none"
+                "zones partitioned: %s", ", ".join(sorted(diagnosis.partitioned_zones)) or "none"
             )
 
     # -- attempts -------------------------------------------------------------------------------
--- a/tealrill/fleet/provisioning.py
+++ b/tealrill/fleet/provisioning.py
@@ -117,6 +117,7 @@
         self._ratios = _price_ratios(self.offers)
 
     def type_of(self, name: str) -> wire.MachineType | None:
+        """Return the machine type of that name, None if the catalogue lost it."""
         return self._types.get(name)
 
     def under_way(self) -> list[Rental]:
@@ -157,6 +158,7 @@
         return any(request.rental.kind == kind for request in self.requests.values())
 
     def close(self) -> None:
+        """Cancel the requests under way; their records stay for the next leader."""
         for task in self._tasks:
             task.cancel()
 
@@ -255,7 +257,12 @@
         """
         found = list(dict.fromkeys(n for n in names if parse_machine_id(n) is not None))
         if len(found) != len(names) or len(found) > asked:
-            log.warning("a rental of %d brought %d names, %d good", asked, len(names), len(found))
+            log.warning(
+                "rental with unusable names: asked=%d names=%d usable=%d",
+                asked,
+                len(names),
+                len(found),
+            )
         return found
 
     def registered(self, machine: Machine, now: Monotonic) -> None:
@@ -382,6 +389,7 @@
     # -- the list and the catalogue -------------------------------------------------------------
 
     async def run_lists(self) -> None:
+        """Reconcile the machines with the cloud's list until the term ends."""
         fetched: Monotonic | None = None
         while True:
             try:
--- a/tealrill/leader/job_lifecycle.py
+++ b/tealrill/leader/job_lifecycle.py
@@ -75,7 +75,7 @@
     def _give_to_owner(self, job: Job, value: Any) -> None:
         if not any(extension.take(job, value) for extension in self.extensions):
             # Its extension is switched off, or can't read it: kept as it is, nothing of it starts.
-            log.error("job %s waits for what this node does not know", job.id)
+            log.error("job held, its owner is unknown to this member: job=%s", job.id)
             self._job_store.close_tasks(job)
         if job.cancelled and self._fleet.loaded:
             self.stop(job)
--- a/tealrill/leadership/election.py
+++ b/tealrill/leadership/election.py
@@ -248,7 +248,7 @@
         mine.renewed_at = sent
         mine.troubled = False
         if not was_valid:
-            log.info("term %d: valid again after a silence", mine.term)
+            log.info("term %d: leadership valid again after an interruption", mine.term)
             self._changed()
         await asyncio.sleep(_RENEW_S)
 
@@ -283,7 +283,7 @@
         elif again > _OFTEN and await self.others_up():
             # It ends again and again, perhaps by leading. At once back each time, it would keep
             # the lease from all others: one that ended every second was elected 12 times.
-            log.info("this host has led %d times in a row: others go first", again)
+            log.info("led %d terms in a row: other members stand first", again)
             self._not_before = Monotonic(monotonic_now() + _YIELD_S)
             await self._withdraw(entry)
         else:
@@ -411,12 +411,12 @@
         if leader is not None:
             self._leaderless = None
         elif self._leaderless is None or self._leaderless.stamp != stamp:
-            log.info("this host may not stand: it was silent")
+            log.info("this member is excluded from elections: it was unreachable")
             self._leaderless = _Leaderless(stamp, now)
         elif now - self._leaderless.since >= READMISSION_S * CLOCK_DRIFT:
             entry = await self._client.get(exclusion_key(self._host))
             if entry is not None:
-                log.info("this host has seen nobody lead for %.0f s", now - self._leaderless.since)
+                log.info("no leader seen for %.0f s", now - self._leaderless.since)
                 guards = [
                     wire.guard(LEADER_KEY, ABSENT),
                     wire.guard(TERM_KEY, stamp),
--- a/tealrill/leadership/exclusion.py
+++ b/tealrill/leadership/exclusion.py
@@ -151,12 +151,12 @@
     async def _readmit(self, host: str) -> None:
         # Sent, it may be executed at any later time: nothing is built on the record any more.
         self._certain.discard(host)
-        log.info("term %d: %s answers again", self._term, host)
+        log.info("term %d: member readmitted to elections: host=%s", self._term, host)
         await self._change(host, wire.delete(exclusion_key(host)))
 
     async def _exclude(self, host: str) -> None:
         """Write the record, anew if it is there: a removal in flight names its former version."""
-        log.info("term %d: %s is silent and may not stand", self._term, host)
+        log.info("term %d: unreachable member excluded from elections: host=%s", self._term, host)
         record = wire.plain(ExclusionRecord(self._term))
         if await self._change(host, wire.put(exclusion_key(host), record)):
             self._certain.add(host)
--- a/tealrill/leadership/lease_extension.py
+++ b/tealrill/leadership/lease_extension.py
@@ -43,12 +43,16 @@
 
 
 class ExtensionRequest(msgspec.Struct, frozen=True):
+    """The leader asks a member for its promise not to elect another."""
+
     term: int
     seen: int = 0
     """The revision up to which the leader has seen changes of jobs."""
 
 
 class ExtensionAnswer(msgspec.Struct, frozen=True):
+    """A member's promise, or its refusal, with the cancellations it acknowledged."""
+
     promised: bool
     why: str = ""
     cancelled: list[str] = []
@@ -135,13 +139,14 @@
     # -- the leader's side ----------------------------------------------------------------------
 
     async def run(self) -> None:
+        """Extend the leader's validity by a majority whenever its lease can't be renewed."""
         while True:
             mine = self._election.mine
             if mine is not None and mine.troubled and self.possible:
                 await self._seek(mine)
             else:
                 if mine is not None and self._extending:
-                    log.info("term %d: holds by its lease again", mine.term)
+                    log.info("term %d: leadership held by its lease again", mine.term)
                 self._extending = False
                 self._refusals.forget()
             await asyncio.sleep(_ASK_EVERY_S)
@@ -231,6 +236,7 @@
         return await asyncio.gather(*map(ask_presence, self._peers.values()))
 
     def presence(self) -> Presence:
+        """Return what this member tells others of itself."""
         return Presence(self._election.mine is not None, self.reports(), self.lost_term())
 
     # -- the others' side -----------------------------------------------------------------------
--- a/tealrill/leadership/lease_revocation.py
+++ b/tealrill/leadership/lease_revocation.py
@@ -102,6 +102,7 @@
         self._mark: tuple[KnownLeader, str] | None = None
 
     async def run(self) -> None:
+        """End the lease of a lost leader whenever a majority agrees that it is lost."""
         while True:
             await asyncio.sleep(_EVERY_S)
             try:
--- a/tealrill/leadership/renewal_delegation.py
+++ b/tealrill/leadership/renewal_delegation.py
@@ -54,6 +54,8 @@
 
 
 class Delegation(msgspec.Struct, frozen=True):
+    """The record by which a member may renew workers in the leader's place."""
+
     term: int
     revoked: bool = msgspec.field(default=False, name="closed")
     """The leader does not wait for this node any more."""
@@ -137,6 +139,7 @@
         }
 
     async def run(self) -> None:
+        """Ping the leader, and confirm or end the delegation."""
         while True:
             await asyncio.sleep(_EVERY_S)
             known = self._election.known
@@ -226,7 +229,11 @@
         self._warn_after_s = warn_after_s
         self._warned = False
         self._withheld: set[MachineId] = set()
-        log.info("term %d: renews workers that %s can't hear", leader.term, leader.host)
+        log.info(
+            "term %d: renewing workers in place of an unreachable leader: host=%s",
+            leader.term,
+            leader.host,
+        )
 
     def confirmed(self, revision: Revision, now: Monotonic) -> None:
         """Warns once when the leader has been lost for longer than any cut should last."""
--- a/tests/test_falls_tool.py
+++ b/tests/test_falls_tool.py
@@ -11,11 +11,11 @@
 from tools import falls
 
 _LOG = """
-  195.0000 kiln-1 I tealrill.fleet.prober: 1 machines are judged gone, 1 more
-  203.0000 kiln-1 I tealrill.fleet.prober: 2 machines are judged gone, 2 more
-  206.5000 kiln-1 I tealrill.fleet.prober: 90 machines are judged gone, 88 more
+  195.0000 kiln-1 I tealrill.fleet.prober: machines suspected: count=1 suspicion=gone new=1
+  203.0000 kiln-1 I tealrill.fleet.prober: machines suspected: count=2 suspicion=gone new=2
+  206.5000 kiln-1 I tealrill.fleet.prober: machines suspected: count=90 suspicion=gone new=88
   207.0000 kiln-1 I tealrill.fleet.provisioning: rental tr-1-4: 0 of 50 szedo-32 in obuda, spot
-  216.0000 kiln-1 I tealrill.fleet.leases: machine m-000006 lapsed in session 1 with 3 tasks
+  216.0000 kiln-1 I tealrill.fleet.leases: lease expired: machine=m-000006 incarnation=1 tasks=3
   217.0000 kiln-1 I tealrill.fleet.provisioning: rental tr-1-5: 40 of 50 szedo-32 in obuda, spot
 """
 
@@ -36,7 +36,7 @@
 
 def test_a_fall_is_followed_through_a_day() -> None:
     found = falls.course(_report(), _LOG, 200.0)
-    assert (found.known_s, found.lapsed_s, found.asked_s) == (6.5, 16.0, 17.0)
+    assert (found.known_s, found.lease_expired_s, found.asked_s) == (6.5, 16.0, 17.0)
     assert (found.lowest, found.back_s) == (0.3, 50.0)
     assert (found.granted, found.asked, found.cost) == (40, 100, 1.2)
 
--- a/tools/falls.py
+++ b/tools/falls.py
@@ -146,8 +146,8 @@
     """What a fall did, in seconds from its moment; None where it did not happen."""
 
     known_s: float | None
-    """Five machines were judged or had lapsed, or the leader gave way."""
-    lapsed_s: float | None
+    """Five machines were judged or had lost their lease, or the leader gave way."""
+    lease_expired_s: float | None
     """The last lapse: from then on all that was lost waits again."""
     asked_s: float | None
     """The first machine that the cloud granted."""
@@ -162,10 +162,11 @@
 
 
 _LINE: Final = re.compile(r"\s*([\d.]+) \S+ \w [\w.]+: (.*)")
-_JUDGED: Final = re.compile(r"\d+ machines are judged \w+, (\d+) more")
+_JUDGED: Final = re.compile(r"machines suspected: count=\d+ suspicion=\w+ new=(\d+)")
 _KNOWN: Final = 5
 """Single machines are lost at any time; a fall is known with so many."""
 _GIVES_WAY: Final = "no longer leader: "
+_LEASE_EXPIRED: Final = "lease expired: machine="
 _RENTAL: Final = re.compile(r"rental \S+: (\d+) of (\d+) ")
 
 
@@ -180,7 +181,7 @@
         noticed += _noticed(text)
         if known is None and noticed >= _KNOWN:
             known = after
-        if " lapsed in session " in text and after < 60.0:
+        if text.startswith(_LEASE_EXPIRED) and after < 60.0:
             lease_expired = after
         rental = _RENTAL.match(text)
         if rental is not None:
@@ -212,7 +213,7 @@
     if _GIVES_WAY in text:
         return _KNOWN
     judged = _JUDGED.match(text)
-    return int(judged[1]) if judged is not None else int(" lapsed in session " in text)
+    return int(judged[1]) if judged is not None else int(text.startswith(_LEASE_EXPIRED))
 
 
 def _around(windows: list[Window], at_s: float) -> tuple[list[Window], list[Window]]:
@@ -264,7 +265,8 @@
     least = least_s(tomllib.loads(site.read_text()))
     shown = Table(title=f"least possible until replaced: {least:.0f} s; simulated machines")
     for column in (
-        "day", "known", "lapsed", "first granted", "lowest", "back at 0.9", "of least", "granted",
+        "day", "known", "lease expired", "first granted", "lowest", "back at 0.9", "of least",
+        "granted",
         "asked", "cost", "killed by lease", "lost", "useful", "price", "aims", "rules",
     ):  # fmt: skip
         shown.add_column(column, justify="left" if column == "day" else "right")
@@ -274,7 +276,7 @@
         found = course(report, path.with_suffix(".txt").read_text(errors="replace"), at_s)
         shown.add_row(
             name,
-            *map(_seconds, (found.known_s, found.lapsed_s, found.asked_s)),
+            *map(_seconds, (found.known_s, found.lease_expired_s, found.asked_s)),
             f"{found.lowest:.2f}",
             _seconds(found.back_s),
             f"{found.back_s / least:.2f}" if found.back_s is not None else "-",
