--- a/tealrill/fleet/__init__.py
+++ b/tealrill/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""The machines: workers' sessions and leases, tasks' bindings to them, renting and returning."""
+"""Machines of one term: incarnations, leases, bindings, renting and releasing."""
--- a/tealrill/fleet/heartbeats.py
+++ b/tealrill/fleet/heartbeats.py
@@ -136,8 +136,8 @@
     def _must_let_lease_expire(self, machine: Machine, now: Monotonic) -> bool:
         """Whether a start of a cancelled job that left directly may still arrive, long after.
 
-        Nothing takes it back but a new session: a stop of an attempt that the worker does not have
-        does nothing. Only its lease brings one.
+        Nothing takes it back but a new incarnation: a stop of an attempt that the worker does not
+        have does nothing. Only its lease brings one.
         """
         if machine.settled is not None:
             return False
@@ -166,7 +166,7 @@
         """Whether the worker hears: it sends its next report here only once it got an answer.
 
         One that hears nothing lapses though every report of it was answered, again and again, and
-        each time its new session took tasks that never began.
+        each time its new incarnation took tasks that never began.
         """
         last_contact_at, answered_at = machine.last_contact_at, machine.answered_at
         if machine.incarnation is None or last_contact_at is None:
@@ -213,11 +213,12 @@
         """True if the report's list counts: it carries this term's token."""
         self._identify(machine, heartbeat)
         if machine.incarnation is not None and heartbeat.incarnation > machine.incarnation:
-            self._new_session(machine, Incarnation(heartbeat.incarnation), now)
+            self._begin_incarnation(machine, Incarnation(heartbeat.incarnation), now)
         if machine.incarnation != heartbeat.incarnation:
-            # A session that a direct command's answer shows was never renewed from here, and its
-            # lease runs all the same. By the last answer to the session before, machines lapsed
-            # a tenth of a second after they were given tasks, and 28 tasks ran on two machines.
+            # An incarnation that a direct command's answer shows was never renewed from here, and
+            # its lease runs all the same. By the last answer to the incarnation before, machines
+            # lapsed a tenth of a second after they were given tasks, and 28 tasks ran on two
+            # machines.
             machine.incarnation_seen_at = now
         first = machine.last_contact_at is None
         if first:
@@ -250,7 +251,9 @@
         machine.addr = heartbeat.addr
         self._fleet.locate(machine, heartbeat.type, heartbeat.zone, heartbeat.spot)
 
-    def _new_session(self, machine: Machine, incarnation: Incarnation, now: Monotonic) -> None:
+    def _begin_incarnation(
+        self, machine: Machine, incarnation: Incarnation, now: Monotonic
+    ) -> None:
         log.info("new incarnation: machine=%s incarnation=%d", machine.id, incarnation)
         for binding in list(machine.bindings.values()):
             self._fleet.unbind(machine, binding, now, "later session")
--- a/tealrill/fleet/inventory.py
+++ b/tealrill/fleet/inventory.py
@@ -4,13 +4,13 @@
 commands, the passing of time and the cloud's answers go in; commands come out. docs/design.md has
 the argument. A binding ends only by
 
-1. a message of the machine that carries this term's token, in the same session, newer than the
+1. a message of the machine that carries this term's token, in the same incarnation, newer than the
    report whose response carried the start, that shows the attempt exited or does not list it
    (if it was never listed before, only a report counts, not the answer to a direct command, and
    only if no start sent directly is unaccounted for);
-2. a message of a later session;
+2. a message of a later incarnation;
 3. silence for longer than the worker's lease, counted from the last report this leader answered,
-   or from its election, and from when its session was first heard of;
+   or from its election, and from when its incarnation was first heard of;
 4. the cloud's confirmation that the machine is gone.
 """
 
--- a/tealrill/fleet/machine.py
+++ b/tealrill/fleet/machine.py
@@ -57,10 +57,12 @@
     current: bool = False
     """Its last report carried this term's token, so nothing older than it can still arrive."""
     incarnation_seen_at: Monotonic | None = None
-    """When its session was first heard of, in this term; the worker's lease runs from before."""
+    """When its incarnation was first heard of, in this term; the worker's lease runs from
+    before.
+    """
     answered_at: Monotonic | None = None
     """Its last report that was answered: only that renews it, so one that is mute gets no work
-    however well it answers. It took tasks in each new session, and lost them with its lease."""
+    however well it answers. It took tasks in each new incarnation, and lost them with its lease."""
     last_contact_at: Monotonic | None = None
     """The last that was heard of it, by a report or by the answer to a direct command."""
     preemption_notice_until: Monotonic | None = None
--- a/tealrill/leadership/open_jobs.py
+++ b/tealrill/leadership/open_jobs.py
@@ -70,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _LeftBinding:
-    """A task of a job that is over, bound to a machine's session."""
+    """A task of a job that is over, bound to a machine's incarnation."""
 
     incarnation: Incarnation
     job: str
@@ -131,10 +131,10 @@
         return through
 
     def _left_through(self, report: wire.Heartbeat, machine: MachineId) -> Monotonic:
-        """The same of the jobs that have left bindings to the worker's session."""
+        """The same of the jobs that have left bindings to the worker's incarnation."""
         through = _ALWAYS
         for left in self._left.get(machine, ()):
-            # Commands for an earlier session are refused by the worker.
+            # Commands for an earlier incarnation are refused by the worker.
             if report.incarnation <= left.incarnation:
                 through = min(through, self._job_open_through(left.job))
         return through
