--- a/tests/test_prober.py
+++ b/tests/test_prober.py
@@ -286,6 +286,14 @@
     return provisioner, cloud, fleet
 
 
+async def _all_answered(provisioner: Provisioner) -> None:
+    """Return once no request is open, and a moment later, so that another one would be seen."""
+    async with asyncio.timeout(10.0):
+        while provisioner.requests:
+            await asyncio.sleep(0.001)
+    await asyncio.sleep(0.01)
+
+
 def test_a_large_wish_goes_out_in_the_fewest_requests() -> None:
     async def scenario() -> None:
         names = [[f"m-{part}-{n}" for n in range(count)] for part, count in enumerate((50, 50, 20))]
@@ -295,11 +303,11 @@
         provisioner.rent(Rental("big", "north", True, 120), Monotonic(0.0))
         provisioner.rent(Rental("big", "north", True, 120), Monotonic(0.0))
         assert sum(r.count for r in provisioner.under_way()) == 120
-        await asyncio.sleep(0.01)
+        await _all_answered(provisioner)
         assert cloud.asked == [50, 50, 20]
         assert not provisioner.requests and granted == [50, 50, 20] and len(fleet.machines) == 120
         provisioner.rent(Rental("big", "north", True, 1), Monotonic(0.0))
-        await asyncio.sleep(0.01)
+        await _all_answered(provisioner)
         assert cloud.asked[3:] == [1], "all were answered, so more may be asked for"
 
     asyncio.run(scenario())
@@ -309,7 +317,7 @@
     async def scenario() -> None:
         provisioner, cloud, fleet = _provisioner([[f"m-{n}" for n in range(30)]])
         provisioner.rent(Rental("big", "north", True, 300), Monotonic(0.0))
-        await asyncio.sleep(0.01)
+        await _all_answered(provisioner)
         assert cloud.asked == [50] and not provisioner.requests and len(fleet.machines) == 30
 
     asyncio.run(scenario())
@@ -349,7 +357,7 @@
     async def scenario() -> None:
         provisioner, cloud, fleet = _provisioner([brought])
         provisioner.rent(Rental("big", "north", True, 3), Monotonic(0.0))
-        await asyncio.sleep(0.01)
+        await _all_answered(provisioner)
         assert set(fleet.machines) == kept
         assert cloud.asked == [3] and not provisioner.requests
         assert provisioner.capacity_backoff.refused(("big", "north", True), Monotonic(1.0)) == (
