--- a/tealrill/daemon.py
+++ b/tealrill/daemon.py
@@ -89,7 +89,7 @@
         self._lease_extension.seen = lambda: (
             self.leader.known if self.leader is not None else CancellationKnowledge()
         )
-        self._lease_extension.cancellations_known_until = self._cancellations_known_until
+        self._lease_extension.on_cancellations_known = self._on_cancellations_known
         self._lease_extension.cancelled = self._cancelled_elsewhere
         self._lease_extension.is_excluded = self._is_excluded
         self._lease_extension.extended = self._on_lease_extended
@@ -330,10 +330,10 @@
         if leader is not None:
             leader.exclusions.hold_until(until)
 
-    def _cancellations_known_until(self, mine: Leadership, at: Monotonic) -> None:
+    def _on_cancellations_known(self, mine: Leadership, at: Monotonic) -> None:
         leader = self._leader_in(mine)
         if leader is not None:
-            leader.cancellations_known_until(at)
+            leader.on_cancellations_known(at)
 
     def _cancelled_elsewhere(self, job: str) -> None:
         if self.leader is not None:
--- a/tealrill/fleet/heartbeats.py
+++ b/tealrill/fleet/heartbeats.py
@@ -163,10 +163,10 @@
     def _detect_inbound_partition(
         self, machine: Machine, heartbeat: wire.Heartbeat, now: Monotonic
     ) -> None:
-        """Whether the worker hears: it sends its next report here only once it got an answer.
+        """Note whether responses reach the worker: it goes on here only once it got one.
 
-        One that hears nothing lapses though every report of it was answered, again and again, and
-        each time its new incarnation took tasks that never began.
+        One that no response reaches loses its lease though every heartbeat of it was answered,
+        again and again, and each time its new incarnation took tasks that never began.
         """
         last_contact_at, answered_at = machine.last_contact_at, machine.answered_at
         if machine.incarnation is None or last_contact_at is None:
--- a/tealrill/leader/leader.py
+++ b/tealrill/leader/leader.py
@@ -270,7 +270,7 @@
             )
         }
 
-    def cancellations_known_until(self, at: Monotonic) -> None:
+    def on_cancellations_known(self, at: Monotonic) -> None:
         """Note that all other members told the cancellations they acknowledged before `at`.
 
         Those that this node acknowledged itself it knows.
--- a/tealrill/leadership/lease_extension.py
+++ b/tealrill/leadership/lease_extension.py
@@ -118,7 +118,7 @@
         """What this node, when it leads, knows of cancellations."""
         self.cancelled: Callable[[str], None] = lambda _: None
         """Tells this node's leader of a cancellation that another node has acknowledged."""
-        self.cancellations_known_until: Callable[[Leadership, Monotonic], None] = lambda _, __: None
+        self.on_cancellations_known: Callable[[Leadership, Monotonic], None] = lambda _, __: None
         """All that was acknowledged before that moment has been told."""
         self.reports: Callable[[], int] = lambda: 0
         self.lost_term: Callable[[], FencingToken | None] = lambda: None
@@ -175,7 +175,7 @@
         if not self._acknowledged.all_since(seen.revision):
             unknown.append("this node itself")
         if not unknown:
-            self.cancellations_known_until(mine, sent)
+            self.on_cancellations_known(mine, sent)
         else:
             # They, or their former processes, may have acknowledged what nobody here has seen.
             latest = Monotonic(seen.at + self._unseen_s)
--- a/tealrill/state/transaction_batch.py
+++ b/tealrill/state/transaction_batch.py
@@ -96,6 +96,9 @@
     def add_end(self, job: Job, room: int, drop_chunks: bool) -> bool:
         """Add the end of a job; return False if it finds no room."""
         dropped = _chunks_to_drop(job) if drop_chunks else []
+        if not self._fits(2 + len(dropped), 0, room):
+            # Nothing is encoded that there are no changes left for: in an overload ends wait.
+            return False
         put = wire.put(over_key(job.id), _end_record(job))
         size = len(wire.encode(put)) + 400 + 300 * len(dropped)
         if not self._fits(2 + len(dropped), size, room):
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -108,7 +108,7 @@
             world.leader.known if world.leader is not None else CancellationKnowledge()
         )
         self.extension.cancelled = lambda job: world.learns(job)
-        self.extension.cancellations_known_until = lambda _, at: world.cancellations_known_until(at)
+        self.extension.on_cancellations_known = lambda _, at: world.on_cancellations_known(at)
 
     async def _ask(self, number: Any, request: ExtensionRequest) -> ExtensionAnswer:
         answer: ExtensionAnswer = await self.world.hosts[number].extension.asked(request)
@@ -202,9 +202,9 @@
                 self.stopped_knowing += 1
             self.leader.lifecycle.on_cancelled(name)
 
-    def cancellations_known_until(self, at: Monotonic) -> None:
+    def on_cancellations_known(self, at: Monotonic) -> None:
         assert self.leader is not None
-        self.leader.cancellations_known_until(at)
+        self.leader.on_cancellations_known(at)
 
     def _leading(self) -> Leader | None:
         leader = self.leader
