--- a/tealrill/scheduler/__init__.py
+++ b/tealrill/scheduler/__init__.py
@@ -1,1 +1,4 @@
-"""Who runs where and when: pure functions over plain values, with no I/O and no clock."""
+"""Scheduling decisions: queue order, placement, preemption, scale-out and failure detection.
+
+Pure functions and plain state, without I/O and clock: the current time is a parameter.
+"""
--- a/tealrill/scheduler/boot_times.py
+++ b/tealrill/scheduler/boot_times.py
@@ -1,9 +1,10 @@
-"""Boot times as observed recently, and the boot timeout derived from them.
+"""Boot timeouts, derived from recently observed boot durations.
 
-The catalogue says what a boot usually takes. Some machines take several times as long, and a few
-never come and are charged until they are returned; at times all are slow, or up at once. So a
-machine is given up when it takes clearly longer than those of its type and zone that came lately.
-Without any to compare with, the timeout is what the slowest may take. Pure state.
+The catalogue states the usual boot time of a machine type. Some machines take several times as
+long, and a few never boot and are charged until they are released; at times all boots are slow, or
+all are fast. So a machine is given up when its boot takes clearly longer than recent boots of the
+same type and zone. Without enough of these, the timeout is the longest plausible boot time. Pure
+state, without I/O and clock.
 """
 
 from __future__ import annotations
@@ -15,28 +16,29 @@
 from tealrill.types import Monotonic
 
 _RECENT_S: Final = 90.0
-"""A boot that ended longer ago says nothing about today's."""
+"""Older boots are ignored, because boot times change over time."""
 _MAX_SAMPLES: Final = 32
 _MIN_SAMPLES: Final = 5
 _LATE_FACTOR: Final = 2.0
-"""A machine is late when it takes so many times as long as others of its kind."""
+"""A boot is late when it takes this many times the median of recent boots of its kind."""
 _MIN_TIMEOUT_BOOTS: Final = 1.75
-"""Usual boots take up to one and a half times what the catalogue says."""
+"""In nominal boot times. A normal boot takes up to 1.5 of them."""
 _MAX_TIMEOUT_BOOTS: Final = 4.0
+"""In nominal boot times."""
 
 
 class BootTimeEstimator:
-    """Recent boot durations by type and zone."""
+    """Recent boot durations by machine type and zone."""
 
     def __init__(self) -> None:
         self._durations: dict[tuple[str, str], deque[tuple[Monotonic, float]]] = {}
 
     def registered(self, kind: tuple[str, str], duration_s: float, now: Monotonic) -> None:
-        """Record the first heartbeat of a machine, `duration_s` after it was rented."""
+        """Record the first heartbeat of a machine, `duration_s` seconds after it was rented."""
         self._durations.setdefault(kind, deque(maxlen=_MAX_SAMPLES)).append((now, duration_s))
 
     def boot_timeout_s(self, kind: tuple[str, str], nominal_s: float, now: Monotonic) -> float:
-        """Return the seconds after its rental at which a machine is given up."""
+        """Return the time after its rental, in seconds, at which a machine is given up."""
         recent = [
             duration for at, duration in self._durations.get(kind, ()) if now - at <= _RECENT_S
         ]
--- a/tealrill/scheduler/capacity.py
+++ b/tealrill/scheduler/capacity.py
@@ -1,7 +1,7 @@
-"""Scale-out: the machines to rent. The paper has a fixed machine; this part is ours.
+"""Scale-out: decide which machines to rent. Not in the paper, whose set of machines is fixed.
 
-Unplaced tasks are allocated to machines that boot and to capacity that running tasks will release
-within about a boot time; for what is left over machines are rented, cheapest per task first.
+Unplaced tasks are first allocated to machines that are booting and to capacity that running tasks
+will release within about one boot time. For the rest machines are rented, cheapest per task first.
 """
 
 from __future__ import annotations
@@ -19,6 +19,7 @@
 __all__ = ["Kind", "Offer", "Rental", "rentals"]
 
 _PRICE_TOLERANCE: Final = 1.2
+"""Offers are about equally cheap up to this multiple of the lowest price per task."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,11 +42,11 @@
         return self.type, self.zone, self.spot
 
     def allows(self, job: JobView) -> bool:
-        """Return whether the job may run on such a machine."""
+        """Return True if the job may run on such a machine."""
         return job.may_use(self.type, self.zone, self.spot)
 
     def slots(self, job: JobView) -> int:
-        """Return how many tasks of the job one such machine takes."""
+        """Return the number of the job's tasks that fit on one such machine."""
         return slots(job, self.cpus, self.gpus, self.memory_gb)
 
 
@@ -65,9 +66,9 @@
 
 
 def _cpu_shares(job: JobView, kinds: Iterable[Kind], sizes: dict[str, Offer]) -> list[float | None]:
-    """Return a task's share of each kind of machine, in processors; None where not allowed.
+    """Return a task's share of each kind of machine, in processors; None where it may not run.
 
-    Computed once per type: it is the same in every zone, spot or on-demand.
+    Computed once per type, because it is the same in every zone, spot or on-demand.
     """
     of_type: dict[str, float] = {}
     found: list[float | None] = []
@@ -82,7 +83,10 @@
 
 
 def _cpu_share(job: JobView, size: Offer) -> float:
-    """Return a task's share of a machine, in processors; 0 if it takes none of it."""
+    """Return a task's share of a machine, in processors; 0 if it needs nothing.
+
+    The share is that of the resource of which the task takes the largest part.
+    """
     share = 0.0
     for need, have in (
         (job.cpus, size.cpus),
@@ -95,10 +99,10 @@
 
 
 def _price(offer: Offer, slots: int, left: int) -> float:
-    """Return the price of one task on a machine that has `slots` of them.
+    """Return the price per task on a machine with room for `slots` of them.
 
-    A machine that the tasks fill only in part costs its full price, but others may use the rest
-    of it: half of the empty part is charged to these tasks.
+    A machine that the `left` tasks fill only in part costs its full price, but others may use the
+    rest of it: half of the empty part is charged to these tasks.
     """
     return offer.price / slots * (1 + 0.5 * max(0, slots - left) / slots)
 
@@ -106,9 +110,10 @@
 def _choose(
     left: int, offers: list[tuple[Offer, int]], machines: dict[tuple[str, str], int]
 ) -> Offer | None:
-    """Choose the smallest of the cheapest machines per task; ties go to the zone with fewest.
+    """Return the smallest of the cheapest machines per task; None without offers.
 
-    Large machines that are about as cheap are left to tasks that fit nowhere else.
+    Large machines that are about as cheap are left to tasks that fit nowhere else. Among equal
+    types, the zone with the fewest machines is preferred.
     """
     prices = [_price(offer, slots, left) for offer, slots in offers]
     limit = _PRICE_TOLERANCE * min(prices, default=0.0)
@@ -127,10 +132,10 @@
     job: JobView
     waiting: int
     wait_s: float
-    """Capacity that comes within so long serves it as well as a new machine."""
+    """Capacity that becomes free within this time, in seconds, is as good as a new machine."""
     offers: list[tuple[Offer, int]]
-    """What may be rented for it, and how many of its tasks one takes; they take their part of the
-    capacity in any case."""
+    """Offers that may be rented for the job, with the number of its tasks that fit on one machine.
+    A job without any is still allocated its part of the existing capacity."""
 
 
 def _demands(
@@ -142,8 +147,8 @@
 ) -> list[_Demand]:
     """Return the jobs to allocate, up to the last one for which anything may be rented.
 
-    Those behind it would take capacity from nobody. (With only expensive machines available,
-    hundreds of jobs that need none were allocated twice a second, for nothing.)
+    The jobs after that one can't change what is rented. (Without this limit, hundreds of such jobs
+    were allocated twice a second while only expensive machines were available.)
     """
     available_set = frozenset(available)
     offered = [(offer, offer in available_set) for offer in catalogue]
@@ -165,7 +170,8 @@
         wait_s = min(offer.boot_s for offer, _, _ in fitting)
         offers = cheap or [(o, slots[o.type]) for o, ready, _ in fitting if ready]
         if not cheap and job in affordable:
-            # Only expensive machines are available: capacity by the latest start will do.
+            # Only expensive machines are available, and the job doesn't need them to meet its
+            # deadline: any capacity that becomes free by its latest start is good enough.
             wait_s = max(wait_s, job.latest_s[0])
             offers = []
         demands.append(_Demand(job, waiting, wait_s, offers))
@@ -183,13 +189,14 @@
     policy: Policy,
     affordable: Container[JobView] = (),
 ) -> list[Rental]:
-    """Return what to rent for the unplaced tasks; `machines` include those that boot.
+    """Return the machines to rent for the unplaced tasks; `machines` include those that boot.
 
-    Of the `catalogue`, only what is `available` was not refused a short while ago. Machines much
-    more expensive than the cheapest are rented only for jobs that are not `affordable` without.
+    `available` are the offers of the `catalogue` that the cloud has not refused recently. Machines
+    much more expensive than the cheapest are rented only for jobs that are not in `affordable`,
+    i.e. that the inexpensive machines don't finish by their deadline.
     """
     if not available or not unplaced:
-        # The fleet is as large as the cloud lets it be: what fits where makes no difference.
+        # Nothing can or needs to be rented, so the allocation would have no effect.
         return []
     demands = _demands(unplaced, catalogue, available, policy, affordable)
     if not demands:
--- a/tealrill/scheduler/capacity_losses.py
+++ b/tealrill/scheduler/capacity_losses.py
@@ -1,16 +1,15 @@
-"""Capacity that a mass failure took and that has not been replaced yet.
-
-Ours; the paper's machine loses nothing.
-
-`capacity.rentals` follows the queue: tasks that find no room now, nor on machines that boot, nor
-where others end within a boot. After a mass failure of hundreds that is too slow. Capacity comes
-free all the time, so each moment's queue seems to fit into it, and the fleet grows by one machine
-at a time while jobs keep coming that need the fleet as it was. (220 machines of 362 died, and after
-100 s some 240 were there again.) So what many machines lost together had in use is asked for at
-once.
-
-Single losses are left to the queue: each might as well have been given back soon.
-Pure state, without I/O and clock.
+"""Capacity lost in a mass failure and not replaced yet.
+
+Not in the paper, where machines don't fail. `capacity.rentals` responds to the queue: it rents for
+tasks that fit neither on free capacity, nor on booting machines, nor on capacity that is released
+within a boot time. After a mass failure of hundreds of machines that is too slow. Capacity is
+released all the time, so at any moment the queue seems to fit into it, and the fleet grows one
+machine at a time although arriving jobs need the former fleet. (After a loss of 220 of 362
+machines, there were only some 240 machines 100 s later.) So the capacity that was in use on
+machines that failed together is requested at once.
+
+Single losses are left to the queue, because the machine might have been released soon anyway. Pure
+state, without I/O and clock.
 """
 
 from __future__ import annotations
@@ -25,9 +24,10 @@
 _TOGETHER_S: Final = 20.0
 _MASS_FAILURE_MIN: Final = 5
 _MASS_FAILURE_SHARE: Final = 0.05
-"""Losses within `_TOGETHER_S` are a mass failure if they are so many and so large a part."""
+"""Losses within `_TOGETHER_S` are a mass failure if they reach this number and this share of the
+fleet."""
 _KEPT_S: Final = 60.0
-"""After so long the queue shows by itself what is missing."""
+"""Losses are dropped after this time, because by then the queue reflects the missing capacity."""
 
 
 @dataclass(slots=True, eq=False)
@@ -35,7 +35,7 @@
     machine: MachineId
     type: str
     cpus: float
-    """Processors that tasks used there and that nothing has replaced yet."""
+    """Processors that tasks used there and that have not been replaced yet."""
     at: Monotonic
 
 
@@ -49,7 +49,7 @@
     def lost(self, machine: MachineId, type_name: str, cpus: float, now: Monotonic) -> bool:
         """Record a failed machine on which tasks used `cpus` processors.
 
-        Each machine counts once; return True if it was not recorded before.
+        Return False if the machine is recorded already or its type is unknown.
         """
         if machine in self._by_machine or not type_name:
             return False
@@ -60,7 +60,7 @@
 
     @property
     def has_losses(self) -> bool:
-        """Return whether any machine's loss is remembered."""
+        """True if any machine's loss is recorded."""
         return bool(self._by_machine)
 
     def recovered(self, machine: MachineId) -> None:
@@ -70,7 +70,7 @@
             loss.cpus = 0.0
 
     def rented(self, type_name: str, cpus: float) -> None:
-        """Count granted machines as replacements, whatever they were requested for."""
+        """Count rented machines as replacements, whatever they were rented for."""
         for loss in self._unreplaced:
             if cpus <= 0:
                 return
@@ -82,7 +82,8 @@
     def replacement_capacity(self, now: Monotonic, fleet: int) -> dict[str, float]:
         """Return the processors to replace by machine type; empty without a mass failure.
 
-        `fleet` is the number of machines, including failed ones for as long as they are known.
+        `fleet` is the number of machines, including failed ones until they are removed from the
+        fleet.
         """
         while self._unreplaced and now - self._unreplaced[0].at > _KEPT_S:
             self._by_machine.pop(self._unreplaced.popleft().machine, None)
@@ -97,7 +98,7 @@
         return replacement_capacity
 
     def is_mass_failure(self, fleet: int) -> bool:
-        """Return whether so many machines failed within a short time that it is one event."""
+        """Return True if so many machines failed within `_TOGETHER_S` that it is one event."""
         threshold = max(_MASS_FAILURE_MIN, math.ceil(_MASS_FAILURE_SHARE * fleet))
         times = [loss.at for loss in self._unreplaced]
         return any(
--- a/tealrill/scheduler/estimates.py
+++ b/tealrill/scheduler/estimates.py
@@ -1,8 +1,8 @@
-"""Run times: the owner's estimate times the team's median of actual to estimated run time.
+"""Run time estimates: the owner's estimate, corrected by the team's actual run times.
 
-Only completed tasks count. Tasks that failed or were stopped ended early for another reason than
-the owner's error; counting them would drag the ratio down and have long tasks backfilled into
-windows that they cannot keep.
+The correction is the median ratio of actual to estimated run time. Only completed tasks count.
+Tasks that failed or were stopped ended early for reasons other than a wrong estimate; counting them
+would lower the ratio, and long tasks would be backfilled into windows that are too short.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class Estimates:
-    """The ratios of recent tasks, by team and for the whole fleet."""
+    """Ratios of actual to estimated run time of recent tasks, by team and for the whole fleet."""
 
     def __init__(self) -> None:
         self._ratios: dict[str, deque[float]] = {}
@@ -31,7 +31,10 @@
             self._medians.pop(name, None)
 
     def ratio(self, team: str) -> float:
-        """1 until something is known; the fleet's ratio for a team without a history."""
+        """Return the median ratio of a team's tasks.
+
+        Without any, return the whole fleet's, or 1 if no task has completed yet.
+        """
         name = team if team in self._ratios else _FLEET
         if name not in self._ratios:
             return 1.0
@@ -45,16 +48,16 @@
 
 
 class TypicalSizes:
-    """How many processors a whole job of a class takes, from recent submissions."""
+    """Processors that whole jobs of a class take, from recent submissions."""
 
     def __init__(self) -> None:
         self._sizes: dict[str, deque[float]] = {}
 
     def submitted(self, job_class: str, cpus: float) -> None:
-        """Record the processors that a submitted job takes as a whole."""
+        """Record a submitted job, whose tasks take `cpus` processors in total."""
         self._sizes.setdefault(job_class, deque(maxlen=WINDOW)).append(cpus)
 
     def large(self, job_class: str) -> float:
-        """The size that four jobs of five do not exceed; 0 until a few were seen."""
+        """Return the 80th percentile of a class's job sizes; 0 with fewer than five jobs."""
         sizes = self._sizes.get(job_class, ())
         return quantiles(sizes, n=5)[-1] if len(sizes) >= 5 else 0.0
--- a/tealrill/scheduler/failure_attribution.py
+++ b/tealrill/scheduler/failure_attribution.py
@@ -1,20 +1,20 @@
-"""Failure attribution: to the job, to the machine, or not decided yet.
-
-A job that was submitted with a mistake fails on every machine, and a faulty machine fails jobs that
-do well elsewhere. So a failure is judged by how each does elsewhere, and the judgement is made anew
-when more is known:
-
-- A job is *cleared* once one of its tasks is done, or has run for clearly longer than any took to
-  fail. Until then, after its first failure, it is on probation: one task at a time, at moments
-  further and further apart, on machines where it has not just failed. (946 tasks of one mistaken
-  job were started within half a minute, most of them again and again on one machine; each cost
-  changes of the state service that other jobs waited for.)
-- A machine is *faulty* when jobs that are cleared elsewhere failed on it, and none succeeded since.
-  A job that is cleared nowhere says nothing about machines. (Three mistaken jobs in a row had cost
-  a sound machine its place: 88 on one day of 600 machines.) Only where many jobs fail on one
-  machine and have been nowhere else is it called faulty without that.
-
-Pure state: no I/O, no clock. All of it is bounded, and old evidence is dropped.
+"""Failure attribution: decide whether tasks fail because of their job or of their machine.
+
+A job that was submitted with an error fails on every machine, and a faulty machine fails jobs that
+succeed elsewhere. So a failure is attributed by how the job does on other machines and how other
+jobs do on the machine, and it is reconsidered when more is known:
+
+- A job is *cleared* once one of its tasks has completed, or has run for clearly longer than any
+  took to fail. From its first failure until then it is on probation: one task at a time, with a
+  growing pause after each failure, on machines where it has not failed recently. (Without
+  probation, 946 tasks of one erroneous job were started within half a minute, most of them
+  repeatedly on one machine, and each cost writes to the state service that other jobs waited for.)
+- A machine is *faulty* when jobs that are cleared failed on it and none has succeeded there since.
+  A job that is not cleared is no evidence about machines. (Otherwise three erroneous jobs in a row
+  condemn a healthy machine: 88 machines on one day, in a fleet of 600.) Only if many jobs failed on
+  one machine, and have been tried nowhere else, is it faulty without that.
+
+Pure state, without I/O and clock. Its size is bounded, and old evidence is dropped.
 """
 
 from __future__ import annotations
@@ -28,23 +28,26 @@
 _FIRST_GAP_S: Final = 1.0
 _MAX_GAP_S: Final = 60.0
 _CLEARS_AFTER_S: Final = 2.0
-"""A task on probation survives by running for so long, and twice as long as any took to fail."""
+"""A task on probation clears its job once it has run for this time plus twice the longest time that
+any task of the job took to fail."""
 _MAX_ALONE_S: Final = 45.0
-"""A task on probation keeps its job's others waiting for no longer, beside free capacity: after a
-failure at 100 s they waited until one had run for 202 s."""
+"""Once a task on probation has run for this time, the job's other tasks may start too. Otherwise,
+after a failure at 100 s, they would wait beside free capacity until one task has run for 202 s."""
 _MAX_AVOIDED_S: Final = 30.0
-"""A job is not tried again for so long at most on a machine where it failed."""
+"""Longest time for which a job avoids a machine where it failed."""
 _MAX_MACHINES: Final = 16
-"""Of the machines on which a job failed; more make no difference."""
+"""Machines recorded per job of those where it failed; more make no difference."""
 _EVIDENCE_S: Final = 300.0
+"""Older failures are no longer evidence against a machine."""
 _MIN_SURE_JOBS: Final = 2
-"""Cleared jobs that failed on a machine."""
+"""A machine is faulty when this many cleared jobs failed on it."""
 _MIN_UNCLEAR_JOBS: Final = 5
-"""Jobs that failed on a machine and were tried nowhere else, where none is cleared."""
+"""A machine is also faulty when this many jobs failed on it that are cleared or were tried nowhere
+else."""
 _MAX_JOBS: Final = 64
-"""Of the jobs that failed on one machine."""
+"""Jobs recorded per machine of those that failed on it."""
 _MAX_FAULTY_SHARE: Final = 0.05
-"""Of all machines, no larger part is called faulty within `_EVIDENCE_S`."""
+"""Largest share of all machines that may be drained as faulty within `_EVIDENCE_S`."""
 
 
 _K = TypeVar("_K")
@@ -52,12 +55,12 @@
 
 
 def _backoff_s(failures: int, max_s: float) -> float:
-    """The pause after so many others, each twice as long as the one before."""
+    """Return the pause after `failures` earlier ones, in seconds; each doubles the one before."""
     return min(max_s, _FIRST_GAP_S * 2.0 ** min(failures, 16))
 
 
 def _keep_latest(kept: dict[_K, _V], key: _K, value: _V, task_limit: int) -> None:
-    """Puts it behind the others, of which no more than the latest are kept."""
+    """Add an entry as the latest, and drop the oldest entries beyond the limit."""
     kept.pop(key, None)
     kept[key] = value
     while len(kept) > task_limit:
@@ -66,7 +69,7 @@
 
 @dataclass(slots=True)
 class _Avoided:
-    """A machine on which a job failed."""
+    """A machine on which a job failed, and until when the job avoids it."""
 
     failures: int
     until: Monotonic
@@ -74,18 +77,20 @@
 
 @dataclass(slots=True)
 class _Probation:
-    """The record of a job that failed."""
+    """What is known about a job that failed."""
 
     is_cleared: bool = False
     failed_rounds: int = 0
-    """Moments at which it was tried and failed, with none that went well between them."""
+    """Rounds that failed, with no success between them. Tasks that start together and fail are one
+    round."""
     next_at: Monotonic = Monotonic(-math.inf)
     longest_s: float = 0.0
-    """The longest that any of its tasks ran before it failed."""
+    """The longest time that any of its tasks ran before it failed."""
     failed_on: dict[MachineId, _Avoided] = field(default_factory=dict)
 
     @property
     def clears_after_s(self) -> float:
+        """Run time, in seconds, after which a task clears the job."""
         return _CLEARS_AFTER_S + 2.0 * self.longest_s
 
 
@@ -95,17 +100,18 @@
     def __init__(self) -> None:
         self._jobs: dict[JobId, _Probation] = {}
         self._machines: dict[MachineId, dict[JobId, Monotonic]] = {}
-        """Per machine the jobs that failed there since one last succeeded, and when."""
+        """Per machine, the jobs that failed there since the last success, and when."""
         self._faulty: dict[MachineId, Monotonic] = {}
+        """When each machine was found faulty."""
 
-    # -- what happens ---------------------------------------------------------------------------
+    # -- events -----------------------------------------------------------------------------------
 
     def failed(
         self, job: JobId, machine: MachineId, ran_s: float, is_cleared: bool, now: Monotonic
     ) -> list[MachineId]:
-        """A task failed after `ran_s` seconds; machines that are faulty by what is known now.
+        """Record a task that failed after `ran_s` seconds; return the machines now found faulty.
 
-        `is_cleared`: a task of this job is known to be done.
+        `is_cleared` is True if a task of this job is known to have completed.
         """
         probation = self._jobs.setdefault(job, _Probation())
         probation.is_cleared = probation.is_cleared or is_cleared
@@ -120,7 +126,10 @@
 
     @staticmethod
     def _avoid(probation: _Probation, machine: MachineId, now: Monotonic) -> None:
-        """Avoid the machine for longer after each failure; it may be the only one there is."""
+        """Extend the time for which the job avoids the machine, longer with each failure.
+
+        It stays bounded, because the machine may be the only one that the job can use.
+        """
         known = probation.failed_on.get(machine) or _Avoided(0, Monotonic(-math.inf))
         if now >= known.until:
             until = Monotonic(now + _backoff_s(known.failures, _MAX_AVOIDED_S))
@@ -128,15 +137,16 @@
         _keep_latest(probation.failed_on, machine, known, _MAX_MACHINES)
 
     def succeeded(self, job: JobId, machine: MachineId, now: Monotonic) -> list[MachineId]:
-        """Record a completed task; return the machines that are faulty by now."""
+        """Record a completed task; return the machines now found faulty."""
         self._machines.pop(machine, None)
         return self._clear(job, now)
 
     def inherited(self, job: JobId, attempts: int) -> None:
-        """Restore a job of an earlier leadership from its number of attempts, none completed.
+        """Restore a job of an earlier term from its number of attempts, none of them completed.
 
-        Perhaps they were preempted or lost; then a task on probation costs the job a moment. All
-        tasks of a broken job would be started at once otherwise, with every failover.
+        The attempts may have been preempted or lost instead of failed; then probation delays the
+        job only briefly. Without it, all tasks of an erroneous job would be started at once with
+        every failover.
         """
         if attempts > 1 and job not in self._jobs:
             self._jobs[job] = _Probation(failed_rounds=min(attempts - 1, 16))
@@ -145,7 +155,8 @@
         """Drop a finished job."""
         probation = self._jobs.pop(job, None)
         if probation is not None and not probation.is_cleared:
-            # Nobody will know any more whose fault that was.
+            # Its failures can't be attributed any more, so they are no evidence against the
+            # machines.
             for machine in probation.failed_on:
                 self._machines.get(machine, {}).pop(job, None)
 
@@ -153,10 +164,10 @@
         """Drop a terminated machine."""
         self._machines.pop(machine, None)
 
-    # -- what follows ---------------------------------------------------------------------------
+    # -- queries ----------------------------------------------------------------------------------
 
     def is_on_probation(self, job: JobId) -> bool:
-        """Return whether the job failed and is not cleared yet."""
+        """Return True if the job has failed and is not cleared yet."""
         return self._probation_of(job) is not None
 
     def _probation_of(self, job: JobId) -> _Probation | None:
@@ -167,8 +178,8 @@
     def task_limit(self, job: JobId, bound: int, longest_s: float, now: Monotonic) -> int | None:
         """Return how many tasks of a job may start now; None if unlimited.
 
-        `bound` of its tasks are on machines; the one that has run longest did so for `longest_s`
-        seconds.
+        `bound` is the number of its tasks that are bound to machines, `longest_s` the run time so
+        far of the one that has run longest.
         """
         probation = self._probation_of(job)
         if probation is None or longest_s >= min(probation.clears_after_s, _MAX_ALONE_S):
@@ -176,22 +187,23 @@
         return 1 if bound == 0 and now >= probation.next_at else 0
 
     def survived(self, job: JobId, longest_s: float, now: Monotonic) -> list[MachineId]:
-        """Record that a task has run for so long; return the machines that are faulty by now."""
+        """Clear the job if a task has run for long enough; return the machines now found faulty."""
         probation = self._probation_of(job)
         if probation is None or longest_s < probation.clears_after_s:
             return []
         return self._clear(job, now)
 
     def avoided(self, job: JobId, now: Monotonic) -> frozenset[MachineId]:
-        """Return the machines on which the job failed a short while ago."""
+        """Return the machines on which the job failed recently."""
         probation = self._jobs.get(job)
         if probation is None:
             return frozenset()
         return frozenset(m for m, avoided in probation.failed_on.items() if now < avoided.until)
 
-    # -- judging --------------------------------------------------------------------------------
+    # -- attribution ------------------------------------------------------------------------------
 
     def _clear(self, job: JobId, now: Monotonic) -> list[MachineId]:
+        """Clear a job that failed; return the machines found faulty by that."""
         probation = self._jobs.get(job)
         if probation is None:
             return []
@@ -201,6 +213,7 @@
         return self._judge(list(probation.failed_on), now) if newly_cleared else []
 
     def _judge(self, machines: list[MachineId], now: Monotonic) -> list[MachineId]:
+        """Return those of the machines that are now found faulty."""
         for machine in [m for m, at in self._faulty.items() if now - at > _EVIDENCE_S]:
             del self._faulty[machine]
         found = [m for m in machines if m not in self._faulty and self._is_faulty(m, now)]
@@ -222,8 +235,8 @@
         return sure >= _MIN_SURE_JOBS or sure + unclear >= _MIN_UNCLEAR_JOBS
 
     def may_drain(self, machines: int) -> bool:
-        """Return whether one more faulty machine may be drained.
+        """Return True if one more faulty machine may be drained.
 
-        Should the attribution be wrong in an unforeseen way, it must not cost a fleet.
+        This limits the damage to the fleet if the attribution is wrong in an unforeseen way.
         """
         return len(self._faulty) <= max(1.0, _MAX_FAULTY_SHARE * machines)
--- a/tealrill/scheduler/failure_detector.py
+++ b/tealrill/scheduler/failure_detector.py
@@ -1,12 +1,12 @@
-"""Failure detection for the whole fleet at once. Ours; the paper has none.
+"""Failure detection for the whole fleet at once. Not in the paper.
 
-One silent machine and three hundred look alike when each is judged by itself. Here the whole fleet
-is looked at: which zones are heard, whether anything still takes connections there, whether the
-cloud lists a machine, and whether it is this leader that hears nobody.
+Judged one by one, a single failed machine and a partition of three hundred look alike. So the whole
+fleet is considered: from which zones heartbeats arrive, whether machines there still accept
+connections, whether the cloud lists a machine, and whether this leader receives heartbeats at all.
 
-A suspicion decides only what is ours to decide: what is rented or given back, and who leads. **It
-proves nothing about tasks**: a binding ends by the proofs in docs/design.md and by nothing else.
-Pure functions, no I/O and no clock; times are in seconds.
+A suspicion only affects which machines are rented or released, and who leads. **It proves nothing
+about tasks**: a binding ends only by the proofs in docs/design.md. Pure functions, without I/O and
+clock; times are in seconds.
 """
 
 from __future__ import annotations
@@ -20,50 +20,56 @@
 from tealrill.types import MachineId
 
 MISSES: Final = 2
-"""So many attempts in a row without a connection show that nothing answers there. A lost packet
-costs one attempt."""
+"""Consecutive failed attempts to connect after which a machine is unreachable. A single one may be
+due to a lost packet."""
 LISTS: Final = 2
-"""A list may be older than the one before it, so one list without a machine says nothing."""
+"""Consecutive cloud lists without a machine after which it counts as failed. One is not enough,
+because a list may be older than the one before it."""
 _LIVE_REPORTS: Final = 1.5
-"""Workers report at least every 1.25 periods, so one that is not cut off was heard since."""
+"""In heartbeat intervals. Workers send heartbeats at least every 1.25 intervals, so a machine that
+is not partitioned has been heard from within this time."""
 _SILENT_REPORTS: Final = 3.0
+"""In heartbeat intervals: a machine that has been silent for longer gets no more tasks."""
 _JUDGED_REPORTS: Final = 2.75
-"""So much later than `_LIVE_REPORTS` that in a cut the last of a zone's machines has ceased to be
-live before the first is judged. (At 2.0 the first 18 of 260 were called gone.)"""
+"""In heartbeat intervals: a machine that has been silent for longer is diagnosed. This is so much
+more than `_LIVE_REPORTS` that in a partition the last machine of a zone is no longer live when the
+first is diagnosed. (With 2.0, the first 18 of 260 machines were taken for failed.)"""
 _FEWEST: Final = 3
-"""A zone of fewer machines is judged machine by machine."""
+"""In a zone with fewer machines, no partition is diagnosed: each is judged by itself."""
 _HEARD_SHARE: Final = 0.05
-"""A zone of which not even this part is heard is cut off, or this leader from it."""
+"""A zone is partitioned from this leader if no more than this share of its machines is live."""
 _SOON_S: Final = 2.0
+"""Shortest expected time to recovery, however short the silence is so far."""
 
 
 class Suspicion(Enum):
     """The probable cause of a machine's silence."""
 
     LATE = "late"
-    """Silent, and not known why."""
+    """Silent for an unknown reason."""
     HUNG = "hung"
-    """It takes connections and says nothing: it may go on at any moment."""
+    """It accepts connections and sends no heartbeats; it may resume at any moment."""
     CUT = "cut"
-    """Nothing of its zone is heard: the way there is broken, and the machine works on."""
+    """Its zone is partitioned from this leader; the machine itself continues to work."""
     GONE = "gone"
-    """It takes no connection while others of its zone are heard, or the cloud lists it no more."""
+    """It accepts no connections although its zone is not partitioned, or the cloud no longer lists
+    it."""
 
 
 @dataclass(frozen=True, slots=True)
 class Evidence:
-    """Observations of one machine that sent a heartbeat at least once."""
+    """Observations of one machine that has sent at least one heartbeat."""
 
     machine: MachineId
     zone: str
     silent_s: float
-    """Since its last report, or since the election if there was none in this term."""
+    """Time since its last heartbeat, or since the election if there was none in this term."""
     failed_connects: int = 0
-    """Attempts to connect, in a row, that brought no connection."""
+    """Consecutive attempts to connect that failed."""
     accepts: bool = False
-    """The last attempt brought a connection, or was refused: its system runs."""
+    """The last attempt to connect was accepted or refused: its operating system runs."""
     missing_from_lists: int = 0
-    """Of the cloud's lists, the last so many don't show it though an earlier one did."""
+    """Number of the cloud's latest consecutive lists without the machine, after one that had it."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -71,10 +77,10 @@
     """The suspicions about all silent machines."""
 
     verdicts: dict[MachineId, Suspicion]
-    """Of the machines that are not heard."""
+    """By machine; a machine without an entry is not silent, or not long enough to be diagnosed."""
     partitioned_zones: frozenset[str]
     inbound_partitioned: bool = False
-    """No zone is heard at all: it is this node's own way that is broken."""
+    """No heartbeats arrive from any zone: the fault is in this node's own network connection."""
 
 
 def silent_after_s(heartbeat_interval_s: float) -> float:
@@ -83,17 +89,17 @@
 
 
 def live_within_s(heartbeat_interval_s: float) -> float:
-    """Return the seconds within which a machine that is not partitioned was heard."""
+    """Return the seconds within which a machine that is not partitioned has sent a heartbeat."""
     return _LIVE_REPORTS * heartbeat_interval_s
 
 
 def judge(observations: Iterable[Evidence], heartbeat_interval_s: float) -> Diagnosis:
     """Diagnose the whole fleet from one set of observations.
 
-    A zone counts as heard by the machines that were heard within the last one and a half heartbeat
-    intervals. When a partition begins the machines fall silent one after the other within an
-    interval: judged by who is not yet called silent, the first ones would look failed in a zone
-    that is heard.
+    A machine is live if a heartbeat arrived within the last one and a half heartbeat intervals.
+    When a partition begins, the machines of a zone fall silent one after the other within an
+    interval. If all machines that are not diagnosed yet counted as live, the first ones to fall
+    silent would look failed in a zone that is otherwise live.
     """
     heard: Counter[str] = Counter()
     reachable: Counter[str] = Counter()
@@ -104,7 +110,8 @@
         elif evidence.silent_s > _JUDGED_REPORTS * heartbeat_interval_s:
             silent.append(evidence)
         if evidence.missing_from_lists < LISTS and not evidence.accepts:
-            # A machine that the cloud took away or that takes connections says nothing of the way.
+            # A machine that is no longer listed, or accepts connections, says nothing about a
+            # partition.
             reachable[evidence.zone] += 1
     partitioned = frozenset(
         zone
@@ -119,6 +126,7 @@
 
 
 def _suspect(evidence: Evidence, is_zone_partitioned: bool) -> Suspicion:
+    """Return the probable cause of one machine's silence."""
     if evidence.missing_from_lists >= LISTS:
         return Suspicion.GONE
     if evidence.accepts:
@@ -131,8 +139,8 @@
 def expected_recovery_s(suspicion: Suspicion, silent_s: float) -> float | None:
     """Return the seconds until a silent machine probably recovers; None if it won't.
 
-    The best guess for a silence of unknown length is that it lasts as long again as it has lasted
-    so far. A replacement that boots for longer than that is not worth its price.
+    A silence of unknown length is expected to last as long again as it has lasted so far. A
+    replacement that takes longer than that to boot is not worth its price.
     """
     if suspicion is Suspicion.GONE:
         return None
@@ -140,9 +148,9 @@
 
 
 def is_bypassed_by_heartbeats(silent_s: float, heard: int, heartbeat_interval_s: float) -> bool:
-    """Return whether a leader that recently heard `heard` machines hears none any more.
+    """Return True if a leader that recently heard from `heard` machines hears from none any more.
 
-    The more machines there are, the closer together their heartbeats come: of three or more, one
-    was due long before the interval of each has passed.
+    `silent_s` is the time since the last heartbeat of any machine. The more machines there are, the
+    more often heartbeats arrive: with three or more, one is due well within a heartbeat interval.
     """
     return heard >= _FEWEST and silent_s > live_within_s(heartbeat_interval_s)
--- a/tealrill/scheduler/free_capacity.py
+++ b/tealrill/scheduler/free_capacity.py
@@ -1,4 +1,4 @@
-"""Free capacity over time: how many waiting tasks machines can take by a given moment.
+"""Free capacity over time: how many waiting tasks can start on the machines by a given moment.
 
 One processor may serve several tasks one after the other. Pure state, without I/O and clock.
 """
@@ -14,12 +14,13 @@
 from tealrill.types import Monotonic
 
 _SHORTEST_S: Final = 1.0
+"""Shortest run time that is assumed for a task."""
 _ROUNDING: Final = 1e-4
-"""Larger than the rounding error of sums of some hundred decimal numbers."""
+"""Larger than the rounding error of sums of a few hundred decimal numbers."""
 
 
 def coming_free(machine: MachineView, now: Monotonic) -> list[tuple[Monotonic, float]]:
-    """Return when a machine's processors come free: now (or once booted) and as tasks end."""
+    """Return when a machine's processors become free: now (or once booted) and as tasks end."""
     free = [(max(now, machine.ready_at), max(0.0, machine.cpus))]
     ends = ends_at(machine.running, now)
     free += [(end, task.cpus) for end, task in zip(ends, machine.running, strict=True)]
@@ -27,20 +28,21 @@
 
 
 class _Horizon:
-    """The capacity of all machines until one moment, one list entry per machine."""
+    """The capacity of all machines up to one moment, with one list entry per machine."""
 
     def __init__(self, until: Monotonic) -> None:
         self.until = until
         self.cpus: list[float] = []
-        """Processors that come free by then."""
+        """Processors that become free by `until`."""
         self.cpu_s: list[float] = []
-        """Their processor seconds from when they come free until then."""
+        """Their processor seconds from when they become free to `until`."""
         self.longest_s: list[float] = []
-        """The time from when the first of them comes free."""
+        """Time from when the first of them becomes free to `until`."""
         self.shortest_s: list[float] = []
-        """Tasks that run for less surely find no place there by then."""
+        """No task with a shorter run time than this can start there by `until`."""
 
     def add(self, free: Sequence[tuple[Monotonic, float]], least: float | None) -> None:
+        """Append a machine's entry; `least` as in `update`."""
         cpus = cpu_s = longest_s = 0.0
         for at, count in free:
             if at <= self.until:
@@ -54,11 +56,12 @@
         self.update(len(self.cpus) - 1, 0.0, least)
 
     def update(self, number: int, used_cpu_s: float, least: float | None) -> None:
-        """Update a machine's entry after `used_cpu_s` of it was allocated.
+        """Update a machine's entry after `used_cpu_s` processor seconds of it were allocated.
 
-        No job takes less of it than `least` processors. A processor that comes free serves at most
-        one task more than fits into its time until then: `run` seconds of each are available beside
-        that time, less what is used.
+        `least` is the smallest number of processors that a task of any job takes there; None if no
+        job may run there. A processor that becomes free serves at most one task more than fits into
+        its time up to `until`. So for tasks of `run` seconds there are at most `run` processor
+        seconds per processor in addition to that time, less what is used.
         """
         if least is None:
             self.shortest_s[number] = math.inf
@@ -72,7 +75,8 @@
         elif beside >= 0 or missing / beside >= _SHORTEST_S:
             shortest_s = 0.0
         else:
-            # Not even one task fits beside, and no run is as short as the time until then.
+            # Fewer than `least` processors become free, so only a run shorter than `_SHORTEST_S`
+            # would fit.
             shortest_s = math.inf
         self.shortest_s[number] = shortest_s
 
@@ -80,10 +84,10 @@
 class FreeCapacity:
     """Capacity for waiting tasks, on machines and on those about to be rented.
 
-    Tasks are allocated in the order of the machines. Most are full when the later jobs of a long
-    queue are allocated. Examined for every job, they were the most expensive part of the leader's
-    work in an overload, so each keeps how long a task must run to find a place there, and a machine
-    that can't serve a job costs one comparison.
+    Tasks are allocated in the order of the machines. In an overload most machines are full when the
+    later jobs of a long queue are allocated. Examining all of them for every job was the most
+    expensive part of the leader's work. So for each machine the shortest run time that may fit is
+    kept, and a machine that can't serve a job costs one comparison.
     """
 
     def __init__(
@@ -95,8 +99,8 @@
         """Prepare for the `kinds` of machines and the `jobs` to be allocated.
 
         `jobs` has for every job its task's share of each kind, as `_cpu_shares` returns it;
-        `common` has the moments that many jobs ask for. (Kept for the moments of single jobs as
-        well, the horizons cost more than they saved.)
+        `common` has the moments that many jobs ask for. Horizons are kept for these only: for the
+        moments of single jobs they cost more than they saved.
         """
         self._common = common
         self._kinds = {kind: number for number, kind in enumerate(kinds)}
@@ -104,14 +108,14 @@
             min((share for share in of_kind if share is not None), default=None)
             for of_kind in zip(*jobs, strict=True)
         ]
-        """The smallest share that any of the jobs takes; None where none of them may run."""
+        """Per kind, the smallest share that any job takes; None where no job may run."""
         self._kind: list[int] = []
         self._free: list[Sequence[tuple[Monotonic, float]]] = []
-        """Per machine the processors that come free, and when."""
+        """Per machine, the processors that become free, and when."""
         self._used_cpu_s: list[float] = []
         self._horizons: dict[Monotonic, _Horizon] = {}
         self.inspected = 0
-        """Machines examined more closely than by a comparison."""
+        """Number of times that a machine was examined beyond that one comparison."""
 
     def add(self, kind: Kind, free: Sequence[tuple[Monotonic, float]]) -> int:
         """Append a machine's capacity; return its number."""
@@ -139,7 +143,7 @@
         until: Monotonic,
         first: int = 0,
     ) -> int:
-        """Allocate up to `limit` tasks that can start by `until`; return how many fitted.
+        """Allocate up to `limit` tasks that can start by `until`; return how many fit.
 
         `shares` has a task's share of each kind of machine, see `_cpu_shares`. Only machines from
         number `first` on are used. One processor may serve several tasks one after the other.
@@ -170,7 +174,7 @@
     def _fitting(
         self, number: int, need: float, run_s: float, until: Monotonic, horizon: _Horizon | None
     ) -> int:
-        """Return how many tasks of `need` processors a machine still takes; may be negative."""
+        """Return how many more tasks of `need` processors fit on a machine; may be negative."""
         used_cpus = self._used_cpu_s[number] / run_s
         if horizon is not None and horizon.longest_s[number] < run_s:
             supply = horizon.cpus[number]
@@ -184,7 +188,7 @@
         return int((supply - used_cpus + 1e-6) // need)
 
     def _supply(self, number: int, run_s: float, until: Monotonic) -> float:
-        """Return the processors for tasks of that length; one serving two in turn counts twice."""
+        """Return the processors for tasks of `run_s`; one that serves two in turn counts twice."""
         supply = 0.0
         for at, cpus in self._free[number]:
             if at <= until:
--- a/tealrill/scheduler/model.py
+++ b/tealrill/scheduler/model.py
@@ -11,25 +11,26 @@
 """A kind of machine: type, zone, spot."""
 
 _OVERDUE_S = 5.0
-"""A task that outlived its estimate is expected to end within this or a part of its run time."""
+"""A task that outlived its estimate is expected to end within this time, or within `_OVERDUE_PART`
+of its run time so far if that is shorter."""
 _OVERDUE_PART = 0.25
 
 
 def remaining_s(run_s: float, ran_s: float) -> float:
-    """Return the remaining run time, in seconds, of a task that has run for `ran_s`."""
+    """Return the expected remaining run time, in seconds, of a task that has run for `ran_s`."""
     return max(run_s - ran_s, min(_OVERDUE_S, _OVERDUE_PART * ran_s))
 
 
 @dataclass(slots=True, eq=False)
 class Pace:
-    """Actual to estimated run time of a team's recent tasks; shared by all that run."""
+    """Ratio of actual to estimated run time of a team's recent tasks; shared by those that run."""
 
     ratio: float = 1.0
 
 
 @dataclass(slots=True, eq=False)
 class RunningTask:
-    """A task bound to a machine; kept from pass to pass, so nothing here depends on the time."""
+    """A task bound to a machine; kept from pass to pass, so no field depends on the time."""
 
     task: TaskId
     team: str
@@ -42,10 +43,12 @@
     since: Monotonic | None
     """When it began to run; None while it waits for its image."""
     guess_s: float
-    """Its owner's estimate."""
+    """Its owner's estimate of the run time."""
     pace: Pace
     saves: bool
+    """It writes checkpoints, so a preemption with notice loses only the time to save."""
     save_s: float
+    """Time that it takes to save a checkpoint when it is stopped."""
 
     def ran_s(self, now: Monotonic) -> float:
         """Return the run time so far, in seconds; 0 before the task began."""
@@ -53,9 +56,9 @@
 
 
 def ends_at(tasks: Iterable[RunningTask], now: Monotonic) -> list[Monotonic]:
-    """Return when tasks are expected to end; those that are being stopped end at once.
+    """Return when tasks are expected to end; for those that are being stopped, now.
 
-    Computed for every task of a full fleet in a pass, so one call serves a whole machine.
+    One call serves a whole machine, because every pass needs this for all tasks of a full fleet.
     """
     found: list[Monotonic] = []
     for task in tasks:
@@ -86,26 +89,26 @@
     size: float
     """Processors of the whole machine."""
     ready_at: Monotonic
-    """Now for a machine that takes tasks at once, later for one that boots."""
+    """Now for a machine that accepts tasks at once, later for one that boots."""
     fetch_gb_per_s: float
     images: set[str]
     dear: bool
     """Its kind costs much more per processor than the cheapest."""
     running: Sequence[RunningTask]
     used: bool = False
-    """The planner has changed the free capacity."""
+    """The planner has changed the free capacity, so the view can't be reused in the next pass."""
     backfilled: Sequence[RunningTask] = field(init=False)
-    """The running tasks that were backfilled: nothing else is preempted by urgency class."""
+    """The running tasks that were backfilled; only these are preempted because of their class."""
 
     def __post_init__(self) -> None:
         self.backfilled = [task for task in self.running if task.backfilled]
 
     def fits(self, job: JobView) -> bool:
-        """Return whether one task of the job fits into the free capacity."""
+        """Return True if one task of the job fits into the free capacity."""
         return self.has(job.cpus, job.gpus, job.memory_gb)
 
     def has(self, cpus: float, gpus: float, memory_gb: float) -> bool:
-        """Return whether so much is free."""
+        """Return True if at least this capacity is free."""
         return (
             self.cpus + SLACK >= cpus
             and self.memory_gb + SLACK >= memory_gb
@@ -113,7 +116,7 @@
         )
 
     def allows(self, job: JobView) -> bool:
-        """Return whether the job may run here and does not avoid this machine."""
+        """Return True if the job may run on this kind of machine and does not avoid this one."""
         return job.may_use(self.type, self.zone, self.spot) and self.id not in job.avoids
 
     def reserve_room(self, job: JobView) -> None:
@@ -125,7 +128,7 @@
         self.images.add(job.image)
 
     def release_room(self, task: RunningTask) -> None:
-        """Return the capacity of a task that is being stopped."""
+        """Add the capacity of a task that is being stopped to the free capacity."""
         self.used = True
         self.cpus += task.cpus
         self.gpus += task.gpus
@@ -133,7 +136,7 @@
 
 
 SLACK = 1e-6
-"""Tolerance of comparisons: capacities are sums of decimal numbers."""
+"""Tolerance of comparisons, because capacities are sums of decimal numbers."""
 
 
 @dataclass(slots=True, eq=False)
@@ -150,7 +153,7 @@
     tasks: int
     waited_s: float
     latest_s: tuple[float, ...]
-    """Per deadline its class is judged by, the time left until its tasks must have started."""
+    """Per deadline that its class is judged by, the seconds left for its tasks to start."""
     estimate_s: float
     image: str
     image_gb: float
@@ -161,18 +164,18 @@
     spot: bool
     zone_counts: dict[str, int]
     gang: bool = False
-    """Gang scheduling: its tasks start only when all that wait fit."""
+    """Gang scheduling: its tasks start only if all that wait fit."""
     graph: str = ""
-    """The graph that it is a node of."""
+    """The graph that it is a node of; empty for a plain job."""
     tail_s: float = 0.0
-    """Estimated time of the longest path of nodes behind it."""
+    """Estimated run time, in seconds, of the longest path of nodes behind it."""
     avoids: frozenset[MachineId] = frozenset()
-    """Machines on which it failed a short while ago."""
+    """Machines on which it failed recently."""
     begun: bool = False
-    """Any of its tasks was ever given a machine."""
+    """Any of its tasks was ever bound to a machine."""
 
     def may_use(self, type_name: str, zone: str, spot: bool) -> bool:
-        """Return whether the job allows a kind of machine."""
+        """Return True if the job may run on a kind of machine."""
         return (
             (self.spot or not spot)
             and (self.zone is None or self.zone == zone)
@@ -180,7 +183,7 @@
         )
 
     def zone_room(self, zone: str) -> int:
-        """Return how many more of its tasks may be bound in a zone now."""
+        """Return how many more of its tasks its zone rules allow in a zone now."""
         if self.one_zone and any(n for z, n in self.zone_counts.items() if z != zone):
             return 0
         if self.spread:
@@ -200,7 +203,7 @@
     gpus_max: float
 
     def room(self, job: JobView) -> int:
-        """Return how many tasks of the job the team's limit still allows."""
+        """Return how many of the job's waiting tasks the team's limit still allows."""
         room = job.waiting
         if self.cpus_max > 0 and job.cpus > 0:
             room = min(room, int((self.cpus_max - self.cpus + SLACK) // job.cpus))
@@ -209,7 +212,7 @@
         return max(0, room)
 
     def guaranteed(self, job: JobView) -> bool:
-        """Return whether one more task of the job is within the guaranteed quota."""
+        """Return True if one more task of the job is within the guaranteed quota."""
         if self.cpus_guaranteed <= 0 and self.gpus_guaranteed <= 0:
             return False
         return (
@@ -219,7 +222,7 @@
 
     @property
     def borrows(self) -> bool:
-        """Return whether the team uses more than its guaranteed quota."""
+        """True if the team uses more than its guaranteed quota."""
         return self.cpus > self.cpus_guaranteed + SLACK or self.gpus > self.gpus_guaranteed + SLACK
 
 
@@ -232,14 +235,15 @@
     teams: dict[str, TeamView]
     expected: Expected | None = None
     rank_cpus: dict[int, float] = field(default_factory=dict)
-    """Processors that each urgency class uses."""
+    """Processors in use by each urgency class."""
     coming: list[MachineView] = field(default_factory=list)
-    """Machines that were requested and not yet granted."""
+    """Machines that accept no tasks yet: requested and not granted, or silent and expected back
+    soon."""
 
 
 @dataclass(frozen=True, slots=True)
 class Expected:
-    """Work that may be submitted at any moment and is to start at once."""
+    """Work that may be submitted at any moment and must then start at once."""
 
     rank: int
     cpus: float
@@ -250,21 +254,22 @@
     """Parameters of the planner."""
 
     aging_s: float = 600.0
-    """Waiting this long raises a job by one urgency class."""
+    """Waiting time that raises a job by one urgency class."""
     stop_cost_s: float = 1.5
-    """Nothing is preempted for a job whose reservation begins within this time anyway."""
+    """Nothing is preempted for tasks whose reservation begins within this time anyway."""
     stop_share: float = 0.25
-    """At most this part of the backfilled tasks is preempted in one pass."""
+    """Largest share of the backfilled tasks that is preempted in one pass."""
     reserved_tasks: int = 16
-    """The maximum number of the reserved job's tasks that get a reservation."""
+    """Largest number of the reserved job's tasks that get a reservation."""
     dear: float = 1.5
-    """A machine that costs this much more per task than the cheapest kind is expensive."""
+    """A kind of machine is expensive if it costs more than this multiple of the cheapest kind."""
     cheap_share: float = 0.8
-    """The usable part of the inexpensive machines when jobs are kept off the expensive ones."""
+    """Usable share of the inexpensive machines when deciding which jobs need no others; the rest is
+    lost to fragmentation."""
     any_room_s: float = 60.0
-    """A job that has waited so long may use expensive machines too."""
+    """Waiting time after which a job may use expensive machines in any case."""
     starvation_guard_s: float = 120.0
-    """A job of which nothing has begun for so long is put before its peers."""
+    """Waiting time after which a job of which no task was ever bound is put before its peers."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -278,7 +283,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StopTask:
-    """A running task to be preempted for another job, with `grace_s` seconds to checkpoint."""
+    """A running task to be preempted for another job, with `grace_s` seconds to save its state."""
 
     task: TaskId
     for_job: JobId
@@ -306,7 +311,7 @@
     affordable: set[JobView] = field(default_factory=set)
     """Jobs that the inexpensive machines finish by their deadline."""
     reserve: Callable[[], dict[MachineId, Reservation]] = dict
-    """Computes the reservations; valid only while the view is as the pass left it."""
+    """Computes the reservations; valid only as long as the view is as the pass left it."""
     _reservations: dict[MachineId, Reservation] | None = None
 
     @property
@@ -317,9 +322,10 @@
         return self._reservations
 
     def settle(self) -> None:
-        """Release the view after the pass; reservations not computed yet are empty.
+        """Release the view after the pass; reservations that were not computed before are empty.
 
-        A plan that can still reserve references its pass, and the pass its plan: in that cycle, old
-        views of the whole fleet waited for the garbage collector, 10 MB of them.
+        A plan that can still compute reservations references its pass, and the pass its plan.
+        Without this, old views of the whole fleet (10 MB) stay in that reference cycle until the
+        garbage collector runs.
         """
         self.reserve = dict
--- a/tealrill/scheduler/plan.py
+++ b/tealrill/scheduler/plan.py
@@ -1,8 +1,8 @@
 """One placement pass: `plan(view, now)`.
 
-In queue order every task that fits is placed. The first job with tasks that fit nowhere is the
-reserved job: it gets a reservation, the jobs behind it may backfill the window before that, and
-backfilled tasks that occupy capacity which the reserved job could use are preempted.
+In queue order, every task that fits is placed. The first job with tasks that fit nowhere becomes
+the reserved job: it gets a reservation, the jobs behind it may backfill the window before that, and
+backfilled tasks are preempted if they occupy capacity that the reserved job could use.
 """
 
 from __future__ import annotations
@@ -38,7 +38,7 @@
         self.ready = [m for m in view.machines if m.ready_at <= now]
         self.with_room = self._machines_with_room()
         self._has_filled = False
-        """Some of `with_room` are full by now."""
+        """Some machines of `with_room` are full by now."""
         self.reserved_job: JobView | None = None
         self._windows: dict[MachineView, Window] | None = {}
         self._reserved_tasks = 0
@@ -47,8 +47,9 @@
     def _machines_with_room(self) -> list[MachineView]:
         """Return the machines with room for the smallest needs of all waiting jobs.
 
-        Placement only deducts capacity. With a full fleet and a long queue, looking at every
-        machine for every job was most of what was left of a pass.
+        Placement only deducts capacity, so other machines can't fit any job in this pass. With a
+        full fleet and a long queue, examining every machine for every job was a large part of a
+        pass.
         """
         jobs = self.view.jobs
         self._smallest_needs = (
@@ -62,9 +63,9 @@
         return machine.has(cpus, 0.0, memory_gb)
 
     def _compute_headroom_for_expected(self) -> float:
-        """Return the processors that expected work could have at once.
+        """Return the processors that expected work could get at once.
 
-        These are the free ones and those of preemptible backfilled tasks.
+        These are the free ones and those of backfilled tasks that may be preempted for it.
         """
         expected = self.view.expected
         if expected is None:
@@ -88,7 +89,7 @@
             within_quota = self._within_quota(job)
             if within_quota <= 0:
                 # Its team is at its limit. Looking for machines all the same, for thousands of jobs
-                # on hundreds of machines with room, took a day over 400 s of processor time.
+                # on hundreds of machines with room, took over 400 s of processor time in a day.
                 continue
             placed = self._place(job, within_quota)
             left = within_quota - placed
@@ -121,9 +122,9 @@
         return placed
 
     def _all_fit(self, job: JobView, machines: list[MachineView], limit: int) -> bool:
-        """Return whether all waiting tasks of a gang may start now.
+        """Return True if all waiting tasks of a gang may start now.
 
-        A part of a gang would occupy capacity and only wait.
+        Starting only some of them would occupy capacity without any progress.
         """
         room: dict[str, int] = {}
         for machine in machines:
@@ -136,9 +137,9 @@
     def _candidates(self, job: JobView) -> list[MachineView]:
         """Return the machines that fit the job, in the order of preference.
 
-        Inexpensive machines first, then small ones, then those with the image, then the fullest.
-        Small tasks spread over large machines would fragment them, and only bin packing lets other
-        machines become empty and be returned.
+        Inexpensive machines first, then small ones, then those with the image, then the fullest
+        (bin packing). Small tasks spread over large machines would fragment them, and only bin
+        packing lets other machines become empty, so that they can be released.
         """
         if self._has_filled:
             self._has_filled = False
@@ -150,15 +151,18 @@
             if m.cpus >= cpus and m.memory_gb >= memory_gb and m.gpus >= gpus and m.allows(job)
         ]
         if job.one_zone and not any(job.zone_counts.values()):
-            # Of what is not reserved: else it waits for that zone beside the other one.
+            # Only machines whose capacity is not reserved count: otherwise the job might be bound
+            # to a zone where it has to wait, although it could start in the other one.
             fitting = self._best_zone([m for m in fitting if self._may_start(job, m)])
         fitting.sort(key=lambda m: (m.dear, m.size, job.image not in m.images, m.cpus, m.id))
         return fitting
 
     def _usable(self, job: JobView, machines: list[MachineView]) -> list[MachineView]:
-        """Exclude expensive machines for jobs that meet their deadline without them.
+        """Return the machines that the job may use, considering their price.
 
-        No job waits for longer than `any_room_s` beside capacity that it could have.
+        A job that meets its deadline without expensive machines may not use them. It may once it
+        has waited for `any_room_s`, so that no job waits for longer beside free capacity that fits
+        it.
         """
         if job not in self.plan.affordable or job.waited_s >= self.policy.any_room_s:
             return machines
@@ -182,7 +186,8 @@
         return (
             self._in_time(job, machine, window)
             or window.fits_beside(job)
-            # Past the window only strictly lower classes: nothing may stop the others for it.
+            # Past the window only strictly lower classes may run: tasks of other classes could not
+            # be preempted for the reserved job.
             or job.rank < self.reserved_job.rank
         )
 
@@ -213,11 +218,11 @@
         self.plan.starts.append(Start(job.id, machine.id, backfilled))
 
     def _is_backfilled(self, job: JobView) -> bool:
-        """Return whether a task starts ahead of the reserved job or in expected work's capacity.
+        """Return True if a task starts ahead of the reserved job or on capacity for expected work.
 
-        The paper reserves for the job that waits. A class whose service-level objective is a few
-        seconds has no time to wait, so its capacity is reserved before it comes; lower classes fill
-        it and may be preempted.
+        The paper makes a reservation for a job that waits. A class whose service-level objective is
+        a few seconds can't wait, so capacity for it is kept before its jobs arrive: lower classes
+        may use it, and their tasks may be preempted.
         """
         if self.reserved_job is not None and job.rank < self.reserved_job.rank:
             return True
@@ -241,9 +246,10 @@
     def windows(self) -> dict[MachineView, Window]:
         """Return the reservations of the reserved job by machine, computed on first use.
 
-        In an overload no job behind the reserved one fits anywhere, and the ends of all running
-        tasks were computed in vain. Nothing is placed between the choice of the reserved job and
-        the first question, since every start asks: so the result is what it would have been then.
+        In an overload no job behind the reserved one fits anywhere, and computing the ends of all
+        running tasks would be wasted. Computing them later gives the same result: every start asks
+        for the windows first, so nothing is placed between the choice of the reserved job and the
+        first use.
         """
         if self._windows is None:
             assert self.reserved_job is not None
@@ -258,7 +264,7 @@
         }
 
     def _is_anything_preemptible(self, reserved_job: JobView, guaranteed: bool) -> bool:
-        """Return whether any task may be preempted; for the lowest class none may."""
+        """Return True if any task may be preempted; none may be for the lowest class."""
         if guaranteed and any(t.borrows for t in self.view.teams.values()):
             return True
         return any(
@@ -269,7 +275,7 @@
         )
 
     def _preempt_for(self, reserved_job: JobView) -> None:
-        """Preempt backfilled tasks, shortest run time first, for the reserved job."""
+        """Preempt backfilled tasks for the reserved job, those with the shortest run time first."""
         team = self.view.teams.get(reserved_job.team)
         guaranteed = team is not None and team.guaranteed(reserved_job)
         if not self._is_anything_preemptible(reserved_job, guaranteed):
@@ -297,5 +303,5 @@
 
 
 def plan(view: View, now: Monotonic, policy: Policy) -> Plan:
-    """Plan one pass. The capacities and counts of the view are consumed by it."""
+    """Plan one pass. It consumes the view: its capacities and counts are changed."""
     return _Pass(view, now, policy).run()
--- a/tealrill/scheduler/preemption.py
+++ b/tealrill/scheduler/preemption.py
@@ -1,7 +1,7 @@
 """Preemption for the reserved job: of the backfilled tasks, those that have run the shortest.
 
-From the paper's `duration-consumed` rule: the least work is lost that way. On one machine the
-smallest sufficient set is taken, and of all machines the one where least work is lost.
+This is the paper's `duration-consumed` rule, which loses the least work. On one machine the
+smallest sufficient set of tasks is preempted, on the machine where that loses the least work.
 """
 
 from __future__ import annotations
@@ -19,16 +19,16 @@
     machine: MachineView
     tasks: list[RunningTask]
     lost_cpu_s: float
-    """CPU seconds of work that the stop throws away."""
+    """Processor seconds of work that the preemption loses."""
 
 
 def is_preemptible(
     task: RunningTask, job: JobView, teams: dict[str, TeamView], guaranteed: bool
 ) -> bool:
-    """Return whether `task` may be preempted for `job`.
+    """Return True if `task` may be preempted for `job`.
 
-    That is backfilled work of a strictly lower class or, within the quota of the job's team, work
-    of a team that borrows.
+    That is a backfilled task of a strictly lower class or, if the job is within its team's
+    guaranteed quota, a task of another team that exceeds its own.
     """
     if task.stopping:
         return False
@@ -49,9 +49,10 @@
 def _victims_on(
     machine: MachineView, job: JobView, candidates: list[RunningTask], now: Monotonic
 ) -> Victims | None:
-    """Return the victims on one machine, shortest run time first; None if that is not enough.
+    """Return the tasks to preempt on one machine, shortest run time first.
 
-    Tasks that turn out not to be needed are dropped from the set.
+    Return None if that would not make enough room. Tasks that turn out not to be needed are
+    dropped.
     """
     chosen: list[RunningTask] = []
     for task in candidates:
@@ -76,14 +77,15 @@
     guaranteed: bool,
     now: Monotonic,
 ) -> Victims | None:
-    """Return the victims whose preemption makes room for one task at the least lost work."""
+    """Return the tasks whose preemption makes room for one task at the least lost work."""
     best: Victims | None = None
     for machine in machines:
         if not (guaranteed or machine.backfilled):
             continue
         if not machine.allows(job) or job.zone_room(machine.zone) <= 0:
             continue
-        # Without a guarantee only backfilled work may be stopped; most machines have none.
+        # Outside the guaranteed quota only backfilled tasks may be preempted; most machines have
+        # none.
         running = machine.running if guaranteed else machine.backfilled
         candidates = [
             task
--- a/tealrill/scheduler/queue.py
+++ b/tealrill/scheduler/queue.py
@@ -1,13 +1,13 @@
 """The order of the queue.
 
-Urgency class first, raised by one for every `aging_s` of waiting without bound, so that nothing
-starves and a task that is preempted again and again becomes the reserved job in time.
-
-Within a level (ours; the paper has no deadlines) the jobs that the fleet can finish by their
-deadline go first, the earliest latest start before the others. When it can't finish all of them,
-the jobs with the most work left are passed over until the rest fits (Moore and Hodgson's rule,
-which leaves the fewest jobs late). By slack alone an overload makes every job a little late: the
-capacity goes to jobs for which it comes too late.
+Urgency class first, raised by one for every `aging_s` of waiting without bound. So nothing starves,
+and a task that is preempted again and again becomes the reserved job in time.
+
+Within a level (not in the paper, which has no deadlines), the jobs that the fleet can finish by
+their deadline go first, in the order of their latest start. When it can't finish all of them, the
+jobs with the most work left are passed over until the rest fits. This is Moore and Hodgson's rule,
+which minimizes the number of late jobs. With an order by slack alone, an overload makes every job a
+little late, because the capacity goes to jobs for which it is already too late.
 """
 
 from __future__ import annotations
@@ -33,9 +33,9 @@
 ) -> list[JobView]:
     """Return the jobs in queue order.
 
-    Jobs within their team's quota come first, then by level, then those that can meet a deadline.
-    `rank_cpus` are the processors that each class uses now: what higher classes hold is assumed to
-    pass to the next job of their class.
+    Jobs within their team's guaranteed quota come first; then the order is by level, then jobs that
+    can meet a deadline come first. `rank_cpus` are the processors that each class uses now: what
+    higher classes use is assumed to pass to the next job of their class.
     """
     places: dict[JobView, tuple[int, int, float]] = {}
     for number, peers, held, ahead in _levels(jobs, policy, rank_cpus or {}):
@@ -59,9 +59,9 @@
 def _starving_job(jobs: list[JobView], policy: Policy) -> JobView | None:
     """Return the job that the starvation guard puts before its peers, or None.
 
-    In an overload the jobs with the most work left are passed over in every pass, and the largest
-    never begin. (Ours; the paper lets priority rise with waiting.) One job at a time goes first,
-    and only until its first task is placed: its peers lose the capacity of one pass.
+    In an overload the jobs with the most work left are passed over in every pass, so the largest
+    would never begin. (Not in the paper, where priority rises with waiting.) One job at a time goes
+    first, and only until its first task is placed: its peers lose the capacity of one pass.
     """
     waits = [j for j in jobs if not j.begun and j.waited_s >= policy.starvation_guard_s]
     return max(waits, key=lambda j: (j.waited_s, j.id), default=None)
@@ -72,8 +72,8 @@
 ) -> None:
     """Order a graph's otherwise equal nodes by the longest path behind them.
 
-    (Ours; the paper's jobs don't depend on each other.) Nodes change places only with each other,
-    so that a graph gains nothing over plain jobs.
+    (Not in the paper, whose jobs don't depend on each other.) Nodes only change places with each
+    other, so that a graph has no advantage over plain jobs.
     """
     groups: dict[tuple[object, ...], list[int]] = {}
     for place, job in enumerate(ordered):
@@ -106,13 +106,14 @@
     """Return the jobs that the inexpensive machines finish by their first deadline.
 
     `cheap` maps the size of a machine to the processors of all inexpensive machines of that size:
-    tasks that fit only large machines must find their capacity on those alone. Run times beyond the
-    estimate are allowed for, and a part of these machines is left out for fragmentation.
+    tasks that fit only large machines must find their capacity on those alone. There is an
+    allowance for run times beyond the estimate, and for capacity lost to fragmentation.
     """
     sizes = sorted(cheap)
     found = set(jobs)
     for smallest in [0.0, *sizes[:-1]]:
-        # First all jobs on all machines, then those too large for the smaller ones on the rest.
+        # First all jobs on all machines, then the jobs too large for the smaller machines on the
+        # others.
         larger = [job for job in jobs if job.cpus > smallest or not smallest]
         if larger:
             room = sum(cpus for size, cpus in cheap.items() if size > smallest)
@@ -135,6 +136,7 @@
 
 
 def _spare_s(job: JobView) -> float:
+    """Return the allowance for a run time beyond the estimate, in seconds."""
     return 0.8 * job.estimate_s
 
 
@@ -151,7 +153,7 @@
     left = set(jobs)
     for deadline in range(max((len(job.latest_s) for job in jobs), default=0)):
         chosen = _feasible((j for j in left if _is_possible(j, deadline)), deadline, cpus, ahead)
-        # Not in the set's own order: sums of floats would differ from process to process.
+        # Not in the order of the set: it varies between processes, and so would sums of floats.
         for job in (job for job in jobs if job in chosen):
             places[job] = (number, deadline, job.latest_s[deadline])
             ahead += _work_cpu_s(job)
--- a/tealrill/scheduler/reservation.py
+++ b/tealrill/scheduler/reservation.py
@@ -1,6 +1,7 @@
 """Reservations: where and when the waiting tasks of the reserved job will fit.
 
-The paper's jobs are rigid; an array's tasks are independent, so each gets its own earliest time.
+The paper's jobs are rigid. The tasks of an array are independent, so each gets its own earliest
+time.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 
 @dataclass(slots=True)
 class Window:
-    """A reservation on one machine from `at` on, with its backfill window before it."""
+    """A reservation on one machine from `at` on; until then it is a backfill window."""
 
     at: Monotonic
     tasks: int
@@ -25,7 +26,7 @@
     """Capacity left at `at` beside the reserved tasks."""
 
     def fits_beside(self, job: JobView) -> bool:
-        """Return whether a task can run past `at` without touching the reservation."""
+        """Return True if a task can run past `at` without using reserved capacity."""
         return (
             self.spare_cpus >= job.cpus
             and self.spare_gpus >= job.gpus
@@ -88,16 +89,17 @@
 ) -> dict[MachineView, Window]:
     """Reserve the earliest capacity for up to `limit` of the job's waiting tasks.
 
-    Every machine found takes at least one task, so once there are as many machines as tasks, one
-    whose capacity comes later than all of them is not examined to its end. (Where every task's end
-    was computed and sorted, that was a fifth of a full fleet's pass.)
+    Every machine that fits takes at least one task. So once there are as many machines as tasks, a
+    machine whose capacity is free later than theirs is not examined further. (Computing and sorting
+    the ends of all tasks took a fifth of a pass over a full fleet.)
     """
     wanted = min(limit, job.waiting)
     if wanted <= 0:
         return {}
     found: list[RankedFit] = []
     latest: list[float] = []
-    """The earliest moments so far, as many as there are tasks, the last of them on top."""
+    """A heap of the earliest moments so far, at most one per task, negated so that the latest is on
+    top."""
     before = Monotonic(math.inf)
     for number, machine in enumerate(machines):
         if not machine.allows(job) or job.zone_room(machine.zone) <= 0:
