--- a/tests/test_cost.py
+++ b/tests/test_cost.py
@@ -1,4 +1,4 @@
-"""What the planner may cost, counted in work, and that it decides what the plain one decides."""
+"""The planner's work, counted in operations, and its equivalence to the reference planner."""
 
 from __future__ import annotations
 
@@ -38,10 +38,10 @@
 
 
 def _world(seed: int, machines: int, jobs: int) -> View:
-    """A fleet under load: kinds, zones, teams, classes, backfill, boots, and a queue.
+    """Return a loaded fleet: kinds, zones, teams, classes, backfill, boots, and a queue.
 
-    Drawn from a seed: generated one value after the other, views of a hundred machines would be
-    the generator's work and not the planner's.
+    It is drawn from a seed, because generating views of a hundred machines value by value would
+    take the property test's generator longer than the planner.
     """
     dice = random.Random(seed)
     paces = {team: Pace(dice.uniform(0.7, 1.6)) for team in ("blue", "red")}
@@ -154,7 +154,7 @@
     view, same = _world(seed, machines, jobs), _world(seed, machines, jobs)
     quick, slow = plan(view, NOW, Policy()), plain.plan(same, NOW, Policy())
     assert _decided(quick) == _decided(slow)
-    # What the pass leaves of the rooms is what renting sees.
+    # Scale-out works on the capacity that the pass leaves.
     assert [(m.id, m.cpus, m.memory_gb) for m in view.machines] == [
         (m.id, m.cpus, m.memory_gb) for m in same.machines
     ]
@@ -171,9 +171,9 @@
 
 
 def _beside_room(view: View, result: Plan, waited_s: float) -> list[str]:
-    """Jobs that have waited for so long and are left beside room that nothing is kept in.
+    """Return the jobs that have waited for `waited_s` beside capacity that is not reserved.
 
-    Room of tasks that this pass stops is none yet.
+    Capacity of tasks that this pass preempts is not free yet.
     """
     stopped = {stop.task for stop in result.stops}
     return [
@@ -210,7 +210,7 @@
 
 
 def test_for_a_team_at_its_limit_no_room_is_looked_for(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Thousands of its jobs were held against hundreds of machines with room, in every pass."""
+    """Otherwise each pass checks thousands of its jobs against hundreds of machines with room."""
     asked: list[str] = []
     whole = planner._Pass._candidates
 
@@ -228,7 +228,7 @@
     }
     result = plan(View(fleet, queue, teams, None, {}), NOW, Policy())
     assert asked == ["blue-1"] and len(result.starts) == 3
-    # They are no reason for more machines either, nor is any of them the head.
+    # They cause no scale-out either, and none of them becomes the reserved job.
     assert not result.unplaced and result.reserved_job is None
 
 
@@ -308,14 +308,14 @@
     result = plan(View(machines, jobs, {}), NOW, Policy())
     assert len(result.unplaced) == 5000 and result.reserved_job is not None
     assert not ends and not fits
-    # Asked for, they are the same as those of the plain planner.
+    # Computed on first use, they are the same as those of the reference planner.
     assert result.reservations and sum(ends) == 30_000
 
 
 def test_of_a_full_fleet_few_machines_are_sorted_for_the_head(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A machine whose tasks all end later than the rooms found so far is passed over."""
+    """A machine whose tasks all end later than the fits found so far is passed over."""
     machines = _full_fleet(1200, 25)
     reached = _counted(
         monkeypatch, reservation, "earliest_fit", lambda job, machine, now, by: by < NOW + 10.0
@@ -326,7 +326,7 @@
 
 
 def test_full_rooms_are_not_gone_through_for_every_job(monkeypatch: pytest.MonkeyPatch) -> None:
-    """500 jobs wait for 600 machines that are full: wishes were the dearest part of a pass."""
+    """500 jobs wait for 600 full machines; this was the most expensive part of a pass."""
     made: list[FreeCapacity] = []
     plainly = FreeCapacity.__init__
 
@@ -343,7 +343,7 @@
     ]
     wished = rentals(jobs, machines, [offer], [offer], NOW, Policy())
     assert sum(r.count for r in wished) > 1000
-    # Not one for every pair of a job and a room that was there or was wished for before it.
+    # Far fewer than one for each pair of a job and a machine, existing or requested before it.
     pairs = 500 * (600 + 0.5 * sum(r.count for r in wished))
     assert 600 < made[0].inspected < 0.08 * pairs
 
@@ -362,7 +362,7 @@
 
 
 class _Large:
-    """1,200 machines of 32 processors that are heard, with tasks of a few jobs on them."""
+    """1,200 live machines of 32 processors, with tasks of a few jobs on them."""
 
     def __init__(self, tasks: int) -> None:
         self.scheduling_loop, self.fleet, self.job_store, self.provisioner = _dispatcher()
@@ -437,7 +437,7 @@
 def test_a_wave_of_silent_machines_costs_those_that_are_silent(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """600 of 1,200 fall silent and come back."""
+    """600 of 1,200 machines fall silent and recover."""
     world = _Large(4)
     world.now += 6.0
     for name in world.names[:600]:
@@ -453,7 +453,7 @@
 
 
 def test_lost_tasks_are_looked_at_by_jobs(monkeypatch: pytest.MonkeyPatch) -> None:
-    """2,000 tasks of four jobs lapse with 500 machines, and are placed again in one pass."""
+    """The leases of 500 machines expire; 2,000 tasks of four jobs are bound again in one pass."""
     world = _Large(4)
     terminated = world.names[:500]
     world.now += 9.0
--- a/tests/test_failure_attribution.py
+++ b/tests/test_failure_attribution.py
@@ -1,4 +1,4 @@
-"""Failure attribution: broken jobs beside faulty machines, on generated small fleets."""
+"""Failure attribution: erroneous jobs and faulty machines together, on generated small fleets."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class _World:
-    """Machines with four places each; tasks that fail do so within half a second."""
+    """Machines with four slots each; tasks that fail do so within half a second."""
 
     def __init__(self, seed: int, jobs: list[_Job], machines: dict[str, tuple[str, bool]]) -> None:
         self.rng = random.Random(seed)
@@ -92,7 +92,7 @@
 
 
 def _jobs(count: int, mistaken: int, tasks: int = 8, kinds: str = "a") -> list[_Job]:
-    """The mistaken ones evenly among the others."""
+    """Return `count` jobs, of which `mistaken` are erroneous, at regular distances."""
     every = count / mistaken if mistaken else count + 1
     return [
         _Job(JobId(f"wk-{n}"), tasks, int(n % every) == 0 and mistaken > 0, 6.0, frozenset(kinds))
@@ -105,7 +105,8 @@
 
 
 def test_a_mistaken_job_of_20000_tasks_is_tried_ever_more_rarely() -> None:
-    # It had failed 946 times within half a minute, most of them on one machine.
+    # Guards against unlimited retries: 946 tasks failed within half a minute, most of them on one
+    # machine.
     job = _Job(JobId("wk-1"), 20_000, True, 6.0, frozenset("a"))
     world = _World(1, [job], _fleet(20))
     world.run(300.0)
@@ -121,7 +122,7 @@
     world.run(60.0)
     assert not world.drained
     assert all(job.done == job.tasks for job in jobs if not job.mistaken)
-    # The first tasks of all fail together; what follows is a try now and then.
+    # The first tasks of each erroneous job fail together; after that there is a retry now and then.
     assert all(job.starts <= job.tasks + 8 for job in jobs if job.mistaken)
 
 
@@ -146,7 +147,7 @@
     job = _Job(JobId("wk-1"), 40, False, 6.0, frozenset("a"))
     world = _World(1, [job], _fleet(10, faulty=1))
     world.run(4.0)
-    # The others have run for longer than any took to fail: nothing is held back any more.
+    # The other tasks have run for longer than any took to fail, so the job is cleared.
     assert not world.failure_attribution.is_on_probation(job.id)
     world.run(10.0)
     assert job.done == 40
@@ -158,13 +159,13 @@
     now = Monotonic(10.0)
     assert failure_attribution.task_limit(JobId("wk-1"), 0, 0.0, now) == 1
     assert failure_attribution.task_limit(JobId("wk-1"), 1, 0.5, now) == 0
-    # It may have been stopped only: then it goes on as soon as one has run for a moment.
+    # The attempts may have been preempted: probation ends once a task has run for a moment.
     assert failure_attribution.task_limit(JobId("wk-1"), 1, 2.5, now) is None
-    # And a failure goes on where the former leader's gaps had come to.
+    # After a failure, the pause continues from the former term's number of attempts.
     failure_attribution.failed(JobId("wk-1"), MachineId("m-1"), 0.0, False, now)
     assert failure_attribution.task_limit(JobId("wk-1"), 0, 0.0, Monotonic(now + 3.9)) == 0
     assert failure_attribution.task_limit(JobId("wk-1"), 0, 0.0, Monotonic(now + 4.1)) == 1
-    # What was bound once was neither stopped nor lost.
+    # A single attempt was neither preempted nor lost, so there is no probation.
     failure_attribution.inherited(JobId("wk-2"), 1)
     assert not failure_attribution.is_on_probation(JobId("wk-2"))
 
@@ -173,7 +174,7 @@
     failure_attribution = FailureAttribution()
     machine = MachineId("m-1")
     assert not failure_attribution.failed(JobId("wk-1"), machine, 0.0, True, Monotonic(0.0))
-    # Long after it, another job's failure is the first one again.
+    # The earlier failure is too old to count, so the next job's failure is the first again.
     assert not failure_attribution.failed(JobId("wk-2"), machine, 0.0, True, Monotonic(301.0))
     assert failure_attribution.failed(JobId("wk-3"), machine, 0.0, True, Monotonic(302.0)) == [
         machine
@@ -232,15 +233,15 @@
 
 
 def test_a_failure_late_in_a_long_task_does_not_keep_the_others_waiting() -> None:
-    """They waited beside room until one task had run for twice as long as the one that failed."""
+    """A late failure must not hold back the job's other tasks for twice the time that it took."""
     failure_attribution = FailureAttribution()
     job, faulty = JobId("wk-1"), MachineId("m-1")
     failure_attribution.failed(job, faulty, 100.0, False, Monotonic(100.0))
-    # Others of it have run as long without failing, or one that was begun since for a while.
+    # Other tasks have run as long without failing, or a later one has run for 45 s.
     assert failure_attribution.task_limit(job, 9, 100.0, Monotonic(102.0)) is None
     assert failure_attribution.task_limit(job, 1, 40.0, Monotonic(150.0)) == 0
     assert failure_attribution.task_limit(job, 1, 45.0, Monotonic(150.0)) is None
-    # It is not called sound for that, and the machine not faulty.
+    # That neither clears the job nor makes the machine faulty.
     assert not failure_attribution.survived(
         job, 100.0, Monotonic(160.0)
     ) and failure_attribution.is_on_probation(job)
--- a/tests/test_failure_detector.py
+++ b/tests/test_failure_detector.py
@@ -1,4 +1,4 @@
-"""Failure detection, replacement after mass failures and capacity backoff: pure parts."""
+"""Failure detection, replacement after mass failures and capacity backoff as pure state."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
     assert _verdicts(heard + _signs("north", 30, _SILENT_S, failed_connects=MISSES)) == {
         Suspicion.GONE
     }
-    # One attempt may have lost a packet.
+    # A single failure may be due to a lost packet.
     assert _verdicts(heard + _signs("north", 30, _SILENT_S, failed_connects=1)) == {Suspicion.LATE}
 
 
@@ -53,7 +53,7 @@
 
 
 def test_the_first_machines_of_a_cut_are_not_taken_for_deaths() -> None:
-    # Reports are up to 1.25 periods apart, so a zone falls silent machine by machine.
+    # Heartbeats are up to 1.25 intervals apart, so the machines of a zone fall silent one by one.
     first = _signs("south", 5, 2.8 * _REPORT_S, failed_connects=MISSES)
     last = _signs("south", 15, 1.6 * _REPORT_S, failed_connects=MISSES)
     assert _verdicts(_signs("north", 20, _HEARD_S) + first + last) == {Suspicion.CUT}
@@ -103,7 +103,8 @@
         sign = by_id[machine]
         assert sign.silent_s > live_within_s(_REPORT_S)
         if verdict is Suspicion.GONE:
-            # Nothing is given up that connects, nor in a zone of several of which none is heard.
+            # A machine that accepts connections is not diagnosed as failed, nor is one in a
+            # partitioned zone, unless it is missing from the cloud's lists.
             assert sign.missing_from_lists >= 2 or (
                 not sign.accepts and sign.failed_connects >= MISSES
             )
@@ -127,7 +128,7 @@
     assert not is_bypassed_by_heartbeats(60.0, 2, _REPORT_S)
 
 
-# -- losses ---------------------------------------------------------------------------------------
+# -- capacity losses ------------------------------------------------------------------------------
 
 
 def _lose(losses: CapacityLosses, count: int, at: float = 0.0, cpus: float = 6.0) -> None:
@@ -155,7 +156,7 @@
         _lose(apart, 1, at=6.0 * n)
     assert apart.replacement_capacity(Monotonic(67.0), 10) == {}
     _lose(losses, 5, at=1.0)
-    assert losses.replacement_capacity(Monotonic(1.0), 200) == {}, "nine of two hundred are no fall"
+    assert losses.replacement_capacity(Monotonic(1.0), 200) == {}, "nine of 200 machines are no mass failure"
     assert losses.replacement_capacity(Monotonic(1.0), 100) == {"big": 54.0}
 
 
@@ -202,7 +203,7 @@
         assert losses.replacement_capacity(now, 0).get("big", 0.0) <= sum(lost.values()) + 1e-6
 
 
-# -- refusals -------------------------------------------------------------------------------------
+# -- capacity backoff -----------------------------------------------------------------------------
 
 
 def test_refusals_double_while_nothing_is_given_and_end_when_machines_have_gone() -> None:
@@ -230,7 +231,7 @@
 
 
 def test_lost_machines_shorten_a_refusal_and_do_not_end_it() -> None:
-    """Dead ones hold their places: asked for with each that was lost, calls went out in vain."""
+    """Failed machines still occupy the cloud's capacity, so new requests are refused for a while."""
     capacity_backoff, kind = CapacityBackoff(), ("big", "north", True)
     capacity_backoff.answered(kind, 10, 0, Monotonic(0.0))
     capacity_backoff.answered(kind, 10, 0, Monotonic(10.0))
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -1,4 +1,4 @@
-"""The paper's rules, on views made by hand and by hypothesis."""
+"""The paper's rules, on views written by hand and generated ones."""
 
 from __future__ import annotations
 
@@ -48,13 +48,13 @@
 
 
 def test_an_overload_passes_over_the_largest_job_and_not_the_latest() -> None:
-    # Ordered by slack alone, one large job made ten small ones late.
+    # With an order by slack alone, one large job made ten small ones late.
     large = job_view("large-1", latest_s=(40.0,), tasks=100, waiting=100, estimate_s=30.0)
     small = [job_view(f"small-{n}", latest_s=(45.0 + n,), estimate_s=30.0) for n in range(5)]
     cpus = 20.0 * large.cpus
     assert order([large, *small], {}, Policy(), cpus) == [*small, large]
     assert order([large, *small], {}, Policy(), 10 * cpus)[0] is large
-    # What a higher class holds is not there for these.
+    # Capacity that a higher class uses is not available to these.
     held = {large.rank + 1: 9.5 * cpus}
     assert order([large, *small], {}, Policy(), 10 * cpus, held)[-1] is large
 
@@ -248,7 +248,7 @@
             and t.rank < by_id[stop.for_job].rank
             and t.task not in {s.task for s in result.stops}
         ]
-        # Of tasks of the same size on one machine, those that ran the shortest are stopped.
+        # Of tasks of equal size on one machine, those with the shortest run time are preempted.
         assert all(t.ran_s(NOW) >= victim.ran_s(NOW) for t in kept)
 
 
@@ -301,7 +301,7 @@
 
 
 def test_dear_machines_are_for_jobs_that_the_cheap_ones_do_not_bring_in() -> None:
-    # Jobs with time to spare once filled dear machines and had more of them rented.
+    # Otherwise jobs with time to spare fill expensive machines and have more of them rented.
     busy = [running_task("run-1", cpus=8.0, end_at=Monotonic(NOW + 20))]
     machines = [
         machine_view("m-1", cpus=0.0, running=busy),
@@ -323,7 +323,7 @@
 
 
 def test_large_tasks_count_only_the_machines_that_they_fit() -> None:
-    # Taken together the fleet had room for them, on machines too small for any.
+    # The whole fleet's capacity would be enough, but on machines too small for any of the tasks.
     large = job_view("large-1", cpus=32.0, waiting=8, tasks=8, estimate_s=50.0, latest_s=(100.0,))
     small = job_view("small-1", cpus=4.0, waiting=8, tasks=8, estimate_s=50.0, latest_s=(100.0,))
     assert affordable([large, small], Policy(), {16.0: 640.0, 64.0: 64.0}, {}) == {small}
@@ -332,8 +332,10 @@
 
 
 def test_what_waits_is_weighed_once_for_a_kind_of_machine(monkeypatch: pytest.MonkeyPatch) -> None:
-    """With a long queue, a full look at every machine for every job took half of all the leader's
-    time; and all of it for nothing while the cloud has no machine to give."""
+    """A task's share is computed once per type, and not at all if nothing can be rented.
+
+    With a long queue, computing it for every job and machine took half of the leader's time.
+    """
     counted: list[str] = []
 
     def part(job: JobView, size: Offer) -> float:
@@ -351,7 +353,7 @@
 
 
 def test_full_machines_are_looked_at_once_a_pass(monkeypatch: pytest.MonkeyPatch) -> None:
-    """With a full fleet and a long queue, every job used to look at every machine."""
+    """With a full fleet and a long queue, not every job may examine every machine."""
     looked: list[MachineView] = []
     has = MachineView.has
 
@@ -365,7 +367,7 @@
     jobs = [job_view(f"wk-{n}", cpus=1.0 + n) for n in range(40)]
     result = plan(View(machines, jobs, {}), NOW, Policy())
     assert [start.machine for start in result.starts] == ["m-free"]
-    assert len(looked) < 3 * len(machines)  # once to place, once for the reservation
+    assert len(looked) < 3 * len(machines)  # once for placement, once for the reservation
 
 
 @given(st.floats(0, 300), st.floats(0, 300), st.floats(0.1, 5))
@@ -379,7 +381,7 @@
 
 @given(st.lists(st.tuples(st.integers(1, 300), st.floats(0.0, 599.0), st.booleans()), max_size=12))
 def test_who_has_not_begun_for_long_has_its_turn(found: list[tuple[int, float, bool]]) -> None:
-    """In an overload the largest were passed over each time anew: 15 of 65 began in time."""
+    """Without the guard the largest jobs were passed over in every pass: 15 of 65 began in time."""
     policy = Policy()
     jobs = [
         job_view(
@@ -392,7 +394,8 @@
     ordered = order([*jobs, small], {}, policy, 16.0, {})
     waits = [j for j in jobs if not j.begun and j.waited_s >= policy.starvation_guard_s]
     if waits:
-        # One at a time, the one that has waited longest; all others behind what can be in time.
+        # Only the one that has waited longest goes first; the others stay behind jobs that can be
+        # in time.
         assert ordered[0].waited_s == max(j.waited_s for j in waits) and not ordered[0].begun
         assert ordered[1] is small
     else:
--- a/tests/test_waits.py
+++ b/tests/test_waits.py
@@ -1,8 +1,8 @@
-"""What keeps a job or a machine back, and when it ends: nobody waits for 90 s beside room.
+"""Everything that delays a placement, and when it ends: no job waits for 90 s beside free capacity.
 
-Each hold is brought about on real fleets and dispatchers, then time goes on as it does once all
-troubles are over: machines report, passes are made. The job that was held back must have its place
-by the moment given. `tests/test_cost.py` has the same for what the planner decides.
+Each delay is caused on a real fleet and scheduling loop. Then time passes without further faults,
+with heartbeats and placement passes, and the delayed job must be bound by the given time.
+`tests/test_cost.py` checks the same for what the planner decides.
 """
 
 from __future__ import annotations
@@ -33,12 +33,12 @@
 
 
 class _World:
-    """A leader in its first moments, with one machine that reports."""
+    """A newly elected leader with one machine that sends heartbeats."""
 
     def __init__(self, heartbeat_interval_s: float = _REPORT_S) -> None:
         self.heartbeat_interval_s = heartbeat_interval_s
         self.now = Monotonic(0.0)
-        # There are no more machines than those that are up, and none is dearer than the others.
+        # No further machines are rented, and with a single type in the catalogue none is expensive.
         self.scheduling_loop, self.fleet, self.job_store, _ = _dispatcher(
             heartbeat_interval_s, [_TYPE]
         )
@@ -50,7 +50,7 @@
         self.fleet.inherit(inherited, self.now)
         self.beat()
         self.beat()
-        # So new that it is not returned for having nothing to do.
+        # So new that it is not released while it is idle.
         self.fleet.machines[MachineId("m-1")].since = Monotonic(self.now + 1000.0)
 
     def job(self, **changes: Any) -> Job:
@@ -59,7 +59,7 @@
         return self.job_store.add(description, Wall(self.now), Revision(1))
 
     def bound(self, job: Job, machine: str) -> Binding:
-        """By a former leader, to a machine of which nothing was heard since."""
+        """Return a binding of an earlier term to a machine that has sent no heartbeat since."""
         chunk = self.job_store._chunk(job, 0)
         value = {"n": 1, "tasks": [[2, machine, 1, 1, 0, 5.0]]}
         del job.chunks[chunk.number]
@@ -72,10 +72,10 @@
         self.fleet.heartbeats.process(message, MachineId("m-1"), self.now, Wall(self.now))
 
     def until_placed(self, job: Job, most_s: float = 90.0) -> float:
-        """How long it takes until the job has a place beside whatever else there is."""
+        """Return the seconds until a task of the job is bound."""
         began = self.now
         while not job.bound_count:
-            assert self.now - began <= most_s, "it still waits"
+            assert self.now - began <= most_s, "the job is still not bound"
             self.fleet.leases.check_silence(self.now)
             self.beat()
             self.scheduling_loop.run(self.now, Wall(self.now))
@@ -93,7 +93,7 @@
 def test_a_machine_that_was_called_deaf_has_work_again_two_reports_later(
     heartbeat_interval_s: float,
 ) -> None:
-    """Where reports come more than 4.8 s apart, it stayed deaf for ever."""
+    """With intervals over 4.8 s, a machine once stayed marked as inbound-partitioned for good."""
     world = _World(heartbeat_interval_s)
     world.begin()
     world.fleet.machines[MachineId("m-1")].mark_inbound_partitioned(True)
@@ -144,8 +144,10 @@
 def test_a_rule_about_zones_waits_for_the_zones_of_its_tasks(
     rule: dict[str, bool], known: bool
 ) -> None:
-    """Placed before they were known, its tasks were in two zones. A machine of which nothing is
-    heard lapses, and then its tasks are nowhere."""
+    """Bound before the zones of its tasks are known, a one-zone job could run in two zones.
+
+    The lease of a machine that sends no heartbeats expires, and then its tasks are bound nowhere.
+    """
     world = _World()
     job = world.job(**rule)
     job.spec = spec(id=job.id, pieces=2, **rule)
@@ -153,13 +155,13 @@
     binding = world.bound(job, "m-9")
     world.begin(binding)
     if known:
-        # The list says that it is in this machine's zone, or in the other one.
+        # The cloud's list shows it in a zone where the rule lets the other task run.
         zone = "north" if "samePlace" in rule else "south"
         world.fleet.locate(world.fleet.machines[MachineId("m-9")], "big", zone, False)
     world.scheduling_loop.run(world.now, Wall(world.now))
     assert (job.bound_count == 2) is known
     if not known:
-        # Its lease is over 8.5 s after the election, and only then.
+        # Its lease expires 8.5 s after the election, and not earlier.
         took_s = 0.0
         while job.bound_count < 2 and binding in job.bindings():
             took_s += 1.0
@@ -171,7 +173,7 @@
 
 
 def test_a_limit_counts_what_may_still_run_and_no_longer() -> None:
-    """All that the team may use is bound to a machine that is gone."""
+    """All that the team's limit allows is bound to a machine that has failed."""
     world = _World()
     terminated = world.job(crew="red", vcpus=64.0)
     world.begin(world.bound(terminated, "m-9"))
@@ -191,7 +193,11 @@
 def test_a_job_that_has_no_place_at_all_keeps_nobody_back(
     changes: dict[str, Any], waited_s: float
 ) -> None:
-    """Not as the head, nor when it has its turn, nor as the oldest of the highest level."""
+    """A job that fits no machine delays no other job.
+
+    It doesn't as the reserved job, nor by the starvation guard, nor as the oldest of the highest
+    level.
+    """
     world = _World()
     world.begin()
     first = world.job(urgency="urgent", **changes)
@@ -216,8 +222,10 @@
 
 
 def test_a_mute_machine_has_no_work_until_it_reports() -> None:
-    """Answers to direct commands show that it is up, and renew nothing: it takes work again with
-    its first report."""
+    """Replies to direct commands show that a machine is up, but renew no lease.
+
+    So it gets tasks again only with its first heartbeat.
+    """
     world = _World()
     world.begin()
     for _ in range(6):
@@ -236,7 +244,7 @@
 
 
 def test_nothing_of_a_task_that_is_gone_is_counted() -> None:
-    """Sums of decimal numbers: ten thousand tasks later the team has all that it may use."""
+    """Rounding errors must not add up: after 10,000 tasks the team's usage must still be zero."""
     world = _World()
     world.begin()
     job = world.job(crew="red", vcpus=0.1)
