--- a/tests/test_failure_detector.py
+++ b/tests/test_failure_detector.py
@@ -156,7 +156,7 @@
         _lose(apart, 1, at=6.0 * n)
     assert apart.replacement_capacity(Monotonic(67.0), 10) == {}
     _lose(losses, 5, at=1.0)
-    assert losses.replacement_capacity(Monotonic(1.0), 200) == {}, "nine of 200 machines are no mass failure"
+    assert losses.replacement_capacity(Monotonic(1.0), 200) == {}, "nine of 200 are too few"
     assert losses.replacement_capacity(Monotonic(1.0), 100) == {"big": 54.0}
 
 
@@ -231,7 +231,7 @@
 
 
 def test_lost_machines_shorten_a_refusal_and_do_not_end_it() -> None:
-    """Failed machines still occupy the cloud's capacity, so new requests are refused for a while."""
+    """Failed machines still occupy the cloud's capacity, so new requests are refused at first."""
     capacity_backoff, kind = CapacityBackoff(), ("big", "north", True)
     capacity_backoff.answered(kind, 10, 0, Monotonic(0.0))
     capacity_backoff.answered(kind, 10, 0, Monotonic(10.0))
