--- a/tealrill/scheduler/capacity.py
+++ b/tealrill/scheduler/capacity.py
@@ -65,37 +65,39 @@
         return self.type, self.zone, self.spot
 
 
-def _cpu_shares(job: JobView, kinds: Iterable[Kind], sizes: dict[str, Offer]) -> list[float | None]:
+def _cpu_shares(
+    job: JobView, kinds: Iterable[Kind], offer_by_type: dict[str, Offer]
+) -> list[float | None]:
     """Return a task's share of each kind of machine, in processors; None where it may not run.
 
     Computed once per type, because it is the same in every zone, spot or on-demand.
     """
-    of_type: dict[str, float] = {}
-    found: list[float | None] = []
+    share_by_type: dict[str, float] = {}
+    shares: list[float | None] = []
     for kind in kinds:
         if not job.may_use(*kind):
-            found.append(None)
+            shares.append(None)
             continue
-        if kind[0] not in of_type:
-            of_type[kind[0]] = _cpu_share(job, sizes[kind[0]])
-        found.append(of_type[kind[0]])
-    return found
+        if kind[0] not in share_by_type:
+            share_by_type[kind[0]] = _cpu_share(job, offer_by_type[kind[0]])
+        shares.append(share_by_type[kind[0]])
+    return shares
 
 
-def _cpu_share(job: JobView, size: Offer) -> float:
+def _cpu_share(job: JobView, offer: Offer) -> float:
     """Return a task's share of a machine, in processors; 0 if it needs nothing.
 
     The share is that of the resource of which the task takes the largest part.
     """
     share = 0.0
     for need, have in (
-        (job.cpus, size.cpus),
-        (job.memory_gb, size.memory_gb),
-        (job.gpus, size.gpus),
+        (job.cpus, offer.cpus),
+        (job.memory_gb, offer.memory_gb),
+        (job.gpus, offer.gpus),
     ):
         if need > 0:
             share = max(share, need / have if have > 0 else 2.0)
-    return share * max(size.cpus, 1e-6)
+    return share * max(offer.cpus, 1e-6)
 
 
 def _price(offer: Offer, slots: int, left: int) -> float:
@@ -108,7 +110,7 @@
 
 
 def _choose(
-    left: int, offers: list[tuple[Offer, int]], machines: dict[tuple[str, str], int]
+    left: int, offers: list[tuple[Offer, int]], machine_counts: dict[tuple[str, str], int]
 ) -> Offer | None:
     """Return the smallest of the cheapest machines per task; None without offers.
 
@@ -117,10 +119,10 @@
     """
     prices = [_price(offer, slots, left) for offer, slots in offers]
     limit = _PRICE_TOLERANCE * min(prices, default=0.0)
-    near = [offer for (offer, _), price in zip(offers, prices, strict=True) if price <= limit]
+    cheapest = [offer for (offer, _), price in zip(offers, prices, strict=True) if price <= limit]
     return min(
-        near,
-        key=lambda o: (o.cpus, machines.get((o.type, o.zone), 0), o.type, o.zone),
+        cheapest,
+        key=lambda o: (o.cpus, machine_counts.get((o.type, o.zone), 0), o.type, o.zone),
         default=None,
     )
 
@@ -153,22 +155,30 @@
     available_set = frozenset(available)
     offered = [(offer, offer in available_set) for offer in catalogue]
     demands: list[_Demand] = []
-    last = 0
+    end = 0
     for job, waiting in unplaced:
-        slots: dict[str, int] = {}
+        slots_by_type: dict[str, int] = {}
         fitting: list[tuple[Offer, bool, float]] = []
-        for offer, ready in offered:
+        for offer, is_available in offered:
             if offer.allows(job):
-                if offer.type not in slots:
-                    slots[offer.type] = offer.slots(job)
-                if slots[offer.type] > 0:
-                    fitting.append((offer, ready, _price(offer, slots[offer.type], waiting)))
+                if offer.type not in slots_by_type:
+                    slots_by_type[offer.type] = offer.slots(job)
+                if slots_by_type[offer.type] > 0:
+                    fitting.append(
+                        (offer, is_available, _price(offer, slots_by_type[offer.type], waiting))
+                    )
         if not fitting:
             continue
-        limit = policy.dear * min(price for _, _, price in fitting)
-        cheap = [(o, slots[o.type]) for o, ready, price in fitting if ready and price <= limit]
+        price_limit = policy.dear * min(price for _, _, price in fitting)
+        cheap = [
+            (o, slots_by_type[o.type])
+            for o, is_available, price in fitting
+            if is_available and price <= price_limit
+        ]
         wait_s = min(offer.boot_s for offer, _, _ in fitting)
-        offers = cheap or [(o, slots[o.type]) for o, ready, _ in fitting if ready]
+        offers = cheap or [
+            (o, slots_by_type[o.type]) for o, is_available, _ in fitting if is_available
+        ]
         if not cheap and job in affordable:
             # Only expensive machines are available, and the job doesn't need them to meet its
             # deadline: any capacity that becomes free by its latest start is good enough.
@@ -176,8 +186,8 @@
             offers = []
         demands.append(_Demand(job, waiting, wait_s, offers))
         if offers:
-            last = len(demands)
-    return demands[:last]
+            end = len(demands)
+    return demands[:end]
 
 
 def rentals(
@@ -201,31 +211,33 @@
     demands = _demands(unplaced, catalogue, available, policy, affordable)
     if not demands:
         return []
-    sizes = {offer.type: offer for offer in catalogue}
-    known = [m for m in machines if m.type in sizes]
-    kinds = list({(m.type, m.zone, m.spot) for m in known} | {o.kind for o in catalogue})
-    all_shares = [_cpu_shares(demand.job, kinds, sizes) for demand in demands]
+    offer_by_type = {offer.type: offer for offer in catalogue}
+    known_machines = [m for m in machines if m.type in offer_by_type]
+    kinds = list({(m.type, m.zone, m.spot) for m in known_machines} | {o.kind for o in catalogue})
+    all_shares = [_cpu_shares(demand.job, kinds, offer_by_type) for demand in demands]
     boot_ends = {Monotonic(now + offer.boot_s) for offer in catalogue}
     free_capacity = FreeCapacity(kinds, all_shares, boot_ends)
-    for machine in known:
+    for machine in known_machines:
         free_capacity.add((machine.type, machine.zone, machine.spot), coming_free(machine, now))
-    counts = Counter((machine.type, machine.zone) for machine in machines)
-    wanted: dict[Offer, int] = {}
+    machine_counts = Counter((machine.type, machine.zone) for machine in machines)
+    rental_counts: dict[Offer, int] = {}
     for demand, shares in zip(demands, all_shares, strict=True):
         job = demand.job
         left = demand.waiting - free_capacity.allocate(
             job, demand.waiting, shares, Monotonic(now + demand.wait_s)
         )
         while left > 0:
-            offer = _choose(left, demand.offers, counts)
+            offer = _choose(left, demand.offers, machine_counts)
             if offer is None:
                 break
-            number = free_capacity.add(offer.kind, [(Monotonic(now + offer.boot_s), offer.cpus)])
+            machine_number = free_capacity.add(
+                offer.kind, [(Monotonic(now + offer.boot_s), offer.cpus)]
+            )
             until = Monotonic(now + max(demand.wait_s, offer.boot_s))
-            allocated = free_capacity.allocate(job, left, shares, until, number)
+            allocated = free_capacity.allocate(job, left, shares, until, machine_number)
             if allocated <= 0:
                 break
             left -= allocated
-            wanted[offer] = wanted.get(offer, 0) + 1
-            counts[offer.type, offer.zone] += 1
-    return [Rental(o.type, o.zone, o.spot, count) for o, count in wanted.items()]
+            rental_counts[offer] = rental_counts.get(offer, 0) + 1
+            machine_counts[offer.type, offer.zone] += 1
+    return [Rental(o.type, o.zone, o.spot, count) for o, count in rental_counts.items()]
--- a/tealrill/scheduler/capacity_losses.py
+++ b/tealrill/scheduler/capacity_losses.py
@@ -79,15 +79,15 @@
                 loss.cpus -= replaced
                 cpus -= replaced
 
-    def replacement_capacity(self, now: Monotonic, fleet: int) -> dict[str, float]:
+    def replacement_capacity(self, now: Monotonic, fleet_size: int) -> dict[str, float]:
         """Return the processors to replace by machine type; empty without a mass failure.
 
-        `fleet` is the number of machines, including failed ones until they are removed from the
-        fleet.
+        `fleet_size` is the number of machines, including failed ones until they are removed from
+        the fleet.
         """
         while self._unreplaced and now - self._unreplaced[0].at > _KEPT_S:
             self._by_machine.pop(self._unreplaced.popleft().machine, None)
-        if not self.is_mass_failure(fleet):
+        if not self.is_mass_failure(fleet_size):
             return {}
         replacement_capacity: dict[str, float] = {}
         for loss in self._unreplaced:
@@ -97,9 +97,9 @@
                 )
         return replacement_capacity
 
-    def is_mass_failure(self, fleet: int) -> bool:
+    def is_mass_failure(self, fleet_size: int) -> bool:
         """Return True if so many machines failed within `_TOGETHER_S` that it is one event."""
-        threshold = max(_MASS_FAILURE_MIN, math.ceil(_MASS_FAILURE_SHARE * fleet))
+        threshold = max(_MASS_FAILURE_MIN, math.ceil(_MASS_FAILURE_SHARE * fleet_size))
         times = [loss.at for loss in self._unreplaced]
         return any(
             times[n + threshold - 1] - times[n] <= _TOGETHER_S
--- a/tealrill/scheduler/failure_attribution.py
+++ b/tealrill/scheduler/failure_attribution.py
@@ -59,12 +59,12 @@
     return min(max_s, _FIRST_GAP_S * 2.0 ** min(failures, 16))
 
 
-def _keep_latest(kept: dict[_K, _V], key: _K, value: _V, task_limit: int) -> None:
+def _keep_latest(entries: dict[_K, _V], key: _K, value: _V, max_entries: int) -> None:
     """Add an entry as the latest, and drop the oldest entries beyond the limit."""
-    kept.pop(key, None)
-    kept[key] = value
-    while len(kept) > task_limit:
-        del kept[next(iter(kept))]
+    entries.pop(key, None)
+    entries[key] = value
+    while len(entries) > max_entries:
+        del entries[next(iter(entries))]
 
 
 @dataclass(slots=True)
@@ -130,11 +130,11 @@
 
         It stays bounded, because the machine may be the only one that the job can use.
         """
-        known = probation.failed_on.get(machine) or _Avoided(0, Monotonic(-math.inf))
-        if now >= known.until:
-            until = Monotonic(now + _backoff_s(known.failures, _MAX_AVOIDED_S))
-            known = _Avoided(known.failures + 1, until)
-        _keep_latest(probation.failed_on, machine, known, _MAX_MACHINES)
+        avoidance = probation.failed_on.get(machine) or _Avoided(0, Monotonic(-math.inf))
+        if now >= avoidance.until:
+            until = Monotonic(now + _backoff_s(avoidance.failures, _MAX_AVOIDED_S))
+            avoidance = _Avoided(avoidance.failures + 1, until)
+        _keep_latest(probation.failed_on, machine, avoidance, _MAX_MACHINES)
 
     def succeeded(self, job: JobId, machine: MachineId, now: Monotonic) -> list[MachineId]:
         """Record a completed task; return the machines now found faulty."""
@@ -216,23 +216,23 @@
         """Return those of the machines that are now found faulty."""
         for machine in [m for m, at in self._faulty.items() if now - at > _EVIDENCE_S]:
             del self._faulty[machine]
-        found = [m for m in machines if m not in self._faulty and self._is_faulty(m, now)]
-        for machine in found:
+        newly_faulty = [m for m in machines if m not in self._faulty and self._is_faulty(m, now)]
+        for machine in newly_faulty:
             self._faulty[machine] = now
-        return found
+        return newly_faulty
 
     def _is_faulty(self, machine: MachineId, now: Monotonic) -> bool:
         failed_jobs = self._machines.get(machine, {})
         for job in [j for j, at in failed_jobs.items() if now - at > _EVIDENCE_S]:
             del failed_jobs[job]
-        sure = unclear = 0
+        cleared = tried_only_here = 0
         for job in failed_jobs:
             probation = self._jobs.get(job)
             if probation is not None and probation.is_cleared:
-                sure += 1
+                cleared += 1
             elif probation is not None and probation.failed_on.keys() <= {machine}:
-                unclear += 1
-        return sure >= _MIN_SURE_JOBS or sure + unclear >= _MIN_UNCLEAR_JOBS
+                tried_only_here += 1
+        return cleared >= _MIN_SURE_JOBS or cleared + tried_only_here >= _MIN_UNCLEAR_JOBS
 
     def may_drain(self, machines: int) -> bool:
         """Return True if one more faulty machine may be drained.
--- a/tealrill/scheduler/failure_detector.py
+++ b/tealrill/scheduler/failure_detector.py
@@ -101,27 +101,28 @@
     interval. If all machines that are not diagnosed yet counted as live, the first ones to fall
     silent would look failed in a zone that is otherwise live.
     """
-    heard: Counter[str] = Counter()
-    reachable: Counter[str] = Counter()
-    silent: list[Evidence] = []
+    live: Counter[str] = Counter()
+    expected_live: Counter[str] = Counter()
+    to_diagnose: list[Evidence] = []
     for evidence in observations:
         if evidence.silent_s <= live_within_s(heartbeat_interval_s):
-            heard[evidence.zone] += 1
+            live[evidence.zone] += 1
         elif evidence.silent_s > _JUDGED_REPORTS * heartbeat_interval_s:
-            silent.append(evidence)
+            to_diagnose.append(evidence)
         if evidence.missing_from_lists < LISTS and not evidence.accepts:
             # A machine that is no longer listed, or accepts connections, says nothing about a
             # partition.
-            reachable[evidence.zone] += 1
+            expected_live[evidence.zone] += 1
     partitioned = frozenset(
         zone
-        for zone, count in reachable.items()
-        if count >= _FEWEST and heard[zone] <= _HEARD_SHARE * count
+        for zone, count in expected_live.items()
+        if count >= _FEWEST and live[zone] <= _HEARD_SHARE * count
     )
     verdicts = {
-        evidence.machine: _suspect(evidence, evidence.zone in partitioned) for evidence in silent
+        evidence.machine: _suspect(evidence, evidence.zone in partitioned)
+        for evidence in to_diagnose
     }
-    inbound_partitioned = bool(partitioned) and not any(heard.values())
+    inbound_partitioned = bool(partitioned) and not any(live.values())
     return Diagnosis(verdicts, partitioned, inbound_partitioned)
 
 
@@ -147,10 +148,13 @@
     return max(_SOON_S, silent_s)
 
 
-def is_bypassed_by_heartbeats(silent_s: float, heard: int, heartbeat_interval_s: float) -> bool:
-    """Return True if a leader that recently heard from `heard` machines hears from none any more.
+def is_bypassed_by_heartbeats(
+    silent_s: float, machine_count: int, heartbeat_interval_s: float
+) -> bool:
+    """Return True if a leader that recently heard from several machines hears from none any more.
 
-    `silent_s` is the time since the last heartbeat of any machine. The more machines there are, the
-    more often heartbeats arrive: with three or more, one is due well within a heartbeat interval.
+    `silent_s` is the time since the last heartbeat of any of `machine_count` machines. The more
+    machines there are, the more often heartbeats arrive: with three or more, one is due well within
+    a heartbeat interval.
     """
-    return heard >= _FEWEST and silent_s > live_within_s(heartbeat_interval_s)
+    return machine_count >= _FEWEST and silent_s > live_within_s(heartbeat_interval_s)
--- a/tealrill/scheduler/free_capacity.py
+++ b/tealrill/scheduler/free_capacity.py
@@ -41,8 +41,8 @@
         self.shortest_s: list[float] = []
         """No task with a shorter run time than this can start there by `until`."""
 
-    def add(self, free: Sequence[tuple[Monotonic, float]], least: float | None) -> None:
-        """Append a machine's entry; `least` as in `update`."""
+    def add(self, free: Sequence[tuple[Monotonic, float]], min_share: float | None) -> None:
+        """Append a machine's entry; `min_share` as in `update`."""
         cpus = cpu_s = longest_s = 0.0
         for at, count in free:
             if at <= self.until:
@@ -53,32 +53,32 @@
         self.cpu_s.append(cpu_s)
         self.longest_s.append(longest_s)
         self.shortest_s.append(0.0)
-        self.update(len(self.cpus) - 1, 0.0, least)
+        self.update(len(self.cpus) - 1, 0.0, min_share)
 
-    def update(self, number: int, used_cpu_s: float, least: float | None) -> None:
+    def update(self, index: int, used_cpu_s: float, min_share: float | None) -> None:
         """Update a machine's entry after `used_cpu_s` processor seconds of it were allocated.
 
-        `least` is the smallest number of processors that a task of any job takes there; None if no
-        job may run there. A processor that becomes free serves at most one task more than fits into
-        its time up to `until`. So for tasks of `run` seconds there are at most `run` processor
+        `min_share` is the smallest number of processors that a task of any job takes there; None if
+        no job may run there. A processor that becomes free serves at most one task more than fits
+        into its time up to `until`. So for tasks of `run` seconds there are at most `run` processor
         seconds per processor in addition to that time, less what is used.
         """
-        if least is None:
-            self.shortest_s[number] = math.inf
+        if min_share is None:
+            self.shortest_s[index] = math.inf
             return
-        beside = self.cpus[number] + _ROUNDING - least
-        missing = used_cpu_s - self.cpu_s[number]
-        if least <= 0:
+        surplus_cpus = self.cpus[index] + _ROUNDING - min_share
+        missing_cpu_s = used_cpu_s - self.cpu_s[index]
+        if min_share <= 0:
             shortest_s = 0.0
-        elif missing > 0:
-            shortest_s = missing / beside if beside > 0 else math.inf
-        elif beside >= 0 or missing / beside >= _SHORTEST_S:
+        elif missing_cpu_s > 0:
+            shortest_s = missing_cpu_s / surplus_cpus if surplus_cpus > 0 else math.inf
+        elif surplus_cpus >= 0 or missing_cpu_s / surplus_cpus >= _SHORTEST_S:
             shortest_s = 0.0
         else:
-            # Fewer than `least` processors become free, so only a run shorter than `_SHORTEST_S`
-            # would fit.
+            # Fewer than `min_share` processors become free, so only a run shorter than
+            # `_SHORTEST_S` would fit.
             shortest_s = math.inf
-        self.shortest_s[number] = shortest_s
+        self.shortest_s[index] = shortest_s
 
 
 class FreeCapacity:
@@ -94,15 +94,15 @@
         self,
         kinds: Sequence[Kind],
         jobs: Sequence[Sequence[float | None]],
-        common: Container[Monotonic],
+        common_moments: Container[Monotonic],
     ) -> None:
         """Prepare for the `kinds` of machines and the `jobs` to be allocated.
 
         `jobs` has for every job its task's share of each kind, as `_cpu_shares` returns it;
-        `common` has the moments that many jobs ask for. Horizons are kept for these only: for the
-        moments of single jobs they cost more than they saved.
+        `common_moments` has the moments that many jobs ask for. Horizons are kept for these only:
+        for the moments of single jobs they cost more than they saved.
         """
-        self._common = common
+        self._common = common_moments
         self._kinds = {kind: number for number, kind in enumerate(kinds)}
         self._least = [
             min((share for share in of_kind if share is not None), default=None)
@@ -128,12 +128,12 @@
         return len(self._kind) - 1
 
     def _horizon(self, until: Monotonic) -> _Horizon:
-        found = self._horizons.get(until)
-        if found is None:
-            found = self._horizons[until] = _Horizon(until)
+        horizon = self._horizons.get(until)
+        if horizon is None:
+            horizon = self._horizons[until] = _Horizon(until)
             for free, kind in zip(self._free, self._kind, strict=True):
-                found.add(free, self._least[kind])
-        return found
+                horizon.add(free, self._least[kind])
+        return horizon
 
     def allocate(
         self,
@@ -141,20 +141,21 @@
         limit: int,
         shares: Sequence[float | None],
         until: Monotonic,
-        first: int = 0,
+        first_number: int = 0,
     ) -> int:
         """Allocate up to `limit` tasks that can start by `until`; return how many fit.
 
         `shares` has a task's share of each kind of machine, see `_cpu_shares`. Only machines from
-        number `first` on are used. One processor may serve several tasks one after the other.
+        number `first_number` on are used. One processor may serve several tasks one after the
+        other.
         """
         run_s = max(_SHORTEST_S, job.estimate_s)
         horizon = self._horizon(until) if until in self._common else None
-        shortest: Iterable[float] = repeat(0.0, len(self._kind) - first)
+        shortest: Iterable[float] = repeat(0.0, len(self._kind) - first_number)
         if horizon is not None:
-            shortest = horizon.shortest_s[first:] if first else horizon.shortest_s
+            shortest = horizon.shortest_s[first_number:] if first_number else horizon.shortest_s
         left = limit
-        for number, shortest_s in enumerate(shortest, first):
+        for number, shortest_s in enumerate(shortest, first_number):
             if shortest_s > run_s:
                 continue
             if left <= 0:
--- a/tealrill/scheduler/model.py
+++ b/tealrill/scheduler/model.py
@@ -60,19 +60,19 @@
 
     One call serves a whole machine, because every pass needs this for all tasks of a full fleet.
     """
-    found: list[Monotonic] = []
+    ends: list[Monotonic] = []
     for task in tasks:
         since = task.since
         if task.stopping:
-            found.append(now)
+            ends.append(now)
         elif since is None:
-            found.append(Monotonic(now + task.guess_s * task.pace.ratio))
+            ends.append(Monotonic(now + task.guess_s * task.pace.ratio))
         else:
             overdue_s = _OVERDUE_PART * (now - since)
-            soonest = now + (overdue_s if overdue_s < _OVERDUE_S else _OVERDUE_S)
+            earliest = now + (overdue_s if overdue_s < _OVERDUE_S else _OVERDUE_S)
             end = since + task.guess_s * task.pace.ratio
-            found.append(Monotonic(end if end > soonest else soonest))
-    return found
+            ends.append(Monotonic(end if end > earliest else earliest))
+    return ends
 
 
 @dataclass(slots=True, eq=False)
--- a/tealrill/scheduler/plan.py
+++ b/tealrill/scheduler/plan.py
@@ -80,19 +80,21 @@
         """Return the decisions of the pass."""
         view = self.view
         fleet_cpus = sum(m.size for m in view.machines)
-        cheap: dict[float, float] = {}
+        inexpensive_cpus: dict[float, float] = {}
         for machine in view.machines + view.coming:
             if not machine.dear:
-                cheap[machine.size] = cheap.get(machine.size, 0.0) + machine.size
-        self.plan.affordable = affordable(view.jobs, self.policy, cheap, view.rank_cpus)
+                inexpensive_cpus[machine.size] = (
+                    inexpensive_cpus.get(machine.size, 0.0) + machine.size
+                )
+        self.plan.affordable = affordable(view.jobs, self.policy, inexpensive_cpus, view.rank_cpus)
         for job in order(view.jobs, view.teams, self.policy, fleet_cpus, view.rank_cpus):
-            within_quota = self._within_quota(job)
-            if within_quota <= 0:
+            allowed = self._within_quota(job)
+            if allowed <= 0:
                 # Its team is at its limit. Looking for machines all the same, for thousands of jobs
                 # on hundreds of machines with room, took over 400 s of processor time in a day.
                 continue
-            placed = self._place(job, within_quota)
-            left = within_quota - placed
+            placed = self._place(job, allowed)
+            left = allowed - placed
             if left <= 0:
                 continue
             self.plan.unplaced.append((job, left))
@@ -126,12 +128,12 @@
 
         Starting only some of them would occupy capacity without any progress.
         """
-        room: dict[str, int] = {}
+        slots_by_zone: dict[str, int] = {}
         for machine in machines:
             if self._may_start(job, machine) and machine not in self.windows:
                 fits = slots(job, machine.cpus, machine.gpus, machine.memory_gb)
-                room[machine.zone] = room.get(machine.zone, 0) + fits
-        total = sum(min(count, job.zone_room(zone)) for zone, count in room.items())
+                slots_by_zone[machine.zone] = slots_by_zone.get(machine.zone, 0) + fits
+        total = sum(min(count, job.zone_room(zone)) for zone, count in slots_by_zone.items())
         return limit >= job.waiting and total >= job.waiting
 
     def _candidates(self, job: JobView) -> list[MachineView]:
@@ -171,10 +173,12 @@
     @staticmethod
     def _best_zone(machines: list[MachineView]) -> list[MachineView]:
         """Return the machines of the zone with the most free processors, for a one-zone job."""
-        room: dict[str, float] = {}
+        free_cpus_by_zone: dict[str, float] = {}
         for machine in machines:
-            room[machine.zone] = room.get(machine.zone, 0.0) + machine.cpus
-        best = max(room, key=lambda zone: room[zone], default=None)
+            free_cpus_by_zone[machine.zone] = (
+                free_cpus_by_zone.get(machine.zone, 0.0) + machine.cpus
+            )
+        best = max(free_cpus_by_zone, key=lambda zone: free_cpus_by_zone[zone], default=None)
         return [m for m in machines if m.zone == best]
 
     def _may_start(self, job: JobView, machine: MachineView) -> bool:
@@ -280,26 +284,30 @@
         guaranteed = team is not None and team.guaranteed(reserved_job)
         if not self._is_anything_preemptible(reserved_job, guaranteed):
             return
-        soon = self.now + self.policy.stop_cost_s
-        coming = sum(w.tasks for w in self.windows.values() if w.at <= soon)
-        wanted = min(self._within_quota(reserved_job), self.policy.reserved_tasks) - coming
+        soon_at = self.now + self.policy.stop_cost_s
+        available_soon = sum(w.tasks for w in self.windows.values() if w.at <= soon_at)
+        still_needed = (
+            min(self._within_quota(reserved_job), self.policy.reserved_tasks) - available_soon
+        )
         backfilled = sum(len(m.backfilled) for m in self.ready)
         budget = max(1, math.ceil(backfilled * self.policy.stop_share))
-        taken: set[RunningTask] = set()
+        already_preempted: set[RunningTask] = set()
         machines = self._usable(reserved_job, self.ready)
-        while wanted > 0:
+        while still_needed > 0:
             victims = preemption.choose(
-                reserved_job, machines, self.view.teams, taken, guaranteed, self.now
+                reserved_job, machines, self.view.teams, already_preempted, guaranteed, self.now
             )
-            if victims is None or len(taken) + len(victims.tasks) > max(budget, len(victims.tasks)):
+            if victims is None or len(already_preempted) + len(victims.tasks) > max(
+                budget, len(victims.tasks)
+            ):
                 return
-            taken.update(victims.tasks)
+            already_preempted.update(victims.tasks)
             for task in victims.tasks:
                 grace_s = task.save_s if task.saves else 0.0
                 self.plan.stops.append(StopTask(task.task, reserved_job.id, grace_s))
                 victims.machine.release_room(task)
             victims.machine.reserve_room(reserved_job)
-            wanted -= 1
+            still_needed -= 1
 
 
 def plan(view: View, now: Monotonic, policy: Policy) -> Plan:
--- a/tealrill/scheduler/preemption.py
+++ b/tealrill/scheduler/preemption.py
@@ -34,8 +34,8 @@
         return False
     if task.backfilled and task.rank < job.rank:
         return True
-    other = teams.get(task.team)
-    return guaranteed and task.team != job.team and other is not None and other.borrows
+    other_team = teams.get(task.team)
+    return guaranteed and task.team != job.team and other_team is not None and other_team.borrows
 
 
 def _makes_room(machine: MachineView, tasks: list[RunningTask], job: JobView) -> bool:
@@ -62,9 +62,9 @@
     if not chosen or not _makes_room(machine, chosen, job):
         return None
     for task in reversed(chosen[:]):
-        rest = [other for other in chosen if other is not task]
-        if _makes_room(machine, rest, job):
-            chosen = rest
+        remaining = [other for other in chosen if other is not task]
+        if _makes_room(machine, remaining, job):
+            chosen = remaining
     lost_cpu_s = sum(t.cpus * (t.save_s if t.saves else t.ran_s(now)) for t in chosen)
     return Victims(machine, chosen, lost_cpu_s)
 
@@ -73,7 +73,7 @@
     job: JobView,
     machines: list[MachineView],
     teams: dict[str, TeamView],
-    taken: set[RunningTask],
+    already_preempted: set[RunningTask],
     guaranteed: bool,
     now: Monotonic,
 ) -> Victims | None:
@@ -90,7 +90,7 @@
         candidates = [
             task
             for task in running
-            if task not in taken and is_preemptible(task, job, teams, guaranteed)
+            if task not in already_preempted and is_preemptible(task, job, teams, guaranteed)
         ]
         if not candidates:
             continue
--- a/tealrill/scheduler/queue.py
+++ b/tealrill/scheduler/queue.py
@@ -37,18 +37,18 @@
     can meet a deadline come first. `rank_cpus` are the processors that each class uses now: what
     higher classes use is assumed to pass to the next job of their class.
     """
-    places: dict[JobView, tuple[int, int, float]] = {}
-    for number, peers, held, ahead in _levels(jobs, policy, rank_cpus or {}):
-        cpus = max(fleet_cpus - held, 0.05 * fleet_cpus, 1e-6)
-        places.update(_level_order(peers, -number, cpus, ahead))
+    sort_keys: dict[JobView, tuple[int, int, float]] = {}
+    for level_number, peers, cpus_of_higher, ahead_cpu_s in _levels(jobs, policy, rank_cpus or {}):
+        cpus = max(fleet_cpus - cpus_of_higher, 0.05 * fleet_cpus, 1e-6)
+        sort_keys.update(_level_order(peers, -level_number, cpus, ahead_cpu_s))
         starving = _starving_job(peers, policy)
         if starving is not None:
-            places[starving] = (-number, -1, 0.0)
+            sort_keys[starving] = (-level_number, -1, 0.0)
 
     def key(job: JobView) -> tuple[int, tuple[int, int, float], float, str]:
         team = teams.get(job.team)
-        within = team is not None and team.guaranteed(job)
-        return (0 if within else 1, places[job], -job.waited_s, job.id)
+        is_within_quota = team is not None and team.guaranteed(job)
+        return (0 if is_within_quota else 1, sort_keys[job], -job.waited_s, job.id)
 
     ordered = sorted(jobs, key=key)
     if any(job.graph for job in jobs):
@@ -63,8 +63,8 @@
     would never begin. (Not in the paper, where priority rises with waiting.) One job at a time goes
     first, and only until its first task is placed: its peers lose the capacity of one pass.
     """
-    waits = [j for j in jobs if not j.begun and j.waited_s >= policy.starvation_guard_s]
-    return max(waits, key=lambda j: (j.waited_s, j.id), default=None)
+    starving = [j for j in jobs if not j.begun and j.waited_s >= policy.starvation_guard_s]
+    return max(starving, key=lambda j: (j.waited_s, j.id), default=None)
 
 
 def _order_by_critical_path(
@@ -81,8 +81,8 @@
             groups.setdefault((job.graph, job.team, job.rank, *rank(job)), []).append(place)
     for places in groups.values():
         if len(places) > 1:
-            found = sorted((ordered[at] for at in places), key=lambda job: -job.tail_s)
-            for place, job in zip(places, found, strict=True):
+            by_path = sorted((ordered[at] for at in places), key=lambda job: -job.tail_s)
+            for place, job in zip(places, by_path, strict=True):
                 ordered[place] = job
 
 
@@ -93,46 +93,51 @@
     levels: dict[int, list[JobView]] = {}
     for job in jobs:
         levels.setdefault(level(job, policy), []).append(job)
-    ahead = 0.0
-    for number in sorted(levels, reverse=True):
-        held = sum(cpus for rank, cpus in rank_cpus.items() if rank > number)
-        yield number, levels[number], held, ahead
-        ahead += sum(_work_cpu_s(job) for job in levels[number])
+    ahead_cpu_s = 0.0
+    for level_number in sorted(levels, reverse=True):
+        cpus_of_higher = sum(cpus for rank, cpus in rank_cpus.items() if rank > level_number)
+        yield level_number, levels[level_number], cpus_of_higher, ahead_cpu_s
+        ahead_cpu_s += sum(_work_cpu_s(job) for job in levels[level_number])
 
 
 def affordable(
-    jobs: list[JobView], policy: Policy, cheap: dict[float, float], rank_cpus: dict[int, float]
+    jobs: list[JobView],
+    policy: Policy,
+    inexpensive_cpus: dict[float, float],
+    rank_cpus: dict[int, float],
 ) -> set[JobView]:
     """Return the jobs that the inexpensive machines finish by their first deadline.
 
-    `cheap` maps the size of a machine to the processors of all inexpensive machines of that size:
-    tasks that fit only large machines must find their capacity on those alone. There is an
-    allowance for run times beyond the estimate, and for capacity lost to fragmentation.
+    `inexpensive_cpus` maps the size of a machine to the processors of all inexpensive machines of
+    that size: tasks that fit only large machines must find their capacity on those alone. There is
+    an allowance for run times beyond the estimate, and for capacity lost to fragmentation.
     """
-    sizes = sorted(cheap)
-    found = set(jobs)
+    sizes = sorted(inexpensive_cpus)
+    affordable_jobs = set(jobs)
     for smallest in [0.0, *sizes[:-1]]:
         # First all jobs on all machines, then the jobs too large for the smaller machines on the
         # others.
         larger = [job for job in jobs if job.cpus > smallest or not smallest]
         if larger:
-            room = sum(cpus for size, cpus in cheap.items() if size > smallest)
-            among = _finishable_cheaply(larger, policy, room, rank_cpus if not smallest else {})
-            found -= set(larger) - among
-    return found
+            cpus_of_larger = sum(cpus for size, cpus in inexpensive_cpus.items() if size > smallest)
+            finishable = _finishable_cheaply(
+                larger, policy, cpus_of_larger, rank_cpus if not smallest else {}
+            )
+            affordable_jobs -= set(larger) - finishable
+    return affordable_jobs
 
 
 def _finishable_cheaply(
-    jobs: list[JobView], policy: Policy, cheap_cpus: float, rank_cpus: dict[int, float]
+    jobs: list[JobView], policy: Policy, inexpensive_cpus: float, rank_cpus: dict[int, float]
 ) -> set[JobView]:
-    found: set[JobView] = set()
-    for _, peers, held, ahead in _levels(jobs, policy, rank_cpus):
-        cpus = policy.cheap_share * cheap_cpus - held
+    finishable: set[JobView] = set()
+    for _, peers, cpus_of_higher, ahead_cpu_s in _levels(jobs, policy, rank_cpus):
+        cpus = policy.cheap_share * inexpensive_cpus - cpus_of_higher
         if cpus <= 0:
             break
-        due = [j for j in peers if j.latest_s and j.latest_s[0] > _spare_s(j)]
-        found |= _feasible(due, 0, cpus, ahead, _spare_s)
-    return found
+        candidates = [j for j in peers if j.latest_s and j.latest_s[0] > _spare_s(j)]
+        finishable |= _feasible(candidates, 0, cpus, ahead_cpu_s, _spare_s)
+    return finishable
 
 
 def _spare_s(job: JobView) -> float:
@@ -146,21 +151,23 @@
 
 
 def _level_order(
-    jobs: list[JobView], number: int, cpus: float, ahead: float
+    jobs: list[JobView], level_number: int, cpus: float, ahead_cpu_s: float
 ) -> dict[JobView, tuple[int, int, float]]:
     """Return per job its level, the deadline that it can meet and its latest start."""
-    places: dict[JobView, tuple[int, int, float]] = {}
+    sort_keys: dict[JobView, tuple[int, int, float]] = {}
     left = set(jobs)
     for deadline in range(max((len(job.latest_s) for job in jobs), default=0)):
-        chosen = _feasible((j for j in left if _is_possible(j, deadline)), deadline, cpus, ahead)
+        feasible = _feasible(
+            (j for j in left if _is_possible(j, deadline)), deadline, cpus, ahead_cpu_s
+        )
         # Not in the order of the set: it varies between processes, and so would sums of floats.
-        for job in (job for job in jobs if job in chosen):
-            places[job] = (number, deadline, job.latest_s[deadline])
-            ahead += _work_cpu_s(job)
-        left -= chosen
+        for job in (job for job in jobs if job in feasible):
+            sort_keys[job] = (level_number, deadline, job.latest_s[deadline])
+            ahead_cpu_s += _work_cpu_s(job)
+        left -= feasible
     for job in left:
-        places[job] = (number, len(job.latest_s), math.inf)
-    return places
+        sort_keys[job] = (level_number, len(job.latest_s), math.inf)
+    return sort_keys
 
 
 def _is_possible(job: JobView, deadline: int) -> bool:
@@ -171,17 +178,17 @@
     jobs: Iterable[JobView],
     deadline: int,
     cpus: float,
-    ahead: float,
-    spare_s: Callable[[JobView], float] = lambda _: 0.0,
+    ahead_cpu_s: float,
+    allowance_s: Callable[[JobView], float] = lambda _: 0.0,
 ) -> set[JobView]:
     """Return the jobs whose last task starts in time if the fleet serves them one by one.
 
     This is Moore and Hodgson's rule, which minimizes the number of late jobs.
     """
-    largest: list[tuple[float, str, JobView]] = []
+    by_work: list[tuple[float, str, JobView]] = []
     for job in sorted(jobs, key=lambda j: (j.latest_s[deadline], j.id)):
-        heapq.heappush(largest, (-_work_cpu_s(job), job.id, job))
-        ahead += _work_cpu_s(job)
-        if ahead > cpus * (job.latest_s[deadline] - spare_s(job)):
-            ahead += heapq.heappop(largest)[0]
-    return {job for _, _, job in largest}
+        heapq.heappush(by_work, (-_work_cpu_s(job), job.id, job))
+        ahead_cpu_s += _work_cpu_s(job)
+        if ahead_cpu_s > cpus * (job.latest_s[deadline] - allowance_s(job)):
+            ahead_cpu_s += heapq.heappop(by_work)[0]
+    return {job for _, _, job in by_work}
--- a/tealrill/scheduler/reservation.py
+++ b/tealrill/scheduler/reservation.py
@@ -96,8 +96,8 @@
     wanted = min(limit, job.waiting)
     if wanted <= 0:
         return {}
-    found: list[RankedFit] = []
-    latest: list[float] = []
+    fits: list[RankedFit] = []
+    latest_starts: list[float] = []
     """A heap of the earliest moments so far, at most one per task, negated so that the latest is on
     top."""
     before = Monotonic(math.inf)
@@ -107,14 +107,14 @@
         fit = earliest_fit(job, machine, now, before)
         if fit is None:
             continue
-        found.append((fit[0], number, machine, fit[1:]))
-        if len(latest) < wanted:
-            heapq.heappush(latest, -fit[0])
+        fits.append((fit[0], number, machine, fit[1:]))
+        if len(latest_starts) < wanted:
+            heapq.heappush(latest_starts, -fit[0])
         else:
-            heapq.heappushpop(latest, -fit[0])
-        if len(latest) == wanted:
-            before = Monotonic(-latest[0])
-    return windows(job, found, wanted)
+            heapq.heappushpop(latest_starts, -fit[0])
+        if len(latest_starts) == wanted:
+            before = Monotonic(-latest_starts[0])
+    return windows(job, fits, wanted)
 
 
 def windows(
@@ -124,18 +124,18 @@
 ) -> dict[MachineView, Window]:
     """Return reservations on the earliest machines until `limit` tasks are covered."""
     fits.sort()
-    taken: dict[MachineView, Window] = {}
+    reserved: dict[MachineView, Window] = {}
     left = limit
     for at, _, machine, (cpus, gpus, memory) in fits:
         if left <= 0:
             break
         tasks = min(left, slots(job, cpus, gpus, memory))
         left -= tasks
-        taken[machine] = Window(
+        reserved[machine] = Window(
             at,
             tasks,
             cpus - tasks * job.cpus,
             gpus - tasks * job.gpus,
             memory - tasks * job.memory_gb,
         )
-    return taken
+    return reserved
