--- a/tealrill/scheduler/boot_times.py
+++ b/tealrill/scheduler/boot_times.py
@@ -15,7 +15,7 @@
 
 from tealrill.types import Monotonic
 
-_RECENT_S: Final = 90.0
+_MAX_SAMPLE_AGE_S: Final = 90.0
 """Older boots are ignored, because boot times change over time."""
 _MAX_SAMPLES: Final = 32
 _MIN_SAMPLES: Final = 5
@@ -40,7 +40,9 @@
     def boot_timeout_s(self, kind: tuple[str, str], nominal_s: float, now: Monotonic) -> float:
         """Return the time after its rental, in seconds, at which a machine is given up."""
         recent = [
-            duration for at, duration in self._durations.get(kind, ()) if now - at <= _RECENT_S
+            duration
+            for at, duration in self._durations.get(kind, ())
+            if now - at <= _MAX_SAMPLE_AGE_S
         ]
         if len(recent) < _MIN_SAMPLES:
             return _MAX_TIMEOUT_BOOTS * nominal_s
--- a/tealrill/scheduler/capacity.py
+++ b/tealrill/scheduler/capacity.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from typing import Final
 
-from tealrill.scheduler.free_capacity import FreeCapacity, coming_free
+from tealrill.scheduler.free_capacity import FreeCapacity, availability
 from tealrill.scheduler.model import JobView, Kind, MachineView, Policy
 from tealrill.scheduler.reservation import slots
 from tealrill.types import Monotonic
@@ -218,7 +218,7 @@
     boot_ends = {Monotonic(now + offer.boot_s) for offer in catalogue}
     free_capacity = FreeCapacity(kinds, all_shares, boot_ends)
     for machine in known_machines:
-        free_capacity.add((machine.type, machine.zone, machine.spot), coming_free(machine, now))
+        free_capacity.add((machine.type, machine.zone, machine.spot), availability(machine, now))
     machine_counts = Counter((machine.type, machine.zone) for machine in machines)
     rental_counts: dict[Offer, int] = {}
     for demand, shares in zip(demands, all_shares, strict=True):
--- a/tealrill/scheduler/capacity_losses.py
+++ b/tealrill/scheduler/capacity_losses.py
@@ -21,12 +21,12 @@
 
 from tealrill.types import MachineId, Monotonic
 
-_TOGETHER_S: Final = 20.0
-_MASS_FAILURE_MIN: Final = 5
-_MASS_FAILURE_SHARE: Final = 0.05
-"""Losses within `_TOGETHER_S` are a mass failure if they reach this number and this share of the
-fleet."""
-_KEPT_S: Final = 60.0
+_MASS_FAILURE_WINDOW_S: Final = 20.0
+_MASS_FAILURE_MIN_MACHINES: Final = 5
+_MASS_FAILURE_MIN_SHARE: Final = 0.05
+"""Losses within `_MASS_FAILURE_WINDOW_S` are a mass failure if they reach this number and this
+share of the fleet."""
+_RETENTION_S: Final = 60.0
 """Losses are dropped after this time, because by then the queue reflects the missing capacity."""
 
 
@@ -85,7 +85,7 @@
         `fleet_size` is the number of machines, including failed ones until they are removed from
         the fleet.
         """
-        while self._unreplaced and now - self._unreplaced[0].at > _KEPT_S:
+        while self._unreplaced and now - self._unreplaced[0].at > _RETENTION_S:
             self._by_machine.pop(self._unreplaced.popleft().machine, None)
         if not self.is_mass_failure(fleet_size):
             return {}
@@ -98,10 +98,10 @@
         return replacement_capacity
 
     def is_mass_failure(self, fleet_size: int) -> bool:
-        """Return True if so many machines failed within `_TOGETHER_S` that it is one event."""
-        threshold = max(_MASS_FAILURE_MIN, math.ceil(_MASS_FAILURE_SHARE * fleet_size))
+        """Return True if enough machines failed within `_MASS_FAILURE_WINDOW_S` to be one event."""
+        threshold = max(_MASS_FAILURE_MIN_MACHINES, math.ceil(_MASS_FAILURE_MIN_SHARE * fleet_size))
         times = [loss.at for loss in self._unreplaced]
         return any(
-            times[n + threshold - 1] - times[n] <= _TOGETHER_S
+            times[n + threshold - 1] - times[n] <= _MASS_FAILURE_WINDOW_S
             for n in range(len(times) - threshold + 1)
         )
--- a/tealrill/scheduler/estimates.py
+++ b/tealrill/scheduler/estimates.py
@@ -11,8 +11,8 @@
 from statistics import median, quantiles
 from typing import Final
 
-WINDOW: Final = 60
-_FLEET: Final = ""
+_MAX_SAMPLES: Final = 60
+_WHOLE_FLEET: Final = ""
 
 
 class Estimates:
@@ -26,8 +26,8 @@
         """Record the run time of a completed task; ignored unless both times are positive."""
         if estimate_s <= 0 or ran_s <= 0:
             return
-        for name in (team, _FLEET):
-            self._ratios.setdefault(name, deque(maxlen=WINDOW)).append(ran_s / estimate_s)
+        for name in (team, _WHOLE_FLEET):
+            self._ratios.setdefault(name, deque(maxlen=_MAX_SAMPLES)).append(ran_s / estimate_s)
             self._medians.pop(name, None)
 
     def ratio(self, team: str) -> float:
@@ -35,7 +35,7 @@
 
         Without any, return the whole fleet's, or 1 if no task has completed yet.
         """
-        name = team if team in self._ratios else _FLEET
+        name = team if team in self._ratios else _WHOLE_FLEET
         if name not in self._ratios:
             return 1.0
         if name not in self._medians:
@@ -55,7 +55,7 @@
 
     def submitted(self, job_class: str, cpus: float) -> None:
         """Record a submitted job, whose tasks take `cpus` processors in total."""
-        self._sizes.setdefault(job_class, deque(maxlen=WINDOW)).append(cpus)
+        self._sizes.setdefault(job_class, deque(maxlen=_MAX_SAMPLES)).append(cpus)
 
     def large(self, job_class: str) -> float:
         """Return the 80th percentile of a class's job sizes; 0 with fewer than five jobs."""
--- a/tealrill/scheduler/failure_attribution.py
+++ b/tealrill/scheduler/failure_attribution.py
@@ -25,29 +25,29 @@
 
 from tealrill.types import JobId, MachineId, Monotonic
 
-_FIRST_GAP_S: Final = 1.0
-_MAX_GAP_S: Final = 60.0
-_CLEARS_AFTER_S: Final = 2.0
+_FIRST_PAUSE_S: Final = 1.0
+_MAX_PAUSE_S: Final = 60.0
+_MIN_CLEARING_RUN_S: Final = 2.0
 """A task on probation clears its job once it has run for this time plus twice the longest time that
 any task of the job took to fail."""
-_MAX_ALONE_S: Final = 45.0
+_MAX_SOLO_RUN_S: Final = 45.0
 """Once a task on probation has run for this time, the job's other tasks may start too. Otherwise,
 after a failure at 100 s, they would wait beside free capacity until one task has run for 202 s."""
-_MAX_AVOIDED_S: Final = 30.0
+_MAX_AVOIDANCE_S: Final = 30.0
 """Longest time for which a job avoids a machine where it failed."""
-_MAX_MACHINES: Final = 16
+_MAX_MACHINES_PER_JOB: Final = 16
 """Machines recorded per job of those where it failed; more make no difference."""
-_EVIDENCE_S: Final = 300.0
+_MAX_EVIDENCE_AGE_S: Final = 300.0
 """Older failures are no longer evidence against a machine."""
-_MIN_SURE_JOBS: Final = 2
+_MIN_CLEARED_JOBS: Final = 2
 """A machine is faulty when this many cleared jobs failed on it."""
-_MIN_UNCLEAR_JOBS: Final = 5
+_MIN_FAILED_JOBS: Final = 5
 """A machine is also faulty when this many jobs failed on it that are cleared or were tried nowhere
 else."""
-_MAX_JOBS: Final = 64
+_MAX_JOBS_PER_MACHINE: Final = 64
 """Jobs recorded per machine of those that failed on it."""
 _MAX_FAULTY_SHARE: Final = 0.05
-"""Largest share of all machines that may be drained as faulty within `_EVIDENCE_S`."""
+"""Largest share of all machines that may be drained as faulty within `_MAX_EVIDENCE_AGE_S`."""
 
 
 _K = TypeVar("_K")
@@ -56,7 +56,7 @@
 
 def _backoff_s(failures: int, max_s: float) -> float:
     """Return the pause after `failures` earlier ones, in seconds; each doubles the one before."""
-    return min(max_s, _FIRST_GAP_S * 2.0 ** min(failures, 16))
+    return min(max_s, _FIRST_PAUSE_S * 2.0 ** min(failures, 16))
 
 
 def _keep_latest(entries: dict[_K, _V], key: _K, value: _V, max_entries: int) -> None:
@@ -68,7 +68,7 @@
 
 
 @dataclass(slots=True)
-class _Avoided:
+class _Avoidance:
     """A machine on which a job failed, and until when the job avoids it."""
 
     failures: int
@@ -86,12 +86,12 @@
     next_at: Monotonic = Monotonic(-math.inf)
     longest_s: float = 0.0
     """The longest time that any of its tasks ran before it failed."""
-    failed_on: dict[MachineId, _Avoided] = field(default_factory=dict)
+    failed_on: dict[MachineId, _Avoidance] = field(default_factory=dict)
 
     @property
     def clears_after_s(self) -> float:
         """Run time, in seconds, after which a task clears the job."""
-        return _CLEARS_AFTER_S + 2.0 * self.longest_s
+        return _MIN_CLEARING_RUN_S + 2.0 * self.longest_s
 
 
 class FailureAttribution:
@@ -118,11 +118,11 @@
         probation.longest_s = max(probation.longest_s, ran_s)
         if not probation.is_cleared and now >= probation.next_at:
             # Tasks that were started together fail together: that is one round.
-            probation.next_at = Monotonic(now + _backoff_s(probation.failed_rounds, _MAX_GAP_S))
+            probation.next_at = Monotonic(now + _backoff_s(probation.failed_rounds, _MAX_PAUSE_S))
             probation.failed_rounds += 1
         self._avoid(probation, machine, now)
-        _keep_latest(self._machines.setdefault(machine, {}), job, now, _MAX_JOBS)
-        return self._judge([machine], now)
+        _keep_latest(self._machines.setdefault(machine, {}), job, now, _MAX_JOBS_PER_MACHINE)
+        return self._find_faulty([machine], now)
 
     @staticmethod
     def _avoid(probation: _Probation, machine: MachineId, now: Monotonic) -> None:
@@ -130,16 +130,16 @@
 
         It stays bounded, because the machine may be the only one that the job can use.
         """
-        avoidance = probation.failed_on.get(machine) or _Avoided(0, Monotonic(-math.inf))
+        avoidance = probation.failed_on.get(machine) or _Avoidance(0, Monotonic(-math.inf))
         if now >= avoidance.until:
-            until = Monotonic(now + _backoff_s(avoidance.failures, _MAX_AVOIDED_S))
-            avoidance = _Avoided(avoidance.failures + 1, until)
-        _keep_latest(probation.failed_on, machine, avoidance, _MAX_MACHINES)
+            until = Monotonic(now + _backoff_s(avoidance.failures, _MAX_AVOIDANCE_S))
+            avoidance = _Avoidance(avoidance.failures + 1, until)
+        _keep_latest(probation.failed_on, machine, avoidance, _MAX_MACHINES_PER_JOB)
 
     def succeeded(self, job: JobId, machine: MachineId, now: Monotonic) -> list[MachineId]:
         """Record a completed task; return the machines now found faulty."""
         self._machines.pop(machine, None)
-        return self._clear(job, now)
+        return self._clear_job(job, now)
 
     def inherited(self, job: JobId, attempts: int) -> None:
         """Restore a job of an earlier term from its number of attempts, none of them completed.
@@ -182,7 +182,7 @@
         far of the one that has run longest.
         """
         probation = self._probation_of(job)
-        if probation is None or longest_s >= min(probation.clears_after_s, _MAX_ALONE_S):
+        if probation is None or longest_s >= min(probation.clears_after_s, _MAX_SOLO_RUN_S):
             return None
         return 1 if bound == 0 and now >= probation.next_at else 0
 
@@ -191,7 +191,7 @@
         probation = self._probation_of(job)
         if probation is None or longest_s < probation.clears_after_s:
             return []
-        return self._clear(job, now)
+        return self._clear_job(job, now)
 
     def avoided(self, job: JobId, now: Monotonic) -> frozenset[MachineId]:
         """Return the machines on which the job failed recently."""
@@ -202,7 +202,7 @@
 
     # -- attribution ------------------------------------------------------------------------------
 
-    def _clear(self, job: JobId, now: Monotonic) -> list[MachineId]:
+    def _clear_job(self, job: JobId, now: Monotonic) -> list[MachineId]:
         """Clear a job that failed; return the machines found faulty by that."""
         probation = self._jobs.get(job)
         if probation is None:
@@ -210,11 +210,11 @@
         newly_cleared = not probation.is_cleared
         probation.is_cleared = True
         probation.failed_rounds = 0
-        return self._judge(list(probation.failed_on), now) if newly_cleared else []
+        return self._find_faulty(list(probation.failed_on), now) if newly_cleared else []
 
-    def _judge(self, machines: list[MachineId], now: Monotonic) -> list[MachineId]:
+    def _find_faulty(self, machines: list[MachineId], now: Monotonic) -> list[MachineId]:
         """Return those of the machines that are now found faulty."""
-        for machine in [m for m, at in self._faulty.items() if now - at > _EVIDENCE_S]:
+        for machine in [m for m, at in self._faulty.items() if now - at > _MAX_EVIDENCE_AGE_S]:
             del self._faulty[machine]
         newly_faulty = [m for m in machines if m not in self._faulty and self._is_faulty(m, now)]
         for machine in newly_faulty:
@@ -223,7 +223,7 @@
 
     def _is_faulty(self, machine: MachineId, now: Monotonic) -> bool:
         failed_jobs = self._machines.get(machine, {})
-        for job in [j for j, at in failed_jobs.items() if now - at > _EVIDENCE_S]:
+        for job in [j for j, at in failed_jobs.items() if now - at > _MAX_EVIDENCE_AGE_S]:
             del failed_jobs[job]
         cleared = tried_only_here = 0
         for job in failed_jobs:
@@ -232,7 +232,7 @@
                 cleared += 1
             elif probation is not None and probation.failed_on.keys() <= {machine}:
                 tried_only_here += 1
-        return cleared >= _MIN_SURE_JOBS or cleared + tried_only_here >= _MIN_UNCLEAR_JOBS
+        return cleared >= _MIN_CLEARED_JOBS or cleared + tried_only_here >= _MIN_FAILED_JOBS
 
     def may_drain(self, machines: int) -> bool:
         """Return True if one more faulty machine may be drained.
--- a/tealrill/scheduler/failure_detector.py
+++ b/tealrill/scheduler/failure_detector.py
@@ -19,26 +19,27 @@
 
 from tealrill.types import MachineId
 
-MISSES: Final = 2
+MIN_FAILED_CONNECTS: Final = 2
 """Consecutive failed attempts to connect after which a machine is unreachable. A single one may be
 due to a lost packet."""
 LISTS: Final = 2
 """Consecutive cloud lists without a machine after which it counts as failed. One is not enough,
 because a list may be older than the one before it."""
-_LIVE_REPORTS: Final = 1.5
+_LIVE_INTERVALS: Final = 1.5
 """In heartbeat intervals. Workers send heartbeats at least every 1.25 intervals, so a machine that
 is not partitioned has been heard from within this time."""
-_SILENT_REPORTS: Final = 3.0
+_SILENT_INTERVALS: Final = 3.0
 """In heartbeat intervals: a machine that has been silent for longer gets no more tasks."""
-_JUDGED_REPORTS: Final = 2.75
+_DIAGNOSED_INTERVALS: Final = 2.75
 """In heartbeat intervals: a machine that has been silent for longer is diagnosed. This is so much
-more than `_LIVE_REPORTS` that in a partition the last machine of a zone is no longer live when the
-first is diagnosed. (With 2.0, the first 18 of 260 machines were taken for failed.)"""
-_FEWEST: Final = 3
-"""In a zone with fewer machines, no partition is diagnosed: each is judged by itself."""
-_HEARD_SHARE: Final = 0.05
+more than `_LIVE_INTERVALS` that in a partition the last machine of a zone is no longer live when
+the first is diagnosed. (With 2.0, the first 18 of 260 machines were taken for failed.)"""
+_MIN_MACHINES: Final = 3
+"""Fewer machines are no evidence: no partition of such a zone, nor loss of all heartbeats, is
+assumed."""
+_MAX_LIVE_SHARE: Final = 0.05
 """A zone is partitioned from this leader if no more than this share of its machines is live."""
-_SOON_S: Final = 2.0
+_MIN_RECOVERY_S: Final = 2.0
 """Shortest expected time to recovery, however short the silence is so far."""
 
 
@@ -85,12 +86,12 @@
 
 def silent_after_s(heartbeat_interval_s: float) -> float:
     """Return the silence, in seconds, after which a machine gets no more tasks."""
-    return _SILENT_REPORTS * heartbeat_interval_s
+    return _SILENT_INTERVALS * heartbeat_interval_s
 
 
 def live_within_s(heartbeat_interval_s: float) -> float:
     """Return the seconds within which a machine that is not partitioned has sent a heartbeat."""
-    return _LIVE_REPORTS * heartbeat_interval_s
+    return _LIVE_INTERVALS * heartbeat_interval_s
 
 
 def judge(observations: Iterable[Evidence], heartbeat_interval_s: float) -> Diagnosis:
@@ -107,7 +108,7 @@
     for evidence in observations:
         if evidence.silent_s <= live_within_s(heartbeat_interval_s):
             live[evidence.zone] += 1
-        elif evidence.silent_s > _JUDGED_REPORTS * heartbeat_interval_s:
+        elif evidence.silent_s > _DIAGNOSED_INTERVALS * heartbeat_interval_s:
             to_diagnose.append(evidence)
         if evidence.missing_from_lists < LISTS and not evidence.accepts:
             # A machine that is no longer listed, or accepts connections, says nothing about a
@@ -116,7 +117,7 @@
     partitioned = frozenset(
         zone
         for zone, count in expected_live.items()
-        if count >= _FEWEST and live[zone] <= _HEARD_SHARE * count
+        if count >= _MIN_MACHINES and live[zone] <= _MAX_LIVE_SHARE * count
     )
     verdicts = {
         evidence.machine: _suspect(evidence, evidence.zone in partitioned)
@@ -134,7 +135,7 @@
         return Suspicion.HUNG
     if is_zone_partitioned:
         return Suspicion.CUT
-    return Suspicion.GONE if evidence.failed_connects >= MISSES else Suspicion.LATE
+    return Suspicion.GONE if evidence.failed_connects >= MIN_FAILED_CONNECTS else Suspicion.LATE
 
 
 def expected_recovery_s(suspicion: Suspicion, silent_s: float) -> float | None:
@@ -145,7 +146,7 @@
     """
     if suspicion is Suspicion.GONE:
         return None
-    return max(_SOON_S, silent_s)
+    return max(_MIN_RECOVERY_S, silent_s)
 
 
 def is_bypassed_by_heartbeats(
@@ -157,4 +158,4 @@
     machines there are, the more often heartbeats arrive: with three or more, one is due well within
     a heartbeat interval.
     """
-    return machine_count >= _FEWEST and silent_s > live_within_s(heartbeat_interval_s)
+    return machine_count >= _MIN_MACHINES and silent_s > live_within_s(heartbeat_interval_s)
--- a/tealrill/scheduler/free_capacity.py
+++ b/tealrill/scheduler/free_capacity.py
@@ -10,19 +10,19 @@
 from itertools import repeat
 from typing import Final
 
-from tealrill.scheduler.model import JobView, Kind, MachineView, ends_at
+from tealrill.scheduler.model import JobView, Kind, MachineView, expected_ends
 from tealrill.types import Monotonic
 
-_SHORTEST_S: Final = 1.0
+_MIN_RUN_S: Final = 1.0
 """Shortest run time that is assumed for a task."""
 _ROUNDING: Final = 1e-4
 """Larger than the rounding error of sums of a few hundred decimal numbers."""
 
 
-def coming_free(machine: MachineView, now: Monotonic) -> list[tuple[Monotonic, float]]:
+def availability(machine: MachineView, now: Monotonic) -> list[tuple[Monotonic, float]]:
     """Return when a machine's processors become free: now (or once booted) and as tasks end."""
     free = [(max(now, machine.ready_at), max(0.0, machine.cpus))]
-    ends = ends_at(machine.running, now)
+    ends = expected_ends(machine.running, now)
     free += [(end, task.cpus) for end, task in zip(ends, machine.running, strict=True)]
     return free
 
@@ -72,11 +72,11 @@
             shortest_s = 0.0
         elif missing_cpu_s > 0:
             shortest_s = missing_cpu_s / surplus_cpus if surplus_cpus > 0 else math.inf
-        elif surplus_cpus >= 0 or missing_cpu_s / surplus_cpus >= _SHORTEST_S:
+        elif surplus_cpus >= 0 or missing_cpu_s / surplus_cpus >= _MIN_RUN_S:
             shortest_s = 0.0
         else:
             # Fewer than `min_share` processors become free, so only a run shorter than
-            # `_SHORTEST_S` would fit.
+            # `_MIN_RUN_S` would fit.
             shortest_s = math.inf
         self.shortest_s[index] = shortest_s
 
@@ -102,14 +102,14 @@
         `common_moments` has the moments that many jobs ask for. Horizons are kept for these only:
         for the moments of single jobs they cost more than they saved.
         """
-        self._common = common_moments
-        self._kinds = {kind: number for number, kind in enumerate(kinds)}
-        self._least = [
+        self._common_moments = common_moments
+        self._number_by_kind = {kind: number for number, kind in enumerate(kinds)}
+        self._min_shares = [
             min((share for share in of_kind if share is not None), default=None)
             for of_kind in zip(*jobs, strict=True)
         ]
         """Per kind, the smallest share that any job takes; None where no job may run."""
-        self._kind: list[int] = []
+        self._kind_numbers: list[int] = []
         self._free: list[Sequence[tuple[Monotonic, float]]] = []
         """Per machine, the processors that become free, and when."""
         self._used_cpu_s: list[float] = []
@@ -119,20 +119,20 @@
 
     def add(self, kind: Kind, free: Sequence[tuple[Monotonic, float]]) -> int:
         """Append a machine's capacity; return its number."""
-        number = self._kinds[kind]
-        self._kind.append(number)
+        number = self._number_by_kind[kind]
+        self._kind_numbers.append(number)
         self._free.append(free)
         self._used_cpu_s.append(0.0)
         for horizon in self._horizons.values():
-            horizon.add(free, self._least[number])
-        return len(self._kind) - 1
+            horizon.add(free, self._min_shares[number])
+        return len(self._kind_numbers) - 1
 
     def _horizon(self, until: Monotonic) -> _Horizon:
         horizon = self._horizons.get(until)
         if horizon is None:
             horizon = self._horizons[until] = _Horizon(until)
-            for free, kind in zip(self._free, self._kind, strict=True):
-                horizon.add(free, self._least[kind])
+            for free, kind in zip(self._free, self._kind_numbers, strict=True):
+                horizon.add(free, self._min_shares[kind])
         return horizon
 
     def allocate(
@@ -149,9 +149,9 @@
         number `first_number` on are used. One processor may serve several tasks one after the
         other.
         """
-        run_s = max(_SHORTEST_S, job.estimate_s)
-        horizon = self._horizon(until) if until in self._common else None
-        shortest: Iterable[float] = repeat(0.0, len(self._kind) - first_number)
+        run_s = max(_MIN_RUN_S, job.estimate_s)
+        horizon = self._horizon(until) if until in self._common_moments else None
+        shortest: Iterable[float] = repeat(0.0, len(self._kind_numbers) - first_number)
         if horizon is not None:
             shortest = horizon.shortest_s[first_number:] if first_number else horizon.shortest_s
         left = limit
@@ -160,19 +160,19 @@
                 continue
             if left <= 0:
                 break
-            need = shares[self._kind[number]]
+            need = shares[self._kind_numbers[number]]
             if need is None:
                 continue
             if need <= 0:
                 return limit
             self.inspected += 1
-            allocated = min(left, self._fitting(number, need, run_s, until, horizon))
+            allocated = min(left, self._fitting_tasks(number, need, run_s, until, horizon))
             if allocated > 0:
                 left -= allocated
                 self._use(number, allocated * need * run_s)
         return limit - left
 
-    def _fitting(
+    def _fitting_tasks(
         self, number: int, need: float, run_s: float, until: Monotonic, horizon: _Horizon | None
     ) -> int:
         """Return how many more tasks of `need` processors fit on a machine; may be negative."""
@@ -199,4 +199,6 @@
     def _use(self, number: int, cpu_s: float) -> None:
         self._used_cpu_s[number] += cpu_s
         for horizon in self._horizons.values():
-            horizon.update(number, self._used_cpu_s[number], self._least[self._kind[number]])
+            horizon.update(
+                number, self._used_cpu_s[number], self._min_shares[self._kind_numbers[number]]
+            )
--- a/tealrill/scheduler/model.py
+++ b/tealrill/scheduler/model.py
@@ -10,15 +10,15 @@
 Kind = tuple[str, str, bool]
 """A kind of machine: type, zone, spot."""
 
-_OVERDUE_S = 5.0
-"""A task that outlived its estimate is expected to end within this time, or within `_OVERDUE_PART`
+_MAX_OVERDUE_S = 5.0
+"""A task that outlived its estimate is expected to end within this time, or within `_OVERDUE_SHARE`
 of its run time so far if that is shorter."""
-_OVERDUE_PART = 0.25
+_OVERDUE_SHARE = 0.25
 
 
 def remaining_s(run_s: float, ran_s: float) -> float:
     """Return the expected remaining run time, in seconds, of a task that has run for `ran_s`."""
-    return max(run_s - ran_s, min(_OVERDUE_S, _OVERDUE_PART * ran_s))
+    return max(run_s - ran_s, min(_MAX_OVERDUE_S, _OVERDUE_SHARE * ran_s))
 
 
 @dataclass(slots=True, eq=False)
@@ -55,7 +55,7 @@
         return now - self.since if self.since is not None else 0.0
 
 
-def ends_at(tasks: Iterable[RunningTask], now: Monotonic) -> list[Monotonic]:
+def expected_ends(tasks: Iterable[RunningTask], now: Monotonic) -> list[Monotonic]:
     """Return when tasks are expected to end; for those that are being stopped, now.
 
     One call serves a whole machine, because every pass needs this for all tasks of a full fleet.
@@ -68,8 +68,8 @@
         elif since is None:
             ends.append(Monotonic(now + task.guess_s * task.pace.ratio))
         else:
-            overdue_s = _OVERDUE_PART * (now - since)
-            earliest = now + (overdue_s if overdue_s < _OVERDUE_S else _OVERDUE_S)
+            overdue_s = _OVERDUE_SHARE * (now - since)
+            earliest = now + (overdue_s if overdue_s < _MAX_OVERDUE_S else _MAX_OVERDUE_S)
             end = since + task.guess_s * task.pace.ratio
             ends.append(Monotonic(end if end > earliest else earliest))
     return ends
@@ -105,9 +105,9 @@
 
     def fits(self, job: JobView) -> bool:
         """Return True if one task of the job fits into the free capacity."""
-        return self.has(job.cpus, job.gpus, job.memory_gb)
+        return self.has_capacity(job.cpus, job.gpus, job.memory_gb)
 
-    def has(self, cpus: float, gpus: float, memory_gb: float) -> bool:
+    def has_capacity(self, cpus: float, gpus: float, memory_gb: float) -> bool:
         """Return True if at least this capacity is free."""
         return (
             self.cpus + SLACK >= cpus
@@ -117,7 +117,7 @@
 
     def allows(self, job: JobView) -> bool:
         """Return True if the job may run on this kind of machine and does not avoid this one."""
-        return job.may_use(self.type, self.zone, self.spot) and self.id not in job.avoids
+        return job.may_use(self.type, self.zone, self.spot) and self.id not in job.avoided_machines
 
     def reserve_room(self, job: JobView) -> None:
         """Deduct one task of the job from the free capacity."""
@@ -169,9 +169,9 @@
     """The graph that it is a node of; empty for a plain job."""
     tail_s: float = 0.0
     """Estimated run time, in seconds, of the longest path of nodes behind it."""
-    avoids: frozenset[MachineId] = frozenset()
+    avoided_machines: frozenset[MachineId] = frozenset()
     """Machines on which it failed recently."""
-    begun: bool = False
+    has_started: bool = False
     """Any of its tasks was ever bound to a machine."""
 
     def may_use(self, type_name: str, zone: str, spot: bool) -> bool:
@@ -202,7 +202,7 @@
     cpus_max: float
     gpus_max: float
 
-    def room(self, job: JobView) -> int:
+    def tasks_within_limit(self, job: JobView) -> int:
         """Return how many of the job's waiting tasks the team's limit still allows."""
         room = job.waiting
         if self.cpus_max > 0 and job.cpus > 0:
@@ -221,7 +221,7 @@
         )
 
     @property
-    def borrows(self) -> bool:
+    def exceeds_quota(self) -> bool:
         """True if the team uses more than its guaranteed quota."""
         return self.cpus > self.cpus_guaranteed + SLACK or self.gpus > self.gpus_guaranteed + SLACK
 
@@ -263,10 +263,10 @@
     """Largest number of the reserved job's tasks that get a reservation."""
     dear: float = 1.5
     """A kind of machine is expensive if it costs more than this multiple of the cheapest kind."""
-    cheap_share: float = 0.8
+    usable_inexpensive_share: float = 0.8
     """Usable share of the inexpensive machines when deciding which jobs need no others; the rest is
     lost to fragmentation."""
-    any_room_s: float = 60.0
+    inexpensive_only_s: float = 60.0
     """Waiting time after which a job may use expensive machines in any case."""
     starvation_guard_s: float = 120.0
     """Waiting time after which a job of which no task was ever bound is put before its peers."""
--- a/tealrill/scheduler/plan.py
+++ b/tealrill/scheduler/plan.py
@@ -37,7 +37,7 @@
         self.plan = Plan()
         self.ready = [m for m in view.machines if m.ready_at <= now]
         self.with_room = self._machines_with_room()
-        self._has_filled = False
+        self._has_full_machines = False
         """Some machines of `with_room` are full by now."""
         self.reserved_job: JobView | None = None
         self._windows: dict[MachineView, Window] | None = {}
@@ -60,7 +60,7 @@
 
     def _has_room(self, machine: MachineView) -> bool:
         cpus, memory_gb = self._smallest_needs
-        return machine.has(cpus, 0.0, memory_gb)
+        return machine.has_capacity(cpus, 0.0, memory_gb)
 
     def _compute_headroom_for_expected(self) -> float:
         """Return the processors that expected work could get at once.
@@ -106,7 +106,7 @@
 
     def _within_quota(self, job: JobView) -> int:
         team = self.view.teams.get(job.team)
-        return job.waiting if team is None else team.room(job)
+        return job.waiting if team is None else team.tasks_within_limit(job)
 
     # -- placing --------------------------------------------------------------------------------
 
@@ -143,8 +143,8 @@
         (bin packing). Small tasks spread over large machines would fragment them, and only bin
         packing lets other machines become empty, so that they can be released.
         """
-        if self._has_filled:
-            self._has_filled = False
+        if self._has_full_machines:
+            self._has_full_machines = False
             self.with_room = [m for m in self.with_room if self._has_room(m)]
         cpus, gpus, memory_gb = job.cpus - SLACK, job.gpus - SLACK, job.memory_gb - SLACK
         fitting = [
@@ -163,10 +163,10 @@
         """Return the machines that the job may use, considering their price.
 
         A job that meets its deadline without expensive machines may not use them. It may once it
-        has waited for `any_room_s`, so that no job waits for longer beside free capacity that fits
-        it.
+        has waited for `inexpensive_only_s`, so that no job waits for longer beside free capacity
+        that fits it.
         """
-        if job not in self.plan.affordable or job.waited_s >= self.policy.any_room_s:
+        if job not in self.plan.affordable or job.waited_s >= self.policy.inexpensive_only_s:
             return machines
         return [m for m in machines if not m.dear]
 
@@ -188,14 +188,14 @@
         if window is None or self.reserved_job is None:
             return True
         return (
-            self._in_time(job, machine, window)
+            self._ends_before_window(job, machine, window)
             or window.fits_beside(job)
             # Past the window only strictly lower classes may run: tasks of other classes could not
             # be preempted for the reserved job.
             or job.rank < self.reserved_job.rank
         )
 
-    def _in_time(self, job: JobView, machine: MachineView, window: Window) -> bool:
+    def _ends_before_window(self, job: JobView, machine: MachineView, window: Window) -> bool:
         fetch_s = 0.0 if job.image in machine.images else job.image_gb / machine.fetch_gb_per_s
         return self.now + fetch_s + job.estimate_s <= window.at
 
@@ -203,7 +203,7 @@
         window = self.windows.get(machine)
         if (
             window is not None
-            and not self._in_time(job, machine, window)
+            and not self._ends_before_window(job, machine, window)
             and window.fits_beside(job)
         ):
             window.reserve_beside(job)
@@ -212,7 +212,7 @@
             self.headroom_for_expected -= job.cpus
         machine.reserve_room(job)
         if not self._has_room(machine):
-            self._has_filled = True
+            self._has_full_machines = True
         job.waiting -= 1
         job.zone_counts[machine.zone] = job.zone_counts.get(machine.zone, 0) + 1
         team = self.view.teams.get(job.team)
@@ -269,7 +269,7 @@
 
     def _is_anything_preemptible(self, reserved_job: JobView, guaranteed: bool) -> bool:
         """Return True if any task may be preempted; none may be for the lowest class."""
-        if guaranteed and any(t.borrows for t in self.view.teams.values()):
+        if guaranteed and any(t.exceeds_quota for t in self.view.teams.values()):
             return True
         return any(
             t.rank < reserved_job.rank and not t.stopping
--- a/tealrill/scheduler/preemption.py
+++ b/tealrill/scheduler/preemption.py
@@ -35,7 +35,9 @@
     if task.backfilled and task.rank < job.rank:
         return True
     other_team = teams.get(task.team)
-    return guaranteed and task.team != job.team and other_team is not None and other_team.borrows
+    return (
+        guaranteed and task.team != job.team and other_team is not None and other_team.exceeds_quota
+    )
 
 
 def _makes_room(machine: MachineView, tasks: list[RunningTask], job: JobView) -> bool:
--- a/tealrill/scheduler/queue.py
+++ b/tealrill/scheduler/queue.py
@@ -63,7 +63,7 @@
     would never begin. (Not in the paper, where priority rises with waiting.) One job at a time goes
     first, and only until its first task is placed: its peers lose the capacity of one pass.
     """
-    starving = [j for j in jobs if not j.begun and j.waited_s >= policy.starvation_guard_s]
+    starving = [j for j in jobs if not j.has_started and j.waited_s >= policy.starvation_guard_s]
     return max(starving, key=lambda j: (j.waited_s, j.id), default=None)
 
 
@@ -120,27 +120,27 @@
         larger = [job for job in jobs if job.cpus > smallest or not smallest]
         if larger:
             cpus_of_larger = sum(cpus for size, cpus in inexpensive_cpus.items() if size > smallest)
-            finishable = _finishable_cheaply(
+            finishable = _finishable_inexpensively(
                 larger, policy, cpus_of_larger, rank_cpus if not smallest else {}
             )
             affordable_jobs -= set(larger) - finishable
     return affordable_jobs
 
 
-def _finishable_cheaply(
+def _finishable_inexpensively(
     jobs: list[JobView], policy: Policy, inexpensive_cpus: float, rank_cpus: dict[int, float]
 ) -> set[JobView]:
     finishable: set[JobView] = set()
     for _, peers, cpus_of_higher, ahead_cpu_s in _levels(jobs, policy, rank_cpus):
-        cpus = policy.cheap_share * inexpensive_cpus - cpus_of_higher
+        cpus = policy.usable_inexpensive_share * inexpensive_cpus - cpus_of_higher
         if cpus <= 0:
             break
-        candidates = [j for j in peers if j.latest_s and j.latest_s[0] > _spare_s(j)]
-        finishable |= _feasible(candidates, 0, cpus, ahead_cpu_s, _spare_s)
+        candidates = [j for j in peers if j.latest_s and j.latest_s[0] > _overrun_allowance_s(j)]
+        finishable |= _feasible(candidates, 0, cpus, ahead_cpu_s, _overrun_allowance_s)
     return finishable
 
 
-def _spare_s(job: JobView) -> float:
+def _overrun_allowance_s(job: JobView) -> float:
     """Return the allowance for a run time beyond the estimate, in seconds."""
     return 0.8 * job.estimate_s
 
@@ -158,7 +158,7 @@
     left = set(jobs)
     for deadline in range(max((len(job.latest_s) for job in jobs), default=0)):
         feasible = _feasible(
-            (j for j in left if _is_possible(j, deadline)), deadline, cpus, ahead_cpu_s
+            (j for j in left if _can_meet(j, deadline)), deadline, cpus, ahead_cpu_s
         )
         # Not in the order of the set: it varies between processes, and so would sums of floats.
         for job in (job for job in jobs if job in feasible):
@@ -170,7 +170,7 @@
     return sort_keys
 
 
-def _is_possible(job: JobView, deadline: int) -> bool:
+def _can_meet(job: JobView, deadline: int) -> bool:
     return deadline < len(job.latest_s) and job.latest_s[deadline] >= 0
 
 
--- a/tealrill/scheduler/reservation.py
+++ b/tealrill/scheduler/reservation.py
@@ -10,7 +10,7 @@
 import math
 from dataclasses import dataclass
 
-from tealrill.scheduler.model import SLACK, JobView, MachineView, ends_at
+from tealrill.scheduler.model import SLACK, JobView, MachineView, expected_ends
 from tealrill.types import Monotonic
 
 
@@ -57,7 +57,7 @@
         return None
     if machine.fits(job):
         return at, cpus, gpus, memory
-    ends = [(end, n) for n, end in enumerate(ends_at(machine.running, now)) if end <= before]
+    ends = [(end, n) for n, end in enumerate(expected_ends(machine.running, now)) if end <= before]
     ends.sort()
     for end, number in ends:
         task = machine.running[number]
--- a/tests/test_cost.py
+++ b/tests/test_cost.py
@@ -187,7 +187,7 @@
         and machine.fits(job)
         and machine.allows(job)
         and job.zone_room(machine.zone) > 0
-        and view.teams[job.team].room(job) > 0
+        and view.teams[job.team].tasks_within_limit(job) > 0
     ]
 
 
@@ -196,11 +196,11 @@
 def test_nobody_waits_for_long_beside_room(seed: int, machines: int, jobs: int) -> None:
     view = _world(seed, machines, jobs)
     result = plan(view, NOW, Policy())
-    assert not _beside_room(view, result, Policy().any_room_s)
+    assert not _beside_room(view, result, Policy().inexpensive_only_s)
 
 
 def test_dear_room_is_what_they_waited_beside() -> None:
-    policy = Policy(any_room_s=float("inf"))
+    policy = Policy(inexpensive_only_s=float("inf"))
     found = 0
     for seed in range(300):
         view = _world(seed, 30, 15)
@@ -303,7 +303,7 @@
     """5,000 waiting jobs of which none fits, 1,200 machines and 30,000 running tasks."""
     machines = _full_fleet(1200, 25)
     jobs = [job_view(f"job-{n}", cpus=2.0 + n % 3) for n in range(5000)]
-    ends = _counted(monkeypatch, reservation, "ends_at", lambda tasks, now: len(tasks))
+    ends = _counted(monkeypatch, reservation, "expected_ends", lambda tasks, now: len(tasks))
     fits = _counted(monkeypatch, MachineView, "fits", lambda machine, job: 1)
     result = plan(View(machines, jobs, {}), NOW, Policy())
     assert len(result.unplaced) == 5000 and result.reserved_job is not None
--- a/tests/test_failure_attribution.py
+++ b/tests/test_failure_attribution.py
@@ -218,7 +218,7 @@
 def test_without_the_gaps_mistaken_jobs_are_started_again_and_again(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    world = _mistakes_cost(monkeypatch, "_FIRST_GAP_S", 0.0)
+    world = _mistakes_cost(monkeypatch, "_FIRST_PAUSE_S", 0.0)
     assert any(job.starts > job.tasks + 50 for job in world.jobs if job.mistaken)
 
 
@@ -226,7 +226,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(FailureAttribution, "is_on_probation", lambda *_: False)
-    monkeypatch.setattr(attribution_module, "_MIN_UNCLEAR_JOBS", 2)
+    monkeypatch.setattr(attribution_module, "_MIN_FAILED_JOBS", 2)
     world = _World(3, _jobs(50, 20, tasks=1), _fleet(30))
     world.run(30.0)
     assert world.drained
--- a/tests/test_failure_detector.py
+++ b/tests/test_failure_detector.py
@@ -11,7 +11,7 @@
 from tealrill.fleet.capacity_backoff import CapacityBackoff
 from tealrill.scheduler.capacity_losses import CapacityLosses
 from tealrill.scheduler.failure_detector import (
-    MISSES,
+    MIN_FAILED_CONNECTS,
     Evidence,
     Suspicion,
     expected_recovery_s,
@@ -38,9 +38,9 @@
 
 def test_machines_without_a_connection_in_a_zone_that_is_heard_are_gone() -> None:
     heard = _signs("north", 20, _HEARD_S)
-    assert _verdicts(heard + _signs("north", 30, _SILENT_S, failed_connects=MISSES)) == {
-        Suspicion.GONE
-    }
+    assert _verdicts(
+        heard + _signs("north", 30, _SILENT_S, failed_connects=MIN_FAILED_CONNECTS)
+    ) == {Suspicion.GONE}
     # A single failure may be due to a lost packet.
     assert _verdicts(heard + _signs("north", 30, _SILENT_S, failed_connects=1)) == {Suspicion.LATE}
 
@@ -54,8 +54,8 @@
 
 def test_the_first_machines_of_a_cut_are_not_taken_for_deaths() -> None:
     # Heartbeats are up to 1.25 intervals apart, so the machines of a zone fall silent one by one.
-    first = _signs("south", 5, 2.8 * _REPORT_S, failed_connects=MISSES)
-    last = _signs("south", 15, 1.6 * _REPORT_S, failed_connects=MISSES)
+    first = _signs("south", 5, 2.8 * _REPORT_S, failed_connects=MIN_FAILED_CONNECTS)
+    last = _signs("south", 15, 1.6 * _REPORT_S, failed_connects=MIN_FAILED_CONNECTS)
     assert _verdicts(_signs("north", 20, _HEARD_S) + first + last) == {Suspicion.CUT}
 
 
@@ -106,7 +106,7 @@
             # A machine that accepts connections is not diagnosed as failed, nor is one in a
             # partitioned zone, unless it is missing from the cloud's lists.
             assert sign.missing_from_lists >= 2 or (
-                not sign.accepts and sign.failed_connects >= MISSES
+                not sign.accepts and sign.failed_connects >= MIN_FAILED_CONNECTS
             )
             assert sign.missing_from_lists >= 2 or sign.zone not in diagnosis.partitioned_zones
         assert expected_recovery_s(verdict, sign.silent_s) is None or verdict is not Suspicion.GONE
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -17,7 +17,7 @@
     Policy,
     TeamView,
     View,
-    ends_at,
+    expected_ends,
     remaining_s,
 )
 from tealrill.scheduler.plan import plan
@@ -257,7 +257,7 @@
     jobs: list[JobView], machines: list[MachineView]
 ) -> None:
     ends = {
-        m.id: list(zip(ends_at(m.running, NOW), (t.cpus for t in m.running), strict=True))
+        m.id: list(zip(expected_ends(m.running, NOW), (t.cpus for t in m.running), strict=True))
         for m in machines
     }
     free = {m.id: m.cpus for m in machines}
@@ -355,13 +355,13 @@
 def test_full_machines_are_looked_at_once_a_pass(monkeypatch: pytest.MonkeyPatch) -> None:
     """With a full fleet and a long queue, not every job may examine every machine."""
     looked: list[MachineView] = []
-    has = MachineView.has
+    has = MachineView.has_capacity
 
     def counted(machine: MachineView, cpus: float, gpus: float, memory_gb: float) -> bool:
         looked.append(machine)
         return has(machine, cpus, gpus, memory_gb)
 
-    monkeypatch.setattr(MachineView, "has", counted)
+    monkeypatch.setattr(MachineView, "has_capacity", counted)
     machines = [machine_view(f"m-{n}", cpus=0.5) for n in range(100)]
     machines.append(machine_view("m-free", cpus=2.0))
     jobs = [job_view(f"wk-{n}", cpus=1.0 + n) for n in range(40)]
@@ -376,7 +376,7 @@
 ) -> None:
     task = running_task("run-1", ran_s=ran_s, guess_s=guess_s, pace=Pace(ratio))
     left_s = remaining_s(guess_s * ratio, ran_s)
-    assert ends_at([task], NOW) == [pytest.approx(NOW + left_s)]
+    assert expected_ends([task], NOW) == [pytest.approx(NOW + left_s)]
 
 
 @given(st.lists(st.tuples(st.integers(1, 300), st.floats(0.0, 599.0), st.booleans()), max_size=12))
@@ -386,17 +386,17 @@
     jobs = [
         job_view(
             f"job-{number}", waiting=tasks, tasks=tasks, waited_s=waited_s, latest_s=(-1.0,),
-            begun=begun,
+            has_started=has_started,
         )
-        for number, (tasks, waited_s, begun) in enumerate(found)
+        for number, (tasks, waited_s, has_started) in enumerate(found)
     ]  # fmt: skip
     small = job_view("small-1", waited_s=1.0, latest_s=(500.0,))
     ordered = order([*jobs, small], {}, policy, 16.0, {})
-    waits = [j for j in jobs if not j.begun and j.waited_s >= policy.starvation_guard_s]
+    waits = [j for j in jobs if not j.has_started and j.waited_s >= policy.starvation_guard_s]
     if waits:
         # Only the one that has waited longest goes first; the others stay behind jobs that can be
         # in time.
-        assert ordered[0].waited_s == max(j.waited_s for j in waits) and not ordered[0].begun
+        assert ordered[0].waited_s == max(j.waited_s for j in waits) and not ordered[0].has_started
         assert ordered[1] is small
     else:
         assert ordered[0] is small
--- a/tests/test_waits.py
+++ b/tests/test_waits.py
@@ -136,7 +136,7 @@
             world.now = Monotonic(max(world.now, trial.next_at))
         failure_attribution.failed(job.id, MachineId("m-1"), 0.2, False, world.now)
         world.beat()
-    assert world.until_placed(job) <= attribution_module._MAX_GAP_S + 1.0
+    assert world.until_placed(job) <= attribution_module._MAX_PAUSE_S + 1.0
 
 
 @pytest.mark.parametrize("rule", [{"samePlace": True}, {"scatter": True}])
