--- a/tests/test_cost.py
+++ b/tests/test_cost.py
@@ -37,34 +37,34 @@
 NOW = Monotonic(1000.0)
 
 
-def _world(seed: int, machines: int, jobs: int) -> View:
+def _loaded_view(seed: int, machines: int, jobs: int) -> View:
     """Return a loaded fleet: kinds, zones, teams, classes, backfill, boots, and a queue.
 
     It is drawn from a seed, because generating views of a hundred machines value by value would
     take the property test's generator longer than the planner.
     """
-    dice = random.Random(seed)
-    paces = {team: Pace(dice.uniform(0.7, 1.6)) for team in ("blue", "red")}
+    rng = random.Random(seed)
+    paces = {team: Pace(rng.uniform(0.7, 1.6)) for team in ("blue", "red")}
     fleet = []
     for number in range(machines):
-        size = dice.choice([8.0, 16.0, 64.0])
+        size = rng.choice([8.0, 16.0, 64.0])
         left, running = size, list[RunningTask]()
-        while left > 0.5 and dice.random() < 0.93:
-            cpus = min(left, dice.choice([0.7, 2.0, 3.3, 8.0]))
-            team = dice.choice(["blue", "red"])
-            backfilled = dice.random() < 0.3
-            started = dice.random() < 0.9
+        while left > 0.5 and rng.random() < 0.93:
+            cpus = min(left, rng.choice([0.7, 2.0, 3.3, 8.0]))
+            team = rng.choice(["blue", "red"])
+            backfilled = rng.random() < 0.3
+            started = rng.random() < 0.9
             running.append(
                 running_task(
                     f"run-{number}{len(running):02d}",
                     now=NOW,
-                    ran_s=dice.uniform(0, 90),
-                    end_at=NOW + dice.uniform(-20, 60),
+                    ran_s=rng.uniform(0, 90),
+                    end_at=NOW + rng.uniform(-20, 60),
                     cpus=cpus,
                     team=team,
-                    rank=dice.randrange(3),
+                    rank=rng.randrange(3),
                     backfilled=backfilled,
-                    stopping=dice.random() < 0.05,
+                    stopping=rng.random() < 0.05,
                     pace=paces[team],
                     **({} if started else {"since": None, "guess_s": 20.0}),
                 )
@@ -74,47 +74,47 @@
             machine_view(
                 f"m-{number:04d}",
                 type={8.0: "small", 16.0: "big", 64.0: "huge"}[size],
-                zone=dice.choice(["north", "south"]),
-                spot=dice.random() < 0.7,
+                zone=rng.choice(["north", "south"]),
+                spot=rng.random() < 0.7,
                 cpus=left,
                 size=size,
                 memory_gb=size * 4 - sum(t.memory_gb for t in running),
-                ready_at=NOW if running or dice.random() < 0.8 else Monotonic(NOW + 20.0),
-                dear=dice.random() < 0.2,
-                images={f"img-{dice.randrange(5)}" for _ in range(3)},
+                ready_at=NOW if running or rng.random() < 0.8 else Monotonic(NOW + 20.0),
+                dear=rng.random() < 0.2,
+                images={f"img-{rng.randrange(5)}" for _ in range(3)},
                 running=running,
             )
         )
-    queue = [_job(dice, number) for number in range(jobs)]
+    queue = [_job(rng, number) for number in range(jobs)]
     teams = {
-        "red": TeamView(30.0, 0.0, 20.0, 0.0, dice.choice([0.0, 60.0]), 0.0),
-        "blue": TeamView(50.0, 0.0, dice.choice([0.0, 90.0]), 0.0, 0.0, 0.0),
+        "red": TeamView(30.0, 0.0, 20.0, 0.0, rng.choice([0.0, 60.0]), 0.0),
+        "blue": TeamView(50.0, 0.0, rng.choice([0.0, 90.0]), 0.0, 0.0, 0.0),
     }
-    expected = dice.choice([None, Expected(2, dice.uniform(1, 60))])
+    expected = rng.choice([None, Expected(2, rng.uniform(1, 60))])
     return View(fleet, queue, teams, expected, {0: 20.0, 1: 30.0, 2: 10.0})
 
 
-def _job(dice: random.Random, number: int) -> JobView:
-    waiting = dice.randrange(1, 30)
-    estimate_s = dice.uniform(0.5, 120)
+def _job(rng: random.Random, number: int) -> JobView:
+    waiting = rng.randrange(1, 30)
+    estimate_s = rng.uniform(0.5, 120)
     return job_view(
         f"job-{number}",
-        team=dice.choice(["blue", "red"]),
-        rank=dice.randrange(3),
-        cpus=dice.choice([0.7, 1.9, 2.0, 4.0, 8.0, 32.0]),
-        memory_gb=dice.choice([0.5, 4.0, 30.0]),
+        team=rng.choice(["blue", "red"]),
+        rank=rng.randrange(3),
+        cpus=rng.choice([0.7, 1.9, 2.0, 4.0, 8.0, 32.0]),
+        memory_gb=rng.choice([0.5, 4.0, 30.0]),
         waiting=waiting,
-        tasks=waiting + dice.randrange(5),
-        waited_s=dice.uniform(0, 1500),
-        latest_s=dice.choice([(), (dice.uniform(-20, 200), dice.uniform(0, 300))]),
+        tasks=waiting + rng.randrange(5),
+        waited_s=rng.uniform(0, 1500),
+        latest_s=rng.choice([(), (rng.uniform(-20, 200), rng.uniform(0, 300))]),
         estimate_s=estimate_s,
-        image=f"img-{dice.randrange(5)}",
-        image_gb=dice.uniform(0, 4),
-        zone=dice.choice([None, None, None, "north"]),
-        one_zone=dice.random() < 0.1,
-        spread=dice.random() < 0.1,
-        spot=dice.random() < 0.8,
-        gang=dice.random() < 0.1,
+        image=f"img-{rng.randrange(5)}",
+        image_gb=rng.uniform(0, 4),
+        zone=rng.choice([None, None, None, "north"]),
+        one_zone=rng.random() < 0.1,
+        spread=rng.random() < 0.1,
+        spot=rng.random() < 0.8,
+        gang=rng.random() < 0.1,
     )
 
 
@@ -128,7 +128,7 @@
     ]
 
 
-def _decided(result: Plan) -> tuple[Any, ...]:
+def _decisions(result: Plan) -> tuple[Any, ...]:
     return (
         result.starts,
         result.stops,
@@ -144,33 +144,37 @@
 
 @settings(max_examples=150)
 @given(_seeds, st.integers(0, 40), st.integers(0, 25))
-def test_the_planner_decides_what_the_plain_one_decides(
-    seed: int, machines: int, jobs: int
-) -> None:
+def test_planner_matches_reference_planner(seed: int, machines: int, jobs: int) -> None:
     _compare(seed, machines, jobs)
 
 
 def _compare(seed: int, machines: int, jobs: int) -> None:
-    view, same = _world(seed, machines, jobs), _world(seed, machines, jobs)
-    quick, slow = plan(view, NOW, Policy()), plain.plan(same, NOW, Policy())
-    assert _decided(quick) == _decided(slow)
+    view, reference_view = _loaded_view(seed, machines, jobs), _loaded_view(seed, machines, jobs)
+    optimized, reference = plan(view, NOW, Policy()), plain.plan(reference_view, NOW, Policy())
+    assert _decisions(optimized) == _decisions(reference)
     # Scale-out works on the capacity that the pass leaves.
     assert [(m.id, m.cpus, m.memory_gb) for m in view.machines] == [
-        (m.id, m.cpus, m.memory_gb) for m in same.machines
+        (m.id, m.cpus, m.memory_gb) for m in reference_view.machines
     ]
     offers = _offers()
-    dice = random.Random(seed)
-    available = [offer for offer in offers if dice.random() < 0.6]
-    wished = rentals(
-        quick.unplaced, view.machines, offers, available, NOW, Policy(), quick.affordable
+    rng = random.Random(seed)
+    available = [offer for offer in offers if rng.random() < 0.6]
+    rented = rentals(
+        optimized.unplaced, view.machines, offers, available, NOW, Policy(), optimized.affordable
     )
-    plainly = plain.rentals(
-        slow.unplaced, same.machines, offers, available, NOW, Policy(), slow.affordable
+    reference_rentals = plain.rentals(
+        reference.unplaced,
+        reference_view.machines,
+        offers,
+        available,
+        NOW,
+        Policy(),
+        reference.affordable,
     )
-    assert wished == plainly
+    assert rented == reference_rentals
 
 
-def _beside_room(view: View, result: Plan, waited_s: float) -> list[str]:
+def _waiting_beside_free_capacity(view: View, result: Plan, waited_s: float) -> list[str]:
     """Return the jobs that have waited for `waited_s` beside capacity that is not reserved.
 
     Capacity of tasks that this pass preempts is not free yet.
@@ -193,30 +197,30 @@
 
 @settings(max_examples=200)
 @given(_seeds, st.integers(1, 40), st.integers(1, 25))
-def test_nobody_waits_for_long_beside_room(seed: int, machines: int, jobs: int) -> None:
-    view = _world(seed, machines, jobs)
+def test_no_job_waits_long_beside_free_capacity(seed: int, machines: int, jobs: int) -> None:
+    view = _loaded_view(seed, machines, jobs)
     result = plan(view, NOW, Policy())
-    assert not _beside_room(view, result, Policy().inexpensive_only_s)
+    assert not _waiting_beside_free_capacity(view, result, Policy().inexpensive_only_s)
 
 
-def test_dear_room_is_what_they_waited_beside() -> None:
+def test_jobs_wait_beside_expensive_capacity_without_time_limit() -> None:
     policy = Policy(inexpensive_only_s=float("inf"))
-    found = 0
+    count = 0
     for seed in range(300):
-        view = _world(seed, 30, 15)
+        view = _loaded_view(seed, 30, 15)
         result = plan(view, NOW, policy)
-        found += len(_beside_room(view, result, 60.0))
-    assert found > 0
+        count += len(_waiting_beside_free_capacity(view, result, 60.0))
+    assert count > 0
 
 
-def test_for_a_team_at_its_limit_no_room_is_looked_for(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_no_machines_are_examined_for_team_at_limit(monkeypatch: pytest.MonkeyPatch) -> None:
     """Otherwise each pass checks thousands of its jobs against hundreds of machines with room."""
-    asked: list[str] = []
-    whole = planner._Pass._candidates
+    examined: list[str] = []
+    original_candidates = planner._Pass._candidates
 
     def candidates(self: planner._Pass, job: JobView) -> list[MachineView]:
-        asked.append(job.id)
-        return whole(self, job)
+        examined.append(job.id)
+        return original_candidates(self, job)
 
     monkeypatch.setattr(planner._Pass, "_candidates", candidates)
     fleet = [machine_view(f"m-{n:04d}", cpus=8.0, size=8.0, memory_gb=64.0) for n in range(200)]
@@ -227,29 +231,29 @@
         "blue": TeamView(0.0, 0.0, 0.0, 0.0, 0.0, 0.0),
     }
     result = plan(View(fleet, queue, teams, None, {}), NOW, Policy())
-    assert asked == ["blue-1"] and len(result.starts) == 3
+    assert examined == ["blue-1"] and len(result.starts) == 3
     # They cause no scale-out either, and none of them becomes the reserved job.
     assert not result.unplaced and result.reserved_job is None
 
 
 @settings(max_examples=60)
 @given(_seeds, st.integers(1, 20))
-def test_rooms_for_a_head_are_those_found_by_looking_at_all(seed: int, most: int) -> None:
-    view = _world(seed, 40, 3)
+def test_reservation_matches_reference(seed: int, limit: int) -> None:
+    view = _loaded_view(seed, 40, 3)
     for job in view.jobs:
-        quick = reservation.reserve(job, view.machines, NOW, most)
-        slow = plain.reserve(job, view.machines, NOW, most)
-        assert list(quick.items()) == list(slow.items())
+        optimized = reservation.reserve(job, view.machines, NOW, limit)
+        reference = plain.reserve(job, view.machines, NOW, limit)
+        assert list(optimized.items()) == list(reference.items())
 
 
 @pytest.mark.parametrize(
     ("where", "name", "broken"),
     [
         (free_capacity, "_ROUNDING", -5.0),
-        (planner, "reserve", lambda job, machines, now, most: {}),
+        (planner, "reserve", lambda job, machines, now, limit: {}),
     ],
 )
-def test_a_planner_that_skips_too_much_is_found(
+def test_mutant_that_skips_too_much_is_detected(
     monkeypatch: pytest.MonkeyPatch, where: Any, name: str, broken: Any
 ) -> None:
     monkeypatch.setattr(where, name, broken)
@@ -261,15 +265,15 @@
 # -- work, counted --------------------------------------------------------------------------------
 
 
-def _counted(
-    monkeypatch: pytest.MonkeyPatch, owner: Any, name: str, weigh: Callable[..., int]
+def _record_calls(
+    monkeypatch: pytest.MonkeyPatch, owner: Any, name: str, measure: Callable[..., int]
 ) -> list[int]:
     counts: list[int] = []
-    plainly = getattr(owner, name)
+    original = getattr(owner, name)
 
-    def counted(*args: Any, **more: Any) -> Any:
-        counts.append(weigh(*args, **more))
-        return plainly(*args, **more)
+    def counted(*args: Any, **kwargs: Any) -> Any:
+        counts.append(measure(*args, **kwargs))
+        return original(*args, **kwargs)
 
     monkeypatch.setattr(owner, name, counted)
     return counts
@@ -297,14 +301,14 @@
     ]
 
 
-def test_ends_are_not_worked_out_while_nothing_depends_on_them(
+def test_expected_ends_are_computed_only_on_use(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """5,000 waiting jobs of which none fits, 1,200 machines and 30,000 running tasks."""
     machines = _full_fleet(1200, 25)
     jobs = [job_view(f"job-{n}", cpus=2.0 + n % 3) for n in range(5000)]
-    ends = _counted(monkeypatch, reservation, "expected_ends", lambda tasks, now: len(tasks))
-    fits = _counted(monkeypatch, MachineView, "fits", lambda machine, job: 1)
+    ends = _record_calls(monkeypatch, reservation, "expected_ends", lambda tasks, now: len(tasks))
+    fits = _record_calls(monkeypatch, MachineView, "fits", lambda machine, job: 1)
     result = plan(View(machines, jobs, {}), NOW, Policy())
     assert len(result.unplaced) == 5000 and result.reserved_job is not None
     assert not ends and not fits
@@ -312,56 +316,56 @@
     assert result.reservations and sum(ends) == 30_000
 
 
-def test_of_a_full_fleet_few_machines_are_sorted_for_the_head(
+def test_reservation_sorts_few_machines_of_full_fleet(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """A machine whose tasks all end later than the fits found so far is passed over."""
     machines = _full_fleet(1200, 25)
-    reached = _counted(
+    within_bound = _record_calls(
         monkeypatch, reservation, "earliest_fit", lambda job, machine, now, by: by < NOW + 10.0
     )
     job = job_view("job-1", cpus=2.0, waiting=16, tasks=16)
     assert len(reservation.reserve(job, machines, NOW, 16)) <= 16
-    assert sum(reached) > 1100
+    assert sum(within_bound) > 1100
 
 
-def test_full_rooms_are_not_gone_through_for_every_job(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_scale_out_skips_full_machines(monkeypatch: pytest.MonkeyPatch) -> None:
     """500 jobs wait for 600 full machines; this was the most expensive part of a pass."""
-    made: list[FreeCapacity] = []
-    plainly = FreeCapacity.__init__
+    instances: list[FreeCapacity] = []
+    original = FreeCapacity.__init__
 
-    def kept(rooms: FreeCapacity, *args: Any) -> None:
-        made.append(rooms)
-        plainly(rooms, *args)
+    def recorded(instance: FreeCapacity, *args: Any) -> None:
+        instances.append(instance)
+        original(instance, *args)
 
-    monkeypatch.setattr(FreeCapacity, "__init__", kept)
+    monkeypatch.setattr(FreeCapacity, "__init__", recorded)
     machines = _full_fleet(600, 4)
     offer = Offer("big", "north", False, 32.0, 0.0, 128.0, 1.0, 35.0, 1.0)
     jobs = [
         (job_view(f"job-{n}", cpus=8.0, waiting=35, tasks=35, estimate_s=40.0 + n % 30), 35)
         for n in range(500)
     ]
-    wished = rentals(jobs, machines, [offer], [offer], NOW, Policy())
-    assert sum(r.count for r in wished) > 1000
+    rented = rentals(jobs, machines, [offer], [offer], NOW, Policy())
+    assert sum(r.count for r in rented) > 1000
     # Far fewer than one for each pair of a job and a machine, existing or requested before it.
-    pairs = 500 * (600 + 0.5 * sum(r.count for r in wished))
-    assert 600 < made[0].inspected < 0.08 * pairs
+    job_machine_pairs = 500 * (600 + 0.5 * sum(r.count for r in rented))
+    assert 600 < instances[0].inspected < 0.08 * job_machine_pairs
 
 
-def test_stops_look_at_backfilled_tasks_only(monkeypatch: pytest.MonkeyPatch) -> None:
-    looked = _counted(monkeypatch, preemption, "is_preemptible", lambda *_: 1)
+def test_preemption_examines_only_backfilled_tasks(monkeypatch: pytest.MonkeyPatch) -> None:
+    examined = _record_calls(monkeypatch, preemption, "is_preemptible", lambda *_: 1)
     machines = _full_fleet(600, 16, rank=0)
-    filled = _full_fleet(3, 16, rank=0, backfilled=True)
-    head = job_view("job-1", rank=2, cpus=4.0, waiting=4, tasks=4)
-    result = plan(View([*machines, *filled], [head], {}), NOW, Policy())
+    backfilled_machines = _full_fleet(3, 16, rank=0, backfilled=True)
+    reserved_job = job_view("job-1", rank=2, cpus=4.0, waiting=4, tasks=4)
+    result = plan(View([*machines, *backfilled_machines], [reserved_job], {}), NOW, Policy())
     assert result.stops
-    assert len(looked) <= 16 * 3 * 5
+    assert len(examined) <= 16 * 3 * 5
 
 
 # -- a large fleet in the leader's memory --------------------------------------------------------
 
 
-class _Large:
+class _LargeFleet:
     """1,200 live machines of 32 processors, with tasks of a few jobs on them."""
 
     def __init__(self, tasks: int) -> None:
@@ -370,7 +374,7 @@
         self.sequence = 0
         self.names = [MachineId(f"m-{n:06d}") for n in range(1200)]
         for name in self.names:
-            self.beat(name)
+            self.heartbeat(name)
         self.jobs = [
             self.job_store.add(
                 spec(id=f"wk-{n:06d}", pieces=1200, vcpus=32.0 / tasks, memoryGb=0.1),
@@ -385,83 +389,87 @@
                 bound = self.fleet.bind(job, machine, False, Wall(0.0), Monotonic(self.now))
                 assert bound is not None
         for name in self.names:
-            self.beat(name)
+            self.heartbeat(name)
         self.survey()
 
-    def beat(self, name: MachineId, ended: str = "") -> None:
+    def heartbeat(self, name: MachineId, ended: str = "") -> None:
         self.sequence += 1
         machine = self.fleet.machines.get(name)
         bound = machine.bindings.values() if machine is not None else ()
         lines: list[tuple[str, int, str, str | None]] = [
-            (str(b.task), int(b.attempt), *(("ended", "done") if str(b.task) == ended else _RUNS))
+            (
+                str(b.task),
+                int(b.attempt),
+                *(("ended", "done") if str(b.task) == ended else _RUNNING),
+            )
             for b in bound
         ]
-        heard = report(name, 1, self.sequence, 1, lines)
-        heard = msgspec.structs.replace(heard, type="huge")
-        self.fleet.heartbeats.process(heard, name, Monotonic(self.now), Wall(self.now))
+        message = report(name, 1, self.sequence, 1, lines)
+        message = msgspec.structs.replace(message, type="huge")
+        self.fleet.heartbeats.process(message, name, Monotonic(self.now), Wall(self.now))
 
     def survey(self) -> list[MachineView]:
         return self.scheduling_loop.snapshots._survey(Monotonic(self.now))[0]
 
 
-_RUNS: tuple[str, str | None] = ("running", None)
+_RUNNING: tuple[str, str | None] = ("running", None)
 
 
-def test_of_a_large_fleet_one_report_that_changes_nothing_costs_itself(
+def test_unchanged_heartbeat_rebuilds_no_view(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """1,200 machines, 30,000 running tasks."""
-    world = _Large(25)
-    lists = _counted(monkeypatch, Reconciler, "reconcile", lambda *_, **__: 1)
-    fresh = _counted(monkeypatch, SnapshotBuilder, "_fresh", lambda *_: 1)
-    asked = _counted(monkeypatch, SnapshotBuilder, "_machine", lambda *_: 1)
-    world.beat(world.names[7])
-    assert len(world.survey()) == 1200
-    assert not lists and not fresh and not asked
+    cluster = _LargeFleet(25)
+    reconciliations = _record_calls(monkeypatch, Reconciler, "reconcile", lambda *_, **__: 1)
+    rebuilt = _record_calls(monkeypatch, SnapshotBuilder, "_fresh", lambda *_: 1)
+    examined = _record_calls(monkeypatch, SnapshotBuilder, "_machine", lambda *_: 1)
+    cluster.heartbeat(cluster.names[7])
+    assert len(cluster.survey()) == 1200
+    assert not reconciliations and not rebuilt and not examined
 
 
-def test_a_job_that_ends_task_by_task_costs_a_view_a_task(
+def test_each_completed_task_rebuilds_one_view(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    world = _Large(4)
-    fresh = _counted(monkeypatch, SnapshotBuilder, "_fresh", lambda *_: 1)
-    taken = _counted(monkeypatch, Reconciler, "_progress", lambda *_: 1)
-    for name in world.names[:200]:
-        ended = next(iter(world.fleet.machines[name].named))
-        world.beat(name, ended)
-        world.survey()
-    assert len(fresh) == 200 and len(taken) == 200
-    assert sum(job.done_count for job in world.jobs) == 200
-
-
-def test_a_wave_of_silent_machines_costs_those_that_are_silent(
+    cluster = _LargeFleet(4)
+    rebuilt = _record_calls(monkeypatch, SnapshotBuilder, "_fresh", lambda *_: 1)
+    progressed = _record_calls(monkeypatch, Reconciler, "_progress", lambda *_: 1)
+    for name in cluster.names[:200]:
+        ended = next(iter(cluster.fleet.machines[name].named))
+        cluster.heartbeat(name, ended)
+        cluster.survey()
+    assert len(rebuilt) == 200 and len(progressed) == 200
+    assert sum(job.done_count for job in cluster.jobs) == 200
+
+
+def test_mass_silence_examines_only_silent_machines(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """600 of 1,200 machines fall silent and recover."""
-    world = _Large(4)
-    world.now += 6.0
-    for name in world.names[:600]:
-        world.beat(name)
-    asked = _counted(monkeypatch, SnapshotBuilder, "_machine", lambda *_: 1)
-    fresh = _counted(monkeypatch, SnapshotBuilder, "_fresh", lambda *_: 1)
-    assert len(world.survey()) == 600
-    assert len(asked) == 600 and not fresh
-    for name in world.names[600:]:
-        world.beat(name)
-    asked.clear()
-    assert len(world.survey()) == 1200 and not asked and not fresh
-
-
-def test_lost_tasks_are_looked_at_by_jobs(monkeypatch: pytest.MonkeyPatch) -> None:
+    cluster = _LargeFleet(4)
+    cluster.now += 6.0
+    for name in cluster.names[:600]:
+        cluster.heartbeat(name)
+    examined = _record_calls(monkeypatch, SnapshotBuilder, "_machine", lambda *_: 1)
+    rebuilt = _record_calls(monkeypatch, SnapshotBuilder, "_fresh", lambda *_: 1)
+    assert len(cluster.survey()) == 600
+    assert len(examined) == 600 and not rebuilt
+    for name in cluster.names[600:]:
+        cluster.heartbeat(name)
+    examined.clear()
+    assert len(cluster.survey()) == 1200 and not examined and not rebuilt
+
+
+def test_expired_tasks_are_placed_with_one_search_per_job(monkeypatch: pytest.MonkeyPatch) -> None:
     """The leases of 500 machines expire; 2,000 tasks of four jobs are bound again in one pass."""
-    world = _Large(4)
-    terminated = world.names[:500]
-    world.now += 9.0
-    for name in world.names[500:]:
-        world.beat(name)
-    world.fleet.leases.check_silence(Monotonic(world.now))
-    assert all(world.fleet.machines[name].lease_expired for name in terminated)
-    assert sum(job.waiting for job in world.jobs) == 2000
-    looks = _counted(monkeypatch, planner._Pass, "_candidates", lambda *_: 1)
-    world.scheduling_loop.run(Monotonic(world.now), Wall(world.now))
-    assert len(looks) == 4
+    cluster = _LargeFleet(4)
+    terminated = cluster.names[:500]
+    cluster.now += 9.0
+    for name in cluster.names[500:]:
+        cluster.heartbeat(name)
+    cluster.fleet.leases.check_silence(Monotonic(cluster.now))
+    assert all(cluster.fleet.machines[name].lease_expired for name in terminated)
+    assert sum(job.waiting for job in cluster.jobs) == 2000
+    searches = _record_calls(monkeypatch, planner._Pass, "_candidates", lambda *_: 1)
+    cluster.scheduling_loop.run(Monotonic(cluster.now), Wall(cluster.now))
+    assert len(searches) == 4
--- a/tests/test_failure_detector.py
+++ b/tests/test_failure_detector.py
@@ -22,68 +22,81 @@
 )
 from tealrill.types import MachineId, Monotonic
 
-_REPORT_S = 2.0
-_HEARD_S, _SILENT_S = 1.0, 9.0
+_HEARTBEAT_INTERVAL_S = 2.0
+_LIVE_S, _SILENT_S = 1.0, 9.0
 
 
-def _signs(zone: str, count: int, silent_s: float, **more: Any) -> list[Evidence]:
+def _observations(zone: str, count: int, silent_s: float, **fields: Any) -> list[Evidence]:
     return [
-        Evidence(MachineId(f"{zone}-{silent_s}-{n}"), zone, silent_s, **more) for n in range(count)
+        Evidence(MachineId(f"{zone}-{silent_s}-{n}"), zone, silent_s, **fields)
+        for n in range(count)
     ]
 
 
-def _verdicts(signs: list[Evidence]) -> set[Suspicion]:
-    return set(judge(signs, _REPORT_S).verdicts.values())
+def _suspicions(observations: list[Evidence]) -> set[Suspicion]:
+    return set(judge(observations, _HEARTBEAT_INTERVAL_S).verdicts.values())
 
 
-def test_machines_without_a_connection_in_a_zone_that_is_heard_are_gone() -> None:
-    heard = _signs("north", 20, _HEARD_S)
-    assert _verdicts(
-        heard + _signs("north", 30, _SILENT_S, failed_connects=MIN_FAILED_CONNECTS)
+def test_unreachable_machines_in_live_zone_are_failed() -> None:
+    live_machines = _observations("north", 20, _LIVE_S)
+    assert _suspicions(
+        live_machines + _observations("north", 30, _SILENT_S, failed_connects=MIN_FAILED_CONNECTS)
     ) == {Suspicion.GONE}
     # A single failure may be due to a lost packet.
-    assert _verdicts(heard + _signs("north", 30, _SILENT_S, failed_connects=1)) == {Suspicion.LATE}
+    assert _suspicions(
+        live_machines + _observations("north", 30, _SILENT_S, failed_connects=1)
+    ) == {Suspicion.LATE}
 
 
-def test_a_zone_that_is_not_heard_is_cut_off_and_its_machines_are_not_gone() -> None:
-    signs = _signs("north", 20, _HEARD_S) + _signs("south", 20, _SILENT_S, failed_connects=9)
-    diagnosis = judge(signs, _REPORT_S)
+def test_silent_zone_is_partitioned_not_failed() -> None:
+    observations = _observations("north", 20, _LIVE_S) + _observations(
+        "south", 20, _SILENT_S, failed_connects=9
+    )
+    diagnosis = judge(observations, _HEARTBEAT_INTERVAL_S)
     assert diagnosis.partitioned_zones == {"south"} and not diagnosis.inbound_partitioned
     assert set(diagnosis.verdicts.values()) == {Suspicion.CUT}
 
 
-def test_the_first_machines_of_a_cut_are_not_taken_for_deaths() -> None:
+def test_first_silent_machines_of_partition_are_not_failed() -> None:
     # Heartbeats are up to 1.25 intervals apart, so the machines of a zone fall silent one by one.
-    first = _signs("south", 5, 2.8 * _REPORT_S, failed_connects=MIN_FAILED_CONNECTS)
-    last = _signs("south", 15, 1.6 * _REPORT_S, failed_connects=MIN_FAILED_CONNECTS)
-    assert _verdicts(_signs("north", 20, _HEARD_S) + first + last) == {Suspicion.CUT}
+    first = _observations(
+        "south", 5, 2.8 * _HEARTBEAT_INTERVAL_S, failed_connects=MIN_FAILED_CONNECTS
+    )
+    last = _observations(
+        "south", 15, 1.6 * _HEARTBEAT_INTERVAL_S, failed_connects=MIN_FAILED_CONNECTS
+    )
+    assert _suspicions(_observations("north", 20, _LIVE_S) + first + last) == {Suspicion.CUT}
 
 
-def test_a_leader_that_hears_no_zone_is_deaf_and_calls_nothing_gone() -> None:
-    signs = _signs("north", 20, _SILENT_S, failed_connects=9) + _signs(
+def test_silence_of_all_zones_is_inbound_partition_of_leader() -> None:
+    observations = _observations("north", 20, _SILENT_S, failed_connects=9) + _observations(
         "south", 9, _SILENT_S, failed_connects=9
     )
-    diagnosis = judge(signs, _REPORT_S)
+    diagnosis = judge(observations, _HEARTBEAT_INTERVAL_S)
     assert diagnosis.inbound_partitioned and set(diagnosis.verdicts.values()) == {Suspicion.CUT}
 
 
-def test_machines_that_connect_and_say_nothing_hang_though_none_of_their_zone_is_heard() -> None:
-    signs = [Evidence(MachineId(f"m-{n}"), "north", _SILENT_S, accepts=True) for n in range(20)]
-    diagnosis = judge(signs, _REPORT_S)
+def test_silent_machines_that_accept_connections_are_hung() -> None:
+    observations = [
+        Evidence(MachineId(f"m-{n}"), "north", _SILENT_S, accepts=True) for n in range(20)
+    ]
+    diagnosis = judge(observations, _HEARTBEAT_INTERVAL_S)
     assert set(diagnosis.verdicts.values()) == {Suspicion.HUNG} and not diagnosis.partitioned_zones
 
 
-def test_a_whole_zone_taken_back_is_told_from_a_cut_by_the_clouds_lists() -> None:
-    heard = _signs("north", 20, _HEARD_S)
-    assert _verdicts(
-        heard + _signs("south", 20, _SILENT_S, failed_connects=9, missing_from_lists=1)
+def test_zone_missing_from_two_cloud_lists_is_failed_not_partitioned() -> None:
+    live_machines = _observations("north", 20, _LIVE_S)
+    assert _suspicions(
+        live_machines
+        + _observations("south", 20, _SILENT_S, failed_connects=9, missing_from_lists=1)
     ) == {Suspicion.CUT}
-    assert _verdicts(
-        heard + _signs("south", 20, _SILENT_S, failed_connects=9, missing_from_lists=2)
+    assert _suspicions(
+        live_machines
+        + _observations("south", 20, _SILENT_S, failed_connects=9, missing_from_lists=2)
     ) == {Suspicion.GONE}
 
 
-_SIGN = st.builds(
+_EVIDENCE = st.builds(
     Evidence,
     st.integers(0, 10**6).map(lambda n: MachineId(f"m-{n}")),
     st.sampled_from(["north", "south", "west"]),
@@ -94,51 +107,55 @@
 )
 
 
-@given(st.lists(_SIGN, max_size=40, unique_by=lambda sign: sign.machine))
-def test_verdicts_on_generated_fleets(signs: list[Evidence]) -> None:
-    diagnosis = judge(signs, _REPORT_S)
-    by_id = {sign.machine: sign for sign in signs}
-    live = {s.zone for s in signs if s.silent_s <= live_within_s(_REPORT_S)}
+@given(st.lists(_EVIDENCE, max_size=40, unique_by=lambda evidence: evidence.machine))
+def test_suspicions_on_generated_fleets(observations: list[Evidence]) -> None:
+    diagnosis = judge(observations, _HEARTBEAT_INTERVAL_S)
+    by_id = {evidence.machine: evidence for evidence in observations}
+    live = {s.zone for s in observations if s.silent_s <= live_within_s(_HEARTBEAT_INTERVAL_S)}
     for machine, verdict in diagnosis.verdicts.items():
-        sign = by_id[machine]
-        assert sign.silent_s > live_within_s(_REPORT_S)
+        evidence = by_id[machine]
+        assert evidence.silent_s > live_within_s(_HEARTBEAT_INTERVAL_S)
         if verdict is Suspicion.GONE:
             # A machine that accepts connections is not diagnosed as failed, nor is one in a
             # partitioned zone, unless it is missing from the cloud's lists.
-            assert sign.missing_from_lists >= 2 or (
-                not sign.accepts and sign.failed_connects >= MIN_FAILED_CONNECTS
+            assert evidence.missing_from_lists >= 2 or (
+                not evidence.accepts and evidence.failed_connects >= MIN_FAILED_CONNECTS
+            )
+            assert (
+                evidence.missing_from_lists >= 2 or evidence.zone not in diagnosis.partitioned_zones
             )
-            assert sign.missing_from_lists >= 2 or sign.zone not in diagnosis.partitioned_zones
-        assert expected_recovery_s(verdict, sign.silent_s) is None or verdict is not Suspicion.GONE
-    for sign in signs:
-        if sign.silent_s > silent_after_s(_REPORT_S):
-            assert sign.machine in diagnosis.verdicts
+        assert (
+            expected_recovery_s(verdict, evidence.silent_s) is None or verdict is not Suspicion.GONE
+        )
+    for evidence in observations:
+        if evidence.silent_s > silent_after_s(_HEARTBEAT_INTERVAL_S):
+            assert evidence.machine in diagnosis.verdicts
     assert not diagnosis.inbound_partitioned or not live
 
 
-def test_a_silence_is_expected_to_last_as_long_again() -> None:
+def test_expected_recovery_equals_silence_so_far() -> None:
     assert expected_recovery_s(Suspicion.HUNG, 12.0) == 12.0
     assert expected_recovery_s(Suspicion.CUT, 0.5) == pytest.approx(2.0)
     assert expected_recovery_s(Suspicion.GONE, 12.0) is None
 
 
-def test_a_leader_is_deaf_only_if_it_heard_several_machines() -> None:
-    assert is_bypassed_by_heartbeats(3.5, 10, _REPORT_S)
-    assert not is_bypassed_by_heartbeats(2.5, 10, _REPORT_S)
-    assert not is_bypassed_by_heartbeats(60.0, 2, _REPORT_S)
+def test_loss_of_all_heartbeats_requires_several_machines() -> None:
+    assert is_bypassed_by_heartbeats(3.5, 10, _HEARTBEAT_INTERVAL_S)
+    assert not is_bypassed_by_heartbeats(2.5, 10, _HEARTBEAT_INTERVAL_S)
+    assert not is_bypassed_by_heartbeats(60.0, 2, _HEARTBEAT_INTERVAL_S)
 
 
 # -- capacity losses ------------------------------------------------------------------------------
 
 
-def _lose(losses: CapacityLosses, count: int, at: float = 0.0, cpus: float = 6.0) -> None:
+def _record_losses(losses: CapacityLosses, count: int, at: float = 0.0, cpus: float = 6.0) -> None:
     for n in range(count):
         losses.lost(MachineId(f"m-{at}-{n}"), "big", cpus, Monotonic(at))
 
 
-def test_what_was_in_use_on_machines_lost_together_is_owed() -> None:
+def test_mass_failure_requires_replacement_of_used_capacity() -> None:
     losses = CapacityLosses()
-    _lose(losses, 20)
+    _record_losses(losses, 20)
     assert losses.replacement_capacity(Monotonic(1.0), 200) == {"big": 120.0}
     losses.rented("other", 50.0)
     losses.rented("big", 100.0)
@@ -147,23 +164,23 @@
     assert losses.replacement_capacity(Monotonic(1.0), 200) == {}
 
 
-def test_single_losses_and_losses_one_after_the_other_are_left_to_the_queue() -> None:
+def test_few_or_spread_losses_require_no_replacement() -> None:
     losses = CapacityLosses()
-    _lose(losses, 4)
+    _record_losses(losses, 4)
     assert losses.replacement_capacity(Monotonic(0.0), 10) == {}
-    apart = CapacityLosses()
+    spread_losses = CapacityLosses()
     for n in range(12):
-        _lose(apart, 1, at=6.0 * n)
-    assert apart.replacement_capacity(Monotonic(67.0), 10) == {}
-    _lose(losses, 5, at=1.0)
+        _record_losses(spread_losses, 1, at=6.0 * n)
+    assert spread_losses.replacement_capacity(Monotonic(67.0), 10) == {}
+    _record_losses(losses, 5, at=1.0)
     assert losses.replacement_capacity(Monotonic(1.0), 200) == {}, "nine of 200 are too few"
     assert losses.replacement_capacity(Monotonic(1.0), 100) == {"big": 54.0}
 
 
-def test_a_machine_is_counted_once_and_not_any_more_once_it_is_back() -> None:
+def test_loss_counts_once_and_ends_with_recovery() -> None:
     losses = CapacityLosses()
-    _lose(losses, 10)
-    _lose(losses, 10)
+    _record_losses(losses, 10)
+    _record_losses(losses, 10)
     assert losses.replacement_capacity(Monotonic(0.0), 50) == {"big": 60.0}
     losses.recovered(MachineId("m-0.0-3"))
     assert losses.replacement_capacity(Monotonic(0.0), 50) == {"big": 54.0}
@@ -181,7 +198,7 @@
         max_size=60,
     )
 )
-def test_never_more_is_owed_than_was_lost_and_not_replaced(
+def test_replacement_capacity_is_at_most_unreplaced_loss(
     steps: list[tuple[str, int, float]],
 ) -> None:
     losses, now = CapacityLosses(), Monotonic(0.0)
@@ -206,7 +223,7 @@
 # -- capacity backoff -----------------------------------------------------------------------------
 
 
-def test_refusals_double_while_nothing_is_given_and_end_when_machines_have_gone() -> None:
+def test_backoff_doubles_until_machines_are_granted_or_released() -> None:
     capacity_backoff, kind, now = CapacityBackoff(), ("big", "north", True), Monotonic(0.0)
     waits: list[float] = []
     for _ in range(4):
@@ -230,7 +247,7 @@
     assert not capacity_backoff.refused(kind, now)
 
 
-def test_lost_machines_shorten_a_refusal_and_do_not_end_it() -> None:
+def test_machine_failures_shorten_backoff_without_ending_it() -> None:
     """Failed machines still occupy the cloud's capacity, so new requests are refused at first."""
     capacity_backoff, kind = CapacityBackoff(), ("big", "north", True)
     capacity_backoff.answered(kind, 10, 0, Monotonic(0.0))
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -28,26 +28,26 @@
 NOW = Monotonic(10.0)
 
 
-def test_waiting_raises_priority_until_a_job_leads_the_queue() -> None:
+def test_waiting_raises_priority_to_head_of_queue() -> None:
     urgent = job_view("new-1", rank=3)
     old = job_view("old-1", rank=0, waited_s=4 * Policy().aging_s)
     assert order([urgent, old], {}, Policy())[0] is old
 
 
-def test_equal_classes_go_by_their_latest_start() -> None:
+def test_equal_classes_are_ordered_by_latest_start() -> None:
     late = job_view("late-1", latest_s=(100.0,))
     tight = job_view("tight-1", latest_s=(50.0,))
     assert order([late, tight], {}, Policy(), 100.0) == [tight, late]
 
 
-def test_a_job_that_is_late_anyway_does_not_make_others_late() -> None:
+def test_late_job_is_ordered_after_jobs_that_can_be_in_time() -> None:
     late = job_view("late-1", latest_s=(-5.0, -1.0))
     second = job_view("second-1", latest_s=(-5.0, 60.0))
     tight = job_view("tight-1", latest_s=(50.0, 150.0))
     assert order([late, second, tight], {}, Policy(), 100.0) == [tight, second, late]
 
 
-def test_an_overload_passes_over_the_largest_job_and_not_the_latest() -> None:
+def test_overload_defers_largest_job_instead_of_latest() -> None:
     # With an order by slack alone, one large job made ten small ones late.
     large = job_view("large-1", latest_s=(40.0,), tasks=100, waiting=100, estimate_s=30.0)
     small = [job_view(f"small-{n}", latest_s=(45.0 + n,), estimate_s=30.0) for n in range(5)]
@@ -59,17 +59,19 @@
     assert order([large, *small], {}, Policy(), 10 * cpus, held)[-1] is large
 
 
-def _blocked_head(rank: int = 2) -> JobView:
+def _blocked_reserved_job(rank: int = 2) -> JobView:
     return job_view("head-1", rank=rank, cpus=8.0, waited_s=1.0)
 
 
-def test_backfill_beyond_the_window_is_for_lower_classes_only_and_is_marked() -> None:
+def test_backfill_past_window_is_limited_to_lower_classes_and_marked() -> None:
     def starts(rank: int, estimate_s: float) -> list[tuple[str, bool]]:
         machine = machine_view(
             "m-1", cpus=4.0, running=[running_task("run-1", end_at=Monotonic(NOW + 20))]
         )
-        lower = job_view("fill-1", rank=rank, estimate_s=estimate_s)
-        result = plan(View([machine], [_blocked_head(), lower], {}), NOW, Policy())
+        lower_class_job = job_view("fill-1", rank=rank, estimate_s=estimate_s)
+        result = plan(
+            View([machine], [_blocked_reserved_job(), lower_class_job], {}), NOW, Policy()
+        )
         assert result.reserved_job == JobId("head-1")
         return [(s.job, s.backfilled) for s in result.starts]
 
@@ -78,31 +80,31 @@
     assert starts(rank=1, estimate_s=25.0) == [("fill-1", True)]
 
 
-def test_the_least_run_backfilled_task_is_stopped() -> None:
+def test_backfilled_task_with_shortest_run_time_is_preempted() -> None:
     running = [
         running_task("fill-1", ran_s=30.0, backfilled=True),
         running_task("fill-2", ran_s=3.0, backfilled=True),
         running_task("normal-1", ran_s=1.0),
     ]
-    head = job_view("head-1", rank=2, cpus=4.0)
+    reserved_job = job_view("head-1", rank=2, cpus=4.0)
     machine = machine_view("m-1", cpus=0.0, running=running)
-    result = plan(View([machine], [head], {}), NOW, Policy())
+    result = plan(View([machine], [reserved_job], {}), NOW, Policy())
     assert [s.task.job for s in result.stops] == ["fill-2"]
 
 
-def test_nothing_is_stopped_for_an_equal_class_or_for_room_that_comes_anyway() -> None:
+def test_no_preemption_for_equal_class_or_imminent_reservation() -> None:
     def stops(rank: int, end_s: float) -> int:
         running = [running_task("fill-1", backfilled=True, end_at=Monotonic(NOW + end_s))]
         machine = machine_view("m-1", cpus=0.0, running=running)
-        head = job_view("head-1", rank=rank, cpus=4.0)
-        return len(plan(View([machine], [head], {}), NOW, Policy()).stops)
+        reserved_job = job_view("head-1", rank=rank, cpus=4.0)
+        return len(plan(View([machine], [reserved_job], {}), NOW, Policy()).stops)
 
     assert stops(rank=2, end_s=60.0) == 1
     assert stops(rank=1, end_s=60.0) == 0
     assert stops(rank=2, end_s=1.0) == 0
 
 
-def test_an_urgent_burst_stops_a_bounded_share_in_one_pass() -> None:
+def test_preemption_per_pass_is_limited_to_share() -> None:
     machines = [
         machine_view(
             f"m-{i}", cpus=0.0, running=[running_task(f"fill-{i}", cpus=8.0, backfilled=True)]
@@ -114,7 +116,7 @@
     assert len(result.stops) == 3
 
 
-def test_room_for_expected_work_is_filled_only_with_what_may_be_stopped() -> None:
+def test_headroom_for_expected_work_is_filled_with_backfill_only() -> None:
     machine = machine_view("m-1", cpus=12.0)
     jobs = [job_view("fill-1", waiting=3)]
     result = plan(View([machine], jobs, {}, Expected(2, 8.0)), NOW, Policy())
@@ -127,7 +129,7 @@
     assert [s.backfilled for s in urgent.starts] == [False]
 
 
-def test_a_gang_starts_whole_or_not_at_all() -> None:
+def test_gang_starts_whole_or_not_at_all() -> None:
     def started(tasks: int) -> int:
         gang = job_view("gang-1", gang=True, waiting=tasks, tasks=tasks)
         machines = [machine_view("m-1"), machine_view("m-2")]
@@ -137,18 +139,18 @@
     assert started(5) == 0
 
 
-def test_a_guarantee_takes_back_what_others_borrow() -> None:
+def test_guaranteed_quota_preempts_tasks_of_team_over_quota() -> None:
     teams = {
         "red": TeamView(0.0, 0.0, 8.0, 0.0, 0.0, 0.0),
         "blue": TeamView(8.0, 0.0, 0.0, 0.0, 0.0, 0.0),
     }
     machine = machine_view("m-1", cpus=0.0, running=[running_task("borrow-1", rank=3, cpus=8.0)])
-    head = job_view("own-1", team="red", rank=0)
-    result = plan(View([machine], [head], teams), NOW, Policy())
+    reserved_job = job_view("own-1", team="red", rank=0)
+    result = plan(View([machine], [reserved_job], teams), NOW, Policy())
     assert [s.task.job for s in result.stops] == ["borrow-1"]
 
 
-def test_only_completed_tasks_move_the_ratio() -> None:
+def test_completed_tasks_determine_run_time_ratio() -> None:
     estimates = Estimates()
     assert estimates.run_s("blue", 10.0) == 10.0
     for ran_s in (20.0, 30.0, 100.0):
@@ -206,10 +208,10 @@
 
 
 @given(_jobs, _machines())
-def test_a_plan_keeps_capacity_limits_and_placement(
+def test_plan_respects_capacity_limits_and_placement_rules(
     jobs: list[JobView], machines: list[MachineView]
 ) -> None:
-    room = {m.id: m.cpus for m in machines}
+    free_cpus = {m.id: m.cpus for m in machines}
     by_id = {job.id: job for job in jobs}
     by_machine = {m.id: m for m in machines}
     waiting = {job.id: job.waiting for job in jobs}
@@ -219,29 +221,29 @@
     }
     running = {t.task: (t, m) for m in machines for t in m.running}
     result = plan(View(machines, jobs, teams), NOW, Policy())
-    red = 0.0
+    red_cpus = 0.0
     zones: dict[JobId, dict[str, int]] = {}
     for start in result.starts:
         job, machine = by_id[start.job], by_machine[start.machine]
-        room[machine.id] -= job.cpus
+        free_cpus[machine.id] -= job.cpus
         waiting[job.id] -= 1
-        red += job.cpus if job.team == "red" else 0.0
+        red_cpus += job.cpus if job.team == "red" else 0.0
         assert machine.ready_at <= NOW
         assert job.zone in (None, machine.zone)
         assert job.spot or not machine.spot
         zones.setdefault(job.id, {}).setdefault(machine.zone, 0)
         zones[job.id][machine.zone] += 1
-    assert all(left >= 0 for left in room.values())
+    assert all(left >= 0 for left in free_cpus.values())
     assert all(left >= 0 for left in waiting.values())
-    assert red <= 12.0
+    assert red_cpus <= 12.0
     for job_id, counts in zones.items():
         job = by_id[job_id]
         assert not job.one_zone or len(counts) == 1
         assert not job.spread or max(counts.values()) <= (job.tasks + 1) // 2
     for stop in result.stops:
-        victim, machine = running[stop.task]
-        assert victim.backfilled and victim.rank < by_id[stop.for_job].rank
-        kept = [
+        preempted_task, machine = running[stop.task]
+        assert preempted_task.backfilled and preempted_task.rank < by_id[stop.for_job].rank
+        not_preempted = [
             t
             for t in machine.running
             if t.backfilled
@@ -249,11 +251,11 @@
             and t.task not in {s.task for s in result.stops}
         ]
         # Of tasks of equal size on one machine, those with the shortest run time are preempted.
-        assert all(t.ran_s(NOW) >= victim.ran_s(NOW) for t in kept)
+        assert all(t.ran_s(NOW) >= preempted_task.ran_s(NOW) for t in not_preempted)
 
 
 @given(_jobs, _machines())
-def test_backfill_that_nothing_may_stop_does_not_delay_the_head(
+def test_non_preemptible_starts_do_not_delay_reservation(
     jobs: list[JobView], machines: list[MachineView]
 ) -> None:
     ends = {
@@ -266,20 +268,20 @@
     result = plan(View(machines, jobs, {}), NOW, Policy())
     if result.reserved_job is None:
         return
-    head = by_id[result.reserved_job]
+    reserved_job = by_id[result.reserved_job]
     for reservation in result.reservations.values():
-        room = free[reservation.machine]
+        free_cpus = free[reservation.machine]
         assert reservation.at >= ready[reservation.machine]
-        room += sum(cpus for end, cpus in ends[reservation.machine] if end <= reservation.at)
+        free_cpus += sum(cpus for end, cpus in ends[reservation.machine] if end <= reservation.at)
         for start in result.starts:
             job = by_id[start.job]
-            stays = NOW + job.estimate_s > reservation.at and not start.backfilled
-            if start.machine == reservation.machine and stays:
-                room -= job.cpus
-        assert room + 1e-6 >= reservation.tasks * head.cpus
+            runs_past = NOW + job.estimate_s > reservation.at and not start.backfilled
+            if start.machine == reservation.machine and runs_past:
+                free_cpus -= job.cpus
+        assert free_cpus + 1e-6 >= reservation.tasks * reserved_job.cpus
 
 
-def test_room_that_boots_or_comes_free_is_not_rented_again() -> None:
+def test_booting_or_soon_free_capacity_is_not_rented_again() -> None:
     def offer(spot: bool, price: float) -> Offer:
         return Offer("big", "north", spot, 8.0, 0.0, 64.0, price, 30.0, 1.0)
 
@@ -300,7 +302,7 @@
     assert count([machine_view("m-1", cpus=0.0, running=leaving)]) == []
 
 
-def test_dear_machines_are_for_jobs_that_the_cheap_ones_do_not_bring_in() -> None:
+def test_expensive_machines_serve_only_jobs_that_need_them() -> None:
     # Otherwise jobs with time to spare fill expensive machines and have more of them rented.
     busy = [running_task("run-1", cpus=8.0, end_at=Monotonic(NOW + 20))]
     machines = [
@@ -322,7 +324,7 @@
     assert placed(latest_s=30.0) == (2, [(False, 1)])
 
 
-def test_large_tasks_count_only_the_machines_that_they_fit() -> None:
+def test_affordable_counts_only_machines_that_fit() -> None:
     # The whole fleet's capacity would be enough, but on machines too small for any of the tasks.
     large = job_view("large-1", cpus=32.0, waiting=8, tasks=8, estimate_s=50.0, latest_s=(100.0,))
     small = job_view("small-1", cpus=4.0, waiting=8, tasks=8, estimate_s=50.0, latest_s=(100.0,))
@@ -331,18 +333,18 @@
     assert affordable([job_view("open-1")], Policy(), {64.0: 640.0}, {}) == set()
 
 
-def test_what_waits_is_weighed_once_for_a_kind_of_machine(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_cpu_share_is_computed_once_per_type(monkeypatch: pytest.MonkeyPatch) -> None:
     """A task's share is computed once per type, and not at all if nothing can be rented.
 
     With a long queue, computing it for every job and machine took half of the leader's time.
     """
     counted: list[str] = []
 
-    def part(job: JobView, size: Offer) -> float:
-        counted.append(size.type)
-        return size.cpus
+    def fake_share(job: JobView, offer_of_type: Offer) -> float:
+        counted.append(offer_of_type.type)
+        return offer_of_type.cpus
 
-    monkeypatch.setattr(capacity, "_cpu_share", part)
+    monkeypatch.setattr(capacity, "_cpu_share", fake_share)
     offer = Offer("big", "north", False, 8.0, 0.0, 64.0, 1.0, 20.0, 1.0)
     machines = [machine_view(f"m-{n}", cpus=0.0) for n in range(300)]
     waiting = [(job_view(f"wk-{n}", cpus=4.0, waiting=9), 9) for n in range(5)]
@@ -352,14 +354,14 @@
     assert len(counted) == len(waiting)
 
 
-def test_full_machines_are_looked_at_once_a_pass(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_full_machines_are_examined_once_per_pass(monkeypatch: pytest.MonkeyPatch) -> None:
     """With a full fleet and a long queue, not every job may examine every machine."""
-    looked: list[MachineView] = []
-    has = MachineView.has_capacity
+    examined: list[MachineView] = []
+    original = MachineView.has_capacity
 
     def counted(machine: MachineView, cpus: float, gpus: float, memory_gb: float) -> bool:
-        looked.append(machine)
-        return has(machine, cpus, gpus, memory_gb)
+        examined.append(machine)
+        return original(machine, cpus, gpus, memory_gb)
 
     monkeypatch.setattr(MachineView, "has_capacity", counted)
     machines = [machine_view(f"m-{n}", cpus=0.5) for n in range(100)]
@@ -367,11 +369,11 @@
     jobs = [job_view(f"wk-{n}", cpus=1.0 + n) for n in range(40)]
     result = plan(View(machines, jobs, {}), NOW, Policy())
     assert [start.machine for start in result.starts] == ["m-free"]
-    assert len(looked) < 3 * len(machines)  # once for placement, once for the reservation
+    assert len(examined) < 3 * len(machines)  # once for placement, once for the reservation
 
 
 @given(st.floats(0, 300), st.floats(0, 300), st.floats(0.1, 5))
-def test_a_running_task_ends_as_its_estimate_says(
+def test_expected_end_of_running_task_follows_estimate(
     ran_s: float, guess_s: float, ratio: float
 ) -> None:
     task = running_task("run-1", ran_s=ran_s, guess_s=guess_s, pace=Pace(ratio))
@@ -380,7 +382,9 @@
 
 
 @given(st.lists(st.tuples(st.integers(1, 300), st.floats(0.0, 599.0), st.booleans()), max_size=12))
-def test_who_has_not_begun_for_long_has_its_turn(found: list[tuple[int, float, bool]]) -> None:
+def test_starvation_guard_puts_longest_waiting_job_first(
+    generated: list[tuple[int, float, bool]],
+) -> None:
     """Without the guard the largest jobs were passed over in every pass: 15 of 65 began in time."""
     policy = Policy()
     jobs = [
@@ -388,15 +392,17 @@
             f"job-{number}", waiting=tasks, tasks=tasks, waited_s=waited_s, latest_s=(-1.0,),
             has_started=has_started,
         )
-        for number, (tasks, waited_s, has_started) in enumerate(found)
+        for number, (tasks, waited_s, has_started) in enumerate(generated)
     ]  # fmt: skip
     small = job_view("small-1", waited_s=1.0, latest_s=(500.0,))
     ordered = order([*jobs, small], {}, policy, 16.0, {})
-    waits = [j for j in jobs if not j.has_started and j.waited_s >= policy.starvation_guard_s]
-    if waits:
+    starving = [j for j in jobs if not j.has_started and j.waited_s >= policy.starvation_guard_s]
+    if starving:
         # Only the one that has waited longest goes first; the others stay behind jobs that can be
         # in time.
-        assert ordered[0].waited_s == max(j.waited_s for j in waits) and not ordered[0].has_started
+        assert (
+            ordered[0].waited_s == max(j.waited_s for j in starving) and not ordered[0].has_started
+        )
         assert ordered[1] is small
     else:
         assert ordered[0] is small
--- a/tests/test_waits.py
+++ b/tests/test_waits.py
@@ -28,14 +28,14 @@
 from tests.samples import report, spec
 from tests.test_dispatch import _TYPE, _dispatcher
 
-_REPORT_S = 1.0
+_HEARTBEAT_INTERVAL_S = 1.0
 _LEASE_S = 8.0
 
 
-class _World:
+class _Cluster:
     """A newly elected leader with one machine that sends heartbeats."""
 
-    def __init__(self, heartbeat_interval_s: float = _REPORT_S) -> None:
+    def __init__(self, heartbeat_interval_s: float = _HEARTBEAT_INTERVAL_S) -> None:
         self.heartbeat_interval_s = heartbeat_interval_s
         self.now = Monotonic(0.0)
         # No further machines are rented, and with a single type in the catalogue none is expensive.
@@ -43,22 +43,22 @@
             heartbeat_interval_s, [_TYPE]
         )
         self.sequence = 0
-        self.lines: list[tuple[str, int, str, str | None]] = []
-        self.number = 0
+        self.task_lines: list[tuple[str, int, str, str | None]] = []
+        self.job_count = 0
 
-    def begin(self, *inherited: Binding) -> None:
+    def start_term(self, *inherited: Binding) -> None:
         self.fleet.inherit(inherited, self.now)
-        self.beat()
-        self.beat()
+        self.heartbeat()
+        self.heartbeat()
         # So new that it is not released while it is idle.
         self.fleet.machines[MachineId("m-1")].since = Monotonic(self.now + 1000.0)
 
     def job(self, **changes: Any) -> Job:
-        self.number += 1
-        description = spec(id=f"wk-{self.number:06d}", pieces=1, **changes)
+        self.job_count += 1
+        description = spec(id=f"wk-{self.job_count:06d}", pieces=1, **changes)
         return self.job_store.add(description, Wall(self.now), Revision(1))
 
-    def bound(self, job: Job, machine: str) -> Binding:
+    def inherited_binding(self, job: Job, machine: str) -> Binding:
         """Return a binding of an earlier term to a machine that has sent no heartbeat since."""
         chunk = self.job_store._chunk(job, 0)
         value = {"n": 1, "tasks": [[2, machine, 1, 1, 0, 5.0]]}
@@ -66,123 +66,123 @@
         (binding,) = self.job_store.load(job, 0, value, Revision(2))
         return binding
 
-    def beat(self) -> None:
+    def heartbeat(self) -> None:
         self.sequence += 1
-        message = report("m-1", 1, self.sequence, 1, self.lines)
+        message = report("m-1", 1, self.sequence, 1, self.task_lines)
         self.fleet.heartbeats.process(message, MachineId("m-1"), self.now, Wall(self.now))
 
-    def until_placed(self, job: Job, most_s: float = 90.0) -> float:
+    def seconds_until_bound(self, job: Job, timeout_s: float = 90.0) -> float:
         """Return the seconds until a task of the job is bound."""
         began = self.now
         while not job.bound_count:
-            assert self.now - began <= most_s, "the job is still not bound"
+            assert self.now - began <= timeout_s, "the job is still not bound"
             self.fleet.leases.check_silence(self.now)
-            self.beat()
+            self.heartbeat()
             self.scheduling_loop.run(self.now, Wall(self.now))
             self.now = Monotonic(self.now + self.heartbeat_interval_s)
         return self.now - began - self.heartbeat_interval_s
 
 
-def test_without_a_hold_there_is_no_wait() -> None:
-    world = _World()
-    world.begin()
-    assert world.until_placed(world.job()) == 0.0
+def test_job_is_placed_at_once_without_obstacle() -> None:
+    cluster = _Cluster()
+    cluster.start_term()
+    assert cluster.seconds_until_bound(cluster.job()) == 0.0
 
 
 @pytest.mark.parametrize("heartbeat_interval_s", [1.0, 2.5, 5.0, 6.0])
-def test_a_machine_that_was_called_deaf_has_work_again_two_reports_later(
+def test_inbound_partitioned_machine_gets_tasks_after_two_heartbeats(
     heartbeat_interval_s: float,
 ) -> None:
     """With intervals over 4.8 s, a machine once stayed marked as inbound-partitioned for good."""
-    world = _World(heartbeat_interval_s)
-    world.begin()
-    world.fleet.machines[MachineId("m-1")].mark_inbound_partitioned(True)
-    world.now = Monotonic(world.now + heartbeat_interval_s)
-    assert world.until_placed(world.job()) <= 2 * heartbeat_interval_s
-
-
-def test_a_refusal_keeps_a_machine_back_for_two_seconds() -> None:
-    world = _World()
-    world.begin()
-    first = world.job()
-    world.until_placed(first)
-    world.lines = [("wk-000001/0", 1, "ended", "no_room")]
-    world.beat()
-    world.lines = []
-    assert 0.0 < world.until_placed(first) <= 3.0
-
-
-def test_strangers_keep_a_machine_back_until_they_are_stopped() -> None:
-    world = _World()
-    world.begin()
-    world.lines = [("wk-000777/0", 3, "running", None)]
-    world.beat()
-    job = world.job()
-    world.scheduling_loop.run(world.now, Wall(world.now))
+    cluster = _Cluster(heartbeat_interval_s)
+    cluster.start_term()
+    cluster.fleet.machines[MachineId("m-1")].mark_inbound_partitioned(True)
+    cluster.now = Monotonic(cluster.now + heartbeat_interval_s)
+    assert cluster.seconds_until_bound(cluster.job()) <= 2 * heartbeat_interval_s
+
+
+def test_refused_start_excludes_machine_for_two_seconds() -> None:
+    cluster = _Cluster()
+    cluster.start_term()
+    first = cluster.job()
+    cluster.seconds_until_bound(first)
+    cluster.task_lines = [("wk-000001/0", 1, "ended", "no_room")]
+    cluster.heartbeat()
+    cluster.task_lines = []
+    assert 0.0 < cluster.seconds_until_bound(first) <= 3.0
+
+
+def test_unbound_tasks_exclude_machine_until_stopped() -> None:
+    cluster = _Cluster()
+    cluster.start_term()
+    cluster.task_lines = [("wk-000777/0", 3, "running", None)]
+    cluster.heartbeat()
+    job = cluster.job()
+    cluster.scheduling_loop.run(cluster.now, Wall(cluster.now))
     assert not job.bound_count
-    world.lines = []
-    assert world.until_placed(job) <= 1.0
+    cluster.task_lines = []
+    assert cluster.seconds_until_bound(job) <= 1.0
 
 
 @pytest.mark.parametrize("failures", [1, 3, 6, 20])
-def test_a_job_that_failed_is_tried_again_within_a_minute(failures: int) -> None:
-    world = _World()
-    world.begin()
-    job = world.job()
-    failure_attribution = world.fleet.failure_attribution
+def test_failed_job_is_retried_within_a_minute(failures: int) -> None:
+    cluster = _Cluster()
+    cluster.start_term()
+    job = cluster.job()
+    failure_attribution = cluster.fleet.failure_attribution
     for _ in range(failures):
-        trial = failure_attribution._jobs.get(job.id)
-        if trial is not None:
-            world.now = Monotonic(max(world.now, trial.next_at))
-        failure_attribution.failed(job.id, MachineId("m-1"), 0.2, False, world.now)
-        world.beat()
-    assert world.until_placed(job) <= attribution_module._MAX_PAUSE_S + 1.0
+        probation = failure_attribution._jobs.get(job.id)
+        if probation is not None:
+            cluster.now = Monotonic(max(cluster.now, probation.next_at))
+        failure_attribution.failed(job.id, MachineId("m-1"), 0.2, False, cluster.now)
+        cluster.heartbeat()
+    assert cluster.seconds_until_bound(job) <= attribution_module._MAX_PAUSE_S + 1.0
 
 
 @pytest.mark.parametrize("rule", [{"samePlace": True}, {"scatter": True}])
 @pytest.mark.parametrize("known", [False, True])
-def test_a_rule_about_zones_waits_for_the_zones_of_its_tasks(
+def test_zone_rule_waits_until_zones_of_bound_tasks_are_known(
     rule: dict[str, bool], known: bool
 ) -> None:
     """Bound before the zones of its tasks are known, a one-zone job could run in two zones.
 
     The lease of a machine that sends no heartbeats expires, and then its tasks are bound nowhere.
     """
-    world = _World()
-    job = world.job(**rule)
+    cluster = _Cluster()
+    job = cluster.job(**rule)
     job.spec = spec(id=job.id, pieces=2, **rule)
     job.done = bytearray(2)
-    binding = world.bound(job, "m-9")
-    world.begin(binding)
+    binding = cluster.inherited_binding(job, "m-9")
+    cluster.start_term(binding)
     if known:
         # The cloud's list shows it in a zone where the rule lets the other task run.
         zone = "north" if "samePlace" in rule else "south"
-        world.fleet.locate(world.fleet.machines[MachineId("m-9")], "big", zone, False)
-    world.scheduling_loop.run(world.now, Wall(world.now))
+        cluster.fleet.locate(cluster.fleet.machines[MachineId("m-9")], "big", zone, False)
+    cluster.scheduling_loop.run(cluster.now, Wall(cluster.now))
     assert (job.bound_count == 2) is known
     if not known:
         # Its lease expires 8.5 s after the election, and not earlier.
         took_s = 0.0
         while job.bound_count < 2 and binding in job.bindings():
             took_s += 1.0
-            world.now = Monotonic(world.now + 1.0)
-            world.beat()
-            world.fleet.leases.check_silence(world.now)
-            world.scheduling_loop.run(world.now, Wall(world.now))
+            cluster.now = Monotonic(cluster.now + 1.0)
+            cluster.heartbeat()
+            cluster.fleet.leases.check_silence(cluster.now)
+            cluster.scheduling_loop.run(cluster.now, Wall(cluster.now))
         assert _LEASE_S < took_s <= _LEASE_S + 2.0
 
 
-def test_a_limit_counts_what_may_still_run_and_no_longer() -> None:
+def test_team_limit_counts_tasks_until_their_lease_expires() -> None:
     """All that the team's limit allows is bound to a machine that has failed."""
-    world = _World()
-    terminated = world.job(crew="red", vcpus=64.0)
-    world.begin(world.bound(terminated, "m-9"))
+    cluster = _Cluster()
+    terminated = cluster.job(crew="red", vcpus=64.0)
+    cluster.start_term(cluster.inherited_binding(terminated, "m-9"))
     terminated.cancelled = True
-    waiting = world.job(crew="red")
-    other = world.job(crew="blue")
-    assert world.until_placed(other) == 0.0
+    waiting = cluster.job(crew="red")
+    other = cluster.job(crew="blue")
+    assert cluster.seconds_until_bound(other) == 0.0
     assert not waiting.bound_count
-    took_s = world.until_placed(waiting)
+    took_s = cluster.seconds_until_bound(waiting)
     assert _LEASE_S < took_s + 1.0 <= _LEASE_S + 3.0
 
 
@@ -190,7 +190,7 @@
 @pytest.mark.parametrize(
     "changes", [{"vcpus": 64.0}, {"builds": ["other"]}, {"hall": "south"}, {"memoryGb": 500.0}]
 )
-def test_a_job_that_has_no_place_at_all_keeps_nobody_back(
+def test_job_that_fits_no_machine_delays_no_other_job(
     changes: dict[str, Any], waited_s: float
 ) -> None:
     """A job that fits no machine delays no other job.
@@ -198,64 +198,64 @@
     It doesn't as the reserved job, nor by the starvation guard, nor as the oldest of the highest
     level.
     """
-    world = _World()
-    world.begin()
-    first = world.job(urgency="urgent", **changes)
-    first.submitted = Wall(world.now - waited_s)
-    assert world.until_placed(world.job(urgency="idle")) == 0.0
+    cluster = _Cluster()
+    cluster.start_term()
+    first = cluster.job(urgency="urgent", **changes)
+    first.submitted = Wall(cluster.now - waited_s)
+    assert cluster.seconds_until_bound(cluster.job(urgency="idle")) == 0.0
     assert not first.bound_count
 
 
 @pytest.mark.parametrize(
     "hold",
     [
-        lambda world: world.fleet.machines[MachineId("m-1")].mark_inbound_partitioned(True),
-        lambda world: setattr(world.fleet.machines[MachineId("m-1")], "current", False),
+        lambda cluster: cluster.fleet.machines[MachineId("m-1")].mark_inbound_partitioned(True),
+        lambda cluster: setattr(cluster.fleet.machines[MachineId("m-1")], "current", False),
     ],
 )
-def test_what_a_report_says_ends_a_hold(hold: Callable[[_World], None]) -> None:
-    world = _World()
-    world.begin()
-    world.now = Monotonic(world.now + 1.0)
-    hold(world)
-    assert world.until_placed(world.job()) <= 2.0
+def test_heartbeat_ends_exclusion_of_machine(hold: Callable[[_Cluster], None]) -> None:
+    cluster = _Cluster()
+    cluster.start_term()
+    cluster.now = Monotonic(cluster.now + 1.0)
+    hold(cluster)
+    assert cluster.seconds_until_bound(cluster.job()) <= 2.0
 
 
-def test_a_mute_machine_has_no_work_until_it_reports() -> None:
+def test_outbound_partitioned_machine_gets_no_tasks_until_heartbeat() -> None:
     """Replies to direct commands show that a machine is up, but renew no lease.
 
     So it gets tasks again only with its first heartbeat.
     """
-    world = _World()
-    world.begin()
+    cluster = _Cluster()
+    cluster.start_term()
     for _ in range(6):
-        world.now = Monotonic(world.now + 1.0)
-        world.sequence += 1
-        answer = report("m-1", 1, world.sequence, 1)
-        world.fleet.heartbeats.handle_direct_reply(
-            answer, MachineId("m-1"), world.now, Wall(world.now)
+        cluster.now = Monotonic(cluster.now + 1.0)
+        cluster.sequence += 1
+        answer = report("m-1", 1, cluster.sequence, 1)
+        cluster.fleet.heartbeats.handle_direct_reply(
+            answer, MachineId("m-1"), cluster.now, Wall(cluster.now)
         )
-    job = world.job()
-    world.scheduling_loop.run(world.now, Wall(world.now))
+    job = cluster.job()
+    cluster.scheduling_loop.run(cluster.now, Wall(cluster.now))
     assert not job.bound_count
-    machine = world.fleet.machines[MachineId("m-1")]
-    assert machine.last_contact_at == world.now and not machine.releasing
-    assert world.until_placed(job) == 0.0
+    machine = cluster.fleet.machines[MachineId("m-1")]
+    assert machine.last_contact_at == cluster.now and not machine.releasing
+    assert cluster.seconds_until_bound(job) == 0.0
 
 
-def test_nothing_of_a_task_that_is_gone_is_counted() -> None:
+def test_released_tasks_leave_no_team_usage() -> None:
     """Rounding errors must not add up: after 10,000 tasks the team's usage must still be zero."""
-    world = _World()
-    world.begin()
-    job = world.job(crew="red", vcpus=0.1)
+    cluster = _Cluster()
+    cluster.start_term()
+    job = cluster.job(crew="red", vcpus=0.1)
     for attempt in range(10_000):
-        binding = world.job_store.bind(
-            job, 0, MachineId("m-1"), Incarnation(1), "north", False, Wall(0.0), world.now
+        binding = cluster.job_store.bind(
+            job, 0, MachineId("m-1"), Incarnation(1), "north", False, Wall(0.0), cluster.now
         )
         assert binding.attempt == Attempt(attempt + 1)
-        world.job_store.release(binding, "north", world.now)
-    world.job_store.cancel(job)
-    whole = world.job(crew="red", vcpus=8.0)
-    assert abs(world.job_store.team_cpus["red"]) < 1e-6
-    assert world.until_placed(whole) == 0.0
-    assert TaskId(JobId("wk-000002"), 0) in world.fleet.machines[MachineId("m-1")].bindings
+        cluster.job_store.release(binding, "north", cluster.now)
+    cluster.job_store.cancel(job)
+    whole = cluster.job(crew="red", vcpus=8.0)
+    assert abs(cluster.job_store.team_cpus["red"]) < 1e-6
+    assert cluster.seconds_until_bound(whole) == 0.0
+    assert TaskId(JobId("wk-000002"), 0) in cluster.fleet.machines[MachineId("m-1")].bindings
