--- a/tealrill/api/peers.py
+++ b/tealrill/api/peers.py
@@ -23,7 +23,7 @@
         except wire.MalformedMessageError as error:
             self.reply(400, {"error": str(error)})
             return
-        self.reply(200, await self._extension.asked(request))
+        self.reply(200, await self._extension.handle_request(request))
 
 
 class PingHandler(JsonHandler):
--- a/tealrill/api/relay.py
+++ b/tealrill/api/relay.py
@@ -87,12 +87,12 @@
         other: asyncio.Task[Reply | None] | None = None
         try:
             await asyncio.wait({here}, timeout=0.0 if self._failing() else slow_s)
-            if (here.done() and not here.result().elsewhere) or not self._worth_asking():
+            if (here.done() and not here.result().retry_on_other_node) or not self._worth_asking():
                 return await here
             other = asyncio.create_task(self._ask(*there, timeout_s))
             for first in asyncio.as_completed((here, other)):
                 reply = await first
-                if reply is not None and not reply.elsewhere:
+                if reply is not None and not reply.retry_on_other_node:
                     return reply
             return await here
         finally:
--- a/tealrill/daemon.py
+++ b/tealrill/daemon.py
@@ -18,14 +18,14 @@
 from tealrill.api.users import CancelHandler, HealthHandler, JobHandler, JobsHandler
 from tealrill.extensions import Extension
 from tealrill.features import Features
-from tealrill.fleet.catalogue import CATALOGUE_PATH, Catalogues
+from tealrill.fleet.catalogue import CATALOGUE_PATH, CatalogueCache
 from tealrill.fleet.cloud import Cloud
 from tealrill.leader.leader import Leader
 from tealrill.leadership.election import Election
 from tealrill.leadership.lease_extension import (
+    EXTENSION_GRANT_S,
     EXTENSION_PATH,
     PING_PATH,
-    PROMISE_S,
     CancellationKnowledge,
     LeaseExtension,
 )
@@ -69,34 +69,41 @@
         self._estimates = Estimates()
         self._leader_changed = asyncio.Event()
         self.election = Election(
-            self._client, settings.host_name, self._leader_changed.set, PROMISE_S
+            self._client, settings.host_name, self._leader_changed.set, EXTENSION_GRANT_S
         )
         self.election.has_quorum_reach = self._has_quorum_reach
         self.leader: Leader | None = None
-        self._catalogues = Catalogues(settings, self._cloud)
+        self._catalogues = CatalogueCache(settings, self._cloud)
         self.admission = Admission(self._client, settings, lambda: self._catalogues.known)
         self.admission.counts = self._counts
         self._lease_extension = LeaseExtension(
             settings, self._client, self.election, self.admission.acknowledged
         )
-        self.election.nobody_leads = self._lease_extension.nobody_leads
-        self.election.others_up = self._lease_extension.others_up
+        self.election.no_peer_leads = self._lease_extension.no_peer_leads
+        self.election.any_peer_answers = self._lease_extension.any_peer_answers
         self._renewal_delegate = RenewalDelegate(settings, self._client, self.election)
         self._revocation = LeaseRevocation(
-            settings, self._client, self.election, lambda: self._renewal_delegate.unheard_since
+            settings,
+            self._client,
+            self.election,
+            lambda: self._renewal_delegate.leader_unreachable_since,
         )
         self._lease_extension.lost_term = lambda: self._revocation.lost_term
-        self._lease_extension.seen = lambda: (
-            self.leader.known if self.leader is not None else CancellationKnowledge()
+        self._lease_extension.cancellation_knowledge = lambda: (
+            self.leader.cancellation_knowledge
+            if self.leader is not None
+            else CancellationKnowledge()
         )
         self._lease_extension.on_cancellations_known = self._on_cancellations_known
-        self._lease_extension.cancelled = self._cancelled_elsewhere
+        self._lease_extension.on_cancelled = self._cancelled_elsewhere
         self._lease_extension.is_excluded = self._is_excluded
-        self._lease_extension.extended = self._on_lease_extended
+        self._lease_extension.on_extended_by_exclusion = self._on_lease_extended
         self._last_report: Monotonic | None = None
         self._report_counts = HeartbeatCounts()
         self._transfer = LeadershipTransfer(settings)
-        self._lease_extension.reports = lambda: self._transfer.recent(monotonic_now())
+        self._lease_extension.heartbeat_count = lambda: self._transfer.recent_heartbeats(
+            monotonic_now()
+        )
         self._fronts: list[HttpFrontend] = []
         self.servers: list[Server] = []
         self._relay = Relay(self.admission, settings, lambda: self._client.failing)
@@ -185,8 +192,8 @@
         while True:
             await self._leader_changed.wait()
             self._leader_changed.clear()
-            mine = self.election.mine
-            if mine is None:
+            leadership = self.election.leadership
+            if leadership is None:
                 continue
             self._cloud.set_leading(True)
             leader = Leader(
@@ -194,7 +201,7 @@
                 self._client,
                 self._cloud,
                 self.election,
-                mine,
+                leadership,
                 self._estimates,
                 [extension.term for extension in self.extensions if extension.term is not None],
                 self._catalogues.known,
@@ -202,7 +209,7 @@
             self.leader = leader
             term = asyncio.create_task(leader.run())
             term.add_done_callback(lambda _: self._leader_changed.set())
-            while self.election.mine is mine and not term.done():
+            while self.election.leadership is leadership and not term.done():
                 await self._leader_changed.wait()
                 self._leader_changed.clear()
             self.leader = None
@@ -233,17 +240,17 @@
         """
         now = monotonic_now()
         self._last_report = now
-        self._transfer.took(now)
-        mine = self.election.leading(now)
-        if mine is None or self.leader is None or not self.leader.informed(now):
-            term = self._renewal_delegate.renews(report, machine_id, now)
+        self._transfer.record_heartbeat(now)
+        leadership = self.election.valid_leadership(now)
+        if leadership is None or self.leader is None or not self.leader.may_renew_workers(now):
+            term = self._renewal_delegate.renewal_token(report, machine_id, now)
             if term is not None:
                 # The leader can't hear this worker, and waits for it.
                 self._report_counts.delegated += 1
                 return 200, wire.report_answer(term, [])
-            known = self.election.known
+            known = self.election.known_leader
             host = known.host if known is not None else None
-            if host == self._settings.host_name or self._renewal_delegate.leader_silent:
+            if host == self._settings.host_name or self._renewal_delegate.leader_unreachable:
                 # Sent to a leader that does not answer this node either, a worker loses 4 s of its
                 # lease there; asking the next node costs 1 s.
                 host = None
@@ -254,7 +261,7 @@
             self._report_counts.refused += 1
             return 503, {"error": "not taken"}
         self._report_counts.renewed += 1
-        return 200, wire.report_answer(mine.term, commands)
+        return 200, wire.report_answer(leadership.term, commands)
 
     def _has_quorum_reach(self) -> bool:
         """Whether workers reach this node, and whether there can be workers in its own zone.
@@ -283,21 +290,21 @@
         while True:
             due = monotonic_now() + _TERM_CHECK_S
             await asyncio.sleep(_TERM_CHECK_S)
-            leader, mine, last = self.leader, self.election.mine, self._last_report
+            leader, leadership, last = self.leader, self.election.leadership, self._last_report
             now = monotonic_now()
-            if leader is None or mine is None or last is None or now - due > _STOOD_STILL_S:
+            if leader is None or leadership is None or last is None or now - due > _STOOD_STILL_S:
                 # After a standstill of this node the workers' reports wait to be read.
                 continue
             heard = sum(
                 m.last_contact_at is not None and not m.lease_expired
                 for m in leader.fleet.machines.values()
             )
-            if heard < _HEARD_BEFORE or not mine.valid(now):
+            if heard < _HEARD_BEFORE or not leadership.valid(now):
                 continue
             if now - last > self._silent_s:
                 await self.election.resign("no worker reports any more", _RESIGN_PAUSE_S)
-            elif failure_detector.is_bypassed_by_heartbeats(now - last, heard, self._report_s) and (
-                await self._transfer.better(heard)
+            elif failure_detector.has_lost_all_heartbeats(now - last, heard, self._report_s) and (
+                await self._transfer.peer_receives_heartbeats(heard)
             ):
                 await self.election.resign("workers report to others only", _RESIGN_PAUSE_S)
 
@@ -308,30 +315,30 @@
         that does not lead has nothing to hand over.
         """
         leader = self.leader
-        if leader is None or self.election.mine is None:
+        if leader is None or self.election.leadership is None:
             return
-        leader.wind_up()
+        leader.begin_handover()
         until = monotonic_now() + _HAND_OVER_S
-        while leader.under_way and monotonic_now() < until and self.election.mine is not None:
+        while leader.busy and monotonic_now() < until and self.election.leadership is not None:
             await asyncio.sleep(_HAND_OVER_LOOK_S)
         await self.election.resign(why, _RESIGN_PAUSE_S)
 
-    def _leader_in(self, mine: Leadership) -> Leader | None:
+    def _leader_in(self, leadership: Leadership) -> Leader | None:
         """Return the leader of just this term, None if there is none."""
         leader = self.leader
-        return leader if leader is not None and leader.leads(mine) else None
+        return leader if leader is not None and leader.runs_term(leadership) else None
 
-    def _is_excluded(self, mine: Leadership, host: str) -> bool:
-        leader = self._leader_in(mine)
+    def _is_excluded(self, leadership: Leadership, host: str) -> bool:
+        leader = self._leader_in(leadership)
         return leader is not None and leader.exclusions.is_excluded(host)
 
-    def _on_lease_extended(self, mine: Leadership, until: Monotonic) -> None:
-        leader = self._leader_in(mine)
+    def _on_lease_extended(self, leadership: Leadership, until: Monotonic) -> None:
+        leader = self._leader_in(leadership)
         if leader is not None:
-            leader.exclusions.hold_until(until)
+            leader.exclusions.defer_readmissions_until(until)
 
-    def _on_cancellations_known(self, mine: Leadership, at: Monotonic) -> None:
-        leader = self._leader_in(mine)
+    def _on_cancellations_known(self, leadership: Leadership, at: Monotonic) -> None:
+        leader = self._leader_in(leadership)
         if leader is not None:
             leader.on_cancellations_known(at)
 
--- a/tealrill/extensions.py
+++ b/tealrill/extensions.py
@@ -28,7 +28,7 @@
 
     settings: Settings
     client: StateClient
-    mine: Leadership
+    leadership: Leadership
     job_store: JobStore
     write_batcher: WriteBatcher
     valid: Callable[[], bool]
@@ -44,25 +44,25 @@
 class LeaderExtension(Protocol):
     """An extension's part of a term. Every call but `run` returns at once."""
 
-    def read(self, entries: Sequence[wire.Entry]) -> None:
+    def load_records(self, entries: Sequence[wire.Entry]) -> None:
         """Take all records under `job/` that are no jobs.
 
         Called at the term's start and after a watch that began too late, before the jobs are added.
         """
 
-    def seen(self, key: str, value: Any, version: Revision) -> None:
+    def on_record_changed(self, key: str, value: Any, version: Revision) -> None:
         """Such a record was written; None as its value if it was removed."""
 
-    def take(self, job: Job, value: dict[str, Any]) -> bool:
+    def claim_job(self, job: Job, value: dict[str, Any]) -> bool:
         """A job whose record names an owner; False if the owner is none of this subsystem's."""
 
-    def over(self, job: Job) -> None:
+    def on_job_ended(self, job: Job) -> None:
         """The end of a job's record is known; `job.outcome` says how it ended."""
 
-    def cancelled(self, name: str) -> None:
+    def on_cancelled(self, name: str) -> None:
         """Another node says that it has acknowledged the cancellation of something by this name."""
 
-    def owner_gone(self, owner: Owner) -> None:
+    def owner_changed(self, owner: Owner) -> None:
         """A transaction failed because an owner's record is not as it was."""
 
     def tasks_done(self, job: Job, tasks: list[int]) -> None:
--- a/tealrill/fleet/autoscaling.py
+++ b/tealrill/fleet/autoscaling.py
@@ -31,7 +31,7 @@
 """For so many report periods at most a new leader waits for so large a part of the machines."""
 _UNHEARD_BOOTS: Final = 3.0
 """A machine that the list calls running and nobody hears for so many boots more is returned."""
-RENT_EVERY_S: Final = 0.5
+RENT_INTERVAL_S: Final = 0.5
 """A machine takes many times as long to boot, so wishes for more are worked out more rarely than
 placement: in an overload they are the dearest part of a pass."""
 
@@ -51,7 +51,7 @@
         policy: Policy,
         diagnosis: Callable[[], Diagnosis],
     ) -> None:
-        self.put_off = False
+        self.rental_deferred = False
         """A wish for machines waits for a pass soon after this one."""
         self.upcoming: _Upcoming = lambda _, __: ()
         """Tasks that will wait for machines within so many seconds."""
@@ -65,31 +65,31 @@
         self._acquainted = False
         """This leader has heard most machines that were up when it was elected."""
         self._coming_s = _COMING_REPORTS * params.workers.heartbeat_interval_s
-        self._rent_at = Monotonic(-math.inf)
+        self._next_rental_at = Monotonic(-math.inf)
         provisioner.granted = self._granted
 
     def rent(self, result: Plan, view: View, now: Monotonic) -> None:
         """Rent machines for what the plan could not place, and for expected work."""
         offers = self._provisioner.offers
-        self.put_off = now < self._rent_at and bool(result.unplaced)
-        if not offers or now < self._rent_at:
+        self.rental_deferred = now < self._next_rental_at and bool(result.unplaced)
+        if not offers or now < self._next_rental_at:
             return
         if not self._acquainted:
             # Machines that a new leader has not heard yet seem to have no room. In the first second
             # of a term one rented 116 of them a second time, the dear ones too.
-            self._acquainted = not self._fleet.leases.still_coming(
+            self._acquainted = not self._fleet.leases.is_awaiting_heartbeats(
                 now, _HEARD_SHARE, self._coming_s
             )
             if not self._acquainted:
-                self.put_off = True
+                self.rental_deferred = True
                 return
-        self._rent_at = Monotonic(now + RENT_EVERY_S)
+        self._next_rental_at = Monotonic(now + RENT_INTERVAL_S)
         available = self._available(now)
         if all(self._provisioner.asked_for(offer.kind) for offer in available):
             # Whatever would be wished for is not asked for before those requests are answered. (In
             # an overload this reckoning was the dearest part of a pass, and mostly for nothing.)
             return
-        machines = view.machines + view.coming
+        machines = view.machines + view.pending_machines
         # Behind what waits already: machines that boot while the tasks before them still run.
         soon = self.upcoming(now, max(o.boot_s for o in offers))
         unplaced = [*result.unplaced, *soon]
@@ -112,9 +112,9 @@
         cut = self._diagnosis().partitioned_zones
         return [o for o in self._provisioner.available(now) if o.zone not in cut]
 
-    def restore(self, now: Monotonic) -> None:
+    def replace_losses(self, now: Monotonic) -> None:
         """Ask at once for what was lost, in parts over all cheap kinds of the same type."""
-        if now < self._rent_at:
+        if now < self._next_rental_at:
             return
         self._count_losses(now)
         replacement_capacity = self._capacity_losses.replacement_capacity(
@@ -123,7 +123,7 @@
         if not replacement_capacity:
             return
         asked: dict[str, float] = {}
-        for rental in self._provisioner.under_way():
+        for rental in self._provisioner.pending_rentals():
             asked[rental.type] = asked.get(rental.type, 0.0) + self._cpus(rental)
         available = [o for o in self._available(now) if not self._is_dear(o.type, o.spot)]
         for type_name, cpus in replacement_capacity.items():
@@ -140,19 +140,19 @@
                 self._provisioner.rent(Rental(offer.type, offer.zone, offer.spot, part), now)
 
     def _count_losses(self, now: Monotonic) -> None:
-        verdicts = self._diagnosis().verdicts
+        suspicions = self._diagnosis().suspicions
         heard_from = now - self._silence_s
         some_lost = self._capacity_losses.has_losses
         for machine in self._fleet.machines.values():
             if (
                 machine.preemption_notice_until is not None
-                or machine.listed == wire.MACHINE_FAILED
-                or verdicts.get(machine.id) is Suspicion.GONE
+                or machine.listed_state == wire.MACHINE_FAILED
+                or suspicions.get(machine.id) is Suspicion.FAILED
             ):
                 cpus = max(machine.cpus, machine.expired_cpus)
                 if self._capacity_losses.lost(machine.id, machine.type, cpus, now):
                     # Refused while the fleet was whole; the cloud may have its place again.
-                    self._provisioner.capacity_backoff.hopeful(machine.kind)
+                    self._provisioner.capacity_backoff.shorten(machine.kind)
             elif (
                 some_lost
                 and machine.last_contact_at is not None
@@ -161,7 +161,7 @@
                 self._capacity_losses.recovered(machine.id)
 
     def _gone(self, machine: Machine) -> bool:
-        return suspicion(self._diagnosis(), machine) is Suspicion.GONE
+        return suspicion(self._diagnosis(), machine) is Suspicion.FAILED
 
     def _granted(self, rental: Rental) -> None:
         self._capacity_losses.rented(rental.type, self._cpus(rental))
@@ -172,7 +172,7 @@
         return kind.cpus * rental.count if kind is not None else 0.0
 
     def _is_dear(self, type_name: str, spot: bool) -> bool:
-        return self._provisioner.is_dear(type_name, spot, self._policy.dear)
+        return self._provisioner.is_expensive(type_name, spot, self._policy.expensive_ratio)
 
     def _missing_for_expected(
         self, view: View, machines: list[MachineView]
@@ -193,7 +193,7 @@
             waiting=missing,
             tasks=missing,
             waited_s=0.0,
-            latest_s=(),
+            latest_start_s=(),
             estimate_s=1.0,
             image="",
             image_gb=0.0,
@@ -206,21 +206,21 @@
         )
         return [(job, missing)]
 
-    def return_unneeded(self, result: Plan, view: View, now: Monotonic) -> None:
+    def release_unneeded(self, result: Plan, view: View, now: Monotonic) -> None:
         """Return machines that have nothing to do.
 
         Tasks that wait are no reason to keep an idle machine: if they fitted it, they would run.
         Thirty small machines once stood idle for minutes because large tasks were waiting.
         """
         spare = _free(view.machines) - (view.expected.cpus if view.expected is not None else 0.0)
-        verdicts = self._diagnosis().verdicts
+        suspicions = self._diagnosis().suspicions
         lease_expired = sum(m.lease_expired for m in self._fleet.machines.values())
         for machine in self._fleet.machines.values():
             if machine.releasing:
                 continue
             if (
-                verdicts
-                and verdicts.get(machine.id) is Suspicion.GONE
+                suspicions
+                and suspicions.get(machine.id) is Suspicion.FAILED
                 and self._may_be_released(machine, now)
             ):
                 # The cloud counts a dead machine as ours until it is released, and has none to give
@@ -235,8 +235,8 @@
             if machine.lease_expired:
                 self._return_silent(machine, lease_expired, now)
                 continue
-            if machine.draining or machine.preemption_notice_until is not None:
-                self._release(machine, machine.draining or "notice")
+            if machine.drain_reason or machine.preemption_notice_until is not None:
+                self._release(machine, machine.drain_reason or "notice")
                 continue
             dear = self._is_dear(machine.type, machine.spot)
             if not self._has_idled(machine, dear, now):
@@ -261,7 +261,7 @@
         if machine.idle_since is None:
             machine.idle_since = now
         idle_s = _DEAR_IDLE_S if dear else _IDLE_S
-        return now - machine.idle_since > idle_s and now - machine.since > _MINIMUM_S
+        return now - machine.idle_since > idle_s and now - machine.rented_at > _MINIMUM_S
 
     def _may_be_released(self, machine: Machine, now: Monotonic) -> bool:
         """Once its lease is over anyway, or at once if the cloud shows that it has taken it.
@@ -270,20 +270,24 @@
         keeps every silent machine from lapsing, it is the only one: 109 machines' tasks once waited
         for 35 s behind a partition that did not concern them.
         """
-        silent_s = self._fleet.leases.silence_s_of(machine, now)
+        silent_s = self._fleet.leases.contact_age_s(machine, now)
         return (
-            machine.missing_from_lists >= failure_detector.LISTS
+            machine.missing_from_lists >= failure_detector.MIN_MISSING_LISTS
             or silent_s > self._params.workers.lease_s
         )
 
     def _return_unheard(self, machine: Machine, now: Monotonic) -> None:
         """The cloud says that it runs, its worker has not come, and its zone is heard."""
         kind = self._provisioner.type_of(machine.type)
-        if kind is None or not machine.up or machine.zone in self._diagnosis().partitioned_zones:
+        if (
+            kind is None
+            or not machine.has_booted
+            or machine.zone in self._diagnosis().partitioned_zones
+        ):
             return
         terminated = self._gone(machine)
         patience_s = self._params.workers.lease_s if terminated else _UNHEARD_BOOTS * kind.boot_s
-        if self._fleet.leases.silence_s_of(machine, now) > patience_s + kind.boot_s:
+        if self._fleet.leases.contact_age_s(machine, now) > patience_s + kind.boot_s:
             self._release(machine, "gone" if terminated else "never heard")
 
     def _release(self, machine: Machine, why: str) -> None:
--- a/tealrill/fleet/capacity_backoff.py
+++ b/tealrill/fleet/capacity_backoff.py
@@ -33,12 +33,12 @@
     def __init__(self) -> None:
         self._kinds: dict[Kind, _Refusal] = {}
 
-    def refused(self, kind: Kind, now: Monotonic) -> bool:
+    def is_refused(self, kind: Kind, now: Monotonic) -> bool:
         """Return whether the cloud has just refused machines of this kind."""
         known = self._kinds.get(kind)
         return known is not None and now < known.until
 
-    def answered(self, kind: Kind, asked: int, given: int, now: Monotonic) -> None:
+    def record_response(self, kind: Kind, asked: int, given: int, now: Monotonic) -> None:
         """The cloud gave `given` of `asked` machines."""
         if given >= asked:
             self._kinds.pop(kind, None)
@@ -52,7 +52,7 @@
             back_off_s = min(_MOST_S, 2 * last.back_off_s)
         self._kinds[kind] = _Refusal(Monotonic(now + back_off_s), back_off_s)
 
-    def hopeful(self, kind: Kind) -> None:
+    def shorten(self, kind: Kind) -> None:
         """Machines of this kind seem to be lost: the cloud has places again if they were taken.
 
         If they are dead it has none until they are released, so this does not end a refusal but
@@ -63,6 +63,6 @@
             known.until = min(known.until, Monotonic(known.until - known.back_off_s + _PARTLY_S))
             known.back_off_s = min(known.back_off_s, _PARTLY_S)
 
-    def freed(self, kind: Kind) -> None:
+    def clear(self, kind: Kind) -> None:
         """Machines of this kind have gone: the cloud may have places again."""
         self._kinds.pop(kind, None)
--- a/tealrill/fleet/catalogue.py
+++ b/tealrill/fleet/catalogue.py
@@ -42,7 +42,7 @@
             task.cancel()
 
 
-class Catalogues:
+class CatalogueCache:
     """Wanted: the types that the cloud offers. Prices move; the leader asks for those itself."""
 
     def __init__(self, settings: Settings, cloud: Cloud) -> None:
--- a/tealrill/fleet/cloud.py
+++ b/tealrill/fleet/cloud.py
@@ -49,7 +49,7 @@
 
     async def catalogue(self) -> wire.Catalogue:
         """Return the machine types that the cloud offers; raises `CloudError`."""
-        await self.budget.take(rank=RequestPriority.LATER)
+        await self.budget.acquire(priority=RequestPriority.LOW)
         return self._read(await self._send("GET", "/catalog"), wire.Catalogue)
 
     async def machines(self) -> list[wire.ListedMachine]:
@@ -57,7 +57,7 @@
         found: list[wire.ListedMachine] = []
         after = ""
         while True:
-            await self.budget.take(rank=RequestPriority.LATER)
+            await self.budget.acquire(priority=RequestPriority.LOW)
             query: dict[str, str | int] = {"most": _LIST_PAGE}
             if after:
                 query["from"] = after
@@ -82,7 +82,7 @@
         `check` is called after every wait, right before the request leaves; what it raises comes
         out here, and then nothing was sent.
         """
-        await self.budget.take()
+        await self.budget.acquire()
         body = wire.encode(wire.rent_request(name, type_name, zone, spot, count))
         answer = await self._send("POST", "/hosts", body, check)
         if answer.status == 503 and b"no capacity" in answer.body:
@@ -98,7 +98,7 @@
 
         `check` as in `rent`.
         """
-        await self.budget.take()
+        await self.budget.acquire()
         body = wire.encode(wire.release_request(list(machines)))
         answer = await self._send("POST", "/hosts/release", body, check)
         if answer.status != 200:
--- a/tealrill/fleet/commands.py
+++ b/tealrill/fleet/commands.py
@@ -32,7 +32,7 @@
                 commands.append(wire.forget(status.task, attempt))
         if not machine.releasing:
             for binding in machine.bindings.values():
-                if binding.sent is None and not binding.seen and self._to_send(binding):
+                if binding.sent is None and not binding.start_confirmed and self._to_send(binding):
                     binding.sent = HeartbeatSequence(heartbeat.sequence)
                     commands.append(wire.start(str(binding.task), binding.attempt))
         return commands
@@ -47,7 +47,7 @@
         """
         commands = self.stops(machine, now)
         for status in heartbeat.tasks:
-            binding = machine.named.get(status.task)
+            binding = machine.bindings_by_name.get(status.task)
             is_bound = binding is not None and binding.attempt == status.attempt
             if status.state != wire.EXITED and not is_bound and not self._is_open(status.task):
                 commands.append(wire.stop(status.task, status.attempt, 0.0))
@@ -84,7 +84,7 @@
         """Record that each start was executed, once and for all: the worker answered 200."""
         for binding in bindings:
             binding.direct_start_in_flight = False
-            binding.seen = True
+            binding.start_confirmed = True
             machine = self._fleet.machines.get(binding.machine)
             if machine is not None:
                 machine.mark_inbound_partitioned(False)
--- a/tealrill/fleet/connections.py
+++ b/tealrill/fleet/connections.py
@@ -42,13 +42,13 @@
         return len(self._clients)
 
     @property
-    def most(self) -> int:
+    def max_connections(self) -> int:
         """The largest number of connections to workers that may be kept."""
         left = self._sockets - _OTHERS - self._machines()
         return max(_FEWEST, min(int(_SHARE * self._sockets), left))
 
     @property
-    def spare(self) -> int:
+    def spare_sockets(self) -> int:
         """Sockets that neither reports nor commands nor others take at this moment."""
         return self._sockets - _OTHERS - self._machines() - len(self._clients)
 
@@ -74,7 +74,7 @@
 
     async def __aenter__(self) -> ConnectionPool:
         """Waits for a place: not more commands are on their way than there are sockets for."""
-        while self._on_the_way >= self.most:
+        while self._on_the_way >= self.max_connections:
             turn: asyncio.Future[None] = asyncio.get_running_loop().create_future()
             self._waiting.append(turn)
             await turn
@@ -102,11 +102,11 @@
         return client
 
     def _shrink(self) -> None:
-        spare = len(self._clients) - self.most
-        if spare <= 0:
+        spare_sockets = len(self._clients) - self.max_connections
+        if spare_sockets <= 0:
             # Asked for twice a command: nothing is gone through while there is room.
             return
-        for machine in [m for m in self._clients if m not in self._used][:spare]:
+        for machine in [m for m in self._clients if m not in self._used][:spare_sockets]:
             self.drop(machine)
 
     def drop(self, machine: MachineId) -> None:
--- a/tealrill/fleet/dispatch.py
+++ b/tealrill/fleet/dispatch.py
@@ -36,7 +36,7 @@
     ) -> None:
         self.diagnosis: Callable[[], Diagnosis] = lambda: _ALL_HEARD
         """What the silence of machines means, as it was judged last."""
-        self.last: Plan = Plan()
+        self.last_plan: Plan = Plan()
         self._policy = Policy()
 
         def diagnosis() -> Diagnosis:
@@ -50,13 +50,13 @@
 
     def run(self, now: Monotonic, wall: Wall) -> None:
         """Carry out one pass."""
-        self.autoscaler.restore(now)
+        self.autoscaler.replace_losses(now)
         view = self.snapshots.view(now, wall)
         result = plan(view, now, self._policy)
-        self.last = result
+        self.last_plan = result
         self.placement.start(result, now, wall)
         self.placement.stop(result, now)
         self.autoscaler.rent(result, view, now)
         self.placement.drain_noticed(now)
-        self.autoscaler.return_unneeded(result, view, now)
-        result.settle()
+        self.autoscaler.release_unneeded(result, view, now)
+        result.release_view()
--- a/tealrill/fleet/heartbeats.py
+++ b/tealrill/fleet/heartbeats.py
@@ -104,7 +104,7 @@
         heartbeat's list: this leader's term may be over before the worker's next heartbeat, and so
         may each later one.
         """
-        machine.answered_at = now
+        machine.last_acknowledged_at = now
         if not list_is_current:
             commands = self._fleet.commands.stops_for_old_list(machine, heartbeat, now)
         elif machine.settled is not None:
@@ -134,7 +134,7 @@
             for machine in self._fleet.machines.values()
             if machine.incarnation is not None
             and not machine.lease_expired
-            and self._fleet.leases.silence_s_of(machine, now) > _NO_ANSWER_S
+            and self._fleet.leases.contact_age_s(machine, now) > _NO_ANSWER_S
             for b in machine.bindings.values()
         )
 
@@ -145,7 +145,7 @@
             not machine.exited
             and not machine.unbound_tasks
             and len(heartbeat.tasks) == len(machine.bindings)
-            and all(b.seen and b.stop is None for b in machine.bindings.values())
+            and all(b.start_confirmed and b.stop is None for b in machine.bindings.values())
         )
 
     def _must_let_lease_expire(self, machine: Machine, now: Monotonic) -> bool:
@@ -157,7 +157,7 @@
         if machine.settled is not None:
             return False
         for b in machine.bindings.values():
-            if b.direct_start_in_flight and not b.seen and self._overdue(b, now):
+            if b.direct_start_in_flight and not b.start_confirmed and self._overdue(b, now):
                 log.info(
                     "lease not renewed: machine=%s, direct start unaccounted for: task=%s",
                     machine.id,
@@ -183,11 +183,17 @@
         One that no response reaches loses its lease though every heartbeat of it was answered,
         again and again, and each time its new incarnation took tasks that never began.
         """
-        last_contact_at, answered_at = machine.last_contact_at, machine.answered_at
+        last_contact_at, last_acknowledged_at = (
+            machine.last_contact_at,
+            machine.last_acknowledged_at,
+        )
         if machine.incarnation is None or last_contact_at is None:
             return
         if heartbeat.incarnation > machine.incarnation:
-            if answered_at is not None and now - answered_at < self._fleet.leases.silence_s:
+            if (
+                last_acknowledged_at is not None
+                and now - last_acknowledged_at < self._fleet.leases.expiry_s
+            ):
                 log.info(
                     "lease expired although heartbeats were acknowledged: machine=%s", machine.id
                 )
@@ -264,7 +270,7 @@
 
     def _identify(self, machine: Machine, heartbeat: wire.Heartbeat) -> None:
         machine.addr = heartbeat.addr
-        self._fleet.locate(machine, heartbeat.type, heartbeat.zone, heartbeat.spot)
+        self._fleet.set_kind(machine, heartbeat.type, heartbeat.zone, heartbeat.spot)
 
     def _begin_incarnation(
         self, machine: Machine, incarnation: Incarnation, now: Monotonic
--- a/tealrill/fleet/intent_log.py
+++ b/tealrill/fleet/intent_log.py
@@ -40,8 +40,8 @@
 log = logging.getLogger(__name__)
 
 CLOUD_PREFIX: Final = "cloud/"
-_RENT: Final = CLOUD_PREFIX + "rent/"
-_RETURN: Final = CLOUD_PREFIX + "return/"
+_RENTAL_PREFIX: Final = CLOUD_PREFIX + "rent/"
+_RELEASE_PREFIX: Final = CLOUD_PREFIX + "return/"
 MOST_OPEN: Final = 256
 """Records at a time. A rental's is at most some 3.5 KiB, a return's at most a value."""
 _AHEAD_S: Final = 1.0
@@ -51,7 +51,7 @@
 """Most that a machine's name takes in a record."""
 
 
-class RentRecord(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class RentalRecord(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """A rental asked for, or about to be. Removed once its machines are seen."""
 
     type: str
@@ -65,7 +65,7 @@
     v: Literal[1] = 1
 
 
-class ReturnRecord(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class ReleaseRecord(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Machines on their way back. Removed once the cloud has confirmed that they are gone."""
 
     names: list[str]
@@ -86,7 +86,7 @@
     key: str
     wanted: dict[str, Any] | None
     written: dict[str, Any] | None = None
-    stamp: Revision = ABSENT
+    mod_revision: Revision = ABSENT
     under_way: bool = False
     recorded: list[asyncio.Future[None]] = field(default_factory=list)
     """Those who wait until what is wanted is written."""
@@ -112,9 +112,9 @@
         self._returns = 0
         self.closed = False
         """Nothing new is taken up: the duties are being handed over."""
-        self.rents: dict[str, RentRecord] = {}
+        self.open_rentals: dict[str, RentalRecord] = {}
         """Open rentals by their request names."""
-        self.returns: dict[str, tuple[MachineId, ...]] = {}
+        self.open_releases: dict[str, tuple[MachineId, ...]] = {}
         """Machines on their way back, by the key of their record; committed ones only."""
 
     @property
@@ -125,7 +125,7 @@
     @property
     def open(self) -> int:
         """The number of open requests."""
-        return len(self.rents) + len(self.returns)
+        return len(self.open_rentals) + len(self.open_releases)
 
     # -- records --------------------------------------------------------------------------------
 
@@ -134,14 +134,14 @@
         found: list[str] = []
         for entry in entries:
             try:
-                if entry.key.startswith(_RENT):
-                    record = _convert(entry, RentRecord)
-                    name = entry.key.removeprefix(_RENT)
-                    self.rents[name] = record
+                if entry.key.startswith(_RENTAL_PREFIX):
+                    record = _convert(entry, RentalRecord)
+                    name = entry.key.removeprefix(_RENTAL_PREFIX)
+                    self.open_rentals[name] = record
                     found.append(name)
-                elif entry.key.startswith(_RETURN):
-                    names = _convert(entry, ReturnRecord).names
-                    self.returns[entry.key] = tuple(
+                elif entry.key.startswith(_RELEASE_PREFIX):
+                    names = _convert(entry, ReleaseRecord).names
+                    self.open_releases[entry.key] = tuple(
                         i for i in map(parse_machine_id, names) if i is not None
                     )
                 else:
@@ -157,37 +157,41 @@
 
     async def rent(self, name: str, rental: Rental) -> None:
         """Records a rental; returns when it is committed."""
-        record = RentRecord(rental.type, rental.zone, rental.spot, rental.count, self._wall())
-        self.rents[name] = record
-        await self._want(_RENT + name, wire.plain(record))
+        record = RentalRecord(rental.type, rental.zone, rental.spot, rental.count, self._wall())
+        self.open_rentals[name] = record
+        await self._want(_RENTAL_PREFIX + name, wire.plain(record))
 
     def granted(self, name: str, names: Sequence[str]) -> None:
         """The cloud's answer; a successor knows these machines at once."""
         # More than were asked for are listed before long; what a value holds is bounded.
         kept = list(names[: self._most_names])
-        record = self.rents[name] = msgspec.structs.replace(self.rents[name], names=kept)
-        self._set(_RENT + name, wire.plain(record))
+        record = self.open_rentals[name] = msgspec.structs.replace(
+            self.open_rentals[name], names=kept
+        )
+        self._set(_RENTAL_PREFIX + name, wire.plain(record))
 
     def rent_over(self, name: str) -> None:
         """Nothing was rented, or every machine of it has been seen."""
-        if self.rents.pop(name, None) is not None:
-            self._set(_RENT + name, None)
+        if self.open_rentals.pop(name, None) is not None:
+            self._set(_RENTAL_PREFIX + name, None)
 
-    async def give_back(self, machines: Sequence[MachineId]) -> tuple[str, tuple[MachineId, ...]]:
+    async def record_release(
+        self, machines: Sequence[MachineId]
+    ) -> tuple[str, tuple[MachineId, ...]]:
         """Records a return of as many as fit one record; key and machines, once committed.
 
         From then on they go back, whoever leads: it is never taken back.
         """
         part = tuple(machines[: min(self._most_names, MOST_RELEASED)])
         self._returns += 1
-        key = f"{_RETURN}{self._term:08d}.{self._returns:06d}"
-        await self._want(key, wire.plain(ReturnRecord(list(part), self._wall())))
-        self.returns[key] = part
+        key = f"{_RELEASE_PREFIX}{self._term:08d}.{self._returns:06d}"
+        await self._want(key, wire.plain(ReleaseRecord(list(part), self._wall())))
+        self.open_releases[key] = part
         return key, part
 
     def terminated(self, key: str) -> None:
         """The cloud has confirmed the return."""
-        if self.returns.pop(key, None) is not None:
+        if self.open_releases.pop(key, None) is not None:
             self._set(key, None)
 
     # -- the difference -------------------------------------------------------------------------
@@ -219,9 +223,9 @@
         kept.under_way = True
         value = kept.wanted
 
-        def answered(stamp: Revision, written: dict[str, Any] | None) -> None:
+        def answered(mod_revision: Revision, written: dict[str, Any] | None) -> None:
             kept.under_way = False
-            kept.stamp, kept.written = stamp, written
+            kept.mod_revision, kept.written = mod_revision, written
             self._work_off(kept)
 
         def refused(found: dict[str, wire.KeyValue | None]) -> None:
@@ -231,14 +235,14 @@
 
         change = wire.delete(kept.key) if value is None else wire.put(kept.key, value)
         # Nobody waits for what only tidies up.
-        ahead_at = Monotonic(self._now() + _AHEAD_S) if kept.recorded else None
+        priority_at = Monotonic(self._now() + _AHEAD_S) if kept.recorded else None
         self._join(
             JoinedWrite(
-                {kept.key: kept.stamp},
+                {kept.key: kept.mod_revision},
                 [change],
                 lambda revision: answered(ABSENT if value is None else revision, value),
                 refused,
-                ahead_at,
+                priority_at,
             )
         )
 
--- a/tealrill/fleet/inventory.py
+++ b/tealrill/fleet/inventory.py
@@ -80,7 +80,7 @@
             if machine.incarnation is None or machine.incarnation < binding.incarnation:
                 machine.incarnation = binding.incarnation
             if machine.zone:
-                self.job_store.place_inherited(binding, machine.zone)
+                self.job_store.count_inherited_zone(binding, machine.zone)
             self._attach(machine, binding)
         for job in self.job_store.jobs.values():
             if not job.done_count and job.tasks:
@@ -101,7 +101,7 @@
         """Place nothing more on these machines, and return them once they are empty."""
         for machine_id in found:
             machine = self.machines.get(machine_id)
-            if machine is None or machine.draining:
+            if machine is None or machine.drain_reason:
                 continue
             if not self.failure_attribution.may_drain(len(self.machines)):
                 log.warning(
@@ -113,7 +113,7 @@
                 "machine drained as faulty: machine=%s, jobs failed that succeed elsewhere",
                 machine_id,
             )
-            machine.draining = "faulty"
+            machine.drain_reason = "faulty"
             machine.touch()
             self.changed()
 
@@ -122,7 +122,7 @@
     ) -> Binding | None:
         """Bind a job's next task to the machine; None if no task is left."""
         assert machine.incarnation is not None
-        index = self.job_store.take_task(job)
+        index = self.job_store.pop_unbound_task(job)
         if index is None:
             return None
         binding = self.job_store.bind(
@@ -135,7 +135,7 @@
         spec = binding.chunk.job.spec
         machine.touch()
         machine.bindings[binding.task] = binding
-        machine.named[str(binding.task)] = binding
+        machine.bindings_by_name[str(binding.task)] = binding
         machine.cpus += spec.cpus
         machine.gpus += spec.gpus
         machine.memory_gb += spec.memory_gb
@@ -148,7 +148,7 @@
         spec = binding.chunk.job.spec
         machine.touch()
         del machine.bindings[binding.task]
-        del machine.named[str(binding.task)]
+        del machine.bindings_by_name[str(binding.task)]
         machine.cpus -= spec.cpus
         machine.gpus -= spec.gpus
         machine.memory_gb -= spec.memory_gb
@@ -159,11 +159,11 @@
         log.debug("task %s released from %s: %s%s", binding.task, machine.id, proof, reason)
         self.job_store.release(binding, machine.zone, now)
 
-    def locate(self, machine: Machine, type_name: str, zone: str, spot: bool) -> None:
+    def set_kind(self, machine: Machine, type_name: str, zone: str, spot: bool) -> None:
         """Record the type and place of a machine; inherited ones begin without them."""
         if not machine.zone:
             for binding in machine.bindings.values():
-                self.job_store.place_inherited(binding, zone)
+                self.job_store.count_inherited_zone(binding, zone)
         if (machine.type, machine.zone, machine.spot) != (type_name, zone, spot):
             machine.touch()
             machine.type, machine.zone, machine.spot = type_name, zone, spot
@@ -178,7 +178,7 @@
             self.unbind(machine, binding, now, "machine released")
         self.changed()
 
-    def forget_gone(self, now: Monotonic) -> None:
+    def prune_terminated(self, now: Monotonic) -> None:
         """Forget machines that were terminated more than five minutes ago."""
         for machine_id in [i for i, at in self.terminated.items() if now - at > _GONE_KEPT_S]:
             del self.terminated[machine_id]
--- a/tealrill/fleet/leases.py
+++ b/tealrill/fleet/leases.py
@@ -27,7 +27,7 @@
     def __init__(
         self, fleet: Fleet, elected_at: Monotonic, lease_s: float, delegation_s: float
     ) -> None:
-        self.silence_s = lease_s * CLOCK_DRIFT + LEASE_MARGIN_S
+        self.expiry_s = lease_s * CLOCK_DRIFT + LEASE_MARGIN_S
         """After so long a silence a worker's lease has certainly expired."""
         self._fleet = fleet
         self._elected_at = elected_at
@@ -39,44 +39,48 @@
         """Count from now, as a closed delegation may have been acted on for a moment longer."""
         self._elsewhere_until = Monotonic(max(self._elsewhere_until, now + self._delegation_s))
 
-    def silent(self, now: Monotonic) -> list[Machine]:
+    def expired_machines(self, now: Monotonic) -> list[Machine]:
         """Return the machines whose lease has certainly expired, unless a delegate renewed it."""
         return [
             machine
             for machine in self._fleet.machines.values()
             if not machine.lease_expired
             and machine.incarnation is not None
-            and now - self._renewed_at(machine) > self.silence_s
+            and now - self._renewed_at(machine) > self.expiry_s
         ]
 
     def _renewed_at(self, machine: Machine) -> Monotonic:
-        own = machine.answered_at if machine.answered_at is not None else self._elected_at
+        own = (
+            machine.last_acknowledged_at
+            if machine.last_acknowledged_at is not None
+            else self._elected_at
+        )
         begun = machine.incarnation_seen_at if machine.incarnation_seen_at is not None else own
         return max(own, begun, self._elsewhere_until)
 
-    def still_coming(self, now: Monotonic, share: float, within_s: float) -> bool:
+    def is_awaiting_heartbeats(self, now: Monotonic, share: float, within_s: float) -> bool:
         """Whether a new leader has yet to hear from most of the machines that are up.
 
         Until `within_s` after the election, or until so large a `share` of them was heard.
         """
         if now - self._elected_at > within_s:
             return False
-        up = [m for m in self._fleet.machines.values() if m.up]
-        return sum(m.last_contact_at is not None for m in up) < share * len(up)
+        has_booted = [m for m in self._fleet.machines.values() if m.has_booted]
+        return sum(m.last_contact_at is not None for m in has_booted) < share * len(has_booted)
 
-    def silence_s_of(self, machine: Machine, now: Monotonic) -> float:
+    def contact_age_s(self, machine: Machine, now: Monotonic) -> float:
         """Return the seconds since a machine, that has or should have reported, was last heard."""
         if machine.last_contact_at is not None:
             return now - machine.last_contact_at
         # Rented in this term and listed as running, it may have come up just now.
-        return now - max(self._elected_at, machine.since)
+        return now - max(self._elected_at, machine.rented_at)
 
-    def check_silence(self, now: Monotonic) -> None:
+    def expire_leases(self, now: Monotonic) -> None:
         """End the bindings of machines whose lease has certainly expired (proof 3).
 
         With delegates about, `now` must lie before it was seen that none of them has a delegation.
         """
-        for machine in self.silent(now):
+        for machine in self.expired_machines(now):
             log.info(
                 "lease expired: machine=%s incarnation=%d tasks=%d",
                 machine.id,
--- a/tealrill/fleet/machine.py
+++ b/tealrill/fleet/machine.py
@@ -47,9 +47,9 @@
     type: str
     zone: str
     spot: bool
-    since: Monotonic
+    rented_at: Monotonic
     """When it was rented, or as near to that as is known."""
-    booted: bool = False
+    rented_this_term: bool = False
     """It was rented in this term, so `since` is when its boot began."""
     addr: str = ""
     incarnation: Incarnation | None = None
@@ -60,7 +60,7 @@
     """When its incarnation was first heard of, in this term; the worker's lease runs from
     before.
     """
-    answered_at: Monotonic | None = None
+    last_acknowledged_at: Monotonic | None = None
     """Its last report that was answered: only that renews it, so one that is mute gets no work
     however well it answers. It took tasks in each new incarnation, and lost them with its lease."""
     last_contact_at: Monotonic | None = None
@@ -71,14 +71,14 @@
     lease_expired: bool = False
     releasing: bool = False
     """It goes back: no room, whatever else becomes of it."""
-    returned: bool = False
+    release_recorded: bool = False
     """Its return is recorded, so that it goes back whoever leads."""
-    draining: str = ""
+    drain_reason: str = ""
     """Why nothing more is placed here; empty if it is."""
     unbound_tasks: int = 0
     """Tasks that run here and that no binding covers; they are being stopped."""
     bindings: dict[TaskId, Binding] = field(default_factory=dict)
-    named: dict[str, Binding] = field(default_factory=dict)
+    bindings_by_name: dict[str, Binding] = field(default_factory=dict)
     """The same by the task's name on the wire: reports list them all every time, and most lines say
     nothing new, so that taking the name apart would be most of the work."""
     exited: dict[tuple[TaskId, Attempt], Exit] = field(default_factory=dict)
@@ -92,7 +92,7 @@
     images: dict[str, None] = field(default_factory=dict)
     idle_since: Monotonic | None = None
     refused_until: Monotonic = Monotonic(0.0)
-    listed: str = ""
+    listed_state: str = ""
     listed_at: Monotonic | None = None
     listed_addr: str = ""
     missing_from_lists: int = 0
@@ -125,9 +125,9 @@
         return self.type, self.zone, self.spot
 
     @property
-    def up(self) -> bool:
+    def has_booted(self) -> bool:
         """Whether it is known to have come up, in this term or before."""
-        return self.incarnation is not None or self.listed == wire.MACHINE_RUNNING
+        return self.incarnation is not None or self.listed_state == wire.MACHINE_RUNNING
 
     @property
     def is_in_order(self) -> bool:
@@ -136,7 +136,7 @@
             self.current
             and not self.lease_expired
             and not self.releasing
-            and not self.draining
+            and not self.drain_reason
             and not self.unbound_tasks
             and not self.inbound_partitioned
             and self.preemption_notice_until is None
@@ -146,8 +146,8 @@
         """Whether a task may be bound to it at this moment."""
         return (
             self.is_in_order
-            and self.answered_at is not None
-            and now - self.answered_at <= silence_s
+            and self.last_acknowledged_at is not None
+            and now - self.last_acknowledged_at <= silence_s
             and now >= self.refused_until
         )
 
--- a/tealrill/fleet/machine_list.py
+++ b/tealrill/fleet/machine_list.py
@@ -47,7 +47,7 @@
         self._boot_timeout_s = boot_timeout_s
         self._partitioned_zones = partitioned_zones
         self._changed = changed
-        self._freed = freed
+        self._on_machine_terminated = freed
 
     def apply(self, listed: list[wire.ListedMachine], now: Monotonic) -> None:
         """Apply a list: new machines, their state, and those that it does not show."""
@@ -65,7 +65,7 @@
             if machine.id not in present:
                 machine.missing_from_lists += machine.listed_at is not None
                 self._check_missing(machine, now)
-        self._fleet.forget_gone(now)
+        self._fleet.prune_terminated(now)
 
     def _check_relisted(self, machine_id: MachineId, now: Monotonic) -> None:
         """The list lags, so a released machine may stand on it for a while."""
@@ -83,10 +83,10 @@
             self._fleet.machines[machine_id] = machine
             self._changed()
         elif machine.listed_at is None:
-            machine.since = Monotonic(min(machine.since, now - line.age_s))
+            machine.rented_at = Monotonic(min(machine.rented_at, now - line.age_s))
         if not machine.type:
-            self._fleet.locate(machine, line.type, line.zone, line.spot)
-        machine.listed, machine.listed_at = line.state, now
+            self._fleet.set_kind(machine, line.type, line.zone, line.spot)
+        machine.listed_state, machine.listed_at = line.state, now
         machine.listed_addr = line.addr
         machine.missing_from_lists = 0
         if line.state == wire.MACHINE_FAILED and not machine.releasing:
@@ -107,7 +107,7 @@
             return
         if machine.zone in self._partitioned_zones():
             return
-        waited_s = now - machine.since
+        waited_s = now - machine.rented_at
         if waited_s > self._boot_timeout_s(machine, now):
             log.info("machine did not come up: machine=%s waited_s=%.0f", machine.id, waited_s)
             machine.releasing = True
@@ -116,9 +116,11 @@
         """Absence proves nothing about tasks: a machine is dropped only when nothing is bound."""
         if machine.bindings or machine.releasing:
             return
-        known_for = now - (machine.listed_at if machine.listed_at is not None else machine.since)
+        known_for = now - (
+            machine.listed_at if machine.listed_at is not None else machine.rented_at
+        )
         silent = machine.lease_expired or machine.last_contact_at is None
         if silent and known_for > _MISSING_LAGS * self._lag_s + _LAG_MARGIN_S:
             log.info("machine gone from the list: machine=%s", machine.id)
-            self._freed(machine)
+            self._on_machine_terminated(machine)
             self._fleet.drop(machine)
--- a/tealrill/fleet/prober.py
+++ b/tealrill/fleet/prober.py
@@ -44,14 +44,14 @@
         self,
         fleet: Fleet,
         heartbeat_interval_s: float,
-        spare: Callable[[], int],
+        spare_sockets: Callable[[], int],
         reach: Reach | None = None,
         now: Callable[[], Monotonic] = monotonic_now,
         valid: Callable[[], bool] = lambda: True,
     ) -> None:
         self._fleet = fleet
         self._report_s = heartbeat_interval_s
-        self._spare = spare
+        self._spare = spare_sockets
         self._valid = valid
         # Not a default argument: that would be bound before the simulation puts its own there.
         self._reach = reach or accepts
@@ -59,7 +59,7 @@
         self._tried: dict[MachineId, Monotonic] = {}
         self._under_way: dict[MachineId, asyncio.Task[None]] = {}
         self.diagnosis = Diagnosis({}, frozenset())
-        self.judged: Callable[[], None] = lambda: None
+        self.diagnosis_changed: Callable[[], None] = lambda: None
         """Called when the verdicts have changed."""
 
     async def run(self) -> None:
@@ -73,20 +73,20 @@
                 # After a standstill of this node everybody seems silent: their reports are waiting.
                 # While it may not lead, its workers are with somebody else.
                 if not late and self._valid():
-                    for machine in self.look(now):
+                    for machine in self.evaluate(now):
                         self._try(machine, now)
         finally:
             for task in self._under_way.values():
                 task.cancel()
 
-    def look(self, now: Monotonic) -> list[Machine]:
+    def evaluate(self, now: Monotonic) -> list[Machine]:
         """Judges what is known by now; the machines to be tried next, the longest untried first."""
-        known = [m for m in self._fleet.machines.values() if m.up and m.zone]
+        known = [m for m in self._fleet.machines.values() if m.has_booted and m.zone]
         missed_s = failure_detector.live_within_s(self._report_s)
         silent = [
             m
             for m in known
-            if self._fleet.leases.silence_s_of(m, now) > missed_s and not m.releasing
+            if self._fleet.leases.contact_age_s(m, now) > missed_s and not m.releasing
         ]
         if not silent:
             self._judge([], now)
@@ -107,7 +107,7 @@
         return due[: max(0, max(_FEWEST, min(_MOST, self._spare())) - len(self._under_way))]
 
     def _judge(self, known: list[Machine], now: Monotonic) -> None:
-        diagnosis = failure_detector.judge((self._sign(m, now) for m in known), self._report_s)
+        diagnosis = failure_detector.diagnose((self._sign(m, now) for m in known), self._report_s)
         healed = self.diagnosis.partitioned_zones - diagnosis.partitioned_zones
         if healed:
             # What was tried in vain through a cut says nothing of the machine: 40 good ones were
@@ -115,18 +115,20 @@
             for machine in known:
                 if machine.zone in healed:
                     machine.failed_connects = 0
-            diagnosis = failure_detector.judge((self._sign(m, now) for m in known), self._report_s)
+            diagnosis = failure_detector.diagnose(
+                (self._sign(m, now) for m in known), self._report_s
+            )
         if diagnosis == self.diagnosis:
             return
         self._tell(diagnosis)
         self.diagnosis = diagnosis
-        self.judged()
+        self.diagnosis_changed()
 
     def _sign(self, machine: Machine, now: Monotonic) -> Evidence:
         return Evidence(
             machine.id,
             machine.zone,
-            self._fleet.leases.silence_s_of(machine, now),
+            self._fleet.leases.contact_age_s(machine, now),
             machine.failed_connects,
             machine.accepts,
             machine.missing_from_lists,
@@ -134,9 +136,9 @@
 
     def _tell(self, diagnosis: Diagnosis) -> None:
         """One line an event, not one a machine: operators read this when hundreds are gone."""
-        for verdict in (Suspicion.GONE, Suspicion.HUNG):
-            names = {m for m, v in diagnosis.verdicts.items() if v is verdict}
-            new = names - {m for m, v in self.diagnosis.verdicts.items() if v is verdict}
+        for verdict in (Suspicion.FAILED, Suspicion.HUNG):
+            names = {m for m, v in diagnosis.suspicions.items() if v is verdict}
+            new = names - {m for m, v in self.diagnosis.suspicions.items() if v is verdict}
             if new:
                 log.info(
                     "machines suspected: count=%d suspicion=%s new=%d",
@@ -165,10 +167,10 @@
         last_contact_at = machine.last_contact_at
         found = await self._reach(address, _TIMEOUT_S)
         if found is not None and machine.last_contact_at == last_contact_at:
-            self.tried(machine, found)
+            self.record_probe(machine, found)
 
     @staticmethod
-    def tried(machine: Machine, accepts: bool) -> None:
+    def record_probe(machine: Machine, accepts: bool) -> None:
         """What an attempt brought."""
         machine.accepts = accepts
         machine.failed_connects = 0 if accepts else machine.failed_connects + 1
--- a/tealrill/fleet/provisioning.py
+++ b/tealrill/fleet/provisioning.py
@@ -58,15 +58,15 @@
         term: FencingToken,
         list_lag_s: float,
         intent_log: IntentLog,
-        renting: Duty,
-        returning: Duty,
+        rent_duty: Duty,
+        release_duty: Duty,
     ) -> None:
         self._cloud = cloud
         self._fleet = fleet
         self._term = term
         self.intent_log = intent_log
-        self.renting = renting
-        self.returning = returning
+        self.rent_duty = rent_duty
+        self.release_duty = release_duty
         self._names = 0
         self.requests: dict[str, Request] = {}
         self.capacity_backoff = CapacityBackoff()
@@ -86,7 +86,7 @@
             self._boot_timeout_s,
             self._unheard_zones,
             self._machine_found,
-            self._freed,
+            self._on_machine_terminated,
         )
         self.granted: Callable[[Rental], None] = lambda _: None
         """So many machines of a kind were rented."""
@@ -96,14 +96,14 @@
     def available(self, now: Monotonic) -> list[Offer]:
         """What was not refused a short while ago."""
         return [
-            offer for offer in self.offers if not self.capacity_backoff.refused(offer.kind, now)
+            offer for offer in self.offers if not self.capacity_backoff.is_refused(offer.kind, now)
         ]
 
-    def is_dear(self, type_name: str, spot: bool, dear: float) -> bool:
+    def is_expensive(self, type_name: str, spot: bool, dear: float) -> bool:
         """Whether a kind of machine costs much more per processor than the cheapest."""
         return self._ratios.get((type_name, spot), 1.0) > dear
 
-    def take_catalogue(self, catalogue: wire.Catalogue) -> None:
+    def set_catalogue(self, catalogue: wire.Catalogue) -> None:
         """What the cloud has, at the prices of this moment."""
         self.catalogue = catalogue
         self._types = {kind.name: kind for kind in reversed(catalogue.types)}
@@ -136,7 +136,7 @@
             return math.inf
         return self.boots.boot_timeout_s((machine.type, machine.zone), kind.boot_s, now)
 
-    def under_way(self) -> list[Rental]:
+    def pending_rentals(self) -> list[Rental]:
         """Rentals asked for and not yet answered."""
         return [request.rental for request in self.requests.values()]
 
@@ -212,7 +212,7 @@
         while True:
             try:
                 names = await self._cloud.rent(
-                    request.name, *kind, rental.count, self.renting.check
+                    request.name, *kind, rental.count, self.rent_duty.check
                 )
                 break
             except NotHolderError as error:
@@ -232,8 +232,10 @@
             self.intent_log.granted(request.name, names)
         else:
             self.intent_log.rent_over(request.name)
-        self.renting.did(f"{request.name}: {len(names)} of {rental.count} {rental.type}")
-        self.capacity_backoff.answered(kind, rental.count, len(names), now)
+        self.rent_duty.record_action(
+            f"{request.name}: {len(names)} of {rental.count} {rental.type}"
+        )
+        self.capacity_backoff.record_response(kind, rental.count, len(names), now)
         log.info(
             "rental %s: %d of %d %s in %s%s",
             request.name,
@@ -244,7 +246,7 @@
             ", spot" if rental.spot else "",
         )
         for name in names:
-            self._rented(name, rental, request.since, booted=True)
+            self._add_rented_machine(name, rental, request.since, rented_this_term=True)
         if names:
             self.granted(Rental(*kind, len(names)))
         self.changed()
@@ -261,7 +263,7 @@
         recorded = self._begin(self.intent_log.rent(request.name, request.rental))
         while not recorded.done():
             await asyncio.wait({recorded}, timeout=_RECORD_LOOK_S)
-            if self.renting.alone() and self.renting.valid():
+            if self.rent_duty.state_service_unreachable() and self.rent_duty.valid():
                 return
 
     @staticmethod
@@ -283,10 +285,12 @@
 
     def registered(self, machine: Machine, now: Monotonic) -> None:
         """A machine reports for the first time in this term."""
-        if machine.booted:
-            self.boots.registered((machine.type, machine.zone), now - machine.since, now)
+        if machine.rented_this_term:
+            self.boots.registered((machine.type, machine.zone), now - machine.rented_at, now)
 
-    def _rented(self, name: str, rental: Rental, since: Monotonic, booted: bool = False) -> None:
+    def _add_rented_machine(
+        self, name: str, rental: Rental, since: Monotonic, rented_this_term: bool = False
+    ) -> None:
         machine_id = parse_machine_id(name)
         if machine_id is None or machine_id in self._fleet.terminated:
             return
@@ -296,9 +300,9 @@
             self._fleet.machines[machine_id] = machine
         elif not machine.type:
             # Known from a former leader's bindings only.
-            self._fleet.locate(machine, rental.type, rental.zone, rental.spot)
-        machine.since = since
-        machine.booted = booted
+            self._fleet.set_kind(machine, rental.type, rental.zone, rental.spot)
+        machine.rented_at = since
+        machine.rented_this_term = rented_this_term
 
     # -- what former terms left open ------------------------------------------------------------
 
@@ -309,48 +313,48 @@
         way. Rentals that were answered name their machines; the others are asked for again.
         """
         for name in self.intent_log.read(entries):
-            record = self.intent_log.rents[name]
+            record = self.intent_log.open_rentals[name]
             rental = Rental(record.type, record.zone, record.spot, record.count)
             since = Monotonic(now - max(0.0, wall - record.at))
             if record.names is not None:
                 for machine in record.names:
-                    self._rented(machine, rental, since)
+                    self._add_rented_machine(machine, rental, since)
                 continue
             request = self.requests[name] = Request(name, rental, since)
             self._begin(self._ask(request))
-        for names in self.intent_log.returns.values():
+        for names in self.intent_log.open_releases.values():
             for machine_id in names:
                 known = self._fleet.machines.get(machine_id)
                 if known is None:
                     known = Machine(machine_id, "", "", False, now)
                     self._fleet.machines[machine_id] = known
-                known.releasing = known.returned = True
+                known.releasing = known.release_recorded = True
         if entries:
             log.info(
                 "term %d: %d rentals and %d returns taken over",
                 self._term,
-                len(self.intent_log.rents),
-                len(self.intent_log.returns),
+                len(self.intent_log.open_rentals),
+                len(self.intent_log.open_releases),
             )
 
     # -- returning ------------------------------------------------------------------------------
 
-    async def run_returns(self) -> None:
+    async def run_release_recording(self) -> None:
         """Records the return of every machine marked `releasing`, as many at once as there are."""
         while True:
-            wanted = [m for m in self._fleet.machines.values() if m.releasing and not m.returned][
-                :MOST_RELEASED
-            ]
+            wanted = [
+                m for m in self._fleet.machines.values() if m.releasing and not m.release_recorded
+            ][:MOST_RELEASED]
             if not wanted or self.intent_log.full:
                 await asyncio.sleep(_RETURNS_EVERY_S)
                 continue
-            _, recorded = await self.intent_log.give_back([m.id for m in wanted])
+            _, recorded = await self.intent_log.record_release([m.id for m in wanted])
             for machine_id in recorded:
                 machine = self._fleet.machines.get(machine_id)
                 if machine is not None:
-                    machine.returned = True
+                    machine.release_recorded = True
 
-    async def run_releases(self) -> None:
+    async def run_release_requests(self) -> None:
         """Asks for the release of what is recorded, until it is confirmed."""
         while True:
             keys, names = self._next_release()
@@ -358,31 +362,31 @@
                 await asyncio.sleep(_RETURNS_EVERY_S)
                 continue
             try:
-                await self._cloud.release(names, self.returning.check)
+                await self._cloud.release(names, self.release_duty.check)
             except (CloudError, NotHolderError) as error:
                 log.debug("release not answered: machines=%s error=%s", names, error)
                 await asyncio.sleep(_RETRY_S)
                 continue
             log.info("machines released: machines=%s", ",".join(names))
-            self.returning.did(f"{len(names)} machines")
+            self.release_duty.record_action(f"{len(names)} machines")
             for key in keys:
                 self.intent_log.terminated(key)
             for machine_id in names:
-                self._freed(self._fleet.machines.get(machine_id))
+                self._on_machine_terminated(self._fleet.machines.get(machine_id))
                 self._fleet.released(machine_id, monotonic_now())
 
     def _next_release(self) -> tuple[list[str], list[MachineId]]:
         """As many whole records as one request takes, the oldest first."""
         keys: list[str] = []
         names: list[MachineId] = []
-        for key, machines in self.intent_log.returns.items():
+        for key, machines in self.intent_log.open_releases.items():
             if len(names) + len(machines) > MOST_RELEASED:
                 break
             keys.append(key)
             names += machines
         return keys, names
 
-    def _freed(self, machine: Machine | None) -> None:
+    def _on_machine_terminated(self, machine: Machine | None) -> None:
         """A machine has gone: the cloud may have places of its kind again.
 
         Of those that died it surely has, and they are wanted back. One that was given back since it
@@ -396,11 +400,11 @@
             machine.lease_expired
             or machine.failed_connects
             or machine.missing_from_lists
-            or machine.listed == wire.MACHINE_FAILED
+            or machine.listed_state == wire.MACHINE_FAILED
         ):
-            self.capacity_backoff.freed(machine.kind)
+            self.capacity_backoff.clear(machine.kind)
         else:
-            self.capacity_backoff.hopeful(machine.kind)
+            self.capacity_backoff.shorten(machine.kind)
 
     # -- the list and the catalogue -------------------------------------------------------------
 
@@ -417,7 +421,7 @@
 
     def _drop_seen_rentals(self) -> None:
         """Remove the records of rentals whose machines are all known by themselves."""
-        for name, record in list(self.intent_log.rents.items()):
+        for name, record in list(self.intent_log.open_rentals.items()):
             if record.names is not None and not any(map(self._unseen, record.names)):
                 self.intent_log.rent_over(name)
 
@@ -426,7 +430,7 @@
         machine = self._fleet.machines.get(machine_id) if machine_id is not None else None
         return machine is not None and machine.listed_at is None and machine.last_contact_at is None
 
-    async def run_lists(self) -> None:
+    async def run_reconciliation(self) -> None:
         """Reconcile the machines with the cloud's list until the term ends."""
         fetched: Monotonic | None = None
         while True:
@@ -436,7 +440,7 @@
                     self.apply_list(await self._cloud.machines(), monotonic_now())
                 if fetched is None or monotonic_now() - fetched > _CATALOGUE_EVERY_S:
                     known = self.catalogue is not None
-                    self.take_catalogue(await self._cloud.catalogue())
+                    self.set_catalogue(await self._cloud.catalogue())
                     fetched = monotonic_now()
                     self.changed()
                     if not known:
--- a/tealrill/fleet/reconciliation.py
+++ b/tealrill/fleet/reconciliation.py
@@ -35,17 +35,17 @@
         A `direct` one came in the answer to a direct command.
         """
         unreconciled: list[tuple[TaskId, Attempt, wire.TaskStatus]] = []
-        named = machine.named
+        bindings_by_name = machine.bindings_by_name
         for status in heartbeat.tasks:
-            binding = named.get(status.task)
+            binding = bindings_by_name.get(status.task)
             if binding is None or binding.attempt != status.attempt:
                 binding = self._resolve(machine, status, unreconciled, now)
                 if binding is None:
                     continue
-            binding.shown_in = HeartbeatSequence(heartbeat.sequence)
+            binding.last_listed_in = HeartbeatSequence(heartbeat.sequence)
             if status.state == wire.EXITED:
                 unreconciled.append((binding.task, binding.attempt, status))
-            elif binding.seen and binding.state == status.state:
+            elif binding.start_confirmed and binding.state == status.state:
                 # Taken in before, with all that follows from it.
                 continue
             self._progress(machine, binding, status, now, wall)
@@ -54,7 +54,9 @@
             self._fleet.changed()
         machine.unbound_tasks = unbound_tasks
         machine.unreconciled = unreconciled
-        for binding in [b for b in machine.bindings.values() if b.shown_in != heartbeat.sequence]:
+        for binding in [
+            b for b in machine.bindings.values() if b.last_listed_in != heartbeat.sequence
+        ]:
             self._missing(machine, binding, heartbeat, now, direct)
         if machine.exited:
             listed = {(task, attempt) for task, attempt, _ in unreconciled}
@@ -89,7 +91,7 @@
         now: Monotonic,
         wall: Wall,
     ) -> None:
-        binding.seen = True
+        binding.start_confirmed = True
         binding.state = status.state
         job = binding.chunk.job
         if status.state in (wire.RUNNING, wire.SAVING) and binding.running_since is None:
@@ -174,7 +176,7 @@
         direct: bool,
     ) -> None:
         """A bound task that a report with this term's token does not list."""
-        if binding.seen or binding.inherited:
+        if binding.start_confirmed or binding.inherited:
             self._fleet.unbind(machine, binding, now, "no longer listed")
             self._fleet.changed()
         elif binding.direct_start_in_flight:
--- a/tealrill/fleet/snapshot.py
+++ b/tealrill/fleet/snapshot.py
@@ -13,10 +13,10 @@
 from tealrill.scheduler.estimates import Estimates, TypicalSizes
 from tealrill.scheduler.failure_detector import Diagnosis, Suspicion
 from tealrill.scheduler.model import (
-    Expected,
+    EstimateCorrection,
+    ExpectedWork,
     JobView,
     MachineView,
-    Pace,
     Policy,
     RunningTask,
     TeamView,
@@ -60,16 +60,16 @@
         self._prompt = {o.job_class for o in params.objectives if o.kind == "wait" and o.job_class}
         self._prompt_rank = 0
         self._prompt_at = Monotonic(0.0)
-        self._paces: dict[str, Pace] = {}
-        self._steady_pace = Pace()
+        self._paces: dict[str, EstimateCorrection] = {}
+        self._steady_pace = EstimateCorrection()
         self._catalogue: wire.Catalogue | None = None
         """The one that the machines' views were made with."""
         self._sizes = TypicalSizes()
 
     def view(self, now: Monotonic, wall: Wall) -> View:
         """Return what a pass looks at; machines in which nothing changed are as they were."""
-        for team, pace in self._paces.items():
-            pace.ratio = self._estimates.ratio(team)
+        for team, correction in self._paces.items():
+            correction.ratio = self._estimates.ratio(team)
         if self._catalogue is not self._provisioner.catalogue:
             self._catalogue = self._provisioner.catalogue
             # Of all machines, those too that this pass does not look at.
@@ -93,18 +93,21 @@
         """
         views: list[MachineView] = []
         silent: list[Machine] = []
-        verdicts = self._diagnosis().verdicts
+        suspicions = self._diagnosis().suspicions
         heard_from = now - self._silence_s
         for machine in self._fleet.machines.values():
-            last_contact_at, answered_at = machine.last_contact_at, machine.answered_at
+            last_contact_at, last_acknowledged_at = (
+                machine.last_contact_at,
+                machine.last_acknowledged_at,
+            )
             if (
-                answered_at is not None
-                and answered_at >= heard_from
+                last_acknowledged_at is not None
+                and last_acknowledged_at >= heard_from
                 and (view := machine.view) is not None
-                and not view.used
+                and not view.is_modified
                 and machine.is_in_order
                 and now >= machine.refused_until
-                and machine.id not in verdicts
+                and machine.id not in suspicions
             ):
                 view.ready_at = now
                 views.append(view)
@@ -116,12 +119,12 @@
                 views.append(found)
         return views, silent
 
-    def _expected(self, now: Monotonic) -> Expected | None:
+    def _expected(self, now: Monotonic) -> ExpectedWork | None:
         """The next job of a class that is to start within seconds, by the size of recent ones."""
         if now - self._prompt_at > _EXPECTED_FOR_S:
             return None
-        cpus = max((self._sizes.large(name) for name in self._prompt), default=0.0)
-        return Expected(self._prompt_rank, cpus) if cpus > 0 else None
+        cpus = max((self._sizes.percentile_80_cpus(name) for name in self._prompt), default=0.0)
+        return ExpectedWork(self._prompt_rank, cpus) if cpus > 0 else None
 
     def submitted(self, spec: wire.JobSpec, now: Monotonic) -> None:
         """Take note of a new job, for the work that is expected."""
@@ -135,17 +138,17 @@
 
     def _machine(self, machine: Machine, now: Monotonic) -> MachineView | None:
         kind = self._provisioner.type_of(machine.type)
-        if kind is None or machine.releasing or machine.draining or machine.lease_expired:
+        if kind is None or machine.releasing or machine.drain_reason or machine.lease_expired:
             return None
         if machine.preemption_notice_until is not None or machine.unbound_tasks:
             return None
         if machine.last_contact_at is None:
             if not boots(machine, suspicion(self._diagnosis(), machine)):
                 return None
-            ready_at = Monotonic(max(machine.since + kind.boot_s, now + 1.0))
+            ready_at = Monotonic(max(machine.rented_at + kind.boot_s, now + 1.0))
         elif (
             machine.is_placeable(now, self._silence_s)
-            and suspicion(self._diagnosis(), machine) is not Suspicion.GONE
+            and suspicion(self._diagnosis(), machine) is not Suspicion.FAILED
         ):
             ready_at = now
         else:
@@ -154,7 +157,7 @@
 
     def _seen(self, machine: Machine, kind: wire.MachineType, ready_at: Monotonic) -> MachineView:
         view = machine.view
-        if view is None or view.used:
+        if view is None or view.is_modified:
             view = machine.view = self._fresh(machine, kind)
         view.ready_at = ready_at
         return view
@@ -168,10 +171,14 @@
         """
         found: list[MachineView] = []
         for machine in silent:
-            if machine.releasing or machine.draining or machine.preemption_notice_until is not None:
+            if (
+                machine.releasing
+                or machine.drain_reason
+                or machine.preemption_notice_until is not None
+            ):
                 continue
             verdict = suspicion(self._diagnosis(), machine)
-            silent_s = self._fleet.leases.silence_s_of(machine, now)
+            silent_s = self._fleet.leases.contact_age_s(machine, now)
             if silent_s <= self._silence_s or boots(machine, verdict):
                 continue
             kind = self._provisioner.type_of(machine.type)
@@ -193,7 +200,9 @@
             Monotonic(0.0),
             max(0.01, kind.fetch_gb_per_s),
             set(machine.images),
-            self._provisioner.is_dear(machine.type, machine.spot, self._policy.dear),
+            self._provisioner.is_expensive(
+                machine.type, machine.spot, self._policy.expensive_ratio
+            ),
             [self._running(b) for b in machine.bindings.values()],
         )
 
@@ -215,11 +224,11 @@
             spec.save_s,
         )
 
-    def _pace(self, team: str) -> Pace:
-        pace = self._paces.get(team)
-        if pace is None:
-            pace = self._paces[team] = Pace(self._estimates.ratio(team))
-        return pace
+    def _pace(self, team: str) -> EstimateCorrection:
+        correction = self._paces.get(team)
+        if correction is None:
+            correction = self._paces[team] = EstimateCorrection(self._estimates.ratio(team))
+        return correction
 
     def run_s(self, spec: wire.JobSpec) -> float:
         """Return the seconds that a task of a job is expected to run."""
@@ -317,7 +326,7 @@
     def _under_way(self, now: Monotonic) -> list[MachineView]:
         """Machines that were asked for and not yet granted count like those that boot."""
         found: list[MachineView] = []
-        for rental in self._provisioner.under_way():
+        for rental in self._provisioner.pending_rentals():
             kind = self._provisioner.type_of(rental.type)
             if kind is None:
                 continue
@@ -333,7 +342,9 @@
                 Monotonic(now + kind.boot_s),
                 kind.fetch_gb_per_s,
                 set(),
-                self._provisioner.is_dear(rental.type, rental.spot, self._policy.dear),
+                self._provisioner.is_expensive(
+                    rental.type, rental.spot, self._policy.expensive_ratio
+                ),
                 (),
             )
             # The views of one rental are alike and only read, so one stands for all.
@@ -343,13 +354,15 @@
 
 def suspicion(diagnosis: Diagnosis, machine: Machine) -> Suspicion:
     """Return what a machine's silence means; late, if it has not been judged."""
-    return diagnosis.verdicts.get(machine.id, Suspicion.LATE)
+    return diagnosis.suspicions.get(machine.id, Suspicion.UNDETERMINED)
 
 
 def boots(machine: Machine, verdict: Suspicion) -> bool:
     """Not heard yet, and no reason to think that it won't be. A new leader begins with all so."""
     return (
-        machine.last_contact_at is None and not machine.lease_expired and verdict is Suspicion.LATE
+        machine.last_contact_at is None
+        and not machine.lease_expired
+        and verdict is Suspicion.UNDETERMINED
     )
 
 
--- a/tealrill/graphs/admission.py
+++ b/tealrill/graphs/admission.py
@@ -49,12 +49,12 @@
 )
 from tealrill.state.rate_limiter import RequestPriority
 from tealrill.state.records import (
+    ENDED_PREFIX,
     JOB_PREFIX,
     OUTCOME_CANCELLED,
     OUTCOME_SKIPPED,
-    OVER_PREFIX,
+    ended_key,
     job_key,
-    over_key,
 )
 from tealrill.types import ABSENT, JobId, Revision, parse_job_id, wall_now
 
@@ -71,8 +71,8 @@
 _NO_GRAPH: Final = Reply(404, {"error": "no such graph"})
 
 
-def _later(why: str, elsewhere: bool = False) -> Reply:
-    return Reply(503, {"error": why}, retry_after_s=1, elsewhere=elsewhere)
+def _later(why: str, retry_on_other_node: bool = False) -> Reply:
+    return Reply(503, {"error": why}, retry_after_s=1, retry_on_other_node=retry_on_other_node)
 
 
 def _conflict(why: str, **more: Any) -> Reply:
@@ -87,10 +87,10 @@
     """What is kept under a graph's name."""
 
     def __init__(
-        self, head: Head | None, stamp: Revision, over: Over | None, over_stamp: Revision
+        self, head: Head | None, mod_revision: Revision, over: Over | None, over_stamp: Revision
     ) -> None:
         self.head = head
-        self.stamp = stamp
+        self.mod_revision = mod_revision
         self.over = over
         self.over_stamp = over_stamp
 
@@ -118,7 +118,7 @@
 
     # -- ids of nodes ---------------------------------------------------------------------------
 
-    def claims(self, job_id: JobId) -> list[str]:
+    def conflicting_keys(self, job_id: JobId) -> list[str]:
         """Return the keys that must be absent where a plain job takes this id."""
         graph = graph_prefix(job_id)
         if graph is None:
@@ -159,13 +159,13 @@
         if found.head is None or found.head.status != records.ACCEPTED:
             return None
         guards = [
-            wire.guard(records.graph_key(node[0]), found.stamp),
+            wire.guard(records.graph_key(node[0]), found.mod_revision),
             wire.guard(job_key(job_id), ABSENT),
-            wire.guard(over_key(job_id), ABSENT),
+            wire.guard(ended_key(job_id), ABSENT),
         ]
         changes = [
             wire.put(
-                over_key(job_id), {"status": wire.JOB_CANCELLED, "outcome": OUTCOME_CANCELLED}
+                ended_key(job_id), {"status": wire.JOB_CANCELLED, "outcome": OUTCOME_CANCELLED}
             ),
             wire.put(records.word_key(node[0]), {"cancelled": node[1]}),
         ]
@@ -239,7 +239,7 @@
             log.debug("graphs: %s", error)
             if isinstance(error, RateLimitedError):
                 return _later("too many submissions")
-            return _later("the state service can't be reached", elsewhere=True)
+            return _later("the state service can't be reached", retry_on_other_node=True)
 
     async def _submit(self, body: bytes) -> Reply:
         submission = _decode(body, Submission)
@@ -319,11 +319,11 @@
         most_each = max((sum(e.each for e in node.edges()) for node in nodes), default=0)
         beside = 100 + records.NODE_JOB_BYTES + most_each * records.EACH_BYTES
 
-        def problem(spec: wire.JobSpec) -> tuple[int, str] | None:
-            reply = self._admission.problem(spec, JobId(spec.id), beside)
+        def rejection(spec: wire.JobSpec) -> tuple[int, str] | None:
+            reply = self._admission.rejection(spec, JobId(spec.id), beside)
             return None if reply is None else (reply.status, reply.body["error"])
 
-        await check_part(graph, defaults, nodes, problem, lambda: asyncio.sleep(0))
+        await check_part(graph, defaults, nodes, rejection, lambda: asyncio.sleep(0))
 
     def _resolve(
         self, defaults: dict[str, Any], retries: int, parts: Iterable[list[Node]]
@@ -354,10 +354,10 @@
         self, guards: list[dict[str, Any]], changes: list[dict[str, Any]]
     ) -> Committed | GuardsFailed | None:
         """None if it is not known whether it was executed. Plain submissions go first."""
-        if not self._client.accepts.take_now(len(changes), RequestPriority.LATER):
+        if not self._client.submissions.try_acquire(len(changes), RequestPriority.LOW):
             raise RateLimitedError("too many submissions")
         try:
-            return await self._client.commit(guards, changes, paid=True)
+            return await self._client.commit(guards, changes, tokens_acquired=True)
         except OutcomeUnknownError as error:
             log.info("graph: commit without an answer (%s): reading back", error)
             return None
@@ -386,7 +386,7 @@
             if not checked:
                 await self._check(graph, head.defaults, nodes)
                 checked = True
-            guards = [wire.guard(records.graph_key(graph), found.stamp)]
+            guards = [wire.guard(records.graph_key(graph), found.mod_revision)]
             changes: list[dict[str, Any]] = []
             self._add_part(graph, number, nodes, guards, changes)
             if isinstance(await self._commit(guards, changes), Committed):
@@ -415,7 +415,7 @@
             sealed = await self._whole(graph, head, parts)
             if isinstance(sealed, Reply):
                 return sealed
-            guards = [wire.guard(records.graph_key(graph), found.stamp)]
+            guards = [wire.guard(records.graph_key(graph), found.mod_revision)]
             changes = [wire.put(records.graph_key(graph), msgspec.to_builtins(sealed))]
             if isinstance(await self._commit(guards, changes), Committed):
                 log.info("graph %s accepted: %d nodes", graph, sealed.nodes)
@@ -531,7 +531,7 @@
         They are read in the order in which records move.
         """
         found: dict[int, str] = {}
-        for own, over in ((JOB_PREFIX, False), (OVER_PREFIX, True)):
+        for own, over in ((JOB_PREFIX, False), (ENDED_PREFIX, True)):
             after = f"{own}{node_id(graph, start - 1)}" if start else None
             page = await self._client.page(f"{own}{graph}-", after, _PAGE)
             for entry in page.items:
@@ -575,7 +575,7 @@
                 # Its parts are to be removed before its head is.
                 expired = msgspec.structs.replace(head, status="expired")
                 first = wire.put(key, msgspec.to_builtins(expired))
-            guards = [wire.guard(key, found.stamp), wire.guard(end, ABSENT)]
+            guards = [wire.guard(key, found.mod_revision), wire.guard(end, ABSENT)]
             changes = [first, wire.put(end, over)]
             try:
                 result = await self._client.commit(guards, changes)
--- a/tealrill/graphs/extension.py
+++ b/tealrill/graphs/extension.py
@@ -29,15 +29,15 @@
 
     def here(self, graph: str) -> dict[str, int] | None:
         """Return the counts of a graph's nodes if this member leads, else None."""
-        if self.term is None or self._election.leading(monotonic_now()) is None:
+        if self.term is None or self._election.valid_leadership(monotonic_now()) is None:
             return None
         return self.term.counts(graph)
 
     async def anywhere(self, graph: str) -> dict[str, int] | None:
         """Return the counts from here or from the leader; None if neither answers."""
         counts = self.here(graph)
-        known = self._election.known
-        peer = self._peers.get(known.host) if known is not None else None
+        known_leader = self._election.known_leader
+        peer = self._peers.get(known_leader.host) if known_leader is not None else None
         if counts is not None or peer is None:
             return counts
         try:
--- a/tealrill/graphs/leader_extension.py
+++ b/tealrill/graphs/leader_extension.py
@@ -51,8 +51,8 @@
     OUTCOME_CANCELLED,
     OUTCOME_DONE,
     OUTCOME_SKIPPED,
+    ended_key,
     job_key,
-    over_key,
 )
 from tealrill.state.transaction_batch import JoinedWrite
 from tealrill.types import ABSENT, JobId, Monotonic, Revision, monotonic_now, parse_job_id, wall_now
@@ -159,7 +159,7 @@
 
     # -- what is heard --------------------------------------------------------------------------
 
-    def read(self, entries: Sequence[wire.Entry]) -> None:
+    def load_records(self, entries: Sequence[wire.Entry]) -> None:
         """Take all records under `job/` that are no jobs."""
         present = {entry.key: entry for entry in entries}
         # What was missed of the nodes' ends is read again with the graph.
@@ -167,12 +167,12 @@
         self._words.clear()
         for name in [*self._heads, *self._drafts, *self._aside]:
             if records.graph_key(name) not in present:
-                self.seen(records.graph_key(name), None, ABSENT)
+                self.on_record_changed(records.graph_key(name), None, ABSENT)
         for entry in entries:
-            self.seen(entry.key, entry.value, Revision(entry.version))
+            self.on_record_changed(entry.key, entry.value, Revision(entry.version))
         self._wake.set()
 
-    def seen(self, key: str, value: Any, version: Revision) -> None:
+    def on_record_changed(self, key: str, value: Any, version: Revision) -> None:
         """Take one such record, None as its value if it was removed."""
         about = records.graph_of_word(key)
         if about is not None:
@@ -193,7 +193,7 @@
             self._settle(name, index, OVER_CANCELLED)
 
     def _take_head(self, name: str, value: Any, version: Revision) -> None:
-        if name in self._heads and self._heads[name][1].stamp == version:
+        if name in self._heads and self._heads[name][1].mod_revision == version:
             return
         try:
             head = records.read_head(value)
@@ -216,14 +216,14 @@
         owner = known[1] if known is not None else None
         self._aside[name] = owner or Owner(records.graph_key(name), version, name)
 
-    def take(self, job: Job, value: dict[str, Any]) -> bool:
+    def claim_job(self, job: Job, value: dict[str, Any]) -> bool:
         """Take a job that a graph owns; False if no graph known here does."""
         name, node = value["owner"], parse_node_id(job.id)
         if node is None or node[0] != name:
             return False
         if name in self._aside:
             job.owner = self._aside[name]
-            self._term.job_store.close_tasks(job)
+            self._term.job_store.block_tasks(job)
             return True
         known = self._heads.get(name)
         if known is None:
@@ -237,26 +237,26 @@
             kept = records.read_node_job(value)
         except GraphRecordError as error:
             log.error("record of node %s: %s", job.id, error)
-            self._term.job_store.close_tasks(job)
+            self._term.job_store.block_tasks(job)
             return True
-        job.most_errors = kept.retries
+        job.max_task_errors = kept.retries
         job.due_s = kept.due_s
         job.tail_s = kept.tail_s
         if kept.each:
-            self._term.job_store.close_tasks(job)
+            self._term.job_store.block_tasks(job)
         live = self._live.get(name)
         if live is not None:
             self._attach(live, node[1], job)
         return True
 
-    def over(self, job: Job) -> None:
+    def on_job_ended(self, job: Job) -> None:
         """Settle the node whose job has ended."""
         node = parse_node_id(job.id)
         if job.owner is None or node is None:
             return
         self._settle(job.owner.name, node[1], outcome_state(job.outcome))
 
-    def cancelled(self, name: str) -> None:
+    def on_cancelled(self, name: str) -> None:
         """Stop a graph that another member has called cancelled."""
         if name in self._heads or name in self._aside:
             self._gone(name, "another node acknowledged its cancellation")
@@ -270,7 +270,7 @@
         self._opened(live, live.progress.tasks_done(node[1], tasks))
         self._wake.set()
 
-    def owner_gone(self, owner: Owner) -> None:
+    def owner_changed(self, owner: Owner) -> None:
         """A guard on a graph's head failed."""
         known = self._heads.get(owner.name)
         if owner in (known[1] if known is not None else None, self._aside.get(owner.name)):
@@ -285,23 +285,23 @@
         live.views.pop(index, None)
         if progress.state[index] != RELEASED:
             # While its release was on its way, what it waits for became impossible.
-            self._term.job_store.give_up(job, OUTCOME_SKIPPED)
+            self._term.job_store.abort_job(job, OUTCOME_SKIPPED)
         live.jobs[index] = job
         if progress.is_followed(index):
-            done = self._term.job_store.follow(job, monotonic_now())
+            done = self._term.job_store.report_completions(job, monotonic_now())
             self._opened(live, progress.tasks_done(index, done))
-        if job.opened is not None:
+        if job.unblocked is not None:
             self._open(live, index, job)
 
     def _open(self, live: Live, index: int, job: Job) -> None:
         """Lets all tasks go whose wait is over."""
         for task in live.progress.open_elements(index):
-            self._term.job_store.open_task(job, task)
+            self._term.job_store.unblock_task(job, task)
 
     def _opened(self, live: Live, freed: list[tuple[int, int]]) -> None:
         for follower, task in freed:
             if follower in live.jobs:
-                self._term.job_store.open_task(live.jobs[follower], task)
+                self._term.job_store.unblock_task(live.jobs[follower], task)
 
     def _settle(self, name: str, index: int, state: int) -> None:
         live = self._live.get(name)
@@ -321,12 +321,12 @@
             live.stopped_by = live.node(index).key
         for stuck in live.progress.stuck:
             if stuck in live.jobs:
-                self._term.job_store.give_up(live.jobs[stuck], OUTCOME_SKIPPED)
+                self._term.job_store.abort_job(live.jobs[stuck], OUTCOME_SKIPPED)
         live.progress.stuck.clear()
         self._wake.set()
 
     def _orphan(self, job: Job) -> None:
-        self._orphans[job.id] = (job.stamp, job.spec)
+        self._orphans[job.id] = (job.mod_revision, job.spec)
         self._wake.set()
 
     def _gone(self, name: str, why: str) -> None:
@@ -388,7 +388,7 @@
                 try:
                     self._release(live)
                 except (GraphRecordError, wire.MalformedMessageError) as error:
-                    self._set_aside(live.name, live.owner.stamp, error)
+                    self._set_aside(live.name, live.owner.mod_revision, error)
                     continue
                 if live.progress.over and not live.jobs and not live.in_flight:
                     counts = live.progress.counted()
@@ -435,7 +435,7 @@
 
         def refused(found: dict[str, wire.KeyValue | None]) -> None:
             live.in_flight -= 1
-            over = found.get(over_key(job))
+            over = found.get(ended_key(job))
             if over is not None:
                 # Cancelled while it was gated, or released and ended by a late transaction.
                 self._settle(live.name, index, _state_of(over.value))
@@ -448,7 +448,11 @@
         live.in_flight += 1
         self._term.write_batcher.join(
             JoinedWrite(
-                {live.owner.key: live.owner.stamp, job_key(job): ABSENT, over_key(job): ABSENT},
+                {
+                    live.owner.key: live.owner.mod_revision,
+                    job_key(job): ABSENT,
+                    ended_key(job): ABSENT,
+                },
                 [wire.put(job_key(job), value)],
                 applied,
                 refused,
@@ -475,7 +479,7 @@
         live.ending = True
         self._term.write_batcher.join(
             JoinedWrite(
-                {live.owner.key: live.owner.stamp, key: ABSENT},
+                {live.owner.key: live.owner.mod_revision, key: ABSENT},
                 [wire.delete(live.owner.key), wire.put(key, over)],
                 applied,
                 refused,
@@ -484,7 +488,7 @@
 
     def _bury(self, job: JobId) -> None:
         """Moves the record of a job whose graph is over to where its graph's is."""
-        stamp, spec = self._orphans[job]
+        mod_revision, spec = self._orphans[job]
         value = {
             "status": wire.JOB_CANCELLED,
             "outcome": OUTCOME_CANCELLED,
@@ -503,8 +507,8 @@
         self._burials.add(job)
         self._term.write_batcher.join(
             JoinedWrite(
-                {job_key(job): stamp, over_key(job): ABSENT},
-                [wire.delete(job_key(job)), wire.put(over_key(job), value)],
+                {job_key(job): mod_revision, ended_key(job): ABSENT},
+                [wire.delete(job_key(job)), wire.put(ended_key(job), value)],
                 applied,
                 refused,
             )
@@ -549,7 +553,7 @@
         if not left:
             left = {records.graph_key(name): version}
         self._expiring.add(name)
-        for key, stamp in list(left.items()):
+        for key, mod_revision in list(left.items()):
 
             def done(_: object, key: str = key) -> None:
                 left.pop(key)
@@ -558,7 +562,9 @@
                     self._wake.set()
 
             # One by one: a set of many waits for a bucket that may never be so full.
-            self._term.write_batcher.join(JoinedWrite({key: stamp}, [wire.delete(key)], done, done))
+            self._term.write_batcher.join(
+                JoinedWrite({key: mod_revision}, [wire.delete(key)], done, done)
+            )
 
     # -- reading a graph ------------------------------------------------------------------------
 
@@ -579,7 +585,7 @@
             shape = await asyncio.to_thread(_shape, head, parts)
         except (GraphRecordError, InvalidGraphError, KeyError) as error:
             # Accepted graphs were read back whole; what is wrong here is not mended by waiting.
-            self._set_aside(name, owner.stamp, error)
+            self._set_aside(name, owner.mod_revision, error)
             return
         if self._heads.get(name) is not known:
             return
--- a/tealrill/graphs/records.py
+++ b/tealrill/graphs/records.py
@@ -27,7 +27,7 @@
 from tealrill import wire
 from tealrill.errors import TealrillError
 from tealrill.graphs.model import Node, Retries
-from tealrill.state.records import JOB_PREFIX, OUTCOME_CANCELLED, OUTCOME_DONE, OVER_PREFIX
+from tealrill.state.records import ENDED_PREFIX, JOB_PREFIX, OUTCOME_CANCELLED, OUTCOME_DONE
 from tealrill.types import JobId
 
 PART_PREFIX: Final = "part/"
@@ -98,7 +98,7 @@
 
 def graph_over_key(graph: str) -> str:
     """Return the key that tells how a graph ended."""
-    return OVER_PREFIX + graph
+    return ENDED_PREFIX + graph
 
 
 def word_key(graph: str) -> str:
--- a/tealrill/leader/job_lifecycle.py
+++ b/tealrill/leader/job_lifecycle.py
@@ -51,7 +51,7 @@
         self.unread: set[JobId] = set()
         """Jobs whose record is not of this version."""
 
-    def add(self, key: str, value: object, stamp: Revision) -> Job | None:
+    def add(self, key: str, value: object, mod_revision: Revision) -> Job | None:
         """Add the job of a record under `job/`; None if it is known, no job or not readable."""
         job_id = parse_job_id(key.removeprefix(JOB_PREFIX))
         if job_id is None or job_id in self._job_store.jobs:
@@ -63,7 +63,7 @@
             self.unread.add(job_id)
             return None
         self._scheduling_loop.snapshots.submitted(record.spec, monotonic_now())
-        job = self._job_store.add(record.spec, Wall(record.at), stamp)
+        job = self._job_store.add(record.spec, Wall(record.at), mod_revision)
         if record.owner is not None:
             self._give_to_owner(job, value)
         return job
@@ -72,13 +72,13 @@
         """Give extensions those of all records under `job/` that are no jobs."""
         others = [e for e in entries if parse_job_id(e.key.removeprefix(JOB_PREFIX)) is None]
         for extension in self.extensions:
-            extension.read(others)
+            extension.load_records(others)
 
     def _give_to_owner(self, job: Job, value: Any) -> None:
-        if not any(extension.take(job, value) for extension in self.extensions):
+        if not any(extension.claim_job(job, value) for extension in self.extensions):
             # Its extension is switched off, or can't read it: kept as it is, nothing of it starts.
             log.error("job held, its owner is unknown to this member: job=%s", job.id)
-            self._job_store.close_tasks(job)
+            self._job_store.block_tasks(job)
         if job.cancelled:
             self.stop(job)
 
@@ -96,7 +96,7 @@
     def _forget(self, job: Job) -> None:
         self._fleet.failure_attribution.forget_job(job.id)
         for extension in self.extensions:
-            extension.over(job)
+            extension.on_job_ended(job)
 
     def upcoming(self, now: Monotonic, within_s: float) -> list[tuple[JobView, int]]:
         """Return the tasks that extensions expect to wait for machines within so many seconds."""
@@ -110,10 +110,10 @@
             extension.tasks_done(job, tasks)
         self._wake()
 
-    def on_owner_gone(self, owner: Owner) -> None:
+    def on_owner_changed(self, owner: Owner) -> None:
         """Tell extensions that a transaction failed because an owner's record has changed."""
         for extension in self.extensions:
-            extension.owner_gone(owner)
+            extension.owner_changed(owner)
 
     def on_cancelled(self, name: str, source: str) -> None:
         """Stop a job whose record is gone, or whose cancellation another node acknowledged.
@@ -123,12 +123,12 @@
         job_id = parse_job_id(name)
         if job_id is None:
             for extension in self.extensions:
-                extension.cancelled(name)
+                extension.on_cancelled(name)
             return
         job = self._job_store.jobs.get(job_id)
         if job is None or job.cancelled:
             return
-        if job.id in self._job_store.ending:
+        if job.id in self._job_store.ending_jobs:
             # It is deleted by this leader itself; if its user was faster, the transaction that ends
             # it fails and finds out. That may take as long as an outage, and of a job that ends
             # without being done tasks may run: they are stopped at its end in any case.
--- a/tealrill/leader/job_watch.py
+++ b/tealrill/leader/job_watch.py
@@ -36,14 +36,14 @@
         self._job_store = job_store
         self._lifecycle = lifecycle
         self._wake = wake
-        self.seen = CancellationKnowledge()
+        self.cancellation_knowledge = CancellationKnowledge()
         """How far changes of jobs are known by the watch."""
 
     async def run(self, seen: CancellationKnowledge) -> None:
         """Watch from the revision of `seen` on, for ever."""
         hold_s = _WATCH_S
         while True:
-            self.seen = seen
+            self.cancellation_knowledge = seen
             # What a watch answers is as of its answer, and so no older than its sending.
             sent = monotonic_now()
             try:
@@ -70,7 +70,7 @@
         if parse_job_id(key.removeprefix(JOB_PREFIX)) is None:
             value = event.value if event.put is not None else None
             for extension in self._lifecycle.extensions:
-                extension.seen(key, value, Revision(event.version))
+                extension.on_record_changed(key, value, Revision(event.version))
         elif event.put is not None:
             if self._lifecycle.add(event.put, event.value, Revision(event.version)):
                 self._wake()
--- a/tealrill/leader/leader.py
+++ b/tealrill/leader/leader.py
@@ -27,7 +27,7 @@
 from tealrill.leadership.election import Election
 from tealrill.leadership.exclusion import Exclusions
 from tealrill.leadership.lease_extension import CancellationKnowledge
-from tealrill.leadership.open_jobs import renewal_bound_s
+from tealrill.leadership.open_jobs import renewal_staleness_bound_s
 from tealrill.leadership.renewal_delegation import DELEGATION_S, Delegations
 from tealrill.scheduler.estimates import Estimates
 from tealrill.settings import Params, Settings
@@ -53,25 +53,25 @@
         client: StateClient,
         cloud: Cloud,
         election: Election,
-        mine: Leadership,
+        leadership: Leadership,
         estimates: Estimates,
         parts: Sequence[Callable[[LeadershipContext], LeaderExtension]] = (),
         catalogue: wire.Catalogue | None = None,
     ) -> None:
-        """Compose the term `mine`; `parts` make the extensions' parts of it.
+        """Compose the term `leadership`; `parts` make the extensions' parts of it.
 
         `catalogue` is the cloud's last known one, if there is any.
         """
         params = settings.params
         self._client = client
         self._election = election
-        self._mine = mine
+        self._leadership = leadership
         self._estimates = estimates
         self._wake = asyncio.Event()
         self._winding_up = False
         self._vouched_at = Monotonic(-math.inf)
         """What was acknowledged before this moment the other members have told."""
-        self._unseen_s = renewal_bound_s(params.workers)
+        self._unseen_s = renewal_staleness_bound_s(params.workers)
         self._resigning: asyncio.Task[None] | None = None
         self.job_store = JobStore(params.state.value_kb)
         self.fleet = self._new_fleet(params)
@@ -80,15 +80,20 @@
         self._compose_loops()
         self._compose_extensions(settings, parts)
         self.exclusions = Exclusions(
-            settings, client, mine.term, mine.stamp, self._valid, revoked=self._lease_revoked
+            settings,
+            client,
+            leadership.term,
+            leadership.mod_revision,
+            self._valid,
+            on_lease_revoked=self._lease_revoked,
         )
 
     def _new_fleet(self, params: Params) -> Fleet:
         workers = params.workers
         fleet = Fleet(
             self.job_store,
-            self._mine.term,
-            self._mine.elected_at,
+            self._leadership.term,
+            self._leadership.elected_at,
             workers.lease_s,
             DELEGATION_S,
             workers.heartbeat_interval_s,
@@ -103,20 +108,20 @@
         self, params: Params, cloud: Cloud, catalogue: wire.Catalogue | None
     ) -> None:
         """Compose what writes to the state service and asks the cloud."""
-        mine = self._mine
+        leadership = self._leadership
         self.write_batcher = WriteBatcher(
             self._client,
             self.job_store,
-            mine,
+            leadership,
             params.state.txn_ops,
             self._committed,
             self._job_ended,
         )
-        self.intent_log = IntentLog(self.write_batcher.join, mine.term, params.state.value_kb)
+        self.intent_log = IntentLog(self.write_batcher.join, leadership.term, params.state.value_kb)
         self.provisioner = Provisioner(
             cloud,
             self.fleet,
-            mine.term,
+            leadership.term,
             params.cloud.list_lag_s,
             self.intent_log,
             self._duty("renting"),
@@ -124,7 +129,7 @@
         )
         if catalogue is not None:
             # A leader elected while the cloud is away would place nothing until it is back.
-            self.provisioner.take_catalogue(catalogue)
+            self.provisioner.set_catalogue(catalogue)
         self.provisioner.changed = self.wake
         self.fleet.registered = self.provisioner.registered
 
@@ -133,7 +138,7 @@
         self._connections = ConnectionPool(params.quota.fd_limit, lambda: len(self.fleet.machines))
         self.fleet.deregistered = self._connections.drop
         self.direct_commands = DirectCommands(
-            self.fleet, self._connections, self._mine.term, self._valid, self.wake
+            self.fleet, self._connections, self._leadership.term, self._valid, self.wake
         )
         self.scheduling_loop = SchedulingLoop(
             self.job_store,
@@ -146,16 +151,16 @@
         self.prober = Prober(
             self.fleet,
             params.workers.heartbeat_interval_s,
-            lambda: self._connections.spare,
+            lambda: self._connections.spare_sockets,
             valid=self._valid,
         )
-        self.prober.judged = self.wake
+        self.prober.diagnosis_changed = self.wake
         self.provisioner.partitioned_zones = lambda: self.prober.diagnosis.partitioned_zones
         self.scheduling_loop.diagnosis = lambda: self.prober.diagnosis
 
     def _compose_loops(self) -> None:
         """Compose what reads the records, and the loops that go on from there."""
-        client, term = self._client, self._mine.term
+        client, term = self._client, self._leadership.term
         self.lifecycle = JobLifecycle(self.job_store, self.fleet, self.scheduling_loop, self.wake)
         self.record_loader = RecordLoader(
             client,
@@ -173,11 +178,15 @@
         delegations = Delegations(
             client,
             term,
-            self._mine.stamp,
+            self._leadership.mod_revision,
             lambda: self.fleet.leases.delegation_ended(monotonic_now()),
         )
         self.lease_expiry = LeaseExpiryLoop(
-            self.fleet, delegations, term, self.informed, lambda: self.known
+            self.fleet,
+            delegations,
+            term,
+            self.may_renew_workers,
+            lambda: self.cancellation_knowledge,
         )
 
     def _compose_extensions(
@@ -186,7 +195,7 @@
         context = LeadershipContext(
             settings,
             self._client,
-            self._mine,
+            self._leadership,
             self.job_store,
             self.write_batcher,
             self._valid,
@@ -199,7 +208,7 @@
         if self.parts:
             self.scheduling_loop.autoscaler.upcoming = self.lifecycle.upcoming
             self.write_batcher.tasks_done = self.lifecycle.on_tasks_done
-            self.write_batcher.owner_gone = self.lifecycle.on_owner_gone
+            self.write_batcher.owner_changed = self.lifecycle.on_owner_changed
 
     async def run(self) -> None:
         """Read the records, then run the loops until the term is over."""
@@ -212,9 +221,9 @@
                 group.create_task(self.lease_expiry.run())
                 group.create_task(self.prober.run())
                 group.create_task(self.exclusions.run())
-                group.create_task(self.provisioner.run_returns())
-                group.create_task(self.provisioner.run_releases())
-                group.create_task(self.provisioner.run_lists())
+                group.create_task(self.provisioner.run_release_recording())
+                group.create_task(self.provisioner.run_release_requests())
+                group.create_task(self.provisioner.run_reconciliation())
                 for part in self.parts:
                     group.create_task(part.run())
         except* LeadershipLostError:
@@ -228,23 +237,23 @@
         self._connections.close()
         self.exclusions.close()
 
-    def wind_up(self) -> None:
+    def begin_handover(self) -> None:
         """Begin nothing new, because the duties are about to be handed over."""
         self._winding_up = True
         self.intent_log.closed = True
         self.write_batcher.wake()
 
     @property
-    def under_way(self) -> bool:
+    def busy(self) -> bool:
         """Whether something that was begun is still to be written or told.
 
         Requests to the cloud are not waited for: they are recorded, and the next leader goes on.
         """
         return bool(
             self.direct_commands.in_flight
-            or self.job_store.urgent
-            or self.job_store.ending
-            or self.write_batcher.under_way
+            or self.job_store.urgent_chunks
+            or self.job_store.ending_jobs
+            or self.write_batcher.busy
         )
 
     def wake(self) -> None:
@@ -252,11 +261,13 @@
         self._wake.set()
 
     def _duty(self, name: str) -> Duty:
-        return Duty(name, self._mine.term, self._mine.elected_at, self._valid, self._alone)
+        return Duty(
+            name, self._leadership.term, self._leadership.elected_at, self._valid, self._alone
+        )
 
     def _alone(self) -> bool:
         """Whether the state service answers nothing of this node, not even its renewals."""
-        return self._mine.troubled and self._client.failing
+        return self._leadership.renewal_failed and self._client.failing
 
     def duties(self) -> dict[str, Any]:
         """Return the duties that this node holds, for operators."""
@@ -265,8 +276,8 @@
         return {
             duty.name: duty.describe(now, count)
             for duty, count in (
-                (self.provisioner.renting, len(intent_log.rents)),
-                (self.provisioner.returning, len(intent_log.returns)),
+                (self.provisioner.rent_duty, len(intent_log.open_rentals)),
+                (self.provisioner.release_duty, len(intent_log.open_releases)),
             )
         }
 
@@ -278,15 +289,15 @@
         self._vouched_at = max(self._vouched_at, at)
 
     @property
-    def known(self) -> CancellationKnowledge:
+    def cancellation_knowledge(self) -> CancellationKnowledge:
         """What is known of cancellations, by the watch or by word of the other members."""
-        return CancellationKnowledge(self.job_watch.seen.revision, self._known_at)
+        return CancellationKnowledge(self.job_watch.cancellation_knowledge.revision, self._known_at)
 
     @property
     def _known_at(self) -> Monotonic:
-        return max(self.job_watch.seen.at, self._vouched_at)
+        return max(self.job_watch.cancellation_knowledge.at, self._vouched_at)
 
-    def informed(self, now: Monotonic) -> bool:
+    def may_renew_workers(self, now: Monotonic) -> bool:
         """Whether workers may be renewed: what this leader does not know of is recent enough.
 
         Not before the records are read. Leaders that ended one after the other while they read
@@ -302,12 +313,12 @@
             why = "another member is ending its lease"
             self._resigning = asyncio.create_task(self._election.resign(why, 0.0))
 
-    def leads(self, mine: Leadership) -> bool:
+    def runs_term(self, leadership: Leadership) -> bool:
         """Whether this is that term."""
-        return self._mine is mine
+        return self._leadership is leadership
 
     def _valid(self) -> bool:
-        return self._election.leading(monotonic_now()) is self._mine
+        return self._election.valid_leadership(monotonic_now()) is self._leadership
 
     def _committed(self, chunks: list[Chunk]) -> None:
         """Start what is bound in these chunks, which are recorded now."""
@@ -332,9 +343,9 @@
         try:
             commands = self.fleet.heartbeats.process(report, machine_id, now, wall_now())
         except NewerTokenError as error:
-            log.info("term %d: %s", self._mine.term, error)
+            log.info("term %d: %s", self._leadership.term, error)
             self._election.step_down("a worker knows a newer term")
             return None
-        if self.job_store.ending:
+        if self.job_store.ending_jobs:
             self.write_batcher.wake()
         return commands
--- a/tealrill/leader/loops.py
+++ b/tealrill/leader/loops.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from typing import Final
 
-from tealrill.fleet.autoscaling import RENT_EVERY_S
+from tealrill.fleet.autoscaling import RENT_INTERVAL_S
 from tealrill.fleet.dispatch import SchedulingLoop
 from tealrill.fleet.inventory import Fleet
 from tealrill.leadership.lease_extension import CancellationKnowledge
@@ -62,7 +62,11 @@
                 self._write_batcher.wake()
             gap_s = pass_gap_s(monotonic_now() - began)
             await asyncio.sleep(gap_s)
-            pause_s = RENT_EVERY_S if self._scheduling_loop.autoscaler.put_off else _PASS_EVERY_S
+            pause_s = (
+                RENT_INTERVAL_S
+                if self._scheduling_loop.autoscaler.rental_deferred
+                else _PASS_EVERY_S
+            )
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(pause_s - gap_s):
                     await self._wake.wait()
@@ -76,17 +80,18 @@
         fleet: Fleet,
         delegations: Delegations,
         term: FencingToken,
-        informed: Callable[[Monotonic], bool],
+        may_renew_workers: Callable[[Monotonic], bool],
         known: Callable[[], CancellationKnowledge],
     ) -> None:
         """Check for the leader of `term`.
 
-        `informed` says whether workers may be renewed, `known` what is known of cancellations.
+        `may_renew_workers` says whether workers may be renewed, `known` what is known of
+        cancellations.
         """
         self._fleet = fleet
         self._delegations = delegations
         self._term = term
-        self._informed = informed
+        self._informed = may_renew_workers
         self._known = known
         self._was_informed = True
 
@@ -101,14 +106,14 @@
 
     def _log_knowledge(self, now: Monotonic) -> None:
         """Log when workers are not renewed any more for want of knowledge, and when they are."""
-        informed = self._informed(now)
-        if informed != self._was_informed:
-            self._was_informed = informed
+        may_renew_workers = self._informed(now)
+        if may_renew_workers != self._was_informed:
+            self._was_informed = may_renew_workers
             known = self._known()
             log.info(
                 "term %d: %s workers; cancellations are known up to revision %d, %.1f s ago",
                 self._term,
-                "renews" if informed else "does not renew",
+                "renews" if may_renew_workers else "does not renew",
                 known.revision,
                 now - known.at,
             )
@@ -116,7 +121,7 @@
     async def _check(self) -> None:
         """Expire machines' leases only once no other node can have renewed them."""
         now = monotonic_now()
-        silent = self._fleet.leases.silent(now)
+        silent = self._fleet.leases.expired_machines(now)
         # What its user was told is cancelled must not be kept running by a delegate, nor what this
         # leader may not know of. Once its machine's lease would have expired without
         # delegates is too late: the delegation's end and the worker's lease come after it, and left
@@ -127,5 +132,5 @@
             await self._delegations.clear()
             return
         has_overdue_stop |= any(b.chunk.job.cancelled for m in silent for b in m.bindings.values())
-        if not await self._delegations.stand(now, revoke=has_overdue_stop):
-            self._fleet.leases.check_silence(now)
+        if not await self._delegations.check_active(now, revoke=has_overdue_stop):
+            self._fleet.leases.expire_leases(now)
--- a/tealrill/leader/record_loader.py
+++ b/tealrill/leader/record_loader.py
@@ -18,7 +18,7 @@
 from tealrill.state.bindings import Binding
 from tealrill.state.client import StateClient, StateError
 from tealrill.state.job_store import JobStore
-from tealrill.state.records import JOB_PREFIX, RUN_PREFIX, RecordError, over_key
+from tealrill.state.records import JOB_PREFIX, RUN_PREFIX, RecordError, ended_key
 from tealrill.types import (
     FencingToken,
     JobId,
@@ -124,14 +124,14 @@
             # It is for a node that can read its job.
             return []
         if job is None:
-            self._job_store.garbage[entry.key] = Revision(entry.version)
+            self._job_store.orphaned_chunks[entry.key] = Revision(entry.version)
             return []
         try:
             return self._job_store.load(job, int(number), entry.value, Revision(entry.version))
         except RecordError as error:
             # Its tasks may run anywhere: none of the job is started as if they did not.
             log.error("record %s", error)
-            self._job_store.close_tasks(job)
+            self._job_store.block_tasks(job)
             return []
 
     async def _load_ended(self, chunks: list[wire.Entry]) -> None:
@@ -146,7 +146,7 @@
 
         async def look_up() -> None:
             for job_id in unknown:
-                over = await self._client.get(over_key(job_id))
+                over = await self._client.get(ended_key(job_id))
                 if over is not None and "spec" in over.value:
                     found.append(over)
 
--- a/tealrill/leadership/election.py
+++ b/tealrill/leadership/election.py
@@ -52,9 +52,9 @@
 """Members that may not stand, because they were silent (`leadership/exclusion.py`)."""
 READMISSION_S: Final = 15.0
 """For so long a member that was kept out sees that nobody leads before it lets itself in."""
-TTL_S: Final = 3.0
+LEASE_TTL_S: Final = 3.0
 _MARGIN_S: Final = 0.2
-_RENEW_S: Final = TTL_S / 4
+_RENEW_S: Final = LEASE_TTL_S / 4
 _WATCH_S: Final = 2.0
 _COMMIT_TIMEOUT_S: Final = 1.0
 """The lease that an election is attached to lasts three times as long."""
@@ -79,7 +79,7 @@
 
     host: str
     term: FencingToken
-    stamp: Revision = ABSENT
+    mod_revision: Revision = ABSENT
     """The version of its key."""
 
 
@@ -93,7 +93,7 @@
 class _Leaderless(NamedTuple):
     """That nobody led was seen."""
 
-    stamp: Revision
+    mod_revision: Revision
     """The version of the term's key at that time."""
     since: Monotonic
 
@@ -110,7 +110,7 @@
     return False
 
 
-def follows_itself(holder: dict[str, Any], now: Wall) -> int:
+def consecutive_reelections(holder: dict[str, Any], now: Wall) -> int:
     """Return how often in a row the holder's host will have followed itself shortly after."""
     elected, again = holder.get("at"), holder.get("again")
     if not isinstance(elected, int | float) or not isinstance(again, int):
@@ -120,12 +120,12 @@
 
 def _validity(sent: Monotonic) -> Monotonic:
     """Return until when a lease that was renewed by a request sent then is valid."""
-    return lower_bound_deadline(sent, TTL_S, _MARGIN_S)
+    return lower_bound_deadline(sent, LEASE_TTL_S, _MARGIN_S)
 
 
-def is_held_by_lease(mine: Leadership) -> bool:
+def is_held_by_lease(leadership: Leadership) -> bool:
     """Whether the term is valid by its lease alone, and not longer by other members' promises."""
-    return mine.valid_until <= _validity(mine.renewed_at)
+    return leadership.valid_until <= _validity(leadership.renewed_at)
 
 
 class Election:
@@ -147,9 +147,9 @@
         self._promised_until = monotonic_now()
         # This process does not know what its former one promised (`lease_extension.py`).
         self._restarted_until = Monotonic(monotonic_now() + promised_s)
-        self.nobody_leads: Callable[[], Awaitable[bool]] = _not_known
+        self.no_peer_leads: Callable[[], Awaitable[bool]] = _not_known
         """Whether every other member has just said that it does not lead."""
-        self.others_up: Callable[[], Awaitable[bool]] = _not_known
+        self.any_peer_answers: Callable[[], Awaitable[bool]] = _not_known
         """Whether another member answers."""
         self.revoking: FencingToken | None = None
         """The term whose lease this node is ending: it gets no promise."""
@@ -170,32 +170,32 @@
         """Nobody else can be elected at present."""
         self._leaderless: _Leaderless | None = None
         """While this host may not stand: when nobody was first seen to lead."""
-        self.mine: Leadership | None = None
-        self.known: KnownLeader | None = None
+        self.leadership: Leadership | None = None
+        self.known_leader: KnownLeader | None = None
         self.has_quorum_reach: Callable[[], bool] = lambda: True
         """Whether workers reach this node well; one that they don't reach lets others go first."""
 
-    def leading(self, now: Monotonic) -> Leadership | None:
+    def valid_leadership(self, now: Monotonic) -> Leadership | None:
         """Return the current term if this node may act on it at this very moment."""
-        mine = self.mine
-        return mine if mine is not None and mine.valid(now) else None
+        leadership = self.leadership
+        return leadership if leadership is not None and leadership.valid(now) else None
 
     @property
     def promised_until(self) -> Monotonic:
         """Until when this node may be bound by promises, its former process's included."""
         return max(self._promised_until, self._restarted_until)
 
-    def promise(self, term: FencingToken, until: Monotonic) -> str:
+    def grant_extension(self, term: FencingToken, until: Monotonic) -> str:
         """Promise not to stand before `until`; return why that can't be promised, or nothing."""
-        if self.mine is not None and term > self.mine.term:
+        if self.leadership is not None and term > self.leadership.term:
             # Whoever asks was elected later, so the key of this node's term has gone. While the
             # state service refuses this node it can't see that, and its refusal to promise ended
             # every task in the outage that followed.
             self.step_down(f"term {term} asks for a promise")
-        if self.mine is not None:
+        if self.leadership is not None:
             return "leads itself"
-        if self.known is not None and self.known.term > term:
-            return f"knows of term {self.known.term}"
+        if self.known_leader is not None and self.known_leader.term > term:
+            return f"knows of term {self.known_leader.term}"
         if self.revoking is not None and self.revoking >= term:
             return f"ends the lease of term {self.revoking}"
         if self._standing is not None and self._standing > term:
@@ -208,10 +208,10 @@
         """Follow the leader, stand when there is none, and keep what was won, for ever."""
         while True:
             try:
-                if self.mine is None:
+                if self.leadership is None:
                     await self._follow()
                 else:
-                    await self._hold(self.mine)
+                    await self._hold(self.leadership)
             except StateError as error:
                 log.debug("election: %s", error)
                 await self._pause(random.uniform(0.2, 0.5))
@@ -231,45 +231,45 @@
 
     def step_down(self, why: str) -> None:
         """Forget a term that is certainly or possibly over."""
-        if self.mine is not None:
-            log.info("term %d: no longer leader: %s", self.mine.term, why)
-            self.mine = None
-            self.known = None
+        if self.leadership is not None:
+            log.info("term %d: no longer leader: %s", self.leadership.term, why)
+            self.leadership = None
+            self.known_leader = None
             self._client.set_leading(False)
             self._changed()
 
     async def resign(self, why: str, pause_s: float) -> None:
         """Hand leadership to somebody better placed, and don't stand for `pause_s` seconds."""
-        mine = self.mine
+        leadership = self.leadership
         self._not_before = Monotonic(monotonic_now() + pause_s)
         self.step_down(why)
-        if mine is not None:
+        if leadership is not None:
             with contextlib.suppress(StateError):
-                await self._client.end_lease(mine.lease)
+                await self._client.end_lease(leadership.lease)
 
-    async def _hold(self, mine: Leadership) -> None:
+    async def _hold(self, leadership: Leadership) -> None:
         """Renew the lease of this node's term once."""
         sent = monotonic_now()
         try:
-            alive = await self._client.extend_lease(mine.lease, timeout_s=0.6)
+            alive = await self._client.extend_lease(leadership.lease, timeout_s=0.6)
         except StateError as error:
-            log.debug("term %d: renewal failed: %s", mine.term, error)
-            mine.troubled = True
+            log.debug("term %d: renewal failed: %s", leadership.term, error)
+            leadership.renewal_failed = True
             await asyncio.sleep(0.15)
             return
-        if self.mine is not mine:
+        if self.leadership is not leadership:
             return
         if not alive:
             self.step_down("its lease ended")
             return
-        was_valid = mine.valid(monotonic_now())
+        was_valid = leadership.valid(monotonic_now())
         # A lease that answers has never ended, so the key attached to it has stood all the time
         # and nobody else can have led: a term that went silent in an outage may go on.
-        mine.valid_until = max(mine.valid_until, _validity(sent))
-        mine.renewed_at = sent
-        mine.troubled = False
+        leadership.valid_until = max(leadership.valid_until, _validity(sent))
+        leadership.renewed_at = sent
+        leadership.renewal_failed = False
         if not was_valid:
-            log.info("term %d: leadership valid again after an interruption", mine.term)
+            log.info("term %d: leadership valid again after an interruption", leadership.term)
             self._changed()
         await asyncio.sleep(_RENEW_S)
 
@@ -278,19 +278,19 @@
         entries, revision = await self._client.scan(LEADER_KEY)
         entry = next((e for e in entries if e.key == LEADER_KEY), None)
         if entry is None:
-            self.known = None
-            await self._stand(ABSENT)
+            self.known_leader = None
+            await self._campaign(ABSENT)
             return
         holder = entry.value if isinstance(entry.value, dict) else {}
         if holder.get("host") == self._host:
             await self._replace_own_key(entry, holder)
             return
         self._is_first = False
-        self.known = self._read_leader(entry)
-        if self.known is not None:
+        self.known_leader = self._read_leader(entry)
+        if self.known_leader is not None:
             self._states.info(
-                f"term {self.known.term}: follows {self.known.host}, "
-                f"whose key is at revision {self.known.stamp}"
+                f"term {self.known_leader.term}: follows {self.known_leader.host}, "
+                f"whose key is at revision {self.known_leader.mod_revision}"
             )
         await self._client.watch(LEADER_KEY, revision, _WATCH_S)
 
@@ -299,17 +299,17 @@
 
         That process is gone, and with it whatever it might still have said.
         """
-        again = follows_itself(holder, wall_now())
+        again = consecutive_reelections(holder, wall_now())
         if holder.get("incarnation") == self._incarnation:
             await self._withdraw(entry)
-        elif again > _OFTEN and await self.others_up():
+        elif again > _OFTEN and await self.any_peer_answers():
             # It ends again and again, perhaps by leading. At once back each time, it would keep
             # the lease from all others: one that ended every second was elected 12 times.
             log.info("led %d terms in a row: other members stand first", again)
             self._not_before = Monotonic(monotonic_now() + _YIELD_S)
             await self._withdraw(entry)
         else:
-            await self._stand(Revision(entry.version), again)
+            await self._campaign(Revision(entry.version), again)
 
     def _read_leader(self, entry: wire.Entry) -> KnownLeader | None:
         """Read another member's record; None if this version can't.
@@ -332,13 +332,13 @@
             [wire.guard(LEADER_KEY, entry.version)], [wire.delete(LEADER_KEY)]
         )
 
-    async def _stand(self, stamp: Revision, again: int = 0) -> None:
+    async def _campaign(self, mod_revision: Revision, again: int = 0) -> None:
         """Stand for election once.
 
-        `stamp` is the version of the key that this host's former process left, if it did, and
-        `again` how often in a row this host will have followed itself.
+        `mod_revision` is the version of the key that this host's former process left, if it did,
+        and `again` how often in a row this host will have followed itself.
         """
-        if not await self._wait_for_turn(stamp):
+        if not await self._wait_for_turn(mod_revision):
             return
         last = await self._client.get(TERM_KEY)
         if last is not None and type(last.value) is not int:
@@ -347,11 +347,11 @@
             await asyncio.sleep(_UNREADABLE_S)
             return
         sent = monotonic_now()
-        lease = await self._client.create_lease(TTL_S)
-        candidacy = self._candidacy(stamp, again, last, lease)
+        lease = await self._client.create_lease(LEASE_TTL_S)
+        candidacy = self._candidacy(mod_revision, again, last, lease)
         # A key that this host's former process left is no other leader's, and a service without a
         # term has had no leader who could hold a promise.
-        bound = stamp == ABSENT and last is not None
+        bound = mod_revision == ABSENT and last is not None
         # Looked at last of all: a promise may have been given while the rest was awaited.
         if bound and (
             not await self._free_of_former_promises() or monotonic_now() < self._promised_until
@@ -369,10 +369,10 @@
             Leadership(candidacy.term, revision, lease, now, _validity(sent), renewed_at=sent)
         )
 
-    async def _wait_for_turn(self, stamp: Revision) -> bool:
+    async def _wait_for_turn(self, mod_revision: Revision) -> bool:
         """Let others stand first where they should; return whether to stand now."""
         pause_s = self._not_before - monotonic_now()
-        if stamp == ABSENT:
+        if mod_revision == ABSENT:
             pause_s = max(
                 pause_s, 0.0 if self._is_first or self.has_quorum_reach() else _OTHERS_FIRST_S
             ) + random.uniform(0, 0.05)
@@ -383,7 +383,7 @@
         return pause_s <= 1.0
 
     def _candidacy(
-        self, stamp: Revision, again: int, last: wire.KeyValue | None, lease: LeaseId
+        self, mod_revision: Revision, again: int, last: wire.KeyValue | None, lease: LeaseId
     ) -> _Candidacy:
         """Make the transaction that elects this node for the term after `last`."""
         term = FencingToken((last.value if last is not None else 0) + 1)
@@ -396,7 +396,7 @@
             "revocable": True,
         }
         guards = [
-            wire.guard(LEADER_KEY, stamp),
+            wire.guard(LEADER_KEY, mod_revision),
             wire.guard(TERM_KEY, last.version if last is not None else ABSENT),
             wire.guard(exclusion_key(self._host), ABSENT),
         ]
@@ -430,20 +430,20 @@
         """
         term = await self._client.get(TERM_KEY)
         leader = await self._client.get(LEADER_KEY)
-        stamp = Revision(term.version) if term is not None else ABSENT
+        mod_revision = Revision(term.version) if term is not None else ABSENT
         now = monotonic_now()
         if leader is not None:
             self._leaderless = None
-        elif self._leaderless is None or self._leaderless.stamp != stamp:
+        elif self._leaderless is None or self._leaderless.mod_revision != mod_revision:
             log.info("this member is excluded from elections: it was unreachable")
-            self._leaderless = _Leaderless(stamp, now)
+            self._leaderless = _Leaderless(mod_revision, now)
         elif now - self._leaderless.since >= READMISSION_S * CLOCK_DRIFT:
             entry = await self._client.get(exclusion_key(self._host))
             if entry is not None:
                 log.info("no leader seen for %.0f s", now - self._leaderless.since)
                 guards = [
                     wire.guard(LEADER_KEY, ABSENT),
-                    wire.guard(TERM_KEY, stamp),
+                    wire.guard(TERM_KEY, mod_revision),
                     wire.guard(exclusion_key(self._host), entry.version),
                 ]
                 await self._client.commit(guards, [wire.delete(exclusion_key(self._host))])
@@ -455,7 +455,7 @@
         Only a leader could go on by it. When all controllers crash together, their workers' leases
         do not leave the time to wait for the promise's end.
         """
-        if monotonic_now() < self._restarted_until and await self.nobody_leads():
+        if monotonic_now() < self._restarted_until and await self.no_peer_leads():
             self._restarted_until = monotonic_now()
         return monotonic_now() >= self._restarted_until
 
@@ -470,12 +470,14 @@
             return Revision(entry.version)
         return None
 
-    def _won(self, mine: Leadership) -> None:
+    def _won(self, leadership: Leadership) -> None:
         """Begin a term."""
-        log.info("term %d: elected, its key is at revision %d", mine.term, mine.stamp)
+        log.info(
+            "term %d: elected, its key is at revision %d", leadership.term, leadership.mod_revision
+        )
         self._states.forget()
         self._is_first = False
-        self.mine = mine
-        self.known = KnownLeader(self._host, mine.term, mine.stamp)
+        self.leadership = leadership
+        self.known_leader = KnownLeader(self._host, leadership.term, leadership.mod_revision)
         self._client.set_leading(True)
         self._changed()
--- a/tealrill/leadership/exclusion.py
+++ b/tealrill/leadership/exclusion.py
@@ -56,15 +56,15 @@
         settings: Settings,
         client: StateClient,
         term: FencingToken,
-        stamp: Revision,
+        mod_revision: Revision,
         valid: Callable[[], bool],
         now: Callable[[], Monotonic] = monotonic_now,
-        revoked: Callable[[], None] = lambda: None,
+        on_lease_revoked: Callable[[], None] = lambda: None,
     ) -> None:
-        self._revoked = revoked
+        self._revoked = on_lease_revoked
         """This term's lease may be ended by another member at any moment."""
         self._client = client
-        self._fence = Fence(client, stamp)
+        self._fence = Fence(client, mod_revision)
         self._term = term
         self._valid = valid
         self._now = now
@@ -88,7 +88,7 @@
         """Whether that member can't be elected before `READMISSION_S` without a leader."""
         return host in self._certain
 
-    def hold_until(self, until: Monotonic) -> None:
+    def defer_readmissions_until(self, until: Monotonic) -> None:
         """Readmit nobody before `until`: the term is extended until then by `is_excluded`."""
         self._relied_until = Monotonic(max(self._relied_until, until))
 
--- a/tealrill/leadership/lease_extension.py
+++ b/tealrill/leadership/lease_extension.py
@@ -20,8 +20,8 @@
 from tealrill import wire
 from tealrill.change_log import ChangeLog
 from tealrill.http import Client, NoAnswerError, peer_clients
-from tealrill.leadership.election import READMISSION_S, TTL_S
-from tealrill.leadership.open_jobs import cancel_spare_s, renewal_bound_s
+from tealrill.leadership.election import LEASE_TTL_S, READMISSION_S
+from tealrill.leadership.open_jobs import cancel_spare_s, renewal_staleness_bound_s
 from tealrill.settings import Settings
 from tealrill.state.acknowledged_cancellations import AcknowledgedCancellations
 from tealrill.state.client import StateClient, StateError
@@ -30,7 +30,7 @@
 
 log = logging.getLogger(__name__)
 
-PROMISE_S: Final = 4.0
+EXTENSION_GRANT_S: Final = 4.0
 """How long a promise holds on the clock of the member that gives it."""
 EXTENSION_PATH: Final = "/peer/truce"
 PING_PATH: Final = "/peer/ping"
@@ -83,9 +83,9 @@
 class Standing(Protocol):
     """The part of an election that promises concern."""
 
-    mine: Leadership | None
+    leadership: Leadership | None
 
-    def promise(self, term: FencingToken, until: Monotonic) -> str:
+    def grant_extension(self, term: FencingToken, until: Monotonic) -> str:
         """Empty if this node will not stand before `until`; else why it can't promise that."""
 
 
@@ -114,24 +114,24 @@
         self._election = election
         self._acknowledged = acknowledged or AcknowledgedCancellations(lambda: Revision(0))
         self._now = now
-        self.seen: Callable[[], CancellationKnowledge] = CancellationKnowledge
+        self.cancellation_knowledge: Callable[[], CancellationKnowledge] = CancellationKnowledge
         """What this node, when it leads, knows of cancellations."""
-        self.cancelled: Callable[[str], None] = lambda _: None
+        self.on_cancelled: Callable[[str], None] = lambda _: None
         """Tells this node's leader of a cancellation that another node has acknowledged."""
         self.on_cancellations_known: Callable[[Leadership, Monotonic], None] = lambda _, __: None
         """All that was acknowledged before that moment has been told."""
-        self.reports: Callable[[], int] = lambda: 0
+        self.heartbeat_count: Callable[[], int] = lambda: 0
         self.lost_term: Callable[[], FencingToken | None] = lambda: None
         self.is_excluded: Callable[[Leadership, str], bool] = lambda _, __: False
         """Whether a member that does not answer certainly can't be elected for a while."""
-        self.extended: Callable[[Leadership, Monotonic], None] = lambda _, __: None
+        self.on_extended_by_exclusion: Callable[[Leadership, Monotonic], None] = lambda _, __: None
         """The term is prolonged until then by that."""
         self._peers = peer_clients(settings)
         workers = settings.params.workers
         # A cancellation can be acknowledged right after a promise was given. The leader may then
         # go on for as long as the promise holds, and the worker for a lease longer.
-        self._unseen_s = renewal_bound_s(workers)
-        self.possible = cancel_spare_s(workers) >= PROMISE_S
+        self._unseen_s = renewal_staleness_bound_s(workers)
+        self.possible = cancel_spare_s(workers) >= EXTENSION_GRANT_S
         self._extending = False
         self._bounded = False
         self._refusals = ChangeLog(log)
@@ -141,74 +141,77 @@
     async def run(self) -> None:
         """Extend the leader's validity by a majority whenever its lease can't be renewed."""
         while True:
-            mine = self._election.mine
-            if mine is not None and mine.troubled and self.possible:
-                await self._seek(mine)
+            leadership = self._election.leadership
+            if leadership is not None and leadership.renewal_failed and self.possible:
+                await self._seek(leadership)
             else:
-                if mine is not None and self._extending:
-                    log.info("term %d: leadership held by its lease again", mine.term)
+                if leadership is not None and self._extending:
+                    log.info("term %d: leadership held by its lease again", leadership.term)
                 self._extending = False
                 self._refusals.forget()
             await asyncio.sleep(_ASK_EVERY_S)
 
-    async def _seek(self, mine: Leadership) -> None:
+    async def _seek(self, leadership: Leadership) -> None:
         sent = self._now()
-        if not mine.valid(sent):
+        if not leadership.valid(sent):
             return
-        seen = self.seen()
-        request = ExtensionRequest(mine.term, seen.revision)
+        seen = self.cancellation_knowledge()
+        request = ExtensionRequest(leadership.term, seen.revision)
         answers = await asyncio.gather(*(self._ask(c, request) for c in self._peers.values()))
         # What this node itself acknowledged may not have come back by its watch either.
         told = [self._acknowledged.since(seen.revision)]
         told += [answer.cancelled for answer in answers if answer is not None]
         for job in chain.from_iterable(told):
-            self.cancelled(job)
+            self.on_cancelled(job)
         by_name = dict(zip(self._peers, answers, strict=True))
         silent = [name for name, answer in by_name.items() if answer is None]
-        refused = [f"{n}: no answer" for n in silent if not self.is_excluded(mine, n)]
+        refused = [f"{n}: no answer" for n in silent if not self.is_excluded(leadership, n)]
         refused += [f"{n}: {a.why}" for n, a in by_name.items() if a is not None and not a.promised]
         if refused:
-            self._refusals.info(f"term {mine.term}: lease not extended: {'; '.join(refused)}")
+            self._refusals.info(f"term {leadership.term}: lease not extended: {'; '.join(refused)}")
             return
         latest = _FOREVER
         unknown = [n for n, a in by_name.items() if a is None or not a.vouches]
-        if not self._acknowledged.all_since(seen.revision):
+        if not self._acknowledged.is_complete_since(seen.revision):
             unknown.append("this node itself")
         if not unknown:
-            self.on_cancellations_known(mine, sent)
+            self.on_cancellations_known(leadership, sent)
         else:
             # They, or their former processes, may have acknowledged what nobody here has seen.
             latest = Monotonic(seen.at + self._unseen_s)
         if silent:
             latest = min(
                 latest,
-                lower_bound_deadline(mine.renewed_at, TTL_S + READMISSION_S, _READMISSION_MARGIN_S),
+                lower_bound_deadline(
+                    leadership.renewed_at, LEASE_TTL_S + READMISSION_S, _READMISSION_MARGIN_S
+                ),
             )
-            self.extended(mine, latest)
+            self.on_extended_by_exclusion(leadership, latest)
         if not self._extending:
             log.info(
-                "term %d: goes on without the state service, by all others' promise", mine.term
+                "term %d: goes on without the state service, by all others' promise",
+                leadership.term,
             )
         if unknown and (not self._extending or not self._bounded):
             log.info(
                 "term %d: for %.1f s at most, since %s can't vouch for cancellations",
-                mine.term,
+                leadership.term,
                 max(0.0, latest - sent),
                 ", ".join(unknown),
             )
         self._extending = True
         self._bounded = bool(unknown)
-        self.extend(mine, sent, latest)
+        self.extend(leadership, sent, latest)
 
-    def extend(self, mine: Leadership, sent: Monotonic, latest: Monotonic = _FOREVER) -> None:
+    def extend(self, leadership: Leadership, sent: Monotonic, latest: Monotonic = _FOREVER) -> None:
         """All others have promised, after `sent`; `latest` is how far they may be prolonged on.
 
         Only a term that was valid all the time is prolonged. After a gap somebody else may have
         been elected, and promises given afterwards would not undo that.
         """
-        if mine.valid(self._now()):
-            until = lower_bound_deadline(sent, PROMISE_S, _MARGIN_S)
-            mine.valid_until = max(mine.valid_until, min(until, latest))
+        if leadership.valid(self._now()):
+            until = lower_bound_deadline(sent, EXTENSION_GRANT_S, _MARGIN_S)
+            leadership.valid_until = max(leadership.valid_until, min(until, latest))
 
     async def _ask(self, client: Client, request: ExtensionRequest) -> ExtensionAnswer | None:
         """A member's answer; None if it says nothing."""
@@ -223,11 +226,11 @@
 
     # -- a restarted member -----------------------------------------------------------------------
 
-    async def nobody_leads(self) -> bool:
+    async def no_peer_leads(self) -> bool:
         """Whether every other member says that it does not lead; no answer says nothing."""
         return all(found is not None and not found.leads for found in await self._presences())
 
-    async def others_up(self) -> bool:
+    async def any_peer_answers(self) -> bool:
         """Whether any other member answers."""
         return any(found is not None for found in await self._presences())
 
@@ -237,11 +240,13 @@
 
     def presence(self) -> Presence:
         """Return what this member tells others of itself."""
-        return Presence(self._election.mine is not None, self.reports(), self.lost_term())
+        return Presence(
+            self._election.leadership is not None, self.heartbeat_count(), self.lost_term()
+        )
 
     # -- the others' side -----------------------------------------------------------------------
 
-    async def asked(self, request: ExtensionRequest) -> ExtensionAnswer:
+    async def handle_request(self, request: ExtensionRequest) -> ExtensionAnswer:
         """A promise is given only by a member that can't reach the state service either.
 
         Were it reachable from here, the leader alone would be cut off, and another leader serves
@@ -250,10 +255,12 @@
         """
         if await self._state_answers():
             return ExtensionAnswer(False, "the state service answers here")
-        why = self._election.promise(FencingToken(request.term), Monotonic(self._now() + PROMISE_S))
+        why = self._election.grant_extension(
+            FencingToken(request.term), Monotonic(self._now() + EXTENSION_GRANT_S)
+        )
         seen = Revision(request.seen)
         known = self._acknowledged
-        return ExtensionAnswer(not why, why, known.since(seen), known.all_since(seen))
+        return ExtensionAnswer(not why, why, known.since(seen), known.is_complete_since(seen))
 
     async def _state_answers(self) -> bool:
         try:
--- a/tealrill/leadership/lease_revocation.py
+++ b/tealrill/leadership/lease_revocation.py
@@ -32,7 +32,7 @@
 
 from tealrill import wire
 from tealrill.http import peer_clients
-from tealrill.leadership.election import TERM_KEY, TTL_S, Election, KnownLeader, exclusion_key
+from tealrill.leadership.election import LEASE_TTL_S, TERM_KEY, Election, KnownLeader, exclusion_key
 from tealrill.leadership.exclusion import ExclusionRecord
 from tealrill.leadership.lease_extension import Presence, ask_presence
 from tealrill.settings import Settings
@@ -87,12 +87,12 @@
         settings: Settings,
         client: StateClient,
         election: Election,
-        unheard_since: Callable[[], Monotonic | None],
+        leader_unreachable_since: Callable[[], Monotonic | None],
         now: Callable[[], Monotonic] = monotonic_now,
     ) -> None:
         self._client = client
         self._election = election
-        self._unheard_since = unheard_since
+        self._unheard_since = leader_unreachable_since
         """Since when the known leader has not answered this member; None if it does."""
         self._now = now
         self._host = settings.host_name
@@ -115,8 +115,8 @@
     @property
     def lost_term(self) -> FencingToken | None:
         """The term whose leader this member finds lost."""
-        leader, since = self._election.known, self._unheard_since()
-        if leader is None or since is None or self._election.mine is not None:
+        leader, since = self._election.known_leader, self._unheard_since()
+        if leader is None or since is None or self._election.leadership is not None:
             self._suspected = None
             return None
         if leader != self._suspected:
@@ -132,7 +132,7 @@
         if attempt is not None and self._is_over(attempt):
             self._give_up("somebody leads")
         elif attempt is None:
-            leader = self._election.known
+            leader = self._election.known_leader
             if self.lost_term is None or leader is None:
                 # A try that brought no answer is over: nothing was ended by it.
                 self._election.revoking = None
@@ -147,8 +147,10 @@
             await self._readmit_itself(attempt)
 
     def _is_over(self, attempt: _Attempt) -> bool:
-        known = self._election.known
-        return self._election.mine is not None or (known is not None and known != attempt.leader)
+        known_leader = self._election.known_leader
+        return self._election.leadership is not None or (
+            known_leader is not None and known_leader != attempt.leader
+        )
 
     def _give_up(self, why: str) -> None:
         log.info("the lost leader's lease: %s", why)
@@ -170,7 +172,7 @@
         hosts = [self._host, *(host for host in self._peers if host != leader.host)]
         if (
             entry is None
-            or entry.version != leader.stamp
+            or entry.version != leader.mod_revision
             or entry.lease is None
             or not _is_revocable(entry)
             or term is None
@@ -182,7 +184,7 @@
         mark = self._mark_for(leader)
         record = wire.plain(ExclusionRecord(leader.term, ends_term=leader.term, mark=mark))
         guards = [
-            wire.guard(LEADER_KEY, leader.stamp),
+            wire.guard(LEADER_KEY, leader.mod_revision),
             wire.guard(TERM_KEY, term.version),
             # A member that is excluded already was perhaps excluded by this leader, which then
             # goes on without its promise.
@@ -223,7 +225,7 @@
     async def _end_lease(self, attempt: _Attempt) -> None:
         await self._client.end_lease(attempt.lease)
         # It was renewed for the last time before this answer.
-        attempt.may_stand_at = Monotonic(self._now() + TTL_S * CLOCK_DRIFT + _MARGIN_S)
+        attempt.may_stand_at = Monotonic(self._now() + LEASE_TTL_S * CLOCK_DRIFT + _MARGIN_S)
         log.info(
             "term %d: the lease of %s is ended, nobody leads for %.1f s",
             attempt.leader.term,
--- a/tealrill/leadership/open_jobs.py
+++ b/tealrill/leadership/open_jobs.py
@@ -1,11 +1,11 @@
 """Which jobs are open, as a controller knows it that renews workers for the leader.
 
 A worker may be renewed only by whoever knows every cancellation that a user was told of more than
-the staleness bound ago (`renewal_bound_s`). The leader knows them from its watch. A controller
-that renews in its place learns them here: it reads the jobs and the bindings once, and what changed
-under `job/` before each confirmation of its right. A job without a record there is over; what it
-left on a machine that still reports was cancelled, at the earliest when its end's revision can have
-come about (`state/revision_clock.py`).
+the staleness bound ago (`renewal_staleness_bound_s`). The leader knows them from its watch. A
+controller that renews in its place learns them here: it reads the jobs and the bindings once, and
+what changed under `job/` before each confirmation of its right. A job without a record there is
+over; what it left on a machine that still reports was cancelled, at the earliest when its end's
+revision can have come about (`state/revision_clock.py`).
 
 Bindings are read because a start that left directly may arrive minutes late: its task is in no
 report yet, and must not find its worker renewed.
@@ -23,12 +23,12 @@
 from tealrill.settings import Workers
 from tealrill.state.client import StateClient, StateError
 from tealrill.state.records import (
+    ENDED_PREFIX,
     JOB_PREFIX,
-    OVER_PREFIX,
     RUN_PREFIX,
     RecordError,
     chunk_bindings,
-    over_key,
+    ended_key,
 )
 from tealrill.types import (
     Incarnation,
@@ -55,7 +55,7 @@
     return workers.cancel_s - workers.lease_s - _CANCEL_MARGIN_S
 
 
-def renewal_bound_s(workers: Workers) -> float:
+def renewal_staleness_bound_s(workers: Workers) -> float:
     """How old the knowledge of cancellations may be by which a worker is renewed, in seconds.
 
     A worker that is renewed at the end of it runs on for its lease. Where `cancel_s` leaves less
@@ -171,9 +171,9 @@
 
     async def _read_end(self, name: str, owner: str | None) -> None:
         """When a job was open at the latest that this process never saw open."""
-        end = await self._client.get(over_key(JobId(name)))
+        end = await self._client.get(ended_key(JobId(name)))
         if end is None and owner is not None:
-            end = await self._client.get(OVER_PREFIX + owner)
+            end = await self._client.get(ENDED_PREFIX + owner)
         if end is not None:
             self._last_open[name] = self._client.revisions.not_before(Revision(end.version))
         self._ends_unread.pop(name, None)
--- a/tealrill/leadership/renewal_delegation.py
+++ b/tealrill/leadership/renewal_delegation.py
@@ -24,7 +24,7 @@
 from tealrill.http import Client, NoAnswerError, peer_clients
 from tealrill.leadership.election import Election, KnownLeader
 from tealrill.leadership.lease_extension import PING_PATH
-from tealrill.leadership.open_jobs import OpenJobs, renewal_bound_s
+from tealrill.leadership.open_jobs import OpenJobs, renewal_staleness_bound_s
 from tealrill.settings import Settings
 from tealrill.state.client import Committed, StateClient, StateError, StateUnavailableError
 from tealrill.state.fencing import LEADER_KEY, Fence
@@ -90,10 +90,10 @@
         self._peers = peer_clients(settings)
         workers = settings.params.workers
         self._warn_after_s = workers.cancel_s
-        self._jobs = OpenJobs(client, renewal_bound_s(workers), now)
+        self._jobs = OpenJobs(client, renewal_staleness_bound_s(workers), now)
         self._misses = 0
         self._cut_since: Monotonic | None = None
-        self.unheard_since: Monotonic | None = None
+        self.leader_unreachable_since: Monotonic | None = None
         """Since when the known leader has not answered, a refused connection counted as well."""
         self._asked_at = Monotonic(-1e9)
         self._confirmed_at = Monotonic(-1e9)
@@ -102,7 +102,7 @@
         self._renewals: _DelegatedRenewals | None = None
         self._unreadable = ChangeLog(log)
 
-    def renews(
+    def renewal_token(
         self, report: wire.Heartbeat, machine: MachineId, now: Monotonic
     ) -> FencingToken | None:
         """The term whose token may be given to this worker at this very moment."""
@@ -111,7 +111,7 @@
         if (
             renewals is None
             or self._cut_since is None
-            or renewals.leader != self._election.known
+            or renewals.leader != self._election.known_leader
             or now >= self._valid_until
             or report.token > renewals.leader.term
         ):
@@ -125,7 +125,7 @@
         return renewals.leader.term
 
     @property
-    def leader_silent(self) -> bool:
+    def leader_unreachable(self) -> bool:
         """The leader has not answered this node for about a second."""
         return self._cut_since is not None
 
@@ -142,15 +142,19 @@
         """Ping the leader, and confirm or end the delegation."""
         while True:
             await asyncio.sleep(_EVERY_S)
-            known = self._election.known
-            if known is None or self._election.mine is not None or known.host not in self._peers:
-                self.unheard_since = None
+            known_leader = self._election.known_leader
+            if (
+                known_leader is None
+                or self._election.leadership is not None
+                or known_leader.host not in self._peers
+            ):
+                self.leader_unreachable_since = None
                 self._heard()
                 continue
-            await self._ping(self._peers[known.host])
+            await self._ping(self._peers[known_leader.host])
             if self._wanted(self._now()):
                 try:
-                    await self.confirm(known)
+                    await self.confirm(known_leader)
                 except StateError as error:
                     log.debug("delegation: %s", error)
 
@@ -158,8 +162,8 @@
         try:
             await leader.request("GET", PING_PATH, timeout_s=_PING_TIMEOUT_S)
         except NoAnswerError as error:
-            if self.unheard_since is None:
-                self.unheard_since = self._now()
+            if self.leader_unreachable_since is None:
+                self.leader_unreachable_since = self._now()
             if error.refused:
                 # Its process is gone, or controllers are kept apart: neither cuts off workers.
                 return self._heard()
@@ -167,7 +171,7 @@
             if self._misses >= _MISSES and self._cut_since is None:
                 self._cut_since = self._now()
             return None
-        self.unheard_since = None
+        self.leader_unreachable_since = None
         return self._heard()
 
     def _heard(self) -> None:
@@ -199,7 +203,7 @@
         sent = self._now()
         result = await self._client.commit(
             [
-                wire.guard(LEADER_KEY, leader.stamp),
+                wire.guard(LEADER_KEY, leader.mod_revision),
                 wire.guard(self._key, entry.version if entry is not None else ABSENT),
             ],
             [wire.put(self._key, wire.plain(Delegation(leader.term, beat=self._beat)))],
@@ -289,10 +293,14 @@
     _LONGEST_S = 60.0
 
     def __init__(
-        self, client: StateClient, term: FencingToken, stamp: Revision, ended: Callable[[], None]
+        self,
+        client: StateClient,
+        term: FencingToken,
+        mod_revision: Revision,
+        ended: Callable[[], None],
     ) -> None:
         self._client = client
-        self._fence = Fence(client, stamp)
+        self._fence = Fence(client, mod_revision)
         self._term = term
         self._ended = ended
         """Called when a delegation has ended, or may have."""
@@ -300,7 +308,7 @@
         self._since: dict[str, Monotonic] = {}
         self._written: dict[str, tuple[int, Monotonic]] = {}
 
-    async def stand(self, now: Monotonic, revoke: bool) -> bool:
+    async def check_active(self, now: Monotonic, revoke: bool) -> bool:
         """Whether any node may have renewed workers a moment ago.
 
         Raises `StateError` where that can't be learnt, and then nothing may be called lapsed.
--- a/tealrill/leadership/transfer.py
+++ b/tealrill/leadership/transfer.py
@@ -32,12 +32,12 @@
         self._window = 0
         self._counts = [0, 0]
 
-    def took(self, now: Monotonic) -> None:
+    def record_heartbeat(self, now: Monotonic) -> None:
         """A worker's report came to this node."""
         self._turn(now)
         self._counts[1] += 1
 
-    def recent(self, now: Monotonic) -> int:
+    def recent_heartbeats(self, now: Monotonic) -> int:
         """How many reports came within the last one to two windows of two report periods."""
         self._turn(now)
         return sum(self._counts)
@@ -48,7 +48,7 @@
             self._counts = [self._counts[1] if window == self._window + 1 else 0, 0]
             self._window = window
 
-    async def better(self, heard: int) -> bool:
+    async def peer_receives_heartbeats(self, heard: int) -> bool:
         """Whether any other node hears workers; `heard` machines were heard here until now."""
         found = await asyncio.gather(*(self._ask(client) for client in self._peers))
         return max(found, default=0) >= max(_FEWEST, math.ceil(_SHARE * heard))
--- a/tealrill/process.py
+++ b/tealrill/process.py
@@ -96,7 +96,7 @@
         return Size(
             monotonic_now(),
             len(machines),
-            sum(m.lease_expired or m.id in leader.prober.diagnosis.verdicts for m in machines),
+            sum(m.lease_expired or m.id in leader.prober.diagnosis.suspicions for m in machines),
             sum(job.waiting > 0 for job in jobs),
             sum(job.waiting for job in jobs),
             sum(len(m.bindings) for m in machines),
--- a/tealrill/scheduler/capacity.py
+++ b/tealrill/scheduler/capacity.py
@@ -160,13 +160,13 @@
                     fitting.append((offer, ready, _price(offer, slots[offer.type], waiting)))
         if not fitting:
             continue
-        limit = policy.dear * min(price for _, _, price in fitting)
+        limit = policy.expensive_ratio * min(price for _, _, price in fitting)
         cheap = [(o, slots[o.type]) for o, ready, price in fitting if ready and price <= limit]
         wait_s = min(offer.boot_s for offer, _, _ in fitting)
         offers = cheap or [(o, slots[o.type]) for o, ready, _ in fitting if ready]
         if not cheap and job in affordable:
             # Only expensive machines are available: capacity by the latest start will do.
-            wait_s = max(wait_s, job.latest_s[0])
+            wait_s = max(wait_s, job.latest_start_s[0])
             offers = []
         demands.append(_Demand(job, waiting, wait_s, offers))
         if offers:
--- a/tealrill/scheduler/estimates.py
+++ b/tealrill/scheduler/estimates.py
@@ -54,7 +54,7 @@
         """Record the processors that a submitted job takes as a whole."""
         self._sizes.setdefault(job_class, deque(maxlen=WINDOW)).append(cpus)
 
-    def large(self, job_class: str) -> float:
+    def percentile_80_cpus(self, job_class: str) -> float:
         """The size that four jobs of five do not exceed; 0 until a few were seen."""
         sizes = self._sizes.get(job_class, ())
         return quantiles(sizes, n=5)[-1] if len(sizes) >= 5 else 0.0
--- a/tealrill/scheduler/failure_detector.py
+++ b/tealrill/scheduler/failure_detector.py
@@ -22,7 +22,7 @@
 MISSES: Final = 2
 """So many attempts in a row without a connection show that nothing answers there. A lost packet
 costs one attempt."""
-LISTS: Final = 2
+MIN_MISSING_LISTS: Final = 2
 """A list may be older than the one before it, so one list without a machine says nothing."""
 _LIVE_REPORTS: Final = 1.5
 """Workers report at least every 1.25 periods, so one that is not cut off was heard since."""
@@ -40,13 +40,13 @@
 class Suspicion(Enum):
     """The probable cause of a machine's silence."""
 
-    LATE = "late"
+    UNDETERMINED = "late"
     """Silent, and not known why."""
     HUNG = "hung"
     """It takes connections and says nothing: it may go on at any moment."""
-    CUT = "cut"
+    PARTITIONED = "cut"
     """Nothing of its zone is heard: the way there is broken, and the machine works on."""
-    GONE = "gone"
+    FAILED = "gone"
     """It takes no connection while others of its zone are heard, or the cloud lists it no more."""
 
 
@@ -70,7 +70,7 @@
 class Diagnosis:
     """The suspicions about all silent machines."""
 
-    verdicts: dict[MachineId, Suspicion]
+    suspicions: dict[MachineId, Suspicion]
     """Of the machines that are not heard."""
     partitioned_zones: frozenset[str]
     inbound_partitioned: bool = False
@@ -87,7 +87,7 @@
     return _LIVE_REPORTS * heartbeat_interval_s
 
 
-def judge(observations: Iterable[Evidence], heartbeat_interval_s: float) -> Diagnosis:
+def diagnose(observations: Iterable[Evidence], heartbeat_interval_s: float) -> Diagnosis:
     """Diagnose the whole fleet from one set of observations.
 
     A zone counts as heard by the machines that were heard within the last one and a half heartbeat
@@ -103,7 +103,7 @@
             heard[evidence.zone] += 1
         elif evidence.silent_s > _JUDGED_REPORTS * heartbeat_interval_s:
             silent.append(evidence)
-        if evidence.missing_from_lists < LISTS and not evidence.accepts:
+        if evidence.missing_from_lists < MIN_MISSING_LISTS and not evidence.accepts:
             # A machine that the cloud took away or that takes connections says nothing of the way.
             reachable[evidence.zone] += 1
     partitioned = frozenset(
@@ -111,21 +111,21 @@
         for zone, count in reachable.items()
         if count >= _FEWEST and heard[zone] <= _HEARD_SHARE * count
     )
-    verdicts = {
+    suspicions = {
         evidence.machine: _suspect(evidence, evidence.zone in partitioned) for evidence in silent
     }
     inbound_partitioned = bool(partitioned) and not any(heard.values())
-    return Diagnosis(verdicts, partitioned, inbound_partitioned)
+    return Diagnosis(suspicions, partitioned, inbound_partitioned)
 
 
 def _suspect(evidence: Evidence, is_zone_partitioned: bool) -> Suspicion:
-    if evidence.missing_from_lists >= LISTS:
-        return Suspicion.GONE
+    if evidence.missing_from_lists >= MIN_MISSING_LISTS:
+        return Suspicion.FAILED
     if evidence.accepts:
         return Suspicion.HUNG
     if is_zone_partitioned:
-        return Suspicion.CUT
-    return Suspicion.GONE if evidence.failed_connects >= MISSES else Suspicion.LATE
+        return Suspicion.PARTITIONED
+    return Suspicion.FAILED if evidence.failed_connects >= MISSES else Suspicion.UNDETERMINED
 
 
 def expected_recovery_s(suspicion: Suspicion, silent_s: float) -> float | None:
@@ -134,12 +134,12 @@
     The best guess for a silence of unknown length is that it lasts as long again as it has lasted
     so far. A replacement that boots for longer than that is not worth its price.
     """
-    if suspicion is Suspicion.GONE:
+    if suspicion is Suspicion.FAILED:
         return None
     return max(_SOON_S, silent_s)
 
 
-def is_bypassed_by_heartbeats(silent_s: float, heard: int, heartbeat_interval_s: float) -> bool:
+def has_lost_all_heartbeats(silent_s: float, heard: int, heartbeat_interval_s: float) -> bool:
     """Return whether a leader that recently heard `heard` machines hears none any more.
 
     The more machines there are, the closer together their heartbeats come: of three or more, one
--- a/tealrill/scheduler/model.py
+++ b/tealrill/scheduler/model.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Pace:
+class EstimateCorrection:
     """Actual to estimated run time of a team's recent tasks; shared by all that run."""
 
     ratio: float = 1.0
@@ -39,17 +39,17 @@
     memory_gb: float
     backfilled: bool
     stopping: bool
-    since: Monotonic | None
+    started_at: Monotonic | None
     """When it began to run; None while it waits for its image."""
-    guess_s: float
+    owner_estimate_s: float
     """Its owner's estimate."""
-    pace: Pace
+    correction: EstimateCorrection
     saves: bool
     save_s: float
 
     def ran_s(self, now: Monotonic) -> float:
         """Return the run time so far, in seconds; 0 before the task began."""
-        return now - self.since if self.since is not None else 0.0
+        return now - self.started_at if self.started_at is not None else 0.0
 
 
 def ends_at(tasks: Iterable[RunningTask], now: Monotonic) -> list[Monotonic]:
@@ -59,15 +59,15 @@
     """
     found: list[Monotonic] = []
     for task in tasks:
-        since = task.since
+        started_at = task.started_at
         if task.stopping:
             found.append(now)
-        elif since is None:
-            found.append(Monotonic(now + task.guess_s * task.pace.ratio))
+        elif started_at is None:
+            found.append(Monotonic(now + task.owner_estimate_s * task.correction.ratio))
         else:
-            overdue_s = _OVERDUE_PART * (now - since)
+            overdue_s = _OVERDUE_PART * (now - started_at)
             soonest = now + (overdue_s if overdue_s < _OVERDUE_S else _OVERDUE_S)
-            end = since + task.guess_s * task.pace.ratio
+            end = started_at + task.owner_estimate_s * task.correction.ratio
             found.append(Monotonic(end if end > soonest else soonest))
     return found
 
@@ -89,10 +89,10 @@
     """Now for a machine that takes tasks at once, later for one that boots."""
     fetch_gb_per_s: float
     images: set[str]
-    dear: bool
+    is_expensive: bool
     """Its kind costs much more per processor than the cheapest."""
     running: Sequence[RunningTask]
-    used: bool = False
+    is_modified: bool = False
     """The planner has changed the free capacity."""
     backfilled: Sequence[RunningTask] = field(init=False)
     """The running tasks that were backfilled: nothing else is preempted by urgency class."""
@@ -116,17 +116,17 @@
         """Return whether the job may run here and does not avoid this machine."""
         return job.may_use(self.type, self.zone, self.spot) and self.id not in job.avoids
 
-    def reserve_room(self, job: JobView) -> None:
+    def allocate_task(self, job: JobView) -> None:
         """Deduct one task of the job from the free capacity."""
-        self.used = True
+        self.is_modified = True
         self.cpus -= job.cpus
         self.gpus -= job.gpus
         self.memory_gb -= job.memory_gb
         self.images.add(job.image)
 
-    def release_room(self, task: RunningTask) -> None:
+    def release_task(self, task: RunningTask) -> None:
         """Return the capacity of a task that is being stopped."""
-        self.used = True
+        self.is_modified = True
         self.cpus += task.cpus
         self.gpus += task.gpus
         self.memory_gb += task.memory_gb
@@ -149,7 +149,7 @@
     waiting: int
     tasks: int
     waited_s: float
-    latest_s: tuple[float, ...]
+    latest_start_s: tuple[float, ...]
     """Per deadline its class is judged by, the time left until its tasks must have started."""
     estimate_s: float
     image: str
@@ -179,7 +179,7 @@
             and (self.types is None or type_name in self.types)
         )
 
-    def zone_room(self, zone: str) -> int:
+    def tasks_allowed_in_zone(self, zone: str) -> int:
         """Return how many more of its tasks may be bound in a zone now."""
         if self.one_zone and any(n for z, n in self.zone_counts.items() if z != zone):
             return 0
@@ -208,7 +208,7 @@
             room = min(room, int((self.gpus_max - self.gpus + SLACK) // job.gpus))
         return max(0, room)
 
-    def guaranteed(self, job: JobView) -> bool:
+    def is_within_quota(self, job: JobView) -> bool:
         """Return whether one more task of the job is within the guaranteed quota."""
         if self.cpus_guaranteed <= 0 and self.gpus_guaranteed <= 0:
             return False
@@ -230,15 +230,15 @@
     machines: list[MachineView]
     jobs: list[JobView]
     teams: dict[str, TeamView]
-    expected: Expected | None = None
+    expected: ExpectedWork | None = None
     rank_cpus: dict[int, float] = field(default_factory=dict)
     """Processors that each urgency class uses."""
-    coming: list[MachineView] = field(default_factory=list)
+    pending_machines: list[MachineView] = field(default_factory=list)
     """Machines that were requested and not yet granted."""
 
 
 @dataclass(frozen=True, slots=True)
-class Expected:
+class ExpectedWork:
     """Work that may be submitted at any moment and is to start at once."""
 
     rank: int
@@ -251,13 +251,13 @@
 
     aging_s: float = 600.0
     """Waiting this long raises a job by one urgency class."""
-    stop_cost_s: float = 1.5
+    min_preemption_gain_s: float = 1.5
     """Nothing is preempted for a job whose reservation begins within this time anyway."""
-    stop_share: float = 0.25
+    max_preempted_share: float = 0.25
     """At most this part of the backfilled tasks is preempted in one pass."""
-    reserved_tasks: int = 16
+    max_reserved_tasks: int = 16
     """The maximum number of the reserved job's tasks that get a reservation."""
-    dear: float = 1.5
+    expensive_ratio: float = 1.5
     """A machine that costs this much more per task than the cheapest kind is expensive."""
     cheap_share: float = 0.8
     """The usable part of the inexpensive machines when jobs are kept off the expensive ones."""
@@ -316,7 +316,7 @@
             self._reservations = self.reserve()
         return self._reservations
 
-    def settle(self) -> None:
+    def release_view(self) -> None:
         """Release the view after the pass; reservations not computed yet are empty.
 
         A plan that can still reserve references its pass, and the pass its plan: in that cycle, old
--- a/tealrill/scheduler/plan.py
+++ b/tealrill/scheduler/plan.py
@@ -80,12 +80,12 @@
         view = self.view
         fleet_cpus = sum(m.size for m in view.machines)
         cheap: dict[float, float] = {}
-        for machine in view.machines + view.coming:
-            if not machine.dear:
+        for machine in view.machines + view.pending_machines:
+            if not machine.is_expensive:
                 cheap[machine.size] = cheap.get(machine.size, 0.0) + machine.size
         self.plan.affordable = affordable(view.jobs, self.policy, cheap, view.rank_cpus)
         for job in order(view.jobs, view.teams, self.policy, fleet_cpus, view.rank_cpus):
-            within_quota = self._within_quota(job)
+            within_quota = self._tasks_within_limit(job)
             if within_quota <= 0:
                 # Its team is at its limit. Looking for machines all the same, for thousands of jobs
                 # on hundreds of machines with room, took a day over 400 s of processor time.
@@ -101,7 +101,7 @@
             self._preempt_for(self.reserved_job)
         return self.plan
 
-    def _within_quota(self, job: JobView) -> int:
+    def _tasks_within_limit(self, job: JobView) -> int:
         team = self.view.teams.get(job.team)
         return job.waiting if team is None else team.room(job)
 
@@ -130,7 +130,7 @@
             if self._may_start(job, machine) and machine not in self.windows:
                 fits = slots(job, machine.cpus, machine.gpus, machine.memory_gb)
                 room[machine.zone] = room.get(machine.zone, 0) + fits
-        total = sum(min(count, job.zone_room(zone)) for zone, count in room.items())
+        total = sum(min(count, job.tasks_allowed_in_zone(zone)) for zone, count in room.items())
         return limit >= job.waiting and total >= job.waiting
 
     def _candidates(self, job: JobView) -> list[MachineView]:
@@ -152,7 +152,9 @@
         if job.one_zone and not any(job.zone_counts.values()):
             # Of what is not reserved: else it waits for that zone beside the other one.
             fitting = self._best_zone([m for m in fitting if self._may_start(job, m)])
-        fitting.sort(key=lambda m: (m.dear, m.size, job.image not in m.images, m.cpus, m.id))
+        fitting.sort(
+            key=lambda m: (m.is_expensive, m.size, job.image not in m.images, m.cpus, m.id)
+        )
         return fitting
 
     def _usable(self, job: JobView, machines: list[MachineView]) -> list[MachineView]:
@@ -162,7 +164,7 @@
         """
         if job not in self.plan.affordable or job.waited_s >= self.policy.any_room_s:
             return machines
-        return [m for m in machines if not m.dear]
+        return [m for m in machines if not m.is_expensive]
 
     @staticmethod
     def _best_zone(machines: list[MachineView]) -> list[MachineView]:
@@ -174,7 +176,7 @@
         return [m for m in machines if m.zone == best]
 
     def _may_start(self, job: JobView, machine: MachineView) -> bool:
-        if not machine.fits(job) or job.zone_room(machine.zone) <= 0:
+        if not machine.fits(job) or job.tasks_allowed_in_zone(machine.zone) <= 0:
             return False
         window = self.windows.get(machine)
         if window is None or self.reserved_job is None:
@@ -201,7 +203,7 @@
         backfilled = self._is_backfilled(job)
         if not backfilled:
             self.headroom_for_expected -= job.cpus
-        machine.reserve_room(job)
+        machine.allocate_task(job)
         if not self._has_room(machine):
             self._has_filled = True
         job.waiting -= 1
@@ -233,7 +235,7 @@
     def _reserve_for(self, job: JobView, left: int) -> None:
         self.reserved_job = job
         self.plan.reserved_job = job.id
-        self._reserved_tasks = min(left, self.policy.reserved_tasks)
+        self._reserved_tasks = min(left, self.policy.max_reserved_tasks)
         self._windows = None
         self.plan.reserve = self._reservations
 
@@ -257,9 +259,9 @@
             for machine, window in self.windows.items()
         }
 
-    def _is_anything_preemptible(self, reserved_job: JobView, guaranteed: bool) -> bool:
+    def _is_anything_preemptible(self, reserved_job: JobView, is_within_quota: bool) -> bool:
         """Return whether any task may be preempted; for the lowest class none may."""
-        if guaranteed and any(t.borrows for t in self.view.teams.values()):
+        if is_within_quota and any(t.borrows for t in self.view.teams.values()):
             return True
         return any(
             t.rank < reserved_job.rank and not t.stopping
@@ -271,28 +273,33 @@
     def _preempt_for(self, reserved_job: JobView) -> None:
         """Preempt backfilled tasks, shortest run time first, for the reserved job."""
         team = self.view.teams.get(reserved_job.team)
-        guaranteed = team is not None and team.guaranteed(reserved_job)
-        if not self._is_anything_preemptible(reserved_job, guaranteed):
+        is_within_quota = team is not None and team.is_within_quota(reserved_job)
+        if not self._is_anything_preemptible(reserved_job, is_within_quota):
             return
-        soon = self.now + self.policy.stop_cost_s
-        coming = sum(w.tasks for w in self.windows.values() if w.at <= soon)
-        wanted = min(self._within_quota(reserved_job), self.policy.reserved_tasks) - coming
+        soon = self.now + self.policy.min_preemption_gain_s
+        pending_machines = sum(w.tasks for w in self.windows.values() if w.at <= soon)
+        wanted = (
+            min(self._tasks_within_limit(reserved_job), self.policy.max_reserved_tasks)
+            - pending_machines
+        )
         backfilled = sum(len(m.backfilled) for m in self.ready)
-        budget = max(1, math.ceil(backfilled * self.policy.stop_share))
+        budget = max(1, math.ceil(backfilled * self.policy.max_preempted_share))
         taken: set[RunningTask] = set()
         machines = self._usable(reserved_job, self.ready)
         while wanted > 0:
-            victims = preemption.choose(
-                reserved_job, machines, self.view.teams, taken, guaranteed, self.now
+            preempted = preemption.choose(
+                reserved_job, machines, self.view.teams, taken, is_within_quota, self.now
             )
-            if victims is None or len(taken) + len(victims.tasks) > max(budget, len(victims.tasks)):
+            if preempted is None or len(taken) + len(preempted.tasks) > max(
+                budget, len(preempted.tasks)
+            ):
                 return
-            taken.update(victims.tasks)
-            for task in victims.tasks:
+            taken.update(preempted.tasks)
+            for task in preempted.tasks:
                 grace_s = task.save_s if task.saves else 0.0
                 self.plan.stops.append(StopTask(task.task, reserved_job.id, grace_s))
-                victims.machine.release_room(task)
-            victims.machine.reserve_room(reserved_job)
+                preempted.machine.release_task(task)
+            preempted.machine.allocate_task(reserved_job)
             wanted -= 1
 
 
--- a/tealrill/scheduler/preemption.py
+++ b/tealrill/scheduler/preemption.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Victims:
+class PreemptedTasks:
     """Tasks of one machine whose preemption makes room for one task."""
 
     machine: MachineView
@@ -23,7 +23,7 @@
 
 
 def is_preemptible(
-    task: RunningTask, job: JobView, teams: dict[str, TeamView], guaranteed: bool
+    task: RunningTask, job: JobView, teams: dict[str, TeamView], is_within_quota: bool
 ) -> bool:
     """Return whether `task` may be preempted for `job`.
 
@@ -35,7 +35,7 @@
     if task.backfilled and task.rank < job.rank:
         return True
     other = teams.get(task.team)
-    return guaranteed and task.team != job.team and other is not None and other.borrows
+    return is_within_quota and task.team != job.team and other is not None and other.borrows
 
 
 def _makes_room(machine: MachineView, tasks: list[RunningTask], job: JobView) -> bool:
@@ -46,9 +46,9 @@
     )
 
 
-def _victims_on(
+def _preempted_tasks_on(
     machine: MachineView, job: JobView, candidates: list[RunningTask], now: Monotonic
-) -> Victims | None:
+) -> PreemptedTasks | None:
     """Return the victims on one machine, shortest run time first; None if that is not enough.
 
     Tasks that turn out not to be needed are dropped from the set.
@@ -65,7 +65,7 @@
         if _makes_room(machine, rest, job):
             chosen = rest
     lost_cpu_s = sum(t.cpus * (t.save_s if t.saves else t.ran_s(now)) for t in chosen)
-    return Victims(machine, chosen, lost_cpu_s)
+    return PreemptedTasks(machine, chosen, lost_cpu_s)
 
 
 def choose(
@@ -73,27 +73,27 @@
     machines: list[MachineView],
     teams: dict[str, TeamView],
     taken: set[RunningTask],
-    guaranteed: bool,
+    is_within_quota: bool,
     now: Monotonic,
-) -> Victims | None:
+) -> PreemptedTasks | None:
     """Return the victims whose preemption makes room for one task at the least lost work."""
-    best: Victims | None = None
+    best: PreemptedTasks | None = None
     for machine in machines:
-        if not (guaranteed or machine.backfilled):
+        if not (is_within_quota or machine.backfilled):
             continue
-        if not machine.allows(job) or job.zone_room(machine.zone) <= 0:
+        if not machine.allows(job) or job.tasks_allowed_in_zone(machine.zone) <= 0:
             continue
         # Without a guarantee only backfilled work may be stopped; most machines have none.
-        running = machine.running if guaranteed else machine.backfilled
+        running = machine.running if is_within_quota else machine.backfilled
         candidates = [
             task
             for task in running
-            if task not in taken and is_preemptible(task, job, teams, guaranteed)
+            if task not in taken and is_preemptible(task, job, teams, is_within_quota)
         ]
         if not candidates:
             continue
         candidates.sort(key=lambda task: task.ran_s(now))
-        victims = _victims_on(machine, job, candidates, now)
-        if victims is not None and (best is None or victims.lost_cpu_s < best.lost_cpu_s):
-            best = victims
+        preempted = _preempted_tasks_on(machine, job, candidates, now)
+        if preempted is not None and (best is None or preempted.lost_cpu_s < best.lost_cpu_s):
+            best = preempted
     return best
--- a/tealrill/scheduler/queue.py
+++ b/tealrill/scheduler/queue.py
@@ -47,7 +47,7 @@
 
     def key(job: JobView) -> tuple[int, tuple[int, int, float], float, str]:
         team = teams.get(job.team)
-        within = team is not None and team.guaranteed(job)
+        within = team is not None and team.is_within_quota(job)
         return (0 if within else 1, places[job], -job.waited_s, job.id)
 
     ordered = sorted(jobs, key=key)
@@ -129,7 +129,7 @@
         cpus = policy.cheap_share * cheap_cpus - held
         if cpus <= 0:
             break
-        due = [j for j in peers if j.latest_s and j.latest_s[0] > _spare_s(j)]
+        due = [j for j in peers if j.latest_start_s and j.latest_start_s[0] > _spare_s(j)]
         found |= _feasible(due, 0, cpus, ahead, _spare_s)
     return found
 
@@ -149,20 +149,20 @@
     """Return per job its level, the deadline that it can meet and its latest start."""
     places: dict[JobView, tuple[int, int, float]] = {}
     left = set(jobs)
-    for deadline in range(max((len(job.latest_s) for job in jobs), default=0)):
+    for deadline in range(max((len(job.latest_start_s) for job in jobs), default=0)):
         chosen = _feasible((j for j in left if _is_possible(j, deadline)), deadline, cpus, ahead)
         # Not in the set's own order: sums of floats would differ from process to process.
         for job in (job for job in jobs if job in chosen):
-            places[job] = (number, deadline, job.latest_s[deadline])
+            places[job] = (number, deadline, job.latest_start_s[deadline])
             ahead += _work_cpu_s(job)
         left -= chosen
     for job in left:
-        places[job] = (number, len(job.latest_s), math.inf)
+        places[job] = (number, len(job.latest_start_s), math.inf)
     return places
 
 
 def _is_possible(job: JobView, deadline: int) -> bool:
-    return deadline < len(job.latest_s) and job.latest_s[deadline] >= 0
+    return deadline < len(job.latest_start_s) and job.latest_start_s[deadline] >= 0
 
 
 def _feasible(
@@ -177,9 +177,9 @@
     This is Moore and Hodgson's rule, which minimizes the number of late jobs.
     """
     largest: list[tuple[float, str, JobView]] = []
-    for job in sorted(jobs, key=lambda j: (j.latest_s[deadline], j.id)):
+    for job in sorted(jobs, key=lambda j: (j.latest_start_s[deadline], j.id)):
         heapq.heappush(largest, (-_work_cpu_s(job), job.id, job))
         ahead += _work_cpu_s(job)
-        if ahead > cpus * (job.latest_s[deadline] - spare_s(job)):
+        if ahead > cpus * (job.latest_start_s[deadline] - spare_s(job)):
             ahead += heapq.heappop(largest)[0]
     return {job for _, _, job in largest}
--- a/tealrill/scheduler/reservation.py
+++ b/tealrill/scheduler/reservation.py
@@ -100,7 +100,7 @@
     """The earliest moments so far, as many as there are tasks, the last of them on top."""
     before = Monotonic(math.inf)
     for number, machine in enumerate(machines):
-        if not machine.allows(job) or job.zone_room(machine.zone) <= 0:
+        if not machine.allows(job) or job.tasks_allowed_in_zone(machine.zone) <= 0:
             continue
         fit = earliest_fit(job, machine, now, before)
         if fit is None:
--- a/tealrill/simulation/cluster.py
+++ b/tealrill/simulation/cluster.py
@@ -121,9 +121,9 @@
     def leader(self) -> Host | None:
         """Return the host whose controller believes to lead, that of the latest term."""
         leading = [
-            (h.node.election.mine.term, h.name)
+            (h.node.election.leadership.term, h.name)
             for h in self.hosts.values()
-            if h.node is not None and h.node.election.mine is not None
+            if h.node is not None and h.node.election.leadership is not None
         ]
         return self.hosts[max(leading)[1]] if leading else None
 
--- a/tealrill/simulation/network.py
+++ b/tealrill/simulation/network.py
@@ -173,7 +173,9 @@
         if node is None:
             raise NoReplyError
         if path == EXTENSION_PATH:
-            found = await node._lease_extension.asked(wire.decode(body or b"", ExtensionRequest))
+            found = await node._lease_extension.handle_request(
+                wire.decode(body or b"", ExtensionRequest)
+            )
             return 200, orjson.loads(wire.encode(found))
         if path == PING_PATH:
             return 200, orjson.loads(wire.encode(node._lease_extension.presence()))
--- a/tealrill/simulation/worker_fleet.py
+++ b/tealrill/simulation/worker_fleet.py
@@ -188,10 +188,14 @@
         while True:
             await asyncio.sleep(0.05)
             host = self.world.leader()
-            mine = host.node.election.mine if host is not None and host.node is not None else None
-            if mine is None or mine.term == known:
+            leadership = (
+                host.node.election.leadership
+                if host is not None and host.node is not None
+                else None
+            )
+            if leadership is None or leadership.term == known:
                 continue
-            known, kept, self._kept = mine.term, self._kept, []
+            known, kept, self._kept = leadership.term, self._kept, []
             for message in kept:
                 for name in self.world.hosts:
                     self.world.begin(self._deliver_to_successor(message, name))
--- a/tealrill/state/acknowledged_cancellations.py
+++ b/tealrill/state/acknowledged_cancellations.py
@@ -39,7 +39,7 @@
         """Return the names of which a leader that has seen `revision` may not know."""
         return [name for name, at in self._jobs.items() if at > revision]
 
-    def all_since(self, revision: Revision) -> bool:
+    def is_complete_since(self, revision: Revision) -> bool:
         """Return whether `since` has all that this host told anybody of after that revision.
 
         What a former process of this host acknowledged lies before this process's first reading.
