--- a/tealrill/state/admission.py
+++ b/tealrill/state/admission.py
@@ -29,12 +29,12 @@
 )
 from tealrill.state.rate_limiter import RequestPriority
 from tealrill.state.records import (
+    ENDED_PREFIX,
     JOB_PREFIX,
     OUTCOME_CANCELLED,
-    OVER_PREFIX,
     RUN_PREFIX,
+    ended_key,
     job_key,
-    over_key,
 )
 from tealrill.state.validation import (
     CatalogueUnknownError,
@@ -60,12 +60,12 @@
     status: int
     body: dict[str, Any]
     retry_after_s: int | None = None
-    elsewhere: bool = False
+    retry_on_other_node: bool = False
     """Another node may be able to do what this one could not."""
 
 
-def _unavailable(why: str, elsewhere: bool = True) -> Reply:
-    return Reply(503, {"error": why}, retry_after_s=1, elsewhere=elsewhere)
+def _unavailable(why: str, retry_on_other_node: bool = True) -> Reply:
+    return Reply(503, {"error": why}, retry_after_s=1, retry_on_other_node=retry_on_other_node)
 
 
 def _rejected(error: JobRejectedError) -> Reply:
@@ -88,7 +88,7 @@
 class ImplicitJobs(Protocol):
     """Job ids that belong to a subsystem's record, whether or not they have one of their own."""
 
-    def claims(self, job_id: JobId) -> list[str]:
+    def conflicting_keys(self, job_id: JobId) -> list[str]:
         """Return the keys that must be absent for somebody else's job of this id to be accepted."""
 
     async def status(self, job_id: JobId) -> ImplicitJob | None:
@@ -130,24 +130,24 @@
 
     async def _submit(self, body: bytes) -> Reply:
         job_id = requested_job_id(body)
-        problem: Reply | None = None
+        rejection: Reply | None = None
         spec: wire.JobSpec | None = None
         try:
             spec = decode_job(body)
         except JobRejectedError as error:
-            problem = _rejected(error)
+            rejection = _rejected(error)
         if spec is not None:
-            problem = self.problem(spec, job_id)
-        if problem is None and spec is not None and job_id is not None:
+            rejection = self.rejection(spec, job_id)
+        if rejection is None and spec is not None and job_id is not None:
             return await self._accept(spec, job_id)
         # What was accepted once stays accepted, whatever a repetition says.
         if job_id is not None:
             known = await self._known(job_id)
             if known is not None:
                 return known
-        return problem or _unavailable("not decided")
+        return rejection or _unavailable("not decided")
 
-    def problem(
+    def rejection(
         self, spec: wire.JobSpec, job_id: JobId | None, beside_bytes: int = 100
     ) -> Reply | None:
         """Return what stands against a job; `beside_bytes` is what its record holds beside it."""
@@ -165,16 +165,18 @@
         Each user's try would be one more request in vain, here and at the node that it is handed
         to: 70,000 in one outage of three minutes, and most of a day's processor time.
         """
-        if self._client.away:
+        if self._client.unavailable:
             raise StateUnavailableError("the state service is away")
 
     async def _accept(self, spec: wire.JobSpec, job_id: JobId) -> Reply:
         self._reach()
-        if not self._client.accepts.take_now():
-            return self._refuse(job_id, "too many submissions", elsewhere=False)
-        guards = [wire.guard(job_key(job_id), ABSENT), wire.guard(over_key(job_id), ABSENT)]
+        if not self._client.submissions.try_acquire():
+            return self._refuse(job_id, "too many submissions", retry_on_other_node=False)
+        guards = [wire.guard(job_key(job_id), ABSENT), wire.guard(ended_key(job_id), ABSENT)]
         if self.implicit_jobs is not None:
-            guards += [wire.guard(key, ABSENT) for key in self.implicit_jobs.claims(job_id)]
+            guards += [
+                wire.guard(key, ABSENT) for key in self.implicit_jobs.conflicting_keys(job_id)
+            ]
         record = {"spec": wire.plain(spec), "at": wall_now()}
         try:
             result = await self._commit_accepted(guards, [wire.put(job_key(job_id), record)])
@@ -182,7 +184,7 @@
             return Reply(400, {"error": f"the state service can't keep it: {error}"})
         except StateUnavailableError as error:
             return self._refuse(
-                job_id, str(error), elsewhere=not isinstance(error, RateLimitedError)
+                job_id, str(error), retry_on_other_node=not isinstance(error, RateLimitedError)
             )
         except OutcomeUnknownError:
             # It may be kept or may yet be: only what can be read back is accepted.
@@ -201,15 +203,15 @@
         """Commit, and send again after a moment while the state service is at its limit."""
         for pause_s in _ACCEPT_PAUSES_S:
             try:
-                return await self._client.commit(guards, changes, paid=True)
+                return await self._client.commit(guards, changes, tokens_acquired=True)
             except RateLimitedError:
                 await asyncio.sleep(pause_s)
-        return await self._client.commit(guards, changes, paid=True)
+        return await self._client.commit(guards, changes, tokens_acquired=True)
 
     @staticmethod
-    def _refuse(job_id: JobId, why: str, elsewhere: bool = True) -> Reply:
+    def _refuse(job_id: JobId, why: str, retry_on_other_node: bool = True) -> Reply:
         log.info("submission of %s refused: %s", job_id, why)
-        return _unavailable(why, elsewhere)
+        return _unavailable(why, retry_on_other_node)
 
     async def _known(self, job_id: JobId) -> Reply | None:
         """Return the answer to a repeated submission; None if the job is not known.
@@ -244,11 +246,11 @@
         # The counts may lag, the record may not: read first, it was as old as the counts' way
         # when it was told, and another node had said `done` meanwhile.
         done, running = await self._counts(job_id)
-        entry = await self._client.get(job_key(job_id), RequestPriority.USERS)
+        entry = await self._client.get(job_key(job_id), RequestPriority.NORMAL)
         owner = entry.value.get("owner") if entry is not None else None
         if (
             owner is not None
-            and await self._client.get(JOB_PREFIX + owner, RequestPriority.USERS) is None
+            and await self._client.get(JOB_PREFIX + owner, RequestPriority.NORMAL) is None
         ):
             return await self._status_after_owner(job_id, owner)
         if entry is not None:
@@ -264,7 +266,7 @@
         over = await self._read_over(job_id)
         if over is not None:
             return self._final(job_id, over)
-        end = await self._client.get(OVER_PREFIX + owner, RequestPriority.USERS)
+        end = await self._client.get(ENDED_PREFIX + owner, RequestPriority.NORMAL)
         if end is None:
             return _unavailable("its owner's record is being moved")
         # The user is told here, perhaps before whoever cancelled the owner could be.
@@ -296,9 +298,9 @@
         return Reply(200, body)
 
     async def _read_over(
-        self, job_id: JobId, rank: RequestPriority = RequestPriority.USERS
+        self, job_id: JobId, priority: RequestPriority = RequestPriority.NORMAL
     ) -> wire.KeyValue | None:
-        over = await self._client.get(over_key(job_id), rank)
+        over = await self._client.get(ended_key(job_id), priority)
         if over is not None:
             # Without the description, which only a new leader needs: it is most of the record.
             value = {k: v for k, v in over.value.items() if k != "spec"}
@@ -316,7 +318,7 @@
         if counts is not None:
             return counts
         done = running = 0
-        entries, _ = await self._client.scan(f"{RUN_PREFIX}{job_id}/", RequestPriority.USERS)
+        entries, _ = await self._client.scan(f"{RUN_PREFIX}{job_id}/", RequestPriority.NORMAL)
         for entry in entries:
             for task in entry.value.get("tasks", []):
                 if task == -1:
@@ -346,7 +348,7 @@
         self._reach()
         entry = await self._client.get(job_key(job_id))
         if entry is None:
-            over = await self._read_over(job_id, RequestPriority.FIRST)
+            over = await self._read_over(job_id, RequestPriority.HIGH)
             if over is None:
                 return await self._cancel_implicit(job_id)
             return Reply(200, wire.accepted(job_id, over.value["status"]))
@@ -358,9 +360,9 @@
         }
         guards = [
             wire.guard(job_key(job_id), entry.version),
-            wire.guard(over_key(job_id), ABSENT),
+            wire.guard(ended_key(job_id), ABSENT),
         ]
-        changes = [wire.delete(job_key(job_id)), wire.put(over_key(job_id), record)]
+        changes = [wire.delete(job_key(job_id)), wire.put(ended_key(job_id), record)]
         try:
             result = await self._client.commit(guards, changes)
         except OutcomeUnknownError:
@@ -378,7 +380,7 @@
         if self.implicit_jobs is None or found is None:
             return _NOT_FOUND
         if found.status == wire.JOB_CANCELLED:
-            over = await self._read_over(job_id, RequestPriority.FIRST)
+            over = await self._read_over(job_id, RequestPriority.HIGH)
             status = over.value["status"] if over is not None else found.status
             return Reply(200, wire.accepted(job_id, status))
         revision = await self.implicit_jobs.cancel(job_id)
--- a/tealrill/state/bindings.py
+++ b/tealrill/state/bindings.py
@@ -41,10 +41,10 @@
     inherited: bool = False
     sent: HeartbeatSequence | None = None
     """The heartbeat whose response first carried the start."""
-    seen: bool = False
+    start_confirmed: bool = False
     direct_start_in_flight: bool = False
     """A start sent to the worker directly has no answer yet, and may arrive at any later time."""
-    shown_in: HeartbeatSequence | None = None
+    last_listed_in: HeartbeatSequence | None = None
     """The last heartbeat of this incarnation that listed the task."""
     state: str | None = None
     running_since: Monotonic | None = None
@@ -59,7 +59,8 @@
     def never_sent(self) -> bool:
         """Whether certainly no start of it ever left the leader."""
         return (
-            not (self.seen or self.inherited or self.direct_start_in_flight) and self.sent is None
+            not (self.start_confirmed or self.inherited or self.direct_start_in_flight)
+            and self.sent is None
         )
 
 
@@ -88,7 +89,7 @@
     """A record that a job belongs to: while it stands in this version the job may run and end."""
 
     key: str
-    stamp: Revision
+    mod_revision: Revision
     name: str
 
 
@@ -98,7 +99,7 @@
 
     job: Job
     number: int
-    stamp: Revision = ABSENT
+    mod_revision: Revision = ABSENT
     version: int = 0
     committed: int = 0
     dirty_since: Monotonic | None = None
@@ -119,7 +120,7 @@
     id: JobId
     spec: wire.JobSpec
     submitted: Wall
-    stamp: Revision
+    mod_revision: Revision
     chunk_tasks: int
     done: bytearray
     done_count: int = 0
@@ -138,15 +139,15 @@
     owner: Owner | None = None
     tail_s: float = 0.0
     """Estimated time that what depends on it takes after it."""
-    most_errors: int | None = None
+    max_task_errors: int | None = None
     """How often one task may fail before the job has failed; None: it is tried for ever."""
     outcome: str = OUTCOME_DONE
     """How it ends, once it is in `JobStore.ending`."""
-    opened: bytearray | None = None
+    unblocked: bytearray | None = None
     """For a job whose tasks are let go one by one: which of them were."""
     closed: int = 0
     """Tasks that were not."""
-    followed: bool = False
+    reports_completions: bool = False
     """Others wait for its single tasks, so that a done one is written without delay."""
 
     @property
--- a/tealrill/state/client.py
+++ b/tealrill/state/client.py
@@ -85,7 +85,7 @@
         host was answered lies before it."""
         self.requests = RateLimiter(self._share() * limits.rps)
         self.writes = RateLimiter(self._share() * limits.write_rps)
-        self.accepts = RateLimiter(_ACCEPT_SHARE * limits.write_rps, depth=limits.write_rps)
+        self.submissions = RateLimiter(_ACCEPT_SHARE * limits.write_rps, depth=limits.write_rps)
         """Acceptances. Users come to nodes by chance and in bursts, so a node's equal part of the
         rate refused most of a burst while the other parts lay idle. The parts of all nodes add up
         to more than the rate; where that shows, the state service answers 429."""
@@ -102,17 +102,17 @@
             return 0.95
         return _LEADER_SHARE if self._leads else 0.35 / (self._nodes - 1)
 
-    async def _acquire(self, rank: RequestPriority) -> None:
+    async def _acquire(self, priority: RequestPriority) -> None:
         """Wait for a request; `RateLimitedError` at once for a poll that would wait too long."""
-        if rank is RequestPriority.USERS and self.requests.wait_s(rank) > _MAX_POLL_WAIT_S:
+        if priority is RequestPriority.NORMAL and self.requests.wait_s(priority) > _MAX_POLL_WAIT_S:
             raise RateLimitedError("more polls than there are requests for")
-        await self.requests.take(rank=rank)
+        await self.requests.acquire(priority=priority)
 
     async def get(
-        self, key: str, rank: RequestPriority = RequestPriority.FIRST
+        self, key: str, priority: RequestPriority = RequestPriority.HIGH
     ) -> wire.KeyValue | None:
         """Read a key; None if it does not exist."""
-        await self._acquire(rank)
+        await self._acquire(priority)
         answer = await self._send("GET", "/kv/" + quote(key, safe="/"))
         if answer.status == 404:
             return None
@@ -123,10 +123,10 @@
         prefix: str,
         after: str | None,
         most: int,
-        rank: RequestPriority = RequestPriority.FIRST,
+        priority: RequestPriority = RequestPriority.HIGH,
     ) -> wire.Entries:
         """Read up to `most` keys under a prefix, those behind `after` only."""
-        await self._acquire(rank)
+        await self._acquire(priority)
         query: dict[str, Any] = {"under": prefix, "most": most}
         if after is not None:
             query["from"] = after
@@ -137,7 +137,7 @@
         return found
 
     async def scan(
-        self, prefix: str, rank: RequestPriority = RequestPriority.FIRST
+        self, prefix: str, priority: RequestPriority = RequestPriority.HIGH
     ) -> tuple[list[wire.Entry], Revision]:
         """Read all keys under a prefix, and the revision from which a watch misses nothing.
 
@@ -147,7 +147,7 @@
         revision: Revision | None = None
         after: str | None = None
         while True:
-            page = await self.page(prefix, after, _PAGE, rank)
+            page = await self.page(prefix, after, _PAGE, priority)
             entries.extend(page.items)
             if revision is None:
                 revision = Revision(page.revision)
@@ -161,13 +161,13 @@
         self,
         guards: list[dict[str, Any]],
         changes: list[dict[str, Any]],
-        paid: bool = False,
+        tokens_acquired: bool = False,
         timeout_s: float = 2.0,
     ) -> Committed | GuardsFailed:
-        """Commit a transaction. With `paid` the caller has taken its share of the changes."""
-        if not paid:
-            await self.writes.take(len(changes))
-        await self.requests.take()
+        """Commit a transaction. With `tokens_acquired` the caller has taken its share."""
+        if not tokens_acquired:
+            await self.writes.acquire(len(changes))
+        await self.requests.acquire()
         body = wire.encode(wire.transaction(guards, changes))
         answer = await self._send("POST", "/commit", body, timeout_s)
         if answer.status == 409:
@@ -176,13 +176,13 @@
 
     async def create_lease(self, ttl_s: float) -> LeaseId:
         """Create a lease that lasts `ttl_s` seconds unless it is extended."""
-        await self.requests.take()
+        await self.requests.acquire()
         answer = await self._send("POST", "/holds", wire.encode(wire.lease_request(ttl_s)), 1.0)
         return LeaseId(self._read(answer, wire.Lease).lease)
 
     async def extend_lease(self, lease: LeaseId, timeout_s: float) -> bool:
         """Extend a lease; return False when it has ended."""
-        await self.requests.take()
+        await self.requests.acquire()
         answer = await self._send("POST", f"/holds/{lease}/extend", None, timeout_s)
         if answer.status == 404:
             return False
@@ -191,7 +191,7 @@
 
     async def end_lease(self, lease: LeaseId) -> None:
         """End a lease; return once it has certainly ended."""
-        await self.requests.take()
+        await self.requests.acquire()
         answer = await self._send("DELETE", f"/holds/{lease}", None, 1.0)
         if answer.status != 404:
             self._check(answer)
@@ -201,7 +201,7 @@
 
         A silent connection is given up.
         """
-        await self.requests.take()
+        await self.requests.acquire()
         query = urlencode(
             {"under": prefix, "from": since, "holdMs": round(hold_s * 1000)}, safe="/"
         )
@@ -214,7 +214,7 @@
         return found
 
     @property
-    def away(self) -> bool:
+    def unavailable(self) -> bool:
         """Whether several exchanges in a row have just failed.
 
         The election's own tries go on, and show when that is over.
--- a/tealrill/state/fencing.py
+++ b/tealrill/state/fencing.py
@@ -33,14 +33,14 @@
     """One term of this node as the leader."""
 
     term: FencingToken
-    stamp: Revision
+    mod_revision: Revision
     lease: LeaseId
     elected_at: Monotonic
     valid_until: Monotonic
-    troubled: bool = False
+    renewal_failed: bool = False
     """Its last renewal failed."""
     renewed_at: Monotonic = Monotonic(-math.inf)
-    """When its last successful renewal was sent: the lease stood for `TTL_S` from then."""
+    """When its last successful renewal was sent: the lease stood for `LEASE_TTL_S` from then."""
 
     def valid(self, now: Monotonic) -> bool:
         """Return whether this node may act as the leader at that moment."""
@@ -63,11 +63,14 @@
         return {LEADER_KEY: self.token, **others}
 
     async def commit(
-        self, guards: dict[str, Revision], changes: list[dict[str, Any]], paid: bool = False
+        self,
+        guards: dict[str, Revision],
+        changes: list[dict[str, Any]],
+        tokens_acquired: bool = False,
     ) -> Committed | GuardsFailed:
         """Commit a transaction of the holder; raises what `StateClient.commit` raises."""
-        full = [wire.guard(key, stamp) for key, stamp in self.guards(guards).items()]
-        return await self._client.commit(full, changes, paid=paid)
+        full = [wire.guard(key, mod_revision) for key, mod_revision in self.guards(guards).items()]
+        return await self._client.commit(full, changes, tokens_acquired=tokens_acquired)
 
 
 @dataclass(slots=True, eq=False)
@@ -79,7 +82,7 @@
     since: Monotonic
     valid: Callable[[], bool]
     """Whether its holder may act at this very moment."""
-    alone: Callable[[], bool] = lambda: False
+    state_service_unreachable: Callable[[], bool] = lambda: False
     """The state service is away, and its holder goes on: nobody can be elected meanwhile."""
     last: str = ""
     """What was done under it last, for operators."""
@@ -92,7 +95,7 @@
         if not self.valid():
             raise NotHolderError(f"{self.name}: epoch {self.epoch} is over, or may be")
 
-    def did(self, what: str) -> None:
+    def record_action(self, what: str) -> None:
         """Note what was done under the duty last."""
         self.last = what
 
--- a/tealrill/state/job_store.py
+++ b/tealrill/state/job_store.py
@@ -45,41 +45,41 @@
         self.team_cpus: dict[str, float] = {}
         self.team_gpus: dict[str, float] = {}
         self.rank_cpus: dict[int, float] = {}
-        self.urgent: dict[Chunk, None] = {}
-        self.lazy: dict[Chunk, None] = {}
-        self.ending: dict[JobId, Job] = {}
-        self.garbage: dict[str, Revision] = {}
+        self.urgent_chunks: dict[Chunk, None] = {}
+        self.deferred_chunks: dict[Chunk, None] = {}
+        self.ending_jobs: dict[JobId, Job] = {}
+        self.orphaned_chunks: dict[str, Revision] = {}
         """Chunks of jobs that are over and have no binding left: keys and their stamps."""
         self._chunk_tasks = chunk_size(value_kb)
 
-    def add(self, spec: wire.JobSpec, submitted: Wall, stamp: Revision) -> Job:
-        """Take in a job whose record stands in version `stamp`."""
+    def add(self, spec: wire.JobSpec, submitted: Wall, mod_revision: Revision) -> Job:
+        """Take in a job whose record stands in version `mod_revision`."""
         job_id = JobId(spec.id)
-        job = Job(job_id, spec, submitted, stamp, self._chunk_tasks, bytearray(spec.tasks))
+        job = Job(job_id, spec, submitted, mod_revision, self._chunk_tasks, bytearray(spec.tasks))
         job.due_s = spec.deadline_s
         self.jobs[job_id] = job
         return job
 
     # -- jobs whose tasks are let go one by one ----------------------------------------------
 
-    def close_tasks(self, job: Job) -> None:
+    def block_tasks(self, job: Job) -> None:
         """Let none of the job's tasks start before it is opened, before any of it is known."""
-        job.opened = bytearray(job.spec.tasks)
+        job.unblocked = bytearray(job.spec.tasks)
         job.closed = job.spec.tasks
         job.fresh = job.spec.tasks
 
-    def open_task(self, job: Job, index: int) -> bool:
+    def unblock_task(self, job: Job, index: int) -> bool:
         """Let one task start, and return True the first time."""
-        if job.opened is None or job.opened[index]:
+        if job.unblocked is None or job.unblocked[index]:
             return False
         self._count_open(job, index)
         if self._free(job, index):
             heapq.heappush(job.requeued, index)
         return True
 
-    def follow(self, job: Job, now: Monotonic) -> list[int]:
+    def report_completions(self, job: Job, now: Monotonic) -> list[int]:
         """Let others wait for its single tasks; return those that are committed as done."""
-        job.followed = True
+        job.reports_completions = True
         kept: list[int] = []
         for number, chunk in job.chunks.items():
             first = number * job.chunk_tasks
@@ -94,13 +94,19 @@
 
     @staticmethod
     def _count_open(job: Job, index: int) -> None:
-        if job.opened is not None and not job.opened[index]:
-            job.opened[index] = 1
+        if job.unblocked is not None and not job.unblocked[index]:
+            job.unblocked[index] = 1
             job.closed -= 1
 
     def clear(self) -> None:
         """Forget everything, for a new attempt to read the records."""
-        for part in (self.jobs, self.urgent, self.lazy, self.ending, self.garbage):
+        for part in (
+            self.jobs,
+            self.urgent_chunks,
+            self.deferred_chunks,
+            self.ending_jobs,
+            self.orphaned_chunks,
+        ):
             part.clear()
         self.team_cpus.clear()
         self.team_gpus.clear()
@@ -108,7 +114,7 @@
 
     # -- bindings ---------------------------------------------------------------------------
 
-    def take_task(self, job: Job) -> int | None:
+    def pop_unbound_task(self, job: Job) -> int | None:
         """Return the next task of the job that is neither bound nor done; None if there is none."""
         while job.requeued:
             index = heapq.heappop(job.requeued)
@@ -136,7 +142,7 @@
         wall: Wall,
         now: Monotonic,
     ) -> Binding:
-        """Bind a task that `take_task` gave; it may be started once its chunk is committed."""
+        """Bind a task that `pop_unbound_task` gave; it may be started after its commit."""
         task = job.tasks.setdefault(index, Task())
         assert task.binding is None and not job.cancelled and not job.done[index]
         chunk = self._chunk(job, index)
@@ -204,49 +210,49 @@
         self._count_open(job, index)
         chunk = self._chunk(job, index)
         chunk.version += 1
-        if job.followed:
+        if job.reports_completions:
             chunk.news.append((chunk.version, index))
-        self._mark(chunk, now, hurry=job.followed)
+        self._mark(chunk, now, hurry=job.reports_completions)
         if job.complete and job.outcome == OUTCOME_DONE:
-            self.ending[job.id] = job
+            self.ending_jobs[job.id] = job
         return True
 
     def task_failed(self, job: Job, index: int) -> None:
         """Count an error of a task. Called before its binding is released, which writes it."""
         task = job.tasks.get(index)
-        if task is None or job.most_errors is None:
+        if task is None or job.max_task_errors is None:
             return
         task.errors += 1
-        if task.errors > job.most_errors:
-            self.give_up(job, OUTCOME_FAILED)
+        if task.errors > job.max_task_errors:
+            self.abort_job(job, OUTCOME_FAILED)
 
-    def give_up(self, job: Job, outcome: str) -> None:
+    def abort_job(self, job: Job, outcome: str) -> None:
         """End a job that is not done: nothing more of it starts, what runs is stopped after."""
         if job.cancelled or job.complete or job.outcome != OUTCOME_DONE:
             return
         job.outcome = outcome
-        self.ending[job.id] = job
+        self.ending_jobs[job.id] = job
 
     def cancel(self, job: Job) -> None:
         """Note that the job's record has ended: nothing of it may start any more."""
         job.cancelled = True
-        self.ending.pop(job.id, None)
+        self.ending_jobs.pop(job.id, None)
         if job.bound_count == 0:
             self._drop(job)
 
     def ended(self, job: Job) -> None:
         """Note that the job's end is committed; bindings that still stand go with their chunks."""
-        self.ending.pop(job.id, None)
+        self.ending_jobs.pop(job.id, None)
         job.cancelled = True
         if job.bound_count == 0:
             self._drop(job)
 
     def _drop(self, job: Job) -> None:
         for chunk in job.chunks.values():
-            self.urgent.pop(chunk, None)
-            self.lazy.pop(chunk, None)
-            if chunk.stamp != ABSENT:
-                self.garbage[chunk.key] = chunk.stamp
+            self.urgent_chunks.pop(chunk, None)
+            self.deferred_chunks.pop(chunk, None)
+            if chunk.mod_revision != ABSENT:
+                self.orphaned_chunks[chunk.key] = chunk.mod_revision
             chunk.committed = chunk.version
         # Chunks name their job: left as a ring, 10,000 finished jobs waited for the collector,
         # which looks rarely, in 20 MB.
@@ -270,10 +276,10 @@
             chunk.dirty_since = now
         if urgent or hurry:
             chunk.new_bindings += int(urgent)
-            self.lazy.pop(chunk, None)
-            self.urgent[chunk] = None
-        elif chunk not in self.urgent:
-            self.lazy[chunk] = None
+            self.deferred_chunks.pop(chunk, None)
+            self.urgent_chunks[chunk] = None
+        elif chunk not in self.urgent_chunks:
+            self.deferred_chunks[chunk] = None
 
     def never_sent(self, chunk: Chunk) -> Iterator[Binding]:
         """Yield the bindings in the chunk of which no start has left."""
@@ -314,7 +320,7 @@
         }
         return encode_chunk(job.chunk_tasks, entries, errors)
 
-    def load(self, job: Job, number: int, value: Any, stamp: Revision) -> list[Binding]:
+    def load(self, job: Job, number: int, value: Any, mod_revision: Revision) -> list[Binding]:
         """Take over a chunk that a former leader wrote, and return the bindings that stand.
 
         Raises `RecordError` if this version can't read it.
@@ -324,7 +330,7 @@
         except RecordError as error:
             raise RecordError(f"{job.id}/{number}: {error}") from error
         job.chunk_tasks = record.n
-        chunk = Chunk(job, number, stamp, version=1, committed=1)
+        chunk = Chunk(job, number, mod_revision, version=1, committed=1)
         job.chunks[number] = chunk
         bindings: list[Binding] = []
         for offset, entry in enumerate(record.tasks):
@@ -344,7 +350,7 @@
             if task is not None:
                 task.errors = errors
         if job.complete:
-            self.ending[job.id] = job
+            self.ending_jobs[job.id] = job
         return bindings
 
     def _load_done(self, job: Job, index: int) -> None:
@@ -373,11 +379,11 @@
             1,
             inherited=True,
         )
-        # Its zone is counted when the machine is known: see `place_inherited`.
+        # Its zone is counted when the machine is known: see `count_inherited_zone`.
         self._attach(job, task, binding, "")
         return [binding]
 
-    def place_inherited(self, binding: Binding, zone: str) -> None:
+    def count_inherited_zone(self, binding: Binding, zone: str) -> None:
         """Count an inherited binding in its machine's zone, once that is known."""
         counts = binding.chunk.job.zone_counts
         counts[zone] = counts.get(zone, 0) + 1
--- a/tealrill/state/rate_limiter.py
+++ b/tealrill/state/rate_limiter.py
@@ -20,11 +20,11 @@
 class RequestPriority(IntEnum):
     """Who goes first when there is not enough for all."""
 
-    FIRST = 0
+    HIGH = 0
     """What others wait for: leases, elections, the job store, acceptances and cancellations."""
-    USERS = 1
+    NORMAL = 1
     """Polls. There may be any number of them, and each may be repeated."""
-    LATER = 2
+    LOW = 2
     """What can wait: it leaves a part of the bucket alone."""
 
 
@@ -45,7 +45,7 @@
         self._tokens = self.burst
         self._at: Monotonic = monotonic_now()
         self._queues: dict[RequestPriority, deque[_Waiter]] = {
-            rank: deque() for rank in RequestPriority
+            priority: deque() for priority in RequestPriority
         }
         self._timer: asyncio.TimerHandle | None = None
 
@@ -60,69 +60,71 @@
         """Tokens of a full bucket."""
         return max(1.0, self._depth if self._depth is not None else self._rate)
 
-    def available(self, rank: RequestPriority = RequestPriority.FIRST) -> float:
+    def available(self, priority: RequestPriority = RequestPriority.HIGH) -> float:
         """Return the tokens that one of this priority may take now."""
         self._refill()
-        return self._tokens - self._kept_from(rank)
+        return self._tokens - self._kept_from(priority)
 
-    def spend(self, amount: float) -> None:
+    def consume(self, amount: float) -> None:
         """Take tokens that `available` has shown."""
         self._tokens -= amount
 
-    def wait_s(self, rank: RequestPriority) -> float:
+    def wait_s(self, priority: RequestPriority) -> float:
         """Estimate how long one who comes now waits behind those before it, in seconds."""
-        ahead = sum(len(queue) for of, queue in self._queues.items() if of <= rank)
-        return max(0.0, (ahead + 1 - self.available(rank)) / self._rate)
+        ahead = sum(len(queue) for of, queue in self._queues.items() if of <= priority)
+        return max(0.0, (ahead + 1 - self.available(priority)) / self._rate)
 
-    async def take(
-        self, amount: float = 1.0, rank: RequestPriority = RequestPriority.FIRST
+    async def acquire(
+        self, amount: float = 1.0, priority: RequestPriority = RequestPriority.HIGH
     ) -> None:
         """Wait until `amount` is there; an amount above the burst waits for a full bucket."""
-        if not any(queue for of, queue in self._queues.items() if of <= rank) and (
-            self.available(rank) >= self._need(amount, rank)
+        if not any(queue for of, queue in self._queues.items() if of <= priority) and (
+            self.available(priority) >= self._need(amount, priority)
         ):
-            self.spend(amount)
+            self.consume(amount)
             return
         waiter = _Waiter(amount, asyncio.get_running_loop().create_future())
-        self._queues[rank].append(waiter)
+        self._queues[priority].append(waiter)
         self._serve()
         try:
             await waiter.granted
         except asyncio.CancelledError:
             if waiter.granted.cancelled():
                 with contextlib.suppress(ValueError):
-                    self._queues[rank].remove(waiter)
+                    self._queues[priority].remove(waiter)
             else:
                 # Its tokens came in the moment in which nobody wanted it any more.
                 self._tokens += amount
             self._serve()
             raise
 
-    def take_now(self, amount: float = 1.0, rank: RequestPriority = RequestPriority.FIRST) -> bool:
+    def try_acquire(
+        self, amount: float = 1.0, priority: RequestPriority = RequestPriority.HIGH
+    ) -> bool:
         """Take tokens if they are there at this moment; a full bucket has enough for anything."""
-        if self.available(rank) < self._need(amount, rank):
+        if self.available(priority) < self._need(amount, priority):
             return False
-        self.spend(amount)
+        self.consume(amount)
         return True
 
-    def _kept_from(self, rank: RequestPriority) -> float:
+    def _kept_from(self, priority: RequestPriority) -> float:
         """Return the part of a full bucket that this priority leaves alone."""
-        return self.burst * self._KEPT_FOR_URGENT if rank is RequestPriority.LATER else 0.0
+        return self.burst * self._KEPT_FOR_URGENT if priority is RequestPriority.LOW else 0.0
 
-    def _need(self, amount: float, rank: RequestPriority) -> float:
+    def _need(self, amount: float, priority: RequestPriority) -> float:
         # The very difference that `available` has with a full bucket: rounded otherwise it was
         # never reached, and who needed it waited for ever, looking every 2 ms.
-        return min(amount, self.burst - self._kept_from(rank))
+        return min(amount, self.burst - self._kept_from(priority))
 
     def _serve(self) -> None:
         """Let go all whose tokens are there, and set the timer for the next."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
-        for rank, queue in self._queues.items():
+        for priority, queue in self._queues.items():
             while queue:
                 waiter = queue[0]
-                short = self._need(waiter.amount, rank) - self.available(rank)
+                short = self._need(waiter.amount, priority) - self.available(priority)
                 if short > 0:
                     # Nobody of a lower rank goes before it.
                     delay_s = max(0.002, short / self._rate)
@@ -131,7 +133,7 @@
                     return
                 queue.popleft()
                 if not waiter.granted.done():
-                    self.spend(waiter.amount)
+                    self.consume(waiter.amount)
                     waiter.granted.set_result(None)
 
     def _refill(self) -> None:
--- a/tealrill/state/records.py
+++ b/tealrill/state/records.py
@@ -19,7 +19,7 @@
 the same reading and the same watch as the jobs that depend on them."""
 RUN_PREFIX: Final = "run/"
 """Chunks of bindings by job id and chunk number."""
-OVER_PREFIX: Final = "over/"
+ENDED_PREFIX: Final = "over/"
 """Ended jobs by their ids."""
 
 OUTCOME_DONE: Final = "done"
@@ -49,9 +49,9 @@
     return JOB_PREFIX + job
 
 
-def over_key(job: JobId) -> str:
+def ended_key(job: JobId) -> str:
     """Return the key of a job's end."""
-    return OVER_PREFIX + job
+    return ENDED_PREFIX + job
 
 
 def chunk_key(job: JobId, number: int) -> str:
--- a/tealrill/state/transaction_batch.py
+++ b/tealrill/state/transaction_batch.py
@@ -12,7 +12,7 @@
 
 from tealrill import wire
 from tealrill.state.bindings import Chunk, Job
-from tealrill.state.records import OUTCOME_CANCELLED, OUTCOME_DONE, job_key, over_key
+from tealrill.state.records import OUTCOME_CANCELLED, OUTCOME_DONE, ended_key, job_key
 from tealrill.types import ABSENT, Monotonic, Revision
 
 _MAX_BYTES: Final = 60 * 1024
@@ -30,7 +30,7 @@
     """They were executed, in this revision."""
     refused: Callable[[dict[str, wire.KeyValue | None]], None]
     """They were not, and will not be; with the guards' keys as they were read back since."""
-    ahead_at: Monotonic | None = None
+    priority_at: Monotonic | None = None
     """For what somebody waits for: right behind new bindings, and from this moment on before them,
     whatever else there is to write. None: when there is room for what can wait."""
 
@@ -57,7 +57,7 @@
     """
     if job.outcome != OUTCOME_DONE or job.bound_count:
         return []
-    kept = [chunk for chunk in job.chunks.values() if chunk.stamp != ABSENT]
+    kept = [chunk for chunk in job.chunks.values() if chunk.mod_revision != ABSENT]
     return kept if len(kept) <= _DROPPED_AT_ONCE else []
 
 
@@ -99,19 +99,19 @@
         if not self._fits(2 + len(dropped), 0, room):
             # Nothing is encoded that there are no changes left for: in an overload ends wait.
             return False
-        put = wire.put(over_key(job.id), _end_record(job))
+        put = wire.put(ended_key(job.id), _end_record(job))
         size = len(wire.encode(put)) + 400 + 300 * len(dropped)
         if not self._fits(2 + len(dropped), size, room):
             return False
         for chunk in dropped:
-            self.guards[chunk.key] = chunk.stamp
+            self.guards[chunk.key] = chunk.mod_revision
             self.changes.append(wire.delete(chunk.key))
             self.dropped_chunks[chunk.key] = chunk
-        self.guards[job_key(job.id)] = job.stamp
-        self.guards[over_key(job.id)] = ABSENT
+        self.guards[job_key(job.id)] = job.mod_revision
+        self.guards[ended_key(job.id)] = ABSENT
         if job.owner is not None and job.outcome != OUTCOME_CANCELLED:
             # Once its owner's end was told to anybody, it can't become done any more.
-            self.guards[job.owner.key] = job.owner.stamp
+            self.guards[job.owner.key] = job.owner.mod_revision
         self.changes += [wire.delete(job_key(job.id)), put]
         self.size += size
         self.jobs.append(job)
@@ -123,12 +123,12 @@
         size = len(wire.encode(change)) + 200
         if not self._fits(1, size, room):
             return False
-        self.guards[chunk.key] = chunk.stamp
+        self.guards[chunk.key] = chunk.mod_revision
         if chunk.new_bindings:
             # Nothing may be bound for a job whose user was already told that it is cancelled.
-            self.guards[job_key(chunk.job.id)] = chunk.job.stamp
+            self.guards[job_key(chunk.job.id)] = chunk.job.mod_revision
             if chunk.job.owner is not None:
-                self.guards[chunk.job.owner.key] = chunk.job.owner.stamp
+                self.guards[chunk.job.owner.key] = chunk.job.owner.mod_revision
         self.changes.append(change)
         self.chunks.append(ChunkWrite(chunk, chunk.version, chunk.new_bindings))
         self.size += size
@@ -145,11 +145,11 @@
         self.joined.append(joined)
         return True
 
-    def add_obsolete(self, key: str, stamp: Revision, room: int) -> bool:
+    def add_obsolete(self, key: str, mod_revision: Revision, room: int) -> bool:
         """Add the removal of an obsolete chunk, for which nobody waits; return False if full."""
         if len(self.changes) >= room:
             return False
-        self.guards[key] = stamp
+        self.guards[key] = mod_revision
         self.changes.append(wire.delete(key))
         self.obsolete.append(key)
         self.size += 2 * len(key) + 60
--- a/tealrill/state/write_batcher.py
+++ b/tealrill/state/write_batcher.py
@@ -26,7 +26,7 @@
 from tealrill.state.fencing import LEADER_KEY, Fence, Leadership
 from tealrill.state.job_store import JobStore
 from tealrill.state.rate_limiter import RequestPriority
-from tealrill.state.records import OUTCOME_CANCELLED, job_key, over_key
+from tealrill.state.records import OUTCOME_CANCELLED, ended_key, job_key
 from tealrill.state.transaction_batch import JoinedWrite, TransactionBatch
 from tealrill.types import ABSENT, Monotonic, Revision, monotonic_now
 
@@ -57,18 +57,18 @@
     ) -> None:
         self._client = client
         self._job_store = job_store
-        self._fence = Fence(client, leadership.stamp)
+        self._fence = Fence(client, leadership.mod_revision)
         self._txn_ops = txn_ops
         self._committed = committed
         self._job_over = job_over
         self._wake = asyncio.Event()
-        self.under_way = False
+        self.busy = False
         """A transaction has been sent and not been answered."""
         self.joined: dict[JoinedWrite, None] = {}
         """What subsystems have to write; it goes behind ends and new bindings."""
         self.tasks_done: Callable[[Job, list[int]], None] = lambda _, __: None
         """Tasks of a job that others follow are written down as done."""
-        self.owner_gone: Callable[[Owner], None] = lambda _: None
+        self.owner_changed: Callable[[Owner], None] = lambda _: None
         """A guard on the record that jobs belong to failed."""
 
     def join(self, joined: JoinedWrite) -> None:
@@ -84,7 +84,7 @@
         """Commit until leadership is lost; raises `LeadershipLostError` then."""
         while True:
             batch = self._gather(monotonic_now())
-            self.under_way = bool(batch.changes)
+            self.busy = bool(batch.changes)
             if batch.changes:
                 await self._commit(batch)
                 continue
@@ -108,37 +108,37 @@
         """
         batch = TransactionBatch()
         room = min(self._txn_ops, int(self._client.writes.available()))
-        awaited = {j: j.ahead_at for j in self.joined if j.ahead_at is not None}
+        awaited = {j: j.priority_at for j in self.joined if j.priority_at is not None}
         if (
             self._add_all(batch, [j for j, at in awaited.items() if now >= at], room)
             and self._add_awaited(batch, room)
             and self._add_all(batch, [j for j in awaited if j not in batch.joined], room)
         ):
-            spare = min(room, max(0, int(self._client.writes.available(RequestPriority.LATER))))
+            spare = min(room, max(0, int(self._client.writes.available(RequestPriority.LOW))))
             self._add_deferred(batch, spare, now)
         return batch
 
     def _add_deferred(self, batch: TransactionBatch, room: int, now: Monotonic) -> None:
         """Add what nobody waits for."""
-        self._add_all(batch, [j for j in self.joined if j.ahead_at is None], room)
-        for chunk in list(self._job_store.lazy):
+        self._add_all(batch, [j for j in self.joined if j.priority_at is None], room)
+        for chunk in list(self._job_store.deferred_chunks):
             due = chunk.dirty_since is not None and now - chunk.dirty_since >= _LAZY_S
             if due and chunk.job not in batch.jobs and not self._add_chunk(batch, chunk, room):
                 break
-        for key, stamp in list(self._job_store.garbage.items()):
-            if not batch.add_obsolete(key, stamp, room):
+        for key, mod_revision in list(self._job_store.orphaned_chunks.items()):
+            if not batch.add_obsolete(key, mod_revision, room):
                 break
 
     def _add_awaited(self, batch: TransactionBatch, room: int) -> bool:
         """Add ends and new bindings; return False when one found no room: nothing may pass it."""
         ends: dict[int, list[Job]] = {}
-        for job in self._job_store.ending.values():
+        for job in self._job_store.ending_jobs.values():
             ends.setdefault(job.spec.rank, []).append(job)
         chunks: dict[int, list[Chunk]] = {}
-        for chunk in self._job_store.urgent:
+        for chunk in self._job_store.urgent_chunks:
             chunks.setdefault(chunk.job.spec.rank, []).append(chunk)
         for rank in sorted(ends.keys() | chunks.keys(), reverse=True):
-            drop_chunks = rank not in chunks or len(self._job_store.garbage) >= _LEFTOVERS
+            drop_chunks = rank not in chunks or len(self._job_store.orphaned_chunks) >= _LEFTOVERS
             if not all(batch.add_end(job, room, drop_chunks) for job in ends.get(rank, ())):
                 return False
             if not all(
@@ -159,9 +159,9 @@
     # -- the transaction ------------------------------------------------------------------------
 
     async def _commit(self, batch: TransactionBatch) -> None:
-        self._client.writes.spend(len(batch.changes))
+        self._client.writes.consume(len(batch.changes))
         try:
-            result = await self._fence.commit(batch.guards, batch.changes, paid=True)
+            result = await self._fence.commit(batch.guards, batch.changes, tokens_acquired=True)
         except StateUnavailableError as error:
             log.debug("commit refused: %s", error)
             await asyncio.sleep(_BACK_OFF_S)
@@ -180,7 +180,7 @@
 
     def _apply(self, batch: TransactionBatch, revision: Revision) -> None:
         for chunk, version, new_bindings in batch.chunks:
-            chunk.stamp = revision
+            chunk.mod_revision = revision
             chunk.committed = max(chunk.committed, version)
             chunk.new_bindings -= new_bindings
             if chunk.news:
@@ -189,20 +189,20 @@
                 self.tasks_done(chunk.job, done)
             if chunk.job.id not in self._job_store.jobs:
                 # The job went away meanwhile; its chunk was written once more.
-                self._job_store.garbage[chunk.key] = revision
+                self._job_store.orphaned_chunks[chunk.key] = revision
                 continue
             if chunk.version == version:
-                self._job_store.urgent.pop(chunk, None)
-                self._job_store.lazy.pop(chunk, None)
+                self._job_store.urgent_chunks.pop(chunk, None)
+                self._job_store.deferred_chunks.pop(chunk, None)
                 chunk.dirty_since = None
             elif not chunk.new_bindings:
-                self._job_store.urgent.pop(chunk, None)
-                self._job_store.lazy[chunk] = None
+                self._job_store.urgent_chunks.pop(chunk, None)
+                self._job_store.deferred_chunks[chunk] = None
                 chunk.dirty_since = monotonic_now()
         for key in batch.obsolete:
-            self._job_store.garbage.pop(key, None)
+            self._job_store.orphaned_chunks.pop(key, None)
         for chunk in batch.dropped_chunks.values():
-            chunk.stamp = ABSENT
+            chunk.mod_revision = ABSENT
         for job in batch.jobs:
             self._job_store.ended(job)
             self._job_over(job)
@@ -221,26 +221,26 @@
         found: dict[str, wire.KeyValue | None] = {}
         for key in keys:
             entry = found[key] = await self._read(key)
-            stamp = _stamp(entry)
-            if key in owners and stamp != owners[key].stamp:
-                self.owner_gone(owners[key])
+            mod_revision = _stamp(entry)
+            if key in owners and mod_revision != owners[key].mod_revision:
+                self.owner_changed(owners[key])
             if key == LEADER_KEY:
-                if stamp != self._fence.token:
+                if mod_revision != self._fence.token:
                     raise LeadershipLostError
             elif key in chunks:
-                chunks[key].stamp = stamp
+                chunks[key].mod_revision = mod_revision
             elif key in jobs_by_key:
-                await self._job_changed(jobs_by_key[key], stamp)
+                await self._job_changed(jobs_by_key[key], mod_revision)
             elif key in batch.obsolete:
-                self._obsolete_changed(key, stamp)
+                self._obsolete_changed(key, mod_revision)
         self._refuse_outdated(batch.joined, found)
 
-    def _obsolete_changed(self, key: str, stamp: Revision) -> None:
+    def _obsolete_changed(self, key: str, mod_revision: Revision) -> None:
         """Take over the stamp of an obsolete chunk; absent, it needs no removal any more."""
-        if stamp == ABSENT:
-            self._job_store.garbage.pop(key, None)
+        if mod_revision == ABSENT:
+            self._job_store.orphaned_chunks.pop(key, None)
         else:
-            self._job_store.garbage[key] = stamp
+            self._job_store.orphaned_chunks[key] = mod_revision
 
     def _refuse_outdated(
         self, writes: list[JoinedWrite], found: dict[str, wire.KeyValue | None]
@@ -248,16 +248,17 @@
         """Drop the writes of subsystems that can't be executed any more, executed or not."""
         for joined in writes:
             if any(
-                key in found and _stamp(found[key]) != stamp for key, stamp in joined.guards.items()
+                key in found and _stamp(found[key]) != mod_revision
+                for key, mod_revision in joined.guards.items()
             ):
                 self.joined.pop(joined, None)
                 joined.refused({key: found[key] for key in joined.guards if key in found})
 
-    async def _job_changed(self, job: Job, stamp: Revision) -> None:
+    async def _job_changed(self, job: Job, mod_revision: Revision) -> None:
         """Find out why the job's record is gone: this leader's own end of it, or a cancellation."""
-        if stamp == job.stamp or job.id not in self._job_store.jobs:
+        if mod_revision == job.mod_revision or job.id not in self._job_store.jobs:
             return
-        over = await self._read(over_key(job.id))
+        over = await self._read(ended_key(job.id))
         if over is not None and over.value.get("status") == wire.JOB_DONE:
             self._job_store.ended(job)
             self._job_over(job)
--- a/tealrill/status.py
+++ b/tealrill/status.py
@@ -32,23 +32,23 @@
     leader: Leader | None,
 ) -> dict[str, Any]:
     """Return the state of the controller on `host`, as `/admin/state` shows it."""
-    known = election.known
+    known_leader = election.known_leader
     shown: dict[str, Any] = {
         "node": host,
-        "leader": known.host if known is not None else None,
-        "term": known.term if known is not None else None,
+        "leader": known_leader.host if known_leader is not None else None,
+        "term": known_leader.term if known_leader is not None else None,
         "reports": asdict(counts),
         "state_interruptions": state_interruptions,
     }
-    mine = election.mine
-    if mine is not None:
-        shown["valid_s"] = round(mine.valid_until - monotonic_now(), 1)
-        shown["held_by"] = "lease" if is_held_by_lease(mine) else "promises"
+    leadership = election.leadership
+    if leadership is not None:
+        shown["valid_s"] = round(leadership.valid_until - monotonic_now(), 1)
+        shown["held_by"] = "lease" if is_held_by_lease(leadership) else "promises"
     delegated = delegate.describe(monotonic_now())
     if delegated is not None:
         shown["renews"] = delegated
     if leader is not None:
-        plan = leader.scheduling_loop.last
+        plan = leader.scheduling_loop.last_plan
         shown["machines"] = len(leader.fleet.machines)
         shown["jobs"] = len(leader.job_store.jobs)
         shown["head"] = plan.reserved_job
--- a/tests/plain.py
+++ b/tests/plain.py
@@ -23,18 +23,18 @@
     View,
 )
 from tealrill.scheduler.plan import _Pass
-from tealrill.scheduler.preemption import Victims, _victims_on, is_preemptible
+from tealrill.scheduler.preemption import PreemptedTasks, _preempted_tasks_on, is_preemptible
 from tealrill.scheduler.reservation import Window, windows
 from tealrill.types import Monotonic
 
 
 def end_at(task: RunningTask, now: Monotonic) -> Monotonic:
-    run_s = task.guess_s * task.pace.ratio
+    run_s = task.owner_estimate_s * task.correction.ratio
     if task.stopping:
         return now
-    if task.since is None:
+    if task.started_at is None:
         return Monotonic(now + run_s)
-    return Monotonic(max(task.since + run_s, now + min(5.0, 0.25 * (now - task.since))))
+    return Monotonic(max(task.started_at + run_s, now + min(5.0, 0.25 * (now - task.started_at))))
 
 
 # -- placing --------------------------------------------------------------------------------------
@@ -59,7 +59,7 @@
     def _reserve_for(self, job: JobView, left: int) -> None:
         super()._reserve_for(job, left)
         machines = self._usable(job, self.view.machines)
-        self._windows = reserve(job, machines, self.now, min(left, self.policy.reserved_tasks))
+        self._windows = reserve(job, machines, self.now, min(left, self.policy.max_reserved_tasks))
         found = {
             m.id: Reservation(m.id, window.at, window.tasks) for m, window in self._windows.items()
         }
@@ -67,24 +67,30 @@
 
     def _preempt_for(self, reserved_job: JobView) -> None:
         team = self.view.teams.get(reserved_job.team)
-        guaranteed = team is not None and team.guaranteed(reserved_job)
-        soon = self.now + self.policy.stop_cost_s
+        is_within_quota = team is not None and team.is_within_quota(reserved_job)
+        soon = self.now + self.policy.min_preemption_gain_s
         coming = sum(w.tasks for w in self.windows.values() if w.at <= soon)
-        wanted = min(self._within_quota(reserved_job), self.policy.reserved_tasks) - coming
+        wanted = (
+            min(self._tasks_within_limit(reserved_job), self.policy.max_reserved_tasks) - coming
+        )
         backfilled = sum(t.backfilled for m in self.ready for t in m.running)
-        budget = max(1, math.ceil(backfilled * self.policy.stop_share))
+        budget = max(1, math.ceil(backfilled * self.policy.max_preempted_share))
         taken: set[RunningTask] = set()
         machines = self._usable(reserved_job, self.ready)
         while wanted > 0:
-            victims = choose(reserved_job, machines, self.view.teams, taken, guaranteed, self.now)
-            if victims is None or len(taken) + len(victims.tasks) > max(budget, len(victims.tasks)):
+            preempted = choose(
+                reserved_job, machines, self.view.teams, taken, is_within_quota, self.now
+            )
+            if preempted is None or len(taken) + len(preempted.tasks) > max(
+                budget, len(preempted.tasks)
+            ):
                 return
-            taken.update(victims.tasks)
-            for task in victims.tasks:
+            taken.update(preempted.tasks)
+            for task in preempted.tasks:
                 grace_s = task.save_s if task.saves else 0.0
                 self.plan.stops.append(StopTask(task.task, reserved_job.id, grace_s))
-                victims.machine.release_room(task)
-            victims.machine.reserve_room(reserved_job)
+                preempted.machine.release_task(task)
+            preempted.machine.allocate_task(reserved_job)
             wanted -= 1
 
 
@@ -97,7 +103,7 @@
 ) -> dict[MachineView, Window]:
     rooms = []
     for number, machine in enumerate(machines):
-        if not machine.allows(job) or job.zone_room(machine.zone) <= 0:
+        if not machine.allows(job) or job.tasks_allowed_in_zone(machine.zone) <= 0:
             continue
         room = _earliest_fit(job, machine, now)
         if room is not None:
@@ -128,22 +134,22 @@
     machines: list[MachineView],
     teams: dict[str, TeamView],
     taken: set[RunningTask],
-    guaranteed: bool,
+    is_within_quota: bool,
     now: Monotonic,
-) -> Victims | None:
-    best: Victims | None = None
+) -> PreemptedTasks | None:
+    best: PreemptedTasks | None = None
     for machine in machines:
-        if not machine.allows(job) or job.zone_room(machine.zone) <= 0:
+        if not machine.allows(job) or job.tasks_allowed_in_zone(machine.zone) <= 0:
             continue
         candidates = [
             t
             for t in machine.running
-            if t not in taken and is_preemptible(t, job, teams, guaranteed)
+            if t not in taken and is_preemptible(t, job, teams, is_within_quota)
         ]
         candidates.sort(key=lambda task: task.ran_s(now))
-        victims = _victims_on(machine, job, candidates, now)
-        if victims is not None and (best is None or victims.lost_cpu_s < best.lost_cpu_s):
-            best = victims
+        preempted = _preempted_tasks_on(machine, job, candidates, now)
+        if preempted is not None and (best is None or preempted.lost_cpu_s < best.lost_cpu_s):
+            best = preempted
     return best
 
 
@@ -220,10 +226,10 @@
             continue
         lowest = min(_price(job, waiting, o) for o in fitting)
         ready = [o for o in fitting if o in available]
-        cheap = [o for o in ready if _price(job, waiting, o) <= policy.dear * lowest]
+        cheap = [o for o in ready if _price(job, waiting, o) <= policy.expensive_ratio * lowest]
         wait_s = min(o.boot_s for o in fitting)
         if not cheap and job in affordable:
-            wait_s = max(wait_s, job.latest_s[0])
+            wait_s = max(wait_s, job.latest_start_s[0])
         left = waiting - _allocate(job, waiting, rooms, sizes, Monotonic(now + wait_s))
         if not cheap and job in affordable:
             continue
--- a/tests/samples.py
+++ b/tests/samples.py
@@ -8,7 +8,7 @@
 
 from tealrill import wire
 from tealrill.fleet.intent_log import IntentLog
-from tealrill.scheduler.model import JobView, MachineView, Pace, RunningTask
+from tealrill.scheduler.model import EstimateCorrection, JobView, MachineView, RunningTask
 from tealrill.state.fencing import Duty
 from tealrill.state.transaction_batch import JoinedWrite
 from tealrill.types import FencingToken, JobId, MachineId, Monotonic, Revision, TaskId
@@ -96,7 +96,7 @@
         "waiting": 1,
         "tasks": 10,
         "waited_s": 0.0,
-        "latest_s": (),
+        "latest_start_s": (),
         "estimate_s": 10.0,
         "image": "img",
         "image_gb": 0.0,
@@ -123,7 +123,7 @@
         "ready_at": Monotonic(0.0),
         "fetch_gb_per_s": 1.0,
         "images": set(),
-        "dear": False,
+        "is_expensive": False,
         "running": (),
     }
     return MachineView(**{**values, **changes})
@@ -142,9 +142,9 @@
         "memory_gb": 1.0,
         "backfilled": False,
         "stopping": False,
-        "since": Monotonic(now - ran_s),
-        "guess_s": ran_s + end_at - now,
-        "pace": Pace(),
+        "started_at": Monotonic(now - ran_s),
+        "owner_estimate_s": ran_s + end_at - now,
+        "correction": EstimateCorrection(),
         "saves": False,
         "save_s": 0.0,
     }
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -71,8 +71,8 @@
         entries: list[Any] = []
         size = 0
         for key in found[:most]:
-            value, stamp = self.standin.keys[key]
-            entries.append({"path": key, "value": value, "stamp": stamp})
+            value, mod_revision = self.standin.keys[key]
+            entries.append({"path": key, "value": value, "stamp": mod_revision})
             size += len(orjson.dumps(entries[-1]))
             if size > _PAGE_BYTES:
                 break
--- a/tests/test_acknowledged_cancellations.py
+++ b/tests/test_acknowledged_cancellations.py
@@ -20,7 +20,7 @@
 
 from tealrill import settings
 from tealrill.leadership.lease_extension import (
-    PROMISE_S,
+    EXTENSION_GRANT_S,
     CancellationKnowledge,
     ExtensionAnswer,
     ExtensionRequest,
@@ -51,7 +51,7 @@
 class _Member:
     """A node that does not stand; all that it knows goes with its process."""
 
-    mine: Leadership | None = None
+    leadership: Leadership | None = None
 
     def __init__(self, world: _World) -> None:
         self.first: Revision | None = None
@@ -64,7 +64,7 @@
             lambda: world.now,
         )
 
-    def promise(self, term: FencingToken, until: Monotonic) -> str:
+    def grant_extension(self, term: FencingToken, until: Monotonic) -> str:
         return ""
 
 
@@ -79,19 +79,19 @@
         self.at: dict[str, int] = {}
         self.known: set[str] = set()
         self.seen = CancellationKnowledge(Revision(10), self.now)
-        self.mine = Leadership(FencingToken(1), Revision(1), LeaseId(1), self.now, self.now)
+        self.leadership = Leadership(FencingToken(1), Revision(1), LeaseId(1), self.now, self.now)
         for member in self.members:
             member.first = Revision(10)
         self._lead()
 
     def _lead(self) -> None:
         extension = self.members[0].extension
-        extension.seen = lambda: self.seen
-        extension.cancelled = self.known.add
+        extension.cancellation_knowledge = lambda: self.seen
+        extension.on_cancelled = self.known.add
         extension._peers = {"1": cast(Any, 1), "2": cast(Any, 2)}
 
         async def ask(number: Any, request: ExtensionRequest) -> ExtensionAnswer:
-            answer: ExtensionAnswer = await self.members[number].extension.asked(request)
+            answer: ExtensionAnswer = await self.members[number].extension.handle_request(request)
             vouches = answer.vouches or self.without == "vouching"
             return ExtensionAnswer(answer.promised, answer.why, answer.cancelled, vouches)
 
@@ -144,23 +144,23 @@
         self.state.up = not self.state.up and self.rng.random() < 0.3
 
     def ask(self) -> None:
-        if not self.state.up and self.mine.valid(self.now):
+        if not self.state.up and self.leadership.valid(self.now):
             if self.without == "own":
                 self.members[0].extension._acknowledged = AcknowledgedCancellations(
                     lambda: Revision(0)
                 )
-            asyncio.run(self.members[0].extension._seek(self.mine))
+            asyncio.run(self.members[0].extension._seek(self.leadership))
 
     def pass_time(self, seconds: float) -> None:
         self.now = Monotonic(self.now + seconds)
         if self.state.up:
-            self.mine.valid_until = Monotonic(self.now + _RENEWED_S)
+            self.leadership.valid_until = Monotonic(self.now + _RENEWED_S)
             if self.now - self.seen.at > self.rng.uniform(0.0, _WATCH_LAG_S):
                 self.seen = CancellationKnowledge(Revision(self.state.revision), self.now)
                 self.known |= {n for n, at in self.at.items() if at <= self.seen.revision}
 
     def check(self) -> None:
-        if not self.mine.valid(self.now):
+        if not self.leadership.valid(self.now):
             return
         gone_at = self.now + _WORKERS["lease_s"]
         for name, told in self.told.items():
@@ -193,11 +193,11 @@
 def test_what_was_let_go_is_not_vouched_for(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(acknowledged_module, "_KEPT", 1)
 
-    def all_since(self: AcknowledgedCancellations, revision: Revision) -> bool:
+    def is_complete_since(self: AcknowledgedCancellations, revision: Revision) -> bool:
         first = self._first_seen()
         return first is not None and first <= revision
 
-    monkeypatch.setattr(AcknowledgedCancellations, "all_since", all_since)
+    monkeypatch.setattr(AcknowledgedCancellations, "is_complete_since", is_complete_since)
     with pytest.raises(AssertionError, match="runs on"):
         for seed in range(3000):
             _World(seed).run(80)
@@ -206,10 +206,10 @@
 def test_a_restarted_member_vouches_for_what_came_after_its_first_look() -> None:
     first: list[Revision] = []
     known = AcknowledgedCancellations(lambda: first[0] if first else None)
-    assert not known.all_since(Revision(100))
+    assert not known.is_complete_since(Revision(100))
     first.append(Revision(50))
-    assert known.all_since(Revision(50))
-    assert not known.all_since(Revision(49))
+    assert known.is_complete_since(Revision(50))
+    assert not known.is_complete_since(Revision(49))
 
 
 def test_too_many_cancellations_are_not_vouched_for(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -219,20 +219,20 @@
         known.add(f"wk-{at}", Revision(at))
     assert known.since(Revision(0)) == ["wk-9", "wk-8", "wk-10"]
     # The oldest was let go, so a leader that has not seen it is told that something is missing.
-    assert not known.all_since(Revision(6))
-    assert known.all_since(Revision(7))
+    assert not known.is_complete_since(Revision(6))
+    assert known.is_complete_since(Revision(7))
 
 
 def test_an_unvouched_promise_holds_for_a_bounded_time() -> None:
     world = _World(0)
     world.members[1] = _Member(world)
     world.seen = CancellationKnowledge(Revision(10), world.now)
-    world.mine.valid_until = Monotonic(world.now + _RENEWED_S)
+    world.leadership.valid_until = Monotonic(world.now + _RENEWED_S)
     world.state.up = False
     began = world.now
-    while world.mine.valid(world.now):
+    while world.leadership.valid(world.now):
         world.ask()
         world.now = Monotonic(world.now + 0.5)
     # Longer than one promise, and no longer than what nobody here knows of may run.
     spare = _WORKERS["cancel_s"] - _WORKERS["lease_s"]
-    assert PROMISE_S < world.now - began < spare
+    assert EXTENSION_GRANT_S < world.now - began < spare
--- a/tests/test_bindings.py
+++ b/tests/test_bindings.py
@@ -305,7 +305,7 @@
         for worker in self.workers.values():
             worker.lapse(self.now)
         if self.delegation != (self.term, False):
-            self.fleet.leases.check_silence(Monotonic(self.now))
+            self.fleet.leases.expire_leases(Monotonic(self.now))
         elif self.random.random() < 0.5:
             # The leader closes a delegation, or has removed it because all machines were heard.
             self.delegation = (self.term, True) if self.random.random() < 0.5 else None
@@ -475,30 +475,30 @@
 class LapsesTooSoon(Fleet):
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
-        self.leases.silence_s = LEASE_S / 3
+        self.leases.expiry_s = LEASE_S / 3
 
 
 class CountsSilenceFromNothing(Fleet):
     """A new leader that does not count its election as a possible renewal."""
 
     class _Leases(Leases):
-        def check_silence(self, now: Monotonic) -> None:
+        def expire_leases(self, now: Monotonic) -> None:
             self._elected_at = self._elsewhere_until = Monotonic(0.0)
-            super().check_silence(now)
+            super().expire_leases(now)
 
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
         self.leases = self._Leases(self, *args[2:5])
 
 
-def work_for_who_answers(patch: pytest.MonkeyPatch) -> None:
+def place_on_contacted_machines(patch: pytest.MonkeyPatch) -> None:
     """A machine that answers direct commands may be given work, whether or not it reports."""
 
-    def is_placeable(self: Machine, now: Monotonic, silence_s: float) -> bool:
+    def is_placeable(self: Machine, now: Monotonic, expiry_s: float) -> bool:
         return (
             self.is_in_order
             and self.last_contact_at is not None
-            and now - self.last_contact_at <= silence_s
+            and now - self.last_contact_at <= expiry_s
             and now >= self.refused_until
         )
 
@@ -544,7 +544,7 @@
 
     class _Reconciler(Reconciler):
         def _missing(self, machine: Machine, binding: Binding, *args: Any) -> None:
-            binding.seen = True
+            binding.start_confirmed = True
             super()._missing(machine, binding, *args)
 
     def __init__(self, *args: Any) -> None:
@@ -581,12 +581,12 @@
 @settings(max_examples=250)
 def test_a_sessions_beginning_is_enough_without_its_first_report(seed: int) -> None:
     with pytest.MonkeyPatch.context() as patch:
-        work_for_who_answers(patch)
+        place_on_contacted_machines(patch)
         Outages(seed, Fleet).run(STEPS)
 
 
 def test_a_session_counts_from_its_beginning(monkeypatch: pytest.MonkeyPatch) -> None:
-    work_for_who_answers(monkeypatch)
+    place_on_contacted_machines(monkeypatch)
     with pytest.raises(RanTwice):
         for seed in range(20_000):
             Outages(seed, CountsSilenceFromTheSessionBefore).run(STEPS)
@@ -623,13 +623,13 @@
     assert asked <= until and term == cluster.term - new_leader
     worker.renewed_at = asked
     cluster.now = ends + LEASE_S + 1.0
-    cluster.fleet.leases.check_silence(Monotonic(cluster.now))
+    cluster.fleet.leases.expire_leases(Monotonic(cluster.now))
     assert cluster.now - worker.renewed_at < LEASE_S
     still_bound = bool(list(cluster.job.bindings()))
     forgotten = ForgetsDelegationsOfEarlierTerms if new_leader else ForgetsRevokedDelegations
     assert still_bound is (kept or fleet_class is not forgotten)
     cluster.now = asked + LEASE_S + 1.0
-    cluster.fleet.leases.check_silence(Monotonic(cluster.now))
+    cluster.fleet.leases.expire_leases(Monotonic(cluster.now))
     assert not list(cluster.job.bindings())
 
 
@@ -642,7 +642,7 @@
 ) -> None:
     """An outage longer than the lease, then a stop that is refused: the worker's session is new."""
     if not reports_first:
-        work_for_who_answers(monkeypatch)
+        place_on_contacted_machines(monkeypatch)
     cluster = Cluster(0, fleet_class)
     machine = cluster.workers["m-1"]
     for sequence in (1, 2):
@@ -663,11 +663,11 @@
     cluster.commit()
     while not machine.tasks:
         cluster.direct_round_trip()
-    cluster.fleet.leases.check_silence(Monotonic(cluster.now))
+    cluster.fleet.leases.expire_leases(Monotonic(cluster.now))
     assert bool(list(cluster.job.bindings())) is (fleet_class is Fleet)
     # Nothing more is heard: its lease, counted from then, ends the binding.
     cluster.now += LEASE_S + 1.0
-    cluster.fleet.leases.check_silence(Monotonic(cluster.now))
+    cluster.fleet.leases.expire_leases(Monotonic(cluster.now))
     assert not list(cluster.job.bindings())
 
 
--- a/tests/test_boot_times.py
+++ b/tests/test_boot_times.py
@@ -69,16 +69,16 @@
     provisioner = _provisioner(fleet)
     kind = wire.MachineType(name="m8", cpus=8.0, gpus=0.0, memory_gb=32.0, price=1.0,
                             spot_price=0.4, boot_s=_NOMINAL_S, zones=["north"])  # fmt: skip
-    provisioner.take_catalogue(wire.Catalogue(types=[kind]))
+    provisioner.set_catalogue(wire.Catalogue(types=[kind]))
     for number in range(7):
-        provisioner._rented(
-            f"m-{number}", Rental("m8", "north", False, 7), Monotonic(0.0), booted=True
+        provisioner._add_rented_machine(
+            f"m-{number}", Rental("m8", "north", False, 7), Monotonic(0.0), rented_this_term=True
         )
     machines = list(fleet.machines.values())
     for machine in machines[:6]:
         provisioner.registered(machine, Monotonic(30.0))
     late = machines[6]
-    late.listed = wire.MACHINE_BOOTING
+    late.listed_state = wire.MACHINE_BOOTING
     provisioner.partitioned_zones = lambda: frozenset({"north"})
     provisioner.machine_list._check_boot(late, Monotonic(70.0))
     assert not late.releasing
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -44,8 +44,8 @@
     caplog.set_level(logging.INFO)
     store = Store()
     election = Election(cast(StateClient, store), "node-0", lambda: None)
-    for term, stamp in ((3, 7), (3, 7), (4, 9)):
-        store.keys["leader"] = ({"host": "node-1", "term": term}, stamp)
+    for term, mod_revision in ((3, 7), (3, 7), (4, 9)):
+        store.keys["leader"] = ({"host": "node-1", "term": term}, mod_revision)
         asyncio.run(election._follow())
     assert _texts(caplog, "follows") == [
         "term 3: follows node-1, whose key is at revision 7",
@@ -58,14 +58,16 @@
 ) -> None:
     caplog.set_level(logging.INFO)
     now = monotonic_now()
-    mine = Leadership(FencingToken(3), Revision(7), LeaseId(1), now, Monotonic(now + 3.0))
+    leadership = Leadership(FencingToken(3), Revision(7), LeaseId(1), now, Monotonic(now + 3.0))
     client, cloud = cast(StateClient, Store()), cast(Cloud, None)
-    leader = Leader(PARSED, client, cloud, cast(Election, None), mine, Estimates())
+    leader = Leader(PARSED, client, cloud, cast(Election, None), leadership, Estimates())
     leader.fleet.loaded = True
-    leader.job_watch.seen = CancellationKnowledge(Revision(41), now)
+    leader.job_watch.cancellation_knowledge = CancellationKnowledge(Revision(41), now)
     for later_s in (0.0, 1.0, 30.0, 31.0):
         leader.lease_expiry._log_knowledge(Monotonic(now + later_s))
-    leader.job_watch.seen = CancellationKnowledge(Revision(50), Monotonic(now + 31.0))
+    leader.job_watch.cancellation_knowledge = CancellationKnowledge(
+        Revision(50), Monotonic(now + 31.0)
+    )
     leader.lease_expiry._log_knowledge(Monotonic(now + 32.0))
     assert _texts(caplog, "cancellations are known") == [
         "term 3: does not renew workers; cancellations are known up to revision 41, 30.0 s ago",
@@ -75,7 +77,7 @@
 
 def test_a_nodes_status_counts_reports_by_their_answers() -> None:
     node = Controller(PARSED)
-    node.election.known = KnownLeader("node-1", FencingToken(3), Revision(7))
+    node.election.known_leader = KnownLeader("node-1", FencingToken(3), Revision(7))
     message: wire.Heartbeat = report("m-1", 1, 1, 3)
     for _ in range(3):
         assert node.handle_heartbeat(message, MachineId("m-1"))[0] == 421
@@ -83,10 +85,10 @@
     assert shown["reports"] == {"renewed": 0, "delegated": 0, "redirected": 3, "refused": 0}
     assert shown["state_interruptions"] == 0 and "renews" not in shown and "held_by" not in shown
     now = monotonic_now()
-    mine = Leadership(
+    leadership = Leadership(
         FencingToken(4), Revision(9), LeaseId(1), now, Monotonic(now + 2.7), renewed_at=now
     )
-    node.election.mine = mine
+    node.election.leadership = leadership
     assert node.describe()["held_by"] == "lease"
-    mine.valid_until = Monotonic(now + 3.8)
+    leadership.valid_until = Monotonic(now + 3.8)
     assert node.describe()["held_by"] == "promises" and node.describe()["valid_s"] <= 3.8
--- a/tests/test_cost.py
+++ b/tests/test_cost.py
@@ -18,10 +18,10 @@
 from tealrill.scheduler.capacity import Offer, rentals
 from tealrill.scheduler.free_capacity import FreeCapacity
 from tealrill.scheduler.model import (
-    Expected,
+    EstimateCorrection,
+    ExpectedWork,
     JobView,
     MachineView,
-    Pace,
     Plan,
     Policy,
     RunningTask,
@@ -32,7 +32,7 @@
 from tealrill.types import MachineId, Monotonic, Revision, Wall
 from tests import plain
 from tests.samples import job_view, machine_view, report, running_task, spec
-from tests.test_dispatch import _dispatcher
+from tests.test_dispatch import build_scheduling_loop
 
 NOW = Monotonic(1000.0)
 
@@ -44,7 +44,7 @@
     the generator's work and not the planner's.
     """
     dice = random.Random(seed)
-    paces = {team: Pace(dice.uniform(0.7, 1.6)) for team in ("blue", "red")}
+    paces = {team: EstimateCorrection(dice.uniform(0.7, 1.6)) for team in ("blue", "red")}
     fleet = []
     for number in range(machines):
         size = dice.choice([8.0, 16.0, 64.0])
@@ -65,8 +65,8 @@
                     rank=dice.randrange(3),
                     backfilled=backfilled,
                     stopping=dice.random() < 0.05,
-                    pace=paces[team],
-                    **({} if started else {"since": None, "guess_s": 20.0}),
+                    correction=paces[team],
+                    **({} if started else {"started_at": None, "owner_estimate_s": 20.0}),
                 )
             )
             left -= cpus
@@ -80,7 +80,7 @@
                 size=size,
                 memory_gb=size * 4 - sum(t.memory_gb for t in running),
                 ready_at=NOW if running or dice.random() < 0.8 else Monotonic(NOW + 20.0),
-                dear=dice.random() < 0.2,
+                is_expensive=dice.random() < 0.2,
                 images={f"img-{dice.randrange(5)}" for _ in range(3)},
                 running=running,
             )
@@ -90,7 +90,7 @@
         "red": TeamView(30.0, 0.0, 20.0, 0.0, dice.choice([0.0, 60.0]), 0.0),
         "blue": TeamView(50.0, 0.0, dice.choice([0.0, 90.0]), 0.0, 0.0, 0.0),
     }
-    expected = dice.choice([None, Expected(2, dice.uniform(1, 60))])
+    expected = dice.choice([None, ExpectedWork(2, dice.uniform(1, 60))])
     return View(fleet, queue, teams, expected, {0: 20.0, 1: 30.0, 2: 10.0})
 
 
@@ -106,7 +106,7 @@
         waiting=waiting,
         tasks=waiting + dice.randrange(5),
         waited_s=dice.uniform(0, 1500),
-        latest_s=dice.choice([(), (dice.uniform(-20, 200), dice.uniform(0, 300))]),
+        latest_start_s=dice.choice([(), (dice.uniform(-20, 200), dice.uniform(0, 300))]),
         estimate_s=estimate_s,
         image=f"img-{dice.randrange(5)}",
         image_gb=dice.uniform(0, 4),
@@ -186,7 +186,7 @@
         and stopped.isdisjoint(task.task for task in machine.running)
         and machine.fits(job)
         and machine.allows(job)
-        and job.zone_room(machine.zone) > 0
+        and job.tasks_allowed_in_zone(machine.zone) > 0
         and view.teams[job.team].room(job) > 0
     ]
 
@@ -365,7 +365,7 @@
     """1,200 machines of 32 processors that are heard, with tasks of a few jobs on them."""
 
     def __init__(self, tasks: int) -> None:
-        self.scheduling_loop, self.fleet, self.job_store, self.provisioner = _dispatcher()
+        self.scheduling_loop, self.fleet, self.job_store, self.provisioner = build_scheduling_loop()
         self.now = 100.0
         self.sequence = 0
         self.names = [MachineId(f"m-{n:06d}") for n in range(1200)]
@@ -427,7 +427,7 @@
     fresh = _counted(monkeypatch, SnapshotBuilder, "_fresh", lambda *_: 1)
     taken = _counted(monkeypatch, Reconciler, "_progress", lambda *_: 1)
     for name in world.names[:200]:
-        ended = next(iter(world.fleet.machines[name].named))
+        ended = next(iter(world.fleet.machines[name].bindings_by_name))
         world.beat(name, ended)
         world.survey()
     assert len(fresh) == 200 and len(taken) == 200
@@ -459,7 +459,7 @@
     world.now += 9.0
     for name in world.names[500:]:
         world.beat(name)
-    world.fleet.leases.check_silence(Monotonic(world.now))
+    world.fleet.leases.expire_leases(Monotonic(world.now))
     assert all(world.fleet.machines[name].lease_expired for name in terminated)
     assert sum(job.waiting for job in world.jobs) == 2000
     looks = _counted(monkeypatch, planner._Pass, "_candidates", lambda *_: 1)
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -15,7 +15,7 @@
 
 from tealrill import settings, wire
 from tealrill.fleet import heartbeats, inventory, reconciliation
-from tealrill.fleet.autoscaling import RENT_EVERY_S
+from tealrill.fleet.autoscaling import RENT_INTERVAL_S
 from tealrill.fleet.cloud import Cloud
 from tealrill.fleet.dispatch import SchedulingLoop
 from tealrill.fleet.inventory import Fleet
@@ -39,12 +39,12 @@
 )
 from tests.samples import SETTINGS, recorded_at_once, report, spec
 
-_TYPE = {
+_MACHINE_TYPE = {
     "label": "big", "vcpus": 8, "gpus": 0, "memoryGb": 64, "localGb": 50, "fetchGbPerS": 1.0,
     "price": 1.0, "marketPrice": 0.4, "startupS": 20, "halls": ["north"],
 }  # fmt: skip
 
-_LARGE = {**_TYPE, "label": "huge", "vcpus": 32}
+_LARGE = {**_MACHINE_TYPE, "label": "huge", "vcpus": 32}
 
 
 class _NoRentals(Provisioner):
@@ -52,8 +52,8 @@
         self.asked = getattr(self, "asked", 0) + rental.count
 
 
-def _dispatcher(
-    heartbeat_interval_s: float = 0.0, types: Sequence[dict[str, Any]] = (_TYPE, _LARGE)
+def build_scheduling_loop(
+    heartbeat_interval_s: float = 0.0, types: Sequence[dict[str, Any]] = (_MACHINE_TYPE, _LARGE)
 ) -> tuple[SchedulingLoop, Fleet, JobStore, _NoRentals]:
     params = settings.parse(orjson.dumps(SETTINGS)).params
     job_store = JobStore(8.0)
@@ -67,7 +67,7 @@
     )
     fleet.inherit([], Monotonic(0.0))
     provisioner = _NoRentals(cast(Cloud, None), fleet, FencingToken(1), 2.0, *recorded_at_once())
-    provisioner.take_catalogue(wire.decode(orjson.dumps({"builds": list(types)}), wire.Catalogue))
+    provisioner.set_catalogue(wire.decode(orjson.dumps({"builds": list(types)}), wire.Catalogue))
     scheduling_loop = SchedulingLoop(
         job_store, fleet, provisioner, Estimates(), params, lambda _: None
     )
@@ -81,7 +81,7 @@
 
 
 def test_an_idle_machine_goes_back_though_tasks_wait_that_do_not_fit_it() -> None:
-    scheduling_loop, fleet, job_store, provisioner = _dispatcher()
+    scheduling_loop, fleet, job_store, provisioner = build_scheduling_loop()
     job_store.add(spec(vcpus=32.0), Wall(0.0), Revision(1))
     for second in range(100):
         _beat(fleet, second + 1, float(second))
@@ -91,7 +91,7 @@
 
 
 def test_a_job_is_placed_and_its_binding_waits_for_the_record() -> None:
-    scheduling_loop, fleet, job_store, _ = _dispatcher()
+    scheduling_loop, fleet, job_store, _ = build_scheduling_loop()
     job = job_store.add(spec(pieces=2), Wall(0.0), Revision(1))
     _beat(fleet, 1, 0.0)
     scheduling_loop.run(Monotonic(0.0), Wall(0.0))
@@ -105,22 +105,22 @@
 
 def test_a_wish_for_machines_that_was_put_off_brings_another_pass_soon() -> None:
     """The reckoning is not made in every pass, and a burst must not wait for the next idle one."""
-    scheduling_loop, _, job_store, provisioner = _dispatcher()
+    scheduling_loop, _, job_store, provisioner = build_scheduling_loop()
     job_store.add(spec(vcpus=32.0), Wall(0.0), Revision(1))
     scheduling_loop.run(Monotonic(0.0), Wall(0.0))
     asked = provisioner.asked
     job_store.add(spec(id="wk-000413", vcpus=32.0), Wall(0.0), Revision(2))
     scheduling_loop.run(Monotonic(0.1), Wall(0.1))
-    assert scheduling_loop.autoscaler.put_off and provisioner.asked == asked
-    scheduling_loop.run(Monotonic(RENT_EVERY_S), Wall(RENT_EVERY_S))
-    assert not scheduling_loop.autoscaler.put_off and provisioner.asked > asked
+    assert scheduling_loop.autoscaler.rental_deferred and provisioner.asked == asked
+    scheduling_loop.run(Monotonic(RENT_INTERVAL_S), Wall(RENT_INTERVAL_S))
+    assert not scheduling_loop.autoscaler.rental_deferred and provisioner.asked > asked
 
 
 class _Play:
     """Some machines and jobs, and what may happen to them."""
 
     def __init__(self) -> None:
-        self.scheduling_loop, self.fleet, self.job_store, self.provisioner = _dispatcher()
+        self.scheduling_loop, self.fleet, self.job_store, self.provisioner = build_scheduling_loop()
         self.now = 0.0
         self.sequence = 0
         self.jobs = 0
@@ -219,8 +219,8 @@
     play = _Play()
     play.run([5, 16, 27])
     play.now += 10.0
-    larger = {"builds": [{**_TYPE, "vcpus": 12}]}
-    play.provisioner.take_catalogue(wire.decode(orjson.dumps(larger), wire.Catalogue))
+    larger = {"builds": [{**_MACHINE_TYPE, "vcpus": 12}]}
+    play.provisioner.set_catalogue(wire.decode(orjson.dumps(larger), wire.Catalogue))
     assert not play.scheduling_loop.snapshots.view(Monotonic(play.now), Wall(play.now)).machines
     play.beat("m-1", "running")
     play.check()
@@ -357,10 +357,10 @@
             chunk.committed = chunk.version
         play.beat("m-1", "ended")
         for chunk in job.chunks.values():
-            chunk.committed, chunk.stamp = chunk.version, Revision(play.jobs)
+            chunk.committed, chunk.mod_revision = chunk.version, Revision(play.jobs)
         assert job.complete
         play.job_store.ended(job)
-        play.job_store.garbage.clear()  # the records are removed
+        play.job_store.orphaned_chunks.clear()  # the records are removed
         play.beat("m-1", "running")
 
 
@@ -372,8 +372,8 @@
     before = len(gc.get_objects())
     _finish_jobs(play, 10_000)
     gc.collect()
-    assert not play.job_store.jobs and not play.job_store.ending
-    assert not play.job_store.urgent and not play.job_store.lazy
+    assert not play.job_store.jobs and not play.job_store.ending_jobs
+    assert not play.job_store.urgent_chunks and not play.job_store.deferred_chunks
     assert len(gc.get_objects()) < before + 500
 
 
@@ -400,7 +400,7 @@
             play.submit()
             play.now += 1.0
             play.scheduling_loop.run(Monotonic(play.now), Wall(play.now))
-        assert play.scheduling_loop.last.reserved_job is not None
+        assert play.scheduling_loop.last_plan.reserved_job is not None
         assert not any(isinstance(found, _Pass | View) for found in gc.get_objects())
     finally:
         gc.enable()
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -19,7 +19,7 @@
 from tealrill import wire
 from tealrill.fleet import intent_log, provisioning
 from tealrill.fleet.cloud import Cloud, CloudError, NoCapacityError
-from tealrill.fleet.intent_log import CLOUD_PREFIX, IntentLog, RentRecord, ReturnRecord
+from tealrill.fleet.intent_log import CLOUD_PREFIX, IntentLog, ReleaseRecord, RentalRecord
 from tealrill.fleet.inventory import Fleet
 from tealrill.fleet.provisioning import Provisioner
 from tealrill.scheduler.capacity import Rental
@@ -109,7 +109,9 @@
         world = self.world
         await asyncio.sleep(world.rng.uniform(0.0, 0.4))
         check()
-        fate = "good" if world.calm else world.rng.choice(["good"] * 4 + ["lost", "held", "busy"])
+        fate = (
+            "good" if world.reliable else world.rng.choice(["good"] * 4 + ["lost", "held", "busy"])
+        )
         if fate == "busy":
             raise CloudError("status 429")
         if fate == "held":
@@ -124,7 +126,7 @@
     async def rent(
         self, name: str, type_name: str, zone: str, spot: bool, count: int, check: Any
     ) -> list[str]:
-        if not self.world.calm and self.world.rng.random() < 0.1:
+        if not self.world.reliable and self.world.rng.random() < 0.1:
             raise NoCapacityError
         cloud = self.world.cloud
         found = await self._fate(lambda: cloud.hire(self.term, name, count), check)
@@ -140,14 +142,23 @@
 
     def __init__(self, world: World, number: int) -> None:
         self.world, self.number = world, number
-        stamp = world.store.keys[LEADER_KEY][1]
-        mine = Leadership(
-            FencingToken(number), Revision(stamp), LeaseId(1), Monotonic(world.now), Monotonic(1e9)
+        mod_revision = world.store.keys[LEADER_KEY][1]
+        leadership = Leadership(
+            FencingToken(number),
+            Revision(mod_revision),
+            LeaseId(1),
+            Monotonic(world.now),
+            Monotonic(1e9),
         )
         job_store = JobStore(8.0)
         self.fleet = Fleet(job_store, FencingToken(number), Monotonic(world.now), 8.0)
         self.write_batcher = WriteBatcher(
-            cast(StateClient, world.store), job_store, mine, 12, lambda _: None, lambda _: None
+            cast(StateClient, world.store),
+            job_store,
+            leadership,
+            12,
+            lambda _: None,
+            lambda _: None,
         )
         self.intent_log = IntentLog(self.write_batcher.join, FencingToken(number), 8.0)
         duties = [
@@ -169,8 +180,8 @@
         self.provisioner.inherit(entries, Monotonic(self.world.now), Wall(self.world.now))
         loops = (
             self.write_batcher.run,
-            self.provisioner.run_returns,
-            self.provisioner.run_releases,
+            self.provisioner.run_release_recording,
+            self.provisioner.run_release_requests,
         )
         self.tasks = [asyncio.create_task(self._ends(loop)) for loop in loops]
 
@@ -213,7 +224,7 @@
         self.work: dict[str, int] = {}
         """The machines that have work, and of which term."""
         self.broken: list[Broken] = []
-        self.calm = False
+        self.reliable = False
         self.checked = True
         self.sequence = 0
         self.term: _Term | None = None
@@ -262,7 +273,7 @@
 
     async def end(self) -> None:
         """All that is late arrives, the network is good, and one term has time to tidy up."""
-        self.calm = self.store.calm = True
+        self.reliable = self.store.reliable = True
         while self.store.late:
             self.store.execute(*self.store.late.pop())
         await self.deliver(everything=True)
@@ -419,9 +430,9 @@
         first, joined = _open()
         renting = asyncio.create_task(first.rent("tr-3-1", Rental(*_KIND, 2)))
         waiting = asyncio.create_task(first.rent("tr-3-2", Rental(*_KIND, 9)))
-        back = asyncio.create_task(first.give_back([MachineId("m-7"), MachineId("m-8")]))
+        back = asyncio.create_task(first.record_release([MachineId("m-7"), MachineId("m-8")]))
         await asyncio.sleep(0)
-        assert not renting.done() and not back.done() and not first.returns
+        assert not renting.done() and not back.done() and not first.open_releases
         records = {}
         for number, change in enumerate(list(joined)):
             assert change.guards == {change.changes[0]["set"]: ABSENT}
@@ -434,9 +445,11 @@
         second, _ = _open()
         entries = [wire.Entry(key=k, value=v, version=n) for k, (v, n) in records.items()]
         assert second.read(entries) == ["tr-3-1", "tr-3-2"]
-        assert second.rents["tr-3-1"].names == ["m-1", "m-2"]
-        assert second.rents["tr-3-2"].names is None and second.rents["tr-3-2"].count == 9
-        assert list(second.returns.values()) == [("m-7", "m-8")]
+        assert second.open_rentals["tr-3-1"].names == ["m-1", "m-2"]
+        assert (
+            second.open_rentals["tr-3-2"].names is None and second.open_rentals["tr-3-2"].count == 9
+        )
+        assert list(second.open_releases.values()) == [("m-7", "m-8")]
         fleet = Fleet(JobStore(8.0), FencingToken(4), monotonic_now(), 8.0)
         cloud = cast(Cloud, None)
         holds = [Duty(n, FencingToken(4), Monotonic(0.0), lambda: True) for n in ("a", "b")]
@@ -444,7 +457,7 @@
         provisioner._ask = lambda request: asyncio.sleep(0, 0)  # type: ignore[method-assign]
         provisioner.inherit([], monotonic_now(), Wall(5.0))
         assert set(fleet.machines) == {"m-7", "m-8"}
-        assert all(m.releasing and m.returned for m in fleet.machines.values())
+        assert all(m.releasing and m.release_recorded for m in fleet.machines.values())
 
     asyncio.run(scenario())
 
@@ -457,14 +470,14 @@
         names = [MachineId(f"m-{'x' * 56}{n:06d}") for n in range(300)]
         left = list(names)
         while left:
-            task = asyncio.create_task(found.give_back(left))
+            task = asyncio.create_task(found.record_release(left))
             await asyncio.sleep(0)
             assert len(wire.encode(joined[-1].changes[0]["value"])) <= 4096
             joined[-1].applied(Revision(1))
             _, part = await task
             left = left[len(part) :]
-        assert [name for part in found.returns.values() for name in part] == names
-        assert len(found.returns) <= 6
+        assert [name for part in found.open_releases.values() for name in part] == names
+        assert len(found.open_releases) <= 6
         rent = asyncio.create_task(found.rent("tr-3-1", Rental(*_KIND, 50)))
         await asyncio.sleep(0)
         joined[-1].applied(Revision(1))
@@ -481,19 +494,19 @@
 def test_a_record_of_a_later_version_is_left_alone() -> None:
     found, _ = _open()
     later = {"v": 2, "names": ["m-1"], "at": 0.0, "more": True}
-    good = wire.plain(ReturnRecord(["m-2"], 1.0))
+    good = wire.plain(ReleaseRecord(["m-2"], 1.0))
     entries = [
         wire.Entry(key=CLOUD_PREFIX + "return/1.1", value=later, version=1),
         wire.Entry(key=CLOUD_PREFIX + "return/1.2", value=good, version=2),
         wire.Entry(key=CLOUD_PREFIX + "other", value={"v": 1}, version=3),
     ]
     assert found.read(entries) == []
-    assert list(found.returns) == [CLOUD_PREFIX + "return/1.2"]
+    assert list(found.open_releases) == [CLOUD_PREFIX + "return/1.2"]
 
 
 @given(
     st.builds(
-        RentRecord,
+        RentalRecord,
         type=st.text(max_size=20),
         zone=st.text(max_size=20),
         spot=st.booleans(),
@@ -501,9 +514,9 @@
         at=st.floats(0, 1e10),
         names=st.none() | st.lists(st.text(max_size=64), max_size=50),
     )
-    | st.builds(ReturnRecord, names=st.lists(st.text(max_size=64)), at=st.floats(0, 1e10))
+    | st.builds(ReleaseRecord, names=st.lists(st.text(max_size=64)), at=st.floats(0, 1e10))
 )
-def test_records_come_back_as_they_were(record: RentRecord | ReturnRecord) -> None:
+def test_records_come_back_as_they_were(record: RentalRecord | ReleaseRecord) -> None:
     again = wire.decode(wire.encode(wire.plain(record)), dict[str, Any])
     assert msgspec.convert(again, type(record)) == record
 
@@ -512,9 +525,11 @@
     """A fall's bindings use every change for seconds, and its replacements boot meanwhile."""
     store = Store(random.Random(1), True)
     job_store = JobStore(8.0)
-    mine = Leadership(FencingToken(1), Revision(1), LeaseId(1), Monotonic(0.0), Monotonic(9.0))
+    leadership = Leadership(
+        FencingToken(1), Revision(1), LeaseId(1), Monotonic(0.0), Monotonic(9.0)
+    )
     found = WriteBatcher(
-        cast(StateClient, store), job_store, mine, 3, lambda _: None, lambda _: None
+        cast(StateClient, store), job_store, leadership, 3, lambda _: None, lambda _: None
     )
     for number in range(5):
         job = job_store.add(spec(id=f"wk-{number:06d}"), Wall(0.0), Revision(1))
--- a/tests/test_exclusion.py
+++ b/tests/test_exclusion.py
@@ -27,11 +27,11 @@
 from tealrill.leadership import election as election_module
 from tealrill.leadership import exclusion as exclusion_module
 from tealrill.leadership import lease_extension as extension_module
-from tealrill.leadership.election import EXCLUSION_PREFIX, TTL_S, Election, exclusion_key
+from tealrill.leadership.election import EXCLUSION_PREFIX, LEASE_TTL_S, Election, exclusion_key
 from tealrill.leadership.exclusion import SILENT_S, Exclusions
 from tealrill.leadership.lease_extension import (
+    EXTENSION_GRANT_S,
     PING_PATH,
-    PROMISE_S,
     CancellationKnowledge,
     ExtensionRequest,
     LeaseExtension,
@@ -132,7 +132,7 @@
         self._reach()
         if lease not in self.world.store.leases:
             return False
-        self.world.store.leases[lease] = self.world.true + TTL_S
+        self.world.store.leases[lease] = self.world.true + LEASE_TTL_S
         return True
 
     async def end_lease(self, lease: LeaseId) -> None:
@@ -142,7 +142,7 @@
     def set_leading(self, leads: bool) -> None: ...
 
     async def commit(
-        self, guards: Any, changes: Any, paid: bool = False, timeout_s: float = 2.0
+        self, guards: Any, changes: Any, tokens_acquired: bool = False, timeout_s: float = 2.0
     ) -> Committed | GuardsFailed:
         self._reach()
         fate = self.world.rng.random()
@@ -176,7 +176,7 @@
         else:
             assert body is not None
             request = wire.decode(body, ExtensionRequest)
-            answer.body = wire.encode(await there.extension.asked(request))
+            answer.body = wire.encode(await there.extension.handle_request(request))
         return answer
 
 
@@ -190,17 +190,23 @@
         others = [member for member in members if member["host_name"] != host]
         values = {**SETTINGS, "host_name": host, "members": others}
         self.settings = settings.parse(orjson.dumps(values))
-        self.election = Election(self.client, host, lambda: None, PROMISE_S)
+        self.election = Election(self.client, host, lambda: None, EXTENSION_GRANT_S)
         self.extension = LeaseExtension(self.settings, self.client, self.election, None, self.now)
         peers = {h: cast(Client, _Peer(world, host, h)) for h in _HOSTS if h != host}
         self.extension._peers = peers
-        self.election.nobody_leads = self.extension.nobody_leads
-        self.election.others_up = self.extension.others_up
-        self.extension.is_excluded = lambda mine, other: self._exclusions(mine).is_excluded(other)
+        self.election.no_peer_leads = self.extension.no_peer_leads
+        self.election.any_peer_answers = self.extension.any_peer_answers
+        self.extension.is_excluded = lambda leadership, other: self._exclusions(
+            leadership
+        ).is_excluded(other)
         if world.without != "relying":
-            self.extension.extended = lambda mine, until: self._exclusions(mine).hold_until(until)
+            self.extension.on_extended_by_exclusion = lambda leadership, until: self._exclusions(
+                leadership
+            ).defer_readmissions_until(until)
         # Cancellations bound it more tightly; what is looked for here is two leaders.
-        self.extension.seen = lambda: CancellationKnowledge(Revision(1 << 40), Monotonic(1e9))
+        self.extension.cancellation_knowledge = lambda: CancellationKnowledge(
+            Revision(1 << 40), Monotonic(1e9)
+        )
         self.peers = peers
         self.of: Any = None
         self.exclusions: Exclusions | None = None
@@ -208,29 +214,29 @@
     def now(self) -> Monotonic:
         return Monotonic(self.world.true * self.world.pace[self.host] + 1000.0)
 
-    def _exclusions(self, mine: Any) -> Exclusions:
-        if self.of is not mine or self.exclusions is None:
-            self.of = mine
+    def _exclusions(self, leadership: Any) -> Exclusions:
+        if self.of is not leadership or self.exclusions is None:
+            self.of = leadership
             found = self.exclusions = Exclusions(
-                self.settings, self.client, mine.term, mine.stamp,
-                lambda: self.election.leading(self.now()) is mine, self.now,
+                self.settings, self.client, leadership.term, leadership.mod_revision,
+                lambda: self.election.valid_leadership(self.now()) is leadership, self.now,
             )  # fmt: skip
             found._peers = self.peers
             found._heard = dict.fromkeys(self.peers, self.now())
         return self.exclusions
 
     async def step(self, what: str) -> None:
-        mine = self.election.mine
+        leadership = self.election.leadership
         try:
-            if what == "look" and mine is not None:
-                await self._exclusions(mine).turn()
-            elif what == "extend" and mine is not None:
-                if mine.troubled:
-                    await self.extension._seek(mine)
-            elif mine is None:
+            if what == "look" and leadership is not None:
+                await self._exclusions(leadership).turn()
+            elif what == "extend" and leadership is not None:
+                if leadership.renewal_failed:
+                    await self.extension._seek(leadership)
+            elif leadership is None:
                 await self.election._follow()
             else:
-                await self.election._hold(mine)
+                await self.election._hold(leadership)
         except (StateUnavailableError, OutcomeUnknownError):
             pass
 
@@ -294,10 +300,10 @@
     def check(self) -> None:
         valid = []
         for node in self.nodes.values():
-            mine = node.election.mine
-            if mine is not None and mine.valid(node.now()):
-                valid.append((node.host, mine.term))
-                away = self.true * self.pace[node.host] + 1000.0 - mine.renewed_at
+            leadership = node.election.leadership
+            if leadership is not None and leadership.valid(node.now()):
+                valid.append((node.host, leadership.term))
+                away = self.true * self.pace[node.host] + 1000.0 - leadership.renewed_at
                 self.longest_extension = max(self.longest_extension, away)
         if len(valid) > 1:
             raise TwoLeaders(f"at {self.true:.1f} s: {valid}")
@@ -343,7 +349,7 @@
 
 def test_a_leader_goes_on_without_a_silent_member() -> None:
     # 15 s and three of the lease, while one of three was silent and the state service away.
-    assert max(_play(seed).longest_extension for seed in range(60)) > TTL_S + 6.0
+    assert max(_play(seed).longest_extension for seed in range(60)) > LEASE_TTL_S + 6.0
 
 
 def _unguarded(patch: pytest.MonkeyPatch) -> None:
@@ -351,11 +357,15 @@
     whole = _Client.commit
 
     async def commit(
-        self: _Client, guards: Any, changes: Any, paid: bool = False, timeout_s: float = 2.0
+        self: _Client,
+        guards: Any,
+        changes: Any,
+        tokens_acquired: bool = False,
+        timeout_s: float = 2.0,
     ) -> Any:
         if any(c.get("set") == LEADER_KEY for c in changes):
             guards = [g for g in guards if not g["path"].startswith(EXCLUSION_PREFIX)]
-        return await whole(self, guards, changes, paid, timeout_s)
+        return await whole(self, guards, changes, tokens_acquired, timeout_s)
 
     patch.setattr(_Client, "commit", commit)
 
@@ -512,7 +522,7 @@
         await found._read()
         # Found at the term's start: its writer's fence has gone.
         assert found.is_excluded("host-1")
-        found.hold_until(Monotonic(node.now() + 5.0))
+        found.defer_readmissions_until(Monotonic(node.now() + 5.0))
         await found.look()
         assert found.is_excluded("host-1")
         world.true += 5.1
--- a/tests/test_failure_detector.py
+++ b/tests/test_failure_detector.py
@@ -14,9 +14,9 @@
     MISSES,
     Evidence,
     Suspicion,
+    diagnose,
     expected_recovery_s,
-    is_bypassed_by_heartbeats,
-    judge,
+    has_lost_all_heartbeats,
     live_within_s,
     silent_after_s,
 )
@@ -33,54 +33,60 @@
 
 
 def _verdicts(signs: list[Evidence]) -> set[Suspicion]:
-    return set(judge(signs, _REPORT_S).verdicts.values())
+    return set(diagnose(signs, _REPORT_S).suspicions.values())
 
 
 def test_machines_without_a_connection_in_a_zone_that_is_heard_are_gone() -> None:
     heard = _signs("north", 20, _HEARD_S)
     assert _verdicts(heard + _signs("north", 30, _SILENT_S, failed_connects=MISSES)) == {
-        Suspicion.GONE
+        Suspicion.FAILED
     }
     # One attempt may have lost a packet.
-    assert _verdicts(heard + _signs("north", 30, _SILENT_S, failed_connects=1)) == {Suspicion.LATE}
+    assert _verdicts(heard + _signs("north", 30, _SILENT_S, failed_connects=1)) == {
+        Suspicion.UNDETERMINED
+    }
 
 
 def test_a_zone_that_is_not_heard_is_cut_off_and_its_machines_are_not_gone() -> None:
     signs = _signs("north", 20, _HEARD_S) + _signs("south", 20, _SILENT_S, failed_connects=9)
-    diagnosis = judge(signs, _REPORT_S)
+    diagnosis = diagnose(signs, _REPORT_S)
     assert diagnosis.partitioned_zones == {"south"} and not diagnosis.inbound_partitioned
-    assert set(diagnosis.verdicts.values()) == {Suspicion.CUT}
+    assert set(diagnosis.suspicions.values()) == {Suspicion.PARTITIONED}
 
 
 def test_the_first_machines_of_a_cut_are_not_taken_for_deaths() -> None:
     # Reports are up to 1.25 periods apart, so a zone falls silent machine by machine.
     first = _signs("south", 5, 2.8 * _REPORT_S, failed_connects=MISSES)
     last = _signs("south", 15, 1.6 * _REPORT_S, failed_connects=MISSES)
-    assert _verdicts(_signs("north", 20, _HEARD_S) + first + last) == {Suspicion.CUT}
+    assert _verdicts(_signs("north", 20, _HEARD_S) + first + last) == {Suspicion.PARTITIONED}
 
 
 def test_a_leader_that_hears_no_zone_is_deaf_and_calls_nothing_gone() -> None:
     signs = _signs("north", 20, _SILENT_S, failed_connects=9) + _signs(
         "south", 9, _SILENT_S, failed_connects=9
     )
-    diagnosis = judge(signs, _REPORT_S)
-    assert diagnosis.inbound_partitioned and set(diagnosis.verdicts.values()) == {Suspicion.CUT}
+    diagnosis = diagnose(signs, _REPORT_S)
+    assert diagnosis.inbound_partitioned and set(diagnosis.suspicions.values()) == {
+        Suspicion.PARTITIONED
+    }
 
 
 def test_machines_that_connect_and_say_nothing_hang_though_none_of_their_zone_is_heard() -> None:
     signs = [Evidence(MachineId(f"m-{n}"), "north", _SILENT_S, accepts=True) for n in range(20)]
-    diagnosis = judge(signs, _REPORT_S)
-    assert set(diagnosis.verdicts.values()) == {Suspicion.HUNG} and not diagnosis.partitioned_zones
+    diagnosis = diagnose(signs, _REPORT_S)
+    assert (
+        set(diagnosis.suspicions.values()) == {Suspicion.HUNG} and not diagnosis.partitioned_zones
+    )
 
 
 def test_a_whole_zone_taken_back_is_told_from_a_cut_by_the_clouds_lists() -> None:
     heard = _signs("north", 20, _HEARD_S)
     assert _verdicts(
         heard + _signs("south", 20, _SILENT_S, failed_connects=9, missing_from_lists=1)
-    ) == {Suspicion.CUT}
+    ) == {Suspicion.PARTITIONED}
     assert _verdicts(
         heard + _signs("south", 20, _SILENT_S, failed_connects=9, missing_from_lists=2)
-    ) == {Suspicion.GONE}
+    ) == {Suspicion.FAILED}
 
 
 _SIGN = st.builds(
@@ -96,35 +102,37 @@
 
 @given(st.lists(_SIGN, max_size=40, unique_by=lambda sign: sign.machine))
 def test_verdicts_on_generated_fleets(signs: list[Evidence]) -> None:
-    diagnosis = judge(signs, _REPORT_S)
+    diagnosis = diagnose(signs, _REPORT_S)
     by_id = {sign.machine: sign for sign in signs}
     live = {s.zone for s in signs if s.silent_s <= live_within_s(_REPORT_S)}
-    for machine, verdict in diagnosis.verdicts.items():
+    for machine, verdict in diagnosis.suspicions.items():
         sign = by_id[machine]
         assert sign.silent_s > live_within_s(_REPORT_S)
-        if verdict is Suspicion.GONE:
+        if verdict is Suspicion.FAILED:
             # Nothing is given up that connects, nor in a zone of several of which none is heard.
             assert sign.missing_from_lists >= 2 or (
                 not sign.accepts and sign.failed_connects >= MISSES
             )
             assert sign.missing_from_lists >= 2 or sign.zone not in diagnosis.partitioned_zones
-        assert expected_recovery_s(verdict, sign.silent_s) is None or verdict is not Suspicion.GONE
+        assert (
+            expected_recovery_s(verdict, sign.silent_s) is None or verdict is not Suspicion.FAILED
+        )
     for sign in signs:
         if sign.silent_s > silent_after_s(_REPORT_S):
-            assert sign.machine in diagnosis.verdicts
+            assert sign.machine in diagnosis.suspicions
     assert not diagnosis.inbound_partitioned or not live
 
 
 def test_a_silence_is_expected_to_last_as_long_again() -> None:
     assert expected_recovery_s(Suspicion.HUNG, 12.0) == 12.0
-    assert expected_recovery_s(Suspicion.CUT, 0.5) == pytest.approx(2.0)
-    assert expected_recovery_s(Suspicion.GONE, 12.0) is None
+    assert expected_recovery_s(Suspicion.PARTITIONED, 0.5) == pytest.approx(2.0)
+    assert expected_recovery_s(Suspicion.FAILED, 12.0) is None
 
 
 def test_a_leader_is_deaf_only_if_it_heard_several_machines() -> None:
-    assert is_bypassed_by_heartbeats(3.5, 10, _REPORT_S)
-    assert not is_bypassed_by_heartbeats(2.5, 10, _REPORT_S)
-    assert not is_bypassed_by_heartbeats(60.0, 2, _REPORT_S)
+    assert has_lost_all_heartbeats(3.5, 10, _REPORT_S)
+    assert not has_lost_all_heartbeats(2.5, 10, _REPORT_S)
+    assert not has_lost_all_heartbeats(60.0, 2, _REPORT_S)
 
 
 # -- losses ---------------------------------------------------------------------------------------
@@ -209,33 +217,33 @@
     capacity_backoff, kind, now = CapacityBackoff(), ("big", "north", True), Monotonic(0.0)
     waits: list[float] = []
     for _ in range(4):
-        capacity_backoff.answered(kind, 10, 0, now)
+        capacity_backoff.record_response(kind, 10, 0, now)
         until = next(
-            s for s in range(200) if not capacity_backoff.refused(kind, Monotonic(now + s))
+            s for s in range(200) if not capacity_backoff.is_refused(kind, Monotonic(now + s))
         )
         waits.append(until)
         now = Monotonic(now + until)
     assert waits == [10, 20, 40, 40]
-    capacity_backoff.answered(kind, 10, 3, now)
-    assert capacity_backoff.refused(kind, Monotonic(now + 4)) and not capacity_backoff.refused(
-        kind, Monotonic(now + 5)
-    )
-    capacity_backoff.answered(kind, 10, 0, now)
-    assert not capacity_backoff.refused(("big", "south", True), now)
-    capacity_backoff.freed(kind)
-    assert not capacity_backoff.refused(kind, now)
-    capacity_backoff.answered(kind, 10, 0, now)
-    capacity_backoff.answered(kind, 10, 10, now)
-    assert not capacity_backoff.refused(kind, now)
+    capacity_backoff.record_response(kind, 10, 3, now)
+    assert capacity_backoff.is_refused(
+        kind, Monotonic(now + 4)
+    ) and not capacity_backoff.is_refused(kind, Monotonic(now + 5))
+    capacity_backoff.record_response(kind, 10, 0, now)
+    assert not capacity_backoff.is_refused(("big", "south", True), now)
+    capacity_backoff.clear(kind)
+    assert not capacity_backoff.is_refused(kind, now)
+    capacity_backoff.record_response(kind, 10, 0, now)
+    capacity_backoff.record_response(kind, 10, 10, now)
+    assert not capacity_backoff.is_refused(kind, now)
 
 
 def test_lost_machines_shorten_a_refusal_and_do_not_end_it() -> None:
     """Dead ones hold their places: asked for with each that was lost, calls went out in vain."""
     capacity_backoff, kind = CapacityBackoff(), ("big", "north", True)
-    capacity_backoff.answered(kind, 10, 0, Monotonic(0.0))
-    capacity_backoff.answered(kind, 10, 0, Monotonic(10.0))
+    capacity_backoff.record_response(kind, 10, 0, Monotonic(0.0))
+    capacity_backoff.record_response(kind, 10, 0, Monotonic(10.0))
     for _ in range(100):
-        capacity_backoff.hopeful(kind)
-    assert capacity_backoff.refused(kind, Monotonic(14.9)) and not capacity_backoff.refused(
+        capacity_backoff.shorten(kind)
+    assert capacity_backoff.is_refused(kind, Monotonic(14.9)) and not capacity_backoff.is_refused(
         kind, Monotonic(15.0)
     )
--- a/tests/test_falls.py
+++ b/tests/test_falls.py
@@ -71,9 +71,9 @@
     def rent(self, rental: Rental, now: Monotonic) -> None:
         kind = (rental.type, rental.zone, rental.spot)
         names = self._world.rent(rental, now)
-        self.capacity_backoff.answered(kind, rental.count, len(names), now)
+        self.capacity_backoff.record_response(kind, rental.count, len(names), now)
         for name in names:
-            self._rented(name, rental, now)
+            self._add_rented_machine(name, rental, now)
         if names:
             self.granted(Rental(*kind, len(names)))
 
@@ -114,7 +114,7 @@
                     bindings += self.job_store.load(taken, chunk.number, value, Revision(1))
         self.fleet.inherit(bindings, now)
         self.provisioner = _Cloud(self)
-        self.provisioner.take_catalogue(wire.decode(orjson.dumps(_CATALOGUE), wire.Catalogue))
+        self.provisioner.set_catalogue(wire.decode(orjson.dumps(_CATALOGUE), wire.Catalogue))
         self.scheduling_loop = SchedulingLoop(
             self.job_store, self.fleet, self.provisioner, Estimates(), params, lambda _: None
         )
@@ -163,7 +163,7 @@
     def _releases(self) -> None:
         for machine in [m for m in self.fleet.machines.values() if m.releasing]:
             self.workers.pop(machine.id, None)
-            self.provisioner._freed(machine)
+            self.provisioner._on_machine_terminated(machine)
             self.fleet.released(machine.id, Monotonic(self.now))
 
     # -- workers --------------------------------------------------------------------------------
@@ -239,13 +239,15 @@
             if self.heard(worker):
                 self._reports(worker)
         now = Monotonic(self.now)
-        self.fleet.leases.check_silence(now)
-        for machine in self.prober.look(now):
+        self.fleet.leases.expire_leases(now)
+        for machine in self.prober.evaluate(now):
             there = self.workers.get(machine.id)
             reached = there is not None and not (
                 there.dead or there.taken or self.inbound_partitioned
             )
-            self.prober.tried(machine, reached and there is not None and there.zone not in self.cut)
+            self.prober.record_probe(
+                machine, reached and there is not None and there.zone not in self.cut
+            )
         self._list()
         self.scheduling_loop.run(now, Wall(self.now))
         self._commits()
@@ -254,10 +256,10 @@
     def _commits(self) -> None:
         if self.state_away:
             return
-        for chunk in [*self.job_store.urgent, *self.job_store.lazy]:
+        for chunk in [*self.job_store.urgent_chunks, *self.job_store.deferred_chunks]:
             chunk.committed, chunk.new_bindings = chunk.version, 0
-        self.job_store.urgent.clear()
-        self.job_store.lazy.clear()
+        self.job_store.urgent_chunks.clear()
+        self.job_store.deferred_chunks.clear()
         for job in list(self.job_store.jobs.values()):
             if job.complete:
                 self.job_store.ended(job)
@@ -388,7 +390,7 @@
 
 def test_without_a_verdict_deaths_are_not_replaced(monkeypatch: pytest.MonkeyPatch) -> None:
     """The tests above depend on the judgement: without it the fleet stays small."""
-    monkeypatch.setattr(failure_detector, "_suspect", lambda *_: Suspicion.LATE)
+    monkeypatch.setattr(failure_detector, "_suspect", lambda *_: Suspicion.UNDETERMINED)
     world = _World(jobs=8)
     world.play(60)
     most = len(world.standing())
--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -40,7 +40,7 @@
 from tealrill.state.records import job_key
 from tealrill.state.transaction_batch import TransactionBatch
 from tealrill.types import JobId, Monotonic, Revision, monotonic_now
-from tests.test_bindings import work_for_who_answers
+from tests.test_bindings import place_on_contacted_machines
 
 Patch = pytest.MonkeyPatch
 Fault = Callable[[Patch], None]
@@ -428,13 +428,13 @@
 
 def _rented_anew(patch: Patch) -> None:
     """What a rental brings is new, though it may have reported and been given work."""
-    whole = Provisioner._rented
+    whole = Provisioner._add_rented_machine
 
     def rented(self: Provisioner, name: str, *given: Any, **named: Any) -> None:
         self._fleet.machines.pop(name, None)  # type: ignore[call-overload]
         whole(self, name, *given, **named)
 
-    patch.setattr(Provisioner, "_rented", rented)
+    patch.setattr(Provisioner, "_add_rented_machine", rented)
 
 
 def _any_order(patch: Patch) -> None:
@@ -475,7 +475,7 @@
     """A machine lapses whether or not another node may have renewed it."""
 
     async def check(self: LeaseExpiryLoop) -> None:
-        self._fleet.leases.check_silence(monotonic_now())
+        self._fleet.leases.expire_leases(monotonic_now())
 
     patch.setattr(LeaseExpiryLoop, "_check", check)
 
@@ -484,7 +484,11 @@
     """A new leader counts silence as if nobody had renewed workers before it."""
 
     def renewed_at(self: Leases, machine: Machine) -> Monotonic:
-        return machine.answered_at if machine.answered_at is not None else Monotonic(0.0)
+        return (
+            machine.last_acknowledged_at
+            if machine.last_acknowledged_at is not None
+            else Monotonic(0.0)
+        )
 
     patch.setattr(Leases, "_renewed_at", renewed_at)
 
@@ -497,12 +501,12 @@
         return whole(self, *given) if self._fleet.loaded else []
 
     patch.setattr(HeartbeatProcessor, "process", process)
-    patch.setattr(Leader, "informed", lambda *_: True)
+    patch.setattr(Leader, "may_renew_workers", lambda *_: True)
 
 
 def _for_ever(patch: Patch) -> None:
     """A leader goes on though its lease has ended."""
-    patch.setattr(Election, "leading", lambda self, now: self.mine)
+    patch.setattr(Election, "valid_leadership", lambda self, now: self.leadership)
 
 
 def _out_for_ever(patch: Patch) -> None:
@@ -588,7 +592,7 @@
     "mute machines": Meeting(
         _mute,
         Shape(machines=6, every_s=1.5, jobs=_LONG),
-        (("ran_twice", _silence_from_nothing), ("given_work", work_for_who_answers)),
+        (("ran_twice", _silence_from_nothing), ("given_work", place_on_contacted_machines)),
     ),
     "zones lose machines": Meeting(
         _zones_lose_machines,
--- a/tests/test_flapping.py
+++ b/tests/test_flapping.py
@@ -70,7 +70,9 @@
         while not flapping.done():
             for host in world.hosts.values():
                 node = host.node
-                valid = node is not None and node.election.leading(_steady(world)) is not None
+                valid = (
+                    node is not None and node.election.valid_leadership(_steady(world)) is not None
+                )
                 if valid and host is not lost and not led_after_s:
                     led_after_s.append(world.now() - began)
             await asyncio.sleep(0.1)
--- a/tests/test_formats.py
+++ b/tests/test_formats.py
@@ -121,7 +121,7 @@
     for step in steps:
         bound = list(job.bindings())
         if step in ("bind", "backfill"):
-            index = job_store.take_task(job)
+            index = job_store.pop_unbound_task(job)
             if index is not None:
                 job_store.bind(
                     job,
@@ -161,7 +161,7 @@
     size = chunk_size(value_kb)
     job = job_store.add(spec(pieces=size), Wall(0.0), Revision(3))
     for _ in range(size):
-        index = job_store.take_task(job)
+        index = job_store.pop_unbound_task(job)
         assert index is not None
         job_store.bind(
             job, index, MachineId("m" * 64), Incarnation(10**6), "north", True, Wall(1.8e9), NOW
--- a/tests/test_golden_records.py
+++ b/tests/test_golden_records.py
@@ -30,7 +30,7 @@
 from tealrill.change_log import ChangeLog
 from tealrill.features import GraphFeatures
 from tealrill.fleet import intent_log
-from tealrill.fleet.intent_log import IntentLog, ReturnRecord
+from tealrill.fleet.intent_log import IntentLog, ReleaseRecord
 from tealrill.graphs import model, records
 from tealrill.graphs.admission import GraphAdmission
 from tealrill.graphs.leader_extension import GraphLeaderExtension
@@ -81,13 +81,13 @@
 class _Client:
     """A state service that holds `kept`, and keeps every change that is committed to it."""
 
-    away = False
+    unavailable = False
     first_seen = None
 
     def __init__(self, kept: dict[str, Any] | None = None) -> None:
         self.kept = kept or {}
         self.changes: list[dict[str, Any]] = []
-        self.accepts = SimpleNamespace(take_now=lambda *_: True)
+        self.submissions = SimpleNamespace(try_acquire=lambda *_: True)
 
     async def get(self, key: str, *_: Any) -> wire.KeyValue | None:
         return wire.KeyValue(value=self.kept[key], version=3) if key in self.kept else None
@@ -109,7 +109,7 @@
         self,
         guards: list[dict[str, Any]],
         changes: list[dict[str, Any]],
-        paid: bool = False,
+        tokens_acquired: bool = False,
         timeout_s: float = 2.0,
     ) -> Committed | GuardsFailed:
         failed = [g["path"] for g in guards if g["stamp"] != (3 if g["path"] in self.kept else 0)]
@@ -237,7 +237,7 @@
     job.bound_count = int(read.spec is not None)
     batch = TransactionBatch()
     batch.add_end(job, 10, False)
-    key = state_records.over_key(job.id)
+    key = state_records.ended_key(job.id)
     return next(c["value"] for c in batch.changes if c.get("set") == key)
 
 
@@ -247,7 +247,7 @@
     client = _Client({state_records.job_key(job): {"spec": wire.plain(read.spec), "at": 0.0}})
     with mock.patch.object(admission, "wall_now", lambda: Wall(read.ended_at or 0.0)):
         asyncio.run(_admission(client).cancel(job))
-    return client.put(state_records.over_key(job))
+    return client.put(state_records.ended_key(job))
 
 
 def write_burial(read: Any) -> Any:
@@ -273,7 +273,7 @@
 
 def write_gated_cancellation(_: Any) -> Any:
     """`over/NODE` as the node that cancels a gated node writes it."""
-    return _cancel_gated(2).put(state_records.over_key(model.node_id("fam1", 2)))
+    return _cancel_gated(2).put(state_records.ended_key(model.node_id("fam1", 2)))
 
 
 def write_word(value: Any) -> Any:
@@ -291,7 +291,7 @@
     known = Election._read_leader(cast(Any, member), entry)
     if known is None:
         raise ValueError("not read")
-    again = election.follows_itself(value, Wall(value.get("at", 0.0)))
+    again = election.consecutive_reelections(value, Wall(value.get("at", 0.0)))
     return SimpleNamespace(known=known, again=again, value=value)
 
 
@@ -302,7 +302,7 @@
     secrets_are(value.get("incarnation", ""))
     client = _Client({fencing.LEADER_KEY: {}, election.TERM_KEY: read.known.term - 1})
     member = Election(cast(Any, client), read.known.host, lambda: None)
-    asyncio.run(member._stand(Revision(3), value.get("again", 0)))
+    asyncio.run(member._campaign(Revision(3), value.get("again", 0)))
     assert client.put(election.TERM_KEY) == read.known.term
     return client.put(fencing.LEADER_KEY)
 
@@ -316,7 +316,7 @@
     """`term` as the member that is elected writes it."""
     client = _Client({fencing.LEADER_KEY: {}, election.TERM_KEY: term - 1})
     member = Election(cast(Any, client), "node-1", lambda: None)
-    asyncio.run(member._stand(Revision(3)))
+    asyncio.run(member._campaign(Revision(3)))
     return client.put(election.TERM_KEY)
 
 
@@ -340,7 +340,7 @@
 
 def read_rent(value: Any) -> Any:
     """`cloud/rent/NAME` as a new leader takes it over."""
-    found = _read_intents(intent_log._RENT + "r1", value).rents
+    found = _read_intents(intent_log._RENTAL_PREFIX + "r1", value).open_rentals
     if not found:
         raise ValueError("left alone")
     return found["r1"]
@@ -363,10 +363,10 @@
 
 def read_return(value: Any) -> Any:
     """`cloud/return/TERM.N`: the machines as a new leader takes them over, and the record."""
-    found = _read_intents(intent_log._RETURN + "00000003.000001", value).returns
+    found = _read_intents(intent_log._RELEASE_PREFIX + "00000003.000001", value).open_releases
     if not found:
         raise ValueError("left alone")
-    return next(iter(found.values())), msgspec.convert(value, ReturnRecord)
+    return next(iter(found.values())), msgspec.convert(value, ReleaseRecord)
 
 
 def write_return(read: Any) -> Any:
@@ -378,7 +378,7 @@
         change.applied(Revision(3))
 
     kept = IntentLog(join, FencingToken(3), _VALUE_KB, wall=lambda: Wall(read[1].at))
-    asyncio.run(kept.give_back(read[0]))
+    asyncio.run(kept.record_release(read[0]))
     return joined[-1].changes[0]["value"]
 
 
@@ -776,7 +776,7 @@
 
 KEYS: Final[dict[str, Callable[..., Any]]] = {
     "job": state_records.job_key,
-    "over": state_records.over_key,
+    "over": state_records.ended_key,
     "run": lambda job, number: (
         Chunk(
             JobStore(_VALUE_KB).add(
@@ -790,8 +790,8 @@
     "term": lambda: election.TERM_KEY,
     "out": election.exclusion_key,
     "deputy": lambda host: renewal_delegation.DELEGATION_PREFIX + host,
-    "rent": lambda name: intent_log._RENT + name,
-    "return": lambda rest: intent_log._RETURN + rest,
+    "rent": lambda name: intent_log._RENTAL_PREFIX + name,
+    "return": lambda rest: intent_log._RELEASE_PREFIX + rest,
     "graph": records.graph_key,
     "graph over": records.graph_over_key,
     "word": records.word_key,
@@ -924,7 +924,9 @@
 def test_acknowledged_cancellations_go_with_a_promise() -> None:
     known = AcknowledgedCancellations(lambda: Revision(2))
     known.add("wk-000412", Revision(7))
-    answer = ExtensionAnswer(True, "", known.since(Revision(5)), known.all_since(Revision(5)))
+    answer = ExtensionAnswer(
+        True, "", known.since(Revision(5)), known.is_complete_since(Revision(5))
+    )
     texts = [s.values[0]["text"] for s in _samples("read") if "extension answer" in str(s.id)]
     assert wire.encode(answer).decode() in texts
 
@@ -963,5 +965,5 @@
     monkeypatch.setattr(election, "_UNREADABLE_S", 0.0)
     client = _Client({fencing.LEADER_KEY: {}, election.TERM_KEY: term})
     member = Election(cast(Any, client), "node-1", lambda: None)
-    asyncio.run(member._stand(Revision(3)))
+    asyncio.run(member._campaign(Revision(3)))
     assert client.changes == []
--- a/tests/test_graphs.py
+++ b/tests/test_graphs.py
@@ -42,7 +42,7 @@
     wall_now,
 )
 from tests.samples import SETTINGS, SUBMISSION, job_view, report, spec
-from tests.test_dispatch import _TYPE
+from tests.test_dispatch import _MACHINE_TYPE
 from tests.test_graphs_records import CheckedStore, _Election
 
 _DEFAULTS = {k: v for k, v in SUBMISSION.items() if k not in ("id", "dueS")}
@@ -225,10 +225,10 @@
     for _ in range(3):
         job_store = JobStore(8.0)
         job = job_store.add(spec(id="fam1-00000", pieces=2), Wall(0.0), Revision(1))
-        job.most_errors = 2
+        job.max_task_errors = 2
         if value is not None:
             job_store.load(job, 0, value, Revision(1))
-        index = job_store.take_task(job)
+        index = job_store.pop_unbound_task(job)
         assert index == 0 and job.outcome == "done"
         machine = MachineId("m-1")
         binding = job_store.bind(
@@ -238,7 +238,7 @@
         job_store.release(binding, "", Monotonic(0.0))
         value = orjson.loads(orjson.dumps(job_store.value(job.chunks[0])))
     # The third failure of one task is one too many, whoever led at the first.
-    assert job.outcome == "failed" and job.id in job_store.ending and job.waiting == 0
+    assert job.outcome == "failed" and job.id in job_store.ending_jobs and job.waiting == 0
 
 
 # -- decisions ------------------------------------------------------------------------------------
@@ -262,13 +262,15 @@
 
 
 def _leader(store: CheckedStore) -> tuple[Leader, GraphLeaderExtension]:
-    mine = Leadership(FencingToken(1), Revision(1), LeaseId(1), monotonic_now(), Monotonic(1e12))
+    leadership = Leadership(
+        FencingToken(1), Revision(1), LeaseId(1), monotonic_now(), Monotonic(1e12)
+    )
     leader = Leader(
         settings.parse(orjson.dumps(SETTINGS)),
         cast(StateClient, store),
         cast(Cloud, None),
-        cast(Election, _Election(mine)),
-        mine,
+        cast(Election, _Election(leadership)),
+        leadership,
         Estimates(),
         [lambda term: GraphLeaderExtension(term, GraphFeatures(on=True))],
     )
@@ -288,7 +290,7 @@
 def test_machines_are_wished_for_before_the_nodes_that_need_them_are_free() -> None:
     async def scenario() -> None:
         store = CheckedStore(random.Random(0))
-        store.calm = True
+        store.reliable = True
         large = {"vcpus": 8.0, "guessS": 90.0, "builds": ["big"]}
         nodes = [_node("a", vcpus=1.0, guessS=15.0)]
         nodes += [_node(f"b{i}", "a", **large) for i in range(3)]
@@ -298,8 +300,8 @@
         await part._load("fam1")
         part._advance()
         asked: list[Any] = []
-        leader.provisioner.take_catalogue(
-            wire.decode(orjson.dumps({"builds": [_TYPE]}), wire.Catalogue)
+        leader.provisioner.set_catalogue(
+            wire.decode(orjson.dumps({"builds": [_MACHINE_TYPE]}), wire.Catalogue)
         )
         leader.provisioner.rent = lambda rental, now: asked.append(rental)  # type: ignore[method-assign]
         batch = leader.write_batcher._gather(monotonic_now())
@@ -313,7 +315,7 @@
         # The first node runs on the only machine and ends within a boot: what is behind it boots.
         leader.scheduling_loop.run(monotonic_now(), wall_now())
         asked.clear()
-        leader.scheduling_loop.autoscaler._rent_at = Monotonic(0.0)
+        leader.scheduling_loop.autoscaler._next_rental_at = Monotonic(0.0)
         leader.scheduling_loop.run(monotonic_now(), wall_now())
         assert sum(rental.count for rental in asked) == 2
         (wish,) = leader.lifecycle.upcoming(monotonic_now(), 20.0)
@@ -326,7 +328,7 @@
 def test_a_graph_of_a_later_version_is_held_and_harms_nobody_else() -> None:
     async def scenario() -> None:
         store = CheckedStore(random.Random(0))
-        store.calm = True
+        store.reliable = True
         _accepted(store, [_node("a"), _node("b")])
         value = {"spec": {**wire.plain(spec(id="fam1-00000", pieces=1))}, "at": 0.0}
         store.execute([], [
@@ -367,7 +369,7 @@
 def test_a_graph_that_is_never_sealed_is_removed_whole_and_runs_nothing() -> None:
     async def scenario() -> None:
         store = CheckedStore(random.Random(0))
-        store.calm = True
+        store.reliable = True
         head = Head(v=1, status="open", at=wall_now() - 3590.0, digest="d", defaults=_DEFAULTS)
         store.execute([], [wire.put("job/fam1", wire.plain(head))])
         store.execute([], [wire.put("job/wk-1", {"spec": wire.plain(spec(id="wk-1")), "at": 0.0})])
@@ -400,7 +402,7 @@
 
     async def scenario() -> None:
         store = CheckedStore(random.Random(0))
-        store.calm = True
+        store.reliable = True
         nodes: list[Node] = []
         for family in range(30):
             first = f"f{family}"
@@ -433,7 +435,7 @@
 def test_a_node_is_due_when_the_path_behind_it_still_fits() -> None:
     async def scenario() -> None:
         store = CheckedStore(random.Random(0))
-        store.calm = True
+        store.reliable = True
         nodes = [_node("a", guessS=10.0), _node("b", "a", guessS=30.0)]
         _accepted(store, nodes, due_s=100.0)
         leader, part = _leader(store)
@@ -446,7 +448,7 @@
         job = leader.lifecycle.add("job/fam1-00000", record, Revision(store.epoch))
         assert job is not None and job.due_s == record["due_s"]
         (view,) = leader.scheduling_loop.snapshots.view(monotonic_now(), wall_now()).jobs
-        assert isinstance(view, JobView) and view.graph == "fam1" and view.latest_s[0] > 50.0
+        assert isinstance(view, JobView) and view.graph == "fam1" and view.latest_start_s[0] > 50.0
         assert job_key(job.id) in store.keys
 
     asyncio.run(scenario())
--- a/tests/test_graphs_records.py
+++ b/tests/test_graphs_records.py
@@ -56,11 +56,11 @@
 
 
 class _Election:
-    def __init__(self, mine: Leadership) -> None:
-        self.mine = mine
+    def __init__(self, leadership: Leadership) -> None:
+        self.leadership = leadership
 
-    def leading(self, _: Monotonic) -> Leadership:
-        return self.mine
+    def valid_leadership(self, _: Monotonic) -> Leadership:
+        return self.leadership
 
 
 class Model:
@@ -131,7 +131,7 @@
         self.meanwhile: Callable[[], Awaitable[None]] | None = None
 
     async def scan(
-        self, prefix: str, rank: RequestPriority = RequestPriority.FIRST
+        self, prefix: str, rank: RequestPriority = RequestPriority.HIGH
     ) -> tuple[list[wire.Entry], Revision]:
         found = await super().scan(prefix)
         if self.meanwhile is not None and prefix.startswith("over/"):
@@ -211,19 +211,23 @@
 class Reign:
     """One leader, driven by hand."""
 
-    def __init__(self, service: Service, stamp: Revision) -> None:
+    def __init__(self, service: Service, mod_revision: Revision) -> None:
         self.service = service
         parsed = settings.parse(orjson.dumps(SETTINGS))
-        mine = Leadership(
-            FencingToken(int(stamp)), stamp, LeaseId(1), monotonic_now(), Monotonic(1e12)
+        leadership = Leadership(
+            FencingToken(int(mod_revision)),
+            mod_revision,
+            LeaseId(1),
+            monotonic_now(),
+            Monotonic(1e12),
         )
         client = cast(StateClient, service.store)
         self.leader = Leader(
             parsed,
             client,
             cast(Cloud, None),
-            cast(Election, _Election(mine)),
-            mine,
+            cast(Election, _Election(leadership)),
+            leadership,
             Estimates(),
             [lambda term: GraphLeaderExtension(term, _FEATURES)],
         )
@@ -266,7 +270,7 @@
     def bind(self, share: float) -> None:
         for job in list(self.leader.job_store.jobs.values()):
             while job.waiting > 0 and self.service.rng.random() < share:
-                index = self.leader.job_store.take_task(job)
+                index = self.leader.job_store.pop_unbound_task(job)
                 if index is None:
                     break
                 self.leader.job_store.bind(
@@ -508,7 +512,7 @@
         """Everything calms down; every graph that was accepted comes to its end."""
         while self.store.late:
             await self.late()
-        self.store.calm = True
+        self.store.reliable = True
         await self.take_over()
         for _ in range(120):
             if self.reign is None:
@@ -589,8 +593,8 @@
 def _hasty_followers(patch: pytest.MonkeyPatch) -> None:
     """Tells followers of tasks that are done before that is written down."""
 
-    def follow(self: JobStore, job: Any, now: Monotonic) -> list[int]:
-        job.followed = True
+    def report_completions(self: JobStore, job: Any, now: Monotonic) -> list[int]:
+        job.reports_completions = True
         return [index for index, done in enumerate(job.done) if done]
 
     whole = JobStore.complete
@@ -598,11 +602,16 @@
     def complete(self: JobStore, job: Any, index: int, now: Monotonic) -> bool:
         first = whole(self, job, index, now)
         for other in self.jobs.values():
-            if first and job.followed and other.opened is not None and other.owner is job.owner:
-                self.open_task(other, index)
+            if (
+                first
+                and job.reports_completions
+                and other.unblocked is not None
+                and other.owner is job.owner
+            ):
+                self.unblock_task(other, index)
         return first
 
-    patch.setattr(JobStore, "follow", follow)
+    patch.setattr(JobStore, "report_completions", report_completions)
     patch.setattr(JobStore, "complete", complete)
 
 
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -36,7 +36,7 @@
     wall_now,
 )
 from tests.samples import SETTINGS, report, spec
-from tests.test_dispatch import _TYPE
+from tests.test_dispatch import _MACHINE_TYPE
 from tests.test_records import Store
 
 _SOCKETS = 300
@@ -48,11 +48,11 @@
 class _Election:
     """A term that lasts."""
 
-    def __init__(self, mine: Leadership) -> None:
-        self.mine = mine
+    def __init__(self, leadership: Leadership) -> None:
+        self.leadership = leadership
 
-    def leading(self, _: Monotonic) -> Leadership:
-        return self.mine
+    def valid_leadership(self, _: Monotonic) -> Leadership:
+        return self.leadership
 
 
 class _Orders(web.RequestHandler):
@@ -90,21 +90,23 @@
         values = {**SETTINGS, "params": {**SETTINGS["params"], "quota": {"fd_limit": _SOCKETS}}}
         self.settings = settings.parse(orjson.dumps(values))
         self.store = Store(random.Random(0), True)
-        self.store.calm = True
-        mine = Leadership(
+        self.store.reliable = True
+        leadership = Leadership(
             FencingToken(1), Revision(1), LeaseId(1), monotonic_now(), Monotonic(1e12)
         )
         self.leader = Leader(
             self.settings,
             cast(StateClient, self.store),
             cast(Cloud, None),
-            cast(Election, _Election(mine)),
-            mine,
+            cast(Election, _Election(leadership)),
+            leadership,
             Estimates(),
         )
         self.leader.fleet.inherit([], monotonic_now())
-        catalogue = wire.decode(orjson.dumps({"builds": [{**_TYPE, "vcpus": 16}]}), wire.Catalogue)
-        self.leader.provisioner.take_catalogue(catalogue)
+        catalogue = wire.decode(
+            orjson.dumps({"builds": [{**_MACHINE_TYPE, "vcpus": 16}]}), wire.Catalogue
+        )
+        self.leader.provisioner.set_catalogue(catalogue)
         self.leader.provisioner.rent = lambda *_: None  # type: ignore[method-assign]
         self.tasks: dict[str, dict[tuple[str, int], str]] = {}
         self.seqs: dict[str, int] = {}
@@ -144,17 +146,19 @@
             name = f"m-127.{1 + number // 62500}.{number // 250 % 250}.{1 + number % 250}"
             names.append(name)
             self.tasks[name], self.seqs[name] = {}, 0
-            self.leader.provisioner._rented(name, Rental("big", "north", False, 1), monotonic_now())
+            self.leader.provisioner._add_rented_machine(
+                name, Rental("big", "north", False, 1), monotonic_now()
+            )
             self.beat(name)
         for _ in range(_WAVE * _JOBS):
             self.jobs += 1
             job = spec(id=f"wk-{self.jobs}", pieces=1, dueS=None)
             self.store.execute([], [wire.put(job_key(job.id), {"spec": wire.plain(job), "at": 0})])  # type: ignore[arg-type]
-            stamp = Revision(self.store.epoch)
+            mod_revision = Revision(self.store.epoch)
             self.leader.lifecycle.add(
                 job_key(job.id),  # type: ignore[arg-type]
                 {"spec": wire.plain(job), "at": wall_now()},
-                stamp,
+                mod_revision,
             )
         self.leader.scheduling_loop.run(monotonic_now(), wall_now())
         await self.commit_all()
@@ -171,7 +175,7 @@
             self.leader.fleet.released(MachineId(name), monotonic_now())
             del self.tasks[name], self.seqs[name]
         self.store.keys = {LEADER_KEY: ({}, 1)}
-        self.leader.fleet.forget_gone(Monotonic(monotonic_now() + 1000.0))
+        self.leader.fleet.prune_terminated(Monotonic(monotonic_now() + 1000.0))
 
 
 def test_a_long_term_keeps_nothing_of_machines_and_jobs_that_are_gone() -> None:
@@ -224,8 +228,8 @@
                 open_now -= 1
 
         await asyncio.gather(*(command(number) for number in range(90)))
-        assert served == 90 and most == lines.most == 30
-        assert len(lines) <= lines.most
+        assert served == 90 and most == lines.max_connections == 30
+        assert len(lines) <= lines.max_connections
         lines.close()
         assert len(lines) == 0
 
@@ -236,4 +240,4 @@
 def test_ordinary_fleets_keep_a_connection_to_every_machine(
     sockets: int, machines: int, most: int
 ) -> None:
-    assert ConnectionPool(sockets, lambda: machines).most == most >= machines
+    assert ConnectionPool(sockets, lambda: machines).max_connections == most >= machines
--- a/tests/test_lease_extension.py
+++ b/tests/test_lease_extension.py
@@ -14,7 +14,7 @@
 from tealrill.leadership import election as election_module
 from tealrill.leadership.election import TERM_KEY, Election, KnownLeader
 from tealrill.leadership.lease_extension import (
-    PROMISE_S,
+    EXTENSION_GRANT_S,
     CancellationKnowledge,
     ExtensionAnswer,
     ExtensionRequest,
@@ -87,30 +87,30 @@
     return Election(cast(StateClient, state), "host-0", lambda: None, promised_s)
 
 
-def _stand(election: Election, stamp: int = 0) -> bool:
-    asyncio.run(election._stand(Revision(stamp)))
-    return election.mine is not None
+def _campaign(election: Election, mod_revision: int = 0) -> bool:
+    asyncio.run(election._campaign(Revision(mod_revision)))
+    return election.leadership is not None
 
 
 def test_who_has_promised_does_not_stand_before_the_promise_is_over(clock: _Clock) -> None:
     election = _election(_State())
-    assert election.promise(FencingToken(4), Monotonic(clock.now + PROMISE_S)) == ""
-    assert not _stand(election)
-    clock.now = Monotonic(clock.now + PROMISE_S)
-    assert _stand(election)
+    assert election.grant_extension(FencingToken(4), Monotonic(clock.now + EXTENSION_GRANT_S)) == ""
+    assert not _campaign(election)
+    clock.now = Monotonic(clock.now + EXTENSION_GRANT_S)
+    assert _campaign(election)
 
 
 def test_a_restarted_member_may_have_promised(clock: _Clock) -> None:
-    assert not _stand(_election(_State(), PROMISE_S))
+    assert not _campaign(_election(_State(), EXTENSION_GRANT_S))
     # Before the first term nobody can hold a promise, and nothing is to be waited for.
-    assert _stand(_election(_State(term=None), PROMISE_S))
+    assert _campaign(_election(_State(term=None), EXTENSION_GRANT_S))
     # The key of this host's own former process belongs to nobody who could hold one.
-    assert _stand(_election(_State(), PROMISE_S), stamp=7)
+    assert _campaign(_election(_State(), EXTENSION_GRANT_S), mod_revision=7)
 
 
 def test_a_restarted_member_stands_at_once_if_nobody_leads(clock: _Clock) -> None:
     # All controllers crashed together, and the wait for the promise's end cost every task.
-    election = _election(_State(), PROMISE_S)
+    election = _election(_State(), EXTENSION_GRANT_S)
     extension = _extension(_State(), election, clock)
     said: dict[str, NoAnswerError | bytes] = {
         "answer": NoAnswerError("refused", False, refused=True)
@@ -126,16 +126,16 @@
 
     for peer in extension._peers.values():
         peer.request = request  # type: ignore[method-assign,assignment]
-    election.nobody_leads = extension.nobody_leads
-    assert not _stand(election)
+    election.no_peer_leads = extension.no_peer_leads
+    assert not _campaign(election)
     said["answer"] = wire.encode(Presence(leads=True))
-    assert not _stand(election)
+    assert not _campaign(election)
     said["answer"] = wire.encode(Presence(leads=False))
     # A promise of this very process still holds.
-    assert election.promise(FencingToken(4), Monotonic(clock.now + 1.0)) == ""
-    assert not _stand(election)
+    assert election.grant_extension(FencingToken(4), Monotonic(clock.now + 1.0)) == ""
+    assert not _campaign(election)
     clock.now = Monotonic(clock.now + 1.0)
-    assert _stand(election)
+    assert _campaign(election)
 
 
 @pytest.mark.parametrize(
@@ -145,55 +145,60 @@
     clock: _Clock, outcome: str, promised: bool
 ) -> None:
     election = _election(_State(outcome=outcome))
-    assert not _stand(election)
-    assert (election.promise(FencingToken(4), Monotonic(200.0)) == "") is promised
+    assert not _campaign(election)
+    assert (election.grant_extension(FencingToken(4), Monotonic(200.0)) == "") is promised
     # The guard on the term makes the late one fail once a later term is there.
-    assert election.promise(FencingToken(5), Monotonic(200.0)) == ""
+    assert election.grant_extension(FencingToken(5), Monotonic(200.0)) == ""
 
 
 def test_no_promise_to_a_leader_of_the_past(clock: _Clock) -> None:
     election = _election(_State())
-    election.known = KnownLeader("host-1", FencingToken(5))
-    assert election.promise(FencingToken(4), Monotonic(200.0)) != ""
-    election.known = None
-    assert _stand(election)
-    assert election.mine is not None
+    election.known_leader = KnownLeader("host-1", FencingToken(5))
+    assert election.grant_extension(FencingToken(4), Monotonic(200.0)) != ""
+    election.known_leader = None
+    assert _campaign(election)
+    assert election.leadership is not None
     # Asked by its own term's number, it is not asked by a later leader.
-    assert election.promise(election.mine.term, Monotonic(200.0)) == "leads itself"
+    assert election.grant_extension(election.leadership.term, Monotonic(200.0)) == "leads itself"
 
 
 def test_who_was_followed_promises_to_the_one_that_follows(clock: _Clock) -> None:
     # Refused by the state service alone it can't see that its key has gone. Its "leads itself" made
     # its successor fall silent in an outage, and every task ended with its lease.
     election = _election(_State())
-    assert _stand(election)
-    mine = election.mine
-    assert mine is not None
-    assert election.promise(FencingToken(mine.term - 1), Monotonic(200.0)) == "leads itself"
-    assert election.mine is mine
-    assert election.promise(FencingToken(mine.term + 1), Monotonic(200.0)) == ""
-    assert election.mine is None and not mine.valid(Monotonic(500.0))
+    assert _campaign(election)
+    leadership = election.leadership
+    assert leadership is not None
+    assert (
+        election.grant_extension(FencingToken(leadership.term - 1), Monotonic(200.0))
+        == "leads itself"
+    )
+    assert election.leadership is leadership
+    assert election.grant_extension(FencingToken(leadership.term + 1), Monotonic(200.0)) == ""
+    assert election.leadership is None and not leadership.valid(Monotonic(500.0))
 
 
 def _extension(state: _State, election: Election, clock: _Clock, **changes: Any) -> LeaseExtension:
     values = {**SETTINGS, **changes}
     parsed = settings.parse(orjson.dumps(values))
 
-    known = AcknowledgedCancellations(lambda: state.first_seen)
-    known.add("wk-1", Revision(50))
-    return LeaseExtension(parsed, cast(StateClient, state), election, known, clock)
+    known_leader = AcknowledgedCancellations(lambda: state.first_seen)
+    known_leader.add("wk-1", Revision(50))
+    return LeaseExtension(parsed, cast(StateClient, state), election, known_leader, clock)
 
 
 def test_only_a_term_without_a_gap_is_prolonged(clock: _Clock) -> None:
     extension = _extension(_State(), _election(_State()), clock)
-    mine = Leadership(FencingToken(4), Revision(1), LeaseId(1), Monotonic(90.0), Monotonic(101.0))
+    leadership = Leadership(
+        FencingToken(4), Revision(1), LeaseId(1), Monotonic(90.0), Monotonic(101.0)
+    )
     sent = clock.now
     clock.now = Monotonic(100.5)
-    extension.extend(mine, sent)
-    assert 103.0 < mine.valid_until < sent + PROMISE_S
+    extension.extend(leadership, sent)
+    assert 103.0 < leadership.valid_until < sent + EXTENSION_GRANT_S
     clock.now = Monotonic(110.0)
-    extension.extend(mine, Monotonic(109.9))
-    assert not mine.valid(clock.now)
+    extension.extend(leadership, Monotonic(109.9))
+    assert not leadership.valid(clock.now)
 
 
 def test_a_member_that_reaches_the_state_service_promises_nothing(clock: _Clock) -> None:
@@ -201,15 +206,17 @@
     state.keys[LEADER_KEY] = ({"host": "host-1"}, 8)
     election = _election(state)
     extension = _extension(state, election, clock)
-    assert not asyncio.run(extension.asked(ExtensionRequest(4))).promised
+    assert not asyncio.run(extension.handle_request(ExtensionRequest(4))).promised
     state.down = True
-    assert asyncio.run(extension.asked(ExtensionRequest(4, seen=60))) == ExtensionAnswer(True)
+    assert asyncio.run(extension.handle_request(ExtensionRequest(4, seen=60))) == ExtensionAnswer(
+        True
+    )
     # What was cancelled here without the leader's knowledge goes with the promise.
-    assert asyncio.run(extension.asked(ExtensionRequest(4, seen=40))) == ExtensionAnswer(
+    assert asyncio.run(extension.handle_request(ExtensionRequest(4, seen=40))) == ExtensionAnswer(
         True, cancelled=["wk-1"]
     )
     state.down = False
-    assert not _stand(election)
+    assert not _campaign(election)
 
 
 def test_one_missing_promise_is_silence(clock: _Clock, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -217,9 +224,9 @@
     members = [{"host_name": f"n-{n}", "zone": "north", "peer_addr": "x:1"} for n in range(2)]
     extension = _extension(_State(), election, clock, members=members)
     # Its own process's first look lies before what it has seen as a leader.
-    extension.seen = lambda: CancellationKnowledge(Revision(30), clock.now)
+    extension.cancellation_knowledge = lambda: CancellationKnowledge(Revision(30), clock.now)
     told: list[str] = []
-    extension.cancelled = told.append
+    extension.on_cancelled = told.append
 
     def extended(last: ExtensionAnswer) -> bool:
         left = iter([ExtensionAnswer(True, cancelled=["wk-2"]), last])
@@ -228,11 +235,11 @@
             return next(left)
 
         monkeypatch.setattr(extension, "_ask", ask)
-        mine = Leadership(
+        leadership = Leadership(
             FencingToken(4), Revision(1), LeaseId(1), Monotonic(90.0), Monotonic(101.0)
         )
-        asyncio.run(extension._seek(mine))
-        return mine.valid_until > 101.0
+        asyncio.run(extension._seek(leadership))
+        return leadership.valid_until > 101.0
 
     assert extended(ExtensionAnswer(True))
     assert not extended(ExtensionAnswer(False, "no answer"))
@@ -242,7 +249,7 @@
 
 def test_no_extension_where_a_cancellation_would_come_too_late(clock: _Clock) -> None:
     workers = SETTINGS["params"]["workers"]
-    short = {**workers, "cancel_s": workers["lease_s"] + PROMISE_S}
+    short = {**workers, "cancel_s": workers["lease_s"] + EXTENSION_GRANT_S}
     params = {**SETTINGS["params"], "workers": short}
     assert not _extension(_State(), _election(_State()), clock, params=params).possible
     assert _extension(_State(), _election(_State()), clock).possible
--- a/tests/test_lease_revocation.py
+++ b/tests/test_lease_revocation.py
@@ -26,7 +26,7 @@
 from tealrill.leadership import exclusion as exclusion_module
 from tealrill.leadership import lease_extension as extension_module
 from tealrill.leadership import lease_revocation as revocation_module
-from tealrill.leadership.election import TTL_S, KnownLeader, exclusion_key
+from tealrill.leadership.election import LEASE_TTL_S, KnownLeader, exclusion_key
 from tealrill.leadership.exclusion import Exclusions
 from tealrill.leadership.lease_revocation import LOST_S, LeaseRevocation
 from tealrill.state.client import OutcomeUnknownError, StateUnavailableError
@@ -58,15 +58,19 @@
 class _Member(_Node):
     def __init__(self, world: World, host: str) -> None:
         super().__init__(world, host)
-        self.unheard_since: Monotonic | None = None
+        self.leader_unreachable_since: Monotonic | None = None
         self.revocation = LeaseRevocation(
-            self.settings, self.client, self.election, lambda: self.unheard_since, self.now
+            self.settings,
+            self.client,
+            self.election,
+            lambda: self.leader_unreachable_since,
+            self.now,
         )
         self.revocation._peers = self.peers
         self.extension.lost_term = lambda: self.revocation.lost_term
 
-    def _exclusions(self, mine: Any) -> Exclusions:
-        found = super()._exclusions(mine)
+    def _exclusions(self, leadership: Any) -> Exclusions:
+        found = super()._exclusions(leadership)
         found._revoked = self._resign
         return found
 
@@ -76,16 +80,16 @@
     async def step(self, what: str) -> None:
         if what != "revoke":
             return await super().step(what)
-        known = self.election.known
+        known_leader = self.election.known_leader
         if (
-            known is None
-            or known.host not in self.peers
-            or self.election.mine is not None
-            or frozenset((self.host, known.host)) not in self.world.apart
+            known_leader is None
+            or known_leader.host not in self.peers
+            or self.election.leadership is not None
+            or frozenset((self.host, known_leader.host)) not in self.world.apart
         ):
-            self.unheard_since = None
-        elif self.unheard_since is None:
-            self.unheard_since = self.now()
+            self.leader_unreachable_since = None
+        elif self.leader_unreachable_since is None:
+            self.leader_unreachable_since = self.now()
         with contextlib.suppress(StateUnavailableError, OutcomeUnknownError):
             await self.revocation.turn()
 
@@ -109,7 +113,7 @@
             self.store.expire()
 
     def _change(self) -> None:
-        leader = next((h for h, n in self.nodes.items() if n.election.mine is not None), None)
+        leader = next((h for h, n in self.nodes.items() if n.election.leadership is not None), None)
         if leader is None or self.rng.random() < 0.4:
             super()._change()
             self.flapping = self.rng.random() < 0.3
@@ -124,7 +128,7 @@
         if self.flapping and self.rng.random() < 0.5:
             self.store.expire()
             for number in self.store.leases:
-                self.store.leases[number] = self.true + TTL_S
+                self.store.leases[number] = self.true + LEASE_TTL_S
             for node in self.nodes.values():
                 cast(_Interrupted, node.client).interruptions += 1
         if self.late_ends and self.rng.random() < 0.1:
@@ -162,7 +166,7 @@
 
 def _no_wait(patch: pytest.MonkeyPatch) -> None:
     """The former leader is taken to be invalid as soon as its lease has ended."""
-    patch.setattr(revocation_module, "TTL_S", 0.0)
+    patch.setattr(revocation_module, "LEASE_TTL_S", 0.0)
 
 
 def _without_an_answer(patch: pytest.MonkeyPatch) -> None:
@@ -171,7 +175,7 @@
     async def end_lease(self: LeaseRevocation, attempt: Any) -> None:
         with contextlib.suppress(OutcomeUnknownError):
             await self._client.end_lease(attempt.lease)
-        attempt.may_stand_at = Monotonic(self._now() + TTL_S * 1.001 + 0.2)
+        attempt.may_stand_at = Monotonic(self._now() + LEASE_TTL_S * 1.001 + 0.2)
 
     patch.setattr(LeaseRevocation, "_end_lease", end_lease)
 
@@ -181,11 +185,11 @@
     whole = _Interrupted.commit
 
     async def commit(
-        self: Any, guards: Any, changes: Any, paid: bool = False, timeout_s: float = 2.0
+        self: Any, guards: Any, changes: Any, tokens_acquired: bool = False, timeout_s: float = 2.0
     ) -> Any:
         if len(changes) > 1 and all(c.get("set", "").startswith("out/") for c in changes):
             changes = [c for c in changes if kept(exclusion_key(self.host), c["set"])]
-        return await whole(self, guards, changes, paid, timeout_s)
+        return await whole(self, guards, changes, tokens_acquired, timeout_s)
 
     patch.setattr(_Interrupted, "commit", commit)
 
@@ -229,7 +233,7 @@
         self.world = FlappingWorld(0)
         self.world.rng.random = lambda: 1.0  # type: ignore[method-assign]
         self.store = self.world.store
-        self.store.leases[1] = self.world.true + TTL_S
+        self.store.leases[1] = self.world.true + LEASE_TTL_S
         value = {"host": HOSTS[0], "term": 5, "revocable": True}
         self.store.keys[LEADER_KEY] = (value, 1, 1)
         self.store.keys["term"] = (5, 1, None)
@@ -237,7 +241,7 @@
         self.leader = KnownLeader(HOSTS[0], FencingToken(5), Revision(1))
         for host in HOSTS[1:]:
             election = self.member(host).election
-            election.known = self.leader
+            election.known_leader = self.leader
             # These processes have run for long, and have promised nothing lately.
             election._promised_until = election._restarted_until = Monotonic(0.0)
         self.ender = self.member(HOSTS[1])
@@ -256,7 +260,7 @@
     def pass_s(self, seconds: float) -> None:
         self.world.true += seconds
         for number in self.store.leases:
-            self.store.leases[number] = self.world.true + TTL_S
+            self.store.leases[number] = self.world.true + LEASE_TTL_S
 
 
 def test_a_lost_leader_is_followed_within_seconds() -> None:
@@ -266,12 +270,12 @@
         await lost.lose()
         assert LEADER_KEY not in lost.store.keys
         ended = lost.world.true
-        while lost.ender.election.mine is None:
-            assert lost.world.true - ended < TTL_S + 1.0
+        while lost.ender.election.leadership is None:
+            assert lost.world.true - ended < LEASE_TTL_S + 1.0
             await lost.ender.step("revoke")
             await lost.ender.step("hold")
             lost.world.true += 0.25
-        assert lost.world.true - ended >= TTL_S * 0.5
+        assert lost.world.true - ended >= LEASE_TTL_S * 0.5
 
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(election_module, "monotonic_now", lambda: lost.ender.now())
@@ -285,9 +289,13 @@
 def test_a_leader_whose_lease_is_being_ended_gets_no_promise() -> None:
     lost = _Lost()
     asyncio.run(lost.lose())
-    assert "ends" in lost.ender.election.promise(FencingToken(5), Monotonic(lost.ender.now() + 4.0))
+    assert "ends" in lost.ender.election.grant_extension(
+        FencingToken(5), Monotonic(lost.ender.now() + 4.0)
+    )
     # A later leader gets one.
-    assert not lost.ender.election.promise(FencingToken(6), Monotonic(lost.ender.now() + 4.0))
+    assert not lost.ender.election.grant_extension(
+        FencingToken(6), Monotonic(lost.ender.now() + 4.0)
+    )
 
 
 def test_a_promise_given_before_is_kept() -> None:
@@ -311,7 +319,7 @@
     asyncio.run(lost.lose())
     lost.store.epoch += 1
     lost.store.keys[exclusion_key(HOSTS[1])] = ({"term": 5, "v": 1}, lost.store.epoch, None)
-    lost.world.true += TTL_S * 2
+    lost.world.true += LEASE_TTL_S * 2
     asyncio.run(lost.ender.step("revoke"))
     assert exclusion_key(HOSTS[1]) in lost.store.keys
     assert lost.ender.revocation._attempt is None
@@ -358,14 +366,18 @@
     held: list[tuple[Any, Any]] = []
     whole, reach = lost.store.execute, lost.ender.client
 
-    async def commit(guards: Any, changes: Any, paid: bool = False, timeout_s: float = 2.0) -> Any:
+    async def commit(
+        guards: Any, changes: Any, tokens_acquired: bool = False, timeout_s: float = 2.0
+    ) -> Any:
         if not held:
             held.append((guards, changes))
             if executed == "at once":
                 whole(guards, changes)
             cast(Any, reach).get = refused
             raise OutcomeUnknownError("no answer")
-        return await _Interrupted.commit(cast(Any, reach), guards, changes, paid, timeout_s)
+        return await _Interrupted.commit(
+            cast(Any, reach), guards, changes, tokens_acquired, timeout_s
+        )
 
     get = reach.get
 
@@ -389,7 +401,9 @@
     asyncio.run(scenario())
     if executed == "never":
         assert LEADER_KEY in lost.store.keys
-        assert not lost.ender.election.promise(FencingToken(5), Monotonic(lost.ender.now() + 4.0))
+        assert not lost.ender.election.grant_extension(
+            FencingToken(5), Monotonic(lost.ender.now() + 4.0)
+        )
     else:
         assert lost.ender.revocation._attempt is not None
         assert 1 not in lost.store.leases or lost.store.leases[1] <= lost.world.true
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -32,15 +32,15 @@
 from tealrill.http import NoAnswerError
 from tealrill.leader import direct_commands, job_watch
 from tealrill.leader.leader import Leader
-from tealrill.leadership.election import TTL_S, Election
+from tealrill.leadership.election import LEASE_TTL_S, Election
 from tealrill.leadership.lease_extension import (
-    PROMISE_S,
+    EXTENSION_GRANT_S,
     CancellationKnowledge,
     ExtensionAnswer,
     ExtensionRequest,
     LeaseExtension,
 )
-from tealrill.leadership.open_jobs import renewal_bound_s
+from tealrill.leadership.open_jobs import renewal_staleness_bound_s
 from tealrill.scheduler.estimates import Estimates
 from tealrill.state import client as client_module
 from tealrill.state.acknowledged_cancellations import AcknowledgedCancellations
@@ -62,8 +62,8 @@
     BoundEntry,
     chunk_key,
     encode_chunk,
+    ended_key,
     job_key,
-    over_key,
 )
 from tealrill.types import (
     Attempt,
@@ -91,11 +91,11 @@
 
 
 def _leader(parsed: settings.Settings, term: int, now: Monotonic) -> Leader:
-    mine = Leadership(
-        FencingToken(term), Revision(term), LeaseId(term), now, Monotonic(now + TTL_S - 0.2)
+    leadership = Leadership(
+        FencingToken(term), Revision(term), LeaseId(term), now, Monotonic(now + LEASE_TTL_S - 0.2)
     )
     client = cast(StateClient, _Client(None, 0))
-    found = Leader(parsed, client, cast(Cloud, None), cast(Election, None), mine, Estimates())
+    found = Leader(parsed, client, cast(Cloud, None), cast(Election, None), leadership, Estimates())
     found.scheduling_loop.placement._command_now = lambda _: None
     return found
 
@@ -114,27 +114,29 @@
 class _Host:
     """A process; what it knows goes with it."""
 
-    mine: Leadership | None = None
+    leadership: Leadership | None = None
 
     def __init__(self, world: _World, number: int, first: Revision | None) -> None:
         self.world, self.number, self.first = world, number, first
-        self.waits_until = Monotonic(world.now + PROMISE_S)
+        self.waits_until = Monotonic(world.now + EXTENSION_GRANT_S)
         self.known = AcknowledgedCancellations(lambda: self.first)
         client = cast(StateClient, _Client(world, number))
         self.extension = LeaseExtension(world.settings, client, self, self.known, lambda: world.now)
         self.extension._peers = {str(n): cast(Any, n) for n in range(_HOSTS) if n != number}
         self.extension._ask = self._ask  # type: ignore[method-assign,assignment]
-        self.extension.seen = lambda: (
-            world.leader.known if world.leader is not None else CancellationKnowledge()
+        self.extension.cancellation_knowledge = lambda: (
+            world.leader.cancellation_knowledge
+            if world.leader is not None
+            else CancellationKnowledge()
         )
-        self.extension.cancelled = lambda job: world.learns(job)
+        self.extension.on_cancelled = lambda job: world.learns(job)
         self.extension.on_cancellations_known = lambda _, at: world.on_cancellations_known(at)
 
     async def _ask(self, number: Any, request: ExtensionRequest) -> ExtensionAnswer:
-        answer: ExtensionAnswer = await self.world.hosts[number].extension.asked(request)
+        answer: ExtensionAnswer = await self.world.hosts[number].extension.handle_request(request)
         return answer
 
-    def promise(self, term: FencingToken, until: Monotonic) -> str:
+    def grant_extension(self, term: FencingToken, until: Monotonic) -> str:
         self.waits_until = Monotonic(max(self.waits_until, until))
         return ""
 
@@ -179,10 +181,10 @@
         self.term += 1
         self.leads = host
         self.leader = _leader(self.settings, self.term, self.now)
-        self.leader.fleet.leases.silence_s = (
+        self.leader.fleet.leases.expiry_s = (
             1e9  # Nothing is bound anew: no proof is looked at here.
         )
-        self.key_until = Monotonic(self.now + TTL_S)
+        self.key_until = Monotonic(self.now + LEASE_TTL_S)
         self.reads_at = Monotonic(self.now + self.rng.choice([0.2, 0.2, 2.0, 6.0]))
 
     def _load(self) -> None:
@@ -194,7 +196,9 @@
             if job_id in self.records:
                 bindings += leader.job_store.load(job, 0, self.records[job_id], Revision(2))
         leader.fleet.inherit(bindings, self.now)
-        leader.job_watch.seen = CancellationKnowledge(Revision(self.revision), self.now)
+        leader.job_watch.cancellation_knowledge = CancellationKnowledge(
+            Revision(self.revision), self.now
+        )
         for name in self.terminated:
             job = leader.job_store.jobs[JobId(name)]
             leader.job_store.cancel(job)
@@ -228,31 +232,35 @@
 
     def _leading(self) -> Leader | None:
         leader = self.leader
-        return leader if leader is not None and leader._mine.valid(self.now) else None
+        return leader if leader is not None and leader._leadership.valid(self.now) else None
 
     def lead(self) -> None:
         """What the leader's loops do in a moment."""
         leader = self.leader
         if leader is None or self.leads is None:
             return
-        mine = leader._mine
+        leadership = leader._leadership
         if self.serves(self.leads):
             if self.now >= self.key_until:
                 self.leader = self.leads = None
                 return
-            mine.troubled = False
-            mine.valid_until = Monotonic(max(mine.valid_until, self.now + TTL_S - 0.2))
-            self.key_until = Monotonic(self.now + TTL_S)
+            leadership.renewal_failed = False
+            leadership.valid_until = Monotonic(
+                max(leadership.valid_until, self.now + LEASE_TTL_S - 0.2)
+            )
+            self.key_until = Monotonic(self.now + LEASE_TTL_S)
             if not leader.fleet.loaded:
                 if self.now >= self.reads_at:
                     self._load()
             elif not self.stuck:
                 for name in self.terminated:
                     self.learns(name)
-                leader.job_watch.seen = CancellationKnowledge(Revision(self.revision), self.now)
+                leader.job_watch.cancellation_knowledge = CancellationKnowledge(
+                    Revision(self.revision), self.now
+                )
         else:
-            mine.troubled = True
-            asyncio.run(self.hosts[self.leads].extension._seek(mine))
+            leadership.renewal_failed = True
+            asyncio.run(self.hosts[self.leads].extension._seek(leadership))
 
     def stand(self) -> None:
         if self.down or self.now < self.key_until:
@@ -277,7 +285,7 @@
             found = []
         if found is None or self.inbound_partitioned:
             return
-        worker.token = leader._mine.term
+        worker.token = leader._leadership.term
         worker.renewed_at = self.now
         worker.execute(found)
 
@@ -286,7 +294,7 @@
             return True
         if self.without == "watching" and leader.fleet.loaded:
             return True
-        return leader.informed(self.now)
+        return leader.may_renew_workers(self.now)
 
     # -- troubles ---------------------------------------------------------------------------------
 
@@ -314,7 +322,7 @@
     def heal(self) -> None:
         if self.down:
             # After an outage leases have their full time again.
-            self.key_until = Monotonic(max(self.key_until, self.now + TTL_S))
+            self.key_until = Monotonic(max(self.key_until, self.now + LEASE_TTL_S))
         self.down, self.refused, self.stuck, self.inbound_partitioned = False, set(), False, False
         for host in self.hosts:
             if host.first is None:
@@ -409,8 +417,8 @@
 
 
 def test_where_cancel_s_is_short_a_watch_in_its_ordinary_pace_is_enough() -> None:
-    assert renewal_bound_s(_settings(8.0, 9.0).params.workers) == 6.0
-    assert renewal_bound_s(_settings(8.0, 20.0).params.workers) == 7.0
+    assert renewal_staleness_bound_s(_settings(8.0, 9.0).params.workers) == 6.0
+    assert renewal_staleness_bound_s(_settings(8.0, 20.0).params.workers) == 7.0
 
 
 # -- jobs that end, and starts that may still arrive ----------------------------------------------
@@ -421,7 +429,7 @@
     leader = _leader(_settings(8.0, cancel_s), 1, Monotonic(100.0))
     fleet = leader.fleet
     fleet.inherit([], Monotonic(100.0))
-    leader.job_watch.seen = CancellationKnowledge(Revision(5), Monotonic(100.0))
+    leader.job_watch.cancellation_knowledge = CancellationKnowledge(Revision(5), Monotonic(100.0))
     job = leader.job_store.add(spec(pieces=1), Wall(0.0), Revision(1))
     for sequence in (1, 2):
         fleet.heartbeats.process(
@@ -505,27 +513,27 @@
     job = leader.job_store.jobs[JobId("wk-000412")]
     (binding,) = job.bindings()
     assert job.cancelled and binding.stop is not None
-    assert list(leader.job_store.garbage) == [chunk_key(JobId("wk-000001"), 0)]
+    assert list(leader.job_store.orphaned_chunks) == [chunk_key(JobId("wk-000001"), 0)]
 
 
 def test_a_job_that_fails_is_stopped_when_its_user_cancels_it_in_an_outage() -> None:
     # Its end can't be written before the outage is over; its other task ran on until then.
     leader, fleet, job, binding = _bound()
     fleet.commands.direct_executed([binding])
-    leader.job_store.give_up(job, OUTCOME_FAILED)
+    leader.job_store.abort_job(job, OUTCOME_FAILED)
     leader.lifecycle.on_cancelled("wk-000412", "test")
     assert binding.stop is not None and binding.stop.reason == "cancelled"
-    assert job.outcome == OUTCOME_FAILED and job.id in leader.job_store.ending
+    assert job.outcome == OUTCOME_FAILED and job.id in leader.job_store.ending_jobs
 
 
 def test_a_done_jobs_bound_task_is_known_to_the_next_leader() -> None:
     """One machine called it done, another one still has it."""
     leader, _, job, binding = _bound()
     leader.job_store.complete(job, 0, Monotonic(101.0))
-    assert job.id in leader.job_store.ending and list(job.bindings()) == [binding]
+    assert job.id in leader.job_store.ending_jobs and list(job.bindings()) == [binding]
     leader.write_batcher._client = cast(Any, SimpleNamespace(writes=RateLimiter(1000.0)))
     batch = leader.write_batcher._gather(Monotonic(101.0))
-    (over,) = [c for c in batch.changes if c.get("set") == over_key(job.id)]
+    (over,) = [c for c in batch.changes if c.get("set") == ended_key(job.id)]
     assert over["value"]["status"] == wire.JOB_DONE
     chunk = wire.Entry(
         key=binding.chunk.key, value=leader.job_store.value(binding.chunk), version=3
@@ -543,7 +551,7 @@
     asyncio.run(later.record_loader.load())
     (taken,) = later.job_store.jobs[job.id].bindings()
     assert taken.machine == _MACHINE and taken.stop is not None
-    assert not later.job_store.garbage
+    assert not later.job_store.orphaned_chunks
 
 
 # -- machines that hear nothing -------------------------------------------------------------------
@@ -621,11 +629,11 @@
     stop = binding.stop
     assert stop is not None
     machine = fleet.machines[_MACHINE]
-    machine.last_contact_at = machine.answered_at = stop.since
+    machine.last_contact_at = machine.last_acknowledged_at = stop.since
     at = stop.since
     while not fleet.heartbeats.has_overdue_stop(at):
         at = Monotonic(at + 0.5)
-    assert fleet.leases.silent(at) == [] or at - stop.since <= fleet.stop_timeout_s + 0.5
+    assert fleet.leases.expired_machines(at) == [] or at - stop.since <= fleet.stop_timeout_s + 0.5
     # A watch's pace, the wait, a delegation that was confirmed at the last moment, the lease.
     assert 3.0 + (at - stop.since) + 2.5 + 8.0 < 24.0
     # One that is heard has been told with its reports' answers.
@@ -640,19 +648,19 @@
     """As much of the state service as answers to users need."""
 
     first_seen = Revision(1)
-    away = False
+    unavailable = False
 
     def __init__(self, **keys: tuple[Any, int]) -> None:
         self.keys = {key.replace("__", "/").replace("_", "-"): entry for key, entry in keys.items()}
 
     async def get(
-        self, key: str, rank: RequestPriority = RequestPriority.FIRST
+        self, key: str, rank: RequestPriority = RequestPriority.HIGH
     ) -> wire.KeyValue | None:
         entry = self.keys.get(key)
         return None if entry is None else wire.KeyValue(value=entry[0], version=entry[1])
 
     async def scan(
-        self, prefix: str, rank: RequestPriority = RequestPriority.FIRST
+        self, prefix: str, rank: RequestPriority = RequestPriority.HIGH
     ) -> tuple[list[wire.Entry], Revision]:
         return [], Revision(1)
 
@@ -723,7 +731,7 @@
     asyncio.run(leader.record_loader.load())
     assert set(leader.job_store.jobs) == {good, odd}
     assert leader.job_store.jobs[good].waiting == 6 and leader.job_store.jobs[odd].waiting == 0
-    assert not leader.job_store.garbage and leader.fleet.loaded
+    assert not leader.job_store.orphaned_chunks and leader.fleet.loaded
 
 
 def test_a_watch_that_brought_nothing_is_followed_by_a_question() -> None:
@@ -750,7 +758,7 @@
 
     asyncio.run(scenario())
     assert asked == [2.0, 2.0, 0.0, 0.0, 2.0, 2.0]
-    assert leader.job_watch.seen.revision == 5
+    assert leader.job_watch.cancellation_knowledge.revision == 5
 
 
 def test_while_the_state_service_is_away_users_are_answered_at_once() -> None:
@@ -776,14 +784,14 @@
     async def scenario() -> None:
         for _ in range(50):
             assert (await admission.status("wk-000001")).status == 503
-        assert len(asked) == 3 and client.away
+        assert len(asked) == 3 and client.unavailable
         # Half a second later one is tried again, though nothing else was.
         at[0] += 0.7
         assert (await admission.status("wk-000001")).status == 503 and len(asked) == 4
         answers.append(404)
         with contextlib.suppress(StateError):
             await client.get("leader")
-        assert not client.away
+        assert not client.unavailable
         assert (await admission.status("wk-000001")).status == 404
 
     with pytest.MonkeyPatch.context() as patch:
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -325,13 +325,13 @@
 
         async def counted(lease: LeaseId) -> None:
             # Only now: until the lease is given up, nobody else writes these records.
-            assert not leader.under_way
+            assert not leader.busy
             ended.append(lease)
             await end_lease(lease)
 
         world.node._client.end_lease = counted  # type: ignore[method-assign]
         await world.node.hand_over("the test says so")
-        assert len(ended) == 1 and world.node.election.mine is None
+        assert len(ended) == 1 and world.node.election.leadership is None
         assert leader.intent_log.full, "nothing new is asked for"
         for job in leader.job_store.jobs.values():
             assert all(chunk.committed == chunk.version for chunk in job.chunks.values())
@@ -351,7 +351,7 @@
         signal.raise_signal(signal.SIGTERM)
         async with asyncio.timeout(_PATIENCE_S):
             await task
-        assert world.node.election.mine is None
+        assert world.node.election.leadership is None
         for server in world.node.servers:
             server.stop()
             await server.close_all_connections()
--- a/tests/test_open_jobs.py
+++ b/tests/test_open_jobs.py
@@ -24,7 +24,7 @@
 from tealrill import settings, wire
 from tealrill.leadership import renewal_delegation as delegation_module
 from tealrill.leadership.election import Election, KnownLeader
-from tealrill.leadership.open_jobs import OpenJobs, renewal_bound_s
+from tealrill.leadership.open_jobs import OpenJobs, renewal_staleness_bound_s
 from tealrill.leadership.renewal_delegation import DELEGATION_PREFIX, RenewalDelegate
 from tealrill.state.client import (
     Committed,
@@ -122,7 +122,7 @@
         return wire.WatchResult(revision=self.store.revision, events=events)
 
     async def commit(
-        self, guards: list[Any], changes: list[Any], paid: bool = False
+        self, guards: list[Any], changes: list[Any], tokens_acquired: bool = False
     ) -> Committed | GuardsFailed:
         self._request()
         keys = self.store.keys
@@ -165,7 +165,7 @@
         reach.now = lambda: self.now
         client = cast(StateClient, reach)
         election = Election(client, "node-0", lambda: None)
-        election.known = LEADER
+        election.known_leader = LEADER
         found = RenewalDelegate(
             settings.parse(orjson.dumps(SETTINGS)), client, election, lambda: self.now
         )
@@ -233,7 +233,7 @@
             (f"{job}/0", 1, "running", None) for job in sorted(self.running)
         ]
         message = report(MACHINE, self.incarnation, 1, LEADER.term, tasks)
-        if delegate.renews(message, MACHINE, self.now) is not None:
+        if delegate.renewal_token(message, MACHINE, self.now) is not None:
             self.renewals += 1
             self.renewed_at = self.now
 
@@ -380,7 +380,7 @@
     world = _calm()
     asyncio.run(world.play(5.0))
     world.cancel(JOBS[0])
-    asyncio.run(world.play(renewal_bound_s(WORKERS) - 2.0))
+    asyncio.run(world.play(renewal_staleness_bound_s(WORKERS) - 2.0))
     assert world.renewed_at > world.cancelled_at[JOBS[0]], "not before the bound is near"
     asyncio.run(world.play(40.0))
     assert world.incarnation == 2 and not world.running and not world.late
@@ -395,7 +395,7 @@
     asyncio.run(world.play(5.0))
     exited: list[tuple[str, int, str, str | None]] = [(f"{JOBS[1]}/0", 1, wire.EXITED, "done")]
     message = report(MACHINE, 1, 9, LEADER.term, exited)
-    assert world.delegates[0].renews(message, MACHINE, world.now) == LEADER.term
+    assert world.delegates[0].renewal_token(message, MACHINE, world.now) == LEADER.term
 
 
 def test_a_job_that_ended_before_the_first_reading_has_what_is_left_of_its_time() -> None:
@@ -437,11 +437,11 @@
     # Once by each of the two processes; it was said again with every look.
     assert len([r for r in caplog.records if DELEGATION_PREFIX in r.getMessage()]) == 2
     delegations = delegation_module.Delegations(
-        cast(StateClient, world.reach[0]), LEADER.term, LEADER.stamp, lambda: None
+        cast(StateClient, world.reach[0]), LEADER.term, LEADER.mod_revision, lambda: None
     )
     # The leader waits for it, since it may be of its term, and closes it.
-    assert asyncio.run(delegations.stand(Monotonic(1.0), False)) is True
-    assert asyncio.run(delegations.stand(Monotonic(2.0), False)) is False
+    assert asyncio.run(delegations.check_active(Monotonic(1.0), False)) is True
+    assert asyncio.run(delegations.check_active(Monotonic(2.0), False)) is False
 
 
 def test_an_absurd_report_costs_no_reading() -> None:
@@ -453,8 +453,12 @@
     ]
     unbound_tasks.append(("no task", 1, "running", None))
     delegate = world.delegates[0]
-    assert delegate.renews(report(MACHINE, 1, 9, 3, unbound_tasks), MACHINE, world.now) is None
-    assert delegate.renews(report(MACHINE, 1, 9, LEADER.term + 1), MACHINE, world.now) is None
+    assert (
+        delegate.renewal_token(report(MACHINE, 1, 9, 3, unbound_tasks), MACHINE, world.now) is None
+    )
+    assert (
+        delegate.renewal_token(report(MACHINE, 1, 9, LEADER.term + 1), MACHINE, world.now) is None
+    )
     assert [reach.requests for reach in world.reach] == before
 
 
--- a/tests/test_prober.py
+++ b/tests/test_prober.py
@@ -95,29 +95,29 @@
         fleet = _fleet(40)
         for n in range(40):
             fleet.machines[MachineId(f"m-{n}")].addr = f"10.0.0.{n}:9000"
-        spare = 10
-        prober = Prober(fleet, _REPORT_S, lambda: spare, reach)
+        spare_sockets = 10
+        prober = Prober(fleet, _REPORT_S, lambda: spare_sockets, reach)
         # Half of the zone is heard, so the other half is not cut off.
         _hear(fleet, range(20, 40), 4.0)
-        for machine in prober.look(Monotonic(4.0)):
+        for machine in prober.evaluate(Monotonic(4.0)):
             prober._try(machine, Monotonic(4.0))
         await asyncio.sleep(0)
         assert len(tried) == 10
-        assert prober.look(Monotonic(4.5)) == [], "no more while all places are taken"
+        assert prober.evaluate(Monotonic(4.5)) == [], "no more while all places are taken"
         hold.set()
         for moment in (6.0, 7.5, 9.0, 10.5):
             await asyncio.sleep(0.01)
             _hear(fleet, range(20, 40), moment)
-            for machine in prober.look(Monotonic(moment)):
+            for machine in prober.evaluate(Monotonic(moment)):
                 prober._try(machine, Monotonic(moment))
         await asyncio.sleep(0.01)
         _hear(fleet, range(20, 40), 11.0)
-        prober.look(Monotonic(11.0))
-        assert set(prober.diagnosis.verdicts.values()) == {Suspicion.GONE}
-        assert len(prober.diagnosis.verdicts) == 20
+        prober.evaluate(Monotonic(11.0))
+        assert set(prober.diagnosis.suspicions.values()) == {Suspicion.FAILED}
+        assert len(prober.diagnosis.suspicions) == 20
         # At the limit of sockets a few attempts go on, so that a verdict is still reached.
-        spare = -100
-        assert len(prober.look(Monotonic(20.0))) == prober_module._FEWEST
+        spare_sockets = -100
+        assert len(prober.evaluate(Monotonic(20.0))) == prober_module._FEWEST
 
     asyncio.run(scenario())
 
@@ -154,7 +154,7 @@
 
         prober = Prober(fleet, _REPORT_S, lambda: 4, reach)
         for moment in (4.0, 5.5):
-            for machine in prober.look(Monotonic(moment)):
+            for machine in prober.evaluate(Monotonic(moment)):
                 prober._try(machine, Monotonic(moment))
             await asyncio.sleep(0.01)
         assert len(tried) >= 5
@@ -165,17 +165,17 @@
 def test_nothing_is_tried_while_all_are_heard() -> None:
     fleet = _fleet(4)
     prober = Prober(fleet, _REPORT_S, lambda: 10)
-    judged: list[None] = []
-    prober.judged = lambda: judged.append(None)
-    assert prober.look(Monotonic(1.0)) == [] and not judged
+    diagnosis_changed: list[None] = []
+    prober.diagnosis_changed = lambda: diagnosis_changed.append(None)
+    assert prober.evaluate(Monotonic(1.0)) == [] and not diagnosis_changed
 
 
 def test_attempts_take_only_sockets_that_nobody_needs() -> None:
     machines = 0
     lines = ConnectionPool(1000, lambda: machines)
-    assert lines.spare == 920
+    assert lines.spare_sockets == 920
     machines = 950
-    assert lines.spare == -30
+    assert lines.spare_sockets == -30
 
 
 # -- giving way -----------------------------------------------------------------------------------
@@ -194,11 +194,15 @@
         values = copy.deepcopy(SETTINGS)
         values["members"][0]["peer_addr"] = f"127.0.0.1:{sockets[0].getsockname()[1]}"
         giveway = LeadershipTransfer(settings.parse(orjson.dumps(values)))
-        assert await giveway.better(100)
-        assert not await giveway.better(1000), "a few always come to the wrong node"
+        assert await giveway.peer_receives_heartbeats(100)
+        assert not await giveway.peer_receives_heartbeats(1000), (
+            "a few always come to the wrong node"
+        )
         server.stop()
         await server.close_all_connections()
-        assert not await giveway.better(3), "a node that doesn't answer is no better"
+        assert not await giveway.peer_receives_heartbeats(3), (
+            "a node that doesn't answer is no better"
+        )
 
     asyncio.run(scenario())
 
@@ -206,12 +210,12 @@
 def test_reports_are_counted_for_a_time() -> None:
     giveway = LeadershipTransfer(settings.parse(orjson.dumps(SETTINGS)))
     for n in range(5):
-        giveway.took(Monotonic(10.0 + 0.1 * n))
-    assert giveway.recent(Monotonic(11.0)) == 5
-    giveway.took(Monotonic(12.5))
-    assert giveway.recent(Monotonic(13.0)) == 6
-    assert giveway.recent(Monotonic(14.5)) == 1
-    assert giveway.recent(Monotonic(30.0)) == 0
+        giveway.record_heartbeat(Monotonic(10.0 + 0.1 * n))
+    assert giveway.recent_heartbeats(Monotonic(11.0)) == 5
+    giveway.record_heartbeat(Monotonic(12.5))
+    assert giveway.recent_heartbeats(Monotonic(13.0)) == 6
+    assert giveway.recent_heartbeats(Monotonic(14.5)) == 1
+    assert giveway.recent_heartbeats(Monotonic(30.0)) == 0
 
 
 @pytest.mark.parametrize("elsewhere", [True, False])
@@ -224,7 +228,7 @@
         asked = asyncio.Event()
         resigned: list[str] = []
 
-        async def better(_: int) -> bool:
+        async def peer_receives_heartbeats(_: int) -> bool:
             asked.set()
             return elsewhere
 
@@ -234,7 +238,9 @@
         try:
             await world.until_it_leads()
             node: Controller = world.node
-            monkeypatch.setattr(node._transfer, "better", better)
+            monkeypatch.setattr(
+                node._transfer, "peer_receives_heartbeats", peer_receives_heartbeats
+            )
             monkeypatch.setattr(node.election, "resign", resign)
             for n in range(3):
                 worker = Worker(f"m-00000{n}")
@@ -302,7 +308,7 @@
         provisioner.granted = lambda rental: granted.append(rental.count)
         provisioner.rent(Rental("big", "north", True, 120), Monotonic(0.0))
         provisioner.rent(Rental("big", "north", True, 120), Monotonic(0.0))
-        assert sum(r.count for r in provisioner.under_way()) == 120
+        assert sum(r.count for r in provisioner.pending_rentals()) == 120
         await _all_answered(provisioner)
         assert cloud.asked == [50, 50, 20]
         assert not provisioner.requests and granted == [50, 50, 20] and len(fleet.machines) == 120
@@ -360,7 +366,7 @@
         await _all_answered(provisioner)
         assert set(fleet.machines) == kept
         assert cloud.asked == [3] and not provisioner.requests
-        assert provisioner.capacity_backoff.refused(("big", "north", True), Monotonic(1.0)) == (
+        assert provisioner.capacity_backoff.is_refused(("big", "north", True), Monotonic(1.0)) == (
             len(kept) < 3
         )
 
@@ -370,7 +376,7 @@
 def test_a_machine_of_a_kind_that_the_catalogue_lost_harms_nothing() -> None:
     provisioner, _, fleet = _provisioner([])
     line = wire.ListedMachine(id="m-1", type="lost", zone="north", spot=True, state="running")
-    provisioner.take_catalogue(wire.decode(b'{"builds":[]}', wire.Catalogue))
+    provisioner.set_catalogue(wire.decode(b'{"builds":[]}', wire.Catalogue))
     provisioner.apply_list([line, line], Monotonic(100.0))
     assert set(fleet.machines) == {"m-1"} and not fleet.machines[MachineId("m-1")].releasing
 
@@ -383,11 +389,11 @@
     for name in ("m-1", "m-2"):
         fleet.heartbeats.process(report(name, 1, 1, 1), MachineId(name), Monotonic(0.0), Wall(0.0))
     idle, dead = (fleet.machines[MachineId(name)] for name in ("m-1", "m-2"))
-    provisioner.capacity_backoff.answered(kind, 1, 0, Monotonic(0.0))
-    provisioner._freed(idle)
-    assert provisioner.capacity_backoff.refused(kind, Monotonic(4.0))
-    assert not provisioner.capacity_backoff.refused(kind, Monotonic(5.5))
-    provisioner.capacity_backoff.answered(kind, 1, 0, Monotonic(5.5))
+    provisioner.capacity_backoff.record_response(kind, 1, 0, Monotonic(0.0))
+    provisioner._on_machine_terminated(idle)
+    assert provisioner.capacity_backoff.is_refused(kind, Monotonic(4.0))
+    assert not provisioner.capacity_backoff.is_refused(kind, Monotonic(5.5))
+    provisioner.capacity_backoff.record_response(kind, 1, 0, Monotonic(5.5))
     dead.failed_connects = 2
-    provisioner._freed(dead)
-    assert not provisioner.capacity_backoff.refused(kind, Monotonic(5.6))
+    provisioner._on_machine_terminated(dead)
+    assert not provisioner.capacity_backoff.is_refused(kind, Monotonic(5.6))
--- a/tests/test_rate_limiter.py
+++ b/tests/test_rate_limiter.py
@@ -41,7 +41,7 @@
         served: list[float] = []
 
         async def one() -> None:
-            await found.take(rank=RequestPriority.USERS)
+            await found.acquire(priority=RequestPriority.NORMAL)
             served.append(asyncio.get_running_loop().time())
 
         await asyncio.gather(*(one() for _ in range(2000)))
@@ -57,17 +57,17 @@
 def test_a_lease_does_not_wait_behind_polls(monkeypatch: pytest.MonkeyPatch) -> None:
     async def wait() -> list[str]:
         found = RateLimiter(10.0)
-        found.spend(10.0)
+        found.consume(10.0)
         order: list[str] = []
 
-        async def one(name: str, rank: RequestPriority) -> None:
-            await found.take(rank=rank)
+        async def one(name: str, priority: RequestPriority) -> None:
+            await found.acquire(priority=priority)
             order.append(name)
 
-        later = asyncio.create_task(one("list", RequestPriority.LATER))
-        polls = [asyncio.create_task(one("poll", RequestPriority.USERS)) for _ in range(20)]
+        later = asyncio.create_task(one("list", RequestPriority.LOW))
+        polls = [asyncio.create_task(one("poll", RequestPriority.NORMAL)) for _ in range(20)]
         await asyncio.sleep(0.5)
-        lease = asyncio.create_task(one("lease", RequestPriority.FIRST))
+        lease = asyncio.create_task(one("lease", RequestPriority.HIGH))
         await asyncio.gather(later, lease, *polls)
         return order
 
@@ -78,13 +78,13 @@
 def test_what_is_given_to_one_who_has_gone_is_not_lost(monkeypatch: pytest.MonkeyPatch) -> None:
     async def wait() -> float:
         found = RateLimiter(1.0)
-        await found.take()
-        terminated = [asyncio.create_task(found.take()) for _ in range(50)]
+        await found.acquire()
+        terminated = [asyncio.create_task(found.acquire()) for _ in range(50)]
         await asyncio.sleep(0.1)
         for task in terminated:
             task.cancel()
         await asyncio.gather(*terminated, return_exceptions=True)
-        await found.take()
+        await found.acquire()
         return asyncio.get_running_loop().time()
 
     at, _ = _run(monkeypatch, wait())
@@ -99,8 +99,8 @@
 
     async def wait() -> float:
         found = RateLimiter(rate)
-        await found.take(1.0)
-        await found.take(10 * rate, RequestPriority.LATER)
+        await found.acquire(1.0)
+        await found.acquire(10 * rate, RequestPriority.LOW)
         return asyncio.get_running_loop().time()
 
     at, loop = _run(monkeypatch, wait())
@@ -124,9 +124,9 @@
         async def wait() -> None:
             found = RateLimiter(rate)
 
-            async def one(at: float, rank: RequestPriority, amount: float) -> None:
+            async def one(at: float, priority: RequestPriority, amount: float) -> None:
                 await asyncio.sleep(at)
-                await found.take(amount, rank)
+                await found.acquire(amount, priority)
                 given_at.append((asyncio.get_running_loop().time(), amount))
 
             await asyncio.gather(*(one(*wish) for wish in wishes))
@@ -167,7 +167,7 @@
 
         async def one() -> None:
             try:
-                await client.get("job/wk-1", RequestPriority.USERS)
+                await client.get("job/wk-1", RequestPriority.NORMAL)
             except RateLimitedError:
                 refused.append(asyncio.get_running_loop().time())
 
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -63,12 +63,14 @@
 class _Plenty:
     """A budget that never runs out."""
 
-    def available(self, rank: RequestPriority = RequestPriority.FIRST) -> float:
+    def available(self, priority: RequestPriority = RequestPriority.HIGH) -> float:
         return 100.0
 
-    def spend(self, amount: float) -> None: ...
+    def consume(self, amount: float) -> None: ...
 
-    def take_now(self, amount: float = 1.0, rank: RequestPriority = RequestPriority.FIRST) -> bool:
+    def try_acquire(
+        self, amount: float = 1.0, priority: RequestPriority = RequestPriority.HIGH
+    ) -> bool:
         return True
 
 
@@ -78,21 +80,21 @@
     def __init__(self, rng: random.Random, guarded: bool) -> None:
         self.rng = rng
         self.guarded = guarded
-        self.calm = False
+        self.reliable = False
         self.keys: dict[str, tuple[Any, int]] = {LEADER_KEY: ({}, 1)}
         self.epoch = 1
         self.late: list[tuple[list[Any], list[Any]]] = []
-        self.writes = self.requests = self.accepts = _Plenty()
-        self.away = False
+        self.writes = self.requests = self.submissions = _Plenty()
+        self.unavailable = False
 
     async def get(
-        self, key: str, rank: RequestPriority = RequestPriority.FIRST
+        self, key: str, priority: RequestPriority = RequestPriority.HIGH
     ) -> wire.KeyValue | None:
         entry = self.keys.get(key)
         return None if entry is None else wire.KeyValue(value=entry[0], version=entry[1])
 
     async def scan(
-        self, prefix: str, rank: RequestPriority = RequestPriority.FIRST
+        self, prefix: str, priority: RequestPriority = RequestPriority.HIGH
     ) -> tuple[list[wire.Entry], Revision]:
         return [
             wire.Entry(key=k, value=v, version=r)
@@ -101,10 +103,16 @@
         ], Revision(self.epoch)
 
     async def commit(
-        self, guards: list[Any], changes: list[Any], paid: bool = False, timeout_s: float = 2.0
+        self,
+        guards: list[Any],
+        changes: list[Any],
+        tokens_acquired: bool = False,
+        timeout_s: float = 2.0,
     ) -> Committed | GuardsFailed:
         fate = (
-            "answered" if self.calm else self.rng.choice(["answered"] * 4 + ["lost", "late", "no"])
+            "answered"
+            if self.reliable
+            else self.rng.choice(["answered"] * 4 + ["lost", "late", "no"])
         )
         if fate == "no":
             raise StateUnavailableError("not executed")
@@ -155,7 +163,7 @@
         actions += [self.lead] * 4
         for action in self.rng.choices(actions, k=steps):
             await action()
-        self.store.calm = True
+        self.store.reliable = True
         for name in JOBS:
             self._told(name, await self._node().status(name))
 
@@ -184,9 +192,11 @@
             guards, changes = self.store.late.pop(self.rng.randrange(len(self.store.late)))
             self.store.execute(guards, changes)
 
-    def _keeper(self, stamp: Revision) -> WriteBatcher:
-        mine = Leadership(FencingToken(1), stamp, LeaseId(1), NOW, Monotonic(1e9))
-        return WriteBatcher(self.client, self.job_store, mine, 12, self._start, lambda _: None)
+    def _keeper(self, mod_revision: Revision) -> WriteBatcher:
+        leadership = Leadership(FencingToken(1), mod_revision, LeaseId(1), NOW, Monotonic(1e9))
+        return WriteBatcher(
+            self.client, self.job_store, leadership, 12, self._start, lambda _: None
+        )
 
     def _start(self, chunks: list[Chunk]) -> None:
         """What is committed may run from now on."""
@@ -196,7 +206,7 @@
                 if place in self.running or binding.task.index in self.finished[place[0]]:
                     raise Contradiction(f"{binding.task} runs twice")
                 self.running[place] = binding.attempt
-                binding.seen = True
+                binding.start_confirmed = True
 
     async def succeed(self) -> None:
         """The leader's process ends in the middle of anything, and another one is elected."""
@@ -214,7 +224,7 @@
                 name, number = entry.key.removeprefix("run/").split("/")
                 job = self.job_store.jobs.get(JobId(name))
                 if job is None:
-                    self.job_store.garbage[entry.key] = Revision(entry.version)
+                    self.job_store.orphaned_chunks[entry.key] = Revision(entry.version)
                 else:
                     self.job_store.load(job, int(number), entry.value, Revision(entry.version))
 
@@ -227,7 +237,7 @@
             spec = wire.decode(orjson.dumps(kept[0]["spec"]), wire.JobSpec)
             self.job_store.add(spec, Wall(0.0), Revision(kept[1]))
         elif job is not None and not job.cancelled and self.rng.random() < 0.6:
-            index = self.job_store.take_task(job)
+            index = self.job_store.pop_unbound_task(job)
             if index is not None:
                 self.job_store.bind(
                     job, index, MachineId("m-1"), Incarnation(1), "north", False, Wall(0.0), NOW
@@ -284,17 +294,21 @@
 
     def __init__(self, busy: int) -> None:
         super().__init__(random.Random(0), True)
-        self.calm = True
+        self.reliable = True
         self.busy = busy
-        self.accepts = RateLimiter(1.0, depth=20.0)  # type: ignore[assignment]
+        self.submissions = RateLimiter(1.0, depth=20.0)  # type: ignore[assignment]
 
     async def commit(
-        self, guards: list[Any], changes: list[Any], paid: bool = False, timeout_s: float = 2.0
+        self,
+        guards: list[Any],
+        changes: list[Any],
+        tokens_acquired: bool = False,
+        timeout_s: float = 2.0,
     ) -> Committed | GuardsFailed:
         if self.busy > 0:
             self.busy -= 1
             raise RateLimitedError("status 429")
-        return await super().commit(guards, changes, paid, timeout_s)
+        return await super().commit(guards, changes, tokens_acquired, timeout_s)
 
 
 def _submit_all(store: Store, count: int) -> list[Reply]:
@@ -339,15 +353,15 @@
     """After a fall all that was lost is bound again at once, and changes are few."""
     client = cast(StateClient, Store(random.Random(1), True))
     job_store = JobStore(8.0)
-    mine = Leadership(FencingToken(1), Revision(1), LeaseId(1), NOW, Monotonic(1e9))
-    write_batcher = WriteBatcher(client, job_store, mine, 4, lambda _: None, lambda _: None)
+    leadership = Leadership(FencingToken(1), Revision(1), LeaseId(1), NOW, Monotonic(1e9))
+    write_batcher = WriteBatcher(client, job_store, leadership, 4, lambda _: None, lambda _: None)
 
     def bind(number: int, urgency: str) -> None:
         changes = {**SUBMISSION, "id": f"wk-{number:06d}", "urgency": urgency}
         job = job_store.add(
             wire.decode(orjson.dumps(changes), wire.JobSpec), Wall(0.0), Revision(number)
         )
-        index = job_store.take_task(job)
+        index = job_store.pop_unbound_task(job)
         assert index is not None
         job_store.bind(job, index, MachineId("m-1"), Incarnation(1), "north", False, Wall(0.0), NOW)
 
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -15,7 +15,7 @@
 from tealrill.state.admission import Reply
 from tests.samples import SETTINGS
 
-_REFUSED = Reply(503, {"error": "down"}, 1, elsewhere=True)
+_REFUSED = Reply(503, {"error": "down"}, 1, retry_on_other_node=True)
 _FULL = Reply(503, {"error": "too many"}, 1)
 _ACCEPTED = Reply(201, {"id": "wk-1"})
 
