--- a/tests/test_renewal_delegation.py
+++ b/tests/test_renewal_delegation.py
@@ -56,7 +56,11 @@
         return wire.WatchResult(revision=self.epoch, events=[])
 
     async def commit(
-        self, guards: list[Any], changes: list[Any], paid: bool = False, timeout_s: float = 2.0
+        self,
+        guards: list[Any],
+        changes: list[Any],
+        tokens_acquired: bool = False,
+        timeout_s: float = 2.0,
     ) -> Committed | GuardsFailed:
         failed = [g["path"] for g in guards if self.keys.get(g["path"], (0, 0))[1] != g["stamp"]]
         if failed:
@@ -88,7 +92,7 @@
         self.now = Monotonic(100.0)
         client = cast(StateClient, store)
         self.election = Election(client, "node-0", lambda: None)
-        self.election.known = LEADER
+        self.election.known_leader = LEADER
         parsed = settings.parse(orjson.dumps(SETTINGS))
         self.delegate = RenewalDelegate(parsed, client, self.election, lambda: self.now)
         self.leader = _Leader()
@@ -104,11 +108,11 @@
 
     def term(self) -> FencingToken | None:
         """For a worker without tasks."""
-        return self.delegate.renews(report(MACHINE, 1, 1, 0), MACHINE, self.now)
+        return self.delegate.renewal_token(report(MACHINE, 1, 1, 0), MACHINE, self.now)
 
 
 def _delegations(store: Store) -> Delegations:
-    return Delegations(cast(StateClient, store), LEADER.term, LEADER.stamp, lambda: None)
+    return Delegations(cast(StateClient, store), LEADER.term, LEADER.mod_revision, lambda: None)
 
 
 def test_a_delegate_renews_only_while_the_leader_is_out_of_reach() -> None:
@@ -133,20 +137,20 @@
     assert DELEGATION_PREFIX + "node-0" not in store.keys
     store.keys[LEADER_KEY] = ({}, 7)
     assert side.tick() == 3
-    side.election.known = KnownLeader("node-1", FencingToken(4), Revision(9))
+    side.election.known_leader = KnownLeader("node-1", FencingToken(4), Revision(9))
     assert side.term() is None
 
 
 def test_nothing_lapses_while_a_delegation_stands_or_can_not_be_looked_for() -> None:
     store = Store()
     side, delegations = _Side(store), _delegations(store)
-    assert asyncio.run(delegations.stand(Monotonic(0.0), False)) is False
+    assert asyncio.run(delegations.check_active(Monotonic(0.0), False)) is False
     side.tick()
     side.tick()
-    assert asyncio.run(delegations.stand(Monotonic(1.0), False)) is True
+    assert asyncio.run(delegations.check_active(Monotonic(1.0), False)) is True
     store.down = True
     with pytest.raises(StateError):
-        asyncio.run(delegations.stand(Monotonic(1.5), False))
+        asyncio.run(delegations.check_active(Monotonic(1.5), False))
 
 
 def test_a_closed_permit_is_not_confirmed_again_in_its_term() -> None:
@@ -154,8 +158,8 @@
     side, delegations = _Side(store), _delegations(store)
     side.tick()
     side.tick()
-    assert asyncio.run(delegations.stand(Monotonic(1.0), revoke=True)) is True
-    assert asyncio.run(delegations.stand(Monotonic(1.5), revoke=True)) is False
+    assert asyncio.run(delegations.check_active(Monotonic(1.0), revoke=True)) is True
+    assert asyncio.run(delegations.check_active(Monotonic(1.5), revoke=True)) is False
     side.now = Monotonic(side.now + DELEGATION_S)
     assert side.tick() is None
     asyncio.run(delegations.clear())
@@ -172,7 +176,7 @@
     delegations = Delegations(
         cast(StateClient, store), FencingToken(3), Revision(8), lambda: ended.append(1)
     )
-    asyncio.run(delegations.stand(Monotonic(1.0), False))
+    asyncio.run(delegations.check_active(Monotonic(1.0), False))
     with pytest.raises(StateError):
         asyncio.run(delegations.clear())
     assert ended
@@ -183,7 +187,9 @@
     side, delegations = _Side(store), _delegations(store)
     side.tick()
     side.tick()
-    found = [asyncio.run(delegations.stand(Monotonic(float(at)), False)) for at in (1, 3, 6, 7)]
+    found = [
+        asyncio.run(delegations.check_active(Monotonic(float(at)), False)) for at in (1, 3, 6, 7)
+    ]
     assert found == [True, True, True, False]
 
 
@@ -193,14 +199,14 @@
     side.tick()
     side.tick()
     later = Delegations(cast(StateClient, store), FencingToken(4), Revision(9), lambda: None)
-    assert asyncio.run(later.stand(Monotonic(1.0), False)) is False
+    assert asyncio.run(later.check_active(Monotonic(1.0), False)) is False
 
 
 def test_no_worker_is_sent_to_a_leader_that_does_not_answer_this_node() -> None:
     # In a cut between zones workers came to the node beside them, were sent back to the leader
     # beyond the cut, and lost 4 s of their lease there each time.
     node = Controller(settings.parse(orjson.dumps(SETTINGS)))
-    node.election.known = LEADER
+    node.election.known_leader = LEADER
     beat = {
         "kiln": "m-1", "addr": "10.0.0.1:1", "build": "g8", "hall": "north", "loaners": False,
         "shift": 1, "tick": 1, "baton": 3, "warningS": None, "pieces": [],
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -9,10 +9,10 @@
 import pytest
 
 from tealrill import settings, wire
-from tealrill.fleet.catalogue import Catalogues
+from tealrill.fleet.catalogue import CatalogueCache
 from tealrill.fleet.cloud import Cloud, CloudError
 from tealrill.http import Answer, NoAnswerError
-from tealrill.leadership.election import TERM_KEY, Election, follows_itself
+from tealrill.leadership.election import TERM_KEY, Election, consecutive_reelections
 from tealrill.state.client import Committed, GuardsFailed, StateClient
 from tealrill.state.fencing import LEADER_KEY
 from tealrill.types import LeaseId, Revision, Wall, wall_now
@@ -39,21 +39,21 @@
     def set_leading(self, leads: bool) -> None: ...
 
 
-def _process(state: _State, host: str, others_up: bool = True) -> Election:
+def _process(state: _State, host: str, any_peer_answers: bool = True) -> Election:
     """A process of this host that was just started."""
     election = Election(cast(StateClient, state), host, lambda: None)
 
     async def up() -> bool:
-        return others_up
+        return any_peer_answers
 
-    election.others_up = up
+    election.any_peer_answers = up
     return election
 
 
 def _look(election: Election) -> bool:
     """One look at who leads; whether this process does then."""
     asyncio.run(election._follow())
-    return election.mine is not None
+    return election.leadership is not None
 
 
 def _leading_host(state: _State) -> str | None:
@@ -78,15 +78,15 @@
 
 def test_a_host_alone_goes_on_leading_however_often_it_ends() -> None:
     state = _State()
-    assert all(_look(_process(state, "host-0", others_up=False)) for _ in range(6))
+    assert all(_look(_process(state, "host-0", any_peer_answers=False)) for _ in range(6))
 
 
 def test_only_what_follows_soon_counts() -> None:
-    assert follows_itself({"host": "a", "at": 1000.0, "again": 2}, Wall(1010.0)) == 3
-    assert follows_itself({"host": "a", "at": 1000.0, "again": 2}, Wall(1031.0)) == 0
+    assert consecutive_reelections({"host": "a", "at": 1000.0, "again": 2}, Wall(1010.0)) == 3
+    assert consecutive_reelections({"host": "a", "at": 1000.0, "again": 2}, Wall(1031.0)) == 0
     # A key that an older version wrote, or something else did.
-    assert follows_itself({"host": "a"}, wall_now()) == 0
-    assert follows_itself({"at": "soon", "again": None}, wall_now()) == 0
+    assert consecutive_reelections({"host": "a"}, wall_now()) == 0
+    assert consecutive_reelections({"at": "soon", "again": None}, wall_now()) == 0
 
 
 def test_the_former_processs_late_election_can_not_be_mistaken_for_the_own() -> None:
@@ -118,7 +118,7 @@
     assert state.keys[TERM_KEY][0] == 5
     state.commit = execute  # type: ignore[method-assign]
     assert _look(now)
-    assert now.mine is not None and now.mine.term == 6
+    assert now.leadership is not None and now.leadership.term == 6
     # And the other way round: late, it finds a later term and does nothing.
     before = dict(state.keys)
     assert isinstance(asyncio.run(execute(*sent[0])), GuardsFailed)
@@ -136,7 +136,7 @@
     node = _process(state, "host-0")
     before = dict(state.keys)
     assert not _look(node) and not _look(node)
-    assert node.known is None and state.keys == before
+    assert node.known_leader is None and state.keys == before
     assert [r.getMessage() for r in caplog.records if LEADER_KEY in r.getMessage()][1:] == []
     assert LEADER_KEY in caplog.text
 
@@ -184,13 +184,13 @@
         return found
 
 
-def _catalogues(cloud: _Cloud, peers: list[bytes | None]) -> Catalogues:
-    found = Catalogues(settings.parse(orjson.dumps(SETTINGS)), cast(Cloud, cloud))
+def _catalogues(cloud: _Cloud, peers: list[bytes | None]) -> CatalogueCache:
+    found = CatalogueCache(settings.parse(orjson.dumps(SETTINGS)), cast(Cloud, cloud))
     found._peers = [cast(Any, _Peer(body)) for body in peers]
     return found
 
 
-def _started(found: Catalogues) -> wire.Catalogue | None:
+def _started(found: CatalogueCache) -> wire.Catalogue | None:
     async def run() -> None:
         running = asyncio.create_task(found.run())
         for _ in range(20):
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -10,10 +10,10 @@
 from tealrill.scheduler.capacity import Offer, rentals
 from tealrill.scheduler.estimates import Estimates
 from tealrill.scheduler.model import (
-    Expected,
+    EstimateCorrection,
+    ExpectedWork,
     JobView,
     MachineView,
-    Pace,
     Policy,
     TeamView,
     View,
@@ -35,22 +35,22 @@
 
 
 def test_equal_classes_go_by_their_latest_start() -> None:
-    late = job_view("late-1", latest_s=(100.0,))
-    tight = job_view("tight-1", latest_s=(50.0,))
+    late = job_view("late-1", latest_start_s=(100.0,))
+    tight = job_view("tight-1", latest_start_s=(50.0,))
     assert order([late, tight], {}, Policy(), 100.0) == [tight, late]
 
 
 def test_a_job_that_is_late_anyway_does_not_make_others_late() -> None:
-    late = job_view("late-1", latest_s=(-5.0, -1.0))
-    second = job_view("second-1", latest_s=(-5.0, 60.0))
-    tight = job_view("tight-1", latest_s=(50.0, 150.0))
+    late = job_view("late-1", latest_start_s=(-5.0, -1.0))
+    second = job_view("second-1", latest_start_s=(-5.0, 60.0))
+    tight = job_view("tight-1", latest_start_s=(50.0, 150.0))
     assert order([late, second, tight], {}, Policy(), 100.0) == [tight, second, late]
 
 
 def test_an_overload_passes_over_the_largest_job_and_not_the_latest() -> None:
     # Ordered by slack alone, one large job made ten small ones late.
-    large = job_view("large-1", latest_s=(40.0,), tasks=100, waiting=100, estimate_s=30.0)
-    small = [job_view(f"small-{n}", latest_s=(45.0 + n,), estimate_s=30.0) for n in range(5)]
+    large = job_view("large-1", latest_start_s=(40.0,), tasks=100, waiting=100, estimate_s=30.0)
+    small = [job_view(f"small-{n}", latest_start_s=(45.0 + n,), estimate_s=30.0) for n in range(5)]
     cpus = 20.0 * large.cpus
     assert order([large, *small], {}, Policy(), cpus) == [*small, large]
     assert order([large, *small], {}, Policy(), 10 * cpus)[0] is large
@@ -110,17 +110,17 @@
         for i in range(12)
     ]
     burst = job_view("burst-1", rank=2, waiting=12, tasks=12)
-    result = plan(View(machines, [burst], {}), NOW, Policy(stop_share=0.25))
+    result = plan(View(machines, [burst], {}), NOW, Policy(max_preempted_share=0.25))
     assert len(result.stops) == 3
 
 
 def test_room_for_expected_work_is_filled_only_with_what_may_be_stopped() -> None:
     machine = machine_view("m-1", cpus=12.0)
     jobs = [job_view("fill-1", waiting=3)]
-    result = plan(View([machine], jobs, {}, Expected(2, 8.0)), NOW, Policy())
+    result = plan(View([machine], jobs, {}, ExpectedWork(2, 8.0)), NOW, Policy())
     assert sorted(s.backfilled for s in result.starts) == [False, True, True]
     urgent = plan(
-        View([machine_view("m-1")], [job_view("now-1", rank=2)], {}, Expected(2, 8.0)),
+        View([machine_view("m-1")], [job_view("now-1", rank=2)], {}, ExpectedWork(2, 8.0)),
         NOW,
         Policy(),
     )
@@ -305,11 +305,13 @@
     busy = [running_task("run-1", cpus=8.0, end_at=Monotonic(NOW + 20))]
     machines = [
         machine_view("m-1", cpus=0.0, running=busy),
-        machine_view("m-2", dear=True),
+        machine_view("m-2", is_expensive=True),
     ]
 
-    def placed(latest_s: float) -> tuple[int, list[tuple[bool, int]]]:
-        job = job_view("job-1", latest_s=(latest_s,), estimate_s=30.0, waiting=2, tasks=2)
+    def placed(latest_start_s: float) -> tuple[int, list[tuple[bool, int]]]:
+        job = job_view(
+            "job-1", latest_start_s=(latest_start_s,), estimate_s=30.0, waiting=2, tasks=2
+        )
         ordinary = Offer("big", "north", False, 8.0, 0.0, 64.0, 2.0, 30.0, 1.0)
         spot = Offer("big", "north", True, 8.0, 0.0, 64.0, 1.0, 30.0, 1.0)
         result = plan(View(machines, [job], {}), NOW, Policy())
@@ -318,14 +320,18 @@
         )
         return len(result.starts), [(r.spot, r.count) for r in rented]
 
-    assert placed(latest_s=95.0) == (0, [])
-    assert placed(latest_s=30.0) == (2, [(False, 1)])
+    assert placed(latest_start_s=95.0) == (0, [])
+    assert placed(latest_start_s=30.0) == (2, [(False, 1)])
 
 
 def test_large_tasks_count_only_the_machines_that_they_fit() -> None:
     # Taken together the fleet had room for them, on machines too small for any.
-    large = job_view("large-1", cpus=32.0, waiting=8, tasks=8, estimate_s=50.0, latest_s=(100.0,))
-    small = job_view("small-1", cpus=4.0, waiting=8, tasks=8, estimate_s=50.0, latest_s=(100.0,))
+    large = job_view(
+        "large-1", cpus=32.0, waiting=8, tasks=8, estimate_s=50.0, latest_start_s=(100.0,)
+    )
+    small = job_view(
+        "small-1", cpus=4.0, waiting=8, tasks=8, estimate_s=50.0, latest_start_s=(100.0,)
+    )
     assert affordable([large, small], Policy(), {16.0: 640.0, 64.0: 64.0}, {}) == {small}
     assert affordable([large, small], Policy(), {16.0: 64.0, 64.0: 640.0}, {}) == {large, small}
     assert affordable([job_view("open-1")], Policy(), {64.0: 640.0}, {}) == set()
@@ -370,10 +376,15 @@
 
 @given(st.floats(0, 300), st.floats(0, 300), st.floats(0.1, 5))
 def test_a_running_task_ends_as_its_estimate_says(
-    ran_s: float, guess_s: float, ratio: float
+    ran_s: float, owner_estimate_s: float, ratio: float
 ) -> None:
-    task = running_task("run-1", ran_s=ran_s, guess_s=guess_s, pace=Pace(ratio))
-    left_s = remaining_s(guess_s * ratio, ran_s)
+    task = running_task(
+        "run-1",
+        ran_s=ran_s,
+        owner_estimate_s=owner_estimate_s,
+        correction=EstimateCorrection(ratio),
+    )
+    left_s = remaining_s(owner_estimate_s * ratio, ran_s)
     assert ends_at([task], NOW) == [pytest.approx(NOW + left_s)]
 
 
@@ -383,12 +394,12 @@
     policy = Policy()
     jobs = [
         job_view(
-            f"job-{number}", waiting=tasks, tasks=tasks, waited_s=waited_s, latest_s=(-1.0,),
+            f"job-{number}", waiting=tasks, tasks=tasks, waited_s=waited_s, latest_start_s=(-1.0,),
             begun=begun,
         )
         for number, (tasks, waited_s, begun) in enumerate(found)
     ]  # fmt: skip
-    small = job_view("small-1", waited_s=1.0, latest_s=(500.0,))
+    small = job_view("small-1", waited_s=1.0, latest_start_s=(500.0,))
     ordered = order([*jobs, small], {}, policy, 16.0, {})
     waits = [j for j in jobs if not j.begun and j.waited_s >= policy.starvation_guard_s]
     if waits:
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -75,7 +75,7 @@
         known = self._fleet.machines.values()
         return [m for m in known if m.last_contact_at is not None and now - m.last_contact_at > 0.8]
 
-    patch.setattr(Leases, "silent", silent)
+    patch.setattr(Leases, "expired_machines", silent)
 
 
 def _deaf_to_users(patch: pytest.MonkeyPatch) -> None:
@@ -140,11 +140,11 @@
         return 0 if job.id.endswith(("3", "6", "9")) else whole(self, job, now)
 
     patch.setattr(SnapshotBuilder, "_waiting", waiting)
-    patch.setattr(Autoscaler, "return_unneeded", lambda *_: None)
+    patch.setattr(Autoscaler, "release_unneeded", lambda *_: None)
 
 
 def _takes_anything(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Admission, "problem", lambda *_: None)
+    patch.setattr(Admission, "rejection", lambda *_: None)
 
 
 def _ends_by_itself(patch: pytest.MonkeyPatch) -> None:
--- a/tests/test_submissions.py
+++ b/tests/test_submissions.py
@@ -51,28 +51,28 @@
 class _Client:
     """As much of the state service as an acceptance needs."""
 
-    away = False
+    unavailable = False
     first_seen = Revision(1)
 
     def __init__(self, **keys: Any) -> None:
         self.keys = keys
         self.committed = 0
-        self.accepts = self
+        self.submissions = self
 
-    def take_now(self) -> bool:
+    def try_acquire(self) -> bool:
         return True
 
     async def get(
-        self, key: str, rank: RequestPriority = RequestPriority.FIRST
+        self, key: str, priority: RequestPriority = RequestPriority.HIGH
     ) -> wire.KeyValue | None:
         return wire.KeyValue(value=self.keys[key], version=3) if key in self.keys else None
 
     async def scan(
-        self, prefix: str, rank: RequestPriority = RequestPriority.FIRST
+        self, prefix: str, priority: RequestPriority = RequestPriority.HIGH
     ) -> tuple[list[wire.Entry], Revision]:
         return [], Revision(3)
 
-    async def commit(self, guards: Any, changes: Any, paid: bool = False) -> Committed:
+    async def commit(self, guards: Any, changes: Any, tokens_acquired: bool = False) -> Committed:
         self.committed += len(changes)
         return Committed(Revision(4))
 
--- a/tests/test_waits.py
+++ b/tests/test_waits.py
@@ -26,7 +26,7 @@
     Wall,
 )
 from tests.samples import report, spec
-from tests.test_dispatch import _TYPE, _dispatcher
+from tests.test_dispatch import _MACHINE_TYPE, build_scheduling_loop
 
 _REPORT_S = 1.0
 _LEASE_S = 8.0
@@ -39,8 +39,8 @@
         self.heartbeat_interval_s = heartbeat_interval_s
         self.now = Monotonic(0.0)
         # There are no more machines than those that are up, and none is dearer than the others.
-        self.scheduling_loop, self.fleet, self.job_store, _ = _dispatcher(
-            heartbeat_interval_s, [_TYPE]
+        self.scheduling_loop, self.fleet, self.job_store, _ = build_scheduling_loop(
+            heartbeat_interval_s, [_MACHINE_TYPE]
         )
         self.sequence = 0
         self.lines: list[tuple[str, int, str, str | None]] = []
@@ -51,7 +51,7 @@
         self.beat()
         self.beat()
         # So new that it is not returned for having nothing to do.
-        self.fleet.machines[MachineId("m-1")].since = Monotonic(self.now + 1000.0)
+        self.fleet.machines[MachineId("m-1")].rented_at = Monotonic(self.now + 1000.0)
 
     def job(self, **changes: Any) -> Job:
         self.number += 1
@@ -76,7 +76,7 @@
         began = self.now
         while not job.bound_count:
             assert self.now - began <= most_s, "it still waits"
-            self.fleet.leases.check_silence(self.now)
+            self.fleet.leases.expire_leases(self.now)
             self.beat()
             self.scheduling_loop.run(self.now, Wall(self.now))
             self.now = Monotonic(self.now + self.heartbeat_interval_s)
@@ -155,7 +155,7 @@
     if known:
         # The list says that it is in this machine's zone, or in the other one.
         zone = "north" if "samePlace" in rule else "south"
-        world.fleet.locate(world.fleet.machines[MachineId("m-9")], "big", zone, False)
+        world.fleet.set_kind(world.fleet.machines[MachineId("m-9")], "big", zone, False)
     world.scheduling_loop.run(world.now, Wall(world.now))
     assert (job.bound_count == 2) is known
     if not known:
@@ -165,7 +165,7 @@
             took_s += 1.0
             world.now = Monotonic(world.now + 1.0)
             world.beat()
-            world.fleet.leases.check_silence(world.now)
+            world.fleet.leases.expire_leases(world.now)
             world.scheduling_loop.run(world.now, Wall(world.now))
         assert _LEASE_S < took_s <= _LEASE_S + 2.0
 
--- a/tests/test_write_batcher.py
+++ b/tests/test_write_batcher.py
@@ -16,7 +16,7 @@
 from tealrill.state.fencing import Leadership
 from tealrill.state.job_store import JobStore
 from tealrill.state.rate_limiter import RequestPriority
-from tealrill.state.records import job_key, over_key
+from tealrill.state.records import ended_key, job_key
 from tealrill.state.write_batcher import WriteBatcher
 from tealrill.types import FencingToken, Incarnation, LeaseId, MachineId, Monotonic, Revision, Wall
 from tests.samples import SUBMISSION
@@ -31,25 +31,25 @@
     def __init__(self, tokens: float) -> None:
         self.tokens = tokens
 
-    def available(self, rank: RequestPriority = RequestPriority.FIRST) -> float:
+    def available(self, priority: RequestPriority = RequestPriority.HIGH) -> float:
         return self.tokens
 
-    def spend(self, amount: float) -> None:
+    def consume(self, amount: float) -> None:
         self.tokens -= amount
 
 
 class _Term:
     def __init__(self, txn_ops: int = 8, tokens: float = 100.0) -> None:
         self.store = Store(random.Random(0), True)
-        self.store.calm = True
+        self.store.reliable = True
         self.rate = _Rate(tokens)
         self.store.writes = self.rate  # type: ignore[assignment]
         self.job_store = JobStore(8.0)
-        mine = Leadership(FencingToken(1), Revision(1), LeaseId(1), NOW, Monotonic(1e9))
+        leadership = Leadership(FencingToken(1), Revision(1), LeaseId(1), NOW, Monotonic(1e9))
         self.write_batcher = WriteBatcher(
             cast(StateClient, self.store),
             self.job_store,
-            mine,
+            leadership,
             txn_ops,
             lambda _: None,
             lambda _: None,
@@ -63,7 +63,7 @@
         return self.job_store.add(spec, Wall(0.0), Revision(self.store.epoch))
 
     def bind(self, job: Job) -> None:
-        index = self.job_store.take_task(job)
+        index = self.job_store.pop_unbound_task(job)
         assert index is not None
         self.job_store.bind(
             job, index, MachineId("m-1"), Incarnation(1), "north", False, Wall(0.0), NOW
@@ -158,8 +158,12 @@
     term.finish(job)
     assert term.write() == ["end wk-1"]
     assert "run/wk-1/00000" not in term.store.keys
-    assert over_key(job.id) in term.store.keys and job_key(job.id) not in term.store.keys
-    assert not term.job_store.garbage and not term.job_store.lazy and not term.job_store.jobs
+    assert ended_key(job.id) in term.store.keys and job_key(job.id) not in term.store.keys
+    assert (
+        not term.job_store.orphaned_chunks
+        and not term.job_store.deferred_chunks
+        and not term.job_store.jobs
+    )
 
 
 def test_a_chunk_with_a_binding_that_stands_does_not_go_with_the_end() -> None:
@@ -180,15 +184,15 @@
         term.bind(job)
         term.write()
         term.finish(job)
-        term.store.calm = False
+        term.store.reliable = False
         term.store.rng = random.Random(0)
         term.store.rng.choice = lambda _, fate=fate: fate  # type: ignore[method-assign,misc]
         term.write()
-        term.store.calm = True
+        term.store.reliable = True
         while term.write():
             pass
         assert "run/wk-1/00000" not in term.store.keys
-        assert over_key(job.id) in term.store.keys
+        assert ended_key(job.id) in term.store.keys
         # The late one is executed now, and its guards keep it from doing anything.
         before = dict(term.store.keys)
         for guards, changes in term.store.late:
--- a/tools/graph_cost.py
+++ b/tools/graph_cost.py
@@ -141,23 +141,25 @@
 
 
 class _Elected:
-    def __init__(self, mine: Leadership) -> None:
-        self.mine = mine
+    def __init__(self, leadership: Leadership) -> None:
+        self.leadership = leadership
 
-    def leading(self, _: Monotonic) -> Leadership:
-        return self.mine
+    def valid_leadership(self, _: Monotonic) -> Leadership:
+        return self.leadership
 
 
 def _leader(nodes: int, machines: int, jobs: int, gated: bool) -> Leader:
     """With the nodes that wait for nothing in the queue, as plain jobs or as those of a graph."""
-    mine = Leadership(FencingToken(1), Revision(1), LeaseId(1), monotonic_now(), Monotonic(1e12))
+    leadership = Leadership(
+        FencingToken(1), Revision(1), LeaseId(1), monotonic_now(), Monotonic(1e12)
+    )
     given = settings.parse(orjson.dumps(SETTINGS))
     leader = Leader(
         given,
         StateClient("127.0.0.1:9", given.params.state, 1),
         cast(Cloud, None),
-        cast(Election, _Elected(mine)),
-        mine,
+        cast(Election, _Elected(leadership)),
+        leadership,
         Estimates(),
         [lambda term: GraphLeaderExtension(term, GraphFeatures(on=True))],
     )
@@ -166,7 +168,7 @@
         "label": "big", "vcpus": 8, "gpus": 0, "memoryGb": 64, "localGb": 50, "fetchGbPerS": 1.0,
         "price": 1.0, "marketPrice": 0.4, "startupS": 20, "halls": ["north"],
     }  # fmt: skip
-    leader.provisioner.take_catalogue(wire.decode(orjson.dumps({"builds": [kind]}), wire.Catalogue))
+    leader.provisioner.set_catalogue(wire.decode(orjson.dumps({"builds": [kind]}), wire.Catalogue))
     leader.provisioner.rent = lambda *_: None  # type: ignore[method-assign]
     for number in range(machines):
         name = f"m-{number}"
@@ -194,7 +196,7 @@
     leader.scheduling_loop.run(monotonic_now(), wall_now())
     began = time.process_time()
     for _ in range(count):
-        leader.scheduling_loop.autoscaler._rent_at = Monotonic(0.0)
+        leader.scheduling_loop.autoscaler._next_rental_at = Monotonic(0.0)
         leader.scheduling_loop.run(monotonic_now(), wall_now())
     return (time.process_time() - began) / count
 
