--- a/tealrill/scheduler/capacity.py
+++ b/tealrill/scheduler/capacity.py
@@ -169,7 +169,7 @@
                     )
         if not fitting:
             continue
-        price_limit = policy.dear * min(price for _, _, price in fitting)
+        price_limit = policy.expensive_ratio * min(price for _, _, price in fitting)
         cheap = [
             (o, slots_by_type[o.type])
             for o, is_available, price in fitting
@@ -182,7 +182,7 @@
         if not cheap and job in affordable:
             # Only expensive machines are available, and the job doesn't need them to meet its
             # deadline: any capacity that becomes free by its latest start is good enough.
-            wait_s = max(wait_s, job.latest_s[0])
+            wait_s = max(wait_s, job.latest_start_s[0])
             offers = []
         demands.append(_Demand(job, waiting, wait_s, offers))
         if offers:
--- a/tealrill/scheduler/estimates.py
+++ b/tealrill/scheduler/estimates.py
@@ -57,7 +57,7 @@
         """Record a submitted job, whose tasks take `cpus` processors in total."""
         self._sizes.setdefault(job_class, deque(maxlen=_MAX_SAMPLES)).append(cpus)
 
-    def large(self, job_class: str) -> float:
+    def percentile_80_cpus(self, job_class: str) -> float:
         """Return the 80th percentile of a class's job sizes; 0 with fewer than five jobs."""
         sizes = self._sizes.get(job_class, ())
         return quantiles(sizes, n=5)[-1] if len(sizes) >= 5 else 0.0
--- a/tealrill/scheduler/failure_detector.py
+++ b/tealrill/scheduler/failure_detector.py
@@ -22,7 +22,7 @@
 MIN_FAILED_CONNECTS: Final = 2
 """Consecutive failed attempts to connect after which a machine is unreachable. A single one may be
 due to a lost packet."""
-LISTS: Final = 2
+MIN_MISSING_LISTS: Final = 2
 """Consecutive cloud lists without a machine after which it counts as failed. One is not enough,
 because a list may be older than the one before it."""
 _LIVE_INTERVALS: Final = 1.5
@@ -46,13 +46,13 @@
 class Suspicion(Enum):
     """The probable cause of a machine's silence."""
 
-    LATE = "late"
+    UNDETERMINED = "late"
     """Silent for an unknown reason."""
     HUNG = "hung"
     """It accepts connections and sends no heartbeats; it may resume at any moment."""
-    CUT = "cut"
+    PARTITIONED = "cut"
     """Its zone is partitioned from this leader; the machine itself continues to work."""
-    GONE = "gone"
+    FAILED = "gone"
     """It accepts no connections although its zone is not partitioned, or the cloud no longer lists
     it."""
 
@@ -77,7 +77,7 @@
 class Diagnosis:
     """The suspicions about all silent machines."""
 
-    verdicts: dict[MachineId, Suspicion]
+    suspicions: dict[MachineId, Suspicion]
     """By machine; a machine without an entry is not silent, or not long enough to be diagnosed."""
     partitioned_zones: frozenset[str]
     inbound_partitioned: bool = False
@@ -94,7 +94,7 @@
     return _LIVE_INTERVALS * heartbeat_interval_s
 
 
-def judge(observations: Iterable[Evidence], heartbeat_interval_s: float) -> Diagnosis:
+def diagnose(observations: Iterable[Evidence], heartbeat_interval_s: float) -> Diagnosis:
     """Diagnose the whole fleet from one set of observations.
 
     A machine is live if a heartbeat arrived within the last one and a half heartbeat intervals.
@@ -110,7 +110,7 @@
             live[evidence.zone] += 1
         elif evidence.silent_s > _DIAGNOSED_INTERVALS * heartbeat_interval_s:
             to_diagnose.append(evidence)
-        if evidence.missing_from_lists < LISTS and not evidence.accepts:
+        if evidence.missing_from_lists < MIN_MISSING_LISTS and not evidence.accepts:
             # A machine that is no longer listed, or accepts connections, says nothing about a
             # partition.
             expected_live[evidence.zone] += 1
@@ -119,23 +119,27 @@
         for zone, count in expected_live.items()
         if count >= _MIN_MACHINES and live[zone] <= _MAX_LIVE_SHARE * count
     )
-    verdicts = {
+    suspicions = {
         evidence.machine: _suspect(evidence, evidence.zone in partitioned)
         for evidence in to_diagnose
     }
     inbound_partitioned = bool(partitioned) and not any(live.values())
-    return Diagnosis(verdicts, partitioned, inbound_partitioned)
+    return Diagnosis(suspicions, partitioned, inbound_partitioned)
 
 
 def _suspect(evidence: Evidence, is_zone_partitioned: bool) -> Suspicion:
     """Return the probable cause of one machine's silence."""
-    if evidence.missing_from_lists >= LISTS:
-        return Suspicion.GONE
+    if evidence.missing_from_lists >= MIN_MISSING_LISTS:
+        return Suspicion.FAILED
     if evidence.accepts:
         return Suspicion.HUNG
     if is_zone_partitioned:
-        return Suspicion.CUT
-    return Suspicion.GONE if evidence.failed_connects >= MIN_FAILED_CONNECTS else Suspicion.LATE
+        return Suspicion.PARTITIONED
+    return (
+        Suspicion.FAILED
+        if evidence.failed_connects >= MIN_FAILED_CONNECTS
+        else Suspicion.UNDETERMINED
+    )
 
 
 def expected_recovery_s(suspicion: Suspicion, silent_s: float) -> float | None:
@@ -144,12 +148,12 @@
     A silence of unknown length is expected to last as long again as it has lasted so far. A
     replacement that takes longer than that to boot is not worth its price.
     """
-    if suspicion is Suspicion.GONE:
+    if suspicion is Suspicion.FAILED:
         return None
     return max(_MIN_RECOVERY_S, silent_s)
 
 
-def is_bypassed_by_heartbeats(
+def has_lost_all_heartbeats(
     silent_s: float, machine_count: int, heartbeat_interval_s: float
 ) -> bool:
     """Return True if a leader that recently heard from several machines hears from none any more.
--- a/tealrill/scheduler/model.py
+++ b/tealrill/scheduler/model.py
@@ -22,7 +22,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Pace:
+class EstimateCorrection:
     """Ratio of actual to estimated run time of a team's recent tasks; shared by those that run."""
 
     ratio: float = 1.0
@@ -40,11 +40,11 @@
     memory_gb: float
     backfilled: bool
     stopping: bool
-    since: Monotonic | None
+    started_at: Monotonic | None
     """When it began to run; None while it waits for its image."""
-    guess_s: float
+    owner_estimate_s: float
     """Its owner's estimate of the run time."""
-    pace: Pace
+    correction: EstimateCorrection
     saves: bool
     """It writes checkpoints, so a preemption with notice loses only the time to save."""
     save_s: float
@@ -52,7 +52,7 @@
 
     def ran_s(self, now: Monotonic) -> float:
         """Return the run time so far, in seconds; 0 before the task began."""
-        return now - self.since if self.since is not None else 0.0
+        return now - self.started_at if self.started_at is not None else 0.0
 
 
 def expected_ends(tasks: Iterable[RunningTask], now: Monotonic) -> list[Monotonic]:
@@ -62,15 +62,15 @@
     """
     ends: list[Monotonic] = []
     for task in tasks:
-        since = task.since
+        started_at = task.started_at
         if task.stopping:
             ends.append(now)
-        elif since is None:
-            ends.append(Monotonic(now + task.guess_s * task.pace.ratio))
+        elif started_at is None:
+            ends.append(Monotonic(now + task.owner_estimate_s * task.correction.ratio))
         else:
-            overdue_s = _OVERDUE_SHARE * (now - since)
+            overdue_s = _OVERDUE_SHARE * (now - started_at)
             earliest = now + (overdue_s if overdue_s < _MAX_OVERDUE_S else _MAX_OVERDUE_S)
-            end = since + task.guess_s * task.pace.ratio
+            end = started_at + task.owner_estimate_s * task.correction.ratio
             ends.append(Monotonic(end if end > earliest else earliest))
     return ends
 
@@ -92,10 +92,10 @@
     """Now for a machine that accepts tasks at once, later for one that boots."""
     fetch_gb_per_s: float
     images: set[str]
-    dear: bool
+    is_expensive: bool
     """Its kind costs much more per processor than the cheapest."""
     running: Sequence[RunningTask]
-    used: bool = False
+    is_modified: bool = False
     """The planner has changed the free capacity, so the view can't be reused in the next pass."""
     backfilled: Sequence[RunningTask] = field(init=False)
     """The running tasks that were backfilled; only these are preempted because of their class."""
@@ -119,17 +119,17 @@
         """Return True if the job may run on this kind of machine and does not avoid this one."""
         return job.may_use(self.type, self.zone, self.spot) and self.id not in job.avoided_machines
 
-    def reserve_room(self, job: JobView) -> None:
+    def allocate_task(self, job: JobView) -> None:
         """Deduct one task of the job from the free capacity."""
-        self.used = True
+        self.is_modified = True
         self.cpus -= job.cpus
         self.gpus -= job.gpus
         self.memory_gb -= job.memory_gb
         self.images.add(job.image)
 
-    def release_room(self, task: RunningTask) -> None:
+    def release_task(self, task: RunningTask) -> None:
         """Add the capacity of a task that is being stopped to the free capacity."""
-        self.used = True
+        self.is_modified = True
         self.cpus += task.cpus
         self.gpus += task.gpus
         self.memory_gb += task.memory_gb
@@ -152,7 +152,7 @@
     waiting: int
     tasks: int
     waited_s: float
-    latest_s: tuple[float, ...]
+    latest_start_s: tuple[float, ...]
     """Per deadline that its class is judged by, the seconds left for its tasks to start."""
     estimate_s: float
     image: str
@@ -182,7 +182,7 @@
             and (self.types is None or type_name in self.types)
         )
 
-    def zone_room(self, zone: str) -> int:
+    def tasks_allowed_in_zone(self, zone: str) -> int:
         """Return how many more of its tasks its zone rules allow in a zone now."""
         if self.one_zone and any(n for z, n in self.zone_counts.items() if z != zone):
             return 0
@@ -211,7 +211,7 @@
             room = min(room, int((self.gpus_max - self.gpus + SLACK) // job.gpus))
         return max(0, room)
 
-    def guaranteed(self, job: JobView) -> bool:
+    def is_within_quota(self, job: JobView) -> bool:
         """Return True if one more task of the job is within the guaranteed quota."""
         if self.cpus_guaranteed <= 0 and self.gpus_guaranteed <= 0:
             return False
@@ -233,16 +233,16 @@
     machines: list[MachineView]
     jobs: list[JobView]
     teams: dict[str, TeamView]
-    expected: Expected | None = None
+    expected: ExpectedWork | None = None
     rank_cpus: dict[int, float] = field(default_factory=dict)
     """Processors in use by each urgency class."""
-    coming: list[MachineView] = field(default_factory=list)
+    pending_machines: list[MachineView] = field(default_factory=list)
     """Machines that accept no tasks yet: requested and not granted, or silent and expected back
     soon."""
 
 
 @dataclass(frozen=True, slots=True)
-class Expected:
+class ExpectedWork:
     """Work that may be submitted at any moment and must then start at once."""
 
     rank: int
@@ -255,13 +255,13 @@
 
     aging_s: float = 600.0
     """Waiting time that raises a job by one urgency class."""
-    stop_cost_s: float = 1.5
+    min_preemption_gain_s: float = 1.5
     """Nothing is preempted for tasks whose reservation begins within this time anyway."""
-    stop_share: float = 0.25
+    max_preempted_share: float = 0.25
     """Largest share of the backfilled tasks that is preempted in one pass."""
-    reserved_tasks: int = 16
+    max_reserved_tasks: int = 16
     """Largest number of the reserved job's tasks that get a reservation."""
-    dear: float = 1.5
+    expensive_ratio: float = 1.5
     """A kind of machine is expensive if it costs more than this multiple of the cheapest kind."""
     usable_inexpensive_share: float = 0.8
     """Usable share of the inexpensive machines when deciding which jobs need no others; the rest is
@@ -321,7 +321,7 @@
             self._reservations = self.reserve()
         return self._reservations
 
-    def settle(self) -> None:
+    def release_view(self) -> None:
         """Release the view after the pass; reservations that were not computed before are empty.
 
         A plan that can still compute reservations references its pass, and the pass its plan.
--- a/tealrill/scheduler/preemption.py
+++ b/tealrill/scheduler/preemption.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Victims:
+class PreemptedTasks:
     """Tasks of one machine whose preemption makes room for one task."""
 
     machine: MachineView
@@ -23,7 +23,7 @@
 
 
 def is_preemptible(
-    task: RunningTask, job: JobView, teams: dict[str, TeamView], guaranteed: bool
+    task: RunningTask, job: JobView, teams: dict[str, TeamView], is_within_quota: bool
 ) -> bool:
     """Return True if `task` may be preempted for `job`.
 
@@ -36,7 +36,10 @@
         return True
     other_team = teams.get(task.team)
     return (
-        guaranteed and task.team != job.team and other_team is not None and other_team.exceeds_quota
+        is_within_quota
+        and task.team != job.team
+        and other_team is not None
+        and other_team.exceeds_quota
     )
 
 
@@ -48,9 +51,9 @@
     )
 
 
-def _victims_on(
+def _preempted_tasks_on(
     machine: MachineView, job: JobView, candidates: list[RunningTask], now: Monotonic
-) -> Victims | None:
+) -> PreemptedTasks | None:
     """Return the tasks to preempt on one machine, shortest run time first.
 
     Return None if that would not make enough room. Tasks that turn out not to be needed are
@@ -68,7 +71,7 @@
         if _makes_room(machine, remaining, job):
             chosen = remaining
     lost_cpu_s = sum(t.cpus * (t.save_s if t.saves else t.ran_s(now)) for t in chosen)
-    return Victims(machine, chosen, lost_cpu_s)
+    return PreemptedTasks(machine, chosen, lost_cpu_s)
 
 
 def choose(
@@ -76,28 +79,28 @@
     machines: list[MachineView],
     teams: dict[str, TeamView],
     already_preempted: set[RunningTask],
-    guaranteed: bool,
+    is_within_quota: bool,
     now: Monotonic,
-) -> Victims | None:
+) -> PreemptedTasks | None:
     """Return the tasks whose preemption makes room for one task at the least lost work."""
-    best: Victims | None = None
+    best: PreemptedTasks | None = None
     for machine in machines:
-        if not (guaranteed or machine.backfilled):
+        if not (is_within_quota or machine.backfilled):
             continue
-        if not machine.allows(job) or job.zone_room(machine.zone) <= 0:
+        if not machine.allows(job) or job.tasks_allowed_in_zone(machine.zone) <= 0:
             continue
         # Outside the guaranteed quota only backfilled tasks may be preempted; most machines have
         # none.
-        running = machine.running if guaranteed else machine.backfilled
+        running = machine.running if is_within_quota else machine.backfilled
         candidates = [
             task
             for task in running
-            if task not in already_preempted and is_preemptible(task, job, teams, guaranteed)
+            if task not in already_preempted and is_preemptible(task, job, teams, is_within_quota)
         ]
         if not candidates:
             continue
         candidates.sort(key=lambda task: task.ran_s(now))
-        victims = _victims_on(machine, job, candidates, now)
-        if victims is not None and (best is None or victims.lost_cpu_s < best.lost_cpu_s):
-            best = victims
+        preempted = _preempted_tasks_on(machine, job, candidates, now)
+        if preempted is not None and (best is None or preempted.lost_cpu_s < best.lost_cpu_s):
+            best = preempted
     return best
--- a/tealrill/scheduler/queue.py
+++ b/tealrill/scheduler/queue.py
@@ -47,7 +47,7 @@
 
     def key(job: JobView) -> tuple[int, tuple[int, int, float], float, str]:
         team = teams.get(job.team)
-        is_within_quota = team is not None and team.guaranteed(job)
+        is_within_quota = team is not None and team.is_within_quota(job)
         return (0 if is_within_quota else 1, sort_keys[job], -job.waited_s, job.id)
 
     ordered = sorted(jobs, key=key)
@@ -135,7 +135,9 @@
         cpus = policy.usable_inexpensive_share * inexpensive_cpus - cpus_of_higher
         if cpus <= 0:
             break
-        candidates = [j for j in peers if j.latest_s and j.latest_s[0] > _overrun_allowance_s(j)]
+        candidates = [
+            j for j in peers if j.latest_start_s and j.latest_start_s[0] > _overrun_allowance_s(j)
+        ]
         finishable |= _feasible(candidates, 0, cpus, ahead_cpu_s, _overrun_allowance_s)
     return finishable
 
@@ -156,22 +158,22 @@
     """Return per job its level, the deadline that it can meet and its latest start."""
     sort_keys: dict[JobView, tuple[int, int, float]] = {}
     left = set(jobs)
-    for deadline in range(max((len(job.latest_s) for job in jobs), default=0)):
+    for deadline in range(max((len(job.latest_start_s) for job in jobs), default=0)):
         feasible = _feasible(
             (j for j in left if _can_meet(j, deadline)), deadline, cpus, ahead_cpu_s
         )
         # Not in the order of the set: it varies between processes, and so would sums of floats.
         for job in (job for job in jobs if job in feasible):
-            sort_keys[job] = (level_number, deadline, job.latest_s[deadline])
+            sort_keys[job] = (level_number, deadline, job.latest_start_s[deadline])
             ahead_cpu_s += _work_cpu_s(job)
         left -= feasible
     for job in left:
-        sort_keys[job] = (level_number, len(job.latest_s), math.inf)
+        sort_keys[job] = (level_number, len(job.latest_start_s), math.inf)
     return sort_keys
 
 
 def _can_meet(job: JobView, deadline: int) -> bool:
-    return deadline < len(job.latest_s) and job.latest_s[deadline] >= 0
+    return deadline < len(job.latest_start_s) and job.latest_start_s[deadline] >= 0
 
 
 def _feasible(
@@ -186,9 +188,9 @@
     This is Moore and Hodgson's rule, which minimizes the number of late jobs.
     """
     by_work: list[tuple[float, str, JobView]] = []
-    for job in sorted(jobs, key=lambda j: (j.latest_s[deadline], j.id)):
+    for job in sorted(jobs, key=lambda j: (j.latest_start_s[deadline], j.id)):
         heapq.heappush(by_work, (-_work_cpu_s(job), job.id, job))
         ahead_cpu_s += _work_cpu_s(job)
-        if ahead_cpu_s > cpus * (job.latest_s[deadline] - allowance_s(job)):
+        if ahead_cpu_s > cpus * (job.latest_start_s[deadline] - allowance_s(job)):
             ahead_cpu_s += heapq.heappop(by_work)[0]
     return {job for _, _, job in by_work}
--- a/tests/test_cost.py
+++ b/tests/test_cost.py
@@ -18,10 +18,10 @@
 from tealrill.scheduler.capacity import Offer, rentals
 from tealrill.scheduler.free_capacity import FreeCapacity
 from tealrill.scheduler.model import (
-    Expected,
+    EstimateCorrection,
+    ExpectedWork,
     JobView,
     MachineView,
-    Pace,
     Plan,
     Policy,
     RunningTask,
@@ -32,7 +32,7 @@
 from tealrill.types import MachineId, Monotonic, Revision, Wall
 from tests import plain
 from tests.samples import job_view, machine_view, report, running_task, spec
-from tests.test_dispatch import _dispatcher
+from tests.test_dispatch import build_scheduling_loop
 
 NOW = Monotonic(1000.0)
 
@@ -44,7 +44,7 @@
     take the property test's generator longer than the planner.
     """
     rng = random.Random(seed)
-    paces = {team: Pace(rng.uniform(0.7, 1.6)) for team in ("blue", "red")}
+    paces = {team: EstimateCorrection(rng.uniform(0.7, 1.6)) for team in ("blue", "red")}
     fleet = []
     for number in range(machines):
         size = rng.choice([8.0, 16.0, 64.0])
@@ -65,8 +65,8 @@
                     rank=rng.randrange(3),
                     backfilled=backfilled,
                     stopping=rng.random() < 0.05,
-                    pace=paces[team],
-                    **({} if started else {"since": None, "guess_s": 20.0}),
+                    correction=paces[team],
+                    **({} if started else {"started_at": None, "owner_estimate_s": 20.0}),
                 )
             )
             left -= cpus
@@ -80,7 +80,7 @@
                 size=size,
                 memory_gb=size * 4 - sum(t.memory_gb for t in running),
                 ready_at=NOW if running or rng.random() < 0.8 else Monotonic(NOW + 20.0),
-                dear=rng.random() < 0.2,
+                is_expensive=rng.random() < 0.2,
                 images={f"img-{rng.randrange(5)}" for _ in range(3)},
                 running=running,
             )
@@ -90,7 +90,7 @@
         "red": TeamView(30.0, 0.0, 20.0, 0.0, rng.choice([0.0, 60.0]), 0.0),
         "blue": TeamView(50.0, 0.0, rng.choice([0.0, 90.0]), 0.0, 0.0, 0.0),
     }
-    expected = rng.choice([None, Expected(2, rng.uniform(1, 60))])
+    expected = rng.choice([None, ExpectedWork(2, rng.uniform(1, 60))])
     return View(fleet, queue, teams, expected, {0: 20.0, 1: 30.0, 2: 10.0})
 
 
@@ -106,7 +106,7 @@
         waiting=waiting,
         tasks=waiting + rng.randrange(5),
         waited_s=rng.uniform(0, 1500),
-        latest_s=rng.choice([(), (rng.uniform(-20, 200), rng.uniform(0, 300))]),
+        latest_start_s=rng.choice([(), (rng.uniform(-20, 200), rng.uniform(0, 300))]),
         estimate_s=estimate_s,
         image=f"img-{rng.randrange(5)}",
         image_gb=rng.uniform(0, 4),
@@ -190,7 +190,7 @@
         and stopped.isdisjoint(task.task for task in machine.running)
         and machine.fits(job)
         and machine.allows(job)
-        and job.zone_room(machine.zone) > 0
+        and job.tasks_allowed_in_zone(machine.zone) > 0
         and view.teams[job.team].tasks_within_limit(job) > 0
     ]
 
@@ -369,7 +369,7 @@
     """1,200 live machines of 32 processors, with tasks of a few jobs on them."""
 
     def __init__(self, tasks: int) -> None:
-        self.scheduling_loop, self.fleet, self.job_store, self.provisioner = _dispatcher()
+        self.scheduling_loop, self.fleet, self.job_store, self.provisioner = build_scheduling_loop()
         self.now = 100.0
         self.sequence = 0
         self.names = [MachineId(f"m-{n:06d}") for n in range(1200)]
@@ -435,7 +435,7 @@
     rebuilt = _record_calls(monkeypatch, SnapshotBuilder, "_fresh", lambda *_: 1)
     progressed = _record_calls(monkeypatch, Reconciler, "_progress", lambda *_: 1)
     for name in cluster.names[:200]:
-        ended = next(iter(cluster.fleet.machines[name].named))
+        ended = next(iter(cluster.fleet.machines[name].bindings_by_name))
         cluster.heartbeat(name, ended)
         cluster.survey()
     assert len(rebuilt) == 200 and len(progressed) == 200
@@ -467,7 +467,7 @@
     cluster.now += 9.0
     for name in cluster.names[500:]:
         cluster.heartbeat(name)
-    cluster.fleet.leases.check_silence(Monotonic(cluster.now))
+    cluster.fleet.leases.expire_leases(Monotonic(cluster.now))
     assert all(cluster.fleet.machines[name].lease_expired for name in terminated)
     assert sum(job.waiting for job in cluster.jobs) == 2000
     searches = _record_calls(monkeypatch, planner._Pass, "_candidates", lambda *_: 1)
--- a/tests/test_failure_detector.py
+++ b/tests/test_failure_detector.py
@@ -14,9 +14,9 @@
     MIN_FAILED_CONNECTS,
     Evidence,
     Suspicion,
+    diagnose,
     expected_recovery_s,
-    is_bypassed_by_heartbeats,
-    judge,
+    has_lost_all_heartbeats,
     live_within_s,
     silent_after_s,
 )
@@ -34,27 +34,27 @@
 
 
 def _suspicions(observations: list[Evidence]) -> set[Suspicion]:
-    return set(judge(observations, _HEARTBEAT_INTERVAL_S).verdicts.values())
+    return set(diagnose(observations, _HEARTBEAT_INTERVAL_S).suspicions.values())
 
 
 def test_unreachable_machines_in_live_zone_are_failed() -> None:
     live_machines = _observations("north", 20, _LIVE_S)
     assert _suspicions(
         live_machines + _observations("north", 30, _SILENT_S, failed_connects=MIN_FAILED_CONNECTS)
-    ) == {Suspicion.GONE}
+    ) == {Suspicion.FAILED}
     # A single failure may be due to a lost packet.
     assert _suspicions(
         live_machines + _observations("north", 30, _SILENT_S, failed_connects=1)
-    ) == {Suspicion.LATE}
+    ) == {Suspicion.UNDETERMINED}
 
 
 def test_silent_zone_is_partitioned_not_failed() -> None:
     observations = _observations("north", 20, _LIVE_S) + _observations(
         "south", 20, _SILENT_S, failed_connects=9
     )
-    diagnosis = judge(observations, _HEARTBEAT_INTERVAL_S)
+    diagnosis = diagnose(observations, _HEARTBEAT_INTERVAL_S)
     assert diagnosis.partitioned_zones == {"south"} and not diagnosis.inbound_partitioned
-    assert set(diagnosis.verdicts.values()) == {Suspicion.CUT}
+    assert set(diagnosis.suspicions.values()) == {Suspicion.PARTITIONED}
 
 
 def test_first_silent_machines_of_partition_are_not_failed() -> None:
@@ -65,23 +65,29 @@
     last = _observations(
         "south", 15, 1.6 * _HEARTBEAT_INTERVAL_S, failed_connects=MIN_FAILED_CONNECTS
     )
-    assert _suspicions(_observations("north", 20, _LIVE_S) + first + last) == {Suspicion.CUT}
+    assert _suspicions(_observations("north", 20, _LIVE_S) + first + last) == {
+        Suspicion.PARTITIONED
+    }
 
 
 def test_silence_of_all_zones_is_inbound_partition_of_leader() -> None:
     observations = _observations("north", 20, _SILENT_S, failed_connects=9) + _observations(
         "south", 9, _SILENT_S, failed_connects=9
     )
-    diagnosis = judge(observations, _HEARTBEAT_INTERVAL_S)
-    assert diagnosis.inbound_partitioned and set(diagnosis.verdicts.values()) == {Suspicion.CUT}
+    diagnosis = diagnose(observations, _HEARTBEAT_INTERVAL_S)
+    assert diagnosis.inbound_partitioned and set(diagnosis.suspicions.values()) == {
+        Suspicion.PARTITIONED
+    }
 
 
 def test_silent_machines_that_accept_connections_are_hung() -> None:
     observations = [
         Evidence(MachineId(f"m-{n}"), "north", _SILENT_S, accepts=True) for n in range(20)
     ]
-    diagnosis = judge(observations, _HEARTBEAT_INTERVAL_S)
-    assert set(diagnosis.verdicts.values()) == {Suspicion.HUNG} and not diagnosis.partitioned_zones
+    diagnosis = diagnose(observations, _HEARTBEAT_INTERVAL_S)
+    assert (
+        set(diagnosis.suspicions.values()) == {Suspicion.HUNG} and not diagnosis.partitioned_zones
+    )
 
 
 def test_zone_missing_from_two_cloud_lists_is_failed_not_partitioned() -> None:
@@ -89,11 +95,11 @@
     assert _suspicions(
         live_machines
         + _observations("south", 20, _SILENT_S, failed_connects=9, missing_from_lists=1)
-    ) == {Suspicion.CUT}
+    ) == {Suspicion.PARTITIONED}
     assert _suspicions(
         live_machines
         + _observations("south", 20, _SILENT_S, failed_connects=9, missing_from_lists=2)
-    ) == {Suspicion.GONE}
+    ) == {Suspicion.FAILED}
 
 
 _EVIDENCE = st.builds(
@@ -109,13 +115,13 @@
 
 @given(st.lists(_EVIDENCE, max_size=40, unique_by=lambda evidence: evidence.machine))
 def test_suspicions_on_generated_fleets(observations: list[Evidence]) -> None:
-    diagnosis = judge(observations, _HEARTBEAT_INTERVAL_S)
+    diagnosis = diagnose(observations, _HEARTBEAT_INTERVAL_S)
     by_id = {evidence.machine: evidence for evidence in observations}
     live = {s.zone for s in observations if s.silent_s <= live_within_s(_HEARTBEAT_INTERVAL_S)}
-    for machine, verdict in diagnosis.verdicts.items():
+    for machine, verdict in diagnosis.suspicions.items():
         evidence = by_id[machine]
         assert evidence.silent_s > live_within_s(_HEARTBEAT_INTERVAL_S)
-        if verdict is Suspicion.GONE:
+        if verdict is Suspicion.FAILED:
             # A machine that accepts connections is not diagnosed as failed, nor is one in a
             # partitioned zone, unless it is missing from the cloud's lists.
             assert evidence.missing_from_lists >= 2 or (
@@ -125,24 +131,25 @@
                 evidence.missing_from_lists >= 2 or evidence.zone not in diagnosis.partitioned_zones
             )
         assert (
-            expected_recovery_s(verdict, evidence.silent_s) is None or verdict is not Suspicion.GONE
+            expected_recovery_s(verdict, evidence.silent_s) is None
+            or verdict is not Suspicion.FAILED
         )
     for evidence in observations:
         if evidence.silent_s > silent_after_s(_HEARTBEAT_INTERVAL_S):
-            assert evidence.machine in diagnosis.verdicts
+            assert evidence.machine in diagnosis.suspicions
     assert not diagnosis.inbound_partitioned or not live
 
 
 def test_expected_recovery_equals_silence_so_far() -> None:
     assert expected_recovery_s(Suspicion.HUNG, 12.0) == 12.0
-    assert expected_recovery_s(Suspicion.CUT, 0.5) == pytest.approx(2.0)
-    assert expected_recovery_s(Suspicion.GONE, 12.0) is None
+    assert expected_recovery_s(Suspicion.PARTITIONED, 0.5) == pytest.approx(2.0)
+    assert expected_recovery_s(Suspicion.FAILED, 12.0) is None
 
 
 def test_loss_of_all_heartbeats_requires_several_machines() -> None:
-    assert is_bypassed_by_heartbeats(3.5, 10, _HEARTBEAT_INTERVAL_S)
-    assert not is_bypassed_by_heartbeats(2.5, 10, _HEARTBEAT_INTERVAL_S)
-    assert not is_bypassed_by_heartbeats(60.0, 2, _HEARTBEAT_INTERVAL_S)
+    assert has_lost_all_heartbeats(3.5, 10, _HEARTBEAT_INTERVAL_S)
+    assert not has_lost_all_heartbeats(2.5, 10, _HEARTBEAT_INTERVAL_S)
+    assert not has_lost_all_heartbeats(60.0, 2, _HEARTBEAT_INTERVAL_S)
 
 
 # -- capacity losses ------------------------------------------------------------------------------
@@ -227,33 +234,33 @@
     capacity_backoff, kind, now = CapacityBackoff(), ("big", "north", True), Monotonic(0.0)
     waits: list[float] = []
     for _ in range(4):
-        capacity_backoff.answered(kind, 10, 0, now)
+        capacity_backoff.record_response(kind, 10, 0, now)
         until = next(
-            s for s in range(200) if not capacity_backoff.refused(kind, Monotonic(now + s))
+            s for s in range(200) if not capacity_backoff.is_refused(kind, Monotonic(now + s))
         )
         waits.append(until)
         now = Monotonic(now + until)
     assert waits == [10, 20, 40, 40]
-    capacity_backoff.answered(kind, 10, 3, now)
-    assert capacity_backoff.refused(kind, Monotonic(now + 4)) and not capacity_backoff.refused(
-        kind, Monotonic(now + 5)
-    )
-    capacity_backoff.answered(kind, 10, 0, now)
-    assert not capacity_backoff.refused(("big", "south", True), now)
-    capacity_backoff.freed(kind)
-    assert not capacity_backoff.refused(kind, now)
-    capacity_backoff.answered(kind, 10, 0, now)
-    capacity_backoff.answered(kind, 10, 10, now)
-    assert not capacity_backoff.refused(kind, now)
+    capacity_backoff.record_response(kind, 10, 3, now)
+    assert capacity_backoff.is_refused(
+        kind, Monotonic(now + 4)
+    ) and not capacity_backoff.is_refused(kind, Monotonic(now + 5))
+    capacity_backoff.record_response(kind, 10, 0, now)
+    assert not capacity_backoff.is_refused(("big", "south", True), now)
+    capacity_backoff.clear(kind)
+    assert not capacity_backoff.is_refused(kind, now)
+    capacity_backoff.record_response(kind, 10, 0, now)
+    capacity_backoff.record_response(kind, 10, 10, now)
+    assert not capacity_backoff.is_refused(kind, now)
 
 
 def test_machine_failures_shorten_backoff_without_ending_it() -> None:
     """Failed machines still occupy the cloud's capacity, so new requests are refused at first."""
     capacity_backoff, kind = CapacityBackoff(), ("big", "north", True)
-    capacity_backoff.answered(kind, 10, 0, Monotonic(0.0))
-    capacity_backoff.answered(kind, 10, 0, Monotonic(10.0))
+    capacity_backoff.record_response(kind, 10, 0, Monotonic(0.0))
+    capacity_backoff.record_response(kind, 10, 0, Monotonic(10.0))
     for _ in range(100):
-        capacity_backoff.hopeful(kind)
-    assert capacity_backoff.refused(kind, Monotonic(14.9)) and not capacity_backoff.refused(
+        capacity_backoff.shorten(kind)
+    assert capacity_backoff.is_refused(kind, Monotonic(14.9)) and not capacity_backoff.is_refused(
         kind, Monotonic(15.0)
     )
--- a/tests/test_waits.py
+++ b/tests/test_waits.py
@@ -26,7 +26,7 @@
     Wall,
 )
 from tests.samples import report, spec
-from tests.test_dispatch import _TYPE, _dispatcher
+from tests.test_dispatch import _MACHINE_TYPE, build_scheduling_loop
 
 _HEARTBEAT_INTERVAL_S = 1.0
 _LEASE_S = 8.0
@@ -39,8 +39,8 @@
         self.heartbeat_interval_s = heartbeat_interval_s
         self.now = Monotonic(0.0)
         # No further machines are rented, and with a single type in the catalogue none is expensive.
-        self.scheduling_loop, self.fleet, self.job_store, _ = _dispatcher(
-            heartbeat_interval_s, [_TYPE]
+        self.scheduling_loop, self.fleet, self.job_store, _ = build_scheduling_loop(
+            heartbeat_interval_s, [_MACHINE_TYPE]
         )
         self.sequence = 0
         self.task_lines: list[tuple[str, int, str, str | None]] = []
@@ -51,7 +51,7 @@
         self.heartbeat()
         self.heartbeat()
         # So new that it is not released while it is idle.
-        self.fleet.machines[MachineId("m-1")].since = Monotonic(self.now + 1000.0)
+        self.fleet.machines[MachineId("m-1")].rented_at = Monotonic(self.now + 1000.0)
 
     def job(self, **changes: Any) -> Job:
         self.job_count += 1
@@ -76,7 +76,7 @@
         began = self.now
         while not job.bound_count:
             assert self.now - began <= timeout_s, "the job is still not bound"
-            self.fleet.leases.check_silence(self.now)
+            self.fleet.leases.expire_leases(self.now)
             self.heartbeat()
             self.scheduling_loop.run(self.now, Wall(self.now))
             self.now = Monotonic(self.now + self.heartbeat_interval_s)
@@ -157,7 +157,7 @@
     if known:
         # The cloud's list shows it in a zone where the rule lets the other task run.
         zone = "north" if "samePlace" in rule else "south"
-        cluster.fleet.locate(cluster.fleet.machines[MachineId("m-9")], "big", zone, False)
+        cluster.fleet.set_kind(cluster.fleet.machines[MachineId("m-9")], "big", zone, False)
     cluster.scheduling_loop.run(cluster.now, Wall(cluster.now))
     assert (job.bound_count == 2) is known
     if not known:
@@ -167,7 +167,7 @@
             took_s += 1.0
             cluster.now = Monotonic(cluster.now + 1.0)
             cluster.heartbeat()
-            cluster.fleet.leases.check_silence(cluster.now)
+            cluster.fleet.leases.expire_leases(cluster.now)
             cluster.scheduling_loop.run(cluster.now, Wall(cluster.now))
         assert _LEASE_S < took_s <= _LEASE_S + 2.0
 
