--- a/tealrill/scheduler/model.py
+++ b/tealrill/scheduler/model.py
@@ -204,12 +204,12 @@
 
     def tasks_within_limit(self, job: JobView) -> int:
         """Return how many of the job's waiting tasks the team's limit still allows."""
-        room = job.waiting
+        count = job.waiting
         if self.cpus_max > 0 and job.cpus > 0:
-            room = min(room, int((self.cpus_max - self.cpus + SLACK) // job.cpus))
+            count = min(count, int((self.cpus_max - self.cpus + SLACK) // job.cpus))
         if self.gpus_max > 0 and job.gpus > 0:
-            room = min(room, int((self.gpus_max - self.gpus + SLACK) // job.gpus))
-        return max(0, room)
+            count = min(count, int((self.gpus_max - self.gpus + SLACK) // job.gpus))
+        return max(0, count)
 
     def is_within_quota(self, job: JobView) -> bool:
         """Return True if one more task of the job is within the guaranteed quota."""
--- a/tests/test_cost.py
+++ b/tests/test_cost.py
@@ -44,7 +44,7 @@
     take the property test's generator longer than the planner.
     """
     rng = random.Random(seed)
-    paces = {team: EstimateCorrection(rng.uniform(0.7, 1.6)) for team in ("blue", "red")}
+    corrections = {team: EstimateCorrection(rng.uniform(0.7, 1.6)) for team in ("blue", "red")}
     fleet = []
     for number in range(machines):
         size = rng.choice([8.0, 16.0, 64.0])
@@ -65,7 +65,7 @@
                     rank=rng.randrange(3),
                     backfilled=backfilled,
                     stopping=rng.random() < 0.05,
-                    correction=paces[team],
+                    correction=corrections[team],
                     **({} if started else {"started_at": None, "owner_estimate_s": 20.0}),
                 )
             )
@@ -463,12 +463,12 @@
 def test_expired_tasks_are_placed_with_one_search_per_job(monkeypatch: pytest.MonkeyPatch) -> None:
     """The leases of 500 machines expire; 2,000 tasks of four jobs are bound again in one pass."""
     cluster = _LargeFleet(4)
-    terminated = cluster.names[:500]
+    silent_names = cluster.names[:500]
     cluster.now += 9.0
     for name in cluster.names[500:]:
         cluster.heartbeat(name)
     cluster.fleet.leases.expire_leases(Monotonic(cluster.now))
-    assert all(cluster.fleet.machines[name].lease_expired for name in terminated)
+    assert all(cluster.fleet.machines[name].lease_expired for name in silent_names)
     assert sum(job.waiting for job in cluster.jobs) == 2000
     searches = _record_calls(monkeypatch, planner._Pass, "_candidates", lambda *_: 1)
     cluster.scheduling_loop.run(Monotonic(cluster.now), Wall(cluster.now))
--- a/tests/test_failure_detector.py
+++ b/tests/test_failure_detector.py
@@ -118,10 +118,10 @@
     diagnosis = diagnose(observations, _HEARTBEAT_INTERVAL_S)
     by_id = {evidence.machine: evidence for evidence in observations}
     live = {s.zone for s in observations if s.silent_s <= live_within_s(_HEARTBEAT_INTERVAL_S)}
-    for machine, verdict in diagnosis.suspicions.items():
+    for machine, suspicion in diagnosis.suspicions.items():
         evidence = by_id[machine]
         assert evidence.silent_s > live_within_s(_HEARTBEAT_INTERVAL_S)
-        if verdict is Suspicion.FAILED:
+        if suspicion is Suspicion.FAILED:
             # A machine that accepts connections is not diagnosed as failed, nor is one in a
             # partitioned zone, unless it is missing from the cloud's lists.
             assert evidence.missing_from_lists >= 2 or (
@@ -131,8 +131,8 @@
                 evidence.missing_from_lists >= 2 or evidence.zone not in diagnosis.partitioned_zones
             )
         assert (
-            expected_recovery_s(verdict, evidence.silent_s) is None
-            or verdict is not Suspicion.FAILED
+            expected_recovery_s(suspicion, evidence.silent_s) is None
+            or suspicion is not Suspicion.FAILED
         )
     for evidence in observations:
         if evidence.silent_s > silent_after_s(_HEARTBEAT_INTERVAL_S):
--- a/tests/test_waits.py
+++ b/tests/test_waits.py
@@ -175,9 +175,9 @@
 def test_team_limit_counts_tasks_until_their_lease_expires() -> None:
     """All that the team's limit allows is bound to a machine that has failed."""
     cluster = _Cluster()
-    terminated = cluster.job(crew="red", vcpus=64.0)
-    cluster.start_term(cluster.inherited_binding(terminated, "m-9"))
-    terminated.cancelled = True
+    cancelled = cluster.job(crew="red", vcpus=64.0)
+    cluster.start_term(cluster.inherited_binding(cancelled, "m-9"))
+    cancelled.cancelled = True
     waiting = cluster.job(crew="red")
     other = cluster.job(crew="blue")
     assert cluster.seconds_until_bound(other) == 0.0
@@ -255,7 +255,7 @@
         assert binding.attempt == Attempt(attempt + 1)
         cluster.job_store.release(binding, "north", cluster.now)
     cluster.job_store.cancel(job)
-    whole = cluster.job(crew="red", vcpus=8.0)
+    next_job = cluster.job(crew="red", vcpus=8.0)
     assert abs(cluster.job_store.team_cpus["red"]) < 1e-6
-    assert cluster.seconds_until_bound(whole) == 0.0
+    assert cluster.seconds_until_bound(next_job) == 0.0
     assert TaskId(JobId("wk-000002"), 0) in cluster.fleet.machines[MachineId("m-1")].bindings
