--- a/tealrill/scheduler/failure_detector.py
+++ b/tealrill/scheduler/failure_detector.py
@@ -35,8 +35,7 @@
 more than `_LIVE_INTERVALS` that in a partition the last machine of a zone is no longer live when
 the first is diagnosed. (With 2.0, the first 18 of 260 machines were taken for failed.)"""
 _MIN_MACHINES: Final = 3
-"""Fewer machines are no evidence: no partition of such a zone, nor loss of all heartbeats, is
-assumed."""
+"""With fewer machines, no partition of their zone and no loss of all heartbeats is assumed."""
 _MAX_LIVE_SHARE: Final = 0.05
 """A zone is partitioned from this leader if no more than this share of its machines is live."""
 _MIN_RECOVERY_S: Final = 2.0
--- a/tealrill/scheduler/model.py
+++ b/tealrill/scheduler/model.py
@@ -35,6 +35,7 @@
     task: TaskId
     team: str
     rank: int
+    """Urgency class; a higher one goes first."""
     cpus: float
     gpus: float
     memory_gb: float
@@ -45,10 +46,11 @@
     owner_estimate_s: float
     """Its owner's estimate of the run time."""
     correction: EstimateCorrection
+    """Factor on that estimate."""
     saves: bool
     """It writes checkpoints, so a preemption with notice loses only the time to save."""
     save_s: float
-    """Time that it takes to save a checkpoint when it is stopped."""
+    """Seconds that it takes to save a checkpoint when it is stopped."""
 
     def ran_s(self, now: Monotonic) -> float:
         """Return the run time so far, in seconds; 0 before the task began."""
@@ -146,23 +148,30 @@
     id: JobId
     team: str
     rank: int
+    """Urgency class; a higher one goes first."""
     cpus: float
     gpus: float
     memory_gb: float
     waiting: int
+    """Number of its tasks that are not bound and may be placed."""
     tasks: int
+    """Number of all its tasks."""
     waited_s: float
     latest_start_s: tuple[float, ...]
     """Per deadline that its class is judged by, the seconds left for its tasks to start."""
     estimate_s: float
+    """Expected run time of a task, in seconds."""
     image: str
     image_gb: float
     types: frozenset[str] | None
     zone: str | None
     one_zone: bool
+    """All its tasks must run in the same zone."""
     spread: bool
+    """No zone may have more than half of its tasks, rounded up."""
     spot: bool
     zone_counts: dict[str, int]
+    """Number of its bound tasks by zone."""
     gang: bool = False
     """Gang scheduling: its tasks start only if all that wait fit."""
     graph: str = ""
@@ -246,6 +255,7 @@
     """Work that may be submitted at any moment and must then start at once."""
 
     rank: int
+    """Urgency class of the work."""
     cpus: float
 
 
--- a/tealrill/scheduler/plan.py
+++ b/tealrill/scheduler/plan.py
@@ -272,7 +272,10 @@
         }
 
     def _is_anything_preemptible(self, reserved_job: JobView, is_within_quota: bool) -> bool:
-        """Return True if any task may be preempted; none may be for the lowest class."""
+        """Return True if any task may be preempted for the reserved job.
+
+        This saves the search for a job of the lowest class, for which usually none may be.
+        """
         if is_within_quota and any(t.exceeds_quota for t in self.view.teams.values()):
             return True
         return any(
--- a/tealrill/scheduler/queue.py
+++ b/tealrill/scheduler/queue.py
@@ -33,9 +33,9 @@
 ) -> list[JobView]:
     """Return the jobs in queue order.
 
-    Jobs within their team's guaranteed quota come first; then the order is by level, then jobs that
-    can meet a deadline come first. `rank_cpus` are the processors that each class uses now: what
-    higher classes use is assumed to pass to the next job of their class.
+    Jobs within their team's guaranteed quota come first, then higher levels, then jobs that can
+    meet a deadline. `rank_cpus` are the processors that each class uses now: what higher classes
+    use is assumed to pass to the next job of their class.
     """
     sort_keys: dict[JobView, tuple[int, int, float]] = {}
     for level_number, peers, cpus_of_higher, ahead_cpu_s in _levels(jobs, policy, rank_cpus or {}):
@@ -89,7 +89,10 @@
 def _levels(
     jobs: list[JobView], policy: Policy, rank_cpus: dict[int, float]
 ) -> Iterator[tuple[int, list[JobView], float, float]]:
-    """Yield per level, highest first: number, jobs, processors of higher classes, work ahead."""
+    """Yield per level, highest first: number, jobs, processors of higher classes, work ahead.
+
+    The work ahead is that of all jobs of higher levels, in processor seconds.
+    """
     levels: dict[int, list[JobView]] = {}
     for job in jobs:
         levels.setdefault(level(job, policy), []).append(job)
--- a/tealrill/scheduler/reservation.py
+++ b/tealrill/scheduler/reservation.py
@@ -16,7 +16,7 @@
 
 @dataclass(slots=True)
 class Window:
-    """A reservation on one machine from `at` on; until then it is a backfill window."""
+    """A reservation on one machine from `at` on; the time before it is the backfill window."""
 
     at: Monotonic
     tasks: int
@@ -90,8 +90,8 @@
     """Reserve the earliest capacity for up to `limit` of the job's waiting tasks.
 
     Every machine that fits takes at least one task. So once there are as many machines as tasks, a
-    machine whose capacity is free later than theirs is not examined further. (Computing and sorting
-    the ends of all tasks took a fifth of a pass over a full fleet.)
+    machine whose capacity becomes free later than theirs is not examined further. (Computing and
+    sorting the ends of all tasks took a fifth of a pass over a full fleet.)
     """
     wanted = min(limit, job.waiting)
     if wanted <= 0:
--- a/tests/test_cost.py
+++ b/tests/test_cost.py
@@ -262,7 +262,7 @@
             _compare(seed, 30, 20)
 
 
-# -- work, counted --------------------------------------------------------------------------------
+# -- operation counts -----------------------------------------------------------------------------
 
 
 def _record_calls(
