--- a/tealrill/scheduler/failure_attribution.py
+++ b/tealrill/scheduler/failure_attribution.py
@@ -84,9 +84,11 @@
     """Rounds that failed, with no success between them. Tasks that start together and fail are one
     round."""
     next_at: Monotonic = Monotonic(-math.inf)
+    """On probation, no task starts before this time."""
     longest_s: float = 0.0
     """The longest time that any of its tasks ran before it failed."""
     failed_on: dict[MachineId, _Avoidance] = field(default_factory=dict)
+    """The machines where it failed, least recent first."""
 
     @property
     def clears_after_s(self) -> float:
@@ -117,7 +119,7 @@
         probation.is_cleared = probation.is_cleared or is_cleared
         probation.longest_s = max(probation.longest_s, ran_s)
         if not probation.is_cleared and now >= probation.next_at:
-            # Tasks that were started together fail together: that is one round.
+            # Tasks that were started together fail together: that counts as one round.
             probation.next_at = Monotonic(now + _backoff_s(probation.failed_rounds, _MAX_PAUSE_S))
             probation.failed_rounds += 1
         self._avoid(probation, machine, now)
--- a/tealrill/scheduler/failure_detector.py
+++ b/tealrill/scheduler/failure_detector.py
@@ -110,7 +110,7 @@
         elif evidence.silent_s > _DIAGNOSED_INTERVALS * heartbeat_interval_s:
             to_diagnose.append(evidence)
         if evidence.missing_from_lists < MIN_MISSING_LISTS and not evidence.accepts:
-            # A machine that is no longer listed, or accepts connections, says nothing about a
+            # A machine that is no longer listed, or accepts connections, is no evidence for a
             # partition.
             expected_live[evidence.zone] += 1
     partitioned = frozenset(
--- a/tests/test_cost.py
+++ b/tests/test_cost.py
@@ -312,7 +312,7 @@
     result = plan(View(machines, jobs, {}), NOW, Policy())
     assert len(result.unplaced) == 5000 and result.reserved_job is not None
     assert not ends and not fits
-    # Computed on first use, they are the same as those of the reference planner.
+    # The first use computes all of them.
     assert result.reservations and sum(ends) == 30_000
 
 
@@ -330,7 +330,7 @@
 
 
 def test_scale_out_skips_full_machines(monkeypatch: pytest.MonkeyPatch) -> None:
-    """500 jobs wait for 600 full machines; this was the most expensive part of a pass."""
+    """500 jobs, 600 full machines: examining every pair was the most expensive part of a pass."""
     instances: list[FreeCapacity] = []
     original = FreeCapacity.__init__
 
--- a/tests/test_waits.py
+++ b/tests/test_waits.py
@@ -93,7 +93,7 @@
 def test_inbound_partitioned_machine_gets_tasks_after_two_heartbeats(
     heartbeat_interval_s: float,
 ) -> None:
-    """With intervals over 4.8 s, a machine once stayed marked as inbound-partitioned for good."""
+    """Guards against a mark that is never removed if heartbeats are over 4.8 s apart."""
     cluster = _Cluster(heartbeat_interval_s)
     cluster.start_term()
     cluster.fleet.machines[MachineId("m-1")].mark_inbound_partitioned(True)
