--- a/tealrill/leader/__init__.py
+++ b/tealrill/leader/__init__.py
@@ -1,1 +1,1 @@
-"""One term of leadership: its records, its loops and what it decides."""
+"""One term of leadership: its records, its loops and its decisions."""
--- a/tealrill/leader/direct_commands.py
+++ b/tealrill/leader/direct_commands.py
@@ -1,4 +1,4 @@
-"""Starts and stops that the leader sends to workers without waiting for their heartbeats."""
+"""Sends starts and stops to workers directly, without waiting for their heartbeats."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 
 _DIRECT_TIMEOUT_S: Final = 2.0
 _LATE_S: Final = 0.3
-"""A timeout noticed later than this shows that this node was late itself."""
+"""A timeout that fires later than this shows that this node itself was delayed."""
 
 
 class DirectCommands:
-    """Requests with commands to workers, one at a time for each machine."""
+    """Sends requests with commands to workers, one at a time per machine."""
 
     def __init__(
         self,
@@ -34,7 +34,7 @@
         is_valid: Callable[[], bool],
         wake: Callable[[], None],
     ) -> None:
-        """Send for the leader of `term` while `is_valid`; `wake` is called after each success."""
+        """Send commands of `term` while `is_valid` returns True; call `wake` after each success."""
         self._fleet = fleet
         self._connections = connections
         self._term = term
@@ -44,18 +44,19 @@
 
     @property
     def in_flight(self) -> bool:
-        """Whether commands to any machine are being sent."""
+        """True while commands to any machine are being sent."""
         return bool(self._tasks)
 
     def close(self) -> None:
-        """Cancel what is being sent."""
+        """Cancel all requests in flight."""
         for task in self._tasks.values():
             task.cancel()
 
     def send(self, machine: Machine) -> None:
-        """Sends starts and stops to the worker directly, without waiting for its heartbeat.
+        """Send the machine's pending starts and stops without waiting for its next heartbeat.
 
-        Nothing is sent while commands to this machine are in flight: they take up what is new.
+        No request is begun while one to this machine is in flight: the sender then picks up the
+        new commands itself.
         """
         if machine.id in self._tasks or not machine.addr or machine.incarnation is None:
             return
@@ -64,14 +65,14 @@
         task.add_done_callback(lambda _: self._tasks.pop(machine.id, None))
 
     async def _send_in_turn(self, machine: Machine) -> None:
-        """Waits for a connection, and then sends all that there is."""
+        """Wait for a connection, then send all pending commands."""
         async with self._connections:
             await self._send_until_none(machine)
 
     async def _send_until_none(self, machine: Machine) -> None:
-        """Sends stops once and starts until none is left.
+        """Send the stops once and starts until none is left.
 
-        After a failure the responses to the machine's heartbeats carry the commands.
+        After a failure the commands are sent with the responses to the machine's heartbeats.
         """
         stops = self._fleet.commands.stops(machine, monotonic_now())
         while self._is_valid() and machine.incarnation is not None:
@@ -87,9 +88,9 @@
             stops = []
 
     async def _request(self, machine: Machine, body: bytes, starts: list[Binding]) -> bool:
-        """Return whether the commands were executed.
+        """Send one request; return True if the worker has executed the commands.
 
-        Without an answer it stays unknown whether the starts were.
+        Without an answer it is unknown whether the starts were executed.
         """
         began = monotonic_now()
         try:
@@ -100,11 +101,11 @@
                 wire.decode(answer.body, wire.Heartbeat) if answer.status in (200, 409) else None
             )
         except (NoAnswerError, SettingsError, wire.MalformedMessageError) as error:
-            log.info("commands for %s: %s", machine.id, error)
+            log.info("direct commands failed: machine=%s error=%s", machine.id, error)
             late = monotonic_now() - began > _DIRECT_TIMEOUT_S + _LATE_S
             if isinstance(error, NoAnswerError) and error.silent and not late:
-                # Two heartbeats in a row show that it is up. Where this node itself was late the
-                # answer may be waiting unread.
+                # Two consecutive heartbeats have shown that the machine is running, so the request
+                # did not arrive. If this node was delayed, an answer may only be unread.
                 machine.mark_inbound_partitioned(True)
             if isinstance(error, SettingsError) or (
                 isinstance(error, NoAnswerError) and not error.sent
@@ -112,12 +113,12 @@
                 self._fleet.commands.direct_refused(starts)
             return False
         if answer.status in (400, 409):
-            log.info("commands for %s refused: status %d", machine.id, answer.status)
+            log.info("direct commands refused: machine=%s status=%d", machine.id, answer.status)
             self._fleet.commands.direct_refused(starts)
         if report is None:
             return False
-        # The heartbeat goes first: with its sequence number known, an older one that does not
-        # list the task yet can't be taken for proof that it is gone.
+        # The heartbeat is processed first: once its sequence number is known, an older heartbeat
+        # that does not list the task yet can't be taken as proof that the task is gone.
         self._fleet.heartbeats.handle_direct_reply(report, machine.id, monotonic_now(), wall_now())
         if answer.status == 200:
             self._fleet.commands.direct_executed(starts)
--- a/tealrill/leader/job_lifecycle.py
+++ b/tealrill/leader/job_lifecycle.py
@@ -1,4 +1,4 @@
-"""What the leader does when a job is submitted, is cancelled or ends."""
+"""Handles submissions, cancellations and ends of jobs on the leader."""
 
 from __future__ import annotations
 
@@ -22,18 +22,18 @@
 
 
 class JobRecord(msgspec.Struct):
-    """The part of a record `job/ID` or `over/ID` that the leader reads."""
+    """The fields of a record `job/ID` or `over/ID` that the leader reads."""
 
     spec: wire.JobSpec
     at: float = 0.0
     owner: str | None = None
-    """The record that the job belongs to; its extension reads the rest."""
+    """Name of the record that the job belongs to; the extension reads the other fields."""
     ended_at: float | None = None
-    """When the job was cancelled; not in records of versions before it."""
+    """Time of the cancellation; absent from records written by older versions."""
 
 
 class JobLifecycle:
-    """Carries changes of jobs to the store, the scheduling loop and the extensions."""
+    """Applies changes of jobs to the store, the scheduling loop and the extensions."""
 
     def __init__(
         self,
@@ -42,24 +42,27 @@
         scheduling_loop: SchedulingLoop,
         wake: Callable[[], None],
     ) -> None:
-        """Begin without extensions; `wake` is called when a pass may decide otherwise."""
+        """Begin without extensions; `wake` is called when a pass may decide differently."""
         self._job_store = job_store
         self._fleet = fleet
         self._scheduling_loop = scheduling_loop
         self._wake = wake
         self.extensions: Sequence[LeaderExtension] = ()
         self.unread: set[JobId] = set()
-        """Jobs whose record is not of this version."""
+        """Jobs whose record this version can't read."""
 
     def add(self, key: str, value: object, stamp: Revision) -> Job | None:
-        """Add the job of a record under `job/`; None if it is known, no job or not readable."""
+        """Add the job of a record under `job/`.
+
+        Returns None if the job is already known, or the key or the record is not a readable job.
+        """
         job_id = parse_job_id(key.removeprefix(JOB_PREFIX))
         if job_id is None or job_id in self._job_store.jobs:
             return None
         try:
             record = msgspec.convert(value, JobRecord)
         except msgspec.ValidationError as error:
-            log.error("record of job %s: %s", job_id, error)
+            log.error("job record unreadable: job=%s error=%s", job_id, error)
             self.unread.add(job_id)
             return None
         self._scheduling_loop.snapshots.submitted(record.spec, monotonic_now())
@@ -69,24 +72,24 @@
         return job
 
     def read_others(self, entries: Sequence[wire.Entry]) -> None:
-        """Give extensions those of all records under `job/` that are no jobs."""
+        """Pass the records under `job/` that are not jobs to the extensions."""
         others = [e for e in entries if parse_job_id(e.key.removeprefix(JOB_PREFIX)) is None]
         for extension in self.extensions:
             extension.read(others)
 
     def _give_to_owner(self, job: Job, value: Any) -> None:
         if not any(extension.take(job, value) for extension in self.extensions):
-            # Its extension is switched off, or can't read it: kept as it is, nothing of it starts.
-            log.error("job held, its owner is unknown to this member: job=%s", job.id)
+            # Its extension is disabled or can't read the record: the job is kept, but blocked.
+            log.error("job blocked, its owner is unknown to this member: job=%s", job.id)
             self._job_store.close_tasks(job)
         if job.cancelled:
             self.stop(job)
 
     def stop(self, job: Job) -> None:
-        """Start nothing more of a job, and stop what runs of it."""
+        """Cancel a job: start no more of its tasks and stop the running ones."""
         if not self._fleet.loaded:
-            # Its bindings may not be read yet, and without any it would be dropped with their
-            # records. Once all is read, what is cancelled is stopped.
+            # Its bindings may not be loaded yet, and a job without bindings is dropped together
+            # with its chunks. The record loader stops cancelled jobs once everything is loaded.
             job.cancelled = True
             return
         self._job_store.cancel(job)
@@ -99,26 +102,29 @@
             extension.over(job)
 
     def upcoming(self, now: Monotonic, within_s: float) -> list[tuple[JobView, int]]:
-        """Return the tasks that extensions expect to wait for machines within so many seconds."""
+        """Return the tasks that extensions expect to wait for machines within `within_s` seconds.
+
+        Each entry is a job and its number of tasks.
+        """
         return [
             found for extension in self.extensions for found in extension.upcoming(now, within_s)
         ]
 
     def on_tasks_done(self, job: Job, tasks: list[int]) -> None:
-        """Tell extensions which tasks of a job are recorded as done."""
+        """Notify extensions that tasks of a job are recorded as done."""
         for extension in self.extensions:
             extension.tasks_done(job, tasks)
         self._wake()
 
     def on_owner_gone(self, owner: Owner) -> None:
-        """Tell extensions that a transaction failed because an owner's record has changed."""
+        """Notify extensions that a transaction failed because an owner's record has changed."""
         for extension in self.extensions:
             extension.owner_gone(owner)
 
     def on_cancelled(self, name: str, source: str) -> None:
-        """Stop a job whose record is gone, or whose cancellation another node acknowledged.
+        """Stop a job whose record was deleted or whose cancellation another node acknowledged.
 
-        `source` says in the log by what this leader learned of it.
+        `source` is logged: how this leader learned of the cancellation.
         """
         job_id = parse_job_id(name)
         if job_id is None:
@@ -129,9 +135,10 @@
         if job is None or job.cancelled:
             return
         if job.id in self._job_store.ending:
-            # It is deleted by this leader itself; if its user was faster, the transaction that ends
-            # it fails and finds out. That may take as long as an outage, and of a job that ends
-            # without being done tasks may run: they are stopped at its end in any case.
+            # This leader is committing the job's end. If a cancellation came first, that
+            # transaction fails and its read-back shows the cancellation, which may take as long as
+            # an outage of the state service. Tasks of a job that ends without being done may still
+            # run and are stopped in either case.
             if job.outcome != OUTCOME_DONE:
                 self._scheduling_loop.placement.cancel(job, monotonic_now())
             return
@@ -147,11 +154,11 @@
         self._forget(job)
 
     def on_ended(self, job: Job) -> None:
-        """Log and forget a job whose end is recorded."""
+        """Log the recorded end of a job and discard state kept for it."""
         if job.outcome == OUTCOME_DONE and job.done_count >= job.spec.tasks:
             spec = job.spec
             log.info(
-                "job %s is done: %s, %d tasks, after %.0f s, due after %s s",
+                "job done: job=%s class=%s tasks=%d took_s=%.0f deadline_s=%s",
                 job.id,
                 spec.job_class,
                 spec.tasks,
@@ -159,7 +166,7 @@
                 f"{spec.deadline_s:.0f}" if spec.deadline_s is not None else "-",
             )
         else:
-            log.info("job %s is over: %s", job.id, job.outcome)
+            log.info("job ended: job=%s outcome=%s", job.id, job.outcome)
         if job.cancelled:
             self._scheduling_loop.placement.cancel(job, monotonic_now())
         self._forget(job)
--- a/tealrill/leader/job_watch.py
+++ b/tealrill/leader/job_watch.py
@@ -1,4 +1,4 @@
-"""The leader's watch of the records under `job/`."""
+"""The leader's watch on the records under `job/`."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class JobWatch:
-    """Learns of submissions and cancellations by a long poll of the state service."""
+    """Learns of submissions and cancellations by long polling the state service."""
 
     def __init__(
         self,
@@ -31,29 +31,31 @@
         lifecycle: JobLifecycle,
         wake: Callable[[], None],
     ) -> None:
-        """Apply changes by `lifecycle`; `wake` is called when a pass may decide otherwise."""
+        """Apply changes through `lifecycle`; call `wake` when a pass may decide differently."""
         self._client = client
         self._job_store = job_store
         self._lifecycle = lifecycle
         self._wake = wake
         self.seen = CancellationKnowledge()
-        """How far changes of jobs are known by the watch."""
+        """Up to which revision, and as of what time, changes of jobs are known from the watch."""
 
     async def run(self, seen: CancellationKnowledge) -> None:
-        """Watch from the revision of `seen` on, for ever."""
+        """Watch from the revision of `seen` on, until cancelled."""
         hold_s = _WATCH_S
         while True:
             self.seen = seen
-            # What a watch answers is as of its answer, and so no older than its sending.
+            # The answer reflects the state at the time it is given, so it is at least as recent as
+            # the time the request is sent.
             sent = monotonic_now()
             try:
                 result = await self._client.watch(JOB_PREFIX, seen.revision, hold_s)
                 if result is None:
                     revision = await self._compare_jobs()
             except StateError as error:
-                log.debug("watching jobs: %s", error)
-                # Where the state service answers slowly a held watch comes too late each time, and
-                # a leader that learns nothing must fall silent: it is only asked how things are.
+                log.debug("job watch failed: error=%s", error)
+                # If the state service answers slowly, a watch that is held would time out each
+                # time, and a leader without recent knowledge of cancellations must stop renewing
+                # workers. The next watch therefore asks for the current state without holding.
                 hold_s = 0.0
                 await asyncio.sleep(_RETRY_S)
                 continue
@@ -65,7 +67,7 @@
             seen = CancellationKnowledge(revision, sent)
 
     def job_changed(self, event: wire.WatchEvent) -> None:
-        """Apply that a record under `job/` was written or removed."""
+        """Apply a change of a record under `job/`."""
         key = event.put or event.delete or ""
         if parse_job_id(key.removeprefix(JOB_PREFIX)) is None:
             value = event.value if event.put is not None else None
@@ -79,7 +81,7 @@
             self._lifecycle.on_cancelled(event.delete.removeprefix(JOB_PREFIX), source)
 
     async def _compare_jobs(self) -> Revision:
-        """Apply what was written and removed, after a watch that began too late."""
+        """Apply all changes found by a full scan, after a watch whose revision was too old."""
         entries, revision = await self._client.scan(JOB_PREFIX)
         keys = {entry.key for entry in entries}
         self._lifecycle.read_others(entries)
--- a/tealrill/leader/leader.py
+++ b/tealrill/leader/leader.py
@@ -1,4 +1,4 @@
-"""One term of leadership: composes what only the leader does, and runs it until the term ends."""
+"""Composes the components that only the leader runs, and runs them until the term ends."""
 
 from __future__ import annotations
 
@@ -41,11 +41,11 @@
 log = logging.getLogger(__name__)
 
 _STOP_S: Final = 3.0
-"""A stop takes no longer than this as a rule: it goes with every response to a heartbeat."""
+"""A stop normally takes effect within this time: it is sent with every heartbeat response."""
 
 
 class Leader:
-    """Everything that only the leader does, for one term."""
+    """The components of the leader, for one term."""
 
     def __init__(
         self,
@@ -58,9 +58,10 @@
         parts: Sequence[Callable[[LeadershipContext], LeaderExtension]] = (),
         catalogue: wire.Catalogue | None = None,
     ) -> None:
-        """Compose the term `mine`; `parts` make the extensions' parts of it.
+        """Compose the components for the term `mine`.
 
-        `catalogue` is the cloud's last known one, if there is any.
+        `parts` are factories of the extensions' components; `catalogue` is the last known catalogue
+        of the cloud, if any.
         """
         params = settings.params
         self._client = client
@@ -70,7 +71,7 @@
         self._wake = asyncio.Event()
         self._winding_up = False
         self._vouched_at = Monotonic(-math.inf)
-        """What was acknowledged before this moment the other members have told."""
+        """All cancellations that other members acknowledged before this time are known."""
         self._unseen_s = renewal_bound_s(params.workers)
         self._resigning: asyncio.Task[None] | None = None
         self.job_store = JobStore(params.state.value_kb)
@@ -102,7 +103,7 @@
     def _compose_writes(
         self, params: Params, cloud: Cloud, catalogue: wire.Catalogue | None
     ) -> None:
-        """Compose what writes to the state service and asks the cloud."""
+        """Compose the components that write to the state service and send requests to the cloud."""
         mine = self._mine
         self.write_batcher = WriteBatcher(
             self._client,
@@ -123,13 +124,14 @@
             self._duty("returning"),
         )
         if catalogue is not None:
-            # A leader elected while the cloud is away would place nothing until it is back.
+            # Without it, a leader elected during an outage of the cloud could not place any task
+            # until the outage ends.
             self.provisioner.take_catalogue(catalogue)
         self.provisioner.changed = self.wake
         self.fleet.registered = self.provisioner.registered
 
     def _compose_scheduling(self, params: Params, estimates: Estimates) -> None:
-        """Compose what decides, what tells workers, and what probes them."""
+        """Compose the components that schedule tasks, send commands to workers and probe them."""
         self._connections = ConnectionPool(params.quota.fd_limit, lambda: len(self.fleet.machines))
         self.fleet.deregistered = self._connections.drop
         self.direct_commands = DirectCommands(
@@ -154,7 +156,7 @@
         self.scheduling_loop.diagnosis = lambda: self.prober.diagnosis
 
     def _compose_loops(self) -> None:
-        """Compose what reads the records, and the loops that go on from there."""
+        """Compose the components that load the records, and the loops that run afterwards."""
         client, term = self._client, self._mine.term
         self.lifecycle = JobLifecycle(self.job_store, self.fleet, self.scheduling_loop, self.wake)
         self.record_loader = RecordLoader(
@@ -202,7 +204,7 @@
             self.write_batcher.owner_gone = self.lifecycle.on_owner_gone
 
     async def run(self) -> None:
-        """Read the records, then run the loops until the term is over."""
+        """Load the records, then run the loops until the term ends."""
         try:
             seen = await self.record_loader.load()
             async with asyncio.TaskGroup() as group:
@@ -218,7 +220,7 @@
                 for part in self.parts:
                     group.create_task(part.run())
         except* LeadershipLostError:
-            self._election.step_down("its key is gone")
+            self._election.step_down("the leader's key is gone")
         finally:
             self._close()
 
@@ -229,16 +231,16 @@
         self.exclusions.close()
 
     def wind_up(self) -> None:
-        """Begin nothing new, because the duties are about to be handed over."""
+        """Stop beginning new work, because leadership is about to be handed over."""
         self._winding_up = True
         self.intent_log.closed = True
         self.write_batcher.wake()
 
     @property
     def under_way(self) -> bool:
-        """Whether something that was begun is still to be written or told.
+        """True while work that was begun is still to be committed or sent to workers.
 
-        Requests to the cloud are not waited for: they are recorded, and the next leader goes on.
+        Requests to the cloud are not included: they are recorded, and the next leader resumes them.
         """
         return bool(
             self.direct_commands.in_flight
@@ -248,18 +250,18 @@
         )
 
     def wake(self) -> None:
-        """Have a pass run soon: something happened that may change what it decides."""
+        """Schedule a pass soon, after an event that may change its decisions."""
         self._wake.set()
 
     def _duty(self, name: str) -> Duty:
         return Duty(name, self._mine.term, self._mine.elected_at, self._valid, self._alone)
 
     def _alone(self) -> bool:
-        """Whether the state service answers nothing of this node, not even its renewals."""
+        """Return True if neither lease renewals nor other requests of this node are answered."""
         return self._mine.troubled and self._client.failing
 
     def duties(self) -> dict[str, Any]:
-        """Return the duties that this node holds, for operators."""
+        """Return a description of the duties that this node holds, for operators."""
         now = monotonic_now()
         intent_log = self.intent_log
         return {
@@ -271,15 +273,15 @@
         }
 
     def on_cancellations_known(self, at: Monotonic) -> None:
-        """Note that all other members told the cancellations they acknowledged before `at`.
+        """Record that all members' cancellations acknowledged before `at` are known.
 
-        Those that this node acknowledged itself it knows.
+        The other members have reported theirs; this node knows its own.
         """
         self._vouched_at = max(self._vouched_at, at)
 
     @property
     def known(self) -> CancellationKnowledge:
-        """What is known of cancellations, by the watch or by word of the other members."""
+        """How far cancellations are known, from the watch or from the other members' reports."""
         return CancellationKnowledge(self.job_watch.seen.revision, self._known_at)
 
     @property
@@ -287,10 +289,10 @@
         return max(self.job_watch.seen.at, self._vouched_at)
 
     def informed(self, now: Monotonic) -> bool:
-        """Whether workers may be renewed: what this leader does not know of is recent enough.
+        """Return True if workers may be renewed: cancellations are known up to a recent time.
 
-        Not before the records are read. Leaders that ended one after the other while they read
-        would renew a cancelled job's worker for ever, each for a moment.
+        False until the records are loaded. Otherwise a sequence of leaders whose terms all end
+        while they load would keep renewing the worker of a cancelled job without ever stopping it.
         """
         return self.fleet.loaded and now < self._known_at + self._unseen_s
 
@@ -299,19 +301,19 @@
 
     def _lease_revoked(self) -> None:
         if self._resigning is None:
-            why = "another member is ending its lease"
+            why = "another member is revoking its lease"
             self._resigning = asyncio.create_task(self._election.resign(why, 0.0))
 
     def leads(self, mine: Leadership) -> bool:
-        """Whether this is that term."""
+        """Return True if this object runs the term `mine`."""
         return self._mine is mine
 
     def _valid(self) -> bool:
         return self._election.leading(monotonic_now()) is self._mine
 
     def _committed(self, chunks: list[Chunk]) -> None:
-        """Start what is bound in these chunks, which are recorded now."""
-        # Not a set: the order of the commands would differ from process to process.
+        """Send the starts of tasks whose bindings have just been committed in these chunks."""
+        # Not a set, whose order could differ between processes: the order of commands must not.
         found = {b.machine: None for chunk in chunks for b in self.job_store.never_sent(chunk)}
         for machine_id in found:
             machine = self.fleet.machines.get(machine_id)
@@ -328,11 +330,11 @@
     def report(
         self, report: wire.Heartbeat, machine_id: MachineId, now: Monotonic
     ) -> list[dict[str, object]] | None:
-        """Process a heartbeat; return the commands, None if the worker must go elsewhere."""
+        """Process a heartbeat; return the commands, None if the worker must try another node."""
         try:
             commands = self.fleet.heartbeats.process(report, machine_id, now, wall_now())
         except NewerTokenError as error:
-            log.info("term %d: %s", self._mine.term, error)
+            log.info("leadership superseded: term=%d reason=%s", self._mine.term, error)
             self._election.step_down("a worker knows a newer term")
             return None
         if self.job_store.ending:
--- a/tealrill/leader/loops.py
+++ b/tealrill/leader/loops.py
@@ -1,4 +1,4 @@
-"""The loops of a term: scheduling passes and checks for expired leases of machines."""
+"""The loops of a term: scheduling passes and checks for machines whose lease has expired."""
 
 from __future__ import annotations
 
@@ -21,23 +21,23 @@
 
 _PASS_EVERY_S: Final = 2.0
 _PASS_GAP_S: Final = 0.1
-"""Events closer together than this share a pass."""
+"""Events within this time of each other share a pass."""
 _PASS_SHARE: Final = 0.25
-"""Passes take no more than this part of the time, as long as one takes less than a second."""
+"""Maximum share of the time spent on passes, unless a pass takes so long that the gap is capped."""
 _SILENCE_EVERY_S: Final = 0.5
 
 
 def pass_gap_s(took_s: float) -> float:
-    """Return how long events gather before the next pass, in seconds.
+    """Return the time between two passes, in seconds, given that the last one took `took_s`.
 
-    A node that computes slowly would otherwise do nothing but passes, and workers, submissions and
-    the renewal of its lease would wait for them.
+    The gap grows with the duration of a pass. Otherwise a slow node would do nothing but passes,
+    and heartbeats, submissions and the renewal of its lease would wait for them.
     """
     return min(max(_PASS_GAP_S, took_s * (1 / _PASS_SHARE - 1)), _PASS_EVERY_S)
 
 
 class PassLoop:
-    """Runs scheduling passes when something happened, and now and then without."""
+    """Runs scheduling passes after events, and at regular intervals without any."""
 
     def __init__(
         self,
@@ -46,14 +46,14 @@
         wake: asyncio.Event,
         may_begin: Callable[[], bool],
     ) -> None:
-        """Run a pass after `wake` is set, if `may_begin` allows to begin something new."""
+        """Run a pass after `wake` is set, if `may_begin` returns True."""
         self._scheduling_loop = scheduling_loop
         self._write_batcher = write_batcher
         self._wake = wake
         self._may_begin = may_begin
 
     async def run(self) -> None:
-        """Run a pass after each wake-up, and after a pause at the latest, for ever."""
+        """Run a pass after each wake-up or timeout, until cancelled."""
         while True:
             self._wake.clear()
             began = monotonic_now()
@@ -69,7 +69,7 @@
 
 
 class LeaseExpiryLoop:
-    """Looks for machines whose lease has expired, and ends delegations that stand in the way."""
+    """Expires the leases of machines, and revokes delegations that prevent it."""
 
     def __init__(
         self,
@@ -81,7 +81,8 @@
     ) -> None:
         """Check for the leader of `term`.
 
-        `informed` says whether workers may be renewed, `known` what is known of cancellations.
+        `informed` returns True if workers may be renewed; `known` returns how far cancellations are
+        known.
         """
         self._fleet = fleet
         self._delegations = delegations
@@ -91,36 +92,36 @@
         self._was_informed = True
 
     async def run(self) -> None:
-        """Check for expired leases at fixed intervals, for ever."""
+        """Check for expired leases at fixed intervals, until cancelled."""
         while True:
             await asyncio.sleep(_SILENCE_EVERY_S)
             try:
                 await self._check()
             except StateError as error:
-                log.debug("looking for delegates: %s", error)
+                log.debug("delegations could not be read: error=%s", error)
 
     def _log_knowledge(self, now: Monotonic) -> None:
-        """Log when workers are not renewed any more for want of knowledge, and when they are."""
+        """Log when worker renewals stop for lack of knowledge of cancellations, or resume."""
         informed = self._informed(now)
         if informed != self._was_informed:
             self._was_informed = informed
             known = self._known()
             log.info(
-                "term %d: %s workers; cancellations are known up to revision %d, %.1f s ago",
+                "worker renewals %s: term=%d cancellations_known_to_revision=%d known_s_ago=%.1f",
+                "resumed" if informed else "suspended",
                 self._term,
-                "renews" if informed else "does not renew",
                 known.revision,
                 now - known.at,
             )
 
     async def _check(self) -> None:
-        """Expire machines' leases only once no other node can have renewed them."""
+        """Expire the leases of machines, but only once no delegate can have renewed them."""
         now = monotonic_now()
         silent = self._fleet.leases.silent(now)
-        # What its user was told is cancelled must not be kept running by a delegate, nor what this
-        # leader may not know of. Once its machine's lease would have expired without
-        # delegates is too late: the delegation's end and the worker's lease come after it, and left
-        # a second of `cancel_s`.
+        # A delegate must not keep a job running whose cancellation has been acknowledged or may
+        # have been acknowledged without this leader's knowledge. Waiting until the machine's lease
+        # would have expired without delegates is too late: the end of the delegation and the
+        # worker's lease come after that, which left only one second of `cancel_s`.
         self._log_knowledge(now)
         has_overdue_stop = self._fleet.heartbeats.has_overdue_stop(now) or not self._informed(now)
         if not silent and not has_overdue_stop:
--- a/tealrill/leader/record_loader.py
+++ b/tealrill/leader/record_loader.py
@@ -1,4 +1,4 @@
-"""The reading of all records at the beginning of a term."""
+"""Loads all records at the beginning of a term."""
 
 from __future__ import annotations
 
@@ -33,25 +33,25 @@
 
 _RETRY_S: Final = 0.3
 _LOOK_UPS: Final = 8
-"""Look-ups in flight at once while the records are read."""
+"""Maximum number of concurrent look-ups of ended jobs."""
 
 
 class _ChunkKey(NamedTuple):
-    """The parts of a key `run/ID/CHUNK`."""
+    """The components of a key `run/ID/CHUNK`."""
 
     job: JobId | None
-    """None if it is not the id of a job."""
+    """None if ID is not a valid job id."""
     number: str
 
 
 def _parse_chunk_key(key: str) -> _ChunkKey:
-    """Return the job and the number in a chunk's key."""
+    """Return the components of a chunk's key."""
     name, _, number = key.removeprefix(RUN_PREFIX).partition("/")
     return _ChunkKey(parse_job_id(name), number)
 
 
 class RecordLoader:
-    """Reads what former leaders recorded into the store, the fleet and the provisioner."""
+    """Loads the records of earlier leaders into the store, the fleet and the provisioner."""
 
     def __init__(
         self,
@@ -63,7 +63,7 @@
         lifecycle: JobLifecycle,
         term: FencingToken,
     ) -> None:
-        """Read for the leader of `term`; `lifecycle` adds the jobs."""
+        """Load for the leader of `term`; jobs are added through `lifecycle`."""
         self._client = client
         self._job_store = job_store
         self._fleet = fleet
@@ -73,9 +73,10 @@
         self._term = term
 
     async def load(self) -> CancellationKnowledge:
-        """Read all jobs and bindings; return the revision from which to watch the jobs.
+        """Load all jobs, bindings and cloud requests; return how far cancellations are known.
 
-        Begins anew after each error of the state service.
+        The job watch continues from the returned revision. Loading is restarted after each error
+        of the state service.
         """
         while True:
             began = monotonic_now()
@@ -92,7 +93,7 @@
                     bindings.extend(self._load_chunk(entry))
                 break
             except StateError as error:
-                log.info("reading the records: %s", error)
+                log.info("loading the records failed, restarting: error=%s", error)
                 await asyncio.sleep(_RETRY_S)
                 self._job_store.clear()
         now = monotonic_now()
@@ -103,7 +104,7 @@
                 self._job_store.cancel(job)
                 self._scheduling_loop.placement.cancel(job, now)
         log.info(
-            "term %d: %d jobs and %d bindings read: revision=%d took_s=%.2f cancelled_bound=%d",
+            "records read: term=%d jobs=%d bindings=%d revision=%d took_s=%.2f cancelled_bound=%d",
             self._term,
             len(self._job_store.jobs),
             len(bindings),
@@ -114,14 +115,14 @@
         return CancellationKnowledge(revision, began)
 
     def _load_chunk(self, entry: wire.Entry) -> list[Binding]:
-        """Return the bindings in a chunk; none if its job is over or not readable."""
+        """Load a chunk; return its bindings, none if its job has ended or can't be read."""
         job_id, number = _parse_chunk_key(entry.key)
         if job_id is None or not number.isdigit():
-            log.error("unknown record %s", entry.key)
+            log.error("unknown record: key=%s", entry.key)
             return []
         job = self._job_store.jobs.get(job_id)
         if job_id in self._lifecycle.unread:
-            # It is for a node that can read its job.
+            # Left for a node whose version can read the job.
             return []
         if job is None:
             self._job_store.garbage[entry.key] = Revision(entry.version)
@@ -129,16 +130,16 @@
         try:
             return self._job_store.load(job, int(number), entry.value, Revision(entry.version))
         except RecordError as error:
-            # Its tasks may run anywhere: none of the job is started as if they did not.
-            log.error("record %s", error)
+            # Its tasks may be running on unknown machines, so no task of the job is started.
+            log.error("chunk unreadable, its job is blocked: error=%s", error)
             self._job_store.close_tasks(job)
             return []
 
     async def _load_ended(self, chunks: list[wire.Entry]) -> None:
-        """Add cancelled jobs whose tasks may still be on machines.
+        """Add ended jobs whose tasks may still be on machines.
 
-        Chunks of jobs that are over wait for their removal. Looked up one after the other, a
-        hundred of them once held up a take-over for two seconds.
+        Chunks of ended jobs remain until they are deleted. The look-ups are concurrent, because a
+        hundred of them in sequence delayed a failover by 2 s.
         """
         names = {job for job, _ in (_parse_chunk_key(e.key) for e in chunks) if job is not None}
         unknown = iter(sorted(names - self._job_store.jobs.keys()))
--- a/tealrill/state/acknowledged_cancellations.py
+++ b/tealrill/state/acknowledged_cancellations.py
@@ -1,9 +1,9 @@
-"""Cancellations that this node has told a user of, and from when on it knows of all of them.
+"""Cancellations that this node has acknowledged to users, and since when the list is complete.
 
-A leader that goes on through an outage learns them with each lease extension
-(`leadership/lease_extension.py`). A process that was started again knows nothing of what its former
-process acknowledged a moment before: it can answer only for what came after its first reading of
-the state service. No I/O here.
+During an outage of the state service the leader learns of them with each lease extension
+(`leadership/lease_extension.py`). A restarted process does not know what its predecessor
+acknowledged: its list is complete only for revisions after its first scan of the state service.
+This module does no I/O.
 """
 
 from __future__ import annotations
@@ -17,32 +17,32 @@
 
 
 class AcknowledgedCancellations:
-    """The latest cancellations by the revision that made them true."""
+    """The latest cancellations, by the revision in which they were committed."""
 
     def __init__(self, first_seen: Callable[[], Revision | None]) -> None:
         self._first_seen = first_seen
-        """The state service's revision when this process first saw one; None before that."""
+        """Returns the revision of this process's first scan; None before that."""
         self._jobs: dict[str, Revision] = {}
-        """Of jobs, and of what owns jobs."""
+        """Revisions by the names of jobs and of owners of jobs."""
         self._forgotten = Revision(0)
-        """The latest that was let go because there were too many."""
+        """The latest revision that was evicted because there were too many entries."""
 
     def add(self, name: str, revision: Revision) -> None:
-        """Note that users may be told of a cancellation in this revision."""
+        """Add a cancellation committed at `revision`, before a user is told of it."""
         self._jobs[name] = max(revision, self._jobs.get(name, revision))
         if len(self._jobs) > _KEPT:
-            # A poll may bring back one from long ago, so the oldest is not the one that came first.
+            # A poll may add an old cancellation, so the oldest is not the one added first.
             oldest = min(self._jobs, key=lambda job: self._jobs[job])
             self._forgotten = max(self._forgotten, self._jobs.pop(oldest))
 
     def since(self, revision: Revision) -> list[str]:
-        """Return the names of which a leader that has seen `revision` may not know."""
+        """Return the names whose cancellation a leader that has read up to `revision` may miss."""
         return [name for name, at in self._jobs.items() if at > revision]
 
     def all_since(self, revision: Revision) -> bool:
-        """Return whether `since` has all that this host told anybody of after that revision.
+        """Return True if `since` has all that this host acknowledged after `revision`.
 
-        What a former process of this host acknowledged lies before this process's first reading.
+        Those that an earlier process of this host acknowledged precede this process's first scan.
         """
         first = self._first_seen()
         return first is not None and max(first, self._forgotten) <= revision
--- a/tealrill/state/admission.py
+++ b/tealrill/state/admission.py
@@ -1,8 +1,8 @@
-"""Accepting, showing and cancelling jobs: the same on every node, leader or not.
+"""Submission, status and cancellation of jobs; identical on every node, leader or not.
 
-Each answer comes from the state service, never from a memory that may be out of date; only final
-states are remembered. A job's record moves from `job/` to `over/` once and for ever, so reading
-the two keys in that order never misses it.
+Every answer is read from the state service, never from possibly stale memory; only final states are
+cached. A job's record moves from `job/` to `over/` exactly once, so reading the two keys in that
+order never misses it.
 """
 
 from __future__ import annotations
@@ -49,19 +49,19 @@
 
 _REMEMBERED: Final = 20_000
 _ACCEPT_PAUSES_S: Final = (0.03, 0.06)
-"""Pauses before an acceptance that the state service called too much (429) is sent again."""
+"""Pauses before a submission that the state service answered with 429 is committed again."""
 _TRIES: Final = 4
 
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """An answer to a user."""
+    """A response to a user's request."""
 
     status: int
     body: dict[str, Any]
     retry_after_s: int | None = None
     elsewhere: bool = False
-    """Another node may be able to do what this one could not."""
+    """Another node may succeed where this one failed."""
 
 
 def _unavailable(why: str, elsewhere: bool = True) -> Reply:
@@ -77,32 +77,33 @@
 
 @dataclass(frozen=True, slots=True)
 class ImplicitJob:
-    """A job without a record of its own."""
+    """A job without a record under `job/`."""
 
     status: str
-    """`pending` if it may get one yet, `aborted` if it has one in `over/` or never will."""
+    """`pending` if it may still get a record; `aborted` if it has one under `over/` or will never
+    get one."""
     outcome: str = ""
-    """How it ended if it has none there."""
+    """How it ended, if it has no record under `over/` either."""
 
 
 class ImplicitJobs(Protocol):
-    """Job ids that belong to a subsystem's record, whether or not they have one of their own."""
+    """Jobs that belong to a subsystem's record, with or without a record of their own."""
 
     def claims(self, job_id: JobId) -> list[str]:
-        """Return the keys that must be absent for somebody else's job of this id to be accepted."""
+        """Return the keys that must not exist for a separate job of this id to be accepted."""
 
     async def status(self, job_id: JobId) -> ImplicitJob | None:
-        """Return the status of an id without a record of its own; None if it is no job."""
+        """Return the status of a job without a record of its own; None if there is no such job."""
 
     async def refusal(self, job_id: JobId) -> Reply | None:
-        """Return why a job of this id can't be accepted, if that will not change."""
+        """Return the reply that permanently refuses a separate job of this id; None otherwise."""
 
     async def cancel(self, job_id: JobId) -> Revision | None:
-        """Cancel a job without a record of its own; None if that has to be looked at again."""
+        """Cancel a job without a record of its own; None if the caller must read it again."""
 
 
 class Admission:
-    """Accepts, shows and cancels jobs for users."""
+    """Handles users' requests to submit, poll and cancel jobs."""
 
     def __init__(
         self,
@@ -116,16 +117,16 @@
         self.acknowledged = AcknowledgedCancellations(lambda: client.first_seen)
         self.implicit_jobs: ImplicitJobs | None = None
         self.counts: Callable[[JobId], tuple[int, int] | None] = lambda _: None
-        """Done and running tasks as the leader's memory has them; None elsewhere."""
+        """Returns the numbers of done and running tasks if this node leads; otherwise None."""
 
     # -- submissions ----------------------------------------------------------------------------
 
     async def submit(self, body: bytes) -> Reply:
-        """Accept a job, or repeat the answer to an earlier submission of it."""
+        """Accept a job; a repeated submission gets the current status of the accepted job."""
         try:
             return await self._submit(body)
         except StateError as error:
-            log.debug("submission: %s", error)
+            log.debug("submission failed: error=%s", error)
             return _unavailable("the state service can't be reached")
 
     async def _submit(self, body: bytes) -> Reply:
@@ -140,7 +141,7 @@
             problem = self.problem(spec, job_id)
         if problem is None and spec is not None and job_id is not None:
             return await self._accept(spec, job_id)
-        # What was accepted once stays accepted, whatever a repetition says.
+        # An accepted job stays accepted even if a repeated submission of it is invalid.
         if job_id is not None:
             known = await self._known(job_id)
             if known is not None:
@@ -150,7 +151,10 @@
     def problem(
         self, spec: wire.JobSpec, job_id: JobId | None, beside_bytes: int = 100
     ) -> Reply | None:
-        """Return what stands against a job; `beside_bytes` is what its record holds beside it."""
+        """Return the reply that rejects a job specification; None if it is valid.
+
+        `beside_bytes` is the size of the record's other fields.
+        """
         try:
             self._validator.check(spec, job_id, beside_bytes)
         except JobRejectedError as error:
@@ -160,13 +164,13 @@
         return None
 
     def _reach(self) -> None:
-        """Raise `StateUnavailableError` at once while the state service is away.
+        """Raise `StateUnavailableError` at once while the state service is unavailable.
 
-        Each user's try would be one more request in vain, here and at the node that it is handed
-        to: 70,000 in one outage of three minutes, and most of a day's processor time.
+        Otherwise every retry by a user costs one useless request here and one at the node that it
+        is relayed to: 70,000 in an outage of three minutes, and most of a day's processor time.
         """
         if self._client.away:
-            raise StateUnavailableError("the state service is away")
+            raise StateUnavailableError("the state service is unavailable")
 
     async def _accept(self, spec: wire.JobSpec, job_id: JobId) -> Reply:
         self._reach()
@@ -185,10 +189,10 @@
                 job_id, str(error), elsewhere=not isinstance(error, RateLimitedError)
             )
         except OutcomeUnknownError:
-            # It may be kept or may yet be: only what can be read back is accepted.
+            # The record may exist or may be written later: accept only what can be read back.
             return await self._known(job_id) or self._refuse(job_id, "not confirmed")
         if isinstance(result, Committed):
-            log.debug("job %s accepted", job_id)
+            log.debug("job accepted: job=%s", job_id)
             return Reply(201, wire.accepted(job_id, wire.JOB_PENDING))
         known = await self._known(job_id)
         if known is None and self.implicit_jobs is not None:
@@ -198,7 +202,7 @@
     async def _commit_accepted(
         self, guards: list[Any], changes: list[Any]
     ) -> Committed | GuardsFailed:
-        """Commit, and send again after a moment while the state service is at its limit."""
+        """Commit a transaction; retry after short pauses while the state service answers 429."""
         for pause_s in _ACCEPT_PAUSES_S:
             try:
                 return await self._client.commit(guards, changes, paid=True)
@@ -208,13 +212,14 @@
 
     @staticmethod
     def _refuse(job_id: JobId, why: str, elsewhere: bool = True) -> Reply:
-        log.info("submission of %s refused: %s", job_id, why)
+        log.info("submission refused: job=%s reason=%s", job_id, why)
         return _unavailable(why, elsewhere)
 
     async def _known(self, job_id: JobId) -> Reply | None:
-        """Return the answer to a repeated submission; None if the job is not known.
+        """Return the reply to a repeated submission; None if the job is not known.
 
-        What can't be told at this moment is no leave to call it malformed: it may be accepted.
+        If the status can't be determined now, the reply is a 503: the job may have been accepted,
+        so it must not be rejected as malformed.
         """
         reply = await self._status(job_id)
         if reply.status == 503:
@@ -233,7 +238,7 @@
         try:
             return await self._status(job_id)
         except StateError as error:
-            log.debug("poll: %s", error)
+            log.debug("poll failed: error=%s", error)
             return _unavailable("the state service can't be reached")
 
     async def _status(self, job_id: JobId) -> Reply:
@@ -241,8 +246,8 @@
         if over is not None:
             return self._final(job_id, over)
         self._reach()
-        # The counts may lag, the record may not: read first, it was as old as the counts' way
-        # when it was told, and another node had said `done` meanwhile.
+        # The counts may be stale, the status must not be: if the record were read first, another
+        # node could report the job as done while the counts are read.
         done, running = await self._counts(job_id)
         entry = await self._client.get(job_key(job_id), RequestPriority.USERS)
         owner = entry.value.get("owner") if entry is not None else None
@@ -260,14 +265,17 @@
         return self._final(job_id, over)
 
     async def _status_after_owner(self, job_id: JobId, owner: str) -> Reply:
-        """Return the owner's end: it is the job's, though its record is not moved yet."""
+        """Return the status of a job whose owner has ended and whose record has not moved yet.
+
+        The end of the owner is the end of the job.
+        """
         over = await self._read_over(job_id)
         if over is not None:
             return self._final(job_id, over)
         end = await self._client.get(OVER_PREFIX + owner, RequestPriority.USERS)
         if end is None:
             return _unavailable("its owner's record is being moved")
-        # The user is told here, perhaps before whoever cancelled the owner could be.
+        # This poll may be the first acknowledgement of the owner's cancellation.
         self.acknowledge(owner, Revision(end.version))
         body = wire.job_status(job_id, wire.JOB_CANCELLED)
         return Reply(200, {**body, "outcome": OUTCOME_CANCELLED})
@@ -278,7 +286,7 @@
         if found is None:
             return _NOT_FOUND
         if found.status == wire.JOB_CANCELLED:
-            # It may have run and ended between the readings.
+            # The job may have run and ended between the two reads.
             over = await self._read_over(job_id)
             if over is not None:
                 return self._final(job_id, over)
@@ -300,12 +308,12 @@
     ) -> wire.KeyValue | None:
         over = await self._client.get(over_key(job_id), rank)
         if over is not None:
-            # Without the description, which only a new leader needs: it is most of the record.
+            # The specification is most of the record, and only a new leader needs it.
             value = {k: v for k, v in over.value.items() if k != "spec"}
             over = wire.KeyValue(value=value, version=over.version)
             self._over[job_id] = over
             if value["status"] == wire.JOB_CANCELLED:
-                # A poll tells a user as well, perhaps before the node that cancelled it could.
+                # This poll may be the first acknowledgement of the cancellation.
                 self.acknowledge(job_id, Revision(over.version))
             while len(self._over) > _REMEMBERED:
                 self._over.popitem(last=False)
@@ -328,7 +336,7 @@
     # -- cancellations --------------------------------------------------------------------------
 
     async def cancel(self, text: str) -> Reply:
-        """Cancel the job whose id is `text`, once and for ever."""
+        """Cancel the job whose id is `text`; a cancellation is final."""
         job_id = parse_job_id(text)
         if job_id is None:
             return _NOT_FOUND
@@ -338,11 +346,11 @@
                 if reply is not None:
                     return reply
         except StateError as error:
-            log.debug("cancellation: %s", error)
+            log.debug("cancellation failed: error=%s", error)
         return _unavailable("the state service can't be reached")
 
     async def _cancel(self, job_id: JobId) -> Reply | None:
-        """Try to cancel a job; return None when it has to be looked at again."""
+        """Try to cancel a job; return None if its record must be read again."""
         self._reach()
         entry = await self._client.get(job_key(job_id))
         if entry is None:
@@ -350,7 +358,7 @@
             if over is None:
                 return await self._cancel_implicit(job_id)
             return Reply(200, wire.accepted(job_id, over.value["status"]))
-        # The description stays: a new leader needs it until the job's tasks are gone.
+        # The specification is kept: a new leader needs it until the job's tasks have stopped.
         record = {
             "status": wire.JOB_CANCELLED,
             "spec": entry.value["spec"],
@@ -384,10 +392,10 @@
         revision = await self.implicit_jobs.cancel(job_id)
         if revision is None:
             return None
-        log.info("job %s cancelled before it was released: revision=%d", job_id, revision)
+        log.info("job %s cancelled before its release: revision=%d", job_id, revision)
         self.acknowledge(job_id, revision)
         return Reply(200, wire.accepted(job_id, wire.JOB_CANCELLED))
 
     def acknowledge(self, job_id: str, revision: Revision) -> None:
-        """Note that the user may be told of a cancellation in this revision from here on."""
+        """Record a cancellation committed at `revision`, before a user is told of it."""
         self.acknowledged.add(job_id, revision)
--- a/tealrill/state/bindings.py
+++ b/tealrill/state/bindings.py
@@ -1,7 +1,7 @@
-"""Jobs of the leader's memory, their tasks, and the bindings of tasks to machines: plain data.
+"""In-memory records of jobs, their tasks and the bindings of tasks to machines.
 
-`state.job_store` changes these objects and keeps its totals with them; `state.records` has the
-form in which they are kept in the state service.
+Plain data: `state.job_store` modifies these objects and keeps its totals consistent with them;
+`state.records` defines how they are encoded in the state service.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 @dataclass(slots=True, eq=False)
 class Binding:
-    """A task's place. While it stands the task can be started nowhere else."""
+    """Assignment of a task to a machine; while it exists the task can't be started elsewhere."""
 
     task: TaskId
     machine: MachineId
@@ -37,27 +37,29 @@
     bound_at: Wall
     chunk: Chunk
     version: int
-    """The chunk's version that holds this binding; it may be started once that is committed."""
+    """Chunk version that first contains this binding; the task may start once it is committed."""
     inherited: bool = False
+    """Read from the records of an earlier leader, which may have sent the start."""
     sent: HeartbeatSequence | None = None
-    """The heartbeat whose response first carried the start."""
+    """Sequence number of the heartbeat whose response first carried the start."""
     seen: bool = False
+    """The worker has listed the task in a heartbeat or has executed a direct start of it."""
     direct_start_in_flight: bool = False
-    """A start sent to the worker directly has no answer yet, and may arrive at any later time."""
+    """A direct start was sent and not answered; it may still arrive at any later time."""
     shown_in: HeartbeatSequence | None = None
-    """The last heartbeat of this incarnation that listed the task."""
+    """Sequence number of this incarnation's last heartbeat that listed the task."""
     state: str | None = None
     running_since: Monotonic | None = None
     stop: Stop | None = None
 
     @property
     def committed(self) -> bool:
-        """Whether the chunk version that holds it is committed, so that it may be started."""
+        """True if the chunk version that contains it is committed, so that the task may start."""
         return self.chunk.committed >= self.version
 
     @property
     def never_sent(self) -> bool:
-        """Whether certainly no start of it ever left the leader."""
+        """True if it is certain that no leader has sent a start for it."""
         return (
             not (self.seen or self.inherited or self.direct_start_in_flight) and self.sent is None
         )
@@ -65,18 +67,18 @@
 
 @dataclass(slots=True)
 class Stop:
-    """Why a bound task is to be stopped, and how long it may save."""
+    """A requested stop of a bound task: the reason and the grace period for saving its state."""
 
     reason: str
     grace_s: float
     since: Monotonic
     logged_late: bool = False
-    """The log has it that the task was listed long after its job's cancellation."""
+    """The warning that the task was still listed long after its job's cancellation is logged."""
 
 
 @dataclass(slots=True, eq=False)
 class Task:
-    """A task that was bound at least once and is not done."""
+    """State of a task that was bound at least once."""
 
     next_attempt: Attempt = Attempt(1)
     binding: Binding | None = None
@@ -85,7 +87,10 @@
 
 @dataclass(slots=True, eq=False)
 class Owner:
-    """A record that a job belongs to: while it stands in this version the job may run and end."""
+    """The record that a job belongs to.
+
+    Transactions that bind the job's tasks or end it are guarded by this version of the record.
+    """
 
     key: str
     stamp: Revision
@@ -94,7 +99,7 @@
 
 @dataclass(slots=True, eq=False)
 class Chunk:
-    """The record of a run of a job's tasks."""
+    """A range of a job's consecutive tasks that is stored under one key."""
 
     job: Job
     number: int
@@ -103,8 +108,9 @@
     committed: int = 0
     dirty_since: Monotonic | None = None
     new_bindings: int = 0
+    """Bindings added since the last commit."""
     news: list[tuple[int, int]] = field(default_factory=list)
-    """For a job whose followers wait for single tasks: versions and the tasks they made done."""
+    """Uncommitted completions as (version, task index); only for jobs with `followed` set."""
 
     @property
     def key(self) -> str:
@@ -114,7 +120,7 @@
 
 @dataclass(slots=True, eq=False)
 class Job:
-    """An accepted job that still has something to be done."""
+    """An accepted job that has not ended, or that still has bindings."""
 
     id: JobId
     spec: wire.JobSpec
@@ -125,44 +131,45 @@
     done_count: int = 0
     bound_count: int = 0
     fresh: int = 0
-    """Tasks from this index on were never bound, unless they are in `tasks` or done."""
+    """Tasks from this index on were never bound, except those in `tasks` or `done`."""
     requeued: list[int] = field(default_factory=list)
+    """Heap of other tasks that may be bound; may contain tasks that are bound or done by now."""
     tasks: dict[int, Task] = field(default_factory=dict)
     chunks: dict[int, Chunk] = field(default_factory=dict)
     zone_counts: dict[str, int] = field(default_factory=dict)
     cancelled: bool = False
     cancelled_at: Wall | None = None
-    """When its cancellation was recorded, or learned of where the record does not say."""
+    """Time at which the cancellation was recorded, or was learned of if the record lacks it."""
     due_s: float | None = None
-    """Its deadline, from its submission."""
+    """Deadline in seconds after submission."""
     owner: Owner | None = None
     tail_s: float = 0.0
-    """Estimated time that what depends on it takes after it."""
+    """Estimated duration, in seconds, of the longest chain of work that depends on this job."""
     most_errors: int | None = None
-    """How often one task may fail before the job has failed; None: it is tried for ever."""
+    """Failures of one task after which the job fails if exceeded; None for unlimited retries."""
     outcome: str = OUTCOME_DONE
-    """How it ends, once it is in `JobStore.ending`."""
+    """How the job ends; final once the job is in `JobStore.ending`."""
     opened: bytearray | None = None
-    """For a job whose tasks are let go one by one: which of them were."""
+    """For a job whose tasks are unblocked one by one: a flag per task that has been unblocked."""
     closed: int = 0
-    """Tasks that were not."""
+    """Number of tasks that are still blocked."""
     followed: bool = False
-    """Others wait for its single tasks, so that a done one is written without delay."""
+    """Other jobs wait for single tasks of this one, so each completion is written at once."""
 
     @property
     def waiting(self) -> int:
-        """Number of tasks that may be bound now and are not."""
+        """Number of unbound tasks that may be bound now."""
         if self.cancelled or self.outcome != OUTCOME_DONE:
             return 0
         return self.spec.tasks - self.done_count - self.bound_count - self.closed
 
     @property
     def complete(self) -> bool:
-        """Whether every task is done."""
+        """True if every task is done and the job is not cancelled."""
         return not self.cancelled and self.done_count >= self.spec.tasks
 
     def bindings(self) -> Iterator[Binding]:
-        """Return the bindings that stand."""
+        """Yield the current bindings of the job's tasks."""
         for task in self.tasks.values():
             if task.binding is not None:
                 yield task.binding
--- a/tealrill/state/client.py
+++ b/tealrill/state/client.py
@@ -1,8 +1,8 @@
 """Client of the state service.
 
-Three outcomes are kept apart, because the rules depend on it: executed, certainly not executed
-(`StateUnavailableError`), and unknown (`OutcomeUnknownError`): executed, not executed, or to be
-executed at any later time.
+Callers must distinguish three outcomes of a request: executed, certainly not executed
+(`StateUnavailableError`), and unknown (`OutcomeUnknownError`), in which case it has been executed,
+has not been executed, or may still be executed at any later time.
 """
 
 from __future__ import annotations
@@ -22,52 +22,54 @@
 
 _PAGE = 500
 _MAX_POLL_WAIT_S = 1.0
-"""A poll whose turn would come later is refused at once: its user asks again, here or elsewhere."""
+"""A poll that would wait longer for the rate limit is refused at once; its user retries, at this
+node or another one."""
 _FAILURES = 3
 _AWAY_S = 0.6
-"""A node that does not lead tries again within half a second, one that does sooner."""
+"""After a failure a node retries within 0.5 s, a leader sooner; so a failure older than this no
+longer shows that the state service is unavailable."""
 _ACCEPT_SHARE = 0.5
 _LEADER_SHARE = 0.6
 _LEADER_WRITES = 0.8
-"""Changes are nearly all the leader's; what it leaves is for acceptances and cancellations."""
+"""The leader makes nearly all changes; the rest is for accepted submissions and cancellations."""
 
 
 class StateError(TealrillError):
-    """The request brought no result."""
+    """The request has no result."""
 
 
 class StateUnavailableError(StateError):
-    """Certainly not executed (503, 429, or it never left this node)."""
+    """The request was certainly not executed: status 503 or 429, or it was never sent."""
 
 
 class RateLimitedError(StateUnavailableError):
-    """Above the rate limit (429); a moment later it may be taken."""
+    """The request was above the rate limit (429); a retry after a short pause may succeed."""
 
 
 class OutcomeUnknownError(StateError):
-    """It may have been executed, or may yet be."""
+    """The request may have been executed, or may still be executed later."""
 
 
 class TransactionRejectedError(StateError):
-    """The state service called the request malformed."""
+    """The state service rejected the request as malformed."""
 
 
 @dataclass(frozen=True, slots=True)
 class Committed:
-    """The transaction was executed, in this revision."""
+    """The transaction was executed in this revision."""
 
     revision: Revision
 
 
 @dataclass(frozen=True, slots=True)
 class GuardsFailed:
-    """The transaction's guards did not hold for these keys; nothing was changed."""
+    """The transaction's guards failed for these keys; nothing was changed."""
 
     keys: list[str]
 
 
 class StateClient:
-    """All requests of one node to the state service, within the node's share of the limits."""
+    """Sends all requests of one node to the state service, within the node's rate limit share."""
 
     def __init__(self, address: str, limits: StateLimits, nodes: int) -> None:
         self._http = Client(parse_address(address), most=8)
@@ -75,23 +77,24 @@
         self._nodes = nodes
         self._leads = False
         self._failures = 0
-        """So many exchanges in a row brought no answer, or 503."""
+        """Number of consecutive exchanges that got no answer or status 503."""
         self._failed_at = -math.inf
         self.interruptions = 0
-        """How often the state service has gone away, as this node saw it."""
+        """Number of times the state service became unavailable, as observed by this node."""
         self.revisions = RevisionClock()
         self.first_seen: Revision | None = None
-        """The revision at this process's first reading of a range; what a former process of this
-        host was answered lies before it."""
+        """Revision of this process's first scan. Every answer that an earlier process of this host
+        received has a revision no later than this one."""
         self.requests = RateLimiter(self._share() * limits.rps)
         self.writes = RateLimiter(self._share() * limits.write_rps)
         self.accepts = RateLimiter(_ACCEPT_SHARE * limits.write_rps, depth=limits.write_rps)
-        """Acceptances. Users come to nodes by chance and in bursts, so a node's equal part of the
-        rate refused most of a burst while the other parts lay idle. The parts of all nodes add up
-        to more than the rate; where that shows, the state service answers 429."""
+        """Limits accepted submissions. Users choose nodes at random and submit in bursts: with
+        equal shares one node would refuse most of a burst while the others' shares are unused. The
+        shares of all nodes therefore add up to more than the write rate; beyond that rate the
+        state service answers 429."""
 
     def set_leading(self, leads: bool) -> None:
-        """Set the shares of the limits; the leader has the larger one, for the records."""
+        """Set this node's shares of the rate limits; the leader's are larger, to write records."""
         self._leads = leads
         self.requests.set_rate(self._share() * self._limits.rps)
         share = _LEADER_WRITES if leads else self._share()
@@ -103,15 +106,15 @@
         return _LEADER_SHARE if self._leads else 0.35 / (self._nodes - 1)
 
     async def _acquire(self, rank: RequestPriority) -> None:
-        """Wait for a request; `RateLimitedError` at once for a poll that would wait too long."""
+        """Wait for a request token; raises `RateLimitedError` if a poll would wait too long."""
         if rank is RequestPriority.USERS and self.requests.wait_s(rank) > _MAX_POLL_WAIT_S:
-            raise RateLimitedError("more polls than there are requests for")
+            raise RateLimitedError("polls exceed this node's request rate")
         await self.requests.take(rank=rank)
 
     async def get(
         self, key: str, rank: RequestPriority = RequestPriority.FIRST
     ) -> wire.KeyValue | None:
-        """Read a key; None if it does not exist."""
+        """Return the value of a key; None if it does not exist."""
         await self._acquire(rank)
         answer = await self._send("GET", "/kv/" + quote(key, safe="/"))
         if answer.status == 404:
@@ -125,7 +128,7 @@
         most: int,
         rank: RequestPriority = RequestPriority.FIRST,
     ) -> wire.Entries:
-        """Read up to `most` keys under a prefix, those behind `after` only."""
+        """Return up to `most` entries under a prefix, only those whose keys sort after `after`."""
         await self._acquire(rank)
         query: dict[str, Any] = {"under": prefix, "most": most}
         if after is not None:
@@ -139,9 +142,10 @@
     async def scan(
         self, prefix: str, rank: RequestPriority = RequestPriority.FIRST
     ) -> tuple[list[wire.Entry], Revision]:
-        """Read all keys under a prefix, and the revision from which a watch misses nothing.
+        """Return all entries under a prefix, and the revision from which to start a watch.
 
-        The pages are read one after the other; the first page's revision is the one returned.
+        The pages are read one after another. The revision returned is the first page's, so a watch
+        from there misses no change.
         """
         entries: list[wire.Entry] = []
         revision: Revision | None = None
@@ -164,7 +168,7 @@
         paid: bool = False,
         timeout_s: float = 2.0,
     ) -> Committed | GuardsFailed:
-        """Commit a transaction. With `paid` the caller has taken its share of the changes."""
+        """Commit a transaction; with `paid` the caller has already taken the tokens for changes."""
         if not paid:
             await self.writes.take(len(changes))
         await self.requests.take()
@@ -175,13 +179,13 @@
         return Committed(Revision(self._read(answer, wire.RevisionOnly).revision))
 
     async def create_lease(self, ttl_s: float) -> LeaseId:
-        """Create a lease that lasts `ttl_s` seconds unless it is extended."""
+        """Create a lease that expires after `ttl_s` seconds unless it is extended."""
         await self.requests.take()
         answer = await self._send("POST", "/holds", wire.encode(wire.lease_request(ttl_s)), 1.0)
         return LeaseId(self._read(answer, wire.Lease).lease)
 
     async def extend_lease(self, lease: LeaseId, timeout_s: float) -> bool:
-        """Extend a lease; return False when it has ended."""
+        """Extend a lease; return False if it no longer exists."""
         await self.requests.take()
         answer = await self._send("POST", f"/holds/{lease}/extend", None, timeout_s)
         if answer.status == 404:
@@ -190,16 +194,16 @@
         return True
 
     async def end_lease(self, lease: LeaseId) -> None:
-        """End a lease; return once it has certainly ended."""
+        """Revoke a lease; return once it has certainly ended."""
         await self.requests.take()
         answer = await self._send("DELETE", f"/holds/{lease}", None, 1.0)
         if answer.status != 404:
             self._check(answer)
 
     async def watch(self, prefix: str, since: Revision, hold_s: float) -> wire.WatchResult | None:
-        """Wait up to `hold_s` seconds for changes after `since`; None when that is too old.
+        """Wait up to `hold_s` seconds for changes after `since`; None if `since` is too old.
 
-        A silent connection is given up.
+        The request times out on an unresponsive connection.
         """
         await self.requests.take()
         query = urlencode(
@@ -215,15 +219,15 @@
 
     @property
     def away(self) -> bool:
-        """Whether several exchanges in a row have just failed.
+        """True if several consecutive exchanges have just failed.
 
-        The election's own tries go on, and show when that is over.
+        The election sends its requests all the same, so the end of an outage is noticed.
         """
         return self._failures >= _FAILURES and monotonic_now() - self._failed_at < _AWAY_S
 
     @property
     def failing(self) -> bool:
-        """Whether the last exchange brought no answer, or 503."""
+        """True if the last exchange got no answer or status 503."""
         return self._failures > 0
 
     def _exchanged(self, failed: bool) -> None:
--- a/tealrill/state/fencing.py
+++ b/tealrill/state/fencing.py
@@ -1,16 +1,16 @@
-"""What only one controller may do at a time: who may, under which epoch, and how it is fenced.
+"""Fencing of the duties that only one controller may perform at a time.
 
-Terms of the field: the *holder* of a duty has it under a *lease*; each holding has an *epoch* that
-only grows; a *fence* keeps out what a holder sends that was replaced meanwhile. All duties here are
-held with the leader's lease (docs/notes/005-duties.md weighs the others): the epoch is the term,
-and the fencing token is the version of the leader's key.
+A duty has a *holder*, which holds it under a *lease*. Each tenure has an *epoch*, which increases
+monotonically, and a *fence* rejects writes of a holder that has been replaced. All duties here are
+held under the leader's lease (docs/notes/005-duties.md discusses the alternatives): the epoch is
+the term, and the fencing token is the mod revision of the leader's key.
 
-- What goes to the state service goes through `Fence`, which adds the guard on the leader's key: a
-  write of a duty without it can't be expressed.
-- What goes to the cloud can't be fenced there. So it is recorded first (`fleet/intent_log.py`),
-  through the fence, and `Duty.check` is asked again at the last moment before bytes leave.
+- Writes to the state service go through `Fence`, which adds the guard on the leader's key, so a
+  duty can't write without it.
+- The cloud can't check a fencing token. A request to it is therefore recorded first, through the
+  fence (`fleet/intent_log.py`), and `Duty.check` is called immediately before the request is sent.
 
-This module knows neither machines nor jobs.
+This module does not depend on machines or jobs.
 """
 
 from __future__ import annotations
@@ -38,66 +38,71 @@
     elected_at: Monotonic
     valid_until: Monotonic
     troubled: bool = False
-    """Its last renewal failed."""
+    """True if the last renewal of the lease failed."""
     renewed_at: Monotonic = Monotonic(-math.inf)
-    """When its last successful renewal was sent: the lease stood for `TTL_S` from then."""
+    """Time at which the last successful renewal was sent; the lease is valid for at least `TTL_S`
+    from then."""
 
     def valid(self, now: Monotonic) -> bool:
-        """Return whether this node may act as the leader at that moment."""
+        """Return True if this node may act as the leader at time `now`."""
         return now < self.valid_until
 
 
 class NotHolderError(TealrillError):
-    """The holder may not act at this moment; perhaps it never may again."""
+    """The holder of a duty may not act now, and possibly never again in this epoch."""
 
 
 class Fence:
-    """The one way to the state service for what a duty writes."""
+    """Commits the writes of a duty with the guard on the leader's key."""
 
     def __init__(self, client: StateClient, token: Revision) -> None:
         self._client = client
         self.token = token
 
     def guards(self, others: dict[str, Revision]) -> dict[str, Revision]:
-        """Return a transaction's guards: the keys that it depends on, and the holder's right."""
+        """Return the guards of a transaction: `others` and the guard on the leader's key."""
         return {LEADER_KEY: self.token, **others}
 
     async def commit(
         self, guards: dict[str, Revision], changes: list[dict[str, Any]], paid: bool = False
     ) -> Committed | GuardsFailed:
-        """Commit a transaction of the holder; raises what `StateClient.commit` raises."""
+        """Commit a transaction with the leader guard added.
+
+        Raises the same errors as `StateClient.commit`.
+        """
         full = [wire.guard(key, stamp) for key, stamp in self.guards(guards).items()]
         return await self._client.commit(full, changes, paid=paid)
 
 
 @dataclass(slots=True, eq=False)
 class Duty:
-    """One duty, as its holder has it."""
+    """A duty, as seen by its holder."""
 
     name: str
     epoch: FencingToken
     since: Monotonic
     valid: Callable[[], bool]
-    """Whether its holder may act at this very moment."""
+    """Returns True if the holder may act now."""
     alone: Callable[[], bool] = lambda: False
-    """The state service is away, and its holder goes on: nobody can be elected meanwhile."""
+    """Returns True if the state service does not answer this holder. If the holder is still valid,
+    the members have extended its lease, and no other member can be elected meanwhile."""
     last: str = ""
-    """What was done under it last, for operators."""
+    """The last action performed under the duty, for operators."""
 
     def check(self) -> None:
-        """Raise `NotHolderError` unless the holder may act at this moment.
+        """Raise `NotHolderError` unless the holder may act now.
 
-        To be asked after every wait, right before something leaves.
+        To be called after every await, immediately before a request is sent.
         """
         if not self.valid():
-            raise NotHolderError(f"{self.name}: epoch {self.epoch} is over, or may be")
+            raise NotHolderError(f"{self.name}: epoch {self.epoch} has ended or may have ended")
 
     def did(self, what: str) -> None:
-        """Note what was done under the duty last."""
+        """Record the last action performed under the duty."""
         self.last = what
 
     def describe(self, now: Monotonic, open_count: int) -> dict[str, Any]:
-        """Return for operators: epoch, time held in seconds, what is open and was done last."""
+        """Return epoch, seconds held, number of open requests and last action, for operators."""
         return {
             "epoch": self.epoch,
             "held_s": round(now - self.since, 1),
--- a/tealrill/state/job_store.py
+++ b/tealrill/state/job_store.py
@@ -1,8 +1,9 @@
-"""The leader's memory of jobs and bindings, and what of it must still be written.
+"""The leader's in-memory store of jobs and bindings, with the changes still to be written.
 
-A task is bound to (machine, incarnation, attempt). Bindings are kept in chunks of tasks, one key
-each, so that many bindings go into one change. Nothing here does I/O: `state.write_batcher` writes
-the dirty chunks, and only a binding whose chunk version is committed may be started.
+A task is bound to (machine, incarnation, attempt). Bindings are stored in chunks of consecutive
+tasks, one key per chunk, so that one change to the state service covers many bindings. This module
+does no I/O: `state.write_batcher` writes the dirty chunks. A task may be started only once the
+chunk version that contains its binding is committed.
 """
 
 from __future__ import annotations
@@ -38,7 +39,7 @@
 
 
 class JobStore:
-    """All jobs that have not ended, with their bindings, and what of it is not yet written."""
+    """Jobs that have not ended or still have bindings, and the changes that are not yet written."""
 
     def __init__(self, value_kb: float) -> None:
         self.jobs: dict[JobId, Job] = {}
@@ -46,30 +47,37 @@
         self.team_gpus: dict[str, float] = {}
         self.rank_cpus: dict[int, float] = {}
         self.urgent: dict[Chunk, None] = {}
+        """Dirty chunks with new bindings or with completions that other jobs wait for, oldest
+        first."""
         self.lazy: dict[Chunk, None] = {}
+        """Other dirty chunks; they may gather more changes before they are written."""
         self.ending: dict[JobId, Job] = {}
+        """Jobs whose end has been decided and is not committed yet."""
         self.garbage: dict[str, Revision] = {}
-        """Chunks of jobs that are over and have no binding left: keys and their stamps."""
+        """Chunks to be deleted, of ended jobs without bindings: key and mod revision."""
         self._chunk_tasks = chunk_size(value_kb)
 
     def add(self, spec: wire.JobSpec, submitted: Wall, stamp: Revision) -> Job:
-        """Take in a job whose record stands in version `stamp`."""
+        """Add a job whose record was last modified at revision `stamp`."""
         job_id = JobId(spec.id)
         job = Job(job_id, spec, submitted, stamp, self._chunk_tasks, bytearray(spec.tasks))
         job.due_s = spec.deadline_s
         self.jobs[job_id] = job
         return job
 
-    # -- jobs whose tasks are let go one by one ----------------------------------------------
+    # -- blocked tasks ------------------------------------------------------------------------
 
     def close_tasks(self, job: Job) -> None:
-        """Let none of the job's tasks start before it is opened, before any of it is known."""
+        """Block every task of a job until `open_task` is called for it.
+
+        Normally called before any of the job's chunks is loaded.
+        """
         job.opened = bytearray(job.spec.tasks)
         job.closed = job.spec.tasks
         job.fresh = job.spec.tasks
 
     def open_task(self, job: Job, index: int) -> bool:
-        """Let one task start, and return True the first time."""
+        """Unblock one task; return True if it was blocked."""
         if job.opened is None or job.opened[index]:
             return False
         self._count_open(job, index)
@@ -78,7 +86,10 @@
         return True
 
     def follow(self, job: Job, now: Monotonic) -> list[int]:
-        """Let others wait for its single tasks; return those that are committed as done."""
+        """Report the job's single completions from now on; return those already committed.
+
+        Completions that are not committed yet are reported when their chunk is.
+        """
         job.followed = True
         kept: list[int] = []
         for number, chunk in job.chunks.items():
@@ -99,7 +110,7 @@
             job.closed -= 1
 
     def clear(self) -> None:
-        """Forget everything, for a new attempt to read the records."""
+        """Remove everything before the records are read again."""
         for part in (self.jobs, self.urgent, self.lazy, self.ending, self.garbage):
             part.clear()
         self.team_cpus.clear()
@@ -109,7 +120,7 @@
     # -- bindings ---------------------------------------------------------------------------
 
     def take_task(self, job: Job) -> int | None:
-        """Return the next task of the job that is neither bound nor done; None if there is none."""
+        """Remove and return the next task that is neither bound nor done; None if there is none."""
         while job.requeued:
             index = heapq.heappop(job.requeued)
             if self._free(job, index):
@@ -136,7 +147,7 @@
         wall: Wall,
         now: Monotonic,
     ) -> Binding:
-        """Bind a task that `take_task` gave; it may be started once its chunk is committed."""
+        """Bind a task returned by `take_task`; it may be started once its chunk is committed."""
         task = job.tasks.setdefault(index, Task())
         assert task.binding is None and not job.cancelled and not job.done[index]
         chunk = self._chunk(job, index)
@@ -168,7 +179,7 @@
         self.rank_cpus[rank] = self.rank_cpus.get(rank, 0.0) + job.spec.cpus
 
     def release(self, binding: Binding, zone: str, now: Monotonic) -> None:
-        """End a binding. The caller has the proof that the task is gone from its machine."""
+        """Remove a binding. The caller has proof that the task no longer runs on its machine."""
         job = binding.chunk.job
         index = binding.task.index
         task = job.tasks.get(index)
@@ -195,12 +206,12 @@
             heapq.heappush(job.requeued, index)
 
     def complete(self, job: Job, index: int, now: Monotonic) -> bool:
-        """Count a task as done, whichever attempt said so, and return True the first time."""
+        """Record that a task is done, whichever attempt reported it; return True the first time."""
         if job.done[index] or job.spec.is_service:
             return False
         job.done[index] = 1
         job.done_count += 1
-        # Whatever said so, a task that is done is not waited for any more.
+        # A task that is done is no longer blocked, even if it was never unblocked explicitly.
         self._count_open(job, index)
         chunk = self._chunk(job, index)
         chunk.version += 1
@@ -212,7 +223,10 @@
         return True
 
     def task_failed(self, job: Job, index: int) -> None:
-        """Count an error of a task. Called before its binding is released, which writes it."""
+        """Count a failure of a task; abort the job if it exceeds `Job.most_errors`.
+
+        To be called before the task's binding is released: the release marks the chunk dirty.
+        """
         task = job.tasks.get(index)
         if task is None or job.most_errors is None:
             return
@@ -221,21 +235,24 @@
             self.give_up(job, OUTCOME_FAILED)
 
     def give_up(self, job: Job, outcome: str) -> None:
-        """End a job that is not done: nothing more of it starts, what runs is stopped after."""
+        """End a job that is not done, with `outcome`.
+
+        No more of its tasks are started; running ones are stopped once the end is committed.
+        """
         if job.cancelled or job.complete or job.outcome != OUTCOME_DONE:
             return
         job.outcome = outcome
         self.ending[job.id] = job
 
     def cancel(self, job: Job) -> None:
-        """Note that the job's record has ended: nothing of it may start any more."""
+        """Mark a job whose record has ended as cancelled: no more of its tasks may start."""
         job.cancelled = True
         self.ending.pop(job.id, None)
         if job.bound_count == 0:
             self._drop(job)
 
     def ended(self, job: Job) -> None:
-        """Note that the job's end is committed; bindings that still stand go with their chunks."""
+        """Record that the job's end is committed; remaining bindings keep the job in the store."""
         self.ending.pop(job.id, None)
         job.cancelled = True
         if job.bound_count == 0:
@@ -248,8 +265,8 @@
             if chunk.stamp != ABSENT:
                 self.garbage[chunk.key] = chunk.stamp
             chunk.committed = chunk.version
-        # Chunks name their job: left as a ring, 10,000 finished jobs waited for the collector,
-        # which looks rarely, in 20 MB.
+        # Breaks the reference cycle between job and chunks: 10,000 finished jobs would otherwise
+        # hold 20 MB until the cyclic garbage collector runs.
         job.chunks.clear()
         self.jobs.pop(job.id, None)
 
@@ -265,7 +282,10 @@
     def _mark(
         self, chunk: Chunk, now: Monotonic, urgent: bool = False, hurry: bool = False
     ) -> None:
-        """Mark a chunk to be written: `urgent` for a new binding, `hurry` for what others await."""
+        """Mark a chunk as dirty.
+
+        `urgent` marks a new binding, `hurry` a completion that other jobs wait for.
+        """
         if chunk.dirty_since is None:
             chunk.dirty_since = now
         if urgent or hurry:
@@ -276,7 +296,7 @@
             self.lazy[chunk] = None
 
     def never_sent(self, chunk: Chunk) -> Iterator[Binding]:
-        """Yield the bindings in the chunk of which no start has left."""
+        """Yield the bindings of the chunk for which no start has been sent."""
         first = chunk.number * chunk.job.chunk_tasks
         for index in range(first, first + chunk.job.chunk_tasks):
             task = chunk.job.tasks.get(index)
@@ -284,7 +304,7 @@
                 yield task.binding
 
     def value(self, chunk: Chunk) -> dict[str, Any]:
-        """Return the chunk as it is kept."""
+        """Return the value to be stored for the chunk."""
         job = chunk.job
         first = chunk.number * job.chunk_tasks
         last = min(first + job.chunk_tasks, job.spec.tasks)
@@ -293,7 +313,7 @@
             task = job.tasks.get(index)
             binding = task.binding if task is not None else None
             if binding is not None and task is not None:
-                # A task that is done stays bound until its machine is known to have let go of it.
+                # A done task stays bound until there is proof that it has left its machine.
                 bound = BoundEntry(
                     binding.machine,
                     binding.incarnation,
@@ -315,9 +335,9 @@
         return encode_chunk(job.chunk_tasks, entries, errors)
 
     def load(self, job: Job, number: int, value: Any, stamp: Revision) -> list[Binding]:
-        """Take over a chunk that a former leader wrote, and return the bindings that stand.
+        """Load a chunk that an earlier leader wrote; return its bindings.
 
-        Raises `RecordError` if this version can't read it.
+        Raises `RecordError` if this version can't read the chunk.
         """
         try:
             record = decode_chunk(value)
@@ -354,7 +374,7 @@
 
     def _load_entry(self, job: Job, chunk: Chunk, index: int, entry: list[Any]) -> list[Binding]:
         task = job.tasks[index] = Task(Attempt(int(entry[0])))
-        # What was bound once had been let go.
+        # A task that was bound once had been unblocked.
         self._count_open(job, index)
         if len(entry) == 1:
             heapq.heappush(job.requeued, index)
@@ -373,11 +393,11 @@
             1,
             inherited=True,
         )
-        # Its zone is counted when the machine is known: see `place_inherited`.
+        # Its zone is counted once the machine is known: see `place_inherited`.
         self._attach(job, task, binding, "")
         return [binding]
 
     def place_inherited(self, binding: Binding, zone: str) -> None:
-        """Count an inherited binding in its machine's zone, once that is known."""
+        """Count an inherited binding in its machine's zone once the zone is known."""
         counts = binding.chunk.job.zone_counts
         counts[zone] = counts.get(zone, 0) + 1
--- a/tealrill/state/rate_limiter.py
+++ b/tealrill/state/rate_limiter.py
@@ -1,9 +1,9 @@
 """Token bucket that keeps a node within its share of a rate limit.
 
-Whoever has to wait stands in one queue and is woken when its tokens are there, by one timer. (Each
-waiter once slept by itself and looked again every few milliseconds. With some thousand polls
-waiting in a surge, looking took nearly half of a controller's time, and who went first was chance:
-a renewal of the leader's lease waited among the polls.)
+Requests that have to wait are queued by priority, and a single timer wakes each one when its tokens
+are available. If every waiter polled the bucket itself, a few thousand waiting requests would take
+nearly half of a controller's processor time, and their order would be random: a renewal of the
+leader's lease could wait behind polls of job states.
 """
 
 from __future__ import annotations
@@ -18,14 +18,14 @@
 
 
 class RequestPriority(IntEnum):
-    """Who goes first when there is not enough for all."""
+    """Order in which waiting requests are served."""
 
     FIRST = 0
-    """What others wait for: leases, elections, the job store, acceptances and cancellations."""
+    """Leases, elections, the job store, accepted submissions and cancellations."""
     USERS = 1
-    """Polls. There may be any number of them, and each may be repeated."""
+    """Polls of job states: their number is unbounded, and each may be repeated."""
     LATER = 2
-    """What can wait: it leaves a part of the bucket alone."""
+    """Background requests, which leave a part of the bucket to the others."""
 
 
 @dataclass(slots=True, eq=False)
@@ -35,9 +35,10 @@
 
 
 class RateLimiter:
-    """A token bucket that holds one second's worth, or `depth`."""
+    """A token bucket with a capacity of `depth` tokens, by default those of one second."""
 
     _KEPT_FOR_URGENT = 0.4
+    """Share of a full bucket that the lowest priority does not use."""
 
     def __init__(self, rate: float, depth: float | None = None) -> None:
         self._rate = rate
@@ -50,34 +51,34 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def set_rate(self, rate: float) -> None:
-        """Set the tokens per second; what is there beyond the new burst is lost."""
+        """Set the rate in tokens per second; tokens beyond the new burst size are dropped."""
         self._refill()
         self._rate = rate
         self._tokens = min(self._tokens, self.burst)
 
     @property
     def burst(self) -> float:
-        """Tokens of a full bucket."""
+        """Number of tokens in a full bucket."""
         return max(1.0, self._depth if self._depth is not None else self._rate)
 
     def available(self, rank: RequestPriority = RequestPriority.FIRST) -> float:
-        """Return the tokens that one of this priority may take now."""
+        """Return the number of tokens that a request of this priority may take now."""
         self._refill()
         return self._tokens - self._kept_from(rank)
 
     def spend(self, amount: float) -> None:
-        """Take tokens that `available` has shown."""
+        """Take tokens without waiting; the caller has checked `available`."""
         self._tokens -= amount
 
     def wait_s(self, rank: RequestPriority) -> float:
-        """Estimate how long one who comes now waits behind those before it, in seconds."""
+        """Estimate how long a new request of this priority would wait, in seconds."""
         ahead = sum(len(queue) for of, queue in self._queues.items() if of <= rank)
         return max(0.0, (ahead + 1 - self.available(rank)) / self._rate)
 
     async def take(
         self, amount: float = 1.0, rank: RequestPriority = RequestPriority.FIRST
     ) -> None:
-        """Wait until `amount` is there; an amount above the burst waits for a full bucket."""
+        """Wait for `amount` tokens and take them; more than the burst size needs a full bucket."""
         if not any(queue for of, queue in self._queues.items() if of <= rank) and (
             self.available(rank) >= self._need(amount, rank)
         ):
@@ -93,29 +94,30 @@
                 with contextlib.suppress(ValueError):
                     self._queues[rank].remove(waiter)
             else:
-                # Its tokens came in the moment in which nobody wanted it any more.
+                # The tokens were granted just before the waiter was cancelled: put them back.
                 self._tokens += amount
             self._serve()
             raise
 
     def take_now(self, amount: float = 1.0, rank: RequestPriority = RequestPriority.FIRST) -> bool:
-        """Take tokens if they are there at this moment; a full bucket has enough for anything."""
+        """Take `amount` tokens if available now; a full bucket suffices for any amount."""
         if self.available(rank) < self._need(amount, rank):
             return False
         self.spend(amount)
         return True
 
     def _kept_from(self, rank: RequestPriority) -> float:
-        """Return the part of a full bucket that this priority leaves alone."""
+        """Return the number of tokens that this priority must leave in the bucket."""
         return self.burst * self._KEPT_FOR_URGENT if rank is RequestPriority.LATER else 0.0
 
     def _need(self, amount: float, rank: RequestPriority) -> float:
-        # The very difference that `available` has with a full bucket: rounded otherwise it was
-        # never reached, and who needed it waited for ever, looking every 2 ms.
+        # Computed exactly as in `available` for a full bucket: with different rounding the need
+        # could exceed what is ever available, and the request would wait forever, retrying every
+        # 2 ms.
         return min(amount, self.burst - self._kept_from(rank))
 
     def _serve(self) -> None:
-        """Let go all whose tokens are there, and set the timer for the next."""
+        """Grant tokens to waiters while available, and set the timer for the next one."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
@@ -124,7 +126,7 @@
                 waiter = queue[0]
                 short = self._need(waiter.amount, rank) - self.available(rank)
                 if short > 0:
-                    # Nobody of a lower rank goes before it.
+                    # Waiters of lower priority must not overtake this one.
                     delay_s = max(0.002, short / self._rate)
                     loop = asyncio.get_running_loop()
                     self._timer = loop.call_later(delay_s, self._serve)
--- a/tealrill/state/records.py
+++ b/tealrill/state/records.py
@@ -1,7 +1,7 @@
-"""Records of jobs in the state service: their keys, and how a chunk of bindings is encoded.
+"""Records of jobs in the state service: their keys and the encoding of chunks of bindings.
 
-A job stands under `job/` until it ends, and from its end on under `over/`. Its bindings stand under
-`run/`, in chunks of consecutive tasks, one key each. Nothing here does I/O.
+The record of a job is stored under `job/` until the job ends, then under `over/`. Its bindings are
+stored under `run/` in chunks of consecutive tasks, one key per chunk. This module does no I/O.
 """
 
 from __future__ import annotations
@@ -15,33 +15,34 @@
 from tealrill.types import Attempt, Incarnation, JobId, MachineId, Wall, parse_machine_id
 
 JOB_PREFIX: Final = "job/"
-"""Jobs by their ids. Names that are no job ids belong to subsystems, whose records are then seen in
-the same reading and the same watch as the jobs that depend on them."""
+"""Prefix of the records of jobs, by job id. Names that are not job ids belong to records of
+subsystems: these are then part of the same scan and the same watch as the jobs that depend on
+them."""
 RUN_PREFIX: Final = "run/"
-"""Chunks of bindings by job id and chunk number."""
+"""Prefix of chunks of bindings, by job id and chunk number."""
 OVER_PREFIX: Final = "over/"
-"""Ended jobs by their ids."""
+"""Prefix of the records of ended jobs, by job id."""
 
 OUTCOME_DONE: Final = "done"
 OUTCOME_FAILED: Final = "failed"
-"""A task failed more often than the job's bound allows."""
+"""A task exceeded the job's limit on failures."""
 OUTCOME_SKIPPED: Final = "skipped"
-"""What the job waits for can't come any more."""
+"""A condition that the job waits for can't be met any more."""
 OUTCOME_CANCELLED: Final = "cancelled"
 
 TASK_DONE: Final = -1
-"""Entry of a task that is done and bound nowhere."""
+"""Entry of a task that is done and not bound."""
 NEVER_BOUND: Final = 0
 """Entry of a task that was never bound."""
 _BACKFILLED_FLAG: Final = 1
 _DONE_FLAG: Final = 2
 _ENTRY_BYTES: Final = 100
-"""Most that one bound task takes in a record: the machine's name is at most 64 bytes."""
+"""Upper bound on the encoded size of a bound task; a machine id has at most 64 bytes."""
 _MOST_IN_CHUNK: Final = 128
 
 
 class RecordError(TealrillError):
-    """A record in the state service that this version did not write."""
+    """A record in the state service has a form that this version does not know."""
 
 
 def job_key(job: JobId) -> str:
@@ -50,7 +51,7 @@
 
 
 def over_key(job: JobId) -> str:
-    """Return the key of a job's end."""
+    """Return the key of the record of an ended job."""
     return OVER_PREFIX + job
 
 
@@ -60,7 +61,7 @@
 
 
 def chunk_size(value_kb: float) -> int:
-    """Return the tasks per chunk, such that a chunk with every task bound fits a value."""
+    """Return the number of tasks per chunk for which a fully bound chunk fits `value_kb`."""
     return max(1, min(_MOST_IN_CHUNK, int((value_kb * 1024 - 64) // _ENTRY_BYTES)))
 
 
@@ -75,7 +76,7 @@
     bound_at: Wall
 
     def encode(self, next_attempt: Attempt) -> list[Any]:
-        """Return the entry as it is kept, with the number of the task's next attempt."""
+        """Return the stored form of the entry, with the number of the task's next attempt."""
         return [
             next_attempt,
             self.machine,
@@ -87,11 +88,11 @@
 
     @classmethod
     def decode(cls, entry: list[Any]) -> BoundEntry:
-        """Read an entry; raises `ValueError` or `TypeError` if this version did not write it."""
+        """Decode an entry; raises `ValueError` or `TypeError` if its form is unknown."""
         _, name, incarnation, attempt, flags, bound_at = entry
         machine = parse_machine_id(str(name))
         if machine is None:
-            raise ValueError(f"{name!r} is no machine")
+            raise ValueError(f"{name!r} is not a machine id")
         return cls(
             machine,
             Incarnation(int(incarnation)),
@@ -103,18 +104,18 @@
 
 
 class ChunkRecord(msgspec.Struct):
-    """A chunk as it is kept."""
+    """The stored form of a chunk."""
 
     n: int
     """Tasks per chunk of the job."""
     tasks: list[int | list[Any]]
     """Per task `TASK_DONE`, `NEVER_BOUND`, [next attempt], or a `BoundEntry`."""
     errors: dict[str, int] = {}
-    """Failures by the task's place in the chunk; kept for jobs with a bound on them."""
+    """Number of failures by the task's offset in the chunk; only for jobs with a limit on them."""
 
 
 def encode_chunk(chunk_tasks: int, entries: list[Any], errors: dict[str, int]) -> dict[str, Any]:
-    """Return the value of a chunk's key; the fields are those of `ChunkRecord`."""
+    """Return the value to store for a chunk, with the fields of `ChunkRecord`."""
     value: dict[str, Any] = {"n": chunk_tasks, "tasks": entries}
     if errors:
         value["errors"] = errors
@@ -122,7 +123,7 @@
 
 
 def decode_chunk(value: Any) -> ChunkRecord:
-    """Read a chunk, but for its bound entries; raises `RecordError` if its form is unknown."""
+    """Decode a chunk except for its bound entries; raises `RecordError` if its form is unknown."""
     try:
         return msgspec.convert(value, ChunkRecord)
     except msgspec.ValidationError as error:
@@ -130,9 +131,9 @@
 
 
 def chunk_bindings(value: Any) -> Iterator[tuple[MachineId, Incarnation]]:
-    """Yield the machines and incarnations to which a chunk's unfinished tasks are bound.
+    """Yield machine and incarnation for each bound task of a chunk that is not done.
 
-    Raises `RecordError` if this version can't read it.
+    Raises `RecordError` if this version can't read the chunk.
     """
     for entry in decode_chunk(value).tasks:
         if isinstance(entry, int) or len(entry) == 1:
--- a/tealrill/state/transaction_batch.py
+++ b/tealrill/state/transaction_batch.py
@@ -1,7 +1,8 @@
-"""One transaction of the leader, as it is gathered: its guards, changes and what they stand for.
+"""One transaction of the leader while it is assembled: guards, changes and what they represent.
 
-Every change is guarded by its own key's stamp. A batch knows the bounds of a transaction, and the
-form in which the end of a job is written; in which order things go in is `state.write_batcher`'s.
+Every change is guarded by the mod revision of its own key. A batch enforces the size limits of a
+transaction and defines how the end of a job is written; `state.write_batcher` decides the order in
+which entries are added.
 """
 
 from __future__ import annotations
@@ -17,31 +18,35 @@
 
 _MAX_BYTES: Final = 60 * 1024
 _DROPPED_AT_ONCE: Final = 2
-"""Chunks that go with a job's end; a larger job's are removed when there is time."""
+"""Maximum number of chunks deleted together with a job's end; those of larger jobs are deferred."""
 
 
 @dataclass(slots=True, eq=False)
 class JoinedWrite:
-    """Changes of a subsystem that go into the leader's transactions, all or none of them."""
+    """Changes of a subsystem that are committed atomically within one of the leader's transactions.
+
+    They are added entirely or not at all.
+    """
 
     guards: dict[str, Revision]
     changes: list[dict[str, Any]]
     applied: Callable[[Revision], None]
-    """They were executed, in this revision."""
+    """Called with the revision in which the changes were committed."""
     refused: Callable[[dict[str, wire.KeyValue | None]], None]
-    """They were not, and will not be; with the guards' keys as they were read back since."""
+    """Called if a guard no longer holds, so that the changes can't be executed any more, with the
+    guarded keys that were read back; None stands for an absent key."""
     ahead_at: Monotonic | None = None
-    """For what somebody waits for: right behind new bindings, and from this moment on before them,
-    whatever else there is to write. None: when there is room for what can wait."""
+    """Time from which the write precedes job ends and new bindings; before that it follows right
+    after them. None for a write that can wait for spare capacity."""
 
     @property
     def size(self) -> int:
-        """Bytes that it takes in a transaction, at most."""
+        """Upper bound on the bytes that it takes in a transaction."""
         return sum(len(wire.encode(change)) for change in self.changes) + 100 * len(self.guards)
 
 
 class ChunkWrite(NamedTuple):
-    """A chunk in a transaction, as it was when it was added."""
+    """A chunk in a transaction, with its version and new bindings at the time it was added."""
 
     chunk: Chunk
     version: int
@@ -49,11 +54,12 @@
 
 
 def _chunks_to_drop(job: Job) -> list[Chunk]:
-    """Return the chunks that can go with the job's end: nothing of it is left on any machine.
+    """Return the chunks to delete with the job's end; none while a task of it may be on a machine.
 
-    Left for later they lay about in an overload, and every take-over looked up each one's job:
-    two seconds of 200 leftovers, once. But bindings of the same class don't wait for it, as
-    long as there are few: it is one more change, and cost urgent starts 0.02 in time.
+    Chunks left for later accumulate in an overload, and a new leader looks up the job of each one:
+    200 of them delayed a failover by 2 s. While only a few have accumulated, the caller still puts
+    bindings of the same class first: each deletion is one more change ahead of them, and deleting
+    in every case lowered the share of urgent jobs that started in time by 0.02.
     """
     if job.outcome != OUTCOME_DONE or job.bound_count:
         return []
@@ -62,42 +68,45 @@
 
 
 def _end_record(job: Job) -> dict[str, Any]:
-    """Return the record of a job's end."""
+    """Return the value of the record of an ended job."""
     if job.outcome == OUTCOME_DONE:
         value: dict[str, Any] = {"status": wire.JOB_DONE, "tasks": job.spec.tasks}
         if job.bound_count:
-            # A task that one machine has called done is still on another: without the
-            # description a new leader would take its binding for a leftover.
+            # A task reported done by one machine may still run on another: without the
+            # specification a new leader would treat its binding as orphaned.
             value["spec"] = wire.plain(job.spec)
         return value
-    # The description stays: a new leader needs it until the job's tasks are gone.
+    # The specification is kept: a new leader needs it until the job's tasks have stopped.
     return {"status": wire.JOB_CANCELLED, "outcome": job.outcome, "spec": wire.plain(job.spec)}
 
 
 @dataclass(slots=True)
 class TransactionBatch:
-    """What goes into the next transaction. `room` is the number of changes it may have."""
+    """The contents of the next transaction.
+
+    The `room` parameter of its methods is the maximum number of changes in the batch.
+    """
 
     guards: dict[str, Revision] = field(default_factory=dict)
     changes: list[dict[str, Any]] = field(default_factory=list)
     chunks: list[ChunkWrite] = field(default_factory=list)
     jobs: list[Job] = field(default_factory=list)
-    """Jobs that it ends."""
+    """Jobs whose end it commits."""
     dropped_chunks: dict[str, Chunk] = field(default_factory=dict)
-    """Chunks that go with the end of their job, by their keys."""
+    """Chunks that it deletes together with the end of their job, by key."""
     obsolete: list[str] = field(default_factory=list)
-    """Keys that it deletes of chunks that belong to no job any more."""
+    """Keys of the orphaned chunks that it deletes."""
     joined: list[JoinedWrite] = field(default_factory=list)
     size: int = 0
-    """Bytes, by a cautious estimate."""
+    """Conservative estimate of its size in bytes."""
     complete: bool = True
-    """False when something that is due had to be left out."""
+    """False if an entry that is due did not fit."""
 
     def add_end(self, job: Job, room: int, drop_chunks: bool) -> bool:
-        """Add the end of a job; return False if it finds no room."""
+        """Add the end of a job; return False if it does not fit."""
         dropped = _chunks_to_drop(job) if drop_chunks else []
         if not self._fits(2 + len(dropped), 0, room):
-            # Nothing is encoded that there are no changes left for: in an overload ends wait.
+            # Checked before encoding, which would be wasted work: in an overload many ends wait.
             return False
         put = wire.put(over_key(job.id), _end_record(job))
         size = len(wire.encode(put)) + 400 + 300 * len(dropped)
@@ -110,7 +119,7 @@
         self.guards[job_key(job.id)] = job.stamp
         self.guards[over_key(job.id)] = ABSENT
         if job.owner is not None and job.outcome != OUTCOME_CANCELLED:
-            # Once its owner's end was told to anybody, it can't become done any more.
+            # Once the owner's end has been acknowledged to a user, the job can't end as done.
             self.guards[job.owner.key] = job.owner.stamp
         self.changes += [wire.delete(job_key(job.id)), put]
         self.size += size
@@ -118,14 +127,14 @@
         return True
 
     def add_chunk(self, chunk: Chunk, value: dict[str, Any], room: int) -> bool:
-        """Add a chunk with its value as it is now; return False if it finds no room."""
+        """Add a chunk with its current value; return False if it does not fit."""
         change = wire.put(chunk.key, value)
         size = len(wire.encode(change)) + 200
         if not self._fits(1, size, room):
             return False
         self.guards[chunk.key] = chunk.stamp
         if chunk.new_bindings:
-            # Nothing may be bound for a job whose user was already told that it is cancelled.
+            # No task may be bound once the job's cancellation has been acknowledged to a user.
             self.guards[job_key(chunk.job.id)] = chunk.job.stamp
             if chunk.job.owner is not None:
                 self.guards[chunk.job.owner.key] = chunk.job.owner.stamp
@@ -135,7 +144,7 @@
         return True
 
     def add_joined(self, joined: JoinedWrite, room: int) -> bool:
-        """Add a subsystem's changes; return False if they find no room."""
+        """Add a subsystem's changes; return False if they do not fit."""
         size = joined.size
         if not self._fits(len(joined.changes), size, room):
             return False
@@ -146,7 +155,10 @@
         return True
 
     def add_obsolete(self, key: str, stamp: Revision, room: int) -> bool:
-        """Add the removal of an obsolete chunk, for which nobody waits; return False if full."""
+        """Add the deletion of an orphaned chunk; return False if the batch is full.
+
+        Does not clear `complete`: nothing waits for the deletion.
+        """
         if len(self.changes) >= room:
             return False
         self.guards[key] = stamp
--- a/tealrill/state/validation.py
+++ b/tealrill/state/validation.py
@@ -1,7 +1,7 @@
-"""Validation of job requests against the settings' teams and the catalogue of machine types.
+"""Validation of job requests against the configured teams and the catalogue of machine types.
 
-Whether a job can be kept and can ever run is decided here, from its description alone; nothing here
-does I/O.
+Decides from a job's specification alone whether it can be stored and can ever run. This module does
+no I/O.
 """
 
 from __future__ import annotations
@@ -17,20 +17,20 @@
 
 
 class JobRejectedError(TealrillError):
-    """A job that can't be accepted as it is described; its text is for the user."""
+    """A job can't be accepted as specified; the message is shown to the user."""
 
     def __init__(self, status: int, message: str) -> None:
         super().__init__(message)
         self.status = status
-        """HTTP status: 400 for a malformed description, 422 for one that can't be met."""
+        """HTTP status: 400 for a malformed specification, 422 for one that can't be satisfied."""
 
 
 class CatalogueUnknownError(TealrillError):
-    """The machine types are not known yet, so that it can't be told whether a job can run."""
+    """The machine types are not known yet, so it can't be decided whether a job can run."""
 
 
 def requested_job_id(body: bytes) -> JobId | None:
-    """Return the job id in a body that may be malformed otherwise; None if it has none."""
+    """Return the job id of a body that may otherwise be malformed; None if it has none."""
     try:
         message = orjson.loads(body)
     except orjson.JSONDecodeError:
@@ -40,7 +40,7 @@
 
 
 def decode_job(body: bytes) -> wire.JobSpec:
-    """Read a job's description; raises `JobRejectedError` if it is too long or malformed."""
+    """Decode a job's specification; raises `JobRejectedError` if it is too long or malformed."""
     if len(body) > wire.MAX_BODY:
         raise JobRejectedError(400, "the body is larger than 64 KiB")
     try:
@@ -50,7 +50,7 @@
 
 
 class JobValidator:
-    """Checks descriptions of jobs."""
+    """Validates job specifications."""
 
     def __init__(self, settings: Settings, catalogue: Callable[[], wire.Catalogue | None]) -> None:
         self._teams: dict[str, Team] = {t.name: t for t in settings.params.teams}
@@ -58,9 +58,9 @@
         self._catalogue = catalogue
 
     def check(self, spec: wire.JobSpec, job_id: JobId | None, beside_bytes: int) -> None:
-        """Check a job, of which the record holds `beside_bytes` beside its description.
+        """Validate a job whose record has `beside_bytes` bytes in addition to its specification.
 
-        Raises `JobRejectedError`, or `CatalogueUnknownError` if that can't be decided now.
+        Raises `JobRejectedError`, or `CatalogueUnknownError` if it can't be decided now.
         """
         if job_id is None:
             raise JobRejectedError(400, "id: malformed - at `$.id`")
@@ -79,8 +79,8 @@
 
 
 def _check_team_limits(spec: wire.JobSpec, team: Team) -> None:
-    # What a machine or a zone holds at a time is no limit on an array, whose tasks may follow
-    # each other; a service's and a gang's run all at once.
+    # The tasks of an array may run one after another, so the team's limit only has to admit one of
+    # them; those of a service or a gang all run at the same time.
     tasks = spec.tasks if spec.is_service or spec.is_gang else 1
     for field, need, limit in (
         ("vcpus", spec.cpus, team.cpus_max),
@@ -93,7 +93,7 @@
 
 
 def _unsatisfied_field(spec: wire.JobSpec, catalogue: wire.Catalogue) -> str | None:
-    """Return the field that leaves no machine type for a task; None if there is one."""
+    """Return the first field that excludes the last machine type; None if one fits a task."""
     candidates = catalogue.types
     conditions: tuple[tuple[str, Callable[[wire.MachineType], bool]], ...] = (
         ("builds", lambda kind: spec.types is None or kind.name in spec.types),
--- a/tealrill/state/write_batcher.py
+++ b/tealrill/state/write_batcher.py
@@ -1,8 +1,8 @@
-"""Group commit of the leader's job store: one transaction in flight, the rest gathers.
+"""Group commit of the leader's job store: one transaction is in flight while the next one gathers.
 
-Every change is guarded by its own key's stamp and by the leader's, so a duplicate of a transaction
-that got no answer fails if it is executed late. After no answer the keys are read back before
-anything is claimed.
+Every change is guarded by the mod revision of its own key and of the leader's key. If a transaction
+gets no answer, its outcome is unknown: the guarded keys are read back before its changes count as
+committed, and a duplicate that is executed late fails its guards.
 """
 
 from __future__ import annotations
@@ -33,18 +33,18 @@
 log = logging.getLogger(__name__)
 
 _LAZY_S: Final = 2.0
-"""How long a change that nobody waits for may gather more of its kind."""
+"""Time for which a dirty chunk that nothing waits for may gather more changes."""
 _BACK_OFF_S: Final = 0.2
 _LEFTOVERS: Final = 32
-"""With so many chunks left over, they go with ends though bindings wait."""
+"""With this many orphaned chunks, job ends delete their chunks even while bindings wait."""
 
 
 class LeadershipLostError(TealrillError):
-    """The guard on the leader's key failed: somebody else leads, or nobody."""
+    """The guard on the leader's key failed: this node is no longer the leader."""
 
 
 class WriteBatcher:
-    """Commits what is dirty, for one term of leadership."""
+    """Commits the dirty state of the job store, for one term of leadership."""
 
     def __init__(
         self,
@@ -63,25 +63,25 @@
         self._job_over = job_over
         self._wake = asyncio.Event()
         self.under_way = False
-        """A transaction has been sent and not been answered."""
+        """True while a transaction is in flight."""
         self.joined: dict[JoinedWrite, None] = {}
-        """What subsystems have to write; it goes behind ends and new bindings."""
+        """Pending writes of subsystems; most are written after job ends and new bindings."""
         self.tasks_done: Callable[[Job, list[int]], None] = lambda _, __: None
-        """Tasks of a job that others follow are written down as done."""
+        """Called when completions of a job with `Job.followed` set are committed."""
         self.owner_gone: Callable[[Owner], None] = lambda _: None
-        """A guard on the record that jobs belong to failed."""
+        """Called when the guard on an owner's record has failed."""
 
     def join(self, joined: JoinedWrite) -> None:
-        """Take in a subsystem's write, and wake the loop."""
+        """Add a subsystem's write and wake the loop."""
         self.joined[joined] = None
         self._wake.set()
 
     def wake(self) -> None:
-        """Note that something urgent is dirty."""
+        """Wake the loop because there are urgent changes."""
         self._wake.set()
 
     async def run(self) -> None:
-        """Commit until leadership is lost; raises `LeadershipLostError` then."""
+        """Commit changes until leadership is lost; then raise `LeadershipLostError`."""
         while True:
             batch = self._gather(monotonic_now())
             self.under_way = bool(batch.changes)
@@ -95,16 +95,16 @@
             except TimeoutError:
                 pass
 
-    # -- what goes into the next transaction ----------------------------------------------------
+    # -- gathering the next transaction ---------------------------------------------------------
 
     def _gather(self, now: Monotonic) -> TransactionBatch:
-        """Gather what users wait for by urgency class, then the rest.
+        """Gather job ends and new bindings by priority class, then deferred changes.
 
-        Within a class ends of jobs go first, then new bindings in the order in which they came:
-        after a fall the bindings of hundreds of lost tasks would otherwise go before an urgent
-        job's, and so did the ends of hundreds of small jobs of a low class. What comes first and
-        finds no room is waited for: an end takes several changes, and bindings of one change each
-        used up the rate before there was ever room for it.
+        Higher classes go first: after a mass failure the bindings of hundreds of lost tasks, or
+        the ends of hundreds of small jobs of a low class, must not delay an urgent job's binding.
+        Within a class job ends precede new bindings, and both are in order of arrival. The first
+        entry that does not fit blocks all later ones: an end takes several changes and would
+        otherwise starve behind bindings, which take one change each.
         """
         batch = TransactionBatch()
         room = min(self._txn_ops, int(self._client.writes.available()))
@@ -119,7 +119,7 @@
         return batch
 
     def _add_deferred(self, batch: TransactionBatch, room: int, now: Monotonic) -> None:
-        """Add what nobody waits for."""
+        """Add changes that neither users nor other jobs wait for."""
         self._add_all(batch, [j for j in self.joined if j.ahead_at is None], room)
         for chunk in list(self._job_store.lazy):
             due = chunk.dirty_since is not None and now - chunk.dirty_since >= _LAZY_S
@@ -130,7 +130,10 @@
                 break
 
     def _add_awaited(self, batch: TransactionBatch, room: int) -> bool:
-        """Add ends and new bindings; return False when one found no room: nothing may pass it."""
+        """Add job ends and urgent chunks by priority class.
+
+        Returns False as soon as one does not fit; nothing may be added after it.
+        """
         ends: dict[int, list[Job]] = {}
         for job in self._job_store.ending.values():
             ends.setdefault(job.spec.rank, []).append(job)
@@ -163,17 +166,17 @@
         try:
             result = await self._fence.commit(batch.guards, batch.changes, paid=True)
         except StateUnavailableError as error:
-            log.debug("commit refused: %s", error)
+            log.debug("commit not executed: error=%s", error)
             await asyncio.sleep(_BACK_OFF_S)
         except TransactionRejectedError as error:
-            log.error("commit rejected: %s", error)
+            log.error("commit rejected as malformed: error=%s", error)
             await asyncio.sleep(1.0)
         except OutcomeUnknownError as error:
-            log.info("commit without an answer (%s): reading back", error)
+            log.info("commit outcome unknown, reading keys back: error=%s", error)
             await self._reread(batch, list(self._fence.guards(batch.guards)))
         else:
             if isinstance(result, GuardsFailed):
-                log.debug("commit failed on %s", result.keys)
+                log.debug("commit guards failed: keys=%s", result.keys)
                 await self._reread(batch, result.keys)
             else:
                 self._apply(batch, result.revision)
@@ -188,7 +191,8 @@
                 chunk.news = [news for news in chunk.news if news[0] > version]
                 self.tasks_done(chunk.job, done)
             if chunk.job.id not in self._job_store.jobs:
-                # The job went away meanwhile; its chunk was written once more.
+                # The job was dropped while the transaction was in flight, which wrote the chunk
+                # again.
                 self._job_store.garbage[chunk.key] = revision
                 continue
             if chunk.version == version:
@@ -212,7 +216,7 @@
         self._committed([chunk for chunk, _, new_bindings in batch.chunks if new_bindings])
 
     async def _reread(self, batch: TransactionBatch, keys: list[str]) -> None:
-        """Read back keys whose guards failed or may have changed, and take over their stamps."""
+        """Read back keys whose guards failed or may have changed, and adopt their revisions."""
         chunks = batch.dropped_chunks | {write.chunk.key: write.chunk for write in batch.chunks}
         jobs = {job.id: job for job in batch.jobs}
         jobs.update({write.chunk.job.id: write.chunk.job for write in batch.chunks})
@@ -236,7 +240,7 @@
         self._refuse_outdated(batch.joined, found)
 
     def _obsolete_changed(self, key: str, stamp: Revision) -> None:
-        """Take over the stamp of an obsolete chunk; absent, it needs no removal any more."""
+        """Adopt the revision of an orphaned chunk, or forget the chunk if it no longer exists."""
         if stamp == ABSENT:
             self._job_store.garbage.pop(key, None)
         else:
@@ -245,7 +249,10 @@
     def _refuse_outdated(
         self, writes: list[JoinedWrite], found: dict[str, wire.KeyValue | None]
     ) -> None:
-        """Drop the writes of subsystems that can't be executed any more, executed or not."""
+        """Drop subsystem writes whose guards no longer hold, and report the current values.
+
+        Such a write may have been executed itself: that also changes the keys it guards.
+        """
         for joined in writes:
             if any(
                 key in found and _stamp(found[key]) != stamp for key, stamp in joined.guards.items()
@@ -254,7 +261,7 @@
                 joined.refused({key: found[key] for key in joined.guards if key in found})
 
     async def _job_changed(self, job: Job, stamp: Revision) -> None:
-        """Find out why the job's record is gone: this leader's own end of it, or a cancellation."""
+        """Determine why a job's record was deleted: its end by this leader, or a cancellation."""
         if stamp == job.stamp or job.id not in self._job_store.jobs:
             return
         over = await self._read(over_key(job.id))
@@ -271,7 +278,7 @@
             try:
                 return await self._client.get(key)
             except StateError as error:
-                log.debug("reading %s back: %s", key, error)
+                log.debug("read-back failed: key=%s error=%s", key, error)
                 await asyncio.sleep(_BACK_OFF_S)
 
 
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -67,9 +67,9 @@
         leader.lease_expiry._log_knowledge(Monotonic(now + later_s))
     leader.job_watch.seen = CancellationKnowledge(Revision(50), Monotonic(now + 31.0))
     leader.lease_expiry._log_knowledge(Monotonic(now + 32.0))
-    assert _texts(caplog, "cancellations are known") == [
-        "term 3: does not renew workers; cancellations are known up to revision 41, 30.0 s ago",
-        "term 3: renews workers; cancellations are known up to revision 50, 1.0 s ago",
+    assert _texts(caplog, "worker renewals") == [
+        "worker renewals suspended: term=3 cancellations_known_to_revision=41 known_s_ago=30.0",
+        "worker renewals resumed: term=3 cancellations_known_to_revision=50 known_s_ago=1.0",
     ]
 
 
