--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -1,4 +1,4 @@
-"""What is logged once a change, and what a node's status tells of its rights."""
+"""Log lines that are written once per change, and the leadership fields of a node's status."""
 
 from __future__ import annotations
 
--- a/tests/test_formats.py
+++ b/tests/test_formats.py
@@ -1,4 +1,4 @@
-"""Messages, settings and records: what is taken, and what is refused with the field's name."""
+"""Decoding of messages, settings and records; errors name the invalid field."""
 
 from __future__ import annotations
 
--- a/tests/test_golden_records.py
+++ b/tests/test_golden_records.py
@@ -1,10 +1,10 @@
-"""Golden records: what is stored or on a wire is read as before, and written byte for byte.
+"""Golden records: stored records and messages are decoded as before and encoded byte for byte.
 
-`tests/data/golden_records.json` was written by the code of one moment and is only read here. Each
-sample names its kind, its JSON text and what reading it gives. A kind is a row of `KINDS`: how the
-text is read, how what was read is written again, and each field under a label of its own (the name
-on the wire). The code's names occur in these tables only. A sample with `again` is a variant that
-is read but written in a newer form, which `again` holds.
+`tests/data/golden_records.json` was written by an earlier version and is only read here. Each
+sample has its kind, its JSON text and the decoded fields. A kind is a row of `KINDS`: how the text
+is decoded, how the decoded value is encoded again, and the fields, each under its name on the wire.
+Identifiers of the code occur only in these tables. A sample with `again` is decoded, but encoded in
+a newer form, which `again` contains.
 """
 
 from __future__ import annotations
@@ -58,7 +58,7 @@
 SAMPLES: Final = Path(__file__).parent / "data" / "golden_records.json"
 _VALUE_KB: Final = 4.0
 _TASKS: Final = 6
-"""Of the job whose tasks the samples of `run/` hold."""
+"""Number of tasks of the job in the samples of `run/`."""
 
 Read = Callable[[bytes], Any]
 Write = Callable[[Any], Any]
@@ -66,20 +66,20 @@
 
 
 class Kind(NamedTuple):
-    """How one kind of record or message is read and written."""
+    """How one kind of record or message is decoded and encoded."""
 
     read: Read
     fields: Fields
     write: Write | None = None
     refusal: type[Exception] | None = None
-    """What reading raises for a record that this version does not know."""
+    """The exception that `read` raises for a form that this version does not know."""
 
 
-# -- what the writers need ------------------------------------------------------------------------
+# -- test doubles ---------------------------------------------------------------------------------
 
 
 class _Client:
-    """A state service that holds `kept`, and keeps every change that is committed to it."""
+    """A state service that contains `kept` and records every committed change."""
 
     away = False
     first_seen = None
@@ -122,10 +122,10 @@
         return LeaseId(5)
 
     def set_leading(self, _: bool) -> None:
-        """Its share of the limits."""
+        """Rate limits do not apply here."""
 
     def put(self, key: str) -> Any:
-        """The value that was committed for a key."""
+        """Return the value that was last committed for a key."""
         return next(c["value"] for c in reversed(self.changes) if c.get("set") == key)
 
 
@@ -167,7 +167,7 @@
 
 
 def write_accepted_job(record: Any) -> Any:
-    """`job/ID` as the node that accepts the job writes it."""
+    """Return `job/ID` as written by the node that accepts the job."""
     client = _Client()
     time_is(record.at)
     asyncio.run(_admission(client).submit(wire.encode(record.spec)))
@@ -175,7 +175,7 @@
 
 
 def write_released_node(record: Any) -> Any:
-    """`job/NODE` as the leader writes it when it releases a graph's node."""
+    """Return `job/NODE` as written by the leader when it releases a node of a graph."""
     plain, node = record
     joined: list[JoinedWrite] = []
     time_is(plain.at)
@@ -197,12 +197,12 @@
 
 
 def read_node_job(value: Any) -> Any:
-    """The plain job's part and the subsystem's part of `job/NODE`."""
+    """Decode `job/NODE`; return the fields of the job and those of the graph subsystem."""
     return msgspec.convert(value, job_lifecycle.JobRecord), records.read_node_job(value)
 
 
 def read_chunk(value: Any) -> Any:
-    """`run/ID/CHUNK` taken over into a new leader's book."""
+    """Load `run/ID/CHUNK` into the job store of a new leader."""
     job_store = JobStore(_VALUE_KB)
     job = job_store.add(_spec(), Wall(0.0), Revision(3))
     bindings = job_store.load(job, 0, value, Revision(9))
@@ -210,13 +210,13 @@
 
 
 def write_chunk(read: Any) -> Any:
-    """`run/ID/CHUNK` as the leader writes it."""
+    """Return `run/ID/CHUNK` as written by the leader."""
     job_store, job, _, _ = read
     return job_store.value(job.chunks[0])
 
 
 def read_over(value: Any) -> Any:
-    """`over/ID`: what users are told of it, how a graph takes it, and what is read for a leader."""
+    """Decode `over/ID` for users' requests, for a graph and for a new leader."""
     final = Admission._final(
         cast(Any, None), JobId("wk-000412"), wire.KeyValue(value=value, version=3)
     )
@@ -230,7 +230,7 @@
 
 
 def write_end(read: Any) -> Any:
-    """`over/ID` as the leader writes it."""
+    """Return `over/ID` as written by the leader."""
     job_store = JobStore(_VALUE_KB)
     job = job_store.add(read.spec or _spec(), Wall(0.0), Revision(3))
     job.outcome = read.outcome
@@ -242,7 +242,7 @@
 
 
 def write_cancellation(read: Any) -> Any:
-    """`over/ID` as the node that cancels the job writes it."""
+    """Return `over/ID` as written by the node that cancels the job."""
     job = JobId(read.spec.id)
     client = _Client({state_records.job_key(job): {"spec": wire.plain(read.spec), "at": 0.0}})
     with mock.patch.object(admission, "wall_now", lambda: Wall(read.ended_at or 0.0)):
@@ -251,7 +251,7 @@
 
 
 def write_burial(read: Any) -> Any:
-    """`over/NODE` as the leader writes it for a node whose graph is over."""
+    """Return `over/NODE` as written by the leader for a node whose graph has ended."""
     joined: list[JoinedWrite] = []
     job = JobId(read.spec.id)
     term = SimpleNamespace(
@@ -272,12 +272,12 @@
 
 
 def write_gated_cancellation(_: Any) -> Any:
-    """`over/NODE` as the node that cancels a gated node writes it."""
+    """Return `over/NODE` as written by the controller that cancels a gated node."""
     return _cancel_gated(2).put(state_records.over_key(model.node_id("fam1", 2)))
 
 
 def write_word(value: Any) -> Any:
-    """`job/GRAPH.word`."""
+    """Return `job/GRAPH.word` as written by the controller that cancels a gated node."""
     return _cancel_gated(value["cancelled"]).put(records.word_key("fam1"))
 
 
@@ -285,7 +285,7 @@
 
 
 def read_leader(value: Any) -> Any:
-    """`leader` as other members read it, and how often its host has followed itself."""
+    """Decode `leader` for other members, with the host's number of consecutive re-elections."""
     member = SimpleNamespace(_unreadable=ChangeLog(logging.getLogger(__name__)))
     entry = wire.Entry(key=fencing.LEADER_KEY, value=value, version=7)
     known = Election._read_leader(cast(Any, member), entry)
@@ -296,7 +296,7 @@
 
 
 def write_leader(read: Any) -> Any:
-    """`leader` and `term` as the member that is elected writes them."""
+    """Return `leader` as written by the elected member; check `term`, which it writes as well."""
     value = read.value
     time_is(value.get("at", 0.0))
     secrets_are(value.get("incarnation", ""))
@@ -308,12 +308,12 @@
 
 
 def read_term(value: Any) -> Any:
-    """`term`; the election takes nothing but a whole number for one."""
+    """Decode `term`, an integer."""
     return FencingToken(value)
 
 
 def write_term(term: Any) -> Any:
-    """`term` as the member that is elected writes it."""
+    """Return `term` as written by the elected member."""
     client = _Client({fencing.LEADER_KEY: {}, election.TERM_KEY: term - 1})
     member = Election(cast(Any, client), "node-1", lambda: None)
     asyncio.run(member._stand(Revision(3)))
@@ -321,7 +321,7 @@
 
 
 def read_delegation(value: Any) -> Any:
-    """`deputy/HOST`."""
+    """Decode `deputy/HOST`."""
     unreadable = ChangeLog(logging.getLogger(__name__))
     found = renewal_delegation._read_delegation("deputy/node-1", value, 3, unreadable)
     if found is None:
@@ -339,7 +339,7 @@
 
 
 def read_rent(value: Any) -> Any:
-    """`cloud/rent/NAME` as a new leader takes it over."""
+    """Load `cloud/rent/NAME` for a new leader."""
     found = _read_intents(intent_log._RENT + "r1", value).rents
     if not found:
         raise ValueError("left alone")
@@ -347,7 +347,7 @@
 
 
 def write_rent(record: Any) -> Any:
-    """`cloud/rent/NAME` as the leader writes it, with the cloud's answer if there is one."""
+    """Return `cloud/rent/NAME` as written by the leader, with the cloud's answer if any."""
     joined: list[JoinedWrite] = []
 
     def join(change: JoinedWrite) -> None:
@@ -362,7 +362,7 @@
 
 
 def read_return(value: Any) -> Any:
-    """`cloud/return/TERM.N`: the machines as a new leader takes them over, and the record."""
+    """Load `cloud/return/TERM.N` for a new leader; return the machines and the record."""
     found = _read_intents(intent_log._RETURN + "00000003.000001", value).returns
     if not found:
         raise ValueError("left alone")
@@ -370,7 +370,7 @@
 
 
 def write_return(read: Any) -> Any:
-    """`cloud/return/TERM.N` as the leader writes it."""
+    """Return `cloud/return/TERM.N` as written by the leader."""
     joined: list[JoinedWrite] = []
 
     def join(change: JoinedWrite) -> None:
@@ -386,7 +386,7 @@
 
 
 def write_graph_end(over: Any) -> Any:
-    """`over/GRAPH`."""
+    """Return `over/GRAPH`."""
     head = Head(
         v=records.VERSION,
         status="accepted",
@@ -400,20 +400,20 @@
 
 
 def read_part(value: Any) -> Any:
-    """`part/GRAPH/PPPPP.CC`, a part of one fragment, and the nodes in it."""
+    """Decode `part/GRAPH/PPPPP.CC`, a part with one fragment; return it with its nodes."""
     entry = wire.Entry(key=records.fragment_key("fam1", 0, 0), value=value, version=3)
     packed = records.gather([entry])[0]
     return packed, records.unpack(packed)
 
 
 def write_part(read: Any) -> Any:
-    """`part/GRAPH/PPPPP.CC`. Its compressed bytes are also the zlib library's."""
+    """Return `part/GRAPH/PPPPP.CC`; its compressed bytes also depend on the zlib library."""
     (value,) = records.pack(read[1], 4096)
     return value
 
 
 def read_parts(value: Any) -> Any:
-    """The fragments of one part, and the nodes in it."""
+    """Decode the fragments of one part; return it with its nodes."""
     entries = [
         wire.Entry(key=records.fragment_key("fam1", 0, number), value=fragment, version=3)
         for number, fragment in enumerate(value)
@@ -423,7 +423,7 @@
 
 
 def write_parts(read: Any) -> Any:
-    """The values of a part's fragments; small values make several of them."""
+    """Return the values of a part's fragments; the size limit is low enough for several."""
     return records.pack(read[1], 400)
 
 
@@ -431,7 +431,10 @@
 
 
 def answer(what: str, kept: dict[str, Any], *given: Any) -> Any:
-    """Status, body and delay of the answer to a user, with `kept` in the state service."""
+    """Return status, body, retry delay and changes of a user's request.
+
+    The state service contains `kept`.
+    """
     client = _Client(kept)
     admission = _admission(client)
     graphs = admission.implicit_jobs = _graph_intake(client, admission)
@@ -606,7 +609,7 @@
 
 
 def _message(kind: type[Any], fields: Fields) -> Kind:
-    """A message that `wire` reads and writes."""
+    """Return the kind of a message that `wire` decodes and encodes."""
     return Kind(
         lambda text: wire.decode(text, kind), fields, lambda r: r, wire.MalformedMessageError
     )
@@ -615,7 +618,7 @@
 def _record(
     read: Callable[[Any], Any], fields: Fields, write: Write, refusal: type[Exception]
 ) -> Kind:
-    """A value in the state service."""
+    """Return the kind of a value in the state service."""
     return Kind(lambda text: read(orjson.loads(text)), fields, write, refusal)
 
 
@@ -746,7 +749,7 @@
     "graph part": _message(PartBody, {"nodes": lambda r: _nodes(r.nodes)}),
     "graph seal": _message(SealBody, {"parts": lambda r: r.parts}),
     "graph counts": _message(dict[str, int], {"counts": lambda r: r}),
-    # Files, which are only read.
+    # Files, which are only decoded.
     "settings": Kind(settings.parse, _SETTINGS, refusal=settings.SettingsError),
     "features": Kind(
         lambda text: features.parse(text.decode()), _FEATURES, refusal=features.FeaturesError
@@ -839,12 +842,12 @@
 
 
 def time_is(at: float) -> None:
-    """The time of day for what is written next."""
+    """Set the time of day for records written from now on."""
     _clock["time"] = at
 
 
 def secrets_are(text: str) -> None:
-    """The next secret that is made."""
+    """Set the value of secrets generated from now on."""
     _secret["hex"] = text
 
 
@@ -864,13 +867,13 @@
 
 
 def read_fields(kind: Kind, text: str) -> dict[str, Any]:
-    """What reading a sample gives, by the labels of its kind."""
+    """Decode a sample; return its fields by the labels of its kind."""
     found = kind.read(text.encode())
     return {label: field(found) for label, field in kind.fields.items()}
 
 
 def written_again(kind: Kind, text: str) -> str | None:
-    """A sample as it is written after it was read; None for what is never written."""
+    """Decode and encode a sample; None if its kind is never encoded."""
     if kind.write is None:
         return None
     return wire.encode(kind.write(kind.read(text.encode()))).decode()
@@ -930,7 +933,7 @@
 
 
 def _key_constants() -> Iterator[tuple[str, str]]:
-    """Constants that name a key, or the beginning of keys, in the state service."""
+    """Yield the constants that are a key, or a prefix of keys, in the state service."""
     for path in sorted((ROOT / "tealrill").rglob("*.py")):
         for node in ast.parse(path.read_text(encoding="utf-8")).body:
             if (
--- a/tests/test_rate_limiter.py
+++ b/tests/test_rate_limiter.py
@@ -1,4 +1,4 @@
-"""Budgets: who waits, in which order, and what waiting costs."""
+"""Rate limiter: order of waiting requests, cost of waiting, and the rate itself."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 T = TypeVar("T")
 RATES = (271.2, 145.6, 278.7, 140.0, 35.0)
-"""Of the first three, 0.6 of the rate and the rate less 0.4 of it are rounded differently."""
+"""For the first three, `0.6 * rate` and `rate - 0.4 * rate` are rounded differently."""
 
 
 def _run(monkeypatch: pytest.MonkeyPatch, work: Coroutine[Any, Any, T]) -> tuple[T, JumpingLoop]:
@@ -34,7 +34,7 @@
 
 
 def test_those_who_wait_are_woken_once_each(monkeypatch: pytest.MonkeyPatch) -> None:
-    """2,000 polls that each looked again every few milliseconds took half of a controller."""
+    """2,000 waiters that each poll the bucket took half of a controller's processor time."""
 
     async def wait() -> list[float]:
         found = RateLimiter(100.0)
@@ -49,7 +49,7 @@
 
     served, loop = _run(monkeypatch, wait())
     assert served == sorted(served)
-    # The bucket's 100 at once, the rest at 100 a second.
+    # A full bucket of 100 at once, the others at 100 per second.
     assert served[99] == 0.0 and served[-1] == pytest.approx(19.0, abs=0.2)
     assert loop.turns < 5 * 2000 + 10_000
 
@@ -95,7 +95,7 @@
 def test_one_of_the_lowest_rank_that_needs_all_it_may_take_gets_it(
     rate: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Two roundings of the same part of the bucket differed, and it waited for ever."""
+    """If need and availability are rounded differently, the request waits forever."""
 
     async def wait() -> float:
         found = RateLimiter(rate)
@@ -135,13 +135,13 @@
     assert len(given_at) == len(wishes)
     total = 0.0
     for at, amount in given_at:
-        # One that is larger than the bucket goes with a full one, and the next ones wait for it.
+        # An amount above the burst size is granted with a full bucket; later ones wait for it.
         assert total <= max(1.0, rate) + rate * at + 1e-6
         total += amount
 
 
 class _Answers:
-    """The state service, reached at once."""
+    """An HTTP client that answers at once and counts requests."""
 
     def __init__(self) -> None:
         self.requests = 0
@@ -154,7 +154,7 @@
 
 
 def test_polls_beyond_the_rate_are_refused_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    """They were held for as long as their users waited, and looked at again and again."""
+    """Queued until their users give up, excess polls would cost processor time without a result."""
 
     async def poll() -> tuple[int, int, float]:
         limits = wire.decode(
@@ -176,7 +176,7 @@
 
     (refused, served, at), _ = _run(monkeypatch, poll())
     assert refused + served == 3000 and at == 0.0
-    assert 90 < served < 130  # a bucket full, and a second's worth
+    assert 90 < served < 130  # a full bucket, and the tokens of one second
 
 
 def _limits(found: dict[str, Any]) -> StateLimits:
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -1,12 +1,12 @@
-"""What users are told stays true, whatever becomes of transactions on their way.
+"""Users' answers stay consistent and tasks run once, whatever happens to transactions in transit.
 
-Three nodes take submissions, polls and cancellations for the same jobs while a leader binds and
-ends their tasks; transactions are executed with and without an answer, late, or not at all. After
+Three nodes serve submissions, polls and cancellations of the same jobs while a leader binds and
+ends their tasks. Transactions are executed with or without an answer, late, or not at all. After
 each step no answer may contradict an earlier one: `forgotten`, `went_back`, `not_done` and
-`invented` of the protocol. Leaders follow each other at any moment, as fast as a process is back,
-while what the former one sent is still under way: no task may start again while a binding of it
-stands, or after it was written down as done. `test_unguarded_writes_are_found` takes the guards
-away. (A former leader that goes on beside the next one is played in `test_bindings.py`.)
+`invented` of the protocol. Failovers happen at any time, while transactions of the previous leader
+are still in flight: no task may be started while it is bound, or after it was recorded as done.
+`test_unguarded_writes_are_found` removes the guards and requires that a violation is found.
+(`test_bindings.py` covers a previous leader that is still active after its successor's election.)
 """
 
 from __future__ import annotations
@@ -61,7 +61,7 @@
 
 
 class _Plenty:
-    """A budget that never runs out."""
+    """A rate limiter that never runs out of tokens."""
 
     def available(self, rank: RequestPriority = RequestPriority.FIRST) -> float:
         return 100.0
@@ -73,7 +73,7 @@
 
 
 class Store:
-    """The state service, with a network that loses answers and delivers late."""
+    """The state service behind a network that loses answers and delays requests."""
 
     def __init__(self, rng: random.Random, guarded: bool) -> None:
         self.rng = rng
@@ -131,7 +131,7 @@
 
 
 class Contradiction(AssertionError):
-    """A user was told something that does not go with what it was told before."""
+    """A user got an answer that contradicts an earlier one, or a task would run twice."""
 
 
 class Service:
@@ -145,7 +145,7 @@
         self.job_store = JobStore(8.0)
         self.write_batcher = self._keeper(Revision(1))
         self.running: dict[tuple[str, int], int] = {}
-        """Started attempts that no proof has ended, by job and task."""
+        """Started attempts that have not been proved to have ended, by job and task."""
         self.told: dict[str, str] = {}
         self.asked_to_cancel: set[str] = set()
         self.finished: dict[str, set[int]] = {name: set() for name in JOBS}
@@ -189,7 +189,7 @@
         return WriteBatcher(self.client, self.job_store, mine, 12, self._start, lambda _: None)
 
     def _start(self, chunks: list[Chunk]) -> None:
-        """What is committed may run from now on."""
+        """Start the tasks whose bindings have been committed."""
         for chunk in chunks:
             for binding in self.job_store.never_sent(chunk):
                 place = (binding.task.job, binding.task.index)
@@ -199,7 +199,7 @@
                 binding.seen = True
 
     async def succeed(self) -> None:
-        """The leader's process ends in the middle of anything, and another one is elected."""
+        """End the leader's process at an arbitrary point, and elect another leader."""
         self.store.epoch += 1
         self.store.keys[LEADER_KEY] = ({}, self.store.epoch)
         self.job_store = JobStore(8.0)
@@ -219,7 +219,7 @@
                     self.job_store.load(job, int(number), entry.value, Revision(entry.version))
 
     async def lead(self) -> None:
-        """The leader takes up a job, binds a task, counts one done, or writes its book."""
+        """Let the leader add a job, or bind a task and complete one; then commit a transaction."""
         name = JobId(self.rng.choice(JOBS))
         job = self.job_store.jobs.get(name)
         kept = self.store.keys.get(job_key(name))
@@ -280,7 +280,7 @@
 
 
 class _Throttled(Store):
-    """A state service at its limit: so many transactions are answered 429."""
+    """A state service at its rate limit: the first `busy` transactions are answered 429."""
 
     def __init__(self, busy: int) -> None:
         super().__init__(random.Random(0), True)
@@ -310,7 +310,7 @@
 
 
 def test_a_burst_at_one_node_is_accepted_and_the_rest_refused_at_once() -> None:
-    # A node's even part of the rate refused most of a burst while the other parts lay idle.
+    # With equal shares of the rate one node refused most of a burst while the others' were unused.
     replies = _submit_all(_Throttled(busy=0), 25)
     assert [reply.status for reply in replies] == [201] * 20 + [503] * 5
     assert all(reply.retry_after_s == 1 for reply in replies if reply.status == 503)
@@ -336,7 +336,7 @@
 
 
 def test_an_urgent_jobs_binding_does_not_wait_for_hundreds_of_others() -> None:
-    """After a fall all that was lost is bound again at once, and changes are few."""
+    """After a mass failure all lost tasks are bound again at once, and changes are limited."""
     client = cast(StateClient, Store(random.Random(1), True))
     job_store = JobStore(8.0)
     mine = Leadership(FencingToken(1), Revision(1), LeaseId(1), NOW, Monotonic(1e9))
@@ -356,5 +356,5 @@
     bind(11, "urgent")
     batch = write_batcher._gather(NOW)
     written = [chunk.job.id for chunk, _, _ in batch.chunks]
-    # Within a class they go in the order in which they came.
+    # Within a class they are written in order of arrival.
     assert written == ["wk-000011", "wk-000001", "wk-000002", "wk-000003"]
--- a/tests/test_submissions.py
+++ b/tests/test_submissions.py
@@ -1,7 +1,7 @@
-"""Which jobs are taken: 400 for what is malformed, 422 for what can never run, and why.
+"""Validation of submissions: 400 for a malformed job, 422 for one that can never run.
 
-A valid job is drawn, one thing of it is spoiled, and the answer's status and the field that it
-names are held against the protocol. Nothing of this costs a change of the state service.
+A valid job is generated, one field of it is made invalid, and the status of the reply and the field
+that it names are compared with the protocol. A rejected job changes nothing in the state service.
 """
 
 from __future__ import annotations
@@ -40,16 +40,16 @@
     wire.Catalogue,
 )  # fmt: skip
 _LIMIT = 64.0
-"""Processors that team `red` may use; `blue` has no limit."""
+"""Processor limit of team `red`; `blue` has no limit."""
 _NULLABLE = ("builds", "hall", "dueS")
-"""The protocol: where a field may be null, it may also be omitted."""
+"""Fields that may be null; by the protocol they may also be omitted."""
 _AMOUNTS = ("vcpus", "gpus", "memoryGb", "sizeGb", "guessS", "snapshotS", "flushS")
 _TEXTS = ("lineup", "crew", "bundle")
 _FLAGS = ("samePlace", "scatter", "loaners")
 
 
 class _Client:
-    """As much of the state service as an acceptance needs."""
+    """The part of the state service client that a submission needs."""
 
     away = False
     first_seen = Revision(1)
@@ -85,7 +85,7 @@
 
 @st.composite
 def _jobs(draw: st.DrawFn) -> dict[str, Any]:
-    """Jobs that can run: a task fits a machine, and the team's limit leaves room."""
+    """Generate jobs that can run: a task fits a machine type and the team's limit admits it."""
     shape = draw(st.sampled_from(["sweep", "standing"]))
     pieces = draw(st.integers(1, 8))
     found = {
@@ -99,8 +99,8 @@
         "builds": draw(st.sampled_from([None, ["small"], ["small", "other"]])),
         "hall": draw(st.sampled_from([None, "north", "south"])),
         "dueS": draw(st.sampled_from([None, 0.0, 600])),
-        # Contradictions as they seem: an array's tasks may follow each other, and a service whose
-        # tasks can't all run at once is none of what the protocol calls impossible.
+        # These combinations only seem contradictory: the tasks of an array may run one after
+        # another, and the protocol does not reject a service whose tasks can't all run at once.
         "samePlace": draw(st.booleans()),
         "scatter": draw(st.booleans()),
         "loaners": draw(st.booleans()),
@@ -194,7 +194,7 @@
 @pytest.mark.parametrize(
     ("shape", "pieces", "vcpus", "status"),
     [
-        # An array runs if one of its tasks may; a service's run all at once.
+        # An array needs room for one of its tasks, a service for all of them at once.
         ("sweep", 1000, _LIMIT, 201),
         ("standing", 8, 8.0, 201),
         ("standing", 9, 8.0, 422),
@@ -238,19 +238,19 @@
 def test_before_the_machine_types_are_known_nothing_is_called_impossible() -> None:
     reply = _submit(orjson.dumps({**SUBMISSION, "vcpus": 1e9}), _Client(), None)
     assert (reply.status, reply.retry_after_s) == (503, 1)
-    # What is malformed is so whatever there is.
+    # A malformed job is rejected without knowledge of the machine types.
     assert _submit(orjson.dumps({**SUBMISSION, "vcpus": -1}), _Client(), None).status == 400
 
 
 def test_while_a_jobs_state_can_not_be_told_its_repetition_is_not_called_malformed() -> None:
-    """Its owner's record is being moved: it was accepted, and the user is to come again."""
+    """While the owner's record is being moved, the accepted job's repetition gets a 503."""
     client = _Client(**{"job/lab1-0": {"spec": SUBMISSION, "at": 1.0, "owner": "lab1"}})
     reply = _submit(orjson.dumps({**SUBMISSION, "id": "lab1-0", "vcpus": -1}), client)
     assert (reply.status, reply.retry_after_s) == (503, 1)
 
 
 def test_a_record_without_what_may_be_null_is_read() -> None:
-    """The border's type is the record's: what a version wrote without them must still be read."""
+    """Requests and records share one type, so records without nullable fields must be readable."""
     record = {k: v for k, v in SUBMISSION.items() if k not in _NULLABLE}
     spec = wire.decode(orjson.dumps(record), wire.JobSpec)
     assert (spec.types, spec.zone, spec.deadline_s) == (None, None, None)
--- a/tests/test_write_batcher.py
+++ b/tests/test_write_batcher.py
@@ -1,4 +1,4 @@
-"""What the leader writes first when changes are few, and what goes with a job's end."""
+"""Order of the leader's writes at a limited rate, and deletion of chunks with a job's end."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class _Rate:
-    """So many changes may be made at this moment."""
+    """A rate limiter with a fixed number of tokens."""
 
     def __init__(self, tokens: float) -> None:
         self.tokens = tokens
@@ -76,7 +76,7 @@
                 self.job_store.release(binding, "north", NOW)
 
     def write(self) -> list[str]:
-        """One transaction: the jobs it ends and the jobs it binds tasks of, in its order."""
+        """Commit one transaction; return the ends and bindings in it, in order."""
         batch = self.write_batcher._gather(NOW)
         if not batch.changes:
             return []
@@ -86,7 +86,8 @@
 
 
 def test_an_urgent_binding_goes_before_the_ends_of_many_small_jobs() -> None:
-    # 667 jobs of one task each ended within minutes at 20 changes a second; urgent work waited.
+    # When 667 jobs of one task each ended within minutes, at a rate of 20 changes per second,
+    # urgent bindings waited behind their ends.
     term = _Term()
     small = [term.job(number, "idle") for number in range(10)]
     for job in small:
@@ -133,8 +134,8 @@
 
 
 def test_an_end_is_not_starved_by_bindings_that_take_less() -> None:
-    # An end takes two changes and more. With one to be had, bindings used to take it, again and
-    # again, and a user waited for its job's end as long as there were any.
+    # An end takes at least two changes. If bindings may use a single available change, an end is
+    # delayed for as long as there are bindings to write.
     term = _Term()
     done = term.job(1, "standard")
     term.bind(done)
@@ -163,7 +164,7 @@
 
 
 def test_a_chunk_with_a_binding_that_stands_does_not_go_with_the_end() -> None:
-    """A done task may still be on a machine, and a new leader has to know of it."""
+    """A done task may still be on a machine, and a new leader must know its binding."""
     term = _Term()
     job = term.job(1, "standard")
     term.bind(job)
@@ -189,7 +190,7 @@
             pass
         assert "run/wk-1/00000" not in term.store.keys
         assert over_key(job.id) in term.store.keys
-        # The late one is executed now, and its guards keep it from doing anything.
+        # The delayed transaction is executed now; its guards must reject it.
         before = dict(term.store.keys)
         for guards, changes in term.store.late:
             term.store.execute(guards, changes)
