--- a/tealrill/leader/job_lifecycle.py
+++ b/tealrill/leader/job_lifecycle.py
@@ -51,7 +51,7 @@
         self.unread: set[JobId] = set()
         """Jobs whose record this version can't read."""
 
-    def add(self, key: str, value: object, stamp: Revision) -> Job | None:
+    def add(self, key: str, value: object, mod_revision: Revision) -> Job | None:
         """Add the job of a record under `job/`.
 
         Returns None if the job is already known, or the key or the record is not a readable job.
@@ -66,7 +66,7 @@
             self.unread.add(job_id)
             return None
         self._scheduling_loop.snapshots.submitted(record.spec, monotonic_now())
-        job = self._job_store.add(record.spec, Wall(record.at), stamp)
+        job = self._job_store.add(record.spec, Wall(record.at), mod_revision)
         if record.owner is not None:
             self._give_to_owner(job, value)
         return job
@@ -75,13 +75,13 @@
         """Pass the records under `job/` that are not jobs to the extensions."""
         others = [e for e in entries if parse_job_id(e.key.removeprefix(JOB_PREFIX)) is None]
         for extension in self.extensions:
-            extension.read(others)
+            extension.load_records(others)
 
     def _give_to_owner(self, job: Job, value: Any) -> None:
-        if not any(extension.take(job, value) for extension in self.extensions):
+        if not any(extension.claim_job(job, value) for extension in self.extensions):
             # Its extension is disabled or can't read the record: the job is kept, but blocked.
             log.error("job blocked, its owner is unknown to this member: job=%s", job.id)
-            self._job_store.close_tasks(job)
+            self._job_store.block_tasks(job)
         if job.cancelled:
             self.stop(job)
 
@@ -99,7 +99,7 @@
     def _forget(self, job: Job) -> None:
         self._fleet.failure_attribution.forget_job(job.id)
         for extension in self.extensions:
-            extension.over(job)
+            extension.on_job_ended(job)
 
     def upcoming(self, now: Monotonic, within_s: float) -> list[tuple[JobView, int]]:
         """Return the tasks that extensions expect to wait for machines within `within_s` seconds.
@@ -116,10 +116,10 @@
             extension.tasks_done(job, tasks)
         self._wake()
 
-    def on_owner_gone(self, owner: Owner) -> None:
+    def on_owner_changed(self, owner: Owner) -> None:
         """Notify extensions that a transaction failed because an owner's record has changed."""
         for extension in self.extensions:
-            extension.owner_gone(owner)
+            extension.owner_changed(owner)
 
     def on_cancelled(self, name: str, source: str) -> None:
         """Stop a job whose record was deleted or whose cancellation another node acknowledged.
@@ -129,12 +129,12 @@
         job_id = parse_job_id(name)
         if job_id is None:
             for extension in self.extensions:
-                extension.cancelled(name)
+                extension.on_cancelled(name)
             return
         job = self._job_store.jobs.get(job_id)
         if job is None or job.cancelled:
             return
-        if job.id in self._job_store.ending:
+        if job.id in self._job_store.ending_jobs:
             # This leader is committing the job's end. If a cancellation came first, that
             # transaction fails and its read-back shows the cancellation, which may take as long as
             # an outage of the state service. Tasks of a job that ends without being done may still
--- a/tealrill/leader/job_watch.py
+++ b/tealrill/leader/job_watch.py
@@ -36,14 +36,14 @@
         self._job_store = job_store
         self._lifecycle = lifecycle
         self._wake = wake
-        self.seen = CancellationKnowledge()
+        self.cancellation_knowledge = CancellationKnowledge()
         """Up to which revision, and as of what time, changes of jobs are known from the watch."""
 
     async def run(self, seen: CancellationKnowledge) -> None:
         """Watch from the revision of `seen` on, until cancelled."""
         hold_s = _WATCH_S
         while True:
-            self.seen = seen
+            self.cancellation_knowledge = seen
             # The answer reflects the state at the time it is given, so it is at least as recent as
             # the time the request is sent.
             sent = monotonic_now()
@@ -72,7 +72,7 @@
         if parse_job_id(key.removeprefix(JOB_PREFIX)) is None:
             value = event.value if event.put is not None else None
             for extension in self._lifecycle.extensions:
-                extension.seen(key, value, Revision(event.version))
+                extension.on_record_changed(key, value, Revision(event.version))
         elif event.put is not None:
             if self._lifecycle.add(event.put, event.value, Revision(event.version)):
                 self._wake()
--- a/tealrill/leader/leader.py
+++ b/tealrill/leader/leader.py
@@ -27,7 +27,7 @@
 from tealrill.leadership.election import Election
 from tealrill.leadership.exclusion import Exclusions
 from tealrill.leadership.lease_extension import CancellationKnowledge
-from tealrill.leadership.open_jobs import renewal_bound_s
+from tealrill.leadership.open_jobs import renewal_staleness_bound_s
 from tealrill.leadership.renewal_delegation import DELEGATION_S, Delegations
 from tealrill.scheduler.estimates import Estimates
 from tealrill.settings import Params, Settings
@@ -53,12 +53,12 @@
         client: StateClient,
         cloud: Cloud,
         election: Election,
-        mine: Leadership,
+        leadership: Leadership,
         estimates: Estimates,
         parts: Sequence[Callable[[LeadershipContext], LeaderExtension]] = (),
         catalogue: wire.Catalogue | None = None,
     ) -> None:
-        """Compose the components for the term `mine`.
+        """Compose the components for the term `leadership`.
 
         `parts` are factories of the extensions' components; `catalogue` is the last known catalogue
         of the cloud, if any.
@@ -66,13 +66,13 @@
         params = settings.params
         self._client = client
         self._election = election
-        self._mine = mine
+        self._leadership = leadership
         self._estimates = estimates
         self._wake = asyncio.Event()
         self._winding_up = False
         self._vouched_at = Monotonic(-math.inf)
         """All cancellations that other members acknowledged before this time are known."""
-        self._unseen_s = renewal_bound_s(params.workers)
+        self._unseen_s = renewal_staleness_bound_s(params.workers)
         self._resigning: asyncio.Task[None] | None = None
         self.job_store = JobStore(params.state.value_kb)
         self.fleet = self._new_fleet(params)
@@ -81,15 +81,20 @@
         self._compose_loops()
         self._compose_extensions(settings, parts)
         self.exclusions = Exclusions(
-            settings, client, mine.term, mine.stamp, self._valid, revoked=self._lease_revoked
+            settings,
+            client,
+            leadership.term,
+            leadership.mod_revision,
+            self._valid,
+            on_lease_revoked=self._lease_revoked,
         )
 
     def _new_fleet(self, params: Params) -> Fleet:
         workers = params.workers
         fleet = Fleet(
             self.job_store,
-            self._mine.term,
-            self._mine.elected_at,
+            self._leadership.term,
+            self._leadership.elected_at,
             workers.lease_s,
             DELEGATION_S,
             workers.heartbeat_interval_s,
@@ -104,20 +109,20 @@
         self, params: Params, cloud: Cloud, catalogue: wire.Catalogue | None
     ) -> None:
         """Compose the components that write to the state service and send requests to the cloud."""
-        mine = self._mine
+        leadership = self._leadership
         self.write_batcher = WriteBatcher(
             self._client,
             self.job_store,
-            mine,
+            leadership,
             params.state.txn_ops,
             self._committed,
             self._job_ended,
         )
-        self.intent_log = IntentLog(self.write_batcher.join, mine.term, params.state.value_kb)
+        self.intent_log = IntentLog(self.write_batcher.join, leadership.term, params.state.value_kb)
         self.provisioner = Provisioner(
             cloud,
             self.fleet,
-            mine.term,
+            leadership.term,
             params.cloud.list_lag_s,
             self.intent_log,
             self._duty("renting"),
@@ -126,7 +131,7 @@
         if catalogue is not None:
             # Without it, a leader elected during an outage of the cloud could not place any task
             # until the outage ends.
-            self.provisioner.take_catalogue(catalogue)
+            self.provisioner.set_catalogue(catalogue)
         self.provisioner.changed = self.wake
         self.fleet.registered = self.provisioner.registered
 
@@ -135,7 +140,7 @@
         self._connections = ConnectionPool(params.quota.fd_limit, lambda: len(self.fleet.machines))
         self.fleet.deregistered = self._connections.drop
         self.direct_commands = DirectCommands(
-            self.fleet, self._connections, self._mine.term, self._valid, self.wake
+            self.fleet, self._connections, self._leadership.term, self._valid, self.wake
         )
         self.scheduling_loop = SchedulingLoop(
             self.job_store,
@@ -148,16 +153,16 @@
         self.prober = Prober(
             self.fleet,
             params.workers.heartbeat_interval_s,
-            lambda: self._connections.spare,
+            lambda: self._connections.spare_sockets,
             valid=self._valid,
         )
-        self.prober.judged = self.wake
+        self.prober.diagnosis_changed = self.wake
         self.provisioner.partitioned_zones = lambda: self.prober.diagnosis.partitioned_zones
         self.scheduling_loop.diagnosis = lambda: self.prober.diagnosis
 
     def _compose_loops(self) -> None:
         """Compose the components that load the records, and the loops that run afterwards."""
-        client, term = self._client, self._mine.term
+        client, term = self._client, self._leadership.term
         self.lifecycle = JobLifecycle(self.job_store, self.fleet, self.scheduling_loop, self.wake)
         self.record_loader = RecordLoader(
             client,
@@ -175,11 +180,15 @@
         delegations = Delegations(
             client,
             term,
-            self._mine.stamp,
+            self._leadership.mod_revision,
             lambda: self.fleet.leases.delegation_ended(monotonic_now()),
         )
         self.lease_expiry = LeaseExpiryLoop(
-            self.fleet, delegations, term, self.informed, lambda: self.known
+            self.fleet,
+            delegations,
+            term,
+            self.may_renew_workers,
+            lambda: self.cancellation_knowledge,
         )
 
     def _compose_extensions(
@@ -188,7 +197,7 @@
         context = LeadershipContext(
             settings,
             self._client,
-            self._mine,
+            self._leadership,
             self.job_store,
             self.write_batcher,
             self._valid,
@@ -201,7 +210,7 @@
         if self.parts:
             self.scheduling_loop.autoscaler.upcoming = self.lifecycle.upcoming
             self.write_batcher.tasks_done = self.lifecycle.on_tasks_done
-            self.write_batcher.owner_gone = self.lifecycle.on_owner_gone
+            self.write_batcher.owner_changed = self.lifecycle.on_owner_changed
 
     async def run(self) -> None:
         """Load the records, then run the loops until the term ends."""
@@ -214,9 +223,9 @@
                 group.create_task(self.lease_expiry.run())
                 group.create_task(self.prober.run())
                 group.create_task(self.exclusions.run())
-                group.create_task(self.provisioner.run_returns())
-                group.create_task(self.provisioner.run_releases())
-                group.create_task(self.provisioner.run_lists())
+                group.create_task(self.provisioner.run_release_recording())
+                group.create_task(self.provisioner.run_release_requests())
+                group.create_task(self.provisioner.run_reconciliation())
                 for part in self.parts:
                     group.create_task(part.run())
         except* LeadershipLostError:
@@ -230,23 +239,23 @@
         self._connections.close()
         self.exclusions.close()
 
-    def wind_up(self) -> None:
+    def begin_handover(self) -> None:
         """Stop beginning new work, because leadership is about to be handed over."""
         self._winding_up = True
         self.intent_log.closed = True
         self.write_batcher.wake()
 
     @property
-    def under_way(self) -> bool:
+    def busy(self) -> bool:
         """True while work that was begun is still to be committed or sent to workers.
 
         Requests to the cloud are not included: they are recorded, and the next leader resumes them.
         """
         return bool(
             self.direct_commands.in_flight
-            or self.job_store.urgent
-            or self.job_store.ending
-            or self.write_batcher.under_way
+            or self.job_store.urgent_chunks
+            or self.job_store.ending_jobs
+            or self.write_batcher.busy
         )
 
     def wake(self) -> None:
@@ -254,11 +263,13 @@
         self._wake.set()
 
     def _duty(self, name: str) -> Duty:
-        return Duty(name, self._mine.term, self._mine.elected_at, self._valid, self._alone)
+        return Duty(
+            name, self._leadership.term, self._leadership.elected_at, self._valid, self._alone
+        )
 
     def _alone(self) -> bool:
         """Return True if neither lease renewals nor other requests of this node are answered."""
-        return self._mine.troubled and self._client.failing
+        return self._leadership.renewal_failed and self._client.failing
 
     def duties(self) -> dict[str, Any]:
         """Return a description of the duties that this node holds, for operators."""
@@ -267,8 +278,8 @@
         return {
             duty.name: duty.describe(now, count)
             for duty, count in (
-                (self.provisioner.renting, len(intent_log.rents)),
-                (self.provisioner.returning, len(intent_log.returns)),
+                (self.provisioner.rent_duty, len(intent_log.open_rentals)),
+                (self.provisioner.release_duty, len(intent_log.open_releases)),
             )
         }
 
@@ -280,15 +291,15 @@
         self._vouched_at = max(self._vouched_at, at)
 
     @property
-    def known(self) -> CancellationKnowledge:
+    def cancellation_knowledge(self) -> CancellationKnowledge:
         """How far cancellations are known, from the watch or from the other members' reports."""
-        return CancellationKnowledge(self.job_watch.seen.revision, self._known_at)
+        return CancellationKnowledge(self.job_watch.cancellation_knowledge.revision, self._known_at)
 
     @property
     def _known_at(self) -> Monotonic:
-        return max(self.job_watch.seen.at, self._vouched_at)
+        return max(self.job_watch.cancellation_knowledge.at, self._vouched_at)
 
-    def informed(self, now: Monotonic) -> bool:
+    def may_renew_workers(self, now: Monotonic) -> bool:
         """Return True if workers may be renewed: cancellations are known up to a recent time.
 
         False until the records are loaded. Otherwise a sequence of leaders whose terms all end
@@ -304,12 +315,12 @@
             why = "another member is revoking its lease"
             self._resigning = asyncio.create_task(self._election.resign(why, 0.0))
 
-    def leads(self, mine: Leadership) -> bool:
-        """Return True if this object runs the term `mine`."""
-        return self._mine is mine
+    def runs_term(self, leadership: Leadership) -> bool:
+        """Return True if this object runs the term `leadership`."""
+        return self._leadership is leadership
 
     def _valid(self) -> bool:
-        return self._election.leading(monotonic_now()) is self._mine
+        return self._election.valid_leadership(monotonic_now()) is self._leadership
 
     def _committed(self, chunks: list[Chunk]) -> None:
         """Send the starts of tasks whose bindings have just been committed in these chunks."""
@@ -334,9 +345,9 @@
         try:
             commands = self.fleet.heartbeats.process(report, machine_id, now, wall_now())
         except NewerTokenError as error:
-            log.info("leadership superseded: term=%d reason=%s", self._mine.term, error)
+            log.info("leadership superseded: term=%d reason=%s", self._leadership.term, error)
             self._election.step_down("a worker knows a newer term")
             return None
-        if self.job_store.ending:
+        if self.job_store.ending_jobs:
             self.write_batcher.wake()
         return commands
--- a/tealrill/leader/loops.py
+++ b/tealrill/leader/loops.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from typing import Final
 
-from tealrill.fleet.autoscaling import RENT_EVERY_S
+from tealrill.fleet.autoscaling import RENT_INTERVAL_S
 from tealrill.fleet.dispatch import SchedulingLoop
 from tealrill.fleet.inventory import Fleet
 from tealrill.leadership.lease_extension import CancellationKnowledge
@@ -62,7 +62,11 @@
                 self._write_batcher.wake()
             gap_s = pass_gap_s(monotonic_now() - began)
             await asyncio.sleep(gap_s)
-            pause_s = RENT_EVERY_S if self._scheduling_loop.autoscaler.put_off else _PASS_EVERY_S
+            pause_s = (
+                RENT_INTERVAL_S
+                if self._scheduling_loop.autoscaler.rental_deferred
+                else _PASS_EVERY_S
+            )
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(pause_s - gap_s):
                     await self._wake.wait()
@@ -76,18 +80,18 @@
         fleet: Fleet,
         delegations: Delegations,
         term: FencingToken,
-        informed: Callable[[Monotonic], bool],
+        may_renew_workers: Callable[[Monotonic], bool],
         known: Callable[[], CancellationKnowledge],
     ) -> None:
         """Check for the leader of `term`.
 
-        `informed` returns True if workers may be renewed; `known` returns how far cancellations are
+        `may_renew_workers` returns True if workers may be renewed; `known` returns how far cancellations are
         known.
         """
         self._fleet = fleet
         self._delegations = delegations
         self._term = term
-        self._informed = informed
+        self._informed = may_renew_workers
         self._known = known
         self._was_informed = True
 
@@ -102,13 +106,13 @@
 
     def _log_knowledge(self, now: Monotonic) -> None:
         """Log when worker renewals stop for lack of knowledge of cancellations, or resume."""
-        informed = self._informed(now)
-        if informed != self._was_informed:
-            self._was_informed = informed
+        may_renew_workers = self._informed(now)
+        if may_renew_workers != self._was_informed:
+            self._was_informed = may_renew_workers
             known = self._known()
             log.info(
                 "worker renewals %s: term=%d cancellations_known_to_revision=%d known_s_ago=%.1f",
-                "resumed" if informed else "suspended",
+                "resumed" if may_renew_workers else "suspended",
                 self._term,
                 known.revision,
                 now - known.at,
@@ -117,7 +121,7 @@
     async def _check(self) -> None:
         """Expire the leases of machines, but only once no delegate can have renewed them."""
         now = monotonic_now()
-        silent = self._fleet.leases.silent(now)
+        silent = self._fleet.leases.expired_machines(now)
         # A delegate must not keep a job running whose cancellation has been acknowledged or may
         # have been acknowledged without this leader's knowledge. Waiting until the machine's lease
         # would have expired without delegates is too late: the end of the delegation and the
@@ -128,5 +132,5 @@
             await self._delegations.clear()
             return
         has_overdue_stop |= any(b.chunk.job.cancelled for m in silent for b in m.bindings.values())
-        if not await self._delegations.stand(now, revoke=has_overdue_stop):
-            self._fleet.leases.check_silence(now)
+        if not await self._delegations.check_active(now, revoke=has_overdue_stop):
+            self._fleet.leases.expire_leases(now)
--- a/tealrill/state/acknowledged_cancellations.py
+++ b/tealrill/state/acknowledged_cancellations.py
@@ -39,7 +39,7 @@
         """Return the names whose cancellation a leader that has read up to `revision` may miss."""
         return [name for name, at in self._jobs.items() if at > revision]
 
-    def all_since(self, revision: Revision) -> bool:
+    def is_complete_since(self, revision: Revision) -> bool:
         """Return True if `since` has all that this host acknowledged after `revision`.
 
         Those that an earlier process of this host acknowledged precede this process's first scan.
--- a/tealrill/state/bindings.py
+++ b/tealrill/state/bindings.py
@@ -42,11 +42,11 @@
     """Read from the records of an earlier leader, which may have sent the start."""
     sent: HeartbeatSequence | None = None
     """Sequence number of the heartbeat whose response first carried the start."""
-    seen: bool = False
+    start_confirmed: bool = False
     """The worker has listed the task in a heartbeat or has executed a direct start of it."""
     direct_start_in_flight: bool = False
     """A direct start was sent and not answered; it may still arrive at any later time."""
-    shown_in: HeartbeatSequence | None = None
+    last_listed_in: HeartbeatSequence | None = None
     """Sequence number of this incarnation's last heartbeat that listed the task."""
     state: str | None = None
     running_since: Monotonic | None = None
@@ -61,7 +61,8 @@
     def never_sent(self) -> bool:
         """True if it is certain that no leader has sent a start for it."""
         return (
-            not (self.seen or self.inherited or self.direct_start_in_flight) and self.sent is None
+            not (self.start_confirmed or self.inherited or self.direct_start_in_flight)
+            and self.sent is None
         )
 
 
@@ -93,7 +94,7 @@
     """
 
     key: str
-    stamp: Revision
+    mod_revision: Revision
     name: str
 
 
@@ -103,14 +104,14 @@
 
     job: Job
     number: int
-    stamp: Revision = ABSENT
+    mod_revision: Revision = ABSENT
     version: int = 0
     committed: int = 0
     dirty_since: Monotonic | None = None
     new_bindings: int = 0
     """Bindings added since the last commit."""
     news: list[tuple[int, int]] = field(default_factory=list)
-    """Uncommitted completions as (version, task index); only for jobs with `followed` set."""
+    """Uncommitted completions as (version, task index); only for jobs with `reports_completions` set."""
 
     @property
     def key(self) -> str:
@@ -125,7 +126,7 @@
     id: JobId
     spec: wire.JobSpec
     submitted: Wall
-    stamp: Revision
+    mod_revision: Revision
     chunk_tasks: int
     done: bytearray
     done_count: int = 0
@@ -145,15 +146,15 @@
     owner: Owner | None = None
     tail_s: float = 0.0
     """Estimated duration, in seconds, of the longest chain of work that depends on this job."""
-    most_errors: int | None = None
+    max_task_errors: int | None = None
     """Failures of one task after which the job fails if exceeded; None for unlimited retries."""
     outcome: str = OUTCOME_DONE
     """How the job ends; final once the job is in `JobStore.ending`."""
-    opened: bytearray | None = None
+    unblocked: bytearray | None = None
     """For a job whose tasks are unblocked one by one: a flag per task that has been unblocked."""
     closed: int = 0
     """Number of tasks that are still blocked."""
-    followed: bool = False
+    reports_completions: bool = False
     """Other jobs wait for single tasks of this one, so each completion is written at once."""
 
     @property
--- a/tealrill/state/client.py
+++ b/tealrill/state/client.py
@@ -87,7 +87,7 @@
         received has a revision no later than this one."""
         self.requests = RateLimiter(self._share() * limits.rps)
         self.writes = RateLimiter(self._share() * limits.write_rps)
-        self.accepts = RateLimiter(_ACCEPT_SHARE * limits.write_rps, depth=limits.write_rps)
+        self.submissions = RateLimiter(_ACCEPT_SHARE * limits.write_rps, depth=limits.write_rps)
         """Limits accepted submissions. Users choose nodes at random and submit in bursts: with
         equal shares one node would refuse most of a burst while the others' shares are unused. The
         shares of all nodes therefore add up to more than the write rate; beyond that rate the
@@ -105,17 +105,17 @@
             return 0.95
         return _LEADER_SHARE if self._leads else 0.35 / (self._nodes - 1)
 
-    async def _acquire(self, rank: RequestPriority) -> None:
+    async def _acquire(self, priority: RequestPriority) -> None:
         """Wait for a request token; raises `RateLimitedError` if a poll would wait too long."""
-        if rank is RequestPriority.USERS and self.requests.wait_s(rank) > _MAX_POLL_WAIT_S:
+        if priority is RequestPriority.NORMAL and self.requests.wait_s(priority) > _MAX_POLL_WAIT_S:
             raise RateLimitedError("polls exceed this node's request rate")
-        await self.requests.take(rank=rank)
+        await self.requests.acquire(priority=priority)
 
     async def get(
-        self, key: str, rank: RequestPriority = RequestPriority.FIRST
+        self, key: str, priority: RequestPriority = RequestPriority.HIGH
     ) -> wire.KeyValue | None:
         """Return the value of a key; None if it does not exist."""
-        await self._acquire(rank)
+        await self._acquire(priority)
         answer = await self._send("GET", "/kv/" + quote(key, safe="/"))
         if answer.status == 404:
             return None
@@ -126,10 +126,10 @@
         prefix: str,
         after: str | None,
         most: int,
-        rank: RequestPriority = RequestPriority.FIRST,
+        priority: RequestPriority = RequestPriority.HIGH,
     ) -> wire.Entries:
         """Return up to `most` entries under a prefix, only those whose keys sort after `after`."""
-        await self._acquire(rank)
+        await self._acquire(priority)
         query: dict[str, Any] = {"under": prefix, "most": most}
         if after is not None:
             query["from"] = after
@@ -140,7 +140,7 @@
         return found
 
     async def scan(
-        self, prefix: str, rank: RequestPriority = RequestPriority.FIRST
+        self, prefix: str, priority: RequestPriority = RequestPriority.HIGH
     ) -> tuple[list[wire.Entry], Revision]:
         """Return all entries under a prefix, and the revision from which to start a watch.
 
@@ -151,7 +151,7 @@
         revision: Revision | None = None
         after: str | None = None
         while True:
-            page = await self.page(prefix, after, _PAGE, rank)
+            page = await self.page(prefix, after, _PAGE, priority)
             entries.extend(page.items)
             if revision is None:
                 revision = Revision(page.revision)
@@ -165,13 +165,13 @@
         self,
         guards: list[dict[str, Any]],
         changes: list[dict[str, Any]],
-        paid: bool = False,
+        tokens_acquired: bool = False,
         timeout_s: float = 2.0,
     ) -> Committed | GuardsFailed:
-        """Commit a transaction; with `paid` the caller has already taken the tokens for changes."""
-        if not paid:
-            await self.writes.take(len(changes))
-        await self.requests.take()
+        """Commit a transaction; with `tokens_acquired` the caller has already taken the tokens for changes."""
+        if not tokens_acquired:
+            await self.writes.acquire(len(changes))
+        await self.requests.acquire()
         body = wire.encode(wire.transaction(guards, changes))
         answer = await self._send("POST", "/commit", body, timeout_s)
         if answer.status == 409:
@@ -180,13 +180,13 @@
 
     async def create_lease(self, ttl_s: float) -> LeaseId:
         """Create a lease that expires after `ttl_s` seconds unless it is extended."""
-        await self.requests.take()
+        await self.requests.acquire()
         answer = await self._send("POST", "/holds", wire.encode(wire.lease_request(ttl_s)), 1.0)
         return LeaseId(self._read(answer, wire.Lease).lease)
 
     async def extend_lease(self, lease: LeaseId, timeout_s: float) -> bool:
         """Extend a lease; return False if it no longer exists."""
-        await self.requests.take()
+        await self.requests.acquire()
         answer = await self._send("POST", f"/holds/{lease}/extend", None, timeout_s)
         if answer.status == 404:
             return False
@@ -195,7 +195,7 @@
 
     async def end_lease(self, lease: LeaseId) -> None:
         """Revoke a lease; return once it has certainly ended."""
-        await self.requests.take()
+        await self.requests.acquire()
         answer = await self._send("DELETE", f"/holds/{lease}", None, 1.0)
         if answer.status != 404:
             self._check(answer)
@@ -205,7 +205,7 @@
 
         The request times out on an unresponsive connection.
         """
-        await self.requests.take()
+        await self.requests.acquire()
         query = urlencode(
             {"under": prefix, "from": since, "holdMs": round(hold_s * 1000)}, safe="/"
         )
@@ -218,7 +218,7 @@
         return found
 
     @property
-    def away(self) -> bool:
+    def unavailable(self) -> bool:
         """True if several consecutive exchanges have just failed.
 
         The election sends its requests all the same, so the end of an outage is noticed.
--- a/tealrill/state/fencing.py
+++ b/tealrill/state/fencing.py
@@ -33,14 +33,14 @@
     """One term of this node as the leader."""
 
     term: FencingToken
-    stamp: Revision
+    mod_revision: Revision
     lease: LeaseId
     elected_at: Monotonic
     valid_until: Monotonic
-    troubled: bool = False
+    renewal_failed: bool = False
     """True if the last renewal of the lease failed."""
     renewed_at: Monotonic = Monotonic(-math.inf)
-    """Time at which the last successful renewal was sent; the lease is valid for at least `TTL_S`
+    """Time at which the last successful renewal was sent; the lease is valid for at least `LEASE_TTL_S`
     from then."""
 
     def valid(self, now: Monotonic) -> bool:
@@ -64,14 +64,17 @@
         return {LEADER_KEY: self.token, **others}
 
     async def commit(
-        self, guards: dict[str, Revision], changes: list[dict[str, Any]], paid: bool = False
+        self,
+        guards: dict[str, Revision],
+        changes: list[dict[str, Any]],
+        tokens_acquired: bool = False,
     ) -> Committed | GuardsFailed:
         """Commit a transaction with the leader guard added.
 
         Raises the same errors as `StateClient.commit`.
         """
-        full = [wire.guard(key, stamp) for key, stamp in self.guards(guards).items()]
-        return await self._client.commit(full, changes, paid=paid)
+        full = [wire.guard(key, mod_revision) for key, mod_revision in self.guards(guards).items()]
+        return await self._client.commit(full, changes, tokens_acquired=tokens_acquired)
 
 
 @dataclass(slots=True, eq=False)
@@ -83,7 +86,7 @@
     since: Monotonic
     valid: Callable[[], bool]
     """Returns True if the holder may act now."""
-    alone: Callable[[], bool] = lambda: False
+    state_service_unreachable: Callable[[], bool] = lambda: False
     """Returns True if the state service does not answer this holder. If the holder is still valid,
     the members have extended its lease, and no other member can be elected meanwhile."""
     last: str = ""
@@ -97,7 +100,7 @@
         if not self.valid():
             raise NotHolderError(f"{self.name}: epoch {self.epoch} has ended or may have ended")
 
-    def did(self, what: str) -> None:
+    def record_action(self, what: str) -> None:
         """Record the last action performed under the duty."""
         self.last = what
 
--- a/tealrill/state/records.py
+++ b/tealrill/state/records.py
@@ -20,7 +20,7 @@
 them."""
 RUN_PREFIX: Final = "run/"
 """Prefix of chunks of bindings, by job id and chunk number."""
-OVER_PREFIX: Final = "over/"
+ENDED_PREFIX: Final = "over/"
 """Prefix of the records of ended jobs, by job id."""
 
 OUTCOME_DONE: Final = "done"
@@ -50,9 +50,9 @@
     return JOB_PREFIX + job
 
 
-def over_key(job: JobId) -> str:
+def ended_key(job: JobId) -> str:
     """Return the key of the record of an ended job."""
-    return OVER_PREFIX + job
+    return ENDED_PREFIX + job
 
 
 def chunk_key(job: JobId, number: int) -> str:
--- a/tealrill/state/transaction_batch.py
+++ b/tealrill/state/transaction_batch.py
@@ -13,7 +13,7 @@
 
 from tealrill import wire
 from tealrill.state.bindings import Chunk, Job
-from tealrill.state.records import OUTCOME_CANCELLED, OUTCOME_DONE, job_key, over_key
+from tealrill.state.records import OUTCOME_CANCELLED, OUTCOME_DONE, ended_key, job_key
 from tealrill.types import ABSENT, Monotonic, Revision
 
 _MAX_BYTES: Final = 60 * 1024
@@ -35,7 +35,7 @@
     refused: Callable[[dict[str, wire.KeyValue | None]], None]
     """Called if a guard no longer holds, so that the changes can't be executed any more, with the
     guarded keys that were read back; None stands for an absent key."""
-    ahead_at: Monotonic | None = None
+    priority_at: Monotonic | None = None
     """Time from which the write precedes job ends and new bindings; before that it follows right
     after them. None for a write that can wait for spare capacity."""
 
@@ -63,7 +63,7 @@
     """
     if job.outcome != OUTCOME_DONE or job.bound_count:
         return []
-    kept = [chunk for chunk in job.chunks.values() if chunk.stamp != ABSENT]
+    kept = [chunk for chunk in job.chunks.values() if chunk.mod_revision != ABSENT]
     return kept if len(kept) <= _DROPPED_AT_ONCE else []
 
 
@@ -108,19 +108,19 @@
         if not self._fits(2 + len(dropped), 0, room):
             # Checked before encoding, which would be wasted work: in an overload many ends wait.
             return False
-        put = wire.put(over_key(job.id), _end_record(job))
+        put = wire.put(ended_key(job.id), _end_record(job))
         size = len(wire.encode(put)) + 400 + 300 * len(dropped)
         if not self._fits(2 + len(dropped), size, room):
             return False
         for chunk in dropped:
-            self.guards[chunk.key] = chunk.stamp
+            self.guards[chunk.key] = chunk.mod_revision
             self.changes.append(wire.delete(chunk.key))
             self.dropped_chunks[chunk.key] = chunk
-        self.guards[job_key(job.id)] = job.stamp
-        self.guards[over_key(job.id)] = ABSENT
+        self.guards[job_key(job.id)] = job.mod_revision
+        self.guards[ended_key(job.id)] = ABSENT
         if job.owner is not None and job.outcome != OUTCOME_CANCELLED:
             # Once the owner's end has been acknowledged to a user, the job can't end as done.
-            self.guards[job.owner.key] = job.owner.stamp
+            self.guards[job.owner.key] = job.owner.mod_revision
         self.changes += [wire.delete(job_key(job.id)), put]
         self.size += size
         self.jobs.append(job)
@@ -132,12 +132,12 @@
         size = len(wire.encode(change)) + 200
         if not self._fits(1, size, room):
             return False
-        self.guards[chunk.key] = chunk.stamp
+        self.guards[chunk.key] = chunk.mod_revision
         if chunk.new_bindings:
             # No task may be bound once the job's cancellation has been acknowledged to a user.
-            self.guards[job_key(chunk.job.id)] = chunk.job.stamp
+            self.guards[job_key(chunk.job.id)] = chunk.job.mod_revision
             if chunk.job.owner is not None:
-                self.guards[chunk.job.owner.key] = chunk.job.owner.stamp
+                self.guards[chunk.job.owner.key] = chunk.job.owner.mod_revision
         self.changes.append(change)
         self.chunks.append(ChunkWrite(chunk, chunk.version, chunk.new_bindings))
         self.size += size
@@ -154,14 +154,14 @@
         self.joined.append(joined)
         return True
 
-    def add_obsolete(self, key: str, stamp: Revision, room: int) -> bool:
+    def add_obsolete(self, key: str, mod_revision: Revision, room: int) -> bool:
         """Add the deletion of an orphaned chunk; return False if the batch is full.
 
         Does not clear `complete`: nothing waits for the deletion.
         """
         if len(self.changes) >= room:
             return False
-        self.guards[key] = stamp
+        self.guards[key] = mod_revision
         self.changes.append(wire.delete(key))
         self.obsolete.append(key)
         self.size += 2 * len(key) + 60
