--- a/tealrill/leader/loops.py
+++ b/tealrill/leader/loops.py
@@ -85,8 +85,8 @@
     ) -> None:
         """Check for the leader of `term`.
 
-        `may_renew_workers` returns True if workers may be renewed; `known` returns how far cancellations are
-        known.
+        `may_renew_workers` returns True if workers may be renewed; `known` returns how far
+        cancellations are known.
         """
         self._fleet = fleet
         self._delegations = delegations
--- a/tealrill/state/bindings.py
+++ b/tealrill/state/bindings.py
@@ -111,7 +111,7 @@
     new_bindings: int = 0
     """Bindings added since the last commit."""
     news: list[tuple[int, int]] = field(default_factory=list)
-    """Uncommitted completions as (version, task index); only for jobs with `reports_completions` set."""
+    """Uncommitted completions as (version, task index); only if `Job.reports_completions`."""
 
     @property
     def key(self) -> str:
--- a/tealrill/state/client.py
+++ b/tealrill/state/client.py
@@ -168,7 +168,10 @@
         tokens_acquired: bool = False,
         timeout_s: float = 2.0,
     ) -> Committed | GuardsFailed:
-        """Commit a transaction; with `tokens_acquired` the caller has already taken the tokens for changes."""
+        """Commit a transaction.
+
+        `tokens_acquired`: the caller has already taken the write tokens for its changes.
+        """
         if not tokens_acquired:
             await self.writes.acquire(len(changes))
         await self.requests.acquire()
--- a/tealrill/state/fencing.py
+++ b/tealrill/state/fencing.py
@@ -40,8 +40,8 @@
     renewal_failed: bool = False
     """True if the last renewal of the lease failed."""
     renewed_at: Monotonic = Monotonic(-math.inf)
-    """Time at which the last successful renewal was sent; the lease is valid for at least `LEASE_TTL_S`
-    from then."""
+    """Time at which the last successful renewal was sent; the lease is valid for at least
+    `LEASE_TTL_S` from then."""
 
     def valid(self, now: Monotonic) -> bool:
         """Return True if this node may act as the leader at time `now`."""
--- a/tealrill/state/job_store.py
+++ b/tealrill/state/job_store.py
@@ -153,7 +153,7 @@
         wall: Wall,
         now: Monotonic,
     ) -> Binding:
-        """Bind a task returned by `pop_unbound_task`; it may be started once its chunk is committed."""
+        """Bind a task returned by `pop_unbound_task`; it may start once its chunk is committed."""
         task = job.tasks.setdefault(index, Task())
         assert task.binding is None and not job.cancelled and not job.done[index]
         chunk = self._chunk(job, index)
