--- a/tealrill/leader/direct_commands.py
+++ b/tealrill/leader/direct_commands.py
@@ -19,7 +19,7 @@
 log = logging.getLogger(__name__)
 
 _DIRECT_TIMEOUT_S: Final = 2.0
-_LATE_S: Final = 0.3
+_MAX_TIMEOUT_DELAY_S: Final = 0.3
 """A timeout that fires later than this shows that this node itself was delayed."""
 
 
@@ -60,16 +60,16 @@
         """
         if machine.id in self._tasks or not machine.addr or machine.incarnation is None:
             return
-        task = asyncio.create_task(self._send_in_turn(machine))
+        task = asyncio.create_task(self._send_when_connected(machine))
         self._tasks[machine.id] = task
         task.add_done_callback(lambda _: self._tasks.pop(machine.id, None))
 
-    async def _send_in_turn(self, machine: Machine) -> None:
+    async def _send_when_connected(self, machine: Machine) -> None:
         """Wait for a connection, then send all pending commands."""
         async with self._connections:
-            await self._send_until_none(machine)
+            await self._send_pending(machine)
 
-    async def _send_until_none(self, machine: Machine) -> None:
+    async def _send_pending(self, machine: Machine) -> None:
         """Send the stops once and starts until none is left.
 
         After a failure the commands are sent with the responses to the machine's heartbeats.
@@ -102,8 +102,8 @@
             )
         except (NoAnswerError, SettingsError, wire.MalformedMessageError) as error:
             log.info("direct commands failed: machine=%s error=%s", machine.id, error)
-            late = monotonic_now() - began > _DIRECT_TIMEOUT_S + _LATE_S
-            if isinstance(error, NoAnswerError) and error.silent and not late:
+            delayed = monotonic_now() - began > _DIRECT_TIMEOUT_S + _MAX_TIMEOUT_DELAY_S
+            if isinstance(error, NoAnswerError) and error.silent and not delayed:
                 # Two consecutive heartbeats have shown that the machine is running, so the request
                 # did not arrive. If this node was delayed, an answer may only be unread.
                 machine.mark_inbound_partitioned(True)
--- a/tealrill/leader/job_lifecycle.py
+++ b/tealrill/leader/job_lifecycle.py
@@ -48,7 +48,7 @@
         self._scheduling_loop = scheduling_loop
         self._wake = wake
         self.extensions: Sequence[LeaderExtension] = ()
-        self.unread: set[JobId] = set()
+        self.unreadable_jobs: set[JobId] = set()
         """Jobs whose record this version can't read."""
 
     def add(self, key: str, value: object, mod_revision: Revision) -> Job | None:
@@ -63,21 +63,21 @@
             record = msgspec.convert(value, JobRecord)
         except msgspec.ValidationError as error:
             log.error("job record unreadable: job=%s error=%s", job_id, error)
-            self.unread.add(job_id)
+            self.unreadable_jobs.add(job_id)
             return None
         self._scheduling_loop.snapshots.submitted(record.spec, monotonic_now())
         job = self._job_store.add(record.spec, Wall(record.at), mod_revision)
         if record.owner is not None:
-            self._give_to_owner(job, value)
+            self._assign_to_owner(job, value)
         return job
 
-    def read_others(self, entries: Sequence[wire.Entry]) -> None:
+    def load_extension_records(self, entries: Sequence[wire.Entry]) -> None:
         """Pass the records under `job/` that are not jobs to the extensions."""
         others = [e for e in entries if parse_job_id(e.key.removeprefix(JOB_PREFIX)) is None]
         for extension in self.extensions:
             extension.load_records(others)
 
-    def _give_to_owner(self, job: Job, value: Any) -> None:
+    def _assign_to_owner(self, job: Job, value: Any) -> None:
         if not any(extension.claim_job(job, value) for extension in self.extensions):
             # Its extension is disabled or can't read the record: the job is kept, but blocked.
             log.error("job blocked, its owner is unknown to this member: job=%s", job.id)
@@ -107,7 +107,9 @@
         Each entry is a job and its number of tasks.
         """
         return [
-            found for extension in self.extensions for found in extension.upcoming(now, within_s)
+            upcoming_job
+            for extension in self.extensions
+            for upcoming_job in extension.upcoming(now, within_s)
         ]
 
     def on_tasks_done(self, job: Job, tasks: list[int]) -> None:
--- a/tealrill/leader/job_watch.py
+++ b/tealrill/leader/job_watch.py
@@ -39,18 +39,18 @@
         self.cancellation_knowledge = CancellationKnowledge()
         """Up to which revision, and as of what time, changes of jobs are known from the watch."""
 
-    async def run(self, seen: CancellationKnowledge) -> None:
-        """Watch from the revision of `seen` on, until cancelled."""
+    async def run(self, knowledge: CancellationKnowledge) -> None:
+        """Watch from the revision of `knowledge` on, until cancelled."""
         hold_s = _WATCH_S
         while True:
-            self.cancellation_knowledge = seen
+            self.cancellation_knowledge = knowledge
             # The answer reflects the state at the time it is given, so it is at least as recent as
             # the time the request is sent.
             sent = monotonic_now()
             try:
-                result = await self._client.watch(JOB_PREFIX, seen.revision, hold_s)
+                result = await self._client.watch(JOB_PREFIX, knowledge.revision, hold_s)
                 if result is None:
-                    revision = await self._compare_jobs()
+                    revision = await self._rescan_jobs()
             except StateError as error:
                 log.debug("job watch failed: error=%s", error)
                 # If the state service answers slowly, a watch that is held would time out each
@@ -63,8 +63,8 @@
             if result is not None:
                 for event in result.events:
                     self.job_changed(event)
-                revision = Revision(max(seen.revision, result.revision))
-            seen = CancellationKnowledge(revision, sent)
+                revision = Revision(max(knowledge.revision, result.revision))
+            knowledge = CancellationKnowledge(revision, sent)
 
     def job_changed(self, event: wire.WatchEvent) -> None:
         """Apply a change of a record under `job/`."""
@@ -80,11 +80,11 @@
             source = f"watch at revision {event.version}"
             self._lifecycle.on_cancelled(event.delete.removeprefix(JOB_PREFIX), source)
 
-    async def _compare_jobs(self) -> Revision:
+    async def _rescan_jobs(self) -> Revision:
         """Apply all changes found by a full scan, after a watch whose revision was too old."""
         entries, revision = await self._client.scan(JOB_PREFIX)
         keys = {entry.key for entry in entries}
-        self._lifecycle.read_others(entries)
+        self._lifecycle.load_extension_records(entries)
         for entry in entries:
             self._lifecycle.add(entry.key, entry.value, Revision(entry.version))
         for job in list(self._job_store.jobs.values()):
--- a/tealrill/leader/leader.py
+++ b/tealrill/leader/leader.py
@@ -69,11 +69,11 @@
         self._leadership = leadership
         self._estimates = estimates
         self._wake = asyncio.Event()
-        self._winding_up = False
-        self._vouched_at = Monotonic(-math.inf)
+        self._handing_over = False
+        self._reported_through = Monotonic(-math.inf)
         """All cancellations that other members acknowledged before this time are known."""
-        self._unseen_s = renewal_staleness_bound_s(params.workers)
-        self._resigning: asyncio.Task[None] | None = None
+        self._staleness_bound_s = renewal_staleness_bound_s(params.workers)
+        self._resignation: asyncio.Task[None] | None = None
         self.job_store = JobStore(params.state.value_kb)
         self.fleet = self._new_fleet(params)
         self._compose_writes(params, cloud, catalogue)
@@ -86,7 +86,7 @@
             leadership.term,
             leadership.mod_revision,
             self._valid,
-            on_lease_revoked=self._lease_revoked,
+            on_lease_revoked=self._on_lease_revoked,
         )
 
     def _new_fleet(self, params: Params) -> Fleet:
@@ -102,7 +102,7 @@
         spare_s = workers.cancel_s - workers.lease_s
         fleet.stop_timeout_s = max(_STOP_S, spare_s / 2)
         fleet.changed = self.wake
-        fleet.finished = self._finished
+        fleet.finished = self._on_task_completed
         return fleet
 
     def _compose_writes(
@@ -115,8 +115,8 @@
             self.job_store,
             leadership,
             params.state.txn_ops,
-            self._committed,
-            self._job_ended,
+            self._on_committed,
+            self._on_job_ended,
         )
         self.intent_log = IntentLog(self.write_batcher.join, leadership.term, params.state.value_kb)
         self.provisioner = Provisioner(
@@ -215,10 +215,10 @@
     async def run(self) -> None:
         """Load the records, then run the loops until the term ends."""
         try:
-            seen = await self.record_loader.load()
+            knowledge = await self.record_loader.load()
             async with asyncio.TaskGroup() as group:
                 group.create_task(self.write_batcher.run())
-                group.create_task(self.job_watch.run(seen))
+                group.create_task(self.job_watch.run(knowledge))
                 group.create_task(self.pass_loop.run())
                 group.create_task(self.lease_expiry.run())
                 group.create_task(self.prober.run())
@@ -241,7 +241,7 @@
 
     def begin_handover(self) -> None:
         """Stop beginning new work, because leadership is about to be handed over."""
-        self._winding_up = True
+        self._handing_over = True
         self.intent_log.closed = True
         self.write_batcher.wake()
 
@@ -264,10 +264,14 @@
 
     def _duty(self, name: str) -> Duty:
         return Duty(
-            name, self._leadership.term, self._leadership.elected_at, self._valid, self._alone
+            name,
+            self._leadership.term,
+            self._leadership.elected_at,
+            self._valid,
+            self._is_state_service_unreachable,
         )
 
-    def _alone(self) -> bool:
+    def _is_state_service_unreachable(self) -> bool:
         """Return True if neither lease renewals nor other requests of this node are answered."""
         return self._leadership.renewal_failed and self._client.failing
 
@@ -288,16 +292,18 @@
 
         The other members have reported theirs; this node knows its own.
         """
-        self._vouched_at = max(self._vouched_at, at)
+        self._reported_through = max(self._reported_through, at)
 
     @property
     def cancellation_knowledge(self) -> CancellationKnowledge:
         """How far cancellations are known, from the watch or from the other members' reports."""
-        return CancellationKnowledge(self.job_watch.cancellation_knowledge.revision, self._known_at)
+        return CancellationKnowledge(
+            self.job_watch.cancellation_knowledge.revision, self._known_through
+        )
 
     @property
-    def _known_at(self) -> Monotonic:
-        return max(self.job_watch.cancellation_knowledge.at, self._vouched_at)
+    def _known_through(self) -> Monotonic:
+        return max(self.job_watch.cancellation_knowledge.at, self._reported_through)
 
     def may_renew_workers(self, now: Monotonic) -> bool:
         """Return True if workers may be renewed: cancellations are known up to a recent time.
@@ -305,15 +311,15 @@
         False until the records are loaded. Otherwise a sequence of leaders whose terms all end
         while they load would keep renewing the worker of a cancelled job without ever stopping it.
         """
-        return self.fleet.loaded and now < self._known_at + self._unseen_s
+        return self.fleet.loaded and now < self._known_through + self._staleness_bound_s
 
     def _may_begin(self) -> bool:
-        return self._valid() and not self._winding_up
+        return self._valid() and not self._handing_over
 
-    def _lease_revoked(self) -> None:
-        if self._resigning is None:
-            why = "another member is revoking its lease"
-            self._resigning = asyncio.create_task(self._election.resign(why, 0.0))
+    def _on_lease_revoked(self) -> None:
+        if self._resignation is None:
+            reason = "another member is revoking its lease"
+            self._resignation = asyncio.create_task(self._election.resign(reason, 0.0))
 
     def runs_term(self, leadership: Leadership) -> bool:
         """Return True if this object runs the term `leadership`."""
@@ -322,19 +328,21 @@
     def _valid(self) -> bool:
         return self._election.valid_leadership(monotonic_now()) is self._leadership
 
-    def _committed(self, chunks: list[Chunk]) -> None:
+    def _on_committed(self, chunks: list[Chunk]) -> None:
         """Send the starts of tasks whose bindings have just been committed in these chunks."""
         # Not a set, whose order could differ between processes: the order of commands must not.
-        found = {b.machine: None for chunk in chunks for b in self.job_store.never_sent(chunk)}
-        for machine_id in found:
+        machine_ids = {
+            b.machine: None for chunk in chunks for b in self.job_store.never_sent(chunk)
+        }
+        for machine_id in machine_ids:
             machine = self.fleet.machines.get(machine_id)
             if machine is not None:
                 self.direct_commands.send(machine)
 
-    def _job_ended(self, job: Job) -> None:
+    def _on_job_ended(self, job: Job) -> None:
         self.lifecycle.on_ended(job)
 
-    def _finished(self, finished: CompletedTask) -> None:
+    def _on_task_completed(self, finished: CompletedTask) -> None:
         spec = finished.job.spec
         self._estimates.completed(spec.team, spec.estimate_s, finished.ran_s)
 
--- a/tealrill/leader/loops.py
+++ b/tealrill/leader/loops.py
@@ -19,12 +19,12 @@
 
 log = logging.getLogger(__name__)
 
-_PASS_EVERY_S: Final = 2.0
-_PASS_GAP_S: Final = 0.1
+_MAX_PASS_INTERVAL_S: Final = 2.0
+_MIN_PASS_GAP_S: Final = 0.1
 """Events within this time of each other share a pass."""
-_PASS_SHARE: Final = 0.25
+_MAX_PASS_SHARE: Final = 0.25
 """Maximum share of the time spent on passes, unless a pass takes so long that the gap is capped."""
-_SILENCE_EVERY_S: Final = 0.5
+_EXPIRY_CHECK_INTERVAL_S: Final = 0.5
 
 
 def pass_gap_s(took_s: float) -> float:
@@ -33,7 +33,7 @@
     The gap grows with the duration of a pass. Otherwise a slow node would do nothing but passes,
     and heartbeats, submissions and the renewal of its lease would wait for them.
     """
-    return min(max(_PASS_GAP_S, took_s * (1 / _PASS_SHARE - 1)), _PASS_EVERY_S)
+    return min(max(_MIN_PASS_GAP_S, took_s * (1 / _MAX_PASS_SHARE - 1)), _MAX_PASS_INTERVAL_S)
 
 
 class PassLoop:
@@ -65,7 +65,7 @@
             pause_s = (
                 RENT_INTERVAL_S
                 if self._scheduling_loop.autoscaler.rental_deferred
-                else _PASS_EVERY_S
+                else _MAX_PASS_INTERVAL_S
             )
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(pause_s - gap_s):
@@ -81,56 +81,60 @@
         delegations: Delegations,
         term: FencingToken,
         may_renew_workers: Callable[[Monotonic], bool],
-        known: Callable[[], CancellationKnowledge],
+        knowledge: Callable[[], CancellationKnowledge],
     ) -> None:
         """Check for the leader of `term`.
 
-        `may_renew_workers` returns True if workers may be renewed; `known` returns how far
+        `may_renew_workers` returns True if workers may be renewed; `knowledge` returns how far
         cancellations are known.
         """
         self._fleet = fleet
         self._delegations = delegations
         self._term = term
-        self._informed = may_renew_workers
-        self._known = known
-        self._was_informed = True
+        self._may_renew_workers = may_renew_workers
+        self._knowledge = knowledge
+        self._could_renew_workers = True
 
     async def run(self) -> None:
         """Check for expired leases at fixed intervals, until cancelled."""
         while True:
-            await asyncio.sleep(_SILENCE_EVERY_S)
+            await asyncio.sleep(_EXPIRY_CHECK_INTERVAL_S)
             try:
                 await self._check()
             except StateError as error:
                 log.debug("delegations could not be read: error=%s", error)
 
-    def _log_knowledge(self, now: Monotonic) -> None:
+    def _log_renewal_change(self, now: Monotonic) -> None:
         """Log when worker renewals stop for lack of knowledge of cancellations, or resume."""
-        may_renew_workers = self._informed(now)
-        if may_renew_workers != self._was_informed:
-            self._was_informed = may_renew_workers
-            known = self._known()
+        may_renew_workers = self._may_renew_workers(now)
+        if may_renew_workers != self._could_renew_workers:
+            self._could_renew_workers = may_renew_workers
+            knowledge = self._knowledge()
             log.info(
                 "worker renewals %s: term=%d cancellations_known_to_revision=%d known_s_ago=%.1f",
                 "resumed" if may_renew_workers else "suspended",
                 self._term,
-                known.revision,
-                now - known.at,
+                knowledge.revision,
+                now - knowledge.at,
             )
 
     async def _check(self) -> None:
         """Expire the leases of machines, but only once no delegate can have renewed them."""
         now = monotonic_now()
-        silent = self._fleet.leases.expired_machines(now)
+        expired = self._fleet.leases.expired_machines(now)
         # A delegate must not keep a job running whose cancellation has been acknowledged or may
         # have been acknowledged without this leader's knowledge. Waiting until the machine's lease
         # would have expired without delegates is too late: the end of the delegation and the
         # worker's lease come after that, which left only one second of `cancel_s`.
-        self._log_knowledge(now)
-        has_overdue_stop = self._fleet.heartbeats.has_overdue_stop(now) or not self._informed(now)
-        if not silent and not has_overdue_stop:
+        self._log_renewal_change(now)
+        revoke_delegations = self._fleet.heartbeats.has_overdue_stop(
+            now
+        ) or not self._may_renew_workers(now)
+        if not expired and not revoke_delegations:
             await self._delegations.clear()
             return
-        has_overdue_stop |= any(b.chunk.job.cancelled for m in silent for b in m.bindings.values())
-        if not await self._delegations.check_active(now, revoke=has_overdue_stop):
+        revoke_delegations |= any(
+            b.chunk.job.cancelled for m in expired for b in m.bindings.values()
+        )
+        if not await self._delegations.check_active(now, revoke=revoke_delegations):
             self._fleet.leases.expire_leases(now)
--- a/tealrill/leader/record_loader.py
+++ b/tealrill/leader/record_loader.py
@@ -32,7 +32,7 @@
 log = logging.getLogger(__name__)
 
 _RETRY_S: Final = 0.3
-_LOOK_UPS: Final = 8
+_MAX_LOOK_UPS: Final = 8
 """Maximum number of concurrent look-ups of ended jobs."""
 
 
@@ -83,8 +83,8 @@
             try:
                 jobs, revision = await self._client.scan(JOB_PREFIX)
                 chunks, _ = await self._client.scan(RUN_PREFIX)
-                asked, _ = await self._client.scan(CLOUD_PREFIX)
-                self._lifecycle.read_others(jobs)
+                cloud_requests, _ = await self._client.scan(CLOUD_PREFIX)
+                self._lifecycle.load_extension_records(jobs)
                 for entry in jobs:
                     self._lifecycle.add(entry.key, entry.value, Revision(entry.version))
                 await self._load_ended(chunks)
@@ -98,7 +98,7 @@
                 self._job_store.clear()
         now = monotonic_now()
         self._fleet.inherit(bindings, now)
-        self._provisioner.inherit(asked, now, wall_now())
+        self._provisioner.inherit(cloud_requests, now, wall_now())
         for job in list(self._job_store.jobs.values()):
             if job.cancelled:
                 self._job_store.cancel(job)
@@ -121,7 +121,7 @@
             log.error("unknown record: key=%s", entry.key)
             return []
         job = self._job_store.jobs.get(job_id)
-        if job_id in self._lifecycle.unread:
+        if job_id in self._lifecycle.unreadable_jobs:
             # Left for a node whose version can read the job.
             return []
         if job is None:
@@ -143,17 +143,17 @@
         """
         names = {job for job, _ in (_parse_chunk_key(e.key) for e in chunks) if job is not None}
         unknown = iter(sorted(names - self._job_store.jobs.keys()))
-        found: list[wire.KeyValue] = []
+        ended_jobs: list[wire.KeyValue] = []
 
         async def look_up() -> None:
             for job_id in unknown:
-                over = await self._client.get(ended_key(job_id))
-                if over is not None and "spec" in over.value:
-                    found.append(over)
-
-        await asyncio.gather(*(look_up() for _ in range(_LOOK_UPS)))
-        for over in found:
-            record = msgspec.convert(over.value, JobRecord)
-            job = self._job_store.add(record.spec, Wall(0.0), Revision(over.version))
+                ended = await self._client.get(ended_key(job_id))
+                if ended is not None and "spec" in ended.value:
+                    ended_jobs.append(ended)
+
+        await asyncio.gather(*(look_up() for _ in range(_MAX_LOOK_UPS)))
+        for ended in ended_jobs:
+            record = msgspec.convert(ended.value, JobRecord)
+            job = self._job_store.add(record.spec, Wall(0.0), Revision(ended.version))
             job.cancelled = True
             job.cancelled_at = Wall(record.ended_at) if record.ended_at else wall_now()
--- a/tealrill/state/acknowledged_cancellations.py
+++ b/tealrill/state/acknowledged_cancellations.py
@@ -22,22 +22,22 @@
     def __init__(self, first_seen: Callable[[], Revision | None]) -> None:
         self._first_seen = first_seen
         """Returns the revision of this process's first scan; None before that."""
-        self._jobs: dict[str, Revision] = {}
+        self._revisions: dict[str, Revision] = {}
         """Revisions by the names of jobs and of owners of jobs."""
-        self._forgotten = Revision(0)
+        self._latest_evicted = Revision(0)
         """The latest revision that was evicted because there were too many entries."""
 
     def add(self, name: str, revision: Revision) -> None:
         """Add a cancellation committed at `revision`, before a user is told of it."""
-        self._jobs[name] = max(revision, self._jobs.get(name, revision))
-        if len(self._jobs) > _KEPT:
+        self._revisions[name] = max(revision, self._revisions.get(name, revision))
+        if len(self._revisions) > _KEPT:
             # A poll may add an old cancellation, so the oldest is not the one added first.
-            oldest = min(self._jobs, key=lambda job: self._jobs[job])
-            self._forgotten = max(self._forgotten, self._jobs.pop(oldest))
+            oldest = min(self._revisions, key=lambda job: self._revisions[job])
+            self._latest_evicted = max(self._latest_evicted, self._revisions.pop(oldest))
 
     def since(self, revision: Revision) -> list[str]:
         """Return the names whose cancellation a leader that has read up to `revision` may miss."""
-        return [name for name, at in self._jobs.items() if at > revision]
+        return [name for name, at in self._revisions.items() if at > revision]
 
     def is_complete_since(self, revision: Revision) -> bool:
         """Return True if `since` has all that this host acknowledged after `revision`.
@@ -45,4 +45,4 @@
         Those that an earlier process of this host acknowledged precede this process's first scan.
         """
         first = self._first_seen()
-        return first is not None and max(first, self._forgotten) <= revision
+        return first is not None and max(first, self._latest_evicted) <= revision
--- a/tealrill/state/admission.py
+++ b/tealrill/state/admission.py
@@ -47,10 +47,10 @@
 
 log = logging.getLogger(__name__)
 
-_REMEMBERED: Final = 20_000
-_ACCEPT_PAUSES_S: Final = (0.03, 0.06)
+_MAX_CACHED_JOBS: Final = 20_000
+_RETRY_PAUSES_S: Final = (0.03, 0.06)
 """Pauses before a submission that the state service answered with 429 is committed again."""
-_TRIES: Final = 4
+_MAX_CANCEL_ATTEMPTS: Final = 4
 
 
 @dataclass(frozen=True, slots=True)
@@ -64,8 +64,8 @@
     """Another node may succeed where this one failed."""
 
 
-def _unavailable(why: str, retry_on_other_node: bool = True) -> Reply:
-    return Reply(503, {"error": why}, retry_after_s=1, retry_on_other_node=retry_on_other_node)
+def _unavailable(reason: str, retry_on_other_node: bool = True) -> Reply:
+    return Reply(503, {"error": reason}, retry_after_s=1, retry_on_other_node=retry_on_other_node)
 
 
 def _rejected(error: JobRejectedError) -> Reply:
@@ -143,27 +143,27 @@
             return await self._accept(spec, job_id)
         # An accepted job stays accepted even if a repeated submission of it is invalid.
         if job_id is not None:
-            known = await self._known(job_id)
-            if known is not None:
-                return known
+            existing = await self._existing_job_reply(job_id)
+            if existing is not None:
+                return existing
         return rejection or _unavailable("not decided")
 
     def rejection(
-        self, spec: wire.JobSpec, job_id: JobId | None, beside_bytes: int = 100
+        self, spec: wire.JobSpec, job_id: JobId | None, overhead_bytes: int = 100
     ) -> Reply | None:
         """Return the reply that rejects a job specification; None if it is valid.
 
-        `beside_bytes` is the size of the record's other fields.
+        `overhead_bytes` is the size of the record's other fields.
         """
         try:
-            self._validator.check(spec, job_id, beside_bytes)
+            self._validator.check(spec, job_id, overhead_bytes)
         except JobRejectedError as error:
             return _rejected(error)
         except CatalogueUnknownError as error:
             return _unavailable(str(error))
         return None
 
-    def _reach(self) -> None:
+    def _require_state_service(self) -> None:
         """Raise `StateUnavailableError` at once while the state service is unavailable.
 
         Otherwise every retry by a user costs one useless request here and one at the node that it
@@ -173,7 +173,7 @@
             raise StateUnavailableError("the state service is unavailable")
 
     async def _accept(self, spec: wire.JobSpec, job_id: JobId) -> Reply:
-        self._reach()
+        self._require_state_service()
         if not self._client.submissions.try_acquire():
             return self._refuse(job_id, "too many submissions", retry_on_other_node=False)
         guards = [wire.guard(job_key(job_id), ABSENT), wire.guard(ended_key(job_id), ABSENT)]
@@ -192,20 +192,20 @@
             )
         except OutcomeUnknownError:
             # The record may exist or may be written later: accept only what can be read back.
-            return await self._known(job_id) or self._refuse(job_id, "not confirmed")
+            return await self._existing_job_reply(job_id) or self._refuse(job_id, "not confirmed")
         if isinstance(result, Committed):
             log.debug("job accepted: job=%s", job_id)
             return Reply(201, wire.accepted(job_id, wire.JOB_PENDING))
-        known = await self._known(job_id)
-        if known is None and self.implicit_jobs is not None:
-            known = await self.implicit_jobs.refusal(job_id)
-        return known or _unavailable("not decided")
+        existing = await self._existing_job_reply(job_id)
+        if existing is None and self.implicit_jobs is not None:
+            existing = await self.implicit_jobs.refusal(job_id)
+        return existing or _unavailable("not decided")
 
     async def _commit_accepted(
         self, guards: list[Any], changes: list[Any]
     ) -> Committed | GuardsFailed:
         """Commit a transaction; retry after short pauses while the state service answers 429."""
-        for pause_s in _ACCEPT_PAUSES_S:
+        for pause_s in _RETRY_PAUSES_S:
             try:
                 return await self._client.commit(guards, changes, tokens_acquired=True)
             except RateLimitedError:
@@ -213,11 +213,11 @@
         return await self._client.commit(guards, changes, tokens_acquired=True)
 
     @staticmethod
-    def _refuse(job_id: JobId, why: str, retry_on_other_node: bool = True) -> Reply:
-        log.info("submission refused: job=%s reason=%s", job_id, why)
-        return _unavailable(why, retry_on_other_node)
+    def _refuse(job_id: JobId, reason: str, retry_on_other_node: bool = True) -> Reply:
+        log.info("submission refused: job=%s reason=%s", job_id, reason)
+        return _unavailable(reason, retry_on_other_node)
 
-    async def _known(self, job_id: JobId) -> Reply | None:
+    async def _existing_job_reply(self, job_id: JobId) -> Reply | None:
         """Return the reply to a repeated submission; None if the job is not known.
 
         If the status can't be determined now, the reply is a 503: the job may have been accepted,
@@ -244,10 +244,10 @@
             return _unavailable("the state service can't be reached")
 
     async def _status(self, job_id: JobId) -> Reply:
-        over = self._over.get(job_id)
-        if over is not None:
-            return self._final(job_id, over)
-        self._reach()
+        ended = self._over.get(job_id)
+        if ended is not None:
+            return self._final(job_id, ended)
+        self._require_state_service()
         # The counts may be stale, the status must not be: if the record were read first, another
         # node could report the job as done while the counts are read.
         done, running = await self._counts(job_id)
@@ -261,19 +261,19 @@
         if entry is not None:
             status = wire.JOB_RUNNING if running else wire.JOB_PENDING
             return Reply(200, wire.job_status(job_id, status, done, running))
-        over = await self._read_over(job_id)
-        if over is None:
+        ended = await self._read_over(job_id)
+        if ended is None:
             return await self._implicit_status(job_id)
-        return self._final(job_id, over)
+        return self._final(job_id, ended)
 
     async def _status_after_owner(self, job_id: JobId, owner: str) -> Reply:
         """Return the status of a job whose owner has ended and whose record has not moved yet.
 
         The end of the owner is the end of the job.
         """
-        over = await self._read_over(job_id)
-        if over is not None:
-            return self._final(job_id, over)
+        ended = await self._read_over(job_id)
+        if ended is not None:
+            return self._final(job_id, ended)
         end = await self._client.get(ENDED_PREFIX + owner, RequestPriority.NORMAL)
         if end is None:
             return _unavailable("its owner's record is being moved")
@@ -284,42 +284,44 @@
 
     async def _implicit_status(self, job_id: JobId) -> Reply:
         """Return the status of a job without a record of its own."""
-        found = await self.implicit_jobs.status(job_id) if self.implicit_jobs is not None else None
-        if found is None:
+        implicit_job = (
+            await self.implicit_jobs.status(job_id) if self.implicit_jobs is not None else None
+        )
+        if implicit_job is None:
             return _NOT_FOUND
-        if found.status == wire.JOB_CANCELLED:
+        if implicit_job.status == wire.JOB_CANCELLED:
             # The job may have run and ended between the two reads.
-            over = await self._read_over(job_id)
-            if over is not None:
-                return self._final(job_id, over)
-        body = wire.job_status(job_id, found.status)
-        if found.outcome:
-            body["outcome"] = found.outcome
+            ended = await self._read_over(job_id)
+            if ended is not None:
+                return self._final(job_id, ended)
+        body = wire.job_status(job_id, implicit_job.status)
+        if implicit_job.outcome:
+            body["outcome"] = implicit_job.outcome
         return Reply(200, body)
 
-    def _final(self, job_id: JobId, over: wire.KeyValue) -> Reply:
-        status = over.value["status"]
-        done = over.value.get("tasks", 0) if status == wire.JOB_DONE else 0
+    def _final(self, job_id: JobId, ended: wire.KeyValue) -> Reply:
+        status = ended.value["status"]
+        done = ended.value.get("tasks", 0) if status == wire.JOB_DONE else 0
         body = wire.job_status(job_id, status, done, 0)
-        if "outcome" in over.value:
-            body["outcome"] = over.value["outcome"]
+        if "outcome" in ended.value:
+            body["outcome"] = ended.value["outcome"]
         return Reply(200, body)
 
     async def _read_over(
         self, job_id: JobId, priority: RequestPriority = RequestPriority.NORMAL
     ) -> wire.KeyValue | None:
-        over = await self._client.get(ended_key(job_id), priority)
-        if over is not None:
+        ended = await self._client.get(ended_key(job_id), priority)
+        if ended is not None:
             # The specification is most of the record, and only a new leader needs it.
-            value = {k: v for k, v in over.value.items() if k != "spec"}
-            over = wire.KeyValue(value=value, version=over.version)
-            self._over[job_id] = over
+            value = {k: v for k, v in ended.value.items() if k != "spec"}
+            ended = wire.KeyValue(value=value, version=ended.version)
+            self._over[job_id] = ended
             if value["status"] == wire.JOB_CANCELLED:
                 # This poll may be the first acknowledgement of the cancellation.
-                self.acknowledge(job_id, Revision(over.version))
-            while len(self._over) > _REMEMBERED:
+                self.acknowledge(job_id, Revision(ended.version))
+            while len(self._over) > _MAX_CACHED_JOBS:
                 self._over.popitem(last=False)
-        return over
+        return ended
 
     async def _counts(self, job_id: JobId) -> tuple[int, int]:
         counts = self.counts(job_id)
@@ -343,7 +345,7 @@
         if job_id is None:
             return _NOT_FOUND
         try:
-            for _ in range(_TRIES):
+            for _ in range(_MAX_CANCEL_ATTEMPTS):
                 reply = await self._cancel(job_id)
                 if reply is not None:
                     return reply
@@ -353,13 +355,13 @@
 
     async def _cancel(self, job_id: JobId) -> Reply | None:
         """Try to cancel a job; return None if its record must be read again."""
-        self._reach()
+        self._require_state_service()
         entry = await self._client.get(job_key(job_id))
         if entry is None:
-            over = await self._read_over(job_id, RequestPriority.HIGH)
-            if over is None:
+            ended = await self._read_over(job_id, RequestPriority.HIGH)
+            if ended is None:
                 return await self._cancel_implicit(job_id)
-            return Reply(200, wire.accepted(job_id, over.value["status"]))
+            return Reply(200, wire.accepted(job_id, ended.value["status"]))
         # The specification is kept: a new leader needs it until the job's tasks have stopped.
         record = {
             "status": wire.JOB_CANCELLED,
@@ -384,12 +386,14 @@
         return Reply(200, wire.accepted(job_id, wire.JOB_CANCELLED))
 
     async def _cancel_implicit(self, job_id: JobId) -> Reply | None:
-        found = await self.implicit_jobs.status(job_id) if self.implicit_jobs is not None else None
-        if self.implicit_jobs is None or found is None:
+        implicit_job = (
+            await self.implicit_jobs.status(job_id) if self.implicit_jobs is not None else None
+        )
+        if self.implicit_jobs is None or implicit_job is None:
             return _NOT_FOUND
-        if found.status == wire.JOB_CANCELLED:
-            over = await self._read_over(job_id, RequestPriority.HIGH)
-            status = over.value["status"] if over is not None else found.status
+        if implicit_job.status == wire.JOB_CANCELLED:
+            ended = await self._read_over(job_id, RequestPriority.HIGH)
+            status = ended.value["status"] if ended is not None else implicit_job.status
             return Reply(200, wire.accepted(job_id, status))
         revision = await self.implicit_jobs.cancel(job_id)
         if revision is None:
--- a/tealrill/state/bindings.py
+++ b/tealrill/state/bindings.py
@@ -110,7 +110,7 @@
     dirty_since: Monotonic | None = None
     new_bindings: int = 0
     """Bindings added since the last commit."""
-    news: list[tuple[int, int]] = field(default_factory=list)
+    unreported_completions: list[tuple[int, int]] = field(default_factory=list)
     """Uncommitted completions as (version, task index); only if `Job.reports_completions`."""
 
     @property
@@ -131,7 +131,7 @@
     done: bytearray
     done_count: int = 0
     bound_count: int = 0
-    fresh: int = 0
+    next_unbound: int = 0
     """Tasks from this index on were never bound, except those in `tasks` or `done`."""
     requeued: list[int] = field(default_factory=list)
     """Heap of other tasks that may be bound; may contain tasks that are bound or done by now."""
@@ -152,7 +152,7 @@
     """How the job ends; final once the job is in `JobStore.ending`."""
     unblocked: bytearray | None = None
     """For a job whose tasks are unblocked one by one: a flag per task that has been unblocked."""
-    closed: int = 0
+    blocked_count: int = 0
     """Number of tasks that are still blocked."""
     reports_completions: bool = False
     """Other jobs wait for single tasks of this one, so each completion is written at once."""
@@ -162,7 +162,7 @@
         """Number of unbound tasks that may be bound now."""
         if self.cancelled or self.outcome != OUTCOME_DONE:
             return 0
-        return self.spec.tasks - self.done_count - self.bound_count - self.closed
+        return self.spec.tasks - self.done_count - self.bound_count - self.blocked_count
 
     @property
     def complete(self) -> bool:
--- a/tealrill/state/client.py
+++ b/tealrill/state/client.py
@@ -20,17 +20,17 @@
 from tealrill.state.revision_clock import RevisionClock
 from tealrill.types import LeaseId, Revision, monotonic_now
 
-_PAGE = 500
+_PAGE_SIZE = 500
 _MAX_POLL_WAIT_S = 1.0
 """A poll that would wait longer for the rate limit is refused at once; its user retries, at this
 node or another one."""
-_FAILURES = 3
-_AWAY_S = 0.6
+_UNAVAILABLE_FAILURES = 3
+_UNAVAILABLE_S = 0.6
 """After a failure a node retries within 0.5 s, a leader sooner; so a failure older than this no
 longer shows that the state service is unavailable."""
-_ACCEPT_SHARE = 0.5
+_SUBMISSION_SHARE = 0.5
 _LEADER_SHARE = 0.6
-_LEADER_WRITES = 0.8
+_LEADER_WRITE_SHARE = 0.8
 """The leader makes nearly all changes; the rest is for accepted submissions and cancellations."""
 
 
@@ -75,7 +75,7 @@
         self._http = Client(parse_address(address), most=8)
         self._limits = limits
         self._nodes = nodes
-        self._leads = False
+        self._is_leader = False
         self._failures = 0
         """Number of consecutive exchanges that got no answer or status 503."""
         self._failed_at = -math.inf
@@ -87,7 +87,9 @@
         received has a revision no later than this one."""
         self.requests = RateLimiter(self._share() * limits.rps)
         self.writes = RateLimiter(self._share() * limits.write_rps)
-        self.submissions = RateLimiter(_ACCEPT_SHARE * limits.write_rps, depth=limits.write_rps)
+        self.submissions = RateLimiter(
+            _SUBMISSION_SHARE * limits.write_rps, capacity=limits.write_rps
+        )
         """Limits accepted submissions. Users choose nodes at random and submit in bursts: with
         equal shares one node would refuse most of a burst while the others' shares are unused. The
         shares of all nodes therefore add up to more than the write rate; beyond that rate the
@@ -95,19 +97,22 @@
 
     def set_leading(self, leads: bool) -> None:
         """Set this node's shares of the rate limits; the leader's are larger, to write records."""
-        self._leads = leads
+        self._is_leader = leads
         self.requests.set_rate(self._share() * self._limits.rps)
-        share = _LEADER_WRITES if leads else self._share()
+        share = _LEADER_WRITE_SHARE if leads else self._share()
         self.writes.set_rate(share * self._limits.write_rps)
 
     def _share(self) -> float:
         if self._nodes == 1:
             return 0.95
-        return _LEADER_SHARE if self._leads else 0.35 / (self._nodes - 1)
+        return _LEADER_SHARE if self._is_leader else 0.35 / (self._nodes - 1)
 
     async def _acquire(self, priority: RequestPriority) -> None:
         """Wait for a request token; raises `RateLimitedError` if a poll would wait too long."""
-        if priority is RequestPriority.NORMAL and self.requests.wait_s(priority) > _MAX_POLL_WAIT_S:
+        if (
+            priority is RequestPriority.NORMAL
+            and self.requests.estimated_wait_s(priority) > _MAX_POLL_WAIT_S
+        ):
             raise RateLimitedError("polls exceed this node's request rate")
         await self.requests.acquire(priority=priority)
 
@@ -119,7 +124,7 @@
         answer = await self._send("GET", "/kv/" + quote(key, safe="/"))
         if answer.status == 404:
             return None
-        return self._read(answer, wire.KeyValue)
+        return self._decode(answer, wire.KeyValue)
 
     async def page(
         self,
@@ -135,9 +140,9 @@
             query["from"] = after
         sent = monotonic_now()
         answer = await self._send("GET", "/kv?" + urlencode(query, safe="/"), timeout_s=4.0)
-        found = self._read(answer, wire.Entries)
-        self.revisions.observe(sent, Revision(found.revision))
-        return found
+        result = self._decode(answer, wire.Entries)
+        self.revisions.observe(sent, Revision(result.revision))
+        return result
 
     async def scan(
         self, prefix: str, priority: RequestPriority = RequestPriority.HIGH
@@ -151,7 +156,7 @@
         revision: Revision | None = None
         after: str | None = None
         while True:
-            page = await self.page(prefix, after, _PAGE, priority)
+            page = await self.page(prefix, after, _PAGE_SIZE, priority)
             entries.extend(page.items)
             if revision is None:
                 revision = Revision(page.revision)
@@ -178,14 +183,14 @@
         body = wire.encode(wire.transaction(guards, changes))
         answer = await self._send("POST", "/commit", body, timeout_s)
         if answer.status == 409:
-            return GuardsFailed(self._read(answer, wire.Conflict, ok=409).failed)
-        return Committed(Revision(self._read(answer, wire.RevisionOnly).revision))
+            return GuardsFailed(self._decode(answer, wire.Conflict, ok=409).failed)
+        return Committed(Revision(self._decode(answer, wire.RevisionOnly).revision))
 
     async def create_lease(self, ttl_s: float) -> LeaseId:
         """Create a lease that expires after `ttl_s` seconds unless it is extended."""
         await self.requests.acquire()
         answer = await self._send("POST", "/holds", wire.encode(wire.lease_request(ttl_s)), 1.0)
-        return LeaseId(self._read(answer, wire.Lease).lease)
+        return LeaseId(self._decode(answer, wire.Lease).lease)
 
     async def extend_lease(self, lease: LeaseId, timeout_s: float) -> bool:
         """Extend a lease; return False if it no longer exists."""
@@ -193,7 +198,7 @@
         answer = await self._send("POST", f"/holds/{lease}/extend", None, timeout_s)
         if answer.status == 404:
             return False
-        self._check(answer)
+        self._check_status(answer)
         return True
 
     async def end_lease(self, lease: LeaseId) -> None:
@@ -201,7 +206,7 @@
         await self.requests.acquire()
         answer = await self._send("DELETE", f"/holds/{lease}", None, 1.0)
         if answer.status != 404:
-            self._check(answer)
+            self._check_status(answer)
 
     async def watch(self, prefix: str, since: Revision, hold_s: float) -> wire.WatchResult | None:
         """Wait up to `hold_s` seconds for changes after `since`; None if `since` is too old.
@@ -216,9 +221,9 @@
         answer = await self._send("GET", "/watch?" + query, timeout_s=max(hold_s + 1.0, 3.0))
         if answer.status == 410:
             return None
-        found = self._read(answer, wire.WatchResult)
-        self.revisions.observe(sent, Revision(found.revision))
-        return found
+        result = self._decode(answer, wire.WatchResult)
+        self.revisions.observe(sent, Revision(result.revision))
+        return result
 
     @property
     def unavailable(self) -> bool:
@@ -226,14 +231,17 @@
 
         The election sends its requests all the same, so the end of an outage is noticed.
         """
-        return self._failures >= _FAILURES and monotonic_now() - self._failed_at < _AWAY_S
+        return (
+            self._failures >= _UNAVAILABLE_FAILURES
+            and monotonic_now() - self._failed_at < _UNAVAILABLE_S
+        )
 
     @property
     def failing(self) -> bool:
         """True if the last exchange got no answer or status 503."""
         return self._failures > 0
 
-    def _exchanged(self, failed: bool) -> None:
+    def _record_exchange(self, failed: bool) -> None:
         if failed:
             self.interruptions += self._failures == 0
             self._failures += 1
@@ -247,15 +255,15 @@
         try:
             answer = await self._http.request(method, path, body, timeout_s)
         except NoAnswerError as error:
-            self._exchanged(True)
+            self._record_exchange(True)
             if error.sent:
                 raise OutcomeUnknownError(str(error)) from error
             raise StateUnavailableError(str(error)) from error
-        self._exchanged(answer.status == 503)
+        self._record_exchange(answer.status == 503)
         return answer
 
     @staticmethod
-    def _check(answer: Answer, ok: int = 200) -> None:
+    def _check_status(answer: Answer, ok: int = 200) -> None:
         if answer.status == 429:
             raise RateLimitedError("status 429")
         if answer.status == 503:
@@ -265,8 +273,8 @@
         if answer.status != ok:
             raise OutcomeUnknownError(f"unexpected status {answer.status}")
 
-    def _read(self, answer: Answer, kind: type[wire.T], ok: int = 200) -> wire.T:
-        self._check(answer, ok)
+    def _decode(self, answer: Answer, kind: type[wire.T], ok: int = 200) -> wire.T:
+        self._check_status(answer, ok)
         try:
             return wire.decode(answer.body, kind)
         except wire.MalformedMessageError as error:
--- a/tealrill/state/job_store.py
+++ b/tealrill/state/job_store.py
@@ -73,15 +73,15 @@
         Normally called before any of the job's chunks is loaded.
         """
         job.unblocked = bytearray(job.spec.tasks)
-        job.closed = job.spec.tasks
-        job.fresh = job.spec.tasks
+        job.blocked_count = job.spec.tasks
+        job.next_unbound = job.spec.tasks
 
     def unblock_task(self, job: Job, index: int) -> bool:
         """Unblock one task; return True if it was blocked."""
         if job.unblocked is None or job.unblocked[index]:
             return False
-        self._count_open(job, index)
-        if self._free(job, index):
+        self._mark_unblocked(job, index)
+        if self._is_unbound(job, index):
             heapq.heappush(job.requeued, index)
         return True
 
@@ -91,23 +91,23 @@
         Completions that are not committed yet are reported when their chunk is.
         """
         job.reports_completions = True
-        kept: list[int] = []
+        committed: list[int] = []
         for number, chunk in job.chunks.items():
             first = number * job.chunk_tasks
             last = min(first + job.chunk_tasks, job.spec.tasks)
             done = [index for index in range(first, last) if job.done[index]]
             if chunk.committed >= chunk.version:
-                kept += done
+                committed += done
             elif done:
-                chunk.news = [(chunk.version, index) for index in done]
-                self._mark(chunk, now, hurry=True)
-        return kept
+                chunk.unreported_completions = [(chunk.version, index) for index in done]
+                self._mark(chunk, now, awaited=True)
+        return committed
 
     @staticmethod
-    def _count_open(job: Job, index: int) -> None:
+    def _mark_unblocked(job: Job, index: int) -> None:
         if job.unblocked is not None and not job.unblocked[index]:
             job.unblocked[index] = 1
-            job.closed -= 1
+            job.blocked_count -= 1
 
     def clear(self) -> None:
         """Remove everything before the records are read again."""
@@ -129,16 +129,16 @@
         """Remove and return the next task that is neither bound nor done; None if there is none."""
         while job.requeued:
             index = heapq.heappop(job.requeued)
-            if self._free(job, index):
+            if self._is_unbound(job, index):
                 return index
-        while job.fresh < job.spec.tasks:
-            index = job.fresh
-            job.fresh += 1
+        while job.next_unbound < job.spec.tasks:
+            index = job.next_unbound
+            job.next_unbound += 1
             if index not in job.tasks and not job.done[index]:
                 return index
         return None
 
-    def _free(self, job: Job, index: int) -> bool:
+    def _is_unbound(self, job: Job, index: int) -> bool:
         task = job.tasks.get(index)
         return not job.done[index] and (task is None or task.binding is None)
 
@@ -169,11 +169,11 @@
             chunk.version,
         )
         task.next_attempt = Attempt(task.next_attempt + 1)
-        self._attach(job, task, binding, zone)
-        self._mark(chunk, now, urgent=True)
+        self._add_binding(job, task, binding, zone)
+        self._mark(chunk, now, new_binding=True)
         return binding
 
-    def _attach(self, job: Job, task: Task, binding: Binding, zone: str) -> None:
+    def _add_binding(self, job: Job, task: Task, binding: Binding, zone: str) -> None:
         task.binding = binding
         job.bound_count += 1
         if zone:
@@ -203,7 +203,7 @@
         chunk.version += 1
         if job.cancelled:
             if job.bound_count == 0:
-                self._drop(job)
+                self._remove_job(job)
             else:
                 self._mark(chunk, now)
             return
@@ -218,12 +218,12 @@
         job.done[index] = 1
         job.done_count += 1
         # A task that is done is no longer blocked, even if it was never unblocked explicitly.
-        self._count_open(job, index)
+        self._mark_unblocked(job, index)
         chunk = self._chunk(job, index)
         chunk.version += 1
         if job.reports_completions:
-            chunk.news.append((chunk.version, index))
-        self._mark(chunk, now, hurry=job.reports_completions)
+            chunk.unreported_completions.append((chunk.version, index))
+        self._mark(chunk, now, awaited=job.reports_completions)
         if job.complete and job.outcome == OUTCOME_DONE:
             self.ending_jobs[job.id] = job
         return True
@@ -255,16 +255,16 @@
         job.cancelled = True
         self.ending_jobs.pop(job.id, None)
         if job.bound_count == 0:
-            self._drop(job)
+            self._remove_job(job)
 
     def ended(self, job: Job) -> None:
         """Record that the job's end is committed; remaining bindings keep the job in the store."""
         self.ending_jobs.pop(job.id, None)
         job.cancelled = True
         if job.bound_count == 0:
-            self._drop(job)
+            self._remove_job(job)
 
-    def _drop(self, job: Job) -> None:
+    def _remove_job(self, job: Job) -> None:
         for chunk in job.chunks.values():
             self.urgent_chunks.pop(chunk, None)
             self.deferred_chunks.pop(chunk, None)
@@ -286,16 +286,16 @@
         return chunk
 
     def _mark(
-        self, chunk: Chunk, now: Monotonic, urgent: bool = False, hurry: bool = False
+        self, chunk: Chunk, now: Monotonic, new_binding: bool = False, awaited: bool = False
     ) -> None:
         """Mark a chunk as dirty.
 
-        `urgent` marks a new binding, `hurry` a completion that other jobs wait for.
+        `new_binding` marks a new binding, `awaited` a completion that other jobs wait for.
         """
         if chunk.dirty_since is None:
             chunk.dirty_since = now
-        if urgent or hurry:
-            chunk.new_bindings += int(urgent)
+        if new_binding or awaited:
+            chunk.new_bindings += int(new_binding)
             self.deferred_chunks.pop(chunk, None)
             self.urgent_chunks[chunk] = None
         elif chunk not in self.urgent_chunks:
@@ -365,8 +365,8 @@
                 bindings.extend(self._load_entry(job, chunk, index, entry))
             except (IndexError, TypeError, ValueError) as error:
                 raise RecordError(f"{job.id}/{index}: {entry!r}") from error
-        for place, errors in record.errors.items():
-            task = job.tasks.get(number * record.n + int(place) if place.isdigit() else -1)
+        for position, errors in record.errors.items():
+            task = job.tasks.get(number * record.n + int(position) if position.isdigit() else -1)
             if task is not None:
                 task.errors = errors
         if job.complete:
@@ -376,12 +376,12 @@
     def _load_done(self, job: Job, index: int) -> None:
         job.done[index] = 1
         job.done_count += 1
-        self._count_open(job, index)
+        self._mark_unblocked(job, index)
 
     def _load_entry(self, job: Job, chunk: Chunk, index: int, entry: list[Any]) -> list[Binding]:
         task = job.tasks[index] = Task(Attempt(int(entry[0])))
         # A task that was bound once had been unblocked.
-        self._count_open(job, index)
+        self._mark_unblocked(job, index)
         if len(entry) == 1:
             heapq.heappush(job.requeued, index)
             return []
@@ -400,7 +400,7 @@
             inherited=True,
         )
         # Its zone is counted once the machine is known: see `count_inherited_zone`.
-        self._attach(job, task, binding, "")
+        self._add_binding(job, task, binding, "")
         return [binding]
 
     def count_inherited_zone(self, binding: Binding, zone: str) -> None:
--- a/tealrill/state/rate_limiter.py
+++ b/tealrill/state/rate_limiter.py
@@ -35,16 +35,16 @@
 
 
 class RateLimiter:
-    """A token bucket with a capacity of `depth` tokens, by default those of one second."""
+    """A token bucket with a capacity of `capacity` tokens, by default those of one second."""
 
-    _KEPT_FOR_URGENT = 0.4
+    _RESERVED_SHARE = 0.4
     """Share of a full bucket that the lowest priority does not use."""
 
-    def __init__(self, rate: float, depth: float | None = None) -> None:
+    def __init__(self, rate: float, capacity: float | None = None) -> None:
         self._rate = rate
-        self._depth = depth
+        self._capacity = capacity
         self._tokens = self.burst
-        self._at: Monotonic = monotonic_now()
+        self._refilled_at: Monotonic = monotonic_now()
         self._queues: dict[RequestPriority, deque[_Waiter]] = {
             priority: deque() for priority in RequestPriority
         }
@@ -59,34 +59,34 @@
     @property
     def burst(self) -> float:
         """Number of tokens in a full bucket."""
-        return max(1.0, self._depth if self._depth is not None else self._rate)
+        return max(1.0, self._capacity if self._capacity is not None else self._rate)
 
     def available(self, priority: RequestPriority = RequestPriority.HIGH) -> float:
         """Return the number of tokens that a request of this priority may take now."""
         self._refill()
-        return self._tokens - self._kept_from(priority)
+        return self._tokens - self._reserved_from(priority)
 
     def consume(self, amount: float) -> None:
         """Take tokens without waiting; the caller has checked `available`."""
         self._tokens -= amount
 
-    def wait_s(self, priority: RequestPriority) -> float:
+    def estimated_wait_s(self, priority: RequestPriority) -> float:
         """Estimate how long a new request of this priority would wait, in seconds."""
-        ahead = sum(len(queue) for of, queue in self._queues.items() if of <= priority)
+        ahead = sum(len(queue) for other, queue in self._queues.items() if other <= priority)
         return max(0.0, (ahead + 1 - self.available(priority)) / self._rate)
 
     async def acquire(
         self, amount: float = 1.0, priority: RequestPriority = RequestPriority.HIGH
     ) -> None:
         """Wait for `amount` tokens and take them; more than the burst size needs a full bucket."""
-        if not any(queue for of, queue in self._queues.items() if of <= priority) and (
+        if not any(queue for other, queue in self._queues.items() if other <= priority) and (
             self.available(priority) >= self._need(amount, priority)
         ):
             self.consume(amount)
             return
         waiter = _Waiter(amount, asyncio.get_running_loop().create_future())
         self._queues[priority].append(waiter)
-        self._serve()
+        self._grant_waiters()
         try:
             await waiter.granted
         except asyncio.CancelledError:
@@ -96,7 +96,7 @@
             else:
                 # The tokens were granted just before the waiter was cancelled: put them back.
                 self._tokens += amount
-            self._serve()
+            self._grant_waiters()
             raise
 
     def try_acquire(
@@ -108,17 +108,17 @@
         self.consume(amount)
         return True
 
-    def _kept_from(self, priority: RequestPriority) -> float:
+    def _reserved_from(self, priority: RequestPriority) -> float:
         """Return the number of tokens that this priority must leave in the bucket."""
-        return self.burst * self._KEPT_FOR_URGENT if priority is RequestPriority.LOW else 0.0
+        return self.burst * self._RESERVED_SHARE if priority is RequestPriority.LOW else 0.0
 
     def _need(self, amount: float, priority: RequestPriority) -> float:
         # Computed exactly as in `available` for a full bucket: with different rounding the need
         # could exceed what is ever available, and the request would wait forever, retrying every
         # 2 ms.
-        return min(amount, self.burst - self._kept_from(priority))
+        return min(amount, self.burst - self._reserved_from(priority))
 
-    def _serve(self) -> None:
+    def _grant_waiters(self) -> None:
         """Grant tokens to waiters while available, and set the timer for the next one."""
         if self._timer is not None:
             self._timer.cancel()
@@ -126,12 +126,12 @@
         for priority, queue in self._queues.items():
             while queue:
                 waiter = queue[0]
-                short = self._need(waiter.amount, priority) - self.available(priority)
-                if short > 0:
+                missing = self._need(waiter.amount, priority) - self.available(priority)
+                if missing > 0:
                     # Waiters of lower priority must not overtake this one.
-                    delay_s = max(0.002, short / self._rate)
+                    delay_s = max(0.002, missing / self._rate)
                     loop = asyncio.get_running_loop()
-                    self._timer = loop.call_later(delay_s, self._serve)
+                    self._timer = loop.call_later(delay_s, self._grant_waiters)
                     return
                 queue.popleft()
                 if not waiter.granted.done():
@@ -140,5 +140,5 @@
 
     def _refill(self) -> None:
         now = monotonic_now()
-        self._tokens = min(self.burst, self._tokens + (now - self._at) * self._rate)
-        self._at = now
+        self._tokens = min(self.burst, self._tokens + (now - self._refilled_at) * self._rate)
+        self._refilled_at = now
--- a/tealrill/state/records.py
+++ b/tealrill/state/records.py
@@ -38,7 +38,7 @@
 _DONE_FLAG: Final = 2
 _ENTRY_BYTES: Final = 100
 """Upper bound on the encoded size of a bound task; a machine id has at most 64 bytes."""
-_MOST_IN_CHUNK: Final = 128
+_MAX_CHUNK_TASKS: Final = 128
 
 
 class RecordError(TealrillError):
@@ -62,7 +62,7 @@
 
 def chunk_size(value_kb: float) -> int:
     """Return the number of tasks per chunk for which a fully bound chunk fits `value_kb`."""
-    return max(1, min(_MOST_IN_CHUNK, int((value_kb * 1024 - 64) // _ENTRY_BYTES)))
+    return max(1, min(_MAX_CHUNK_TASKS, int((value_kb * 1024 - 64) // _ENTRY_BYTES)))
 
 
 class BoundEntry(NamedTuple):
--- a/tealrill/state/revision_clock.py
+++ b/tealrill/state/revision_clock.py
@@ -13,7 +13,7 @@
 from tealrill.types import Monotonic, Revision
 
 _MIN_INTERVAL_S: Final = 0.5
-_KEPT: Final = 128
+_MAX_OBSERVATIONS: Final = 128
 """With `_MIN_INTERVAL_S` this covers more than a minute."""
 _UNKNOWN: Final = Monotonic(-math.inf)
 
@@ -22,7 +22,7 @@
     """Derives lower bounds for the times of revisions from answered requests."""
 
     def __init__(self) -> None:
-        self._seen: deque[tuple[Monotonic, Revision]] = deque(maxlen=_KEPT)
+        self._seen: deque[tuple[Monotonic, Revision]] = deque(maxlen=_MAX_OBSERVATIONS)
 
     def observe(self, sent: Monotonic, revision: Revision) -> None:
         """Record that a request sent at time `sent` was answered at `revision`."""
--- a/tealrill/state/transaction_batch.py
+++ b/tealrill/state/transaction_batch.py
@@ -17,7 +17,7 @@
 from tealrill.types import ABSENT, Monotonic, Revision
 
 _MAX_BYTES: Final = 60 * 1024
-_DROPPED_AT_ONCE: Final = 2
+_MAX_DROPPED_CHUNKS: Final = 2
 """Maximum number of chunks deleted together with a job's end; those of larger jobs are deferred."""
 
 
@@ -63,8 +63,8 @@
     """
     if job.outcome != OUTCOME_DONE or job.bound_count:
         return []
-    kept = [chunk for chunk in job.chunks.values() if chunk.mod_revision != ABSENT]
-    return kept if len(kept) <= _DROPPED_AT_ONCE else []
+    stored = [chunk for chunk in job.chunks.values() if chunk.mod_revision != ABSENT]
+    return stored if len(stored) <= _MAX_DROPPED_CHUNKS else []
 
 
 def _end_record(job: Job) -> dict[str, Any]:
@@ -84,7 +84,7 @@
 class TransactionBatch:
     """The contents of the next transaction.
 
-    The `room` parameter of its methods is the maximum number of changes in the batch.
+    The `max_changes` parameter of its methods is the maximum number of changes in the batch.
     """
 
     guards: dict[str, Revision] = field(default_factory=dict)
@@ -94,7 +94,7 @@
     """Jobs whose end it commits."""
     dropped_chunks: dict[str, Chunk] = field(default_factory=dict)
     """Chunks that it deletes together with the end of their job, by key."""
-    obsolete: list[str] = field(default_factory=list)
+    orphaned_keys: list[str] = field(default_factory=list)
     """Keys of the orphaned chunks that it deletes."""
     joined: list[JoinedWrite] = field(default_factory=list)
     size: int = 0
@@ -102,15 +102,15 @@
     complete: bool = True
     """False if an entry that is due did not fit."""
 
-    def add_end(self, job: Job, room: int, drop_chunks: bool) -> bool:
+    def add_end(self, job: Job, max_changes: int, drop_chunks: bool) -> bool:
         """Add the end of a job; return False if it does not fit."""
         dropped = _chunks_to_drop(job) if drop_chunks else []
-        if not self._fits(2 + len(dropped), 0, room):
+        if not self._fits(2 + len(dropped), 0, max_changes):
             # Checked before encoding, which would be wasted work: in an overload many ends wait.
             return False
         put = wire.put(ended_key(job.id), _end_record(job))
         size = len(wire.encode(put)) + 400 + 300 * len(dropped)
-        if not self._fits(2 + len(dropped), size, room):
+        if not self._fits(2 + len(dropped), size, max_changes):
             return False
         for chunk in dropped:
             self.guards[chunk.key] = chunk.mod_revision
@@ -126,11 +126,11 @@
         self.jobs.append(job)
         return True
 
-    def add_chunk(self, chunk: Chunk, value: dict[str, Any], room: int) -> bool:
+    def add_chunk(self, chunk: Chunk, value: dict[str, Any], max_changes: int) -> bool:
         """Add a chunk with its current value; return False if it does not fit."""
         change = wire.put(chunk.key, value)
         size = len(wire.encode(change)) + 200
-        if not self._fits(1, size, room):
+        if not self._fits(1, size, max_changes):
             return False
         self.guards[chunk.key] = chunk.mod_revision
         if chunk.new_bindings:
@@ -143,10 +143,10 @@
         self.size += size
         return True
 
-    def add_joined(self, joined: JoinedWrite, room: int) -> bool:
+    def add_joined(self, joined: JoinedWrite, max_changes: int) -> bool:
         """Add a subsystem's changes; return False if they do not fit."""
         size = joined.size
-        if not self._fits(len(joined.changes), size, room):
+        if not self._fits(len(joined.changes), size, max_changes):
             return False
         self.guards.update(joined.guards)
         self.changes += joined.changes
@@ -154,21 +154,21 @@
         self.joined.append(joined)
         return True
 
-    def add_obsolete(self, key: str, mod_revision: Revision, room: int) -> bool:
+    def add_orphaned_chunk(self, key: str, mod_revision: Revision, max_changes: int) -> bool:
         """Add the deletion of an orphaned chunk; return False if the batch is full.
 
         Does not clear `complete`: nothing waits for the deletion.
         """
-        if len(self.changes) >= room:
+        if len(self.changes) >= max_changes:
             return False
         self.guards[key] = mod_revision
         self.changes.append(wire.delete(key))
-        self.obsolete.append(key)
+        self.orphaned_keys.append(key)
         self.size += 2 * len(key) + 60
         return True
 
-    def _fits(self, changes: int, size: int, room: int) -> bool:
-        if len(self.changes) + changes > room or self.size + size > _MAX_BYTES:
+    def _fits(self, changes: int, size: int, max_changes: int) -> bool:
+        if len(self.changes) + changes > max_changes or self.size + size > _MAX_BYTES:
             self.complete = False
             return False
         return True
--- a/tealrill/state/validation.py
+++ b/tealrill/state/validation.py
@@ -57,14 +57,14 @@
         self._value_bytes = int(settings.params.state.value_kb * 1024)
         self._catalogue = catalogue
 
-    def check(self, spec: wire.JobSpec, job_id: JobId | None, beside_bytes: int) -> None:
-        """Validate a job whose record has `beside_bytes` bytes in addition to its specification.
+    def check(self, spec: wire.JobSpec, job_id: JobId | None, overhead_bytes: int) -> None:
+        """Validate a job whose record has `overhead_bytes` bytes in addition to its specification.
 
         Raises `JobRejectedError`, or `CatalogueUnknownError` if it can't be decided now.
         """
         if job_id is None:
             raise JobRejectedError(400, "id: malformed - at `$.id`")
-        if len(wire.encode(spec)) + beside_bytes > self._value_bytes:
+        if len(wire.encode(spec)) + overhead_bytes > self._value_bytes:
             raise JobRejectedError(400, "the job's description is too long - at `$.builds`")
         team = self._teams.get(spec.team)
         if team is None:
--- a/tealrill/state/write_batcher.py
+++ b/tealrill/state/write_batcher.py
@@ -32,10 +32,10 @@
 
 log = logging.getLogger(__name__)
 
-_LAZY_S: Final = 2.0
+_DEFER_S: Final = 2.0
 """Time for which a dirty chunk that nothing waits for may gather more changes."""
 _BACK_OFF_S: Final = 0.2
-_LEFTOVERS: Final = 32
+_MAX_ORPHANED_CHUNKS: Final = 32
 """With this many orphaned chunks, job ends delete their chunks even while bindings wait."""
 
 
@@ -53,14 +53,14 @@
         leadership: Leadership,
         txn_ops: int,
         committed: Callable[[list[Chunk]], None],
-        job_over: Callable[[Job], None],
+        job_ended: Callable[[Job], None],
     ) -> None:
         self._client = client
         self._job_store = job_store
         self._fence = Fence(client, leadership.mod_revision)
         self._txn_ops = txn_ops
         self._committed = committed
-        self._job_over = job_over
+        self._job_ended = job_ended
         self._wake = asyncio.Event()
         self.busy = False
         """True while a transaction is in flight."""
@@ -107,29 +107,35 @@
         otherwise starve behind bindings, which take one change each.
         """
         batch = TransactionBatch()
-        room = min(self._txn_ops, int(self._client.writes.available()))
+        max_changes = min(self._txn_ops, int(self._client.writes.available()))
         awaited = {j: j.priority_at for j in self.joined if j.priority_at is not None}
         if (
-            self._add_all(batch, [j for j, at in awaited.items() if now >= at], room)
-            and self._add_awaited(batch, room)
-            and self._add_all(batch, [j for j in awaited if j not in batch.joined], room)
+            self._add_all(batch, [j for j, at in awaited.items() if now >= at], max_changes)
+            and self._add_urgent(batch, max_changes)
+            and self._add_all(batch, [j for j in awaited if j not in batch.joined], max_changes)
         ):
-            spare = min(room, max(0, int(self._client.writes.available(RequestPriority.LOW))))
+            spare = min(
+                max_changes, max(0, int(self._client.writes.available(RequestPriority.LOW)))
+            )
             self._add_deferred(batch, spare, now)
         return batch
 
-    def _add_deferred(self, batch: TransactionBatch, room: int, now: Monotonic) -> None:
+    def _add_deferred(self, batch: TransactionBatch, max_changes: int, now: Monotonic) -> None:
         """Add changes that neither users nor other jobs wait for."""
-        self._add_all(batch, [j for j in self.joined if j.priority_at is None], room)
+        self._add_all(batch, [j for j in self.joined if j.priority_at is None], max_changes)
         for chunk in list(self._job_store.deferred_chunks):
-            due = chunk.dirty_since is not None and now - chunk.dirty_since >= _LAZY_S
-            if due and chunk.job not in batch.jobs and not self._add_chunk(batch, chunk, room):
+            due = chunk.dirty_since is not None and now - chunk.dirty_since >= _DEFER_S
+            if (
+                due
+                and chunk.job not in batch.jobs
+                and not self._add_chunk(batch, chunk, max_changes)
+            ):
                 break
         for key, mod_revision in list(self._job_store.orphaned_chunks.items()):
-            if not batch.add_obsolete(key, mod_revision, room):
+            if not batch.add_orphaned_chunk(key, mod_revision, max_changes):
                 break
 
-    def _add_awaited(self, batch: TransactionBatch, room: int) -> bool:
+    def _add_urgent(self, batch: TransactionBatch, max_changes: int) -> bool:
         """Add job ends and urgent chunks by priority class.
 
         Returns False as soon as one does not fit; nothing may be added after it.
@@ -141,11 +147,13 @@
         for chunk in self._job_store.urgent_chunks:
             chunks.setdefault(chunk.job.spec.rank, []).append(chunk)
         for rank in sorted(ends.keys() | chunks.keys(), reverse=True):
-            drop_chunks = rank not in chunks or len(self._job_store.orphaned_chunks) >= _LEFTOVERS
-            if not all(batch.add_end(job, room, drop_chunks) for job in ends.get(rank, ())):
+            drop_chunks = (
+                rank not in chunks or len(self._job_store.orphaned_chunks) >= _MAX_ORPHANED_CHUNKS
+            )
+            if not all(batch.add_end(job, max_changes, drop_chunks) for job in ends.get(rank, ())):
                 return False
             if not all(
-                self._add_chunk(batch, chunk, room)
+                self._add_chunk(batch, chunk, max_changes)
                 for chunk in chunks.get(rank, ())
                 if chunk.job not in batch.jobs
             ):
@@ -153,11 +161,11 @@
         return True
 
     @staticmethod
-    def _add_all(batch: TransactionBatch, writes: list[JoinedWrite], room: int) -> bool:
-        return all(batch.add_joined(joined, room) for joined in writes)
+    def _add_all(batch: TransactionBatch, writes: list[JoinedWrite], max_changes: int) -> bool:
+        return all(batch.add_joined(joined, max_changes) for joined in writes)
 
-    def _add_chunk(self, batch: TransactionBatch, chunk: Chunk, room: int) -> bool:
-        return batch.add_chunk(chunk, self._job_store.value(chunk), room)
+    def _add_chunk(self, batch: TransactionBatch, chunk: Chunk, max_changes: int) -> bool:
+        return batch.add_chunk(chunk, self._job_store.value(chunk), max_changes)
 
     # -- the transaction ------------------------------------------------------------------------
 
@@ -173,11 +181,11 @@
             await asyncio.sleep(1.0)
         except OutcomeUnknownError as error:
             log.info("commit outcome unknown, reading keys back: error=%s", error)
-            await self._reread(batch, list(self._fence.guards(batch.guards)))
+            await self._read_back(batch, list(self._fence.guards(batch.guards)))
         else:
             if isinstance(result, GuardsFailed):
                 log.debug("commit guards failed: keys=%s", result.keys)
-                await self._reread(batch, result.keys)
+                await self._read_back(batch, result.keys)
             else:
                 self._apply(batch, result.revision)
 
@@ -186,9 +194,11 @@
             chunk.mod_revision = revision
             chunk.committed = max(chunk.committed, version)
             chunk.new_bindings -= new_bindings
-            if chunk.news:
-                done = [index for since, index in chunk.news if since <= version]
-                chunk.news = [news for news in chunk.news if news[0] > version]
+            if chunk.unreported_completions:
+                done = [index for since, index in chunk.unreported_completions if since <= version]
+                chunk.unreported_completions = [
+                    entry for entry in chunk.unreported_completions if entry[0] > version
+                ]
                 self.tasks_done(chunk.job, done)
             if chunk.job.id not in self._job_store.jobs:
                 # The job was dropped while the transaction was in flight, which wrote the chunk
@@ -203,29 +213,29 @@
                 self._job_store.urgent_chunks.pop(chunk, None)
                 self._job_store.deferred_chunks[chunk] = None
                 chunk.dirty_since = monotonic_now()
-        for key in batch.obsolete:
+        for key in batch.orphaned_keys:
             self._job_store.orphaned_chunks.pop(key, None)
         for chunk in batch.dropped_chunks.values():
             chunk.mod_revision = ABSENT
         for job in batch.jobs:
             self._job_store.ended(job)
-            self._job_over(job)
+            self._job_ended(job)
         for joined in batch.joined:
             self.joined.pop(joined, None)
             joined.applied(revision)
         self._committed([chunk for chunk, _, new_bindings in batch.chunks if new_bindings])
 
-    async def _reread(self, batch: TransactionBatch, keys: list[str]) -> None:
+    async def _read_back(self, batch: TransactionBatch, keys: list[str]) -> None:
         """Read back keys whose guards failed or may have changed, and adopt their revisions."""
         chunks = batch.dropped_chunks | {write.chunk.key: write.chunk for write in batch.chunks}
         jobs = {job.id: job for job in batch.jobs}
         jobs.update({write.chunk.job.id: write.chunk.job for write in batch.chunks})
         jobs_by_key = {job_key(job.id): job for job in jobs.values()}
         owners = {job.owner.key: job.owner for job in jobs.values() if job.owner is not None}
-        found: dict[str, wire.KeyValue | None] = {}
+        entries: dict[str, wire.KeyValue | None] = {}
         for key in keys:
-            entry = found[key] = await self._read(key)
-            mod_revision = _stamp(entry)
+            entry = entries[key] = await self._read(key)
+            mod_revision = _mod_revision(entry)
             if key in owners and mod_revision != owners[key].mod_revision:
                 self.owner_changed(owners[key])
             if key == LEADER_KEY:
@@ -235,19 +245,19 @@
                 chunks[key].mod_revision = mod_revision
             elif key in jobs_by_key:
                 await self._job_changed(jobs_by_key[key], mod_revision)
-            elif key in batch.obsolete:
-                self._obsolete_changed(key, mod_revision)
-        self._refuse_outdated(batch.joined, found)
+            elif key in batch.orphaned_keys:
+                self._orphan_changed(key, mod_revision)
+        self._refuse_stale_writes(batch.joined, entries)
 
-    def _obsolete_changed(self, key: str, mod_revision: Revision) -> None:
+    def _orphan_changed(self, key: str, mod_revision: Revision) -> None:
         """Adopt the revision of an orphaned chunk, or forget the chunk if it no longer exists."""
         if mod_revision == ABSENT:
             self._job_store.orphaned_chunks.pop(key, None)
         else:
             self._job_store.orphaned_chunks[key] = mod_revision
 
-    def _refuse_outdated(
-        self, writes: list[JoinedWrite], found: dict[str, wire.KeyValue | None]
+    def _refuse_stale_writes(
+        self, writes: list[JoinedWrite], entries: dict[str, wire.KeyValue | None]
     ) -> None:
         """Drop subsystem writes whose guards no longer hold, and report the current values.
 
@@ -255,24 +265,24 @@
         """
         for joined in writes:
             if any(
-                key in found and _stamp(found[key]) != mod_revision
+                key in entries and _mod_revision(entries[key]) != mod_revision
                 for key, mod_revision in joined.guards.items()
             ):
                 self.joined.pop(joined, None)
-                joined.refused({key: found[key] for key in joined.guards if key in found})
+                joined.refused({key: entries[key] for key in joined.guards if key in entries})
 
     async def _job_changed(self, job: Job, mod_revision: Revision) -> None:
         """Determine why a job's record was deleted: its end by this leader, or a cancellation."""
         if mod_revision == job.mod_revision or job.id not in self._job_store.jobs:
             return
-        over = await self._read(ended_key(job.id))
-        if over is not None and over.value.get("status") == wire.JOB_DONE:
+        ended = await self._read(ended_key(job.id))
+        if ended is not None and ended.value.get("status") == wire.JOB_DONE:
             self._job_store.ended(job)
-            self._job_over(job)
-        elif over is not None:
-            job.outcome = over.value.get("outcome", OUTCOME_CANCELLED)
+            self._job_ended(job)
+        elif ended is not None:
+            job.outcome = ended.value.get("outcome", OUTCOME_CANCELLED)
             self._job_store.cancel(job)
-            self._job_over(job)
+            self._job_ended(job)
 
     async def _read(self, key: str) -> wire.KeyValue | None:
         while True:
@@ -283,5 +293,5 @@
                 await asyncio.sleep(_BACK_OFF_S)
 
 
-def _stamp(entry: wire.KeyValue | None) -> Revision:
+def _mod_revision(entry: wire.KeyValue | None) -> Revision:
     return ABSENT if entry is None else Revision(entry.version)
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -64,11 +64,11 @@
     leader.fleet.loaded = True
     leader.job_watch.cancellation_knowledge = CancellationKnowledge(Revision(41), now)
     for later_s in (0.0, 1.0, 30.0, 31.0):
-        leader.lease_expiry._log_knowledge(Monotonic(now + later_s))
+        leader.lease_expiry._log_renewal_change(Monotonic(now + later_s))
     leader.job_watch.cancellation_knowledge = CancellationKnowledge(
         Revision(50), Monotonic(now + 31.0)
     )
-    leader.lease_expiry._log_knowledge(Monotonic(now + 32.0))
+    leader.lease_expiry._log_renewal_change(Monotonic(now + 32.0))
     assert _texts(caplog, "worker renewals") == [
         "worker renewals suspended: term=3 cancellations_known_to_revision=41 known_s_ago=30.0",
         "worker renewals resumed: term=3 cancellations_known_to_revision=50 known_s_ago=1.0",
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -296,7 +296,7 @@
         super().__init__(random.Random(0), True)
         self.reliable = True
         self.busy = busy
-        self.submissions = RateLimiter(1.0, depth=20.0)  # type: ignore[assignment]
+        self.submissions = RateLimiter(1.0, capacity=20.0)  # type: ignore[assignment]
 
     async def commit(
         self,
--- a/tests/test_write_batcher.py
+++ b/tests/test_write_batcher.py
@@ -118,7 +118,7 @@
         return "run/wk-1/00000" in term.store.keys
 
     assert left_over()
-    monkeypatch.setattr(batcher_module, "_LEFTOVERS", 0)
+    monkeypatch.setattr(batcher_module, "_MAX_ORPHANED_CHUNKS", 0)
     assert not left_over()
 
 
