--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -30,7 +30,7 @@
     return [r.getMessage() for r in caplog.records if part in r.getMessage()]
 
 
-def test_a_line_comes_once_a_change(caplog: pytest.LogCaptureFixture) -> None:
+def test_change_log_writes_line_only_on_change(caplog: pytest.LogCaptureFixture) -> None:
     caplog.set_level(logging.INFO)
     changes = ChangeLog(logging.getLogger("tealrill.test"))
     for text in ("a", "a", "b", "a", "a"):
@@ -40,7 +40,7 @@
     assert [record.getMessage() for record in caplog.records] == ["a", "b", "a", "a"]
 
 
-def test_whom_a_node_follows_is_said_once_a_term(caplog: pytest.LogCaptureFixture) -> None:
+def test_followed_leader_is_logged_once_per_term(caplog: pytest.LogCaptureFixture) -> None:
     caplog.set_level(logging.INFO)
     store = Store()
     election = Election(cast(StateClient, store), "node-0", lambda: None)
@@ -53,7 +53,7 @@
     ]
 
 
-def test_a_leader_says_when_it_renews_nobody_for_want_of_knowledge(
+def test_suspended_worker_renewals_are_logged_on_change(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     caplog.set_level(logging.INFO)
@@ -75,7 +75,7 @@
     ]
 
 
-def test_a_nodes_status_counts_reports_by_their_answers() -> None:
+def test_status_counts_heartbeats_by_answer_and_shows_validity() -> None:
     node = Controller(PARSED)
     node.election.known_leader = KnownLeader("node-1", FencingToken(3), Revision(7))
     message: wire.Heartbeat = report("m-1", 1, 1, 3)
--- a/tests/test_formats.py
+++ b/tests/test_formats.py
@@ -27,12 +27,12 @@
 NOW = Monotonic(5.0)
 
 
-def test_a_submission_keeps_every_field() -> None:
+def test_submission_round_trip_keeps_every_field() -> None:
     assert wire.plain(spec()) == SUBMISSION
 
 
 @pytest.mark.parametrize("field", [k for k, v in SUBMISSION.items() if v is not None])
-def test_a_missing_field_is_named(field: str) -> None:
+def test_missing_field_is_named_in_error(field: str) -> None:
     body = {k: v for k, v in SUBMISSION.items() if k != field}
     if field == "dueS":
         assert wire.decode(orjson.dumps(body), wire.JobSpec).deadline_s is None
@@ -56,19 +56,19 @@
         ("builds", "big"),
     ],
 )
-def test_a_field_out_of_range_is_named(field: str, value: Any) -> None:
+def test_invalid_field_value_is_named_in_error(field: str, value: Any) -> None:
     with pytest.raises(wire.MalformedMessageError, match=field):
         wire.decode(orjson.dumps({**SUBMISSION, field: value}), wire.JobSpec)
 
 
 @pytest.mark.parametrize("body", [b"", b"{", b"[]", b"7", b'{"vcpus": NaN}', b"\xff\xfe"])
-def test_what_is_no_json_object_is_malformed(body: bytes) -> None:
+def test_non_object_body_is_malformed(body: bytes) -> None:
     with pytest.raises(wire.MalformedMessageError):
         wire.decode(body, wire.JobSpec)
 
 
 @given(st.binary(max_size=200))
-def test_no_body_breaks_the_reader(body: bytes) -> None:
+def test_arbitrary_bytes_are_rejected_as_malformed(body: bytes) -> None:
     with pytest.raises(wire.MalformedMessageError):
         wire.decode(body, wire.Heartbeat)
 
@@ -83,17 +83,17 @@
         saved=st.none() | st.booleans(),
     )
 )
-def test_a_task_report_survives_the_wire(line: wire.TaskStatus) -> None:
+def test_task_status_round_trip(line: wire.TaskStatus) -> None:
     assert wire.decode(wire.encode(line), wire.TaskStatus) == line
 
 
-def test_task_ids() -> None:
+def test_parse_task_id() -> None:
     assert parse_task_id("wk-12/3") == TaskId(JobId("wk-12"), 3)
     for text in ("wk-12", "wk-12/", "wk-12/x", "wk-12/-1", "/3", "wk/3", "wk-12/٣"):
         assert parse_task_id(text) is None
 
 
-def test_settings_ignore_what_they_do_not_know() -> None:
+def test_settings_ignore_unknown_fields() -> None:
     parsed = settings.parse(orjson.dumps({**SETTINGS, "new_field": 1}))
     assert parsed.nodes == 2
     assert parsed.params.teams[0].cpus_max == 64.0
@@ -108,14 +108,14 @@
         ({"params": {**SETTINGS["params"], "workers": {"report_s": 0}}}, "report_s"),
     ],
 )
-def test_bad_settings_name_the_field(change: dict[str, Any], named: str) -> None:
+def test_invalid_settings_name_the_field(change: dict[str, Any], named: str) -> None:
     with pytest.raises(settings.SettingsError, match=named) as error:
         settings.parse(orjson.dumps({**SETTINGS, **change}))
     assert "\n" not in str(error.value)
 
 
 @given(st.lists(st.sampled_from(["bind", "backfill", "release", "done"]), max_size=40))
-def test_a_chunk_read_back_says_what_was_written(steps: list[str]) -> None:
+def test_chunk_round_trip(steps: list[str]) -> None:
     job_store = JobStore(4.0)
     job = job_store.add(spec(pieces=6), Wall(0.0), Revision(3))
     for step in steps:
@@ -156,7 +156,7 @@
 
 
 @given(st.floats(1.0, 64.0))
-def test_a_full_chunk_fits_its_value(value_kb: float) -> None:
+def test_fully_bound_chunk_fits_value_limit(value_kb: float) -> None:
     job_store = JobStore(value_kb)
     size = chunk_size(value_kb)
     job = job_store.add(spec(pieces=size), Wall(0.0), Revision(3))
--- a/tests/test_golden_records.py
+++ b/tests/test_golden_records.py
@@ -880,18 +880,18 @@
 
 
 @pytest.mark.parametrize("sample", _samples("read"))
-def test_a_sample_is_read(sample: dict[str, Any]) -> None:
+def test_sample_is_decoded(sample: dict[str, Any]) -> None:
     assert read_fields(KINDS[sample["kind"]], sample["text"]) == sample["fields"]
 
 
 @pytest.mark.parametrize("sample", _samples("read"))
-def test_a_sample_is_written_byte_for_byte(sample: dict[str, Any]) -> None:
+def test_sample_is_encoded_byte_for_byte(sample: dict[str, Any]) -> None:
     expected = sample["again"] if "again" in sample else sample["text"]
     assert written_again(KINDS[sample["kind"]], sample["text"]) == expected
 
 
 @pytest.mark.parametrize("sample", _samples("refused"))
-def test_what_is_not_known_is_refused(sample: dict[str, Any]) -> None:
+def test_unknown_form_is_rejected(sample: dict[str, Any]) -> None:
     kind = KINDS[sample["kind"]]
     assert kind.refusal is not None
     with pytest.raises(kind.refusal):
@@ -899,32 +899,32 @@
 
 
 @pytest.mark.parametrize("sample", _samples("built"))
-def test_a_message_is_built_byte_for_byte(sample: dict[str, Any]) -> None:
+def test_message_is_built_byte_for_byte(sample: dict[str, Any]) -> None:
     built = BUILDERS[sample["kind"]](*sample["arguments"])
     assert wire.encode(built).decode() == sample["text"]
 
 
 @pytest.mark.parametrize("sample", _samples("keys"))
-def test_a_key_is_what_it_was(sample: dict[str, Any]) -> None:
+def test_key_is_unchanged(sample: dict[str, Any]) -> None:
     assert KEYS[sample["kind"]](*sample["arguments"]) == sample["key"]
 
 
 @pytest.mark.parametrize("sample", _samples("values"))
-def test_a_word_of_the_protocol_is_what_it_was(sample: dict[str, Any]) -> None:
+def test_protocol_value_is_unchanged(sample: dict[str, Any]) -> None:
     assert VALUES[sample["kind"]] == sample["value"]
 
 
 @pytest.mark.parametrize("sample", _samples("deployed"))
-def test_the_platform_starts_the_service_as_before(sample: dict[str, Any]) -> None:
+def test_service_manifest_is_unchanged(sample: dict[str, Any]) -> None:
     text = (ROOT / sample["file"]).read_text(encoding="utf-8")
     assert tomllib.loads(text) == sample["content"]
 
 
-def test_the_deployed_features_are_read() -> None:
+def test_deployed_features_file_is_valid() -> None:
     features.load(ROOT / "deploy" / "features.toml")
 
 
-def test_acknowledged_cancellations_go_with_a_promise() -> None:
+def test_extension_answer_contains_acknowledged_cancellations() -> None:
     known = AcknowledgedCancellations(lambda: Revision(2))
     known.add("wk-000412", Revision(7))
     answer = ExtensionAnswer(
@@ -956,15 +956,13 @@
     assert {n: p for n, p in found.items() if not any(k.startswith(p) for k in keys)} == {}
 
 
-def test_every_row_has_a_sample() -> None:
+def test_every_kind_has_a_sample() -> None:
     for part, table in (("read", KINDS), ("built", BUILDERS), ("keys", KEYS), ("values", VALUES)):
         assert {sample.values[0]["kind"] for sample in _samples(part)} == set(table)
 
 
 @pytest.mark.parametrize("term", ["7", 7.0, {"term": 7}, True])
-def test_nobody_stands_after_a_term_that_is_not_known(
-    term: Any, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_no_campaign_after_an_unreadable_term(term: Any, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(election, "_UNREADABLE_S", 0.0)
     client = _Client({fencing.LEADER_KEY: {}, election.TERM_KEY: term})
     member = Election(cast(Any, client), "node-1", lambda: None)
--- a/tests/test_rate_limiter.py
+++ b/tests/test_rate_limiter.py
@@ -33,18 +33,18 @@
         loop.close()
 
 
-def test_those_who_wait_are_woken_once_each(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_each_waiter_is_woken_once(monkeypatch: pytest.MonkeyPatch) -> None:
     """2,000 waiters that each poll the bucket took half of a controller's processor time."""
 
     async def wait() -> list[float]:
-        found = RateLimiter(100.0)
+        limiter = RateLimiter(100.0)
         served: list[float] = []
 
-        async def one() -> None:
-            await found.acquire(priority=RequestPriority.NORMAL)
+        async def acquire_tokens() -> None:
+            await limiter.acquire(priority=RequestPriority.NORMAL)
             served.append(asyncio.get_running_loop().time())
 
-        await asyncio.gather(*(one() for _ in range(2000)))
+        await asyncio.gather(*(acquire_tokens() for _ in range(2000)))
         return served
 
     served, loop = _run(monkeypatch, wait())
@@ -54,20 +54,22 @@
     assert loop.turns < 5 * 2000 + 10_000
 
 
-def test_a_lease_does_not_wait_behind_polls(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_lease_request_overtakes_queued_polls(monkeypatch: pytest.MonkeyPatch) -> None:
     async def wait() -> list[str]:
-        found = RateLimiter(10.0)
-        found.consume(10.0)
+        limiter = RateLimiter(10.0)
+        limiter.consume(10.0)
         order: list[str] = []
 
-        async def one(name: str, priority: RequestPriority) -> None:
-            await found.acquire(priority=priority)
+        async def acquire_tokens(name: str, priority: RequestPriority) -> None:
+            await limiter.acquire(priority=priority)
             order.append(name)
 
-        later = asyncio.create_task(one("list", RequestPriority.LOW))
-        polls = [asyncio.create_task(one("poll", RequestPriority.NORMAL)) for _ in range(20)]
+        later = asyncio.create_task(acquire_tokens("list", RequestPriority.LOW))
+        polls = [
+            asyncio.create_task(acquire_tokens("poll", RequestPriority.NORMAL)) for _ in range(20)
+        ]
         await asyncio.sleep(0.5)
-        lease = asyncio.create_task(one("lease", RequestPriority.HIGH))
+        lease = asyncio.create_task(acquire_tokens("lease", RequestPriority.HIGH))
         await asyncio.gather(later, lease, *polls)
         return order
 
@@ -75,16 +77,16 @@
     assert order.index("lease") <= 6 and order[-1] == "list"
 
 
-def test_what_is_given_to_one_who_has_gone_is_not_lost(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_tokens_of_cancelled_waiters_are_returned(monkeypatch: pytest.MonkeyPatch) -> None:
     async def wait() -> float:
-        found = RateLimiter(1.0)
-        await found.acquire()
-        terminated = [asyncio.create_task(found.acquire()) for _ in range(50)]
+        limiter = RateLimiter(1.0)
+        await limiter.acquire()
+        cancelled = [asyncio.create_task(limiter.acquire()) for _ in range(50)]
         await asyncio.sleep(0.1)
-        for task in terminated:
+        for task in cancelled:
             task.cancel()
-        await asyncio.gather(*terminated, return_exceptions=True)
-        await found.acquire()
+        await asyncio.gather(*cancelled, return_exceptions=True)
+        await limiter.acquire()
         return asyncio.get_running_loop().time()
 
     at, _ = _run(monkeypatch, wait())
@@ -92,15 +94,15 @@
 
 
 @pytest.mark.parametrize("rate", RATES)
-def test_one_of_the_lowest_rank_that_needs_all_it_may_take_gets_it(
+def test_low_priority_request_for_maximum_amount_is_granted(
     rate: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """If need and availability are rounded differently, the request waits forever."""
 
     async def wait() -> float:
-        found = RateLimiter(rate)
-        await found.acquire(1.0)
-        await found.acquire(10 * rate, RequestPriority.LOW)
+        limiter = RateLimiter(rate)
+        await limiter.acquire(1.0)
+        await limiter.acquire(10 * rate, RequestPriority.LOW)
         return asyncio.get_running_loop().time()
 
     at, loop = _run(monkeypatch, wait())
@@ -115,32 +117,32 @@
         max_size=60,
     ),
 )
-def test_no_more_is_given_than_the_rate_allows(
-    rate: float, wishes: list[tuple[float, RequestPriority, float]]
+def test_granted_tokens_never_exceed_rate(
+    rate: float, requested: list[tuple[float, RequestPriority, float]]
 ) -> None:
     with pytest.MonkeyPatch.context() as monkeypatch:
-        given_at: list[tuple[float, float]] = []
+        grants: list[tuple[float, float]] = []
 
         async def wait() -> None:
-            found = RateLimiter(rate)
+            limiter = RateLimiter(rate)
 
-            async def one(at: float, priority: RequestPriority, amount: float) -> None:
+            async def acquire_tokens(at: float, priority: RequestPriority, amount: float) -> None:
                 await asyncio.sleep(at)
-                await found.acquire(amount, priority)
-                given_at.append((asyncio.get_running_loop().time(), amount))
+                await limiter.acquire(amount, priority)
+                grants.append((asyncio.get_running_loop().time(), amount))
 
-            await asyncio.gather(*(one(*wish) for wish in wishes))
+            await asyncio.gather(*(acquire_tokens(*arguments) for arguments in requested))
 
         _run(monkeypatch, wait())
-    assert len(given_at) == len(wishes)
+    assert len(grants) == len(requested)
     total = 0.0
-    for at, amount in given_at:
+    for at, amount in grants:
         # An amount above the burst size is granted with a full bucket; later ones wait for it.
         assert total <= max(1.0, rate) + rate * at + 1e-6
         total += amount
 
 
-class _Answers:
+class _CountingHttpClient:
     """An HTTP client that answers at once and counts requests."""
 
     def __init__(self) -> None:
@@ -153,7 +155,7 @@
         return answer
 
 
-def test_polls_beyond_the_rate_are_refused_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_polls_beyond_rate_are_refused_immediately(monkeypatch: pytest.MonkeyPatch) -> None:
     """Queued until their users give up, excess polls would cost processor time without a result."""
 
     async def poll() -> tuple[int, int, float]:
@@ -161,17 +163,17 @@
             b'{"getRps": 300, "putRps": 60, "valueKb": 8, "txnOps": 16}', dict[str, Any]
         )
         client = StateClient("127.0.0.1:1", _limits(limits), 3)
-        answers = _Answers()
+        answers = _CountingHttpClient()
         client._http = answers  # type: ignore[assignment]
         refused: list[float] = []
 
-        async def one() -> None:
+        async def acquire_tokens() -> None:
             try:
                 await client.get("job/wk-1", RequestPriority.NORMAL)
             except RateLimitedError:
                 refused.append(asyncio.get_running_loop().time())
 
-        await asyncio.gather(*(one() for _ in range(3000)))
+        await asyncio.gather(*(acquire_tokens() for _ in range(3000)))
         return len(refused), answers.requests, max(refused)
 
     (refused, served, at), _ = _run(monkeypatch, poll())
@@ -179,10 +181,10 @@
     assert 90 < served < 130  # a full bucket, and the tokens of one second
 
 
-def _limits(found: dict[str, Any]) -> StateLimits:
+def _limits(values: dict[str, Any]) -> StateLimits:
     return StateLimits(
-        rps=found["getRps"],
-        write_rps=found["putRps"],
-        value_kb=found["valueKb"],
-        txn_ops=found["txnOps"],
+        rps=values["getRps"],
+        write_rps=values["putRps"],
+        value_kb=values["valueKb"],
+        txn_ops=values["txnOps"],
     )
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -5,8 +5,9 @@
 each step no answer may contradict an earlier one: `forgotten`, `went_back`, `not_done` and
 `invented` of the protocol. Failovers happen at any time, while transactions of the previous leader
 are still in flight: no task may be started while it is bound, or after it was recorded as done.
-`test_unguarded_writes_are_found` removes the guards and requires that a violation is found.
-(`test_bindings.py` covers a previous leader that is still active after its successor's election.)
+`test_unguarded_writes_cause_contradictions` removes the guards and requires that a contradiction is
+found. (`test_bindings.py` covers a previous leader that is still active after its successor's
+election.)
 """
 
 from __future__ import annotations
@@ -60,7 +61,7 @@
 )  # fmt: skip
 
 
-class _Plenty:
+class _UnlimitedRate:
     """A rate limiter that never runs out of tokens."""
 
     def available(self, priority: RequestPriority = RequestPriority.HIGH) -> float:
@@ -84,7 +85,7 @@
         self.keys: dict[str, tuple[Any, int]] = {LEADER_KEY: ({}, 1)}
         self.epoch = 1
         self.late: list[tuple[list[Any], list[Any]]] = []
-        self.writes = self.requests = self.submissions = _Plenty()
+        self.writes = self.requests = self.submissions = _UnlimitedRate()
         self.unavailable = False
 
     async def get(
@@ -109,18 +110,18 @@
         tokens_acquired: bool = False,
         timeout_s: float = 2.0,
     ) -> Committed | GuardsFailed:
-        fate = (
+        delivery = (
             "answered"
             if self.reliable
             else self.rng.choice(["answered"] * 4 + ["lost", "late", "no"])
         )
-        if fate == "no":
+        if delivery == "no":
             raise StateUnavailableError("not executed")
-        if fate == "late":
+        if delivery == "late":
             self.late.append((guards, changes))
             raise OutcomeUnknownError("no answer")
         result = self.execute(guards, changes)
-        if fate == "lost":
+        if delivery == "lost":
             raise OutcomeUnknownError("no answer")
         return result
 
@@ -142,7 +143,7 @@
     """A user got an answer that contradicts an earlier one, or a task would run twice."""
 
 
-class Service:
+class _Cluster:
     def __init__(self, seed: int, guarded: bool = True) -> None:
         self.rng = random.Random(seed)
         self.store = Store(self.rng, guarded)
@@ -151,21 +152,21 @@
         self.nodes = [Admission(client, parsed, lambda: _CATALOGUE) for _ in range(3)]
         self.client = client
         self.job_store = JobStore(8.0)
-        self.write_batcher = self._keeper(Revision(1))
+        self.write_batcher = self._new_write_batcher(Revision(1))
         self.running: dict[tuple[str, int], int] = {}
         """Started attempts that have not been proved to have ended, by job and task."""
-        self.told: dict[str, str] = {}
-        self.asked_to_cancel: set[str] = set()
+        self.last_status: dict[str, str] = {}
+        self.cancel_requested: set[str] = set()
         self.finished: dict[str, set[int]] = {name: set() for name in JOBS}
 
     async def run(self, steps: int) -> None:
-        actions = [self.submit, self.poll, self.cancel, self.late, self.succeed]
-        actions += [self.lead] * 4
+        actions = [self.submit, self.poll, self.cancel, self.late, self.fail_over]
+        actions += [self.run_leader] * 4
         for action in self.rng.choices(actions, k=steps):
             await action()
         self.store.reliable = True
         for name in JOBS:
-            self._told(name, await self._node().status(name))
+            self._check_reply(name, await self._node().status(name))
 
     def _node(self) -> Admission:
         return self.rng.choice(self.nodes)
@@ -173,26 +174,26 @@
     async def submit(self) -> None:
         name = self.rng.choice(JOBS)
         body = {**SUBMISSION, "id": name, "pieces": 2}
-        if name in self.told and self.rng.random() < 0.5:
+        if name in self.last_status and self.rng.random() < 0.5:
             body["vcpus"] = -1
-        self._told(name, await self._node().submit(orjson.dumps(body)))
+        self._check_reply(name, await self._node().submit(orjson.dumps(body)))
 
     async def poll(self) -> None:
         name = self.rng.choice(JOBS)
-        self._told(name, await self._node().status(name))
+        self._check_reply(name, await self._node().status(name))
 
     async def cancel(self) -> None:
         if self.rng.random() < 0.3:
             name = self.rng.choice(JOBS)
-            self.asked_to_cancel.add(name)
-            self._told(name, await self._node().cancel(name))
+            self.cancel_requested.add(name)
+            self._check_reply(name, await self._node().cancel(name))
 
     async def late(self) -> None:
         if self.store.late:
             guards, changes = self.store.late.pop(self.rng.randrange(len(self.store.late)))
             self.store.execute(guards, changes)
 
-    def _keeper(self, mod_revision: Revision) -> WriteBatcher:
+    def _new_write_batcher(self, mod_revision: Revision) -> WriteBatcher:
         leadership = Leadership(FencingToken(1), mod_revision, LeaseId(1), NOW, Monotonic(1e9))
         return WriteBatcher(
             self.client, self.job_store, leadership, 12, self._start, lambda _: None
@@ -202,18 +203,18 @@
         """Start the tasks whose bindings have been committed."""
         for chunk in chunks:
             for binding in self.job_store.never_sent(chunk):
-                place = (binding.task.job, binding.task.index)
-                if place in self.running or binding.task.index in self.finished[place[0]]:
+                task_key = (binding.task.job, binding.task.index)
+                if task_key in self.running or binding.task.index in self.finished[task_key[0]]:
                     raise Contradiction(f"{binding.task} runs twice")
-                self.running[place] = binding.attempt
+                self.running[task_key] = binding.attempt
                 binding.start_confirmed = True
 
-    async def succeed(self) -> None:
+    async def fail_over(self) -> None:
         """End the leader's process at an arbitrary point, and elect another leader."""
         self.store.epoch += 1
         self.store.keys[LEADER_KEY] = ({}, self.store.epoch)
         self.job_store = JobStore(8.0)
-        self.write_batcher = self._keeper(Revision(self.store.keys[LEADER_KEY][1]))
+        self.write_batcher = self._new_write_batcher(Revision(self.store.keys[LEADER_KEY][1]))
         entries, _ = await self.store.scan("")
         for entry in entries:
             if entry.key.startswith("job/"):
@@ -228,14 +229,14 @@
                 else:
                     self.job_store.load(job, int(number), entry.value, Revision(entry.version))
 
-    async def lead(self) -> None:
+    async def run_leader(self) -> None:
         """Let the leader add a job, or bind a task and complete one; then commit a transaction."""
         name = JobId(self.rng.choice(JOBS))
         job = self.job_store.jobs.get(name)
-        kept = self.store.keys.get(job_key(name))
-        if job is None and kept is not None:
-            spec = wire.decode(orjson.dumps(kept[0]["spec"]), wire.JobSpec)
-            self.job_store.add(spec, Wall(0.0), Revision(kept[1]))
+        stored = self.store.keys.get(job_key(name))
+        if job is None and stored is not None:
+            spec = wire.decode(orjson.dumps(stored[0]["spec"]), wire.JobSpec)
+            self.job_store.add(spec, Wall(0.0), Revision(stored[1]))
         elif job is not None and not job.cancelled and self.rng.random() < 0.6:
             index = self.job_store.pop_unbound_task(job)
             if index is not None:
@@ -252,8 +253,8 @@
         if batch.changes:
             await self.write_batcher._commit(batch)
 
-    def _told(self, name: str, reply: Reply) -> None:
-        before = self.told.get(name)
+    def _check_reply(self, name: str, reply: Reply) -> None:
+        before = self.last_status.get(name)
         if reply.status not in (200, 201):
             if before is not None and reply.status in (400, 404, 422):
                 raise Contradiction(f"{name} was {before}, now {reply}")
@@ -261,41 +262,41 @@
         status = reply.body["status"]
         if before in (wire.JOB_DONE, wire.JOB_CANCELLED) and status != before:
             raise Contradiction(f"{name} was {before}, now {status}")
-        if status == wire.JOB_CANCELLED and name not in self.asked_to_cancel:
+        if status == wire.JOB_CANCELLED and name not in self.cancel_requested:
             raise Contradiction(f"{name} is cancelled, and nobody asked for it")
         if status == wire.JOB_DONE and len(self.finished[name]) < 2:
             raise Contradiction(f"{name} is done before its tasks are")
-        self.told[name] = status
+        self.last_status[name] = status
 
 
 @pytest.fixture(autouse=True)
-def _no_pauses(monkeypatch: pytest.MonkeyPatch) -> None:
+def _no_back_off(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("tealrill.state.write_batcher._BACK_OFF_S", 0.0)
 
 
 @given(st.integers(0, 2**32))
 @hypothesis_settings(max_examples=400, suppress_health_check=[])
-def _check(seed: int) -> None:
-    asyncio.run(Service(seed).run(50))
+def _run_generated_scenarios(seed: int) -> None:
+    asyncio.run(_Cluster(seed).run(50))
 
 
-def test_no_answer_contradicts_an_earlier_one() -> None:
-    _check()
+def test_replies_never_contradict_earlier_replies() -> None:
+    _run_generated_scenarios()
 
 
-def test_unguarded_writes_are_found() -> None:
+def test_unguarded_writes_cause_contradictions() -> None:
     with pytest.raises(Contradiction):
         for seed in range(400):
-            asyncio.run(Service(seed, guarded=False).run(50))
+            asyncio.run(_Cluster(seed, guarded=False).run(50))
 
 
-class _Throttled(Store):
-    """A state service at its rate limit: the first `busy` transactions are answered 429."""
+class _RateLimitedStore(Store):
+    """A state service at its rate limit: the first `rejections` transactions are answered 429."""
 
-    def __init__(self, busy: int) -> None:
+    def __init__(self, rejections: int) -> None:
         super().__init__(random.Random(0), True)
         self.reliable = True
-        self.busy = busy
+        self.rejections = rejections
         self.submissions = RateLimiter(1.0, capacity=20.0)  # type: ignore[assignment]
 
     async def commit(
@@ -305,8 +306,8 @@
         tokens_acquired: bool = False,
         timeout_s: float = 2.0,
     ) -> Committed | GuardsFailed:
-        if self.busy > 0:
-            self.busy -= 1
+        if self.rejections > 0:
+            self.rejections -= 1
             raise RateLimitedError("status 429")
         return await super().commit(guards, changes, tokens_acquired, timeout_s)
 
@@ -323,21 +324,21 @@
     return asyncio.run(run())
 
 
-def test_a_burst_at_one_node_is_accepted_and_the_rest_refused_at_once() -> None:
+def test_submission_burst_is_accepted_up_to_limiter_capacity() -> None:
     # With equal shares of the rate one node refused most of a burst while the others' were unused.
-    replies = _submit_all(_Throttled(busy=0), 25)
+    replies = _submit_all(_RateLimitedStore(rejections=0), 25)
     assert [reply.status for reply in replies] == [201] * 20 + [503] * 5
     assert all(reply.retry_after_s == 1 for reply in replies if reply.status == 503)
 
 
-def test_a_submission_above_the_rate_is_sent_again_but_not_held() -> None:
-    assert [reply.status for reply in _submit_all(_Throttled(busy=2), 1)] == [201]
-    (reply,) = _submit_all(_Throttled(busy=99), 1)
+def test_rate_limited_submission_is_retried_a_bounded_number_of_times() -> None:
+    assert [reply.status for reply in _submit_all(_RateLimitedStore(rejections=2), 1)] == [201]
+    (reply,) = _submit_all(_RateLimitedStore(rejections=99), 1)
     assert (reply.status, reply.retry_after_s) == (503, 1)
 
 
-def test_the_tasks_of_a_large_job_cost_a_key_for_each_chunk_and_not_one_each() -> None:
-    service = Service(0)
+def test_large_job_is_written_with_one_change_per_chunk() -> None:
+    service = _Cluster(0)
     spec = wire.decode(orjson.dumps({**SUBMISSION, "pieces": 150}), wire.JobSpec)
     job = service.job_store.add(spec, Wall(0.0), Revision(1))
     for index in range(150):
@@ -349,7 +350,7 @@
     assert not any(binding.committed for binding in job.bindings())
 
 
-def test_an_urgent_jobs_binding_does_not_wait_for_hundreds_of_others() -> None:
+def test_urgent_binding_is_written_before_standard_bindings() -> None:
     """After a mass failure all lost tasks are bound again at once, and changes are limited."""
     client = cast(StateClient, Store(random.Random(1), True))
     job_store = JobStore(8.0)
--- a/tests/test_submissions.py
+++ b/tests/test_submissions.py
@@ -88,7 +88,7 @@
     """Generate jobs that can run: a task fits a machine type and the team's limit admits it."""
     shape = draw(st.sampled_from(["sweep", "standing"]))
     pieces = draw(st.integers(1, 8))
-    found = {
+    job = {
         **SUBMISSION,
         "shape": shape,
         "urgency": draw(st.sampled_from(["production", "urgent", "standard", "idle"])),
@@ -106,9 +106,9 @@
         "loaners": draw(st.booleans()),
     }
     for name in _NULLABLE:
-        if found[name] is None and draw(st.booleans()):
-            del found[name]
-    return found
+        if job[name] is None and draw(st.booleans()):
+            del job[name]
+    return job
 
 
 _MALFORMED = st.one_of(
@@ -130,7 +130,7 @@
     st.tuples(st.just("id"), st.sampled_from([None, "", 7, "wk", "wk-", "a/b-1", "x" * 200])),
 )  # fmt: skip
 
-_IMPOSSIBLE = st.one_of(
+_UNSATISFIABLE = st.one_of(
     st.tuples(st.just("crew"), st.sampled_from(["nobody", "Red"])),
     st.tuples(st.just("builds"), st.sampled_from([[], ["other"], ["Small"]])),
     st.tuples(st.just("hall"), st.sampled_from(["elsewhere", "North"])),
@@ -142,7 +142,7 @@
 
 @given(_jobs())
 @hypothesis_settings(max_examples=150, deadline=None, derandomize=True)
-def test_what_can_run_is_taken(job: dict[str, Any]) -> None:
+def test_valid_job_is_accepted(job: dict[str, Any]) -> None:
     client = _Client()
     reply = _submit(orjson.dumps(job), client)
     assert (reply.status, client.committed) == (201, 1), reply.body
@@ -150,10 +150,10 @@
 
 @given(_jobs(), _MALFORMED)
 @hypothesis_settings(max_examples=300, deadline=None, derandomize=True)
-def test_what_is_malformed_is_refused_and_its_field_named(
-    job: dict[str, Any], spoiled: tuple[str, Any]
+def test_malformed_job_is_rejected_with_field_name(
+    job: dict[str, Any], invalid_change: tuple[str, Any]
 ) -> None:
-    field, value = spoiled
+    field, value = invalid_change
     changed = {**job, field: value}
     if value is ...:
         del changed[field]
@@ -163,12 +163,12 @@
     assert field in reply.body["error"], reply.body
 
 
-@given(_jobs(), _IMPOSSIBLE)
+@given(_jobs(), _UNSATISFIABLE)
 @hypothesis_settings(max_examples=200, deadline=None, derandomize=True)
-def test_what_can_never_run_is_refused_and_its_field_named(
-    job: dict[str, Any], spoiled: tuple[str, Any]
+def test_unsatisfiable_job_is_rejected_with_field_name(
+    job: dict[str, Any], invalid_change: tuple[str, Any]
 ) -> None:
-    field, value = spoiled
+    field, value = invalid_change
     client = _Client()
     reply = _submit(orjson.dumps({**job, "builds": None, "hall": None, field: value}), client)
     assert (reply.status, client.committed, reply.retry_after_s) == (422, 0, None)
@@ -184,9 +184,7 @@
         ({"hall": "north", "vcpus": 64.0}, "vcpus"),
     ],
 )
-def test_no_machine_type_is_both_allowed_and_large_enough(
-    changes: dict[str, Any], field: str
-) -> None:
+def test_job_without_matching_machine_type_is_rejected(changes: dict[str, Any], field: str) -> None:
     reply = _submit(orjson.dumps({**SUBMISSION, **changes}), _Client())
     assert reply.status == 422 and f"`$.{field}`" in reply.body["error"]
 
@@ -201,55 +199,59 @@
         ("standing", 1000, 0.1, 422),
     ],
 )
-def test_a_teams_limit(shape: str, pieces: int, vcpus: float, status: int) -> None:
+def test_team_limit_applies_to_concurrent_tasks(
+    shape: str, pieces: int, vcpus: float, status: int
+) -> None:
     changes = {"crew": "red", "shape": shape, "pieces": pieces, "vcpus": vcpus}
     reply = _submit(orjson.dumps({**SUBMISSION, **changes}), _Client())
     assert reply.status == status
     assert status == 201 or "`$.vcpus`" in reply.body["error"]
 
 
-_SPOILED = st.one_of(_MALFORMED, _IMPOSSIBLE).filter(lambda spoiled: spoiled[0] != "id")
+_INVALID_CHANGES = st.one_of(_MALFORMED, _UNSATISFIABLE).filter(
+    lambda invalid_change: invalid_change[0] != "id"
+)
 
 
-@given(_SPOILED, st.sampled_from(["job", "over"]))
+@given(_INVALID_CHANGES, st.sampled_from(["job", "over"]))
 @hypothesis_settings(max_examples=150, deadline=None, derandomize=True)
-def test_a_known_job_is_answered_by_its_state_whatever_its_repetition_says(
-    spoiled: tuple[str, Any], where: str
+def test_invalid_resubmission_of_known_job_returns_its_status(
+    invalid_change: tuple[str, Any], prefix: str
 ) -> None:
-    field, value = spoiled
+    field, value = invalid_change
     changed = {**SUBMISSION, field: value}
     if value is ...:
         del changed[field]
-    kept = {"job": {"spec": SUBMISSION, "at": 1.0}, "over": {"status": wire.JOB_DONE, "tasks": 6}}
-    client = _Client(**{f"{where}/{SUBMISSION['id']}": kept[where]})
+    stored = {"job": {"spec": SUBMISSION, "at": 1.0}, "over": {"status": wire.JOB_DONE, "tasks": 6}}
+    client = _Client(**{f"{prefix}/{SUBMISSION['id']}": stored[prefix]})
     reply = _submit(orjson.dumps(changed), client)
-    said = {"job": wire.JOB_PENDING, "over": wire.JOB_DONE}[where]
-    assert (reply.status, reply.body["status"], client.committed) == (200, said, 0)
+    expected = {"job": wire.JOB_PENDING, "over": wire.JOB_DONE}[prefix]
+    assert (reply.status, reply.body["status"], client.committed) == (200, expected, 0)
 
 
 @pytest.mark.parametrize(
     "body",
     [b"", b"{", b"[]", b"7", b'{"vcpus": NaN}', b'{"vcpus": 1e999}', b"\xff", b"null", b'"wk-1"'],
 )
-def test_what_is_no_job_at_all(body: bytes) -> None:
+def test_non_object_body_is_rejected(body: bytes) -> None:
     assert _submit(body, _Client()).status == 400
 
 
-def test_before_the_machine_types_are_known_nothing_is_called_impossible() -> None:
+def test_unknown_catalogue_gives_503_except_for_malformed_job() -> None:
     reply = _submit(orjson.dumps({**SUBMISSION, "vcpus": 1e9}), _Client(), None)
     assert (reply.status, reply.retry_after_s) == (503, 1)
     # A malformed job is rejected without knowledge of the machine types.
     assert _submit(orjson.dumps({**SUBMISSION, "vcpus": -1}), _Client(), None).status == 400
 
 
-def test_while_a_jobs_state_can_not_be_told_its_repetition_is_not_called_malformed() -> None:
+def test_invalid_resubmission_during_owner_move_gives_503() -> None:
     """While the owner's record is being moved, the accepted job's repetition gets a 503."""
     client = _Client(**{"job/lab1-0": {"spec": SUBMISSION, "at": 1.0, "owner": "lab1"}})
     reply = _submit(orjson.dumps({**SUBMISSION, "id": "lab1-0", "vcpus": -1}), client)
     assert (reply.status, reply.retry_after_s) == (503, 1)
 
 
-def test_a_record_without_what_may_be_null_is_read() -> None:
+def test_record_without_nullable_fields_is_decoded() -> None:
     """Requests and records share one type, so records without nullable fields must be readable."""
     record = {k: v for k, v in SUBMISSION.items() if k not in _NULLABLE}
     spec = wire.decode(orjson.dumps(record), wire.JobSpec)
--- a/tests/test_write_batcher.py
+++ b/tests/test_write_batcher.py
@@ -25,7 +25,7 @@
 NOW = Monotonic(1.0)
 
 
-class _Rate:
+class _FixedTokens:
     """A rate limiter with a fixed number of tokens."""
 
     def __init__(self, tokens: float) -> None:
@@ -42,7 +42,7 @@
     def __init__(self, txn_ops: int = 8, tokens: float = 100.0) -> None:
         self.store = Store(random.Random(0), True)
         self.store.reliable = True
-        self.rate = _Rate(tokens)
+        self.rate = _FixedTokens(tokens)
         self.store.writes = self.rate  # type: ignore[assignment]
         self.job_store = JobStore(8.0)
         leadership = Leadership(FencingToken(1), Revision(1), LeaseId(1), NOW, Monotonic(1e9))
@@ -85,7 +85,7 @@
         return ended + [f"bind {chunk.job.id}" for chunk, _, new in batch.chunks if new]
 
 
-def test_an_urgent_binding_goes_before_the_ends_of_many_small_jobs() -> None:
+def test_urgent_binding_precedes_job_ends_of_lower_class() -> None:
     # When 667 jobs of one task each ended within minutes, at a rate of 20 changes per second,
     # urgent bindings waited behind their ends.
     term = _Term()
@@ -104,10 +104,10 @@
     assert sum(line.startswith("end") for line in first) == 2
 
 
-def test_leftovers_do_not_hold_up_bindings_of_their_class_as_long_as_they_are_few(
+def test_chunk_deletion_waits_for_bindings_until_orphans_accumulate(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    def left_over() -> bool:
+    def chunk_remains() -> bool:
         term = _Term()
         done = term.job(1, "urgent")
         term.bind(done)
@@ -117,12 +117,12 @@
         assert term.write() == ["end wk-1", "bind wk-2"]
         return "run/wk-1/00000" in term.store.keys
 
-    assert left_over()
+    assert chunk_remains()
     monkeypatch.setattr(batcher_module, "_MAX_ORPHANED_CHUNKS", 0)
-    assert not left_over()
+    assert not chunk_remains()
 
 
-def test_within_a_class_ends_go_before_bindings() -> None:
+def test_job_end_precedes_bindings_of_same_class() -> None:
     term = _Term(txn_ops=2)
     done, waiting = term.job(1, "standard"), term.job(2, "standard")
     term.bind(done)
@@ -133,7 +133,7 @@
     assert term.write() == ["bind wk-2"]
 
 
-def test_an_end_is_not_starved_by_bindings_that_take_less() -> None:
+def test_job_end_is_not_starved_by_smaller_bindings() -> None:
     # An end takes at least two changes. If bindings may use a single available change, an end is
     # delayed for as long as there are bindings to write.
     term = _Term()
@@ -149,7 +149,7 @@
     assert term.write() == ["end wk-1"]
 
 
-def test_a_small_jobs_chunk_goes_with_its_end() -> None:
+def test_small_job_chunk_is_deleted_with_job_end() -> None:
     term = _Term()
     job = term.job(1, "standard", pieces=2)
     term.bind(job)
@@ -167,7 +167,7 @@
     )
 
 
-def test_a_chunk_with_a_binding_that_stands_does_not_go_with_the_end() -> None:
+def test_chunk_with_binding_is_kept_at_job_end() -> None:
     """A done task may still be on a machine, and a new leader must know its binding."""
     term = _Term()
     job = term.job(1, "standard")
@@ -178,8 +178,8 @@
     assert "run/wk-1/00000" in term.store.keys
 
 
-def test_an_end_without_an_answer_is_found_out_with_its_chunk() -> None:
-    for fate in ("lost", "late"):
+def test_unanswered_job_end_is_resolved_including_its_chunk() -> None:
+    for delivery in ("lost", "late"):
         term = _Term()
         job = term.job(1, "standard")
         term.bind(job)
@@ -187,7 +187,7 @@
         term.finish(job)
         term.store.reliable = False
         term.store.rng = random.Random(0)
-        term.store.rng.choice = lambda _, fate=fate: fate  # type: ignore[method-assign,misc]
+        term.store.rng.choice = lambda _, delivery=delivery: delivery  # type: ignore[method-assign,misc]
         term.write()
         term.store.reliable = True
         while term.write():
