--- a/tealrill/leader/loops.py
+++ b/tealrill/leader/loops.py
@@ -122,10 +122,11 @@
         """Expire the leases of machines, but only once no delegate can have renewed them."""
         now = monotonic_now()
         expired = self._fleet.leases.expired_machines(now)
-        # A delegate must not keep a job running whose cancellation has been acknowledged or may
-        # have been acknowledged without this leader's knowledge. Waiting until the machine's lease
-        # would have expired without delegates is too late: the end of the delegation and the
-        # worker's lease come after that, which left only one second of `cancel_s`.
+        # A delegate must not keep a job running whose cancellation has been acknowledged, or may
+        # have been acknowledged without this leader's knowledge. Delegations are therefore revoked
+        # as soon as a stop is overdue. Waiting until the machine's lease would have expired without
+        # delegates is too late: the end of the delegation and then the worker's lease have to
+        # expire after that, which left only one second of `cancel_s`.
         self._log_renewal_change(now)
         revoke_delegations = self._fleet.heartbeats.has_overdue_stop(
             now
--- a/tealrill/state/admission.py
+++ b/tealrill/state/admission.py
@@ -114,6 +114,7 @@
         self._client = client
         self._validator = JobValidator(settings, catalogue)
         self._over: OrderedDict[JobId, wire.KeyValue] = OrderedDict()
+        """Cached records of ended jobs, without their specifications."""
         self.acknowledged = AcknowledgedCancellations(lambda: client.first_seen)
         self.implicit_jobs: ImplicitJobs | None = None
         self.counts: Callable[[JobId], tuple[int, int] | None] = lambda _: None
--- a/tealrill/state/bindings.py
+++ b/tealrill/state/bindings.py
@@ -74,7 +74,7 @@
     grace_s: float
     since: Monotonic
     logged_late: bool = False
-    """The warning that the task was still listed long after its job's cancellation is logged."""
+    """True once it was logged that the task is still listed long after its job's cancellation."""
 
 
 @dataclass(slots=True, eq=False)
@@ -106,7 +106,9 @@
     number: int
     mod_revision: Revision = ABSENT
     version: int = 0
+    """Incremented with every change in memory."""
     committed: int = 0
+    """Latest version that is known to be committed."""
     dirty_since: Monotonic | None = None
     new_bindings: int = 0
     """Bindings added since the last commit."""
@@ -149,7 +151,7 @@
     max_task_errors: int | None = None
     """Failures of one task after which the job fails if exceeded; None for unlimited retries."""
     outcome: str = OUTCOME_DONE
-    """How the job ends; final once the job is in `JobStore.ending`."""
+    """How the job ends; final once the job is in `JobStore.ending_jobs`."""
     unblocked: bytearray | None = None
     """For a job whose tasks are unblocked one by one: a flag per task that has been unblocked."""
     blocked_count: int = 0
--- a/tealrill/state/job_store.py
+++ b/tealrill/state/job_store.py
@@ -44,8 +44,11 @@
     def __init__(self, value_kb: float) -> None:
         self.jobs: dict[JobId, Job] = {}
         self.team_cpus: dict[str, float] = {}
+        """Processors of all bound tasks, by team."""
         self.team_gpus: dict[str, float] = {}
+        """GPUs of all bound tasks, by team."""
         self.rank_cpus: dict[int, float] = {}
+        """Processors of all bound tasks, by the rank of the priority class."""
         self.urgent_chunks: dict[Chunk, None] = {}
         """Dirty chunks with new bindings or with completions that other jobs wait for, oldest
         first."""
--- a/tealrill/state/write_batcher.py
+++ b/tealrill/state/write_batcher.py
@@ -67,7 +67,7 @@
         self.joined: dict[JoinedWrite, None] = {}
         """Pending writes of subsystems; most are written after job ends and new bindings."""
         self.tasks_done: Callable[[Job, list[int]], None] = lambda _, __: None
-        """Called when completions of a job with `Job.followed` set are committed."""
+        """Called when completions of a job with `Job.reports_completions` set are committed."""
         self.owner_changed: Callable[[Owner], None] = lambda _: None
         """Called when the guard on an owner's record has failed."""
 
