--- a/tealrill/leader/job_lifecycle.py
+++ b/tealrill/leader/job_lifecycle.py
@@ -96,7 +96,7 @@
         self._scheduling_loop.placement.cancel(job, monotonic_now())
         self._wake()
 
-    def _forget(self, job: Job) -> None:
+    def _discard_state(self, job: Job) -> None:
         self._fleet.failure_attribution.forget_job(job.id)
         for extension in self.extensions:
             extension.on_job_ended(job)
@@ -153,7 +153,7 @@
         job.outcome = OUTCOME_CANCELLED
         job.cancelled_at = wall_now()
         self.stop(job)
-        self._forget(job)
+        self._discard_state(job)
 
     def on_ended(self, job: Job) -> None:
         """Log the recorded end of a job and discard state kept for it."""
@@ -171,4 +171,4 @@
             log.info("job ended: job=%s outcome=%s", job.id, job.outcome)
         if job.cancelled:
             self._scheduling_loop.placement.cancel(job, monotonic_now())
-        self._forget(job)
+        self._discard_state(job)
--- a/tealrill/leader/job_watch.py
+++ b/tealrill/leader/job_watch.py
@@ -17,7 +17,7 @@
 
 log = logging.getLogger(__name__)
 
-_WATCH_S: Final = 2.0
+_WATCH_HOLD_S: Final = 2.0
 _RETRY_S: Final = 0.3
 
 
@@ -41,7 +41,7 @@
 
     async def run(self, knowledge: CancellationKnowledge) -> None:
         """Watch from the revision of `knowledge` on, until cancelled."""
-        hold_s = _WATCH_S
+        hold_s = _WATCH_HOLD_S
         while True:
             self.cancellation_knowledge = knowledge
             # The answer reflects the state at the time it is given, so it is at least as recent as
@@ -59,7 +59,7 @@
                 hold_s = 0.0
                 await asyncio.sleep(_RETRY_S)
                 continue
-            hold_s = _WATCH_S
+            hold_s = _WATCH_HOLD_S
             if result is not None:
                 for event in result.events:
                     self.job_changed(event)
--- a/tealrill/leader/leader.py
+++ b/tealrill/leader/leader.py
@@ -40,7 +40,7 @@
 
 log = logging.getLogger(__name__)
 
-_STOP_S: Final = 3.0
+_MIN_STOP_TIMEOUT_S: Final = 3.0
 """A stop normally takes effect within this time: it is sent with every heartbeat response."""
 
 
@@ -100,7 +100,7 @@
             workers.heartbeat_interval_s,
         )
         spare_s = workers.cancel_s - workers.lease_s
-        fleet.stop_timeout_s = max(_STOP_S, spare_s / 2)
+        fleet.stop_timeout_s = max(_MIN_STOP_TIMEOUT_S, spare_s / 2)
         fleet.changed = self.wake
         fleet.finished = self._on_task_completed
         return fleet
--- a/tealrill/state/write_batcher.py
+++ b/tealrill/state/write_batcher.py
@@ -114,10 +114,10 @@
             and self._add_urgent(batch, max_changes)
             and self._add_all(batch, [j for j in awaited if j not in batch.joined], max_changes)
         ):
-            spare = min(
+            spare_changes = min(
                 max_changes, max(0, int(self._client.writes.available(RequestPriority.LOW)))
             )
-            self._add_deferred(batch, spare, now)
+            self._add_deferred(batch, spare_changes, now)
         return batch
 
     def _add_deferred(self, batch: TransactionBatch, max_changes: int, now: Monotonic) -> None:
@@ -195,7 +195,11 @@
             chunk.committed = max(chunk.committed, version)
             chunk.new_bindings -= new_bindings
             if chunk.unreported_completions:
-                done = [index for since, index in chunk.unreported_completions if since <= version]
+                done = [
+                    index
+                    for completed_in, index in chunk.unreported_completions
+                    if completed_in <= version
+                ]
                 chunk.unreported_completions = [
                     entry for entry in chunk.unreported_completions if entry[0] > version
                 ]
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -160,7 +160,7 @@
         self.finished: dict[str, set[int]] = {name: set() for name in JOBS}
 
     async def run(self, steps: int) -> None:
-        actions = [self.submit, self.poll, self.cancel, self.late, self.fail_over]
+        actions = [self.submit, self.poll, self.cancel, self.deliver_delayed, self.fail_over]
         actions += [self.run_leader] * 4
         for action in self.rng.choices(actions, k=steps):
             await action()
@@ -188,7 +188,7 @@
             self.cancel_requested.add(name)
             self._check_reply(name, await self._node().cancel(name))
 
-    async def late(self) -> None:
+    async def deliver_delayed(self) -> None:
         if self.store.late:
             guards, changes = self.store.late.pop(self.rng.randrange(len(self.store.late)))
             self.store.execute(guards, changes)
@@ -254,14 +254,14 @@
             await self.write_batcher._commit(batch)
 
     def _check_reply(self, name: str, reply: Reply) -> None:
-        before = self.last_status.get(name)
+        previous = self.last_status.get(name)
         if reply.status not in (200, 201):
-            if before is not None and reply.status in (400, 404, 422):
-                raise Contradiction(f"{name} was {before}, now {reply}")
+            if previous is not None and reply.status in (400, 404, 422):
+                raise Contradiction(f"{name} was {previous}, now {reply}")
             return
         status = reply.body["status"]
-        if before in (wire.JOB_DONE, wire.JOB_CANCELLED) and status != before:
-            raise Contradiction(f"{name} was {before}, now {status}")
+        if previous in (wire.JOB_DONE, wire.JOB_CANCELLED) and status != previous:
+            raise Contradiction(f"{name} was {previous}, now {status}")
         if status == wire.JOB_CANCELLED and name not in self.cancel_requested:
             raise Contradiction(f"{name} is cancelled, and nobody asked for it")
         if status == wire.JOB_DONE and len(self.finished[name]) < 2:
@@ -338,14 +338,14 @@
 
 
 def test_large_job_is_written_with_one_change_per_chunk() -> None:
-    service = _Cluster(0)
+    cluster = _Cluster(0)
     spec = wire.decode(orjson.dumps({**SUBMISSION, "pieces": 150}), wire.JobSpec)
-    job = service.job_store.add(spec, Wall(0.0), Revision(1))
+    job = cluster.job_store.add(spec, Wall(0.0), Revision(1))
     for index in range(150):
-        service.job_store.bind(
+        cluster.job_store.bind(
             job, index, MachineId("m-1"), Incarnation(1), "north", False, Wall(0.0), NOW
         )
-    batch = service.write_batcher._gather(NOW)
+    batch = cluster.write_batcher._gather(NOW)
     assert len(batch.changes) == len(job.chunks) == 2
     assert not any(binding.committed for binding in job.bindings())
 
