--- a/tests/test_rate_limiter.py
+++ b/tests/test_rate_limiter.py
@@ -34,7 +34,7 @@
 
 
 def test_each_waiter_is_woken_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    """2,000 waiters that each poll the bucket took half of a controller's processor time."""
+    """If 2,000 waiters polled the bucket themselves, that took half of a controller's time."""
 
     async def wait() -> list[float]:
         limiter = RateLimiter(100.0)
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -4,7 +4,7 @@
 ends their tasks. Transactions are executed with or without an answer, late, or not at all. After
 each step no answer may contradict an earlier one: `forgotten`, `went_back`, `not_done` and
 `invented` of the protocol. Failovers happen at any time, while transactions of the previous leader
-are still in flight: no task may be started while it is bound, or after it was recorded as done.
+are still in flight: no task may start again while it is bound, or after it was recorded as done.
 `test_unguarded_writes_cause_contradictions` removes the guards and requires that a contradiction is
 found. (`test_bindings.py` covers a previous leader that is still active after its successor's
 election.)
@@ -263,9 +263,9 @@
         if previous in (wire.JOB_DONE, wire.JOB_CANCELLED) and status != previous:
             raise Contradiction(f"{name} was {previous}, now {status}")
         if status == wire.JOB_CANCELLED and name not in self.cancel_requested:
-            raise Contradiction(f"{name} is cancelled, and nobody asked for it")
+            raise Contradiction(f"{name} is cancelled without a cancellation request")
         if status == wire.JOB_DONE and len(self.finished[name]) < 2:
-            raise Contradiction(f"{name} is done before its tasks are")
+            raise Contradiction(f"{name} is done, but not all of its tasks are")
         self.last_status[name] = status
 
 
