--- a/tealrill/state/__init__.py
+++ b/tealrill/state/__init__.py
@@ -1,1 +1,1 @@
-"""What is kept in the state service: the client, leadership, and the leader's records."""
+"""Everything stored in the state service: its client, fencing, job records and users' requests."""
--- a/tests/test_rate_limiter.py
+++ b/tests/test_rate_limiter.py
@@ -64,13 +64,13 @@
             await limiter.acquire(priority=priority)
             order.append(name)
 
-        later = asyncio.create_task(acquire_tokens("list", RequestPriority.LOW))
+        listing = asyncio.create_task(acquire_tokens("list", RequestPriority.LOW))
         polls = [
             asyncio.create_task(acquire_tokens("poll", RequestPriority.NORMAL)) for _ in range(20)
         ]
         await asyncio.sleep(0.5)
         lease = asyncio.create_task(acquire_tokens("lease", RequestPriority.HIGH))
-        await asyncio.gather(later, lease, *polls)
+        await asyncio.gather(listing, lease, *polls)
         return order
 
     order, _ = _run(monkeypatch, wait())
@@ -159,22 +159,22 @@
     """Queued until their users give up, excess polls would cost processor time without a result."""
 
     async def poll() -> tuple[int, int, float]:
-        limits = wire.decode(
+        values = wire.decode(
             b'{"getRps": 300, "putRps": 60, "valueKb": 8, "txnOps": 16}', dict[str, Any]
         )
-        client = StateClient("127.0.0.1:1", _limits(limits), 3)
-        answers = _CountingHttpClient()
-        client._http = answers  # type: ignore[assignment]
+        client = StateClient("127.0.0.1:1", _limits(values), 3)
+        http_client = _CountingHttpClient()
+        client._http = http_client  # type: ignore[assignment]
         refused: list[float] = []
 
-        async def acquire_tokens() -> None:
+        async def poll_once() -> None:
             try:
                 await client.get("job/wk-1", RequestPriority.NORMAL)
             except RateLimitedError:
                 refused.append(asyncio.get_running_loop().time())
 
-        await asyncio.gather(*(acquire_tokens() for _ in range(3000)))
-        return len(refused), answers.requests, max(refused)
+        await asyncio.gather(*(poll_once() for _ in range(3000)))
+        return len(refused), http_client.requests, max(refused)
 
     (refused, served, at), _ = _run(monkeypatch, poll())
     assert refused + served == 3000 and at == 0.0
