--- a/tealrill/state/fencing.py
+++ b/tealrill/state/fencing.py
@@ -87,8 +87,8 @@
     valid: Callable[[], bool]
     """Returns True if the holder may act now."""
     state_service_unreachable: Callable[[], bool] = lambda: False
-    """Returns True if the state service does not answer this holder. If the holder is still valid,
-    the members have extended its lease, and no other member can be elected meanwhile."""
+    """Returns True if the state service does not answer this holder. While the holder is valid all
+    the same, its lease or the members' extension grants prevent the election of another leader."""
     last: str = ""
     """The last action performed under the duty, for operators."""
 
