--- a/tealrill/state/rate_limiter.py
+++ b/tealrill/state/rate_limiter.py
@@ -1,9 +1,9 @@
 """Token bucket that keeps a node within its share of a rate limit.
 
-Whoever has to wait stands in one queue and is woken when its tokens are there, by one timer. (Each
-waiter once slept by itself and looked again every few milliseconds. With some thousand polls
-waiting in a surge, looking took nearly half of a controller's time, and who went first was chance:
-a renewal of the leader's lease waited among the polls.)
+Requests that have to wait are queued by priority, and a single timer wakes each one when its tokens
+are available. If every waiter polled the bucket itself, a few thousand waiting requests would take
+nearly half of a controller's processor time, and their order would be random: a renewal of the
+leader's lease could wait behind polls of job states.
 """
 
 from __future__ import annotations
@@ -18,14 +18,14 @@
 
 
 class RequestPriority(IntEnum):
-    """Who goes first when there is not enough for all."""
+    """Order in which waiting requests are served."""
 
     HIGH = 0
-    """What others wait for: leases, elections, the job store, acceptances and cancellations."""
+    """Leases, elections, the job store, accepted submissions and cancellations."""
     NORMAL = 1
-    """Polls. There may be any number of them, and each may be repeated."""
+    """Polls of job states: their number is unbounded, and each may be repeated."""
     LOW = 2
-    """What can wait: it leaves a part of the bucket alone."""
+    """Background requests, which leave a part of the bucket to the others."""
 
 
 @dataclass(slots=True, eq=False)
@@ -35,57 +35,58 @@
 
 
 class RateLimiter:
-    """A token bucket that holds one second's worth, or `depth`."""
+    """A token bucket with a capacity of `capacity` tokens, by default those of one second."""
 
-    _KEPT_FOR_URGENT = 0.4
+    _RESERVED_SHARE = 0.4
+    """Share of a full bucket that the lowest priority does not use."""
 
-    def __init__(self, rate: float, depth: float | None = None) -> None:
+    def __init__(self, rate: float, capacity: float | None = None) -> None:
         self._rate = rate
-        self._depth = depth
+        self._capacity = capacity
         self._tokens = self.burst
-        self._at: Monotonic = monotonic_now()
+        self._refilled_at: Monotonic = monotonic_now()
         self._queues: dict[RequestPriority, deque[_Waiter]] = {
             priority: deque() for priority in RequestPriority
         }
         self._timer: asyncio.TimerHandle | None = None
 
     def set_rate(self, rate: float) -> None:
-        """Set the tokens per second; what is there beyond the new burst is lost."""
+        """Set the rate in tokens per second; tokens beyond the new burst size are dropped."""
         self._refill()
         self._rate = rate
         self._tokens = min(self._tokens, self.burst)
 
     @property
     def burst(self) -> float:
-        """Tokens of a full bucket."""
-        return max(1.0, self._depth if self._depth is not None else self._rate)
+        """Number of tokens in a full bucket."""
+        return max(1.0, self._capacity if self._capacity is not None else self._rate)
 
     def available(self, priority: RequestPriority = RequestPriority.HIGH) -> float:
-        """Return the tokens that one of this priority may take now."""
+        """Return the number of tokens that a request of this priority may take now."""
         self._refill()
-        return self._tokens - self._kept_from(priority)
+        return self._tokens - self._reserved_from(priority)
 
     def consume(self, amount: float) -> None:
-        """Take tokens that `available` has shown."""
+        """Take tokens without waiting; the caller has checked `available`."""
         self._tokens -= amount
 
-    def wait_s(self, priority: RequestPriority) -> float:
-        """Estimate how long one who comes now waits behind those before it, in seconds."""
-        ahead = sum(len(queue) for of, queue in self._queues.items() if of <= priority)
+    def estimated_wait_s(self, priority: RequestPriority) -> float:
+        """Estimate how long a new request of this priority would wait, in seconds."""
+        ahead = sum(len(queue) for other, queue in self._queues.items() if other <= priority)
         return max(0.0, (ahead + 1 - self.available(priority)) / self._rate)
 
     async def acquire(
         self, amount: float = 1.0, priority: RequestPriority = RequestPriority.HIGH
     ) -> None:
-        """Wait until `amount` is there; an amount above the burst waits for a full bucket."""
-        if not any(queue for of, queue in self._queues.items() if of <= priority) and (
+        """Wait for `amount` tokens and take them; more than the burst size needs a full bucket."""
+        if not any(queue for other, queue in self._queues.items() if other <= priority) and (
             self.available(priority) >= self._need(amount, priority)
         ):
             self.consume(amount)
             return
         waiter = _Waiter(amount, asyncio.get_running_loop().create_future())
         self._queues[priority].append(waiter)
-        self._serve()
+        self._grant_waiters()
         try:
             await waiter.granted
         except asyncio.CancelledError:
@@ -93,43 +94,44 @@
                 with contextlib.suppress(ValueError):
                     self._queues[priority].remove(waiter)
             else:
-                # Its tokens came in the moment in which nobody wanted it any more.
+                # The tokens were granted just before the waiter was cancelled: put them back.
                 self._tokens += amount
-            self._serve()
+            self._grant_waiters()
             raise
 
     def try_acquire(
         self, amount: float = 1.0, priority: RequestPriority = RequestPriority.HIGH
     ) -> bool:
-        """Take tokens if they are there at this moment; a full bucket has enough for anything."""
+        """Take `amount` tokens if available now; a full bucket suffices for any amount."""
         if self.available(priority) < self._need(amount, priority):
             return False
         self.consume(amount)
         return True
 
-    def _kept_from(self, priority: RequestPriority) -> float:
-        """Return the part of a full bucket that this priority leaves alone."""
-        return self.burst * self._KEPT_FOR_URGENT if priority is RequestPriority.LOW else 0.0
+    def _reserved_from(self, priority: RequestPriority) -> float:
+        """Return the number of tokens that this priority must leave in the bucket."""
+        return self.burst * self._RESERVED_SHARE if priority is RequestPriority.LOW else 0.0
 
     def _need(self, amount: float, priority: RequestPriority) -> float:
-        # The very difference that `available` has with a full bucket: rounded otherwise it was
-        # never reached, and who needed it waited for ever, looking every 2 ms.
-        return min(amount, self.burst - self._kept_from(priority))
+        # Computed exactly as in `available` for a full bucket: with different rounding the need
+        # could exceed what is ever available, and the request would wait forever, retrying every
+        # 2 ms.
+        return min(amount, self.burst - self._reserved_from(priority))
 
-    def _serve(self) -> None:
-        """Let go all whose tokens are there, and set the timer for the next."""
+    def _grant_waiters(self) -> None:
+        """Grant tokens to waiters while available, and set the timer for the next one."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
         for priority, queue in self._queues.items():
             while queue:
                 waiter = queue[0]
-                short = self._need(waiter.amount, priority) - self.available(priority)
-                if short > 0:
-                    # Nobody of a lower rank goes before it.
-                    delay_s = max(0.002, short / self._rate)
+                missing = self._need(waiter.amount, priority) - self.available(priority)
+                if missing > 0:
+                    # Waiters of lower priority must not overtake this one.
+                    delay_s = max(0.002, missing / self._rate)
                     loop = asyncio.get_running_loop()
-                    self._timer = loop.call_later(delay_s, self._serve)
+                    self._timer = loop.call_later(delay_s, self._grant_waiters)
                     return
                 queue.popleft()
                 if not waiter.granted.done():
@@ -138,5 +140,5 @@
 
     def _refill(self) -> None:
         now = monotonic_now()
-        self._tokens = min(self.burst, self._tokens + (now - self._at) * self._rate)
-        self._at = now
+        self._tokens = min(self.burst, self._tokens + (now - self._refilled_at) * self._rate)
+        self._refilled_at = now
--- a/tealrill/state/write_batcher.py
+++ b/tealrill/state/write_batcher.py
@@ -1,8 +1,8 @@
-"""Group commit of the leader's job store: one transaction in flight, the rest gathers.
+"""Group commit of the leader's job store: one transaction is in flight while the next one gathers.
 
-Every change is guarded by its own key's stamp and by the leader's, so a duplicate of a transaction
-that got no answer fails if it is executed late. After no answer the keys are read back before
-anything is claimed.
+Every change is guarded by the mod revision of its own key and of the leader's key. If a transaction
+gets no answer, its outcome is unknown: the guarded keys are read back before its changes count as
+committed, and a duplicate that is executed late fails its guards.
 """
 
 from __future__ import annotations
@@ -32,19 +32,19 @@
 
 log = logging.getLogger(__name__)
 
-_LAZY_S: Final = 2.0
-"""How long a change that nobody waits for may gather more of its kind."""
+_DEFER_S: Final = 2.0
+"""Time for which a dirty chunk that nothing waits for may gather more changes."""
 _BACK_OFF_S: Final = 0.2
-_LEFTOVERS: Final = 32
-"""With so many chunks left over, they go with ends though bindings wait."""
+_MAX_ORPHANED_CHUNKS: Final = 32
+"""With this many orphaned chunks, job ends delete their chunks even while bindings wait."""
 
 
 class LeadershipLostError(TealrillError):
-    """The guard on the leader's key failed: somebody else leads, or nobody."""
+    """The guard on the leader's key failed: this node is no longer the leader."""
 
 
 class WriteBatcher:
-    """Commits what is dirty, for one term of leadership."""
+    """Commits the dirty state of the job store, for one term of leadership."""
 
     def __init__(
         self,
@@ -53,35 +53,35 @@
         leadership: Leadership,
         txn_ops: int,
         committed: Callable[[list[Chunk]], None],
-        job_over: Callable[[Job], None],
+        job_ended: Callable[[Job], None],
     ) -> None:
         self._client = client
         self._job_store = job_store
         self._fence = Fence(client, leadership.mod_revision)
         self._txn_ops = txn_ops
         self._committed = committed
-        self._job_over = job_over
+        self._job_ended = job_ended
         self._wake = asyncio.Event()
         self.busy = False
-        """A transaction has been sent and not been answered."""
+        """True while a transaction is in flight."""
         self.joined: dict[JoinedWrite, None] = {}
-        """What subsystems have to write; it goes behind ends and new bindings."""
+        """Pending writes of subsystems; most are written after job ends and new bindings."""
         self.tasks_done: Callable[[Job, list[int]], None] = lambda _, __: None
-        """Tasks of a job that others follow are written down as done."""
+        """Called when completions of a job with `Job.reports_completions` set are committed."""
         self.owner_changed: Callable[[Owner], None] = lambda _: None
-        """A guard on the record that jobs belong to failed."""
+        """Called when the guard on an owner's record has failed."""
 
     def join(self, joined: JoinedWrite) -> None:
-        """Take in a subsystem's write, and wake the loop."""
+        """Add a subsystem's write and wake the loop."""
         self.joined[joined] = None
         self._wake.set()
 
     def wake(self) -> None:
-        """Note that something urgent is dirty."""
+        """Wake the loop because there are urgent changes."""
         self._wake.set()
 
     async def run(self) -> None:
-        """Commit until leadership is lost; raises `LeadershipLostError` then."""
+        """Commit changes until leadership is lost; then raise `LeadershipLostError`."""
         while True:
             batch = self._gather(monotonic_now())
             self.busy = bool(batch.changes)
@@ -95,42 +95,51 @@
             except TimeoutError:
                 pass
 
-    # -- what goes into the next transaction ----------------------------------------------------
+    # -- gathering the next transaction ---------------------------------------------------------
 
     def _gather(self, now: Monotonic) -> TransactionBatch:
-        """Gather what users wait for by urgency class, then the rest.
+        """Gather job ends and new bindings by priority class, then deferred changes.
 
-        Within a class ends of jobs go first, then new bindings in the order in which they came:
-        after a fall the bindings of hundreds of lost tasks would otherwise go before an urgent
-        job's, and so did the ends of hundreds of small jobs of a low class. What comes first and
-        finds no room is waited for: an end takes several changes, and bindings of one change each
-        used up the rate before there was ever room for it.
+        Higher classes go first: after a mass failure the bindings of hundreds of lost tasks, or
+        the ends of hundreds of small jobs of a low class, must not delay an urgent job's binding.
+        Within a class job ends precede new bindings, and both are in order of arrival. The first
+        entry that does not fit blocks all later ones: an end takes several changes and would
+        otherwise starve behind bindings, which take one change each.
         """
         batch = TransactionBatch()
-        room = min(self._txn_ops, int(self._client.writes.available()))
+        max_changes = min(self._txn_ops, int(self._client.writes.available()))
         awaited = {j: j.priority_at for j in self.joined if j.priority_at is not None}
         if (
-            self._add_all(batch, [j for j, at in awaited.items() if now >= at], room)
-            and self._add_awaited(batch, room)
-            and self._add_all(batch, [j for j in awaited if j not in batch.joined], room)
+            self._add_all(batch, [j for j, at in awaited.items() if now >= at], max_changes)
+            and self._add_urgent(batch, max_changes)
+            and self._add_all(batch, [j for j in awaited if j not in batch.joined], max_changes)
         ):
-            spare = min(room, max(0, int(self._client.writes.available(RequestPriority.LOW))))
-            self._add_deferred(batch, spare, now)
+            spare_changes = min(
+                max_changes, max(0, int(self._client.writes.available(RequestPriority.LOW)))
+            )
+            self._add_deferred(batch, spare_changes, now)
         return batch
 
-    def _add_deferred(self, batch: TransactionBatch, room: int, now: Monotonic) -> None:
-        """Add what nobody waits for."""
-        self._add_all(batch, [j for j in self.joined if j.priority_at is None], room)
+    def _add_deferred(self, batch: TransactionBatch, max_changes: int, now: Monotonic) -> None:
+        """Add changes that neither users nor other jobs wait for."""
+        self._add_all(batch, [j for j in self.joined if j.priority_at is None], max_changes)
         for chunk in list(self._job_store.deferred_chunks):
-            due = chunk.dirty_since is not None and now - chunk.dirty_since >= _LAZY_S
-            if due and chunk.job not in batch.jobs and not self._add_chunk(batch, chunk, room):
+            due = chunk.dirty_since is not None and now - chunk.dirty_since >= _DEFER_S
+            if (
+                due
+                and chunk.job not in batch.jobs
+                and not self._add_chunk(batch, chunk, max_changes)
+            ):
                 break
         for key, mod_revision in list(self._job_store.orphaned_chunks.items()):
-            if not batch.add_obsolete(key, mod_revision, room):
+            if not batch.add_orphaned_chunk(key, mod_revision, max_changes):
                 break
 
-    def _add_awaited(self, batch: TransactionBatch, room: int) -> bool:
-        """Add ends and new bindings; return False when one found no room: nothing may pass it."""
+    def _add_urgent(self, batch: TransactionBatch, max_changes: int) -> bool:
+        """Add job ends and urgent chunks by priority class.
+
+        Returns False as soon as one does not fit; nothing may be added after it.
+        """
         ends: dict[int, list[Job]] = {}
         for job in self._job_store.ending_jobs.values():
             ends.setdefault(job.spec.rank, []).append(job)
@@ -138,11 +147,13 @@
         for chunk in self._job_store.urgent_chunks:
             chunks.setdefault(chunk.job.spec.rank, []).append(chunk)
         for rank in sorted(ends.keys() | chunks.keys(), reverse=True):
-            drop_chunks = rank not in chunks or len(self._job_store.orphaned_chunks) >= _LEFTOVERS
-            if not all(batch.add_end(job, room, drop_chunks) for job in ends.get(rank, ())):
+            drop_chunks = (
+                rank not in chunks or len(self._job_store.orphaned_chunks) >= _MAX_ORPHANED_CHUNKS
+            )
+            if not all(batch.add_end(job, max_changes, drop_chunks) for job in ends.get(rank, ())):
                 return False
             if not all(
-                self._add_chunk(batch, chunk, room)
+                self._add_chunk(batch, chunk, max_changes)
                 for chunk in chunks.get(rank, ())
                 if chunk.job not in batch.jobs
             ):
@@ -150,11 +161,11 @@
         return True
 
     @staticmethod
-    def _add_all(batch: TransactionBatch, writes: list[JoinedWrite], room: int) -> bool:
-        return all(batch.add_joined(joined, room) for joined in writes)
+    def _add_all(batch: TransactionBatch, writes: list[JoinedWrite], max_changes: int) -> bool:
+        return all(batch.add_joined(joined, max_changes) for joined in writes)
 
-    def _add_chunk(self, batch: TransactionBatch, chunk: Chunk, room: int) -> bool:
-        return batch.add_chunk(chunk, self._job_store.value(chunk), room)
+    def _add_chunk(self, batch: TransactionBatch, chunk: Chunk, max_changes: int) -> bool:
+        return batch.add_chunk(chunk, self._job_store.value(chunk), max_changes)
 
     # -- the transaction ------------------------------------------------------------------------
 
@@ -163,18 +174,18 @@
         try:
             result = await self._fence.commit(batch.guards, batch.changes, tokens_acquired=True)
         except StateUnavailableError as error:
-            log.debug("commit refused: %s", error)
+            log.debug("commit not executed: error=%s", error)
             await asyncio.sleep(_BACK_OFF_S)
         except TransactionRejectedError as error:
-            log.error("commit rejected: %s", error)
+            log.error("commit rejected as malformed: error=%s", error)
             await asyncio.sleep(1.0)
         except OutcomeUnknownError as error:
-            log.info("commit without an answer (%s): reading back", error)
-            await self._reread(batch, list(self._fence.guards(batch.guards)))
+            log.info("commit outcome unknown, reading keys back: error=%s", error)
+            await self._read_back(batch, list(self._fence.guards(batch.guards)))
         else:
             if isinstance(result, GuardsFailed):
-                log.debug("commit failed on %s", result.keys)
-                await self._reread(batch, result.keys)
+                log.debug("commit guards failed: keys=%s", result.keys)
+                await self._read_back(batch, result.keys)
             else:
                 self._apply(batch, result.revision)
 
@@ -183,12 +194,19 @@
             chunk.mod_revision = revision
             chunk.committed = max(chunk.committed, version)
             chunk.new_bindings -= new_bindings
-            if chunk.news:
-                done = [index for since, index in chunk.news if since <= version]
-                chunk.news = [news for news in chunk.news if news[0] > version]
+            if chunk.unreported_completions:
+                done = [
+                    index
+                    for completed_in, index in chunk.unreported_completions
+                    if completed_in <= version
+                ]
+                chunk.unreported_completions = [
+                    entry for entry in chunk.unreported_completions if entry[0] > version
+                ]
                 self.tasks_done(chunk.job, done)
             if chunk.job.id not in self._job_store.jobs:
-                # The job went away meanwhile; its chunk was written once more.
+                # The job was dropped while the transaction was in flight, which wrote the chunk
+                # again.
                 self._job_store.orphaned_chunks[chunk.key] = revision
                 continue
             if chunk.version == version:
@@ -199,29 +217,29 @@
                 self._job_store.urgent_chunks.pop(chunk, None)
                 self._job_store.deferred_chunks[chunk] = None
                 chunk.dirty_since = monotonic_now()
-        for key in batch.obsolete:
+        for key in batch.orphaned_keys:
             self._job_store.orphaned_chunks.pop(key, None)
         for chunk in batch.dropped_chunks.values():
             chunk.mod_revision = ABSENT
         for job in batch.jobs:
             self._job_store.ended(job)
-            self._job_over(job)
+            self._job_ended(job)
         for joined in batch.joined:
             self.joined.pop(joined, None)
             joined.applied(revision)
         self._committed([chunk for chunk, _, new_bindings in batch.chunks if new_bindings])
 
-    async def _reread(self, batch: TransactionBatch, keys: list[str]) -> None:
-        """Read back keys whose guards failed or may have changed, and take over their stamps."""
+    async def _read_back(self, batch: TransactionBatch, keys: list[str]) -> None:
+        """Read back keys whose guards failed or may have changed, and adopt their revisions."""
         chunks = batch.dropped_chunks | {write.chunk.key: write.chunk for write in batch.chunks}
         jobs = {job.id: job for job in batch.jobs}
         jobs.update({write.chunk.job.id: write.chunk.job for write in batch.chunks})
         jobs_by_key = {job_key(job.id): job for job in jobs.values()}
         owners = {job.owner.key: job.owner for job in jobs.values() if job.owner is not None}
-        found: dict[str, wire.KeyValue | None] = {}
+        entries: dict[str, wire.KeyValue | None] = {}
         for key in keys:
-            entry = found[key] = await self._read(key)
-            mod_revision = _stamp(entry)
+            entry = entries[key] = await self._read(key)
+            mod_revision = _mod_revision(entry)
             if key in owners and mod_revision != owners[key].mod_revision:
                 self.owner_changed(owners[key])
             if key == LEADER_KEY:
@@ -231,50 +249,53 @@
                 chunks[key].mod_revision = mod_revision
             elif key in jobs_by_key:
                 await self._job_changed(jobs_by_key[key], mod_revision)
-            elif key in batch.obsolete:
-                self._obsolete_changed(key, mod_revision)
-        self._refuse_outdated(batch.joined, found)
+            elif key in batch.orphaned_keys:
+                self._orphan_changed(key, mod_revision)
+        self._refuse_stale_writes(batch.joined, entries)
 
-    def _obsolete_changed(self, key: str, mod_revision: Revision) -> None:
-        """Take over the stamp of an obsolete chunk; absent, it needs no removal any more."""
+    def _orphan_changed(self, key: str, mod_revision: Revision) -> None:
+        """Adopt the revision of an orphaned chunk, or forget the chunk if it no longer exists."""
         if mod_revision == ABSENT:
             self._job_store.orphaned_chunks.pop(key, None)
         else:
             self._job_store.orphaned_chunks[key] = mod_revision
 
-    def _refuse_outdated(
-        self, writes: list[JoinedWrite], found: dict[str, wire.KeyValue | None]
+    def _refuse_stale_writes(
+        self, writes: list[JoinedWrite], entries: dict[str, wire.KeyValue | None]
     ) -> None:
-        """Drop the writes of subsystems that can't be executed any more, executed or not."""
+        """Drop subsystem writes whose guards no longer hold, and report the current values.
+
+        Such a write may have been executed itself: that also changes the keys it guards.
+        """
         for joined in writes:
             if any(
-                key in found and _stamp(found[key]) != mod_revision
+                key in entries and _mod_revision(entries[key]) != mod_revision
                 for key, mod_revision in joined.guards.items()
             ):
                 self.joined.pop(joined, None)
-                joined.refused({key: found[key] for key in joined.guards if key in found})
+                joined.refused({key: entries[key] for key in joined.guards if key in entries})
 
     async def _job_changed(self, job: Job, mod_revision: Revision) -> None:
-        """Find out why the job's record is gone: this leader's own end of it, or a cancellation."""
+        """Determine why a job's record was deleted: its end by this leader, or a cancellation."""
         if mod_revision == job.mod_revision or job.id not in self._job_store.jobs:
             return
-        over = await self._read(ended_key(job.id))
-        if over is not None and over.value.get("status") == wire.JOB_DONE:
+        ended = await self._read(ended_key(job.id))
+        if ended is not None and ended.value.get("status") == wire.JOB_DONE:
             self._job_store.ended(job)
-            self._job_over(job)
-        elif over is not None:
-            job.outcome = over.value.get("outcome", OUTCOME_CANCELLED)
+            self._job_ended(job)
+        elif ended is not None:
+            job.outcome = ended.value.get("outcome", OUTCOME_CANCELLED)
             self._job_store.cancel(job)
-            self._job_over(job)
+            self._job_ended(job)
 
     async def _read(self, key: str) -> wire.KeyValue | None:
         while True:
             try:
                 return await self._client.get(key)
             except StateError as error:
-                log.debug("reading %s back: %s", key, error)
+                log.debug("read-back failed: key=%s error=%s", key, error)
                 await asyncio.sleep(_BACK_OFF_S)
 
 
-def _stamp(entry: wire.KeyValue | None) -> Revision:
+def _mod_revision(entry: wire.KeyValue | None) -> Revision:
     return ABSENT if entry is None else Revision(entry.version)
