--- a/tealrill/fleet/cancelled_tasks.py
+++ b/tealrill/fleet/cancelled_tasks.py
@@ -1,4 +1,4 @@
-"""Tasks of cancelled jobs that may still run: what the log and the operators are shown of them."""
+"""Tasks of cancelled jobs that may still run: log lines and rows for the operators."""
 
 from __future__ import annotations
 
@@ -23,22 +23,22 @@
 
     id: str
     cancelled_s_ago: float
-    """Since its cancellation was recorded, whoever led then."""
+    """Seconds since its cancellation was recorded, in this term or an earlier one."""
     tasks: int
     machines: list[MachineId]
-    """In order, up to the number that operators are shown."""
+    """In order of their ids, at most `_ROWS_SHOWN` of them."""
 
 
 class CancelledTasks:
-    """Follows the stops of one term, by the answers that renew workers' leases."""
+    """Tracks the stops that one term sends with the responses that renew workers' leases."""
 
     def __init__(self, job_store: JobStore, term: FencingToken) -> None:
         self._job_store = job_store
         self._term = term
         self.renewals_with_stops = 0
-        """Answers of this term that renewed a lease and stopped something."""
+        """Number of responses of this term that renewed a lease and carried a stop."""
         self.old_list_renewals = 0
-        """Answers to heartbeats whose list may be out of date."""
+        """Number of responses of this term to heartbeats whose list may be out of date."""
 
     def observe_renewal(
         self,
@@ -49,10 +49,10 @@
         wall: Wall,
         late_after_s: float,
     ) -> None:
-        """Count an answer that renews a lease; log cancelled tasks that it should not find there.
+        """Count a response that renews a lease, and log overdue tasks of cancelled jobs.
 
-        Such a task is listed longer than `late_after_s` after its job was cancelled; it is logged
-        once a term.
+        A task is overdue if the heartbeat lists it more than `late_after_s` seconds after its job
+        was cancelled. Each is logged once a term.
         """
         self.old_list_renewals += not list_is_current
         if not any(command["verb"] == wire.STOP for command in commands):
@@ -78,7 +78,10 @@
             )
 
     def rows(self, wall: Wall) -> list[CancelledJob]:
-        """Return the cancelled jobs whose tasks are still bound, the longest cancelled first."""
+        """Return the cancelled jobs with bound tasks, the earliest cancelled first.
+
+        At most `_ROWS_SHOWN` jobs.
+        """
         jobs = [job for job in self._job_store.jobs.values() if job.cancelled and job.bound_count]
         jobs.sort(key=lambda job: -_cancelled_s_ago(job, wall))
         return [
@@ -93,5 +96,5 @@
 
 
 def _cancelled_s_ago(job: Job, wall: Wall) -> float:
-    """Return 0 for a job that is not cancelled."""
+    """Return the seconds since the job was cancelled, 0 if it was not or the time is unknown."""
     return wall - job.cancelled_at if job.cancelled and job.cancelled_at is not None else 0.0
--- a/tealrill/fleet/commands.py
+++ b/tealrill/fleet/commands.py
@@ -1,4 +1,4 @@
-"""The commands that workers are sent: starts, stops, and leave to forget attempts that exited."""
+"""Commands to workers: start a task, stop a task, forget an exited attempt."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Commands:
-    """What the workers of one term are to be told, by heartbeats' responses or directly."""
+    """The commands of one term, sent in heartbeat responses or directly to the worker."""
 
     def __init__(self, fleet: Fleet) -> None:
         self._fleet = fleet
@@ -23,7 +23,7 @@
     def for_response(
         self, machine: Machine, heartbeat: wire.Heartbeat, now: Monotonic
     ) -> list[dict[str, Any]]:
-        """Return the commands for a heartbeat's response, and mark the starts among them sent."""
+        """Return the commands for a heartbeat's response; the starts among them count as sent."""
         commands = self.stops(machine, now)
         for task, attempt, status in machine.unreconciled:
             if status.state != wire.EXITED:
@@ -40,10 +40,11 @@
     def stops_for_old_list(
         self, machine: Machine, heartbeat: wire.Heartbeat, now: Monotonic
     ) -> list[dict[str, Any]]:
-        """Return the stops for a response to a heartbeat whose list may be out of date.
+        """Return the stops for the response to a heartbeat whose list may be out of date.
 
-        A stop names its attempt, so it does nothing where that is gone or not there yet. Of the
-        listed tasks that no binding covers only those are stopped whose job is not open here.
+        A stop names its attempt and has no effect on a worker without that attempt. A listed task
+        without a binding is stopped only if its job is unknown to this leader or cancelled, since
+        the list may be older than the bindings.
         """
         commands = self.stops(machine, now)
         for status in heartbeat.tasks:
@@ -54,34 +55,38 @@
         return commands
 
     def _is_open(self, task_name: str) -> bool:
-        """Whether the task is one of a job that has not ended, as far as this leader knows."""
+        """Return whether the task's job is known and not cancelled; True for a malformed name."""
         task = parse_task_id(task_name)
         job = self._fleet.job_store.jobs.get(task.job) if task is not None else None
         return task is None or (job is not None and not job.cancelled)
 
     def _to_send(self, binding: Binding) -> bool:
-        """Whether its start goes with a heartbeat's response.
+        """Return whether a heartbeat's response may carry the start.
 
-        Also where the task is to be stopped, if a direct start may still arrive: started, it is
-        listed and then stopped. Its binding would stand for as long as the machine otherwise.
+        While a direct start is in flight, the start is sent even for a task that is to be stopped:
+        once started, the task is listed and can be stopped. Otherwise its binding could not end
+        before the machine's incarnation does. Tasks of cancelled jobs are not started for this.
         """
         if binding.direct_start_in_flight and not binding.chunk.job.cancelled:
             return True
         return self._may_start(binding)
 
     def direct_starts(self, machine: Machine) -> list[Binding]:
-        """Return the bindings whose start may go to the worker directly, now."""
+        """Return the bindings whose start may be sent directly to the worker now."""
         if not machine.current or machine.releasing or machine.lease_expired:
             return []
         return [b for b in machine.bindings.values() if b.never_sent and self._may_start(b)]
 
     def direct_sent(self, bindings: Iterable[Binding]) -> None:
-        """Record that the starts may be executed at any time, until they are accounted for."""
+        """Record that direct starts are in flight: they may be executed at any later time."""
         for binding in bindings:
             binding.direct_start_in_flight = True
 
     def direct_executed(self, bindings: Iterable[Binding]) -> None:
-        """Record that each start was executed, once and for all: the worker answered 200."""
+        """Record that the worker executed the direct starts (it answered 200).
+
+        Its machine is therefore not inbound-partitioned.
+        """
         for binding in bindings:
             binding.direct_start_in_flight = False
             binding.seen = True
@@ -90,7 +95,7 @@
                 machine.mark_inbound_partitioned(False)
 
     def direct_refused(self, bindings: Iterable[Binding]) -> None:
-        """Record that none was or will be executed: refused, or the request never left."""
+        """Record that the direct starts are never executed: refused, or not sent at all."""
         for binding in bindings:
             binding.direct_start_in_flight = False
 
@@ -104,7 +109,10 @@
         )
 
     def stops(self, machine: Machine, now: Monotonic) -> list[dict[str, Any]]:
-        """Return the stops that are wanted and, as far as is known, not yet carried out."""
+        """Return the stops of bound tasks that are not known to have been carried out.
+
+        A stop whose grace period has passed is sent with no grace.
+        """
         commands: list[dict[str, Any]] = []
         for binding in machine.bindings.values():
             stop = binding.stop
@@ -118,7 +126,11 @@
         return commands
 
     def stop(self, binding: Binding, reason: str, grace_s: float, now: Monotonic) -> bool:
-        """Want a task stopped; True if its machine has to be told, False if it never started."""
+        """Request that a task be stopped within `grace_s` seconds.
+
+        Return whether the stop has to be sent. A task whose start was never sent is unbound at once
+        instead. A repeated request can only shorten the grace period.
+        """
         if binding.stop is not None:
             if grace_s < binding.stop.grace_s:
                 binding.stop = Stop(reason, grace_s, now)
--- a/tealrill/fleet/connections.py
+++ b/tealrill/fleet/connections.py
@@ -1,10 +1,11 @@
-"""Connections for commands to workers, kept between commands as far as the sockets reach.
-
-A report needs a socket of its own for every machine and goes first: without reports a worker loses
-its lease, while a command can open a connection anew or go with the next report's answer. So what
-is kept open is bounded by what the reports leave, the least recently used go first, and a machine
-that is gone holds none. (Kept for every machine ever commanded, a leader stood at its limit of
-1,000 sockets after 1,100 s in which 600 machines had been rented one after the other.)
+"""Pool of connections for direct commands to workers, bounded by the process's sockets.
+
+Heartbeats need one socket for each machine and have priority: without them a worker loses its
+lease, while a command can open a new connection or go with the next heartbeat's response. The pool
+therefore keeps only as many connections as heartbeats leave sockets for, closes the least recently
+used ones first, and drops the connection of a machine that is gone. With connections kept to every
+machine ever commanded, a leader reached its limit of 1,000 sockets after 600 machines had been
+rented in succession within 1,100 s.
 """
 
 from __future__ import annotations
@@ -19,20 +20,23 @@
 from tealrill.types import MachineId
 
 _SHARE: Final = 0.4
-"""At most this part of the sockets is for commands."""
+"""The maximum part of all sockets that commands use."""
 _OTHERS: Final = 80
-"""Sockets for users, the other controllers, the state service and the cloud."""
+"""Sockets reserved for users, the other controllers, the state service and the cloud."""
 _FEWEST: Final = 8
-"""So many commands may be on their way even when sockets are scarce."""
+"""The number of concurrent commands that is allowed even when sockets are scarce."""
 
 
 class ConnectionPool:
-    """Clients of workers by machine; at most as many in use or kept as there is room for."""
+    """HTTP clients of workers, one for each machine, limited to `most` connections.
+
+    Enter the pool's async context before a request: it waits while `most` commands are in flight.
+    """
 
     def __init__(self, sockets: int, machines: Callable[[], int]) -> None:
         self._sockets = sockets
         self._machines = machines
-        """How many machines there are, each with a connection for its reports."""
+        """Returns the number of machines; each needs a connection for its heartbeats."""
         self._clients: OrderedDict[MachineId, tuple[str, Client]] = OrderedDict()
         self._used: dict[MachineId, int] = {}
         self._on_the_way = 0
@@ -43,13 +47,16 @@
 
     @property
     def most(self) -> int:
-        """The largest number of connections to workers that may be kept."""
+        """Return the maximum number of connections to workers."""
         left = self._sockets - _OTHERS - self._machines()
         return max(_FEWEST, min(int(_SHARE * self._sockets), left))
 
     @property
     def spare(self) -> int:
-        """Sockets that neither reports nor commands nor others take at this moment."""
+        """Return the number of sockets not needed for heartbeats, commands or other peers.
+
+        Negative if the machines need more sockets than there are.
+        """
         return self._sockets - _OTHERS - self._machines() - len(self._clients)
 
     async def request(
@@ -68,12 +75,12 @@
             if not self._used[machine]:
                 del self._used[machine]
             if self._clients.get(machine) != (addr, client):
-                # Dropped while it was in use.
+                # The machine was dropped, or its address changed, during the request.
                 client.close()
             self._shrink()
 
     async def __aenter__(self) -> ConnectionPool:
-        """Waits for a place: not more commands are on their way than there are sockets for."""
+        """Wait until fewer than `most` commands are in flight, and count one more."""
         while self._on_the_way >= self.most:
             turn: asyncio.Future[None] = asyncio.get_running_loop().create_future()
             self._waiting.append(turn)
@@ -104,13 +111,13 @@
     def _shrink(self) -> None:
         spare = len(self._clients) - self.most
         if spare <= 0:
-            # Asked for twice a command: nothing is gone through while there is room.
+            # Runs twice for each command, so the clients are not scanned below the limit.
             return
         for machine in [m for m in self._clients if m not in self._used][:spare]:
             self.drop(machine)
 
     def drop(self, machine: MachineId) -> None:
-        """The machine is gone, or others need its place."""
+        """Close and forget the connection to a machine, if there is one."""
         known = self._clients.pop(machine, None)
         if known is not None:
             known[1].close()
--- a/tealrill/fleet/heartbeats.py
+++ b/tealrill/fleet/heartbeats.py
@@ -1,7 +1,7 @@
-"""The processing of workers' heartbeats.
+"""Processing of workers' heartbeats.
 
-The stages of `HeartbeatProcessor.process`, from top to bottom: check, fence, process, reconcile,
-command.
+The stages of `HeartbeatProcessor.process`, in order: check the token, fence the worker, process the
+heartbeat, reconcile its task list, and build the response's commands.
 """
 
 from __future__ import annotations
@@ -29,15 +29,16 @@
 log = logging.getLogger(__name__)
 
 _NO_ANSWER_S: Final = 4.0
-"""A worker that has got no answer for so long tries another node, a second later."""
+"""Seconds without a response after which a worker tries another node, one second later."""
 _HEARS_S: Final = 4.8
-"""Two reports in a row within this are those of a worker that got an answer between them."""
+"""Consecutive heartbeats closer together than this show that the worker got the response between
+them: without it, it would have tried another node first."""
 _REPORT_JITTER: Final = 1.25
-"""Reports come up to a quarter later than their period says."""
+"""Heartbeats arrive up to a quarter of their interval late."""
 
 
 class NewerTokenError(TealrillError):
-    """A worker has seen a token above this term's: somebody else leads."""
+    """A worker has seen a token above this term's: another controller leads."""
 
 
 class HeartbeatProcessor:
@@ -46,16 +47,18 @@
     def __init__(self, fleet: Fleet, term: FencingToken, heartbeat_interval_s: float) -> None:
         self._fleet = fleet
         self._term = term
-        # Where reports come more rarely than a worker asks again, the next sequence number alone
-        # tells that it stayed here; a deaf machine stayed deaf for ever there.
+        # With a heartbeat interval longer than the workers' retry time, consecutive sequence
+        # numbers alone show that a worker stayed with this node. The window must cover the
+        # interval, or a healed partition would never be detected.
         self._hears_s = max(_HEARS_S, _REPORT_JITTER * heartbeat_interval_s + LEASE_MARGIN_S)
 
     def process(
         self, heartbeat: wire.Heartbeat, machine_id: MachineId, now: Monotonic, wall: Wall
     ) -> list[dict[str, Any]] | None:
-        """Process a worker's heartbeat; return its response's commands, or None for no 200.
+        """Process a worker's heartbeat and return the commands of its response.
 
-        Raises `NewerTokenError` if the worker has seen a later term.
+        None means that the heartbeat must not be acknowledged with a 200. Raises `NewerTokenError`
+        if the worker has seen a later term.
         """
         if not self._check(heartbeat, machine_id):
             return None
@@ -71,22 +74,27 @@
         return self._renew(machine, heartbeat, now, wall, list_is_current)
 
     def _check(self, heartbeat: wire.Heartbeat, machine_id: MachineId) -> bool:
-        """Whether this term may answer the machine at all."""
+        """Return whether this term may acknowledge the machine's heartbeats.
+
+        Not before the records are loaded, and not after the machine's release. Raises
+        `NewerTokenError` if the worker has seen a later term.
+        """
         if heartbeat.token > self._term:
-            raise NewerTokenError(f"{machine_id} has seen token {heartbeat.token}")
+            raise NewerTokenError(f"machine {machine_id} has seen token {heartbeat.token}")
         return machine_id not in self._fleet.terminated and self._fleet.loaded
 
     def _must_fence(self, machine: Machine, heartbeat: wire.Heartbeat, now: Monotonic) -> bool:
-        """Whether the worker's incarnation is to end by its lease."""
+        """Return whether the worker's lease must not be renewed, so that its incarnation ends."""
         return machine.incarnation == heartbeat.incarnation and self._must_let_lease_expire(
             machine, now
         )
 
     @staticmethod
     def _is_in_flight(machine: Machine, heartbeat: wire.Heartbeat) -> bool:
-        """Whether the worker may still wait for the answer to a heartbeat with an old list.
+        """Return whether the worker may still wait for the response to an out-of-date heartbeat.
 
-        A direct command overtook it. It is answered, so that the worker stays and is renewed.
+        The reply to a direct command overtook the heartbeat. It is acknowledged, so that the worker
+        stays with this node and its lease is renewed.
         """
         return machine.incarnation == heartbeat.incarnation and not machine.lease_expired
 
@@ -98,11 +106,11 @@
         wall: Wall,
         list_is_current: bool,
     ) -> list[dict[str, Any]]:
-        """Renew the worker's lease; return the commands that go with it.
+        """Renew the worker's lease and return the commands of the response.
 
-        Every answer that renews is made here, with the stops that are wanted, however old the
-        heartbeat's list: this leader's term may be over before the worker's next heartbeat, and so
-        may each later one.
+        Every response that renews a lease is built here and carries the requested stops, however
+        old the heartbeat's list is. A stop left to a later response might never be sent: this term
+        may end before the worker's next heartbeat, and so may each later term.
         """
         machine.answered_at = now
         if not list_is_current:
@@ -121,14 +129,18 @@
     def handle_direct_reply(
         self, heartbeat: wire.Heartbeat, machine_id: MachineId, now: Monotonic, wall: Wall
     ) -> None:
-        """Process the heartbeat in the answer to a direct command; it renews nothing."""
+        """Process the heartbeat in the reply to a direct command; it does not renew the lease."""
         machine = self._fleet.machines.get(machine_id)
         if machine is None or heartbeat.token > self._term or self._out_of_date(machine, heartbeat):
             return
         self._process(machine, heartbeat, now, wall, direct=True)
 
     def has_overdue_stop(self, now: Monotonic) -> bool:
-        """Whether a task of a cancelled job may be kept running where this leader is not heard."""
+        """Return whether another node may be keeping a cancelled job's task running.
+
+        That is so if the stop is overdue and the machine has been out of contact for so long that
+        its worker tries other nodes, which may renew its lease as delegates.
+        """
         return any(
             self._overdue(b, now)
             for machine in self._fleet.machines.values()
@@ -140,7 +152,7 @@
 
     @staticmethod
     def _as_it_should_be(machine: Machine, heartbeat: wire.Heartbeat) -> bool:
-        """Whether the list shows what is bound, no more and no less, and nothing is under way."""
+        """Return whether the list matches the bindings and no start, stop or exit is pending."""
         return (
             not machine.exited
             and not machine.unbound_tasks
@@ -149,17 +161,17 @@
         )
 
     def _must_let_lease_expire(self, machine: Machine, now: Monotonic) -> bool:
-        """Whether a start of a cancelled job that left directly may still arrive, long after.
+        """Return whether the direct start of a cancelled job's task is in flight for too long.
 
-        Nothing takes it back but a new incarnation: a stop of an attempt that the worker does not
-        have does nothing. Only its lease brings one.
+        A stop has no effect on a worker that does not have the attempt yet, so only a new
+        incarnation can prevent the start, and only the expiry of the lease brings one about.
         """
         if machine.settled is not None:
             return False
         for b in machine.bindings.values():
             if b.direct_start_in_flight and not b.seen and self._overdue(b, now):
                 log.info(
-                    "lease not renewed: machine=%s, direct start unaccounted for: task=%s",
+                    "lease not renewed: machine=%s task=%s reason=direct start in flight",
                     machine.id,
                     b.task,
                 )
@@ -167,7 +179,7 @@
         return False
 
     def _overdue(self, binding: Binding, now: Monotonic) -> bool:
-        """Whether a cancelled job's task should have been stopped by now."""
+        """Return whether a cancelled job's task should have been stopped by now."""
         stop = binding.stop
         return (
             stop is not None
@@ -178,10 +190,12 @@
     def _detect_inbound_partition(
         self, machine: Machine, heartbeat: wire.Heartbeat, now: Monotonic
     ) -> None:
-        """Note whether responses reach the worker: it goes on here only once it got one.
+        """Detect whether responses reach the worker.
 
-        One that no response reaches loses its lease though every heartbeat of it was answered,
-        again and again, and each time its new incarnation took tasks that never began.
+        A worker that no response reaches loses its lease although its heartbeats were acknowledged.
+        Unless this is detected, each new incarnation is given tasks that never start. A worker
+        sends consecutive heartbeats to the same node only if it receives the responses, which shows
+        that the partition has healed.
         """
         last_contact_at, answered_at = machine.last_contact_at, machine.answered_at
         if machine.incarnation is None or last_contact_at is None:
@@ -208,7 +222,7 @@
         if machine is None:
             machine = Machine(machine_id, heartbeat.type, heartbeat.zone, heartbeat.spot, now)
             self._fleet.machines[machine_id] = machine
-            log.info("heartbeat of an unknown machine: machine=%s", machine_id)
+            log.info("heartbeat from an unknown machine: machine=%s", machine_id)
         return machine
 
     @staticmethod
@@ -225,15 +239,18 @@
     def _process(
         self, machine: Machine, heartbeat: wire.Heartbeat, now: Monotonic, wall: Wall, direct: bool
     ) -> bool:
-        """True if the report's list counts: it carries this term's token."""
+        """Update the machine's record; return whether the heartbeat carries this term's token.
+
+        Only then is its list reconciled. `direct` heartbeats are replies to direct commands.
+        """
         self._identify(machine, heartbeat)
         if machine.incarnation is not None and heartbeat.incarnation > machine.incarnation:
             self._begin_incarnation(machine, Incarnation(heartbeat.incarnation), now)
         if machine.incarnation != heartbeat.incarnation:
-            # An incarnation that a direct command's answer shows was never renewed from here, and
-            # its lease runs all the same. By the last answer to the incarnation before, machines
-            # lapsed a tenth of a second after they were given tasks, and 28 tasks ran on two
-            # machines.
+            # An incarnation first seen in the reply to a direct command has a running lease that no
+            # acknowledgement of this leader has renewed. Counted from the last acknowledgement of
+            # the previous incarnation, it counted as expired 0.1 s after the machine was given
+            # tasks, and 28 tasks ran on two machines.
             machine.incarnation_seen_at = now
         first = machine.last_contact_at is None
         if first:
@@ -253,7 +270,7 @@
         was_current = machine.current
         machine.current = heartbeat.token == self._term
         if not machine.current:
-            # The list may be older than this term: it proves nothing.
+            # The list may be older than this term, so it proves nothing.
             return False
         if first or not was_current:
             self._fleet.changed()
@@ -271,7 +288,7 @@
     ) -> None:
         log.info("new incarnation: machine=%s incarnation=%d", machine.id, incarnation)
         for binding in list(machine.bindings.values()):
-            self._fleet.unbind(machine, binding, now, "later session")
+            self._fleet.unbind(machine, binding, now, "later incarnation")
         machine.exited.clear()
         machine.touch()
         machine.images.clear()
--- a/tealrill/fleet/inventory.py
+++ b/tealrill/fleet/inventory.py
@@ -1,17 +1,18 @@
-"""What is known of every machine, and the proofs by which a binding ends.
+"""The machines and bindings of a term, and the proofs by which a binding ends.
 
-This is the part on which `ran_twice` hangs, so it is kept free of I/O: reports, answers to direct
-commands, the passing of time and the cloud's answers go in; commands come out. docs/design.md has
-the argument. A binding ends only by
+The invariant that no task runs on two machines (`ran_twice`) depends on this module and on those
+that it combines. They are free of I/O: heartbeats, replies to direct commands, the time and the
+cloud's confirmations go in, and commands come out. docs/design.md has the argument. A binding ends
+only by
 
-1. a message of the machine that carries this term's token, in the same incarnation, newer than the
-   report whose response carried the start, that shows the attempt exited or does not list it
-   (if it was never listed before, only a report counts, not the answer to a direct command, and
-   only if no start sent directly is unaccounted for);
+1. a message of its machine and incarnation that carries this term's token, is newer than the
+   heartbeat whose response carried the start, and shows the attempt as exited or does not list it.
+   If the attempt was never listed before, only a heartbeat counts, not the reply to a direct
+   command, and only if no direct start of the attempt is in flight;
 2. a message of a later incarnation;
-3. silence for longer than the worker's lease, counted from the last report this leader answered,
-   or from its election, and from when its incarnation was first heard of;
-4. the cloud's confirmation that the machine is gone.
+3. a silence longer than the worker's lease, counted from the last heartbeat that this leader
+   acknowledged, or from its election, and from when the incarnation was first seen;
+4. the cloud's confirmation that the machine was released.
 """
 
 from __future__ import annotations
@@ -38,7 +39,7 @@
 
 
 class Fleet:
-    """All machines of one term, their bindings, and what processes news of them."""
+    """The machines and bindings of one term, and the components that process their messages."""
 
     def __init__(
         self,
@@ -51,18 +52,20 @@
     ) -> None:
         self.machines: dict[MachineId, Machine] = {}
         self.terminated: dict[MachineId, Monotonic] = {}
-        """Machines whose release was confirmed; lists and late reports may still show them."""
+        """When each release was confirmed; late lists and heartbeats may still show the machine."""
         self.changed: Callable[[], None] = lambda: None
+        """Called when a change may allow another placement."""
         self.finished: Callable[[CompletedTask], None] = lambda _: None
+        """Called when a task has completed whose run time is known."""
         self.registered: Callable[[Machine, Monotonic], None] = lambda _, __: None
-        """A machine is heard for the first time in this term."""
+        """Called at the first contact with a machine in this term."""
         self.deregistered: Callable[[MachineId], None] = lambda _: None
-        """A machine is gone or not known any more: nothing of it is to be kept."""
+        """Called when a machine is removed, so that nothing is kept for it."""
         self.failure_attribution = FailureAttribution()
         self.loaded = False
-        """Until the records are read, workers are not answered."""
+        """The records have been read; before that no heartbeat is acknowledged."""
         self.stop_timeout_s = math.inf
-        """A cancelled job's stop that did not arrive for so long is left to the worker's lease."""
+        """Seconds after which a cancelled job's stop is overdue and left to the lease's expiry."""
         self.job_store = job_store
         self.leases = Leases(self, elected_at, lease_s, delegation_s)
         self.cancelled_tasks = CancelledTasks(job_store, term)
@@ -71,7 +74,7 @@
         self.heartbeats = HeartbeatProcessor(self, term, heartbeat_interval_s)
 
     def inherit(self, bindings: Iterable[Binding], now: Monotonic) -> None:
-        """Take over bindings of earlier terms: they stand until one of the four proofs."""
+        """Take over the bindings of earlier terms; only one of the four proofs ends them."""
         for binding in bindings:
             machine = self.machines.get(binding.machine)
             if machine is None:
@@ -89,7 +92,10 @@
         self.loaded = True
 
     def tries(self, job: Job, now: Monotonic) -> int | None:
-        """Return how many tasks of a failed job may start now; None for as many as there are."""
+        """Return how many tasks of a job may start now; None if unlimited.
+
+        A job that failed and is on probation is limited.
+        """
         if not self.failure_attribution.is_on_probation(job.id):
             return None
         since = [b.running_since for b in job.bindings() if b.running_since is not None]
@@ -98,19 +104,19 @@
         return self.failure_attribution.task_limit(job.id, job.bound_count, longest_s, now)
 
     def drain_faulty(self, found: Iterable[MachineId]) -> None:
-        """Place nothing more on these machines, and return them once they are empty."""
+        """Stop placing tasks on these machines, so that they are returned once they are empty."""
         for machine_id in found:
             machine = self.machines.get(machine_id)
             if machine is None or machine.draining:
                 continue
             if not self.failure_attribution.may_drain(len(self.machines)):
                 log.warning(
-                    "machine suspected faulty, not drained: machine=%s, too many others are",
+                    "machine suspected faulty, not drained: machine=%s reason=too many others are",
                     machine_id,
                 )
                 continue
             log.info(
-                "machine drained as faulty: machine=%s, jobs failed that succeed elsewhere",
+                "machine drained as faulty: machine=%s reason=jobs failed that succeed elsewhere",
                 machine_id,
             )
             machine.draining = "faulty"
@@ -120,7 +126,7 @@
     def bind(
         self, job: Job, machine: Machine, backfilled: bool, wall: Wall, now: Monotonic
     ) -> Binding | None:
-        """Bind a job's next task to the machine; None if no task is left."""
+        """Bind a job's next task to the machine; return None if no task is waiting."""
         assert machine.incarnation is not None
         index = self.job_store.take_task(job)
         if index is None:
@@ -142,7 +148,7 @@
         machine.idle_since = None
 
     def unbind(self, machine: Machine, binding: Binding, now: Monotonic, proof: str) -> None:
-        """End a binding; `proof` says by what it is known that the attempt does not run."""
+        """End a binding; `proof` names the evidence that the attempt does not run, for the log."""
         if machine.bindings.get(binding.task) is not binding:
             return
         spec = binding.chunk.job.spec
@@ -160,7 +166,10 @@
         self.job_store.release(binding, machine.zone, now)
 
     def locate(self, machine: Machine, type_name: str, zone: str, spot: bool) -> None:
-        """Record the type and place of a machine; inherited ones begin without them."""
+        """Record a machine's type, zone and price class.
+
+        A machine known only from inherited bindings has none of them at first.
+        """
         if not machine.zone:
             for binding in machine.bindings.values():
                 self.job_store.place_inherited(binding, zone)
@@ -169,7 +178,7 @@
             machine.type, machine.zone, machine.spot = type_name, zone, spot
 
     def released(self, machine_id: MachineId, now: Monotonic) -> None:
-        """End the bindings of a machine that is gone by the cloud's confirmation (proof 4)."""
+        """End the bindings of a machine whose release the cloud has confirmed (proof 4)."""
         self.terminated[machine_id] = now
         machine = self._forget(machine_id)
         if machine is None:
--- a/tealrill/fleet/leases.py
+++ b/tealrill/fleet/leases.py
@@ -1,8 +1,9 @@
-"""The expiry of workers' leases, counted from this leader's answers.
+"""The expiry of workers' leases, as the leader can be certain of it.
 
-A worker kills all its tasks when its lease expires. It expired for certain only after a silence
-longer than the lease, counted from the last heartbeat that this leader answered, or from its
-election, from when the worker's incarnation was first seen, and from the end of every delegation.
+A worker kills all its tasks when its lease expires. The leader treats a lease as expired only after
+a silence longer than the lease, counted from the latest of: the last heartbeat that this leader
+acknowledged (its election, if there is none), the first sight of the worker's incarnation, and the
+last moment at which a delegate may have renewed the lease.
 """
 
 from __future__ import annotations
@@ -19,6 +20,7 @@
 log = logging.getLogger(__name__)
 
 LEASE_MARGIN_S: Final = 0.5
+"""Added to the lease's length, beside the clock drift, before the lease counts as expired."""
 
 
 class Leases:
@@ -28,19 +30,23 @@
         self, fleet: Fleet, elected_at: Monotonic, lease_s: float, delegation_s: float
     ) -> None:
         self.silence_s = lease_s * CLOCK_DRIFT + LEASE_MARGIN_S
-        """After so long a silence a worker's lease has certainly expired."""
+        """The silence, in seconds, after which a worker's lease has certainly expired."""
         self._fleet = fleet
         self._elected_at = elected_at
         self._delegation_s = delegation_s
-        # A delegation of an earlier term may have been acted on for a moment after the election.
+        # A delegate of an earlier term may act on its delegation for up to `delegation_s` after the
+        # election.
         self._elsewhere_until = Monotonic(elected_at + delegation_s)
 
     def delegation_ended(self, now: Monotonic) -> None:
-        """Count from now, as a closed delegation may have been acted on for a moment longer."""
+        """Record that a delegation ended; it may be acted on for `delegation_s` more seconds."""
         self._elsewhere_until = Monotonic(max(self._elsewhere_until, now + self._delegation_s))
 
     def silent(self, now: Monotonic) -> list[Machine]:
-        """Return the machines whose lease has certainly expired, unless a delegate renewed it."""
+        """Return the machines whose lease has certainly expired, unless a delegate renewed it.
+
+        Machines already marked as expired are left out.
+        """
         return [
             machine
             for machine in self._fleet.machines.values()
@@ -55,9 +61,10 @@
         return max(own, begun, self._elsewhere_until)
 
     def still_coming(self, now: Monotonic, share: float, within_s: float) -> bool:
-        """Whether a new leader has yet to hear from most of the machines that are up.
+        """Return whether a new leader still waits for the first contact with its machines.
 
-        Until `within_s` after the election, or until so large a `share` of them was heard.
+        False from `within_s` seconds after the election, or once it has had contact with `share`
+        (0 to 1) of the machines that have booted.
         """
         if now - self._elected_at > within_s:
             return False
@@ -65,16 +72,20 @@
         return sum(m.last_contact_at is not None for m in up) < share * len(up)
 
     def silence_s_of(self, machine: Machine, now: Monotonic) -> float:
-        """Return the seconds since a machine, that has or should have reported, was last heard."""
+        """Return the seconds since the last contact with a booted machine.
+
+        Before the first contact: since the election, or since it was rented if that was later.
+        """
         if machine.last_contact_at is not None:
             return now - machine.last_contact_at
-        # Rented in this term and listed as running, it may have come up just now.
+        # A machine rented in this term and listed as running may have booted just now.
         return now - max(self._elected_at, machine.since)
 
     def check_silence(self, now: Monotonic) -> None:
         """End the bindings of machines whose lease has certainly expired (proof 3).
 
-        With delegates about, `now` must lie before it was seen that none of them has a delegation.
+        `now` must have been read before the check that no node holds a delegation: a node may
+        otherwise have renewed a lease in between.
         """
         for machine in self.silent(now):
             log.info(
@@ -87,7 +98,7 @@
             machine.current = False
             machine.expired_cpus = machine.cpus
             for binding in list(machine.bindings.values()):
-                self._fleet.unbind(machine, binding, now, "lease lapsed")
+                self._fleet.unbind(machine, binding, now, "lease expired")
             machine.exited.clear()
             machine.unbound_tasks = 0
             self._fleet.changed()
--- a/tealrill/fleet/machine.py
+++ b/tealrill/fleet/machine.py
@@ -1,4 +1,4 @@
-"""One machine as the leader knows it, and its tasks that exited: data only."""
+"""The leader's record of one machine and of the attempts that exited on it: data only."""
 
 from __future__ import annotations
 
@@ -20,18 +20,24 @@
 
 @dataclass(frozen=True, slots=True)
 class Exit:
-    """An attempt that exited, and what must hold before the worker may forget it."""
+    """An exited attempt, and the condition under which the worker may forget it."""
 
     chunk: Chunk | None
     version: int
-    """The chunk's version that holds the outcome; a take-over would run the task again before."""
+    """The chunk's version that holds the outcome.
+
+    Until it is committed, a new leader does not know the outcome and would run the task again.
+    """
     binding: Binding | None = None
 
     @property
     def settled(self) -> bool:
-        """Whether the worker may forget the attempt."""
+        """Return whether the worker may forget the attempt.
+
+        That is so once the outcome is committed and no direct start of the attempt is in flight.
+        """
         if self.binding is not None and self.binding.direct_start_in_flight:
-            # A late direct start of an attempt that the worker has forgotten would run it again.
+            # The worker would run a forgotten attempt again if its direct start arrived late.
             return False
         return self.chunk is None or self.chunk.committed >= self.version
 
@@ -41,97 +47,107 @@
 
 @dataclass(slots=True, eq=False)
 class Machine:
-    """One machine, from its rental, its line in the cloud's list or its worker's first report."""
+    """A machine, known from its rental, the cloud's list or its worker's first heartbeat."""
 
     id: MachineId
     type: str
     zone: str
     spot: bool
     since: Monotonic
-    """When it was rented, or as near to that as is known."""
+    """When it was rented, or the best estimate of that."""
     booted: bool = False
-    """It was rented in this term, so `since` is when its boot began."""
+    """Rented in this term, so that `since` is when its boot began."""
     addr: str = ""
     incarnation: Incarnation | None = None
     sequence: HeartbeatSequence = HeartbeatSequence(-1)
     current: bool = False
-    """Its last report carried this term's token, so nothing older than it can still arrive."""
+    """Its last heartbeat carried this term's token: its worker refuses earlier terms' commands."""
     incarnation_seen_at: Monotonic | None = None
-    """When its incarnation was first heard of, in this term; the worker's lease runs from
-    before.
-    """
+    """When this leader first saw its incarnation; the incarnation's lease began before that."""
     answered_at: Monotonic | None = None
-    """Its last report that was answered: only that renews it, so one that is mute gets no work
-    however well it answers. It took tasks in each new incarnation, and lost them with its lease."""
+    """When a heartbeat of it was last acknowledged.
+
+    Only an acknowledgement renews its lease, so tasks are placed by this time and not by
+    `last_contact_at`: a machine whose heartbeats don't arrive still replies to direct commands, but
+    loses its tasks with its lease in each incarnation.
+    """
     last_contact_at: Monotonic | None = None
-    """The last that was heard of it, by a report or by the answer to a direct command."""
+    """When a heartbeat or a reply to a direct command last arrived from it."""
     preemption_notice_until: Monotonic | None = None
     inbound_partitioned: bool = False
-    """What is sent to it seems not to arrive, though its reports do."""
+    """Messages to it seem not to arrive, though its heartbeats do."""
     lease_expired: bool = False
     releasing: bool = False
-    """It goes back: no room, whatever else becomes of it."""
+    """It is being returned to the cloud; its capacity is not used any more."""
     returned: bool = False
-    """Its return is recorded, so that it goes back whoever leads."""
+    """Its release is recorded in the state service, so that any later leader carries it out."""
     draining: str = ""
-    """Why nothing more is placed here; empty if it is."""
+    """Why no more tasks are placed on it; empty if tasks may be placed."""
     unbound_tasks: int = 0
-    """Tasks that run here and that no binding covers; they are being stopped."""
+    """Number of its tasks that have not exited and have no binding; they are being stopped."""
     bindings: dict[TaskId, Binding] = field(default_factory=dict)
     named: dict[str, Binding] = field(default_factory=dict)
-    """The same by the task's name on the wire: reports list them all every time, and most lines say
-    nothing new, so that taking the name apart would be most of the work."""
+    """`bindings` by the task's name on the wire.
+
+    Every heartbeat lists all tasks, most of them unchanged: parsing the names would be most of the
+    work of a heartbeat.
+    """
     exited: dict[tuple[TaskId, Attempt], Exit] = field(default_factory=dict)
-    """Attempts that exited here and that the worker has not been told to forget."""
+    """Exited attempts that the worker still lists."""
     unreconciled: list[tuple[TaskId, Attempt, wire.TaskStatus]] = field(default_factory=list)
-    """Of the list that was gone through last: what exited, and what no binding covers."""
+    """Tasks of the last reconciled heartbeat that have exited or have no binding."""
     cpus: float = 0.0
     gpus: float = 0.0
     memory_gb: float = 0.0
-    """What its bindings use."""
+    """Resources that its bindings use."""
     images: dict[str, None] = field(default_factory=dict)
     idle_since: Monotonic | None = None
     refused_until: Monotonic = Monotonic(0.0)
     listed: str = ""
+    """Its state in the last list of the cloud that contained it; empty if none did."""
     listed_at: Monotonic | None = None
+    """When a list of the cloud last contained it."""
     listed_addr: str = ""
     missing_from_lists: int = 0
-    """Of the cloud's lists, the last so many did not show it though an earlier one did."""
+    """Number of the cloud's latest lists that lack it, counted once a list has contained it."""
     failed_connects: int = 0
-    """Attempts to connect while it was silent, in a row, that brought no connection."""
+    """Number of consecutive failed probes since its last heartbeat."""
     accepts: bool = False
-    """The last such attempt brought a connection: its system runs."""
+    """The last probe succeeded: the machine's operating system accepts or refuses connections."""
     expired_cpus: float = 0.0
-    """Processors that its tasks used when its lease lapsed."""
+    """Processors that its tasks used when its lease expired."""
     view: MachineView | None = None
-    """What placement sees of it, kept from pass to pass; None once something in it has changed."""
+    """Its view for placement, cached between passes; None once its state has changed."""
     settled: list[wire.TaskStatus] | None = None
-    """The last report's tasks, if all is as it should be: the same list again says nothing new."""
+    """The last heartbeat's tasks, if they matched the bindings and nothing was pending.
+
+    A heartbeat with the same list needs no reconciliation and no commands.
+    """
 
     def touch(self) -> None:
-        """Drop what was worked out from its state, because something in it has changed."""
+        """Drop the values cached from its state, because the state has changed."""
         self.view = None
         self.settled = None
 
     def mark_inbound_partitioned(self, inbound_partitioned: bool) -> None:
-        """Record whether what is sent to it seems not to arrive."""
+        """Record whether messages to it seem not to arrive."""
         if self.inbound_partitioned is not inbound_partitioned:
             self.inbound_partitioned = inbound_partitioned
             self.touch()
 
     @property
     def kind(self) -> Kind:
-        """The type, zone and price class that it was rented as."""
+        """Return its type, its zone and whether it is a spot instance."""
         return self.type, self.zone, self.spot
 
     @property
     def up(self) -> bool:
-        """Whether it is known to have come up, in this term or before."""
+        """Return whether it is known to have booted, in this term or before."""
         return self.incarnation is not None or self.listed == wire.MACHINE_RUNNING
 
     @property
     def is_in_order(self) -> bool:
-        """Nothing but silence or a refusal may forbid to bind a task to it."""
+        """Return whether tasks may be bound to it, apart from missed heartbeats and refusals."""
         return (
             self.current
             and not self.lease_expired
@@ -143,7 +159,10 @@
         )
 
     def is_placeable(self, now: Monotonic, silence_s: float) -> bool:
-        """Whether a task may be bound to it at this moment."""
+        """Return whether a task may be bound to it now.
+
+        Its last acknowledged heartbeat must be at most `silence_s` old.
+        """
         return (
             self.is_in_order
             and self.answered_at is not None
@@ -154,7 +173,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CompletedTask:
-    """A completed task's run time, for the estimates."""
+    """The run time of a completed task, in seconds; input of the run-time estimates."""
 
     job: Job
     ran_s: float
--- a/tealrill/fleet/prober.py
+++ b/tealrill/fleet/prober.py
@@ -1,12 +1,10 @@
-"""Finds out what is still there of machines that are not heard.
+"""Active probes of machines that miss heartbeats, as evidence for the failure detector.
 
-Wanted: of every machine that has missed a report, whether anything at its address takes
-connections. What is: the attempts made so far. The loop works off the difference, a bounded number
-at a time, and then judges the whole fleet (`scheduler/failure_detector.py`).
-While all are heard it does one
-comparison a machine.
+The prober tries to connect to every machine that has missed a heartbeat, a bounded number at a
+time, and has the whole fleet diagnosed (`scheduler/failure_detector.py`). While no machine misses
+heartbeats this costs one comparison a machine.
 
-Nothing here proves that a task is gone, and no answer renews a lease.
+A probe neither proves that a task has ended nor renews a lease.
 """
 
 from __future__ import annotations
@@ -28,17 +26,21 @@
 
 LOOK_EVERY_S: Final = 0.5
 _LATE_S: Final = 1.0
+"""A round that begins later than this shows that this node was suspended or overloaded."""
 _TIMEOUT_S: Final = 0.8
 _AGAIN_S: Final = 1.0
+"""The minimum interval between two probes of one machine."""
 _MOST: Final = 160
+"""The maximum number of concurrent probes."""
 _FEWEST: Final = 4
-"""Attempts at once: at the most, and where reports and commands leave no sockets."""
+"""The number of concurrent probes that is allowed even when no sockets are spare."""
 
 Reach = Callable[[Address, float], Awaitable[bool | None]]
+"""A probe of an address within a timeout in seconds, with the result of `http.accepts`."""
 
 
 class Prober:
-    """One term's look at silent machines."""
+    """Probes of one term's unreachable machines, and the diagnosis of the fleet."""
 
     def __init__(
         self,
@@ -53,25 +55,26 @@
         self._report_s = heartbeat_interval_s
         self._spare = spare
         self._valid = valid
-        # Not a default argument: that would be bound before the simulation puts its own there.
+        # A default argument would be bound before the simulation replaces `accepts`.
         self._reach = reach or accepts
         self._now = now
         self._tried: dict[MachineId, Monotonic] = {}
         self._under_way: dict[MachineId, asyncio.Task[None]] = {}
         self.diagnosis = Diagnosis({}, frozenset())
         self.judged: Callable[[], None] = lambda: None
-        """Called when the verdicts have changed."""
+        """Called when the diagnosis has changed."""
 
     async def run(self) -> None:
-        """Probe silent machines until the term ends."""
+        """Probe unreachable machines until the term ends."""
         due = self._now() + LOOK_EVERY_S
         try:
             while True:
                 await asyncio.sleep(LOOK_EVERY_S)
                 now = self._now()
                 late, due = now - due > _LATE_S, now + LOOK_EVERY_S
-                # After a standstill of this node everybody seems silent: their reports are waiting.
-                # While it may not lead, its workers are with somebody else.
+                # After this node was suspended all machines seem unreachable, because their
+                # heartbeats are still unread. While this node may not lead, its workers may send
+                # their heartbeats to another leader.
                 if not late and self._valid():
                     for machine in self.look(now):
                         self._try(machine, now)
@@ -80,7 +83,10 @@
                 task.cancel()
 
     def look(self, now: Monotonic) -> list[Machine]:
-        """Judges what is known by now; the machines to be tried next, the longest untried first."""
+        """Diagnose the fleet and return the machines to probe next.
+
+        The machines that were not probed for the longest time come first.
+        """
         known = [m for m in self._fleet.machines.values() if m.up and m.zone]
         missed_s = failure_detector.live_within_s(self._report_s)
         silent = [
@@ -98,7 +104,7 @@
         due = [
             machine
             for machine in silent
-            # Inherited machines have no address until the first list or report brings it.
+            # Inherited machines have no address before the first list or heartbeat.
             if (machine.addr or machine.listed_addr)
             and machine.id not in self._under_way
             and now - self._tried.get(machine.id, Monotonic(-_AGAIN_S)) >= _AGAIN_S
@@ -110,8 +116,8 @@
         diagnosis = failure_detector.judge((self._sign(m, now) for m in known), self._report_s)
         healed = self.diagnosis.partitioned_zones - diagnosis.partitioned_zones
         if healed:
-            # What was tried in vain through a cut says nothing of the machine: 40 good ones were
-            # returned in the moment in which the first of their zone were heard again.
+            # Probes that failed during a partition say nothing about the machine. When they
+            # counted, 40 working machines were returned as the first of their zone recovered.
             for machine in known:
                 if machine.zone in healed:
                     machine.failed_connects = 0
@@ -133,7 +139,11 @@
         )
 
     def _tell(self, diagnosis: Diagnosis) -> None:
-        """One line an event, not one a machine: operators read this when hundreds are gone."""
+        """Log the changes of the diagnosis.
+
+        There is one line for each event and not for each machine, so that the log stays readable
+        when hundreds of machines fail.
+        """
         for verdict in (Suspicion.GONE, Suspicion.HUNG):
             names = {m for m, v in diagnosis.verdicts.items() if v is verdict}
             new = names - {m for m, v in self.diagnosis.verdicts.items() if v is verdict}
@@ -149,7 +159,7 @@
                 "zones partitioned: %s", ", ".join(sorted(diagnosis.partitioned_zones)) or "none"
             )
 
-    # -- attempts -------------------------------------------------------------------------------
+    # -- probes ---------------------------------------------------------------------------------
 
     def _try(self, machine: Machine, now: Monotonic) -> None:
         self._tried[machine.id] = now
@@ -169,6 +179,6 @@
 
     @staticmethod
     def tried(machine: Machine, accepts: bool) -> None:
-        """What an attempt brought."""
+        """Record whether a probe of the machine was successful."""
         machine.accepts = accepts
         machine.failed_connects = 0 if accepts else machine.failed_connects + 1
--- a/tealrill/fleet/reconciliation.py
+++ b/tealrill/fleet/reconciliation.py
@@ -1,6 +1,6 @@
 """Reconciliation of the tasks that a heartbeat lists with the machine's bindings.
 
-Proof 1 of `tealrill.fleet.inventory`: an attempt that exited, or that is no longer listed.
+This is proof 1 of `tealrill.fleet.inventory`: an attempt has exited or is no longer listed.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
     ) -> None:
         """Apply the list of a heartbeat with this term's token to the machine's bindings.
 
-        A `direct` one came in the answer to a direct command.
+        A `direct` heartbeat came in the reply to a direct command.
         """
         unreconciled: list[tuple[TaskId, Attempt, wire.TaskStatus]] = []
         named = machine.named
@@ -46,7 +46,7 @@
             if status.state == wire.EXITED:
                 unreconciled.append((binding.task, binding.attempt, status))
             elif binding.seen and binding.state == status.state:
-                # Taken in before, with all that follows from it.
+                # This state has been applied before.
                 continue
             self._progress(machine, binding, status, now, wall)
         unbound_tasks = sum(status.state != wire.EXITED for _, _, status in unreconciled)
@@ -68,7 +68,10 @@
         unreconciled: list[tuple[TaskId, Attempt, wire.TaskStatus]],
         now: Monotonic,
     ) -> Binding | None:
-        """Return the binding of a task whose name needs parsing; note it if none covers it."""
+        """Return the binding of a listed attempt by its parsed name; None if there is none.
+
+        An attempt without a binding is added to `unreconciled`; a malformed name is ignored.
+        """
         task = parse_task_id(status.task)
         if task is None:
             return None
@@ -124,8 +127,10 @@
         elif status.why == wire.WHY_ERROR:
             self._failed(machine, binding, now)
         elif status.why in wire.REFUSALS:
-            # The machine refused it: something there is not as it was thought to be.
-            log.info("machine %s refused %s: %s", machine.id, binding.task, status.why)
+            # The machine's real state differs from its record: placement there pauses for a moment.
+            log.info(
+                "start refused: machine=%s task=%s reason=%s", machine.id, binding.task, status.why
+            )
             machine.refused_until = Monotonic(now + 2.0)
         self._fleet.unbind(machine, binding, now, f"exited ({status.why})")
         key = (binding.task, binding.attempt)
@@ -133,11 +138,11 @@
         self._fleet.changed()
 
     def _failed(self, machine: Machine, binding: Binding, now: Monotonic) -> None:
-        """Counts an error, against the job or the machine."""
+        """Record a failed attempt, which counts against the job or the machine."""
         job = binding.chunk.job
         ran_s = now - binding.running_since if binding.running_since is not None else 0.0
         well = job.done_count > 0
-        log.info("task %s failed on %s after %.1f s", binding.task, machine.id, ran_s)
+        log.info("task failed: task=%s machine=%s ran_s=%.1f", binding.task, machine.id, ran_s)
         self._fleet.job_store.task_failed(job, binding.task.index)
         if not job.cancelled:
             self._fleet.drain_faulty(
@@ -152,7 +157,7 @@
         status: wire.TaskStatus,
         now: Monotonic,
     ) -> None:
-        """An exited attempt that no binding covers. That it is done is true all the same."""
+        """Record an exited attempt without a binding; if it completed the task, that counts."""
         if (task, attempt) in machine.exited:
             return
         job = self._fleet.job_store.jobs.get(task.job)
@@ -173,12 +178,13 @@
         now: Monotonic,
         direct: bool,
     ) -> None:
-        """A bound task that a report with this term's token does not list."""
+        """Handle a bound task that a heartbeat with this term's token does not list."""
         if binding.seen or binding.inherited:
             self._fleet.unbind(machine, binding, now, "no longer listed")
             self._fleet.changed()
         elif binding.direct_start_in_flight:
-            # A direct start may still arrive. Sent with the response as well, it becomes known.
+            # The direct start may still arrive, so the binding stays. The start is sent with a
+            # response as well, so that a later heartbeat lists the task.
             if binding.sent is not None and heartbeat.sequence > binding.sent and not direct:
                 binding.sent = None
         elif binding.sent is None:
@@ -186,9 +192,9 @@
                 self._fleet.unbind(machine, binding, now, "never sent")
                 self._fleet.changed()
         elif heartbeat.sequence > binding.sent and not direct:
-            # The answer to a direct command proves nothing here: it can be newer than the report
-            # whose response, with the start in it, is still on its way to the worker.
-            # The response that carried the start was lost, and workers drop late ones.
+            # The response with the start was lost: the worker has sent a later heartbeat, and
+            # workers ignore late responses. The reply to a direct command would not prove that: it
+            # can be newer than the heartbeat whose response is still on its way.
             if binding.stop is not None:
                 self._fleet.unbind(machine, binding, now, "its start was lost")
                 self._fleet.changed()
--- a/tealrill/fleet/snapshot.py
+++ b/tealrill/fleet/snapshot.py
@@ -1,4 +1,4 @@
-"""The planner's view of a term's machines and jobs, built from memory for each pass."""
+"""Snapshots of a term's machines and jobs: the planner's input for each scheduling pass."""
 
 from __future__ import annotations
 
@@ -29,14 +29,17 @@
 from tealrill.types import JobId, MachineId, Monotonic, Revision, Wall
 
 _SERVICE_RUN_S: Final = 1e9
+"""The expected run time of services, which do not end by themselves."""
 _UNNAMED: Final = MachineId("")
 _EXPECTED_FOR_S: Final = 45.0
-"""A class of which nothing was submitted for so long is not expected any more."""
+"""Seconds after the last submission during which another job of the class is expected."""
 _LIKELY: Final = 0.7
+"""The part of the estimated run time that counts against a deadline. Estimates are often wrong by
+half, so a deadline must not be given up for the last part of one."""
 
 
 class SnapshotBuilder:
-    """Builds the views of one term's passes."""
+    """Builds the snapshots of one term's passes."""
 
     def __init__(
         self,
@@ -63,16 +66,16 @@
         self._paces: dict[str, Pace] = {}
         self._steady_pace = Pace()
         self._catalogue: wire.Catalogue | None = None
-        """The one that the machines' views were made with."""
+        """The catalogue that the cached machine views were built with."""
         self._sizes = TypicalSizes()
 
     def view(self, now: Monotonic, wall: Wall) -> View:
-        """Return what a pass looks at; machines in which nothing changed are as they were."""
+        """Return the input of a pass; the views of unchanged machines are reused."""
         for team, pace in self._paces.items():
             pace.ratio = self._estimates.ratio(team)
         if self._catalogue is not self._provisioner.catalogue:
             self._catalogue = self._provisioner.catalogue
-            # Of all machines, those too that this pass does not look at.
+            # Cached views of machines that this pass leaves out become stale too.
             for machine in self._machines():
                 machine.touch()
         machines, silent = self._survey(now)
@@ -86,10 +89,10 @@
         )
 
     def _survey(self, now: Monotonic) -> tuple[list[MachineView], list[Machine]]:
-        """One look at every machine: those that placement may count on, and the silent ones.
+        """Return the views of the machines available for placement, and the unreachable machines.
 
-        A machine that is heard and all right is told from its own fields: of hundreds hardly any is
-        not, and this is asked in every pass.
+        Most of hundreds of machines are available with an unchanged view. The first branch
+        recognizes them from their own fields, since this runs for every machine in every pass.
         """
         views: list[MachineView] = []
         silent: list[Machine] = []
@@ -117,14 +120,17 @@
         return views, silent
 
     def _expected(self, now: Monotonic) -> Expected | None:
-        """The next job of a class that is to start within seconds, by the size of recent ones."""
+        """Return the next expected job of a class with a waiting-time objective, or None.
+
+        Its size is estimated from recent submissions.
+        """
         if now - self._prompt_at > _EXPECTED_FOR_S:
             return None
         cpus = max((self._sizes.large(name) for name in self._prompt), default=0.0)
         return Expected(self._prompt_rank, cpus) if cpus > 0 else None
 
     def submitted(self, spec: wire.JobSpec, now: Monotonic) -> None:
-        """Take note of a new job, for the work that is expected."""
+        """Record a submitted job, for the estimate of expected work."""
         if spec.job_class in self._prompt:
             self._sizes.submitted(spec.job_class, spec.cpus * spec.tasks)
             self._prompt_rank = max(self._prompt_rank, spec.rank)
@@ -160,11 +166,12 @@
         return view
 
     def _returning(self, silent: list[Machine], now: Monotonic) -> list[MachineView]:
-        """Silent machines that are likely to be back before a replacement would be up.
+        """Return views of unreachable machines that probably recover before a replacement boots.
 
-        Nothing is placed on them. But what they will take again is not rented a second time, and
-        does not make jobs look unaffordable without dear machines. (250 machines hung for 19 s: 120
-        replacements were rented meanwhile, and 110 more while the hung ones came back.)
+        No tasks are placed on them. They count as capacity that will be available again, so that it
+        is not rented a second time and jobs do not appear to need expensive machines. Without them,
+        when 250 machines hung for 19 s, 120 replacements were rented during that time and 110 more
+        while the machines recovered.
         """
         found: list[MachineView] = []
         for machine in silent:
@@ -222,7 +229,7 @@
         return pace
 
     def run_s(self, spec: wire.JobSpec) -> float:
-        """Return the seconds that a task of a job is expected to run."""
+        """Return the expected run time of a job's task, in seconds."""
         if spec.is_service:
             return _SERVICE_RUN_S
         return self._estimates.run_s(spec.team, spec.estimate_s)
@@ -232,16 +239,16 @@
         return [self._job(job, waiting, now, wall) for job, waiting in found if waiting > 0]
 
     def _waiting(self, job: Job, now: Monotonic) -> int:
-        """How many of the job's tasks wait and may be placed."""
+        """Return the number of the job's waiting tasks that may be placed now."""
         if job.waiting <= 0:
             return 0
         tries = self._fleet.tries(job, now)
         if tries == 0:
-            # Failing wherever it runs, it takes no room, no money and no place in the queue.
+            # A failing job on probation uses no capacity, no money and no place in the queue.
             return 0
         spec = job.spec
         if (spec.one_zone or spec.spread) and sum(job.zone_counts.values()) < job.bound_count:
-            # Until the zones of all its tasks are known, a job with a rule about zones waits.
+            # A job with a zone constraint waits until the zones of all its bound tasks are known.
             return 0
         return job.waiting if tries is None or spec.is_gang else min(job.waiting, tries)
 
@@ -277,13 +284,16 @@
         )
 
     def view_of(self, spec: wire.JobSpec, waiting: int) -> JobView:
-        """Return the view of a job that is not in the queue, as if it had just come."""
+        """Return the view of a job that is not queued, as if it had just been submitted."""
         job = Job(JobId(spec.id), spec, Wall(0.0), Revision(0), 1, bytearray())
         job.due_s = spec.deadline_s
         return self._job(job, waiting, Monotonic(0.0), Wall(0.0))
 
     def remaining_s(self, job: Job, now: Monotonic) -> float:
-        """Return the seconds that the job's tasks are expected to take from now on."""
+        """Return the expected remaining run time of the job's tasks, in seconds.
+
+        The time that tasks still wait is not included.
+        """
         run_s = self.run_s(job.spec)
         if job.waiting > 0:
             return run_s
@@ -293,11 +303,10 @@
     def _latest(
         self, spec: wire.JobSpec, due_s: float | None, waited_s: float, run_s: float
     ) -> tuple[float, ...]:
-        """Per deadline, the time left until the job's tasks must have started."""
+        """Return the seconds until the job's tasks must have started, for each of its deadlines."""
         if due_s is None:
             return ()
         times = self._times.get(spec.job_class, [1.0])
-        # Estimates are often wrong by half: a deadline isn't given up for the last part of one.
         run_s *= _LIKELY
         return tuple(due_s * t - waited_s - run_s for t in times)
 
@@ -315,7 +324,10 @@
         }
 
     def _under_way(self, now: Monotonic) -> list[MachineView]:
-        """Machines that were asked for and not yet granted count like those that boot."""
+        """Return views of machines that were requested and not yet granted.
+
+        They count like machines that begin to boot now.
+        """
         found: list[MachineView] = []
         for rental in self._provisioner.under_way():
             kind = self._provisioner.type_of(rental.type)
@@ -336,25 +348,28 @@
                 self._provisioner.is_dear(rental.type, rental.spot, self._policy.dear),
                 (),
             )
-            # The views of one rental are alike and only read, so one stands for all.
+            # The views of one rental are equal and only read, so they share one object.
             found += [view] * rental.count
         return found
 
 
 def suspicion(diagnosis: Diagnosis, machine: Machine) -> Suspicion:
-    """Return what a machine's silence means; late, if it has not been judged."""
+    """Return the probable cause of a machine's silence, `LATE` if it is not diagnosed."""
     return diagnosis.verdicts.get(machine.id, Suspicion.LATE)
 
 
 def boots(machine: Machine, verdict: Suspicion) -> bool:
-    """Not heard yet, and no reason to think that it won't be. A new leader begins with all so."""
+    """Return whether the first contact with a machine is pending and nothing suggests a failure.
+
+    For a new leader that is so of all machines.
+    """
     return (
         machine.last_contact_at is None and not machine.lease_expired and verdict is Suspicion.LATE
     )
 
 
 def _deadline_times(params: Params) -> dict[str, list[float]]:
-    """Per class, the multiples of the deadline that it is judged by."""
+    """Return, for each class, the multiples of its deadline that the objectives refer to."""
     times: dict[str, list[float]] = {}
     for objective in params.objectives:
         if objective.kind == "deadline" and objective.job_class is not None:
