--- a/tests/test_bindings.py
+++ b/tests/test_bindings.py
@@ -1,10 +1,10 @@
-"""A task is never on two machines: bindings against modelled workers and a bad network.
+"""Model-based tests of bindings: no task ever runs on two machines.
 
-Workers, their leases, held and lost messages, direct commands, take-overs and releases are
-modelled by the protocol's text; `Fleet` and `JobStore` are the real ones. After every step no task
-may be on two machines. `test_every_clause_is_needed` takes single clauses of the argument in
-docs/design.md away and requires that the same model finds the breach; a clause that could be
-taken away unnoticed would not be tested at all.
+Workers, their leases, delayed and lost messages, direct commands, failovers and releases are
+modelled after the protocol specification; `Fleet` and `JobStore` are the real ones. The invariant
+is checked after every step. The mutation tests remove single clauses of the argument in
+docs/design.md and require that the same model finds a violation: a clause that could be removed
+unnoticed would not be tested at all.
 """
 
 from __future__ import annotations
@@ -38,12 +38,12 @@
 
 
 class RanTwice(AssertionError):
-    """The breach that everything here is about."""
+    """A violation of the invariant: a task runs on two machines."""
 
 
 @dataclass
 class Beat:
-    """A report on its way, or its response."""
+    """A heartbeat in flight, or the one that a response in flight belongs to."""
 
     number: int
     sent_at: float
@@ -52,7 +52,7 @@
 
 @dataclass
 class Direct:
-    """Direct commands on their way; they may arrive at any later time, but once."""
+    """Direct commands in flight; they arrive at any later time, at most once."""
 
     machine: str
     token: int
@@ -64,7 +64,7 @@
 
 @dataclass
 class Worker:
-    """A worker as the protocol describes it."""
+    """A worker as the protocol specifies it."""
 
     id: str
     incarnation: int = 1
@@ -102,7 +102,7 @@
 
 
 class Cluster:
-    """A leader, its workers and the messages under way; `step` does one thing at random."""
+    """A leader, its workers and the messages in flight; `run` takes random steps."""
 
     def __init__(self, seed: int, fleet_class: type[Fleet]) -> None:
         self.random = random.Random(seed)
@@ -112,9 +112,9 @@
         self.store: dict[int, Any] = {}
         self.term = 0
         self.delegation: tuple[int, bool] | None = None
-        """The delegate's key: its term, and whether the leader has closed it."""
+        """The delegate's record: its term, and whether the leader has revoked it."""
         self.permitted = (0, -1e9)
-        """The term that the delegate may answer for, and until when."""
+        """The term for which the delegate may renew leases, and until when."""
         self.beats: list[Beat] = []
         self.responses: list[tuple[Beat, int, list[dict[str, Any]]]] = []
         self.directs: list[Direct] = []
@@ -128,7 +128,7 @@
             self.check()
 
     def check(self) -> None:
-        """The rule: a task that is on one machine is on no other."""
+        """Raise `RanTwice` if a task runs on two machines whose leases have not expired."""
         running = [
             name
             for worker in self.workers.values()
@@ -136,12 +136,12 @@
             if state == "running" and self.now - worker.renewed_at <= LEASE_S
         ]
         if len(running) != len(set(running)):
-            raise RanTwice(f"{running} at {self.now}")
+            raise RanTwice(f"a task runs on two machines: running={running} now={self.now}")
 
     # -- the leader -----------------------------------------------------------------------------
 
     def elect(self) -> None:
-        """A new leader reads the records; whatever the old one sent may still be on its way."""
+        """Elect a leader, which reads the records; the old one's messages may still arrive."""
         self.term += 1
         self.job_store = JobStore(4.0)
         self.job = self.job_store.add(spec(pieces=TASKS), Wall(0.0), Revision(1))
@@ -172,10 +172,13 @@
         if bindings:
             self.fleet.commands.stop(self.random.choice(bindings), "test", 0.0, Monotonic(self.now))
 
-    # -- reports --------------------------------------------------------------------------------
+    # -- heartbeats -----------------------------------------------------------------------------
 
     def worker_reports(self) -> None:
-        """A report; one whose response the worker still awaits is given up, but may be held."""
+        """Send a heartbeat.
+
+        The worker no longer waits for the response to an earlier one, which may still arrive.
+        """
         worker = self.random.choice(list(self.workers.values()))
         worker.lapse(self.now)
         worker.beats += 1
@@ -209,20 +212,20 @@
         worker.execute(commands)
 
     def delegate_confirms(self) -> None:
-        """A node in a cut zone writes its delegation, guarded by the key of this term's leader."""
+        """A node in a partitioned zone writes its delegation, guarded by this term's leader key."""
         if self.delegation != (self.term, True):
             self.delegation = (self.term, False)
             self.permitted = (self.term, self.now + DELEGATION_S)
 
     def delegate_answers(self) -> None:
-        """It renews a worker, without commands. Its term may be over, for a moment."""
+        """The delegate renews a worker's lease, without commands; its term may just have ended."""
         term, until = self.permitted
         beat = self._take(self.beats)
         if beat is not None and self.now <= until and beat.report.token <= term:
             self.responses.append((beat, term, []))
 
     def delegate_round_trip(self) -> None:
-        """A worker in a cut zone is renewed by the node beside it."""
+        """A delegate in a worker's partitioned zone renews its lease."""
         self.delegate_confirms()
         self.worker_reports()
         self.beats[:], rest = self.beats[-1:], self.beats[:-1]
@@ -235,7 +238,7 @@
             self.responses = kept
 
     def round_trip(self) -> None:
-        """A report and its response without trouble."""
+        """Exchange a heartbeat and its response without faults."""
         self.worker_reports()
         self.beats[:], rest = self.beats[-1:], self.beats[:-1]
         responses = len(self.responses)
@@ -248,7 +251,7 @@
             self.responses = kept
 
     def _take(self, messages: list[Any]) -> Any:
-        """Messages of different connections arrive in any order."""
+        """Remove and return a random message: those of different connections can be reordered."""
         if not messages:
             return None
         return messages.pop(self.random.randrange(len(messages)))
@@ -269,7 +272,7 @@
             )
 
     def direct_round_trip(self) -> None:
-        """A direct command and its answer without trouble."""
+        """Exchange a direct command and its reply without faults."""
         before = len(self.directs)
         self.command_directly()
         if len(self.directs) > before:
@@ -307,7 +310,7 @@
         if self.delegation != (self.term, False):
             self.fleet.leases.check_silence(Monotonic(self.now))
         elif self.random.random() < 0.5:
-            # The leader closes a delegation, or has removed it because all machines were heard.
+            # The leader revokes a delegation, or removes it because all machines are reachable.
             self.delegation = (self.term, True) if self.random.random() < 0.5 else None
             self.fleet.leases.delegation_ended(Monotonic(self.now))
 
@@ -319,7 +322,7 @@
             worker.tasks[name] = (worker.tasks[name][0], "ended", why)
 
     def released(self) -> None:
-        """The cloud confirms a release; the next machine of that place has another worker."""
+        """The cloud confirms a release; the next machine of the same name has a new worker."""
         machine = self.fleet.machines.get(MachineId(self.random.choice(MACHINES)))
         if machine is not None:
             worker = self.workers[machine.id]
@@ -352,10 +355,10 @@
 
 
 class Outages(Cluster):
-    """Leases run out while the leader, which can't read the delegations, calls nobody lapsed."""
+    """Outages in which leases expire unnoticed by a leader that can't read the delegations."""
 
     def outage(self) -> None:
-        """The first that it does afterwards is to send what it had wanted before."""
+        """Let leases expire; afterwards the leader first sends the commands it had pending."""
         self.now += self.random.choice([1.5, 5.0, LEASE_S + 1.0])
         for worker in self.workers.values():
             worker.lapse(self.now)
@@ -370,7 +373,7 @@
 
 
 class Copies(Cluster):
-    """Reports arrive again, in any order, with whoever leads then; many as a leader begins."""
+    """Heartbeats are duplicated: copies reach any later leader, many of them just elected."""
 
     def __init__(self, seed: int, fleet_class: type[Fleet]) -> None:
         self.old: list[wire.Heartbeat] = []
@@ -381,7 +384,7 @@
         self.old.append(self.beats[-1].report)
 
     def copy_arrives(self) -> None:
-        """Nobody waits for an answer to it."""
+        """A copy of a recent heartbeat arrives; its response is discarded."""
         if self.old:
             found = self.random.choice(self.old[-12:])
             if found.token <= self.term:
@@ -390,7 +393,7 @@
                 )
 
     def kept_for_the_next(self) -> None:
-        """Copies reach a new leader first, and then it acts."""
+        """Copies reach a new leader before any other heartbeat does, and then it places tasks."""
         self.elect()
         for _ in range(self.random.choice([1, 3])):
             self.copy_arrives()
@@ -479,7 +482,7 @@
 
 
 class CountsSilenceFromNothing(Fleet):
-    """A new leader that does not count its election as a possible renewal."""
+    """A new leader that does not allow for renewals up to its election."""
 
     class _Leases(Leases):
         def check_silence(self, now: Monotonic) -> None:
@@ -492,7 +495,7 @@
 
 
 def work_for_who_answers(patch: pytest.MonkeyPatch) -> None:
-    """A machine that answers direct commands may be given work, whether or not it reports."""
+    """Let tasks be placed on a machine that replies to direct commands but sends no heartbeats."""
 
     def is_placeable(self: Machine, now: Monotonic, silence_s: float) -> bool:
         return (
@@ -506,8 +509,11 @@
 
 
 class CountsSilenceFromTheSessionBefore(Fleet):
-    """A session that only a direct command's answer has shown. Nothing is bound in one before its
-    first report, so this clause shows only with that one taken away as well."""
+    """An incarnation known only from a direct reply has its lease counted from the previous one.
+
+    Nothing is bound in an incarnation before its first heartbeat, so a violation shows only when
+    that clause is removed as well.
+    """
 
     class _Leases(Leases):
         def _renewed_at(self, machine: Machine) -> Monotonic:
@@ -520,7 +526,7 @@
 
 
 class ForgetsRevokedDelegations(Fleet):
-    """A delegate may act on its delegation for a moment after it was closed."""
+    """A leader that ignores that a delegate may act on a delegation just after its revocation."""
 
     class _Leases(Leases):
         def delegation_ended(self, now: Monotonic) -> None:
@@ -532,7 +538,7 @@
 
 
 class ForgetsDelegationsOfEarlierTerms(Fleet):
-    """A delegate may act on an older leader's delegation for a moment after the election."""
+    """A leader that ignores that a delegate of an earlier term may act just after the election."""
 
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
@@ -540,7 +546,7 @@
 
 
 class IgnoresWhatIsListed(Fleet):
-    """Releases a binding whenever a report does not list it, even before a start could arrive."""
+    """Ends a binding whenever a heartbeat lacks it, even before the start could arrive."""
 
     class _Reconciler(Reconciler):
         def _missing(self, machine: Machine, binding: Binding, *args: Any) -> None:
@@ -600,7 +606,10 @@
 def test_a_worker_renewed_by_a_delegate_does_not_lapse(
     fleet_class: type[Fleet], kept: bool, new_leader: bool
 ) -> None:
-    """The last that a delegate does is to renew a worker, and then its delegation ends."""
+    """A delegate renews a worker at the very end of its delegation.
+
+    The leader must count the lease from the end of the delegation, also one of an earlier term.
+    """
     cluster = Cluster(0, fleet_class)
     for _ in range(40):
         cluster.round_trip()
@@ -618,7 +627,8 @@
     else:
         cluster.fleet.leases.delegation_ended(Monotonic(cluster.now))
     asked, ends = cluster.now + DELEGATION_S, cluster.now
-    # The worker's report is answered at the end of the delegation, and renews it from its sending.
+    # The worker's heartbeat is acknowledged at the end of the delegation; the lease is renewed from
+    # the time at which the heartbeat was sent.
     term, until = cluster.permitted
     assert asked <= until and term == cluster.term - new_leader
     worker.renewed_at = asked
@@ -640,7 +650,10 @@
 def test_a_session_shown_by_a_direct_answer_has_its_whole_lease(
     fleet_class: type[Fleet], reports_first: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """An outage longer than the lease, then a stop that is refused: the worker's session is new."""
+    """After an outage longer than the lease, a refused stop reveals the worker's new incarnation.
+
+    Its lease must be counted from then, and no task may be bound to it before its first heartbeat.
+    """
     if not reports_first:
         work_for_who_answers(monkeypatch)
     cluster = Cluster(0, fleet_class)
@@ -657,7 +670,7 @@
     )
     cluster.bind()
     if reports_first:
-        # It has not reported in this session: nothing is bound there.
+        # The worker has sent no heartbeat in this incarnation: nothing is bound there.
         assert not list(cluster.job.bindings())
         return
     cluster.commit()
@@ -665,14 +678,17 @@
         cluster.direct_round_trip()
     cluster.fleet.leases.check_silence(Monotonic(cluster.now))
     assert bool(list(cluster.job.bindings())) is (fleet_class is Fleet)
-    # Nothing more is heard: its lease, counted from then, ends the binding.
+    # Without further contact the lease, counted from the reply, expires and ends the binding.
     cluster.now += LEASE_S + 1.0
     cluster.fleet.leases.check_silence(Monotonic(cluster.now))
     assert not list(cluster.job.bindings())
 
 
 def test_a_direct_answer_is_no_proof_for_a_start_under_way() -> None:
-    """The response with the start may still be on its way when a direct command is answered."""
+    """The response with the start may still be in flight when a direct command's reply arrives.
+
+    A reply that does not list the task must therefore not end the binding; a heartbeat must.
+    """
     cluster = Cluster(0, Fleet)
     for name in MACHINES:
         beat = report(name, 1, 1, cluster.term)
@@ -714,7 +730,7 @@
     binding = fleet.bind(job, machine, False, Wall(0.0), Monotonic(0.0))
     assert binding is not None
     fleet.commands.direct_sent([binding])
-    # A direct start that may still arrive would run a forgotten attempt again.
+    # While the direct start is in flight, it could start a forgotten attempt again.
     assert not Exit(chunk, 3, binding).settled
     fleet.commands.direct_executed([binding])
     assert Exit(chunk, 3, binding).settled
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -1,4 +1,4 @@
-"""From memory to plan and back: which machines are rented, kept and given back."""
+"""Scheduling passes: snapshots, placement, rentals and releases, and cached state."""
 
 from __future__ import annotations
 
@@ -104,7 +104,7 @@
 
 
 def test_a_wish_for_machines_that_was_put_off_brings_another_pass_soon() -> None:
-    """The reckoning is not made in every pass, and a burst must not wait for the next idle one."""
+    """Demand is not computed in every pass, but a burst must not wait for the next idle pass."""
     scheduling_loop, _, job_store, provisioner = _dispatcher()
     job_store.add(spec(vcpus=32.0), Wall(0.0), Revision(1))
     scheduling_loop.run(Monotonic(0.0), Wall(0.0))
@@ -117,7 +117,7 @@
 
 
 class _Play:
-    """Some machines and jobs, and what may happen to them."""
+    """A fleet of three machines and its jobs, driven by a sequence of numbered events."""
 
     def __init__(self) -> None:
         self.scheduling_loop, self.fleet, self.job_store, self.provisioner = _dispatcher()
@@ -134,7 +134,7 @@
         self.job_store.add(spec(**changes), Wall(self.now), Revision(1))
 
     def beat(self, name: str, state: str, incarnation: int = 1, **changes: Any) -> None:
-        """A report in which all that is bound to the machine has this state."""
+        """Process a heartbeat that lists every task bound to the machine in this state."""
         self.sequence += 1
         machine = self.fleet.machines.get(MachineId(name))
         bound = machine.bindings.values() if machine is not None and incarnation == 1 else ()
@@ -185,7 +185,7 @@
 
 
 class _Sticky(Machine):
-    """A machine whose view is not dropped when something in it changes."""
+    """A machine whose cached view survives changes of its state."""
 
     def forget(self) -> None:
         super().__setattr__("view", None)
@@ -215,7 +215,7 @@
 
 
 def test_a_view_does_not_outlive_the_catalogue_that_it_was_made_with() -> None:
-    """A machine that was silent when the catalogue changed came back with its old view."""
+    """A machine that is unreachable while the catalogue changes must not keep its cached view."""
     play = _Play()
     play.run([5, 16, 27])
     play.now += 10.0
@@ -227,7 +227,7 @@
 
 
 def test_a_pass_after_one_report_makes_one_view(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Views of every machine and task, made anew ten times a second, were most of a pass."""
+    """Rebuilding the views of all machines and tasks ten times a second was most of a pass."""
     play = _Play()
     play.run([5, 16, 27, 0, 1, 2])
     made: list[MachineId] = []
@@ -250,7 +250,7 @@
 def test_a_report_that_says_nothing_new_is_not_gone_through(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Hundreds a second say the same as the ones before."""
+    """Hundreds of heartbeats a second repeat the previous list and must cost little."""
     play = _Play()
     play.run([5, 16, 27, 0, 1, 2, 5, 16, 27, 5])
     machine = play.fleet.machines[MachineId("m-2")]
@@ -279,7 +279,7 @@
 
 
 def test_of_a_list_with_one_change_one_line_is_taken_in(monkeypatch: pytest.MonkeyPatch) -> None:
-    """On a machine with many tasks nearly every report brings a change of one of them."""
+    """On a machine with many tasks, nearly every heartbeat changes just one of them."""
     play = _Play()
     job_store, fleet = play.job_store, play.fleet
     play.beat("m-1", "running")
@@ -331,7 +331,7 @@
     binding = next(iter(machine.bindings.values()))
     play.fleet.commands.stop(binding, "preemption", 0.0, Monotonic(play.now))
     stop = wire.stop(str(binding.task), binding.attempt, 0.0)
-    # Repeated until it is seen to be carried out.
+    # The stop is repeated until the list shows that it was carried out.
     assert (beat(3), beat(4)) == ([stop], [stop])
 
 
@@ -339,19 +339,19 @@
     ("took_s", "gap_s"), [(0.0, 0.1), (0.01, 0.1), (0.1, 0.3), (0.4, 1.2), (5.0, 2.0)]
 )
 def test_a_dear_pass_leaves_time_for_the_rest(took_s: float, gap_s: float) -> None:
-    """On a node that computed several times slower, passes held up reports and renewals."""
+    """On a node several times slower, passes delayed heartbeats and lease renewals."""
     assert pass_gap_s(took_s) == pytest.approx(gap_s)
 
 
 def _finish_jobs(play: _Play, count: int) -> None:
-    """So many jobs from submission to the end of their records."""
+    """Run `count` jobs one after the other, from submission to the deletion of their records."""
     for _ in range(count):
         play.now += 1.0
         job = play.job_store.add(
             spec(id=f"wk-{play.jobs:06d}", pieces=1), Wall(play.now), Revision(1)
         )
         play.jobs += 1
-        play.beat("m-1", "ended")  # nothing is bound: an empty report
+        play.beat("m-1", "ended")  # nothing is bound: an empty list
         play.scheduling_loop.run(Monotonic(play.now), Wall(play.now))
         for chunk in job.chunks.values():
             chunk.committed = chunk.version
@@ -360,12 +360,12 @@
             chunk.committed, chunk.stamp = chunk.version, Revision(play.jobs)
         assert job.complete
         play.job_store.ended(job)
-        play.job_store.garbage.clear()  # the records are removed
+        play.job_store.garbage.clear()  # the records are deleted
         play.beat("m-1", "running")
 
 
 def test_nothing_is_kept_of_ten_thousand_finished_jobs() -> None:
-    """A service that runs for months has a bounded memory."""
+    """Memory must stay bounded in a service that runs for months."""
     play = _Play()
     _finish_jobs(play, 200)
     gc.collect()
@@ -378,7 +378,7 @@
 
 
 def test_finished_jobs_do_not_wait_for_the_collector() -> None:
-    """Left in a ring with their chunks, 10,000 of them lay about in 20 MB until it looked."""
+    """In a reference cycle with their chunks, 10,000 jobs occupied 20 MB until a collection."""
     play = _Play()
     gc.collect()
     gc.disable()
@@ -390,7 +390,7 @@
 
 
 def test_a_pass_does_not_wait_for_the_collector() -> None:
-    """In a ring with its plan it kept the view of the whole fleet: a leader held 10 MB more."""
+    """In a reference cycle with its plan, a pass kept the view of the whole fleet: 10 MB more."""
     play = _Play()
     play.run([5, 16, 27, 0, 1, 0, 1, 0, 1, 2])
     gc.collect()
--- a/tests/test_prober.py
+++ b/tests/test_prober.py
@@ -1,4 +1,4 @@
-"""Attempts to connect, a leader that gives way, and rentals in parallel: the parts with I/O."""
+"""Tests with I/O: connection probes, leadership transfer, and requests for machines."""
 
 from __future__ import annotations
 
@@ -35,17 +35,17 @@
 _REPORT_S = 1.0
 
 
-# -- attempts -------------------------------------------------------------------------------------
+# -- probes ---------------------------------------------------------------------------------------
 
 
 def test_who_takes_connections_is_told_from_who_is_silent() -> None:
     async def scenario() -> None:
         (listening,) = netutil.bind_sockets(0, "127.0.0.1")
         port = listening.getsockname()[1]
-        # Nobody reads from it, as on a machine whose processes stand still.
+        # The connection is never read from, as on a machine whose processes are suspended.
         assert await accepts(Address("127.0.0.1", port), 5.0) is True
         listening.close()
-        # Refused: the system answers, though nothing listens.
+        # A refused connection shows that the operating system runs, though nothing listens.
         assert await accepts(Address("127.0.0.1", port), 5.0) is True
 
     asyncio.run(scenario())
@@ -97,13 +97,13 @@
             fleet.machines[MachineId(f"m-{n}")].addr = f"10.0.0.{n}:9000"
         spare = 10
         prober = Prober(fleet, _REPORT_S, lambda: spare, reach)
-        # Half of the zone is heard, so the other half is not cut off.
+        # Half of the zone sends heartbeats, so the zone is not partitioned.
         _hear(fleet, range(20, 40), 4.0)
         for machine in prober.look(Monotonic(4.0)):
             prober._try(machine, Monotonic(4.0))
         await asyncio.sleep(0)
         assert len(tried) == 10
-        assert prober.look(Monotonic(4.5)) == [], "no more while all places are taken"
+        assert prober.look(Monotonic(4.5)) == [], "no further probes while all slots are in use"
         hold.set()
         for moment in (6.0, 7.5, 9.0, 10.5):
             await asyncio.sleep(0.01)
@@ -115,7 +115,7 @@
         prober.look(Monotonic(11.0))
         assert set(prober.diagnosis.verdicts.values()) == {Suspicion.GONE}
         assert len(prober.diagnosis.verdicts) == 20
-        # At the limit of sockets a few attempts go on, so that a verdict is still reached.
+        # A few probes are allowed without spare sockets, so that a diagnosis is still reached.
         spare = -100
         assert len(prober.look(Monotonic(20.0))) == prober_module._FEWEST
 
@@ -178,7 +178,7 @@
     assert lines.spare == -30
 
 
-# -- giving way -----------------------------------------------------------------------------------
+# -- leadership transfer --------------------------------------------------------------------------
 
 
 class _Ping(web.RequestHandler):
@@ -195,10 +195,10 @@
         values["members"][0]["peer_addr"] = f"127.0.0.1:{sockets[0].getsockname()[1]}"
         giveway = LeadershipTransfer(settings.parse(orjson.dumps(values)))
         assert await giveway.better(100)
-        assert not await giveway.better(1000), "a few always come to the wrong node"
+        assert not await giveway.better(1000), "a few workers always contact the wrong node"
         server.stop()
         await server.close_all_connections()
-        assert not await giveway.better(3), "a node that doesn't answer is no better"
+        assert not await giveway.better(3), "a node that does not answer is no alternative"
 
     asyncio.run(scenario())
 
@@ -251,11 +251,11 @@
     asyncio.run(scenario())
 
 
-# -- renting --------------------------------------------------------------------------------------
+# -- scale-out ------------------------------------------------------------------------------------
 
 
 class _Cloud:
-    """Answers what it is told to, in the order of the requests."""
+    """A cloud with prepared answers to successive requests; None means no capacity."""
 
     def __init__(self, answers: list[list[str] | None]) -> None:
         self.answers = answers
@@ -287,7 +287,7 @@
 
 
 async def _all_answered(provisioner: Provisioner) -> None:
-    """Return once no request is open, and a moment later, so that another one would be seen."""
+    """Return shortly after the last open request is answered, so that a further one would show."""
     async with asyncio.timeout(10.0):
         while provisioner.requests:
             await asyncio.sleep(0.001)
@@ -308,7 +308,7 @@
         assert not provisioner.requests and granted == [50, 50, 20] and len(fleet.machines) == 120
         provisioner.rent(Rental("big", "north", True, 1), Monotonic(0.0))
         await _all_answered(provisioner)
-        assert cloud.asked[3:] == [1], "all were answered, so more may be asked for"
+        assert cloud.asked[3:] == [1], "all requests are answered, so another one may be sent"
 
     asyncio.run(scenario())
 
@@ -324,7 +324,7 @@
 
 
 def test_machines_that_go_back_go_before_those_that_are_asked_for() -> None:
-    """The cloud has places only once they are released, and takes few calls."""
+    """The cloud has capacity only after the releases, and its request rate is limited."""
 
     async def scenario() -> None:
         provisioner, cloud, fleet = _provisioner([["m-9"]])
@@ -352,7 +352,10 @@
     ],
 )
 def test_what_a_cloud_should_not_answer(brought: list[str], kept: set[str]) -> None:
-    """Doubled and missing names, machines nobody asked for: nothing is lost, nothing loops."""
+    """Duplicate, missing, malformed and surplus names: every usable machine is kept.
+
+    The request is not repeated, and too few machines count as a refusal.
+    """
 
     async def scenario() -> None:
         provisioner, cloud, fleet = _provisioner([brought])
@@ -376,8 +379,11 @@
 
 
 def test_an_idle_machine_that_goes_back_does_not_end_a_refusal() -> None:
-    """Only those that died leave places for sure; the others once had cheap kinds asked for again
-    and again while dear ones were to be had."""
+    """Only a failed machine certainly frees capacity at the cloud.
+
+    When the release of idle ones counted, cheap kinds were requested again and again while
+    expensive ones were available.
+    """
     provisioner, _, fleet = _provisioner([])
     kind = ("big", "north", False)
     for name in ("m-1", "m-2"):
