--- a/tealrill/fleet/connections.py
+++ b/tealrill/fleet/connections.py
@@ -46,13 +46,13 @@
         return len(self._clients)
 
     @property
-    def most(self) -> int:
+    def max_connections(self) -> int:
         """Return the maximum number of connections to workers."""
         left = self._sockets - _OTHERS - self._machines()
         return max(_FEWEST, min(int(_SHARE * self._sockets), left))
 
     @property
-    def spare(self) -> int:
+    def spare_sockets(self) -> int:
         """Return the number of sockets not needed for heartbeats, commands or other peers.
 
         Negative if the machines need more sockets than there are.
@@ -81,7 +81,7 @@
 
     async def __aenter__(self) -> ConnectionPool:
         """Wait until fewer than `most` commands are in flight, and count one more."""
-        while self._on_the_way >= self.most:
+        while self._on_the_way >= self.max_connections:
             turn: asyncio.Future[None] = asyncio.get_running_loop().create_future()
             self._waiting.append(turn)
             await turn
@@ -109,11 +109,11 @@
         return client
 
     def _shrink(self) -> None:
-        spare = len(self._clients) - self.most
-        if spare <= 0:
+        spare_sockets = len(self._clients) - self.max_connections
+        if spare_sockets <= 0:
             # Runs twice for each command, so the clients are not scanned below the limit.
             return
-        for machine in [m for m in self._clients if m not in self._used][:spare]:
+        for machine in [m for m in self._clients if m not in self._used][:spare_sockets]:
             self.drop(machine)
 
     def drop(self, machine: MachineId) -> None:
--- a/tealrill/fleet/heartbeats.py
+++ b/tealrill/fleet/heartbeats.py
@@ -112,7 +112,7 @@
         old the heartbeat's list is. A stop left to a later response might never be sent: this term
         may end before the worker's next heartbeat, and so may each later term.
         """
-        machine.answered_at = now
+        machine.last_acknowledged_at = now
         if not list_is_current:
             commands = self._fleet.commands.stops_for_old_list(machine, heartbeat, now)
         elif machine.settled is not None:
@@ -146,7 +146,7 @@
             for machine in self._fleet.machines.values()
             if machine.incarnation is not None
             and not machine.lease_expired
-            and self._fleet.leases.silence_s_of(machine, now) > _NO_ANSWER_S
+            and self._fleet.leases.contact_age_s(machine, now) > _NO_ANSWER_S
             for b in machine.bindings.values()
         )
 
@@ -157,7 +157,7 @@
             not machine.exited
             and not machine.unbound_tasks
             and len(heartbeat.tasks) == len(machine.bindings)
-            and all(b.seen and b.stop is None for b in machine.bindings.values())
+            and all(b.start_confirmed and b.stop is None for b in machine.bindings.values())
         )
 
     def _must_let_lease_expire(self, machine: Machine, now: Monotonic) -> bool:
@@ -169,7 +169,7 @@
         if machine.settled is not None:
             return False
         for b in machine.bindings.values():
-            if b.direct_start_in_flight and not b.seen and self._overdue(b, now):
+            if b.direct_start_in_flight and not b.start_confirmed and self._overdue(b, now):
                 log.info(
                     "lease not renewed: machine=%s task=%s reason=direct start in flight",
                     machine.id,
@@ -197,11 +197,17 @@
         sends consecutive heartbeats to the same node only if it receives the responses, which shows
         that the partition has healed.
         """
-        last_contact_at, answered_at = machine.last_contact_at, machine.answered_at
+        last_contact_at, last_acknowledged_at = (
+            machine.last_contact_at,
+            machine.last_acknowledged_at,
+        )
         if machine.incarnation is None or last_contact_at is None:
             return
         if heartbeat.incarnation > machine.incarnation:
-            if answered_at is not None and now - answered_at < self._fleet.leases.silence_s:
+            if (
+                last_acknowledged_at is not None
+                and now - last_acknowledged_at < self._fleet.leases.expiry_s
+            ):
                 log.info(
                     "lease expired although heartbeats were acknowledged: machine=%s", machine.id
                 )
@@ -281,7 +287,7 @@
 
     def _identify(self, machine: Machine, heartbeat: wire.Heartbeat) -> None:
         machine.addr = heartbeat.addr
-        self._fleet.locate(machine, heartbeat.type, heartbeat.zone, heartbeat.spot)
+        self._fleet.set_kind(machine, heartbeat.type, heartbeat.zone, heartbeat.spot)
 
     def _begin_incarnation(
         self, machine: Machine, incarnation: Incarnation, now: Monotonic
--- a/tealrill/fleet/leases.py
+++ b/tealrill/fleet/leases.py
@@ -29,7 +29,7 @@
     def __init__(
         self, fleet: Fleet, elected_at: Monotonic, lease_s: float, delegation_s: float
     ) -> None:
-        self.silence_s = lease_s * CLOCK_DRIFT + LEASE_MARGIN_S
+        self.expiry_s = lease_s * CLOCK_DRIFT + LEASE_MARGIN_S
         """The silence, in seconds, after which a worker's lease has certainly expired."""
         self._fleet = fleet
         self._elected_at = elected_at
@@ -42,7 +42,7 @@
         """Record that a delegation ended; it may be acted on for `delegation_s` more seconds."""
         self._elsewhere_until = Monotonic(max(self._elsewhere_until, now + self._delegation_s))
 
-    def silent(self, now: Monotonic) -> list[Machine]:
+    def expired_machines(self, now: Monotonic) -> list[Machine]:
         """Return the machines whose lease has certainly expired, unless a delegate renewed it.
 
         Machines already marked as expired are left out.
@@ -52,15 +52,19 @@
             for machine in self._fleet.machines.values()
             if not machine.lease_expired
             and machine.incarnation is not None
-            and now - self._renewed_at(machine) > self.silence_s
+            and now - self._renewed_at(machine) > self.expiry_s
         ]
 
     def _renewed_at(self, machine: Machine) -> Monotonic:
-        own = machine.answered_at if machine.answered_at is not None else self._elected_at
+        own = (
+            machine.last_acknowledged_at
+            if machine.last_acknowledged_at is not None
+            else self._elected_at
+        )
         begun = machine.incarnation_seen_at if machine.incarnation_seen_at is not None else own
         return max(own, begun, self._elsewhere_until)
 
-    def still_coming(self, now: Monotonic, share: float, within_s: float) -> bool:
+    def is_awaiting_heartbeats(self, now: Monotonic, share: float, within_s: float) -> bool:
         """Return whether a new leader still waits for the first contact with its machines.
 
         False from `within_s` seconds after the election, or once it has had contact with `share`
@@ -68,10 +72,10 @@
         """
         if now - self._elected_at > within_s:
             return False
-        up = [m for m in self._fleet.machines.values() if m.up]
-        return sum(m.last_contact_at is not None for m in up) < share * len(up)
+        has_booted = [m for m in self._fleet.machines.values() if m.has_booted]
+        return sum(m.last_contact_at is not None for m in has_booted) < share * len(has_booted)
 
-    def silence_s_of(self, machine: Machine, now: Monotonic) -> float:
+    def contact_age_s(self, machine: Machine, now: Monotonic) -> float:
         """Return the seconds since the last contact with a booted machine.
 
         Before the first contact: since the election, or since it was rented if that was later.
@@ -79,15 +83,15 @@
         if machine.last_contact_at is not None:
             return now - machine.last_contact_at
         # A machine rented in this term and listed as running may have booted just now.
-        return now - max(self._elected_at, machine.since)
+        return now - max(self._elected_at, machine.rented_at)
 
-    def check_silence(self, now: Monotonic) -> None:
+    def expire_leases(self, now: Monotonic) -> None:
         """End the bindings of machines whose lease has certainly expired (proof 3).
 
         `now` must have been read before the check that no node holds a delegation: a node may
         otherwise have renewed a lease in between.
         """
-        for machine in self.silent(now):
+        for machine in self.expired_machines(now):
             log.info(
                 "lease expired: machine=%s incarnation=%d tasks=%d",
                 machine.id,
--- a/tealrill/fleet/machine.py
+++ b/tealrill/fleet/machine.py
@@ -53,9 +53,9 @@
     type: str
     zone: str
     spot: bool
-    since: Monotonic
+    rented_at: Monotonic
     """When it was rented, or the best estimate of that."""
-    booted: bool = False
+    rented_this_term: bool = False
     """Rented in this term, so that `since` is when its boot began."""
     addr: str = ""
     incarnation: Incarnation | None = None
@@ -64,7 +64,7 @@
     """Its last heartbeat carried this term's token: its worker refuses earlier terms' commands."""
     incarnation_seen_at: Monotonic | None = None
     """When this leader first saw its incarnation; the incarnation's lease began before that."""
-    answered_at: Monotonic | None = None
+    last_acknowledged_at: Monotonic | None = None
     """When a heartbeat of it was last acknowledged.
 
     Only an acknowledgement renews its lease, so tasks are placed by this time and not by
@@ -79,14 +79,14 @@
     lease_expired: bool = False
     releasing: bool = False
     """It is being returned to the cloud; its capacity is not used any more."""
-    returned: bool = False
+    release_recorded: bool = False
     """Its release is recorded in the state service, so that any later leader carries it out."""
-    draining: str = ""
+    drain_reason: str = ""
     """Why no more tasks are placed on it; empty if tasks may be placed."""
     unbound_tasks: int = 0
     """Number of its tasks that have not exited and have no binding; they are being stopped."""
     bindings: dict[TaskId, Binding] = field(default_factory=dict)
-    named: dict[str, Binding] = field(default_factory=dict)
+    bindings_by_name: dict[str, Binding] = field(default_factory=dict)
     """`bindings` by the task's name on the wire.
 
     Every heartbeat lists all tasks, most of them unchanged: parsing the names would be most of the
@@ -103,7 +103,7 @@
     images: dict[str, None] = field(default_factory=dict)
     idle_since: Monotonic | None = None
     refused_until: Monotonic = Monotonic(0.0)
-    listed: str = ""
+    listed_state: str = ""
     """Its state in the last list of the cloud that contained it; empty if none did."""
     listed_at: Monotonic | None = None
     """When a list of the cloud last contained it."""
@@ -141,9 +141,9 @@
         return self.type, self.zone, self.spot
 
     @property
-    def up(self) -> bool:
+    def has_booted(self) -> bool:
         """Return whether it is known to have booted, in this term or before."""
-        return self.incarnation is not None or self.listed == wire.MACHINE_RUNNING
+        return self.incarnation is not None or self.listed_state == wire.MACHINE_RUNNING
 
     @property
     def is_in_order(self) -> bool:
@@ -152,7 +152,7 @@
             self.current
             and not self.lease_expired
             and not self.releasing
-            and not self.draining
+            and not self.drain_reason
             and not self.unbound_tasks
             and not self.inbound_partitioned
             and self.preemption_notice_until is None
@@ -165,8 +165,8 @@
         """
         return (
             self.is_in_order
-            and self.answered_at is not None
-            and now - self.answered_at <= silence_s
+            and self.last_acknowledged_at is not None
+            and now - self.last_acknowledged_at <= silence_s
             and now >= self.refused_until
         )
 
