--- a/tealrill/fleet/cancelled_tasks.py
+++ b/tealrill/fleet/cancelled_tasks.py
@@ -14,7 +14,7 @@
 
 log = logging.getLogger(__name__)
 
-_ROWS_SHOWN: Final = 20
+_MAX_ROWS: Final = 20
 
 
 @dataclass(frozen=True, slots=True)
@@ -26,7 +26,7 @@
     """Seconds since its cancellation was recorded, in this term or an earlier one."""
     tasks: int
     machines: list[MachineId]
-    """In order of their ids, at most `_ROWS_SHOWN` of them."""
+    """In order of their ids, at most `_MAX_ROWS` of them."""
 
 
 class CancelledTasks:
@@ -80,7 +80,7 @@
     def rows(self, wall: Wall) -> list[CancelledJob]:
         """Return the cancelled jobs with bound tasks, the earliest cancelled first.
 
-        At most `_ROWS_SHOWN` jobs.
+        At most `_MAX_ROWS` jobs.
         """
         jobs = [job for job in self._job_store.jobs.values() if job.cancelled and job.bound_count]
         jobs.sort(key=lambda job: -_cancelled_s_ago(job, wall))
@@ -89,9 +89,9 @@
                 job.id,
                 round(_cancelled_s_ago(job, wall), 1),
                 job.bound_count,
-                sorted({binding.machine for binding in job.bindings()})[:_ROWS_SHOWN],
+                sorted({binding.machine for binding in job.bindings()})[:_MAX_ROWS],
             )
-            for job in jobs[:_ROWS_SHOWN]
+            for job in jobs[:_MAX_ROWS]
         ]
 
 
--- a/tealrill/fleet/commands.py
+++ b/tealrill/fleet/commands.py
@@ -25,14 +25,18 @@
     ) -> list[dict[str, Any]]:
         """Return the commands for a heartbeat's response; the starts among them count as sent."""
         commands = self.stops(machine, now)
-        for task, attempt, status in machine.unreconciled:
+        for task, attempt, status in machine.exited_or_unbound:
             if status.state != wire.EXITED:
                 commands.append(wire.stop(status.task, attempt, 0.0))
-            elif machine.exited.get((task, attempt), UNKNOWN_EXIT).settled:
+            elif machine.exited.get((task, attempt), UNKNOWN_EXIT).is_forgettable:
                 commands.append(wire.forget(status.task, attempt))
         if not machine.releasing:
             for binding in machine.bindings.values():
-                if binding.sent is None and not binding.start_confirmed and self._to_send(binding):
+                if (
+                    binding.sent is None
+                    and not binding.start_confirmed
+                    and self._may_send_in_response(binding)
+                ):
                     binding.sent = HeartbeatSequence(heartbeat.sequence)
                     commands.append(wire.start(str(binding.task), binding.attempt))
         return commands
@@ -60,7 +64,7 @@
         job = self._fleet.job_store.jobs.get(task.job) if task is not None else None
         return task is None or (job is not None and not job.cancelled)
 
-    def _to_send(self, binding: Binding) -> bool:
+    def _may_send_in_response(self, binding: Binding) -> bool:
         """Return whether a heartbeat's response may carry the start.
 
         While a direct start is in flight, the start is sent even for a task that is to be stopped:
@@ -138,7 +142,7 @@
         binding.stop = Stop(reason, grace_s, now)
         machine = self._fleet.machines.get(binding.machine)
         if machine is not None:
-            machine.touch()
+            machine.invalidate_caches()
         if binding.never_sent:
             if machine is not None:
                 self._fleet.unbind(machine, binding, now, f"never started ({reason})")
--- a/tealrill/fleet/connections.py
+++ b/tealrill/fleet/connections.py
@@ -19,18 +19,19 @@
 from tealrill.settings import parse_address
 from tealrill.types import MachineId
 
-_SHARE: Final = 0.4
+_COMMAND_SHARE: Final = 0.4
 """The maximum part of all sockets that commands use."""
-_OTHERS: Final = 80
+_RESERVED_SOCKETS: Final = 80
 """Sockets reserved for users, the other controllers, the state service and the cloud."""
-_FEWEST: Final = 8
+_MIN_CONNECTIONS: Final = 8
 """The number of concurrent commands that is allowed even when sockets are scarce."""
 
 
 class ConnectionPool:
-    """HTTP clients of workers, one for each machine, limited to `most` connections.
+    """HTTP clients of workers, one for each machine, limited to `max_connections` connections.
 
-    Enter the pool's async context before a request: it waits while `most` commands are in flight.
+    Enter the pool's async context before a request: it waits while `max_connections` commands are
+    in flight.
     """
 
     def __init__(self, sockets: int, machines: Callable[[], int]) -> None:
@@ -38,9 +39,9 @@
         self._machines = machines
         """Returns the number of machines; each needs a connection for its heartbeats."""
         self._clients: OrderedDict[MachineId, tuple[str, Client]] = OrderedDict()
-        self._used: dict[MachineId, int] = {}
-        self._on_the_way = 0
-        self._waiting: deque[asyncio.Future[None]] = deque()
+        self._in_use: dict[MachineId, int] = {}
+        self._in_flight = 0
+        self._waiters: deque[asyncio.Future[None]] = deque()
 
     def __len__(self) -> int:
         return len(self._clients)
@@ -48,8 +49,8 @@
     @property
     def max_connections(self) -> int:
         """Return the maximum number of connections to workers."""
-        left = self._sockets - _OTHERS - self._machines()
-        return max(_FEWEST, min(int(_SHARE * self._sockets), left))
+        available = self._sockets - _RESERVED_SOCKETS - self._machines()
+        return max(_MIN_CONNECTIONS, min(int(_COMMAND_SHARE * self._sockets), available))
 
     @property
     def spare_sockets(self) -> int:
@@ -57,7 +58,7 @@
 
         Negative if the machines need more sockets than there are.
         """
-        return self._sockets - _OTHERS - self._machines() - len(self._clients)
+        return self._sockets - _RESERVED_SOCKETS - self._machines() - len(self._clients)
 
     async def request(
         self, machine: MachineId, addr: str, path: str, body: bytes, timeout_s: float
@@ -67,60 +68,60 @@
         Raises `http.NoAnswerError`, or `SettingsError` for a malformed address.
         """
         client = self._client(machine, addr)
-        self._used[machine] = self._used.get(machine, 0) + 1
+        self._in_use[machine] = self._in_use.get(machine, 0) + 1
         try:
             return await client.request("POST", path, body, timeout_s)
         finally:
-            self._used[machine] -= 1
-            if not self._used[machine]:
-                del self._used[machine]
+            self._in_use[machine] -= 1
+            if not self._in_use[machine]:
+                del self._in_use[machine]
             if self._clients.get(machine) != (addr, client):
                 # The machine was dropped, or its address changed, during the request.
                 client.close()
-            self._shrink()
+            self._close_excess()
 
     async def __aenter__(self) -> ConnectionPool:
-        """Wait until fewer than `most` commands are in flight, and count one more."""
-        while self._on_the_way >= self.max_connections:
-            turn: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-            self._waiting.append(turn)
-            await turn
-        self._on_the_way += 1
+        """Wait until fewer than `max_connections` commands are in flight, and count one more."""
+        while self._in_flight >= self.max_connections:
+            waiter: asyncio.Future[None] = asyncio.get_running_loop().create_future()
+            self._waiters.append(waiter)
+            await waiter
+        self._in_flight += 1
         return self
 
     async def __aexit__(self, *_: object) -> None:
-        self._on_the_way -= 1
-        while self._waiting:
-            turn = self._waiting.popleft()
-            if not turn.done():
-                turn.set_result(None)
+        self._in_flight -= 1
+        while self._waiters:
+            waiter = self._waiters.popleft()
+            if not waiter.done():
+                waiter.set_result(None)
                 return
 
     def _client(self, machine: MachineId, addr: str) -> Client:
-        known = self._clients.get(machine)
-        if known is not None and known[0] == addr:
+        entry = self._clients.get(machine)
+        if entry is not None and entry[0] == addr:
             self._clients.move_to_end(machine)
-            return known[1]
+            return entry[1]
         address = parse_address(addr)
         self.drop(machine)
         client = Client(address, most=1)
         self._clients[machine] = (addr, client)
-        self._shrink()
+        self._close_excess()
         return client
 
-    def _shrink(self) -> None:
-        spare_sockets = len(self._clients) - self.max_connections
-        if spare_sockets <= 0:
+    def _close_excess(self) -> None:
+        excess = len(self._clients) - self.max_connections
+        if excess <= 0:
             # Runs twice for each command, so the clients are not scanned below the limit.
             return
-        for machine in [m for m in self._clients if m not in self._used][:spare_sockets]:
+        for machine in [m for m in self._clients if m not in self._in_use][:excess]:
             self.drop(machine)
 
     def drop(self, machine: MachineId) -> None:
         """Close and forget the connection to a machine, if there is one."""
-        known = self._clients.pop(machine, None)
-        if known is not None:
-            known[1].close()
+        entry = self._clients.pop(machine, None)
+        if entry is not None:
+            entry[1].close()
 
     def close(self) -> None:
         """Close all connections."""
--- a/tealrill/fleet/heartbeats.py
+++ b/tealrill/fleet/heartbeats.py
@@ -28,12 +28,12 @@
 
 log = logging.getLogger(__name__)
 
-_NO_ANSWER_S: Final = 4.0
+_WORKER_RETRY_S: Final = 4.0
 """Seconds without a response after which a worker tries another node, one second later."""
-_HEARS_S: Final = 4.8
+_ACKNOWLEDGED_WITHIN_S: Final = 4.8
 """Consecutive heartbeats closer together than this show that the worker got the response between
 them: without it, it would have tried another node first."""
-_REPORT_JITTER: Final = 1.25
+_HEARTBEAT_JITTER: Final = 1.25
 """Heartbeats arrive up to a quarter of their interval late."""
 
 
@@ -50,7 +50,9 @@
         # With a heartbeat interval longer than the workers' retry time, consecutive sequence
         # numbers alone show that a worker stayed with this node. The window must cover the
         # interval, or a healed partition would never be detected.
-        self._hears_s = max(_HEARS_S, _REPORT_JITTER * heartbeat_interval_s + LEASE_MARGIN_S)
+        self._acknowledged_within_s = max(
+            _ACKNOWLEDGED_WITHIN_S, _HEARTBEAT_JITTER * heartbeat_interval_s + LEASE_MARGIN_S
+        )
 
     def process(
         self, heartbeat: wire.Heartbeat, machine_id: MachineId, now: Monotonic, wall: Wall
@@ -60,20 +62,20 @@
         None means that the heartbeat must not be acknowledged with a 200. Raises `NewerTokenError`
         if the worker has seen a later term.
         """
-        if not self._check(heartbeat, machine_id):
+        if not self._may_acknowledge(heartbeat, machine_id):
             return None
-        machine = self._machine_of(heartbeat, machine_id, now)
+        machine = self._find_or_add_machine(heartbeat, machine_id, now)
         if self._must_fence(machine, heartbeat, now):
             return None
         if self._out_of_date(machine, heartbeat):
-            if not self._is_in_flight(machine, heartbeat):
+            if not self._may_await_response(machine, heartbeat):
                 return None
             return self._renew(machine, heartbeat, now, wall, list_is_current=False)
         self._detect_inbound_partition(machine, heartbeat, now)
         list_is_current = self._process(machine, heartbeat, now, wall, direct=False)
         return self._renew(machine, heartbeat, now, wall, list_is_current)
 
-    def _check(self, heartbeat: wire.Heartbeat, machine_id: MachineId) -> bool:
+    def _may_acknowledge(self, heartbeat: wire.Heartbeat, machine_id: MachineId) -> bool:
         """Return whether this term may acknowledge the machine's heartbeats.
 
         Not before the records are loaded, and not after the machine's release. Raises
@@ -90,7 +92,7 @@
         )
 
     @staticmethod
-    def _is_in_flight(machine: Machine, heartbeat: wire.Heartbeat) -> bool:
+    def _may_await_response(machine: Machine, heartbeat: wire.Heartbeat) -> bool:
         """Return whether the worker may still wait for the response to an out-of-date heartbeat.
 
         The reply to a direct command overtook the heartbeat. It is acknowledged, so that the worker
@@ -115,12 +117,12 @@
         machine.last_acknowledged_at = now
         if not list_is_current:
             commands = self._fleet.commands.stops_for_old_list(machine, heartbeat, now)
-        elif machine.settled is not None:
+        elif machine.reconciled_tasks is not None:
             return []
         else:
             commands = self._fleet.commands.for_response(machine, heartbeat, now)
-            if not commands and self._as_it_should_be(machine, heartbeat):
-                machine.settled = heartbeat.tasks
+            if not commands and self._is_reconciled(machine, heartbeat):
+                machine.reconciled_tasks = heartbeat.tasks
         self._fleet.cancelled_tasks.observe_renewal(
             machine, heartbeat, commands, list_is_current, wall, self._fleet.stop_timeout_s
         )
@@ -142,16 +144,16 @@
         its worker tries other nodes, which may renew its lease as delegates.
         """
         return any(
-            self._overdue(b, now)
+            self._is_stop_overdue(b, now)
             for machine in self._fleet.machines.values()
             if machine.incarnation is not None
             and not machine.lease_expired
-            and self._fleet.leases.contact_age_s(machine, now) > _NO_ANSWER_S
+            and self._fleet.leases.contact_age_s(machine, now) > _WORKER_RETRY_S
             for b in machine.bindings.values()
         )
 
     @staticmethod
-    def _as_it_should_be(machine: Machine, heartbeat: wire.Heartbeat) -> bool:
+    def _is_reconciled(machine: Machine, heartbeat: wire.Heartbeat) -> bool:
         """Return whether the list matches the bindings and no start, stop or exit is pending."""
         return (
             not machine.exited
@@ -166,10 +168,10 @@
         A stop has no effect on a worker that does not have the attempt yet, so only a new
         incarnation can prevent the start, and only the expiry of the lease brings one about.
         """
-        if machine.settled is not None:
+        if machine.reconciled_tasks is not None:
             return False
         for b in machine.bindings.values():
-            if b.direct_start_in_flight and not b.start_confirmed and self._overdue(b, now):
+            if b.direct_start_in_flight and not b.start_confirmed and self._is_stop_overdue(b, now):
                 log.info(
                     "lease not renewed: machine=%s task=%s reason=direct start in flight",
                     machine.id,
@@ -178,7 +180,7 @@
                 return True
         return False
 
-    def _overdue(self, binding: Binding, now: Monotonic) -> bool:
+    def _is_stop_overdue(self, binding: Binding, now: Monotonic) -> bool:
         """Return whether a cancelled job's task should have been stopped by now."""
         stop = binding.stop
         return (
@@ -215,13 +217,13 @@
         elif (
             machine.inbound_partitioned
             and heartbeat.sequence == machine.sequence + 1
-            and now - last_contact_at < self._hears_s
+            and now - last_contact_at < self._acknowledged_within_s
         ):
             log.info("inbound partition healed: machine=%s", machine.id)
             machine.mark_inbound_partitioned(False)
             self._fleet.changed()
 
-    def _machine_of(
+    def _find_or_add_machine(
         self, heartbeat: wire.Heartbeat, machine_id: MachineId, now: Monotonic
     ) -> Machine:
         machine = self._fleet.machines.get(machine_id)
@@ -249,7 +251,7 @@
 
         Only then is its list reconciled. `direct` heartbeats are replies to direct commands.
         """
-        self._identify(machine, heartbeat)
+        self._record_identity(machine, heartbeat)
         if machine.incarnation is not None and heartbeat.incarnation > machine.incarnation:
             self._begin_incarnation(machine, Incarnation(heartbeat.incarnation), now)
         if machine.incarnation != heartbeat.incarnation:
@@ -258,14 +260,14 @@
             # the previous incarnation, it counted as expired 0.1 s after the machine was given
             # tasks, and 28 tasks ran on two machines.
             machine.incarnation_seen_at = now
-        first = machine.last_contact_at is None
-        if first:
+        is_first_contact = machine.last_contact_at is None
+        if is_first_contact:
             self._fleet.registered(machine, now)
         machine.incarnation = Incarnation(heartbeat.incarnation)
         machine.sequence = HeartbeatSequence(heartbeat.sequence)
         machine.last_contact_at = now
         machine.lease_expired = False
-        machine.failed_connects, machine.accepts, machine.expired_cpus = 0, False, 0.0
+        machine.failed_connects, machine.accepts_connections, machine.expired_cpus = 0, False, 0.0
         if heartbeat.notice_s is not None:
             if machine.preemption_notice_until is None:
                 log.info(
@@ -278,14 +280,14 @@
         if not machine.current:
             # The list may be older than this term, so it proves nothing.
             return False
-        if first or not was_current:
+        if is_first_contact or not was_current:
             self._fleet.changed()
-        if machine.settled is None or machine.settled != heartbeat.tasks:
-            machine.settled = None
+        if machine.reconciled_tasks is None or machine.reconciled_tasks != heartbeat.tasks:
+            machine.reconciled_tasks = None
             self._fleet.reconciler.reconcile(machine, heartbeat, now, wall, direct)
         return True
 
-    def _identify(self, machine: Machine, heartbeat: wire.Heartbeat) -> None:
+    def _record_identity(self, machine: Machine, heartbeat: wire.Heartbeat) -> None:
         machine.addr = heartbeat.addr
         self._fleet.set_kind(machine, heartbeat.type, heartbeat.zone, heartbeat.spot)
 
@@ -296,7 +298,7 @@
         for binding in list(machine.bindings.values()):
             self._fleet.unbind(machine, binding, now, "later incarnation")
         machine.exited.clear()
-        machine.touch()
+        machine.invalidate_caches()
         machine.images.clear()
         machine.unbound_tasks = 0
         machine.preemption_notice_until = None
--- a/tealrill/fleet/inventory.py
+++ b/tealrill/fleet/inventory.py
@@ -35,7 +35,7 @@
 
 log = logging.getLogger(__name__)
 
-_GONE_KEPT_S: Final = 300.0
+_TERMINATED_KEPT_S: Final = 300.0
 
 
 class Fleet:
@@ -91,21 +91,21 @@
                 self.failure_attribution.inherited(job.id, bound)
         self.loaded = True
 
-    def tries(self, job: Job, now: Monotonic) -> int | None:
+    def startable_tasks(self, job: Job, now: Monotonic) -> int | None:
         """Return how many tasks of a job may start now; None if unlimited.
 
         A job that failed and is on probation is limited.
         """
         if not self.failure_attribution.is_on_probation(job.id):
             return None
-        since = [b.running_since for b in job.bindings() if b.running_since is not None]
-        longest_s = now - min(since) if since else 0.0
+        start_times = [b.running_since for b in job.bindings() if b.running_since is not None]
+        longest_s = now - min(start_times) if start_times else 0.0
         self.drain_faulty(self.failure_attribution.survived(job.id, longest_s, now))
         return self.failure_attribution.task_limit(job.id, job.bound_count, longest_s, now)
 
-    def drain_faulty(self, found: Iterable[MachineId]) -> None:
+    def drain_faulty(self, faulty: Iterable[MachineId]) -> None:
         """Stop placing tasks on these machines, so that they are returned once they are empty."""
-        for machine_id in found:
+        for machine_id in faulty:
             machine = self.machines.get(machine_id)
             if machine is None or machine.drain_reason:
                 continue
@@ -120,7 +120,7 @@
                 machine_id,
             )
             machine.drain_reason = "faulty"
-            machine.touch()
+            machine.invalidate_caches()
             self.changed()
 
     def bind(
@@ -139,7 +139,7 @@
 
     def _attach(self, machine: Machine, binding: Binding) -> None:
         spec = binding.chunk.job.spec
-        machine.touch()
+        machine.invalidate_caches()
         machine.bindings[binding.task] = binding
         machine.bindings_by_name[str(binding.task)] = binding
         machine.cpus += spec.cpus
@@ -152,7 +152,7 @@
         if machine.bindings.get(binding.task) is not binding:
             return
         spec = binding.chunk.job.spec
-        machine.touch()
+        machine.invalidate_caches()
         del machine.bindings[binding.task]
         del machine.bindings_by_name[str(binding.task)]
         machine.cpus -= spec.cpus
@@ -174,13 +174,13 @@
             for binding in machine.bindings.values():
                 self.job_store.count_inherited_zone(binding, zone)
         if (machine.type, machine.zone, machine.spot) != (type_name, zone, spot):
-            machine.touch()
+            machine.invalidate_caches()
             machine.type, machine.zone, machine.spot = type_name, zone, spot
 
     def released(self, machine_id: MachineId, now: Monotonic) -> None:
         """End the bindings of a machine whose release the cloud has confirmed (proof 4)."""
         self.terminated[machine_id] = now
-        machine = self._forget(machine_id)
+        machine = self._remove(machine_id)
         if machine is None:
             return
         for binding in list(machine.bindings.values()):
@@ -189,15 +189,15 @@
 
     def prune_terminated(self, now: Monotonic) -> None:
         """Forget machines that were terminated more than five minutes ago."""
-        for machine_id in [i for i, at in self.terminated.items() if now - at > _GONE_KEPT_S]:
+        for machine_id in [i for i, at in self.terminated.items() if now - at > _TERMINATED_KEPT_S]:
             del self.terminated[machine_id]
 
     def drop(self, machine: Machine) -> None:
         """Forget a machine that has no bindings and is no longer listed."""
         assert not machine.bindings
-        self._forget(machine.id)
+        self._remove(machine.id)
 
-    def _forget(self, machine_id: MachineId) -> Machine | None:
+    def _remove(self, machine_id: MachineId) -> Machine | None:
         machine = self.machines.pop(machine_id, None)
         self.failure_attribution.forget_machine(machine_id)
         self.deregistered(machine_id)
--- a/tealrill/fleet/leases.py
+++ b/tealrill/fleet/leases.py
@@ -36,11 +36,11 @@
         self._delegation_s = delegation_s
         # A delegate of an earlier term may act on its delegation for up to `delegation_s` after the
         # election.
-        self._elsewhere_until = Monotonic(elected_at + delegation_s)
+        self._delegates_until = Monotonic(elected_at + delegation_s)
 
     def delegation_ended(self, now: Monotonic) -> None:
         """Record that a delegation ended; it may be acted on for `delegation_s` more seconds."""
-        self._elsewhere_until = Monotonic(max(self._elsewhere_until, now + self._delegation_s))
+        self._delegates_until = Monotonic(max(self._delegates_until, now + self._delegation_s))
 
     def expired_machines(self, now: Monotonic) -> list[Machine]:
         """Return the machines whose lease has certainly expired, unless a delegate renewed it.
@@ -56,13 +56,17 @@
         ]
 
     def _renewed_at(self, machine: Machine) -> Monotonic:
-        own = (
+        acknowledged_at = (
             machine.last_acknowledged_at
             if machine.last_acknowledged_at is not None
             else self._elected_at
         )
-        begun = machine.incarnation_seen_at if machine.incarnation_seen_at is not None else own
-        return max(own, begun, self._elsewhere_until)
+        incarnation_seen_at = (
+            machine.incarnation_seen_at
+            if machine.incarnation_seen_at is not None
+            else acknowledged_at
+        )
+        return max(acknowledged_at, incarnation_seen_at, self._delegates_until)
 
     def is_awaiting_heartbeats(self, now: Monotonic, share: float, within_s: float) -> bool:
         """Return whether a new leader still waits for the first contact with its machines.
@@ -72,8 +76,8 @@
         """
         if now - self._elected_at > within_s:
             return False
-        has_booted = [m for m in self._fleet.machines.values() if m.has_booted]
-        return sum(m.last_contact_at is not None for m in has_booted) < share * len(has_booted)
+        booted = [m for m in self._fleet.machines.values() if m.has_booted]
+        return sum(m.last_contact_at is not None for m in booted) < share * len(booted)
 
     def contact_age_s(self, machine: Machine, now: Monotonic) -> float:
         """Return the seconds since the last contact with a booted machine.
--- a/tealrill/fleet/machine.py
+++ b/tealrill/fleet/machine.py
@@ -31,7 +31,7 @@
     binding: Binding | None = None
 
     @property
-    def settled(self) -> bool:
+    def is_forgettable(self) -> bool:
         """Return whether the worker may forget the attempt.
 
         That is so once the outcome is committed and no direct start of the attempt is in flight.
@@ -94,7 +94,7 @@
     """
     exited: dict[tuple[TaskId, Attempt], Exit] = field(default_factory=dict)
     """Exited attempts that the worker still lists."""
-    unreconciled: list[tuple[TaskId, Attempt, wire.TaskStatus]] = field(default_factory=list)
+    exited_or_unbound: list[tuple[TaskId, Attempt, wire.TaskStatus]] = field(default_factory=list)
     """Tasks of the last reconciled heartbeat that have exited or have no binding."""
     cpus: float = 0.0
     gpus: float = 0.0
@@ -112,28 +112,28 @@
     """Number of the cloud's latest lists that lack it, counted once a list has contained it."""
     failed_connects: int = 0
     """Number of consecutive failed probes since its last heartbeat."""
-    accepts: bool = False
+    accepts_connections: bool = False
     """The last probe succeeded: the machine's operating system accepts or refuses connections."""
     expired_cpus: float = 0.0
     """Processors that its tasks used when its lease expired."""
     view: MachineView | None = None
     """Its view for placement, cached between passes; None once its state has changed."""
-    settled: list[wire.TaskStatus] | None = None
+    reconciled_tasks: list[wire.TaskStatus] | None = None
     """The last heartbeat's tasks, if they matched the bindings and nothing was pending.
 
     A heartbeat with the same list needs no reconciliation and no commands.
     """
 
-    def touch(self) -> None:
+    def invalidate_caches(self) -> None:
         """Drop the values cached from its state, because the state has changed."""
         self.view = None
-        self.settled = None
+        self.reconciled_tasks = None
 
     def mark_inbound_partitioned(self, inbound_partitioned: bool) -> None:
         """Record whether messages to it seem not to arrive."""
         if self.inbound_partitioned is not inbound_partitioned:
             self.inbound_partitioned = inbound_partitioned
-            self.touch()
+            self.invalidate_caches()
 
     @property
     def kind(self) -> Kind:
@@ -146,7 +146,7 @@
         return self.incarnation is not None or self.listed_state == wire.MACHINE_RUNNING
 
     @property
-    def is_in_order(self) -> bool:
+    def is_schedulable(self) -> bool:
         """Return whether tasks may be bound to it, apart from missed heartbeats and refusals."""
         return (
             self.current
@@ -158,15 +158,15 @@
             and self.preemption_notice_until is None
         )
 
-    def is_placeable(self, now: Monotonic, silence_s: float) -> bool:
+    def is_placeable(self, now: Monotonic, max_silence_s: float) -> bool:
         """Return whether a task may be bound to it now.
 
-        Its last acknowledged heartbeat must be at most `silence_s` old.
+        Its last acknowledged heartbeat must be at most `max_silence_s` old.
         """
         return (
-            self.is_in_order
+            self.is_schedulable
             and self.last_acknowledged_at is not None
-            and now - self.last_acknowledged_at <= silence_s
+            and now - self.last_acknowledged_at <= max_silence_s
             and now >= self.refused_until
         )
 
--- a/tealrill/fleet/prober.py
+++ b/tealrill/fleet/prober.py
@@ -24,18 +24,18 @@
 
 log = logging.getLogger(__name__)
 
-LOOK_EVERY_S: Final = 0.5
-_LATE_S: Final = 1.0
+_INTERVAL_S: Final = 0.5
+_MAX_DELAY_S: Final = 1.0
 """A round that begins later than this shows that this node was suspended or overloaded."""
-_TIMEOUT_S: Final = 0.8
-_AGAIN_S: Final = 1.0
+_PROBE_TIMEOUT_S: Final = 0.8
+_REPROBE_INTERVAL_S: Final = 1.0
 """The minimum interval between two probes of one machine."""
-_MOST: Final = 160
+_MAX_CONCURRENT: Final = 160
 """The maximum number of concurrent probes."""
-_FEWEST: Final = 4
+_MIN_CONCURRENT: Final = 4
 """The number of concurrent probes that is allowed even when no sockets are spare."""
 
-Reach = Callable[[Address, float], Awaitable[bool | None]]
+Probe = Callable[[Address, float], Awaitable[bool | None]]
 """A probe of an address within a timeout in seconds, with the result of `http.accepts`."""
 
 
@@ -47,39 +47,39 @@
         fleet: Fleet,
         heartbeat_interval_s: float,
         spare_sockets: Callable[[], int],
-        reach: Reach | None = None,
+        probe: Probe | None = None,
         now: Callable[[], Monotonic] = monotonic_now,
         valid: Callable[[], bool] = lambda: True,
     ) -> None:
         self._fleet = fleet
-        self._report_s = heartbeat_interval_s
+        self._heartbeat_interval_s = heartbeat_interval_s
         self._spare = spare_sockets
-        self._valid = valid
+        self._is_valid = valid
         # A default argument would be bound before the simulation replaces `accepts`.
-        self._reach = reach or accepts
+        self._probe = probe or accepts
         self._now = now
-        self._tried: dict[MachineId, Monotonic] = {}
-        self._under_way: dict[MachineId, asyncio.Task[None]] = {}
+        self._probed_at: dict[MachineId, Monotonic] = {}
+        self._running_probes: dict[MachineId, asyncio.Task[None]] = {}
         self.diagnosis = Diagnosis({}, frozenset())
         self.diagnosis_changed: Callable[[], None] = lambda: None
         """Called when the diagnosis has changed."""
 
     async def run(self) -> None:
         """Probe unreachable machines until the term ends."""
-        due = self._now() + LOOK_EVERY_S
+        due = self._now() + _INTERVAL_S
         try:
             while True:
-                await asyncio.sleep(LOOK_EVERY_S)
+                await asyncio.sleep(_INTERVAL_S)
                 now = self._now()
-                late, due = now - due > _LATE_S, now + LOOK_EVERY_S
+                late, due = now - due > _MAX_DELAY_S, now + _INTERVAL_S
                 # After this node was suspended all machines seem unreachable, because their
                 # heartbeats are still unread. While this node may not lead, its workers may send
                 # their heartbeats to another leader.
-                if not late and self._valid():
+                if not late and self._is_valid():
                     for machine in self.evaluate(now):
-                        self._try(machine, now)
+                        self._start_probe(machine, now)
         finally:
-            for task in self._under_way.values():
+            for task in self._running_probes.values():
                 task.cancel()
 
     def evaluate(self, now: Monotonic) -> list[Machine]:
@@ -87,73 +87,82 @@
 
         The machines that were not probed for the longest time come first.
         """
-        known = [m for m in self._fleet.machines.values() if m.has_booted and m.zone]
-        missed_s = failure_detector.live_within_s(self._report_s)
-        silent = [
+        machines = [m for m in self._fleet.machines.values() if m.has_booted and m.zone]
+        missed_s = failure_detector.live_within_s(self._heartbeat_interval_s)
+        unreachable = [
             m
-            for m in known
+            for m in machines
             if self._fleet.leases.contact_age_s(m, now) > missed_s and not m.releasing
         ]
-        if not silent:
-            self._judge([], now)
-            self._tried.clear()
+        if not unreachable:
+            self._diagnose([], now)
+            self._probed_at.clear()
             return []
-        self._judge(known, now)
-        for machine_id in self._tried.keys() - {m.id for m in silent}:
-            del self._tried[machine_id]
-        due = [
+        self._diagnose(machines, now)
+        for machine_id in self._probed_at.keys() - {m.id for m in unreachable}:
+            del self._probed_at[machine_id]
+        candidates = [
             machine
-            for machine in silent
+            for machine in unreachable
             # Inherited machines have no address before the first list or heartbeat.
             if (machine.addr or machine.listed_addr)
-            and machine.id not in self._under_way
-            and now - self._tried.get(machine.id, Monotonic(-_AGAIN_S)) >= _AGAIN_S
+            and machine.id not in self._running_probes
+            and now - self._probed_at.get(machine.id, Monotonic(-_REPROBE_INTERVAL_S))
+            >= _REPROBE_INTERVAL_S
+        ]
+        candidates.sort(key=lambda m: self._probed_at.get(m.id, Monotonic(-_REPROBE_INTERVAL_S)))
+        return candidates[
+            : max(
+                0,
+                max(_MIN_CONCURRENT, min(_MAX_CONCURRENT, self._spare()))
+                - len(self._running_probes),
+            )
         ]
-        due.sort(key=lambda m: self._tried.get(m.id, Monotonic(-_AGAIN_S)))
-        return due[: max(0, max(_FEWEST, min(_MOST, self._spare())) - len(self._under_way))]
 
-    def _judge(self, known: list[Machine], now: Monotonic) -> None:
-        diagnosis = failure_detector.diagnose((self._sign(m, now) for m in known), self._report_s)
+    def _diagnose(self, machines: list[Machine], now: Monotonic) -> None:
+        diagnosis = failure_detector.diagnose(
+            (self._evidence(m, now) for m in machines), self._heartbeat_interval_s
+        )
         healed = self.diagnosis.partitioned_zones - diagnosis.partitioned_zones
         if healed:
             # Probes that failed during a partition say nothing about the machine. When they
             # counted, 40 working machines were returned as the first of their zone recovered.
-            for machine in known:
+            for machine in machines:
                 if machine.zone in healed:
                     machine.failed_connects = 0
             diagnosis = failure_detector.diagnose(
-                (self._sign(m, now) for m in known), self._report_s
+                (self._evidence(m, now) for m in machines), self._heartbeat_interval_s
             )
         if diagnosis == self.diagnosis:
             return
-        self._tell(diagnosis)
+        self._log_changes(diagnosis)
         self.diagnosis = diagnosis
         self.diagnosis_changed()
 
-    def _sign(self, machine: Machine, now: Monotonic) -> Evidence:
+    def _evidence(self, machine: Machine, now: Monotonic) -> Evidence:
         return Evidence(
             machine.id,
             machine.zone,
             self._fleet.leases.contact_age_s(machine, now),
             machine.failed_connects,
-            machine.accepts,
+            machine.accepts_connections,
             machine.missing_from_lists,
         )
 
-    def _tell(self, diagnosis: Diagnosis) -> None:
+    def _log_changes(self, diagnosis: Diagnosis) -> None:
         """Log the changes of the diagnosis.
 
         There is one line for each event and not for each machine, so that the log stays readable
         when hundreds of machines fail.
         """
-        for verdict in (Suspicion.FAILED, Suspicion.HUNG):
-            names = {m for m, v in diagnosis.suspicions.items() if v is verdict}
-            new = names - {m for m, v in self.diagnosis.suspicions.items() if v is verdict}
+        for suspicion in (Suspicion.FAILED, Suspicion.HUNG):
+            suspected = {m for m, v in diagnosis.suspicions.items() if v is suspicion}
+            new = suspected - {m for m, v in self.diagnosis.suspicions.items() if v is suspicion}
             if new:
                 log.info(
                     "machines suspected: count=%d suspicion=%s new=%d",
-                    len(names),
-                    verdict.value,
+                    len(suspected),
+                    suspicion.value,
                     len(new),
                 )
         if diagnosis.partitioned_zones != self.diagnosis.partitioned_zones:
@@ -163,24 +172,24 @@
 
     # -- probes ---------------------------------------------------------------------------------
 
-    def _try(self, machine: Machine, now: Monotonic) -> None:
-        self._tried[machine.id] = now
+    def _start_probe(self, machine: Machine, now: Monotonic) -> None:
+        self._probed_at[machine.id] = now
         try:
             address = parse_address(machine.addr or machine.listed_addr)
         except SettingsError:
             return
-        task = asyncio.create_task(self._attempt(machine, address))
-        self._under_way[machine.id] = task
-        task.add_done_callback(lambda _: self._under_way.pop(machine.id, None))
+        task = asyncio.create_task(self._run_probe(machine, address))
+        self._running_probes[machine.id] = task
+        task.add_done_callback(lambda _: self._running_probes.pop(machine.id, None))
 
-    async def _attempt(self, machine: Machine, address: Address) -> None:
+    async def _run_probe(self, machine: Machine, address: Address) -> None:
         last_contact_at = machine.last_contact_at
-        found = await self._reach(address, _TIMEOUT_S)
-        if found is not None and machine.last_contact_at == last_contact_at:
-            self.record_probe(machine, found)
+        result = await self._probe(address, _PROBE_TIMEOUT_S)
+        if result is not None and machine.last_contact_at == last_contact_at:
+            self.record_probe(machine, result)
 
     @staticmethod
     def record_probe(machine: Machine, accepts: bool) -> None:
         """Record whether a probe of the machine was successful."""
-        machine.accepts = accepts
+        machine.accepts_connections = accepts
         machine.failed_connects = 0 if accepts else machine.failed_connects + 1
--- a/tealrill/fleet/reconciliation.py
+++ b/tealrill/fleet/reconciliation.py
@@ -18,7 +18,7 @@
 
 log = logging.getLogger(__name__)
 
-_IMAGES_KEPT: Final = 64
+_MAX_IMAGES: Final = 64
 
 
 class Reconciler:
@@ -34,45 +34,45 @@
 
         A `direct` heartbeat came in the reply to a direct command.
         """
-        unreconciled: list[tuple[TaskId, Attempt, wire.TaskStatus]] = []
+        exited_or_unbound: list[tuple[TaskId, Attempt, wire.TaskStatus]] = []
         bindings_by_name = machine.bindings_by_name
         for status in heartbeat.tasks:
             binding = bindings_by_name.get(status.task)
             if binding is None or binding.attempt != status.attempt:
-                binding = self._resolve(machine, status, unreconciled, now)
+                binding = self._find_binding(machine, status, exited_or_unbound, now)
                 if binding is None:
                     continue
             binding.last_listed_in = HeartbeatSequence(heartbeat.sequence)
             if status.state == wire.EXITED:
-                unreconciled.append((binding.task, binding.attempt, status))
+                exited_or_unbound.append((binding.task, binding.attempt, status))
             elif binding.start_confirmed and binding.state == status.state:
                 # This state has been applied before.
                 continue
             self._progress(machine, binding, status, now, wall)
-        unbound_tasks = sum(status.state != wire.EXITED for _, _, status in unreconciled)
+        unbound_tasks = sum(status.state != wire.EXITED for _, _, status in exited_or_unbound)
         if machine.unbound_tasks and not unbound_tasks:
             self._fleet.changed()
         machine.unbound_tasks = unbound_tasks
-        machine.unreconciled = unreconciled
+        machine.exited_or_unbound = exited_or_unbound
         for binding in [
             b for b in machine.bindings.values() if b.last_listed_in != heartbeat.sequence
         ]:
-            self._missing(machine, binding, heartbeat, now, direct)
+            self._apply_missing(machine, binding, heartbeat, now, direct)
         if machine.exited:
-            listed = {(task, attempt) for task, attempt, _ in unreconciled}
+            listed = {(task, attempt) for task, attempt, _ in exited_or_unbound}
             for key in [key for key in machine.exited if key not in listed]:
                 del machine.exited[key]
 
-    def _resolve(
+    def _find_binding(
         self,
         machine: Machine,
         status: wire.TaskStatus,
-        unreconciled: list[tuple[TaskId, Attempt, wire.TaskStatus]],
+        exited_or_unbound: list[tuple[TaskId, Attempt, wire.TaskStatus]],
         now: Monotonic,
     ) -> Binding | None:
         """Return the binding of a listed attempt by its parsed name; None if there is none.
 
-        An attempt without a binding is added to `unreconciled`; a malformed name is ignored.
+        An attempt without a binding is added to `exited_or_unbound`; a malformed name is ignored.
         """
         task = parse_task_id(status.task)
         if task is None:
@@ -81,9 +81,9 @@
         binding = machine.bindings.get(task)
         if binding is not None and binding.attempt == attempt:
             return binding
-        unreconciled.append((task, attempt, status))
+        exited_or_unbound.append((task, attempt, status))
         if status.state == wire.EXITED:
-            self._stray_exit(machine, task, attempt, status, now)
+            self._record_unbound_exit(machine, task, attempt, status, now)
         return None
 
     def _progress(
@@ -98,20 +98,20 @@
         binding.state = status.state
         job = binding.chunk.job
         if status.state in (wire.RUNNING, wire.SAVING) and binding.running_since is None:
-            ago = max(0.0, wall - binding.bound_at) if binding.inherited else 0.0
-            machine.touch()
-            binding.running_since = Monotonic(now - ago)
-            self._has_image(machine, job.spec.image)
+            age_s = max(0.0, wall - binding.bound_at) if binding.inherited else 0.0
+            machine.invalidate_caches()
+            binding.running_since = Monotonic(now - age_s)
+            self._remember_image(machine, job.spec.image)
         if status.state == wire.EXITED:
-            self._exit(machine, binding, status, now)
+            self._apply_exit(machine, binding, status, now)
 
-    def _has_image(self, machine: Machine, image: str) -> None:
+    def _remember_image(self, machine: Machine, image: str) -> None:
         machine.images.pop(image, None)
         machine.images[image] = None
-        while len(machine.images) > _IMAGES_KEPT:
+        while len(machine.images) > _MAX_IMAGES:
             del machine.images[next(iter(machine.images))]
 
-    def _exit(
+    def _apply_exit(
         self, machine: Machine, binding: Binding, status: wire.TaskStatus, now: Monotonic
     ) -> None:
         job = binding.chunk.job
@@ -127,7 +127,7 @@
                 if started is not None:
                     self._fleet.finished(CompletedTask(job, now - started))
         elif status.why == wire.WHY_ERROR:
-            self._failed(machine, binding, now)
+            self._record_failure(machine, binding, now)
         elif status.why in wire.REFUSALS:
             # The machine's real state differs from its record: placement there pauses for a moment.
             log.info(
@@ -139,19 +139,21 @@
         machine.exited[key] = Exit(binding.chunk, binding.chunk.version, binding)
         self._fleet.changed()
 
-    def _failed(self, machine: Machine, binding: Binding, now: Monotonic) -> None:
+    def _record_failure(self, machine: Machine, binding: Binding, now: Monotonic) -> None:
         """Record a failed attempt, which counts against the job or the machine."""
         job = binding.chunk.job
         ran_s = now - binding.running_since if binding.running_since is not None else 0.0
-        well = job.done_count > 0
+        has_completed_tasks = job.done_count > 0
         log.info("task failed: task=%s machine=%s ran_s=%.1f", binding.task, machine.id, ran_s)
         self._fleet.job_store.task_failed(job, binding.task.index)
         if not job.cancelled:
             self._fleet.drain_faulty(
-                self._fleet.failure_attribution.failed(job.id, machine.id, ran_s, well, now)
+                self._fleet.failure_attribution.failed(
+                    job.id, machine.id, ran_s, has_completed_tasks, now
+                )
             )
 
-    def _stray_exit(
+    def _record_unbound_exit(
         self,
         machine: Machine,
         task: TaskId,
@@ -172,7 +174,7 @@
         else:
             machine.exited[(task, attempt)] = UNKNOWN_EXIT
 
-    def _missing(
+    def _apply_missing(
         self,
         machine: Machine,
         binding: Binding,
--- a/tealrill/fleet/snapshot.py
+++ b/tealrill/fleet/snapshot.py
@@ -30,10 +30,10 @@
 
 _SERVICE_RUN_S: Final = 1e9
 """The expected run time of services, which do not end by themselves."""
-_UNNAMED: Final = MachineId("")
+_NO_ID: Final = MachineId("")
 _EXPECTED_FOR_S: Final = 45.0
 """Seconds after the last submission during which another job of the class is expected."""
-_LIKELY: Final = 0.7
+_ESTIMATE_SHARE: Final = 0.7
 """The part of the estimated run time that counts against a deadline. Estimates are often wrong by
 half, so a deadline must not be given up for the last part of one."""
 
@@ -59,33 +59,35 @@
         self._policy = policy
         self._diagnosis = diagnosis
         self._silence_s = failure_detector.silent_after_s(params.workers.heartbeat_interval_s)
-        self._times = _deadline_times(params)
-        self._prompt = {o.job_class for o in params.objectives if o.kind == "wait" and o.job_class}
-        self._prompt_rank = 0
-        self._prompt_at = Monotonic(0.0)
-        self._paces: dict[str, EstimateCorrection] = {}
-        self._steady_pace = EstimateCorrection()
+        self._deadline_multiples = _deadline_multiples_by_class(params)
+        self._wait_classes = {
+            o.job_class for o in params.objectives if o.kind == "wait" and o.job_class
+        }
+        self._expected_rank = 0
+        self._last_submission_at = Monotonic(0.0)
+        self._corrections: dict[str, EstimateCorrection] = {}
+        self._no_correction = EstimateCorrection()
         self._catalogue: wire.Catalogue | None = None
         """The catalogue that the cached machine views were built with."""
         self._sizes = TypicalSizes()
 
     def view(self, now: Monotonic, wall: Wall) -> View:
         """Return the input of a pass; the views of unchanged machines are reused."""
-        for team, correction in self._paces.items():
+        for team, correction in self._corrections.items():
             correction.ratio = self._estimates.ratio(team)
         if self._catalogue is not self._provisioner.catalogue:
             self._catalogue = self._provisioner.catalogue
             # Cached views of machines that this pass leaves out become stale too.
             for machine in self._machines():
-                machine.touch()
-        machines, silent = self._survey(now)
+                machine.invalidate_caches()
+        machines, unreachable = self._survey(now)
         return View(
             machines,
             self._queue(now, wall),
             self._teams(),
-            self._expected(now),
+            self._expected_work(now),
             self._job_store.rank_cpus,
-            self._under_way(now) + self._returning(silent, now),
+            self._requested(now) + self._recovering(unreachable, now),
         )
 
     def _survey(self, now: Monotonic) -> tuple[list[MachineView], list[Machine]]:
@@ -95,9 +97,9 @@
         recognizes them from their own fields, since this runs for every machine in every pass.
         """
         views: list[MachineView] = []
-        silent: list[Machine] = []
+        unreachable: list[Machine] = []
         suspicions = self._diagnosis().suspicions
-        heard_from = now - self._silence_s
+        contact_since = now - self._silence_s
         for machine in self._fleet.machines.values():
             last_contact_at, last_acknowledged_at = (
                 machine.last_contact_at,
@@ -105,39 +107,41 @@
             )
             if (
                 last_acknowledged_at is not None
-                and last_acknowledged_at >= heard_from
+                and last_acknowledged_at >= contact_since
                 and (view := machine.view) is not None
                 and not view.is_modified
-                and machine.is_in_order
+                and machine.is_schedulable
                 and now >= machine.refused_until
                 and machine.id not in suspicions
             ):
                 view.ready_at = now
                 views.append(view)
                 continue
-            if last_contact_at is None or last_contact_at < heard_from:
-                silent.append(machine)
-            found = self._machine(machine, now)
-            if found is not None:
-                views.append(found)
-        return views, silent
-
-    def _expected(self, now: Monotonic) -> ExpectedWork | None:
+            if last_contact_at is None or last_contact_at < contact_since:
+                unreachable.append(machine)
+            available_view = self._machine(machine, now)
+            if available_view is not None:
+                views.append(available_view)
+        return views, unreachable
+
+    def _expected_work(self, now: Monotonic) -> ExpectedWork | None:
         """Return the next expected job of a class with a waiting-time objective, or None.
 
         Its size is estimated from recent submissions.
         """
-        if now - self._prompt_at > _EXPECTED_FOR_S:
+        if now - self._last_submission_at > _EXPECTED_FOR_S:
             return None
-        cpus = max((self._sizes.percentile_80_cpus(name) for name in self._prompt), default=0.0)
-        return ExpectedWork(self._prompt_rank, cpus) if cpus > 0 else None
+        cpus = max(
+            (self._sizes.percentile_80_cpus(name) for name in self._wait_classes), default=0.0
+        )
+        return ExpectedWork(self._expected_rank, cpus) if cpus > 0 else None
 
     def submitted(self, spec: wire.JobSpec, now: Monotonic) -> None:
         """Record a submitted job, for the estimate of expected work."""
-        if spec.job_class in self._prompt:
+        if spec.job_class in self._wait_classes:
             self._sizes.submitted(spec.job_class, spec.cpus * spec.tasks)
-            self._prompt_rank = max(self._prompt_rank, spec.rank)
-            self._prompt_at = now
+            self._expected_rank = max(self._expected_rank, spec.rank)
+            self._last_submission_at = now
 
     def _machines(self) -> list[Machine]:
         return list(self._fleet.machines.values())
@@ -149,7 +153,7 @@
         if machine.preemption_notice_until is not None or machine.unbound_tasks:
             return None
         if machine.last_contact_at is None:
-            if not boots(machine, suspicion(self._diagnosis(), machine)):
+            if not is_booting(machine, suspicion(self._diagnosis(), machine)):
                 return None
             ready_at = Monotonic(max(machine.rented_at + kind.boot_s, now + 1.0))
         elif (
@@ -159,16 +163,18 @@
             ready_at = now
         else:
             return None
-        return self._seen(machine, kind, ready_at)
+        return self._cached_view(machine, kind, ready_at)
 
-    def _seen(self, machine: Machine, kind: wire.MachineType, ready_at: Monotonic) -> MachineView:
+    def _cached_view(
+        self, machine: Machine, kind: wire.MachineType, ready_at: Monotonic
+    ) -> MachineView:
         view = machine.view
         if view is None or view.is_modified:
             view = machine.view = self._fresh(machine, kind)
         view.ready_at = ready_at
         return view
 
-    def _returning(self, silent: list[Machine], now: Monotonic) -> list[MachineView]:
+    def _recovering(self, unreachable: list[Machine], now: Monotonic) -> list[MachineView]:
         """Return views of unreachable machines that probably recover before a replacement boots.
 
         No tasks are placed on them. They count as capacity that will be available again, so that it
@@ -176,23 +182,23 @@
         when 250 machines hung for 19 s, 120 replacements were rented during that time and 110 more
         while the machines recovered.
         """
-        found: list[MachineView] = []
-        for machine in silent:
+        views: list[MachineView] = []
+        for machine in unreachable:
             if (
                 machine.releasing
                 or machine.drain_reason
                 or machine.preemption_notice_until is not None
             ):
                 continue
-            verdict = suspicion(self._diagnosis(), machine)
+            cause = suspicion(self._diagnosis(), machine)
             silent_s = self._fleet.leases.contact_age_s(machine, now)
-            if silent_s <= self._silence_s or boots(machine, verdict):
+            if silent_s <= self._silence_s or is_booting(machine, cause):
                 continue
             kind = self._provisioner.type_of(machine.type)
-            back_s = failure_detector.expected_recovery_s(verdict, silent_s)
-            if kind is not None and back_s is not None and back_s <= kind.boot_s:
-                found.append(self._seen(machine, kind, Monotonic(now + back_s)))
-        return found
+            recovery_s = failure_detector.expected_recovery_s(cause, silent_s)
+            if kind is not None and recovery_s is not None and recovery_s <= kind.boot_s:
+                views.append(self._cached_view(machine, kind, Monotonic(now + recovery_s)))
+        return views
 
     def _fresh(self, machine: Machine, kind: wire.MachineType) -> MachineView:
         return MachineView(
@@ -210,10 +216,10 @@
             self._provisioner.is_expensive(
                 machine.type, machine.spot, self._policy.expensive_ratio
             ),
-            [self._running(b) for b in machine.bindings.values()],
+            [self._running_task(b) for b in machine.bindings.values()],
         )
 
-    def _running(self, binding: Binding) -> RunningTask:
+    def _running_task(self, binding: Binding) -> RunningTask:
         spec = binding.chunk.job.spec
         return RunningTask(
             binding.task,
@@ -226,15 +232,15 @@
             binding.stop is not None,
             binding.running_since,
             _SERVICE_RUN_S if spec.is_service else spec.estimate_s,
-            self._steady_pace if spec.is_service else self._pace(spec.team),
+            self._no_correction if spec.is_service else self._correction(spec.team),
             spec.saves,
             spec.save_s,
         )
 
-    def _pace(self, team: str) -> EstimateCorrection:
-        correction = self._paces.get(team)
+    def _correction(self, team: str) -> EstimateCorrection:
+        correction = self._corrections.get(team)
         if correction is None:
-            correction = self._paces[team] = EstimateCorrection(self._estimates.ratio(team))
+            correction = self._corrections[team] = EstimateCorrection(self._estimates.ratio(team))
         return correction
 
     def run_s(self, spec: wire.JobSpec) -> float:
@@ -244,22 +250,22 @@
         return self._estimates.run_s(spec.team, spec.estimate_s)
 
     def _queue(self, now: Monotonic, wall: Wall) -> list[JobView]:
-        found = ((job, self._waiting(job, now)) for job in self._job_store.jobs.values())
-        return [self._job(job, waiting, now, wall) for job, waiting in found if waiting > 0]
+        waiting_jobs = ((job, self._waiting(job, now)) for job in self._job_store.jobs.values())
+        return [self._job(job, waiting, now, wall) for job, waiting in waiting_jobs if waiting > 0]
 
     def _waiting(self, job: Job, now: Monotonic) -> int:
         """Return the number of the job's waiting tasks that may be placed now."""
         if job.waiting <= 0:
             return 0
-        tries = self._fleet.tries(job, now)
-        if tries == 0:
+        limit = self._fleet.startable_tasks(job, now)
+        if limit == 0:
             # A failing job on probation uses no capacity, no money and no place in the queue.
             return 0
         spec = job.spec
         if (spec.one_zone or spec.spread) and sum(job.zone_counts.values()) < job.bound_count:
             # A job with a zone constraint waits until the zones of all its bound tasks are known.
             return 0
-        return job.waiting if tries is None or spec.is_gang else min(job.waiting, tries)
+        return job.waiting if limit is None or spec.is_gang else min(job.waiting, limit)
 
     def _job(self, job: Job, waiting: int, now: Monotonic, wall: Wall) -> JobView:
         spec = job.spec
@@ -275,7 +281,7 @@
             waiting,
             spec.tasks,
             waited_s,
-            self._latest(spec, job.due_s, waited_s, run_s),
+            self._latest_starts(spec, job.due_s, waited_s, run_s),
             run_s,
             spec.image,
             spec.image_gb,
@@ -309,15 +315,15 @@
         bound = ((now - b.running_since) if b.running_since else 0.0 for b in job.bindings())
         return max((remaining_s(run_s, ran_s) for ran_s in bound), default=0.0)
 
-    def _latest(
+    def _latest_starts(
         self, spec: wire.JobSpec, due_s: float | None, waited_s: float, run_s: float
     ) -> tuple[float, ...]:
         """Return the seconds until the job's tasks must have started, for each of its deadlines."""
         if due_s is None:
             return ()
-        times = self._times.get(spec.job_class, [1.0])
-        run_s *= _LIKELY
-        return tuple(due_s * t - waited_s - run_s for t in times)
+        multiples = self._deadline_multiples.get(spec.job_class, [1.0])
+        run_s *= _ESTIMATE_SHARE
+        return tuple(due_s * t - waited_s - run_s for t in multiples)
 
     def _teams(self) -> dict[str, TeamView]:
         return {
@@ -332,18 +338,18 @@
             for team in self._params.teams
         }
 
-    def _under_way(self, now: Monotonic) -> list[MachineView]:
+    def _requested(self, now: Monotonic) -> list[MachineView]:
         """Return views of machines that were requested and not yet granted.
 
         They count like machines that begin to boot now.
         """
-        found: list[MachineView] = []
+        views: list[MachineView] = []
         for rental in self._provisioner.pending_rentals():
             kind = self._provisioner.type_of(rental.type)
             if kind is None:
                 continue
             view = MachineView(
-                _UNNAMED,
+                _NO_ID,
                 rental.type,
                 rental.zone,
                 rental.spot,
@@ -360,8 +366,8 @@
                 (),
             )
             # The views of one rental are equal and only read, so they share one object.
-            found += [view] * rental.count
-        return found
+            views += [view] * rental.count
+        return views
 
 
 def suspicion(diagnosis: Diagnosis, machine: Machine) -> Suspicion:
@@ -369,7 +375,7 @@
     return diagnosis.suspicions.get(machine.id, Suspicion.UNDETERMINED)
 
 
-def boots(machine: Machine, verdict: Suspicion) -> bool:
+def is_booting(machine: Machine, cause: Suspicion) -> bool:
     """Return whether the first contact with a machine is pending and nothing suggests a failure.
 
     For a new leader that is so of all machines.
@@ -377,14 +383,14 @@
     return (
         machine.last_contact_at is None
         and not machine.lease_expired
-        and verdict is Suspicion.UNDETERMINED
+        and cause is Suspicion.UNDETERMINED
     )
 
 
-def _deadline_times(params: Params) -> dict[str, list[float]]:
+def _deadline_multiples_by_class(params: Params) -> dict[str, list[float]]:
     """Return, for each class, the multiples of its deadline that the objectives refer to."""
-    times: dict[str, list[float]] = {}
+    multiples: dict[str, list[float]] = {}
     for objective in params.objectives:
         if objective.kind == "deadline" and objective.job_class is not None:
-            times.setdefault(objective.job_class, []).append(objective.times or 1.0)
-    return {job_class: sorted(found) for job_class, found in times.items()}
+            multiples.setdefault(objective.job_class, []).append(objective.times or 1.0)
+    return {job_class: sorted(values) for job_class, values in multiples.items()}
--- a/tests/test_bindings.py
+++ b/tests/test_bindings.py
@@ -486,7 +486,7 @@
 
     class _Leases(Leases):
         def expire_leases(self, now: Monotonic) -> None:
-            self._elected_at = self._elsewhere_until = Monotonic(0.0)
+            self._elected_at = self._delegates_until = Monotonic(0.0)
             super().expire_leases(now)
 
     def __init__(self, *args: Any) -> None:
@@ -497,11 +497,11 @@
 def place_on_contacted_machines(patch: pytest.MonkeyPatch) -> None:
     """Let tasks be placed on a machine that replies to direct commands but sends no heartbeats."""
 
-    def is_placeable(self: Machine, now: Monotonic, expiry_s: float) -> bool:
+    def is_placeable(self: Machine, now: Monotonic, max_silence_s: float) -> bool:
         return (
-            self.is_in_order
+            self.is_schedulable
             and self.last_contact_at is not None
-            and now - self.last_contact_at <= expiry_s
+            and now - self.last_contact_at <= max_silence_s
             and now >= self.refused_until
         )
 
@@ -542,16 +542,16 @@
 
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
-        self.leases._elsewhere_until = self.leases._elected_at
+        self.leases._delegates_until = self.leases._elected_at
 
 
 class IgnoresWhatIsListed(Fleet):
     """Ends a binding whenever a heartbeat lacks it, even before the start could arrive."""
 
     class _Reconciler(Reconciler):
-        def _missing(self, machine: Machine, binding: Binding, *args: Any) -> None:
+        def _apply_missing(self, machine: Machine, binding: Binding, *args: Any) -> None:
             binding.start_confirmed = True
-            super()._missing(machine, binding, *args)
+            super()._apply_missing(machine, binding, *args)
 
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
@@ -715,9 +715,9 @@
     job_store = JobStore(4.0)
     job = job_store.add(spec(), Wall(0.0), Revision(1))
     chunk = Chunk(job, 0, version=3, committed=2)
-    assert not Exit(chunk, 3).settled
+    assert not Exit(chunk, 3).is_forgettable
     chunk.committed = 3
-    assert Exit(chunk, 3).settled
+    assert Exit(chunk, 3).is_forgettable
     fleet = Fleet(job_store, FencingToken(1), Monotonic(0.0), LEASE_S)
     fleet.inherit([], Monotonic(0.0))
     assert (
@@ -731,6 +731,6 @@
     assert binding is not None
     fleet.commands.direct_sent([binding])
     # While the direct start is in flight, it could start a forgotten attempt again.
-    assert not Exit(chunk, 3, binding).settled
+    assert not Exit(chunk, 3, binding).is_forgettable
     fleet.commands.direct_executed([binding])
-    assert Exit(chunk, 3, binding).settled
+    assert Exit(chunk, 3, binding).is_forgettable
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -155,7 +155,7 @@
             self.scheduling_loop.snapshots.view(Monotonic(self.now), Wall(self.now)).machines
         )
         for machine in self.fleet.machines.values():
-            machine.touch()
+            machine.invalidate_caches()
             if isinstance(machine, _Sticky):
                 machine.forget()
         assert kept == _plain(
--- a/tests/test_prober.py
+++ b/tests/test_prober.py
@@ -32,7 +32,7 @@
 from tests.standins import Worker
 from tests.test_node import World
 
-_REPORT_S = 1.0
+_HEARTBEAT_INTERVAL_S = 1.0
 
 
 # -- probes ---------------------------------------------------------------------------------------
@@ -87,7 +87,7 @@
         hold = asyncio.Event()
         tried: list[str] = []
 
-        async def reach(address: Address, _: float) -> bool:
+        async def probe(address: Address, _: float) -> bool:
             tried.append(address.host)
             await hold.wait()
             return False
@@ -96,11 +96,11 @@
         for n in range(40):
             fleet.machines[MachineId(f"m-{n}")].addr = f"10.0.0.{n}:9000"
         spare_sockets = 10
-        prober = Prober(fleet, _REPORT_S, lambda: spare_sockets, reach)
+        prober = Prober(fleet, _HEARTBEAT_INTERVAL_S, lambda: spare_sockets, probe)
         # Half of the zone sends heartbeats, so the zone is not partitioned.
         _hear(fleet, range(20, 40), 4.0)
         for machine in prober.evaluate(Monotonic(4.0)):
-            prober._try(machine, Monotonic(4.0))
+            prober._start_probe(machine, Monotonic(4.0))
         await asyncio.sleep(0)
         assert len(tried) == 10
         assert prober.evaluate(Monotonic(4.5)) == [], "no further probes while all slots are in use"
@@ -109,7 +109,7 @@
             await asyncio.sleep(0.01)
             _hear(fleet, range(20, 40), moment)
             for machine in prober.evaluate(Monotonic(moment)):
-                prober._try(machine, Monotonic(moment))
+                prober._start_probe(machine, Monotonic(moment))
         await asyncio.sleep(0.01)
         _hear(fleet, range(20, 40), 11.0)
         prober.evaluate(Monotonic(11.0))
@@ -117,7 +117,7 @@
         assert len(prober.diagnosis.suspicions) == 20
         # A few probes are allowed without spare sockets, so that a diagnosis is still reached.
         spare_sockets = -100
-        assert len(prober.evaluate(Monotonic(20.0))) == prober_module._FEWEST
+        assert len(prober.evaluate(Monotonic(20.0))) == prober_module._MIN_CONCURRENT
 
     asyncio.run(scenario())
 
@@ -128,14 +128,14 @@
         machine = fleet.machines[MachineId("m-0")]
         machine.addr = "10.0.0.1:9000"
 
-        async def reach(_: Address, __: float) -> bool:
+        async def probe(_: Address, __: float) -> bool:
             machine.last_contact_at = Monotonic(5.0)
             return False
 
-        prober = Prober(fleet, _REPORT_S, lambda: 10, reach)
-        prober._try(machine, Monotonic(4.0))
+        prober = Prober(fleet, _HEARTBEAT_INTERVAL_S, lambda: 10, probe)
+        prober._start_probe(machine, Monotonic(4.0))
         await asyncio.sleep(0.01)
-        assert machine.failed_connects == 0 and prober._under_way == {}
+        assert machine.failed_connects == 0 and prober._running_probes == {}
 
     asyncio.run(scenario())
 
@@ -148,14 +148,14 @@
         fleet.machines[MachineId("m-6")].addr = "nowhere"
         tried: list[str] = []
 
-        async def reach(address: Address, _: float) -> bool:
+        async def probe(address: Address, _: float) -> bool:
             tried.append(address.host)
             return True
 
-        prober = Prober(fleet, _REPORT_S, lambda: 4, reach)
+        prober = Prober(fleet, _HEARTBEAT_INTERVAL_S, lambda: 4, probe)
         for moment in (4.0, 5.5):
             for machine in prober.evaluate(Monotonic(moment)):
-                prober._try(machine, Monotonic(moment))
+                prober._start_probe(machine, Monotonic(moment))
             await asyncio.sleep(0.01)
         assert len(tried) >= 5
 
@@ -164,7 +164,7 @@
 
 def test_nothing_is_tried_while_all_are_heard() -> None:
     fleet = _fleet(4)
-    prober = Prober(fleet, _REPORT_S, lambda: 10)
+    prober = Prober(fleet, _HEARTBEAT_INTERVAL_S, lambda: 10)
     diagnosis_changed: list[None] = []
     prober.diagnosis_changed = lambda: diagnosis_changed.append(None)
     assert prober.evaluate(Monotonic(1.0)) == [] and not diagnosis_changed
