--- a/tests/test_bindings.py
+++ b/tests/test_bindings.py
@@ -42,16 +42,16 @@
 
 
 @dataclass
-class Beat:
+class HeartbeatInFlight:
     """A heartbeat in flight, or the one that a response in flight belongs to."""
 
     number: int
     sent_at: float
-    report: wire.Heartbeat
+    heartbeat: wire.Heartbeat
 
 
 @dataclass
-class Direct:
+class DirectCommandsInFlight:
     """Direct commands in flight; they arrive at any later time, at most once."""
 
     machine: str
@@ -113,11 +113,11 @@
         self.term = 0
         self.delegation: tuple[int, bool] | None = None
         """The delegate's record: its term, and whether the leader has revoked it."""
-        self.permitted = (0, -1e9)
+        self.delegate_permission = (0, -1e9)
         """The term for which the delegate may renew leases, and until when."""
-        self.beats: list[Beat] = []
-        self.responses: list[tuple[Beat, int, list[dict[str, Any]]]] = []
-        self.directs: list[Direct] = []
+        self.heartbeats_in_flight: list[HeartbeatInFlight] = []
+        self.responses: list[tuple[HeartbeatInFlight, int, list[dict[str, Any]]]] = []
+        self.direct_commands: list[DirectCommandsInFlight] = []
         self.elect()
 
     def run(self, steps: int) -> None:
@@ -174,7 +174,7 @@
 
     # -- heartbeats -----------------------------------------------------------------------------
 
-    def worker_reports(self) -> None:
+    def worker_sends_heartbeat(self) -> None:
         """Send a heartbeat.
 
         The worker no longer waits for the response to an earlier one, which may still arrive.
@@ -183,74 +183,83 @@
         worker.lapse(self.now)
         worker.beats += 1
         worker.waiting_for = worker.beats
-        self.beats.append(Beat(worker.beats, self.now, worker.report()))
+        self.heartbeats_in_flight.append(HeartbeatInFlight(worker.beats, self.now, worker.report()))
 
-    def report_arrives(self) -> None:
-        beat = self._take(self.beats)
-        if beat is None or beat.report.token > self.term:
+    def heartbeat_arrives(self) -> None:
+        message = self._pop_random(self.heartbeats_in_flight)
+        if message is None or message.heartbeat.token > self.term:
             return
-        machine_id = MachineId(beat.report.machine)
+        machine_id = MachineId(message.heartbeat.machine)
         commands = self.fleet.heartbeats.process(
-            beat.report, machine_id, Monotonic(self.now), Wall(0.0)
+            message.heartbeat, machine_id, Monotonic(self.now), Wall(0.0)
         )
         if commands is not None:
-            self.responses.append((beat, self.term, commands))
+            self.responses.append((message, self.term, commands))
 
     def response_arrives(self) -> None:
-        response = self._take(self.responses)
+        response = self._pop_random(self.responses)
         if response is None:
             return
-        beat, token, commands = response
-        worker = self.workers[beat.report.machine]
+        message, token, commands = response
+        worker = self.workers[message.heartbeat.machine]
         worker.lapse(self.now)
-        stale = worker.waiting_for != beat.number or worker.incarnation != beat.report.incarnation
+        stale = (
+            worker.waiting_for != message.number
+            or worker.incarnation != message.heartbeat.incarnation
+        )
         if stale or token < worker.token:
             return
         worker.waiting_for = None
         worker.token = token
-        worker.renewed_at = max(worker.renewed_at, beat.sent_at)
+        worker.renewed_at = max(worker.renewed_at, message.sent_at)
         worker.execute(commands)
 
     def delegate_confirms(self) -> None:
         """A node in a partitioned zone writes its delegation, guarded by this term's leader key."""
         if self.delegation != (self.term, True):
             self.delegation = (self.term, False)
-            self.permitted = (self.term, self.now + DELEGATION_S)
+            self.delegate_permission = (self.term, self.now + DELEGATION_S)
 
-    def delegate_answers(self) -> None:
+    def delegate_renews(self) -> None:
         """The delegate renews a worker's lease, without commands; its term may just have ended."""
-        term, until = self.permitted
-        beat = self._take(self.beats)
-        if beat is not None and self.now <= until and beat.report.token <= term:
-            self.responses.append((beat, term, []))
+        term, until = self.delegate_permission
+        message = self._pop_random(self.heartbeats_in_flight)
+        if message is not None and self.now <= until and message.heartbeat.token <= term:
+            self.responses.append((message, term, []))
 
     def delegate_round_trip(self) -> None:
         """A delegate in a worker's partitioned zone renews its lease."""
         self.delegate_confirms()
-        self.worker_reports()
-        self.beats[:], rest = self.beats[-1:], self.beats[:-1]
+        self.worker_sends_heartbeat()
+        self.heartbeats_in_flight[:], rest = (
+            self.heartbeats_in_flight[-1:],
+            self.heartbeats_in_flight[:-1],
+        )
         before = len(self.responses)
-        self.delegate_answers()
-        self.beats[:] = rest
+        self.delegate_renews()
+        self.heartbeats_in_flight[:] = rest
         if len(self.responses) > before:
-            kept, self.responses = self.responses[:-1], self.responses[-1:]
+            others, self.responses = self.responses[:-1], self.responses[-1:]
             self.response_arrives()
-            self.responses = kept
+            self.responses = others
 
     def round_trip(self) -> None:
         """Exchange a heartbeat and its response without faults."""
-        self.worker_reports()
-        self.beats[:], rest = self.beats[-1:], self.beats[:-1]
+        self.worker_sends_heartbeat()
+        self.heartbeats_in_flight[:], rest = (
+            self.heartbeats_in_flight[-1:],
+            self.heartbeats_in_flight[:-1],
+        )
         responses = len(self.responses)
-        self.report_arrives()
-        self.beats[:] = rest
+        self.heartbeat_arrives()
+        self.heartbeats_in_flight[:] = rest
         if len(self.responses) > responses:
             last = self.responses.pop()
-            kept, self.responses = self.responses, [last]
+            others, self.responses = self.responses, [last]
             self.response_arrives()
-            self.responses = kept
+            self.responses = others
 
-    def _take(self, messages: list[Any]) -> Any:
+    def _pop_random(self, messages: list[Any]) -> Any:
         """Remove and return a random message: those of different connections can be reordered."""
         if not messages:
             return None
@@ -267,36 +276,38 @@
         commands += [wire.start(str(b.task), b.attempt) for b in starts]
         if commands:
             self.fleet.commands.direct_sent(starts)
-            self.directs.append(
-                Direct(machine.id, self.term, machine.incarnation, commands, starts, self.fleet)
+            self.direct_commands.append(
+                DirectCommandsInFlight(
+                    machine.id, self.term, machine.incarnation, commands, starts, self.fleet
+                )
             )
 
     def direct_round_trip(self) -> None:
         """Exchange a direct command and its reply without faults."""
-        before = len(self.directs)
+        before = len(self.direct_commands)
         self.command_directly()
-        if len(self.directs) > before:
-            self._direct_arrives(self.directs.pop(), lost=False)
+        if len(self.direct_commands) > before:
+            self._deliver_direct(self.direct_commands.pop(), lost=False)
 
     def direct_arrives(self) -> None:
-        direct = self._take(self.directs)
+        direct = self._pop_random(self.direct_commands)
         if direct is not None:
-            self._direct_arrives(direct, lost=self.random.random() < 0.5)
+            self._deliver_direct(direct, lost=self.random.random() < 0.5)
 
-    def _direct_arrives(self, direct: Direct, lost: bool) -> None:
+    def _deliver_direct(self, direct: DirectCommandsInFlight, lost: bool) -> None:
         worker = self.workers[direct.machine]
         worker.lapse(self.now)
         refused = direct.token < worker.token or direct.incarnation != worker.incarnation
         if not refused:
             worker.token = max(worker.token, direct.token)
             worker.execute(direct.commands)
-        answer = worker.report()
-        if lost or direct.fleet is not self.fleet or answer.token > self.term:
+        reply = worker.report()
+        if lost or direct.fleet is not self.fleet or reply.token > self.term:
             return
         if refused:
             self.fleet.commands.direct_refused(direct.starts)
         self.fleet.heartbeats.handle_direct_reply(
-            answer, MachineId(worker.id), Monotonic(self.now), Wall(0.0)
+            reply, MachineId(worker.id), Monotonic(self.now), Wall(0.0)
         )
         if not refused:
             self.fleet.commands.direct_executed(direct.starts)
@@ -314,7 +325,7 @@
             self.delegation = (self.term, True) if self.random.random() < 0.5 else None
             self.fleet.leases.delegation_ended(Monotonic(self.now))
 
-    def a_task_exits(self) -> None:
+    def task_exits(self) -> None:
         worker = self.random.choice(list(self.workers.values()))
         if worker.tasks:
             name = self.random.choice(sorted(worker.tasks))
@@ -339,22 +350,22 @@
         commit: 4,
         stop: 3,
         round_trip: 8,
-        worker_reports: 4,
-        report_arrives: 4,
+        worker_sends_heartbeat: 4,
+        heartbeat_arrives: 4,
         response_arrives: 4,
         command_directly: 3,
         direct_arrives: 3,
         direct_round_trip: 4,
         delegate_confirms: 1,
-        delegate_answers: 2,
+        delegate_renews: 2,
         delegate_round_trip: 4,
         time_passes: 3,
-        a_task_exits: 2,
+        task_exits: 2,
         released: 1,
     }
 
 
-class Outages(Cluster):
+class ClusterWithOutages(Cluster):
     """Outages in which leases expire unnoticed by a leader that can't read the delegations."""
 
     def outage(self) -> None:
@@ -372,27 +383,30 @@
     }
 
 
-class Copies(Cluster):
+class ClusterWithDuplicates(Cluster):
     """Heartbeats are duplicated: copies reach any later leader, many of them just elected."""
 
     def __init__(self, seed: int, fleet_class: type[Fleet]) -> None:
-        self.old: list[wire.Heartbeat] = []
+        self.sent_heartbeats: list[wire.Heartbeat] = []
         super().__init__(seed, fleet_class)
 
-    def worker_reports(self) -> None:
-        super().worker_reports()
-        self.old.append(self.beats[-1].report)
+    def worker_sends_heartbeat(self) -> None:
+        super().worker_sends_heartbeat()
+        self.sent_heartbeats.append(self.heartbeats_in_flight[-1].heartbeat)
 
     def copy_arrives(self) -> None:
         """A copy of a recent heartbeat arrives; its response is discarded."""
-        if self.old:
-            found = self.random.choice(self.old[-12:])
-            if found.token <= self.term:
+        if self.sent_heartbeats:
+            heartbeat_copy = self.random.choice(self.sent_heartbeats[-12:])
+            if heartbeat_copy.token <= self.term:
                 self.fleet.heartbeats.process(
-                    found, MachineId(found.machine), Monotonic(self.now), Wall(0.0)
+                    heartbeat_copy,
+                    MachineId(heartbeat_copy.machine),
+                    Monotonic(self.now),
+                    Wall(0.0),
                 )
 
-    def kept_for_the_next(self) -> None:
+    def copies_reach_new_leader(self) -> None:
         """Copies reach a new leader before any other heartbeat does, and then it places tasks."""
         self.elect()
         for _ in range(self.random.choice([1, 3])):
@@ -401,10 +415,10 @@
             action()
 
     ACTIONS: ClassVar[dict[Callable[[Any], None], int]] = {
-        **{a: n for a, n in Cluster.ACTIONS.items() if a is not Cluster.worker_reports},
-        worker_reports: 4,
+        **{a: n for a, n in Cluster.ACTIONS.items() if a is not Cluster.worker_sends_heartbeat},
+        worker_sends_heartbeat: 4,
         copy_arrives: 6,
-        kept_for_the_next: 1,
+        copies_reach_new_leader: 1,
     }
 
 
@@ -413,23 +427,23 @@
 
 @given(st.integers(0, 2**32))
 @settings(max_examples=400)
-def test_no_task_is_ever_on_two_machines_whatever_reports_arrive_again(seed: int) -> None:
-    Copies(seed, Fleet).run(STEPS)
+def test_no_task_runs_on_two_machines_despite_duplicate_heartbeats(seed: int) -> None:
+    ClusterWithDuplicates(seed, Fleet).run(STEPS)
 
 
 @given(st.integers(0, 2**32))
 @settings(max_examples=1500)
-def test_no_task_is_ever_on_two_machines(seed: int) -> None:
+def test_no_task_runs_on_two_machines(seed: int) -> None:
     Cluster(seed, Fleet).run(STEPS)
 
 
 @given(st.integers(0, 2**32))
 @settings(max_examples=1500)
-def test_no_task_is_ever_on_two_machines_after_an_outage(seed: int) -> None:
-    Outages(seed, Fleet).run(STEPS)
+def test_no_task_runs_on_two_machines_after_outage(seed: int) -> None:
+    ClusterWithOutages(seed, Fleet).run(STEPS)
 
 
-class StartsBeforeTheRecord(Fleet):
+class StartsBeforeCommit(Fleet):
     class _Commands(Commands):
         @staticmethod
         def _may_start(binding: Binding) -> bool:
@@ -440,7 +454,7 @@
         self.commands = self._Commands(self)
 
 
-class TrustsReportsOfOlderTerms(Fleet):
+class TrustsHeartbeatsOfOlderTerms(Fleet):
     class _Heartbeats(HeartbeatProcessor):
         def process(
             self, heartbeat: wire.Heartbeat, machine_id: MachineId, now: Monotonic, wall: Wall
@@ -454,7 +468,7 @@
         self.heartbeats = self._Heartbeats(self, args[1], 0.0)
 
 
-class TakesReportsInAnyOrder(Fleet):
+class AcceptsReorderedHeartbeats(Fleet):
     class _Heartbeats(HeartbeatProcessor):
         @staticmethod
         def _out_of_date(machine: Machine, heartbeat: wire.Heartbeat) -> bool:
@@ -465,7 +479,7 @@
         self.heartbeats = self._Heartbeats(self, args[1], 0.0)
 
 
-class ForgetsDirectStartsUnderWay(Fleet):
+class IgnoresDirectStartsInFlight(Fleet):
     class _Commands(Commands):
         def direct_sent(self, bindings: Any) -> None:
             return
@@ -475,13 +489,13 @@
         self.commands = self._Commands(self)
 
 
-class LapsesTooSoon(Fleet):
+class ExpiresLeasesTooEarly(Fleet):
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
         self.leases.expiry_s = LEASE_S / 3
 
 
-class CountsSilenceFromNothing(Fleet):
+class IgnoresRenewalsBeforeElection(Fleet):
     """A new leader that does not allow for renewals up to its election."""
 
     class _Leases(Leases):
@@ -508,7 +522,7 @@
     patch.setattr(Machine, "is_placeable", is_placeable)
 
 
-class CountsSilenceFromTheSessionBefore(Fleet):
+class CountsLeaseFromPreviousIncarnation(Fleet):
     """An incarnation known only from a direct reply has its lease counted from the previous one.
 
     Nothing is bound in an incarnation before its first heartbeat, so a violation shows only when
@@ -525,7 +539,7 @@
         self.leases = self._Leases(self, *args[2:5])
 
 
-class ForgetsRevokedDelegations(Fleet):
+class IgnoresRevokedDelegations(Fleet):
     """A leader that ignores that a delegate may act on a delegation just after its revocation."""
 
     class _Leases(Leases):
@@ -537,7 +551,7 @@
         self.leases = self._Leases(self, *args[2:5])
 
 
-class ForgetsDelegationsOfEarlierTerms(Fleet):
+class IgnoresDelegationsOfEarlierTerms(Fleet):
     """A leader that ignores that a delegate of an earlier term may act just after the election."""
 
     def __init__(self, *args: Any) -> None:
@@ -545,7 +559,7 @@
         self.leases._delegates_until = self.leases._elected_at
 
 
-class IgnoresWhatIsListed(Fleet):
+class EndsBindingsNeverListed(Fleet):
     """Ends a binding whenever a heartbeat lacks it, even before the start could arrive."""
 
     class _Reconciler(Reconciler):
@@ -561,50 +575,52 @@
 @pytest.mark.parametrize(
     "mutant",
     [
-        StartsBeforeTheRecord,
-        TrustsReportsOfOlderTerms,
-        TakesReportsInAnyOrder,
-        ForgetsDirectStartsUnderWay,
-        LapsesTooSoon,
-        CountsSilenceFromNothing,
-        IgnoresWhatIsListed,
+        StartsBeforeCommit,
+        TrustsHeartbeatsOfOlderTerms,
+        AcceptsReorderedHeartbeats,
+        IgnoresDirectStartsInFlight,
+        ExpiresLeasesTooEarly,
+        IgnoresRenewalsBeforeElection,
+        EndsBindingsNeverListed,
     ],
 )
-def test_every_clause_is_needed(mutant: type[Fleet]) -> None:
+def test_mutated_rule_violates_invariant(mutant: type[Fleet]) -> None:
     with pytest.raises(RanTwice):
         for seed in range(20_000):
             Cluster(seed, mutant).run(STEPS)
 
 
-@pytest.mark.parametrize("mutant", [TrustsReportsOfOlderTerms, TakesReportsInAnyOrder])
-def test_what_arrives_again_is_told_from_what_is_new(mutant: type[Fleet]) -> None:
+@pytest.mark.parametrize("mutant", [TrustsHeartbeatsOfOlderTerms, AcceptsReorderedHeartbeats])
+def test_mutated_ordering_rule_violates_invariant_with_duplicates(mutant: type[Fleet]) -> None:
     with pytest.raises(RanTwice):
         for seed in range(20_000):
-            Copies(seed, mutant).run(STEPS)
+            ClusterWithDuplicates(seed, mutant).run(STEPS)
 
 
 @given(st.integers(0, 2**32))
 @settings(max_examples=250)
-def test_a_sessions_beginning_is_enough_without_its_first_report(seed: int) -> None:
+def test_lease_from_incarnation_start_suffices_without_heartbeat_rule(seed: int) -> None:
     with pytest.MonkeyPatch.context() as patch:
         place_on_contacted_machines(patch)
-        Outages(seed, Fleet).run(STEPS)
+        ClusterWithOutages(seed, Fleet).run(STEPS)
 
 
-def test_a_session_counts_from_its_beginning(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_lease_from_previous_incarnation_violates_invariant(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     place_on_contacted_machines(monkeypatch)
     with pytest.raises(RanTwice):
         for seed in range(20_000):
-            Outages(seed, CountsSilenceFromTheSessionBefore).run(STEPS)
+            ClusterWithOutages(seed, CountsLeaseFromPreviousIncarnation).run(STEPS)
 
 
 @pytest.mark.parametrize("new_leader", [False, True])
 @pytest.mark.parametrize(
-    ("fleet_class", "kept"),
-    [(Fleet, True), (ForgetsRevokedDelegations, False), (ForgetsDelegationsOfEarlierTerms, False)],
+    ("fleet_class", "stays_bound"),
+    [(Fleet, True), (IgnoresRevokedDelegations, False), (IgnoresDelegationsOfEarlierTerms, False)],
 )
-def test_a_worker_renewed_by_a_delegate_does_not_lapse(
-    fleet_class: type[Fleet], kept: bool, new_leader: bool
+def test_lease_renewed_by_delegate_does_not_expire_early(
+    fleet_class: type[Fleet], stays_bound: bool, new_leader: bool
 ) -> None:
     """A delegate renews a worker at the very end of its delegation.
 
@@ -626,55 +642,59 @@
         cluster.elect()
     else:
         cluster.fleet.leases.delegation_ended(Monotonic(cluster.now))
-    asked, ends = cluster.now + DELEGATION_S, cluster.now
+    last_renewal_at, delegation_ended_at = cluster.now + DELEGATION_S, cluster.now
     # The worker's heartbeat is acknowledged at the end of the delegation; the lease is renewed from
     # the time at which the heartbeat was sent.
-    term, until = cluster.permitted
-    assert asked <= until and term == cluster.term - new_leader
-    worker.renewed_at = asked
-    cluster.now = ends + LEASE_S + 1.0
+    term, until = cluster.delegate_permission
+    assert last_renewal_at <= until and term == cluster.term - new_leader
+    worker.renewed_at = last_renewal_at
+    cluster.now = delegation_ended_at + LEASE_S + 1.0
     cluster.fleet.leases.expire_leases(Monotonic(cluster.now))
     assert cluster.now - worker.renewed_at < LEASE_S
     still_bound = bool(list(cluster.job.bindings()))
-    forgotten = ForgetsDelegationsOfEarlierTerms if new_leader else ForgetsRevokedDelegations
-    assert still_bound is (kept or fleet_class is not forgotten)
-    cluster.now = asked + LEASE_S + 1.0
+    responsible_mutant = (
+        IgnoresDelegationsOfEarlierTerms if new_leader else IgnoresRevokedDelegations
+    )
+    assert still_bound is (stays_bound or fleet_class is not responsible_mutant)
+    cluster.now = last_renewal_at + LEASE_S + 1.0
     cluster.fleet.leases.expire_leases(Monotonic(cluster.now))
     assert not list(cluster.job.bindings())
 
 
 @pytest.mark.parametrize(
-    ("fleet_class", "reports_first"),
-    [(Fleet, True), (Fleet, False), (CountsSilenceFromTheSessionBefore, False)],
+    ("fleet_class", "heartbeat_first"),
+    [(Fleet, True), (Fleet, False), (CountsLeaseFromPreviousIncarnation, False)],
 )
-def test_a_session_shown_by_a_direct_answer_has_its_whole_lease(
-    fleet_class: type[Fleet], reports_first: bool, monkeypatch: pytest.MonkeyPatch
+def test_incarnation_seen_in_direct_reply_has_full_lease(
+    fleet_class: type[Fleet], heartbeat_first: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """After an outage longer than the lease, a refused stop reveals the worker's new incarnation.
 
     Its lease must be counted from then, and no task may be bound to it before its first heartbeat.
     """
-    if not reports_first:
+    if not heartbeat_first:
         place_on_contacted_machines(monkeypatch)
     cluster = Cluster(0, fleet_class)
-    machine = cluster.workers["m-1"]
+    worker = cluster.workers["m-1"]
     for sequence in (1, 2):
-        beat = report("m-1", 1, sequence, cluster.term)
-        cluster.fleet.heartbeats.process(beat, MachineId("m-1"), Monotonic(cluster.now), Wall(0.0))
+        heartbeat = report("m-1", 1, sequence, cluster.term)
+        cluster.fleet.heartbeats.process(
+            heartbeat, MachineId("m-1"), Monotonic(cluster.now), Wall(0.0)
+        )
     cluster.now += LEASE_S + DELEGATION_S + 2.0
-    machine.lapse(cluster.now)
-    machine.sequence, machine.token = 3, cluster.term
-    answer = report("m-1", machine.incarnation, machine.sequence, cluster.term)
+    worker.lapse(cluster.now)
+    worker.sequence, worker.token = 3, cluster.term
+    reply = report("m-1", worker.incarnation, worker.sequence, cluster.term)
     cluster.fleet.heartbeats.handle_direct_reply(
-        answer, MachineId("m-1"), Monotonic(cluster.now), Wall(0.0)
+        reply, MachineId("m-1"), Monotonic(cluster.now), Wall(0.0)
     )
     cluster.bind()
-    if reports_first:
+    if heartbeat_first:
         # The worker has sent no heartbeat in this incarnation: nothing is bound there.
         assert not list(cluster.job.bindings())
         return
     cluster.commit()
-    while not machine.tasks:
+    while not worker.tasks:
         cluster.direct_round_trip()
     cluster.fleet.leases.expire_leases(Monotonic(cluster.now))
     assert bool(list(cluster.job.bindings())) is (fleet_class is Fleet)
@@ -684,15 +704,15 @@
     assert not list(cluster.job.bindings())
 
 
-def test_a_direct_answer_is_no_proof_for_a_start_under_way() -> None:
+def test_direct_reply_does_not_end_binding_with_start_in_flight() -> None:
     """The response with the start may still be in flight when a direct command's reply arrives.
 
     A reply that does not list the task must therefore not end the binding; a heartbeat must.
     """
     cluster = Cluster(0, Fleet)
     for name in MACHINES:
-        beat = report(name, 1, 1, cluster.term)
-        cluster.fleet.heartbeats.process(beat, MachineId(name), Monotonic(100.0), Wall(0.0))
+        heartbeat = report(name, 1, 1, cluster.term)
+        cluster.fleet.heartbeats.process(heartbeat, MachineId(name), Monotonic(100.0), Wall(0.0))
     cluster.bind()
     (binding,) = cluster.job.bindings()
     cluster.commit()
@@ -702,8 +722,8 @@
     )
     assert commands == [wire.start("wk-000412/0", 1)]
     cluster.fleet.commands.stop(binding, "test", 0.0, Monotonic(100.0))
-    answer = report(machine, 1, 3, cluster.term)
-    cluster.fleet.heartbeats.handle_direct_reply(answer, machine, Monotonic(100.0), Wall(0.0))
+    reply = report(machine, 1, 3, cluster.term)
+    cluster.fleet.heartbeats.handle_direct_reply(reply, machine, Monotonic(100.0), Wall(0.0))
     assert list(cluster.job.bindings()) == [binding]
     cluster.fleet.heartbeats.process(
         report(machine, 1, 4, cluster.term), machine, Monotonic(100.0), Wall(0.0)
@@ -711,7 +731,7 @@
     assert list(cluster.job.bindings()) == []
 
 
-def test_an_attempt_is_forgotten_only_when_it_is_settled() -> None:
+def test_attempt_is_forgettable_after_commit_without_direct_start_in_flight() -> None:
     job_store = JobStore(4.0)
     job = job_store.add(spec(), Wall(0.0), Revision(1))
     chunk = Chunk(job, 0, version=3, committed=2)
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -44,16 +44,17 @@
     "price": 1.0, "marketPrice": 0.4, "startupS": 20, "halls": ["north"],
 }  # fmt: skip
 
-_LARGE = {**_MACHINE_TYPE, "label": "huge", "vcpus": 32}
+_LARGE_MACHINE_TYPE = {**_MACHINE_TYPE, "label": "huge", "vcpus": 32}
 
 
 class _NoRentals(Provisioner):
     def rent(self, rental: Any, now: Monotonic) -> None:
-        self.asked = getattr(self, "asked", 0) + rental.count
+        self.requested = getattr(self, "requested", 0) + rental.count
 
 
 def build_scheduling_loop(
-    heartbeat_interval_s: float = 0.0, types: Sequence[dict[str, Any]] = (_MACHINE_TYPE, _LARGE)
+    heartbeat_interval_s: float = 0.0,
+    types: Sequence[dict[str, Any]] = (_MACHINE_TYPE, _LARGE_MACHINE_TYPE),
 ) -> tuple[SchedulingLoop, Fleet, JobStore, _NoRentals]:
     params = settings.parse(orjson.dumps(SETTINGS)).params
     job_store = JobStore(8.0)
@@ -74,26 +75,26 @@
     return scheduling_loop, fleet, job_store, provisioner
 
 
-def _beat(fleet: Fleet, sequence: int, now: float) -> None:
+def _send_heartbeat(fleet: Fleet, sequence: int, now: float) -> None:
     fleet.heartbeats.process(
         report("m-1", 1, sequence, 1), MachineId("m-1"), Monotonic(now), Wall(now)
     )
 
 
-def test_an_idle_machine_goes_back_though_tasks_wait_that_do_not_fit_it() -> None:
+def test_idle_machine_is_released_although_waiting_tasks_do_not_fit() -> None:
     scheduling_loop, fleet, job_store, provisioner = build_scheduling_loop()
     job_store.add(spec(vcpus=32.0), Wall(0.0), Revision(1))
     for second in range(100):
-        _beat(fleet, second + 1, float(second))
+        _send_heartbeat(fleet, second + 1, float(second))
         scheduling_loop.run(Monotonic(float(second)), Wall(float(second)))
-    assert provisioner.asked > 0
+    assert provisioner.requested > 0
     assert fleet.machines[MachineId("m-1")].releasing
 
 
-def test_a_job_is_placed_and_its_binding_waits_for_the_record() -> None:
+def test_start_waits_for_committed_binding() -> None:
     scheduling_loop, fleet, job_store, _ = build_scheduling_loop()
     job = job_store.add(spec(pieces=2), Wall(0.0), Revision(1))
-    _beat(fleet, 1, 0.0)
+    _send_heartbeat(fleet, 1, 0.0)
     scheduling_loop.run(Monotonic(0.0), Wall(0.0))
     assert job.bound_count == 2
     machine = fleet.machines[MachineId("m-1")]
@@ -103,20 +104,20 @@
     assert len(fleet.commands.direct_starts(machine)) == 2
 
 
-def test_a_wish_for_machines_that_was_put_off_brings_another_pass_soon() -> None:
+def test_deferred_rental_is_made_in_next_interval() -> None:
     """Demand is not computed in every pass, but a burst must not wait for the next idle pass."""
     scheduling_loop, _, job_store, provisioner = build_scheduling_loop()
     job_store.add(spec(vcpus=32.0), Wall(0.0), Revision(1))
     scheduling_loop.run(Monotonic(0.0), Wall(0.0))
-    asked = provisioner.asked
+    requested = provisioner.requested
     job_store.add(spec(id="wk-000413", vcpus=32.0), Wall(0.0), Revision(2))
     scheduling_loop.run(Monotonic(0.1), Wall(0.1))
-    assert scheduling_loop.autoscaler.rental_deferred and provisioner.asked == asked
+    assert scheduling_loop.autoscaler.rental_deferred and provisioner.requested == requested
     scheduling_loop.run(Monotonic(RENT_INTERVAL_S), Wall(RENT_INTERVAL_S))
-    assert not scheduling_loop.autoscaler.rental_deferred and provisioner.asked > asked
+    assert not scheduling_loop.autoscaler.rental_deferred and provisioner.requested > requested
 
 
-class _Play:
+class _EventModel:
     """A fleet of three machines and its jobs, driven by a sequence of numbered events."""
 
     def __init__(self) -> None:
@@ -133,17 +134,19 @@
         self.scheduling_loop.snapshots.submitted(spec(**changes), Monotonic(self.now))
         self.job_store.add(spec(**changes), Wall(self.now), Revision(1))
 
-    def beat(self, name: str, state: str, incarnation: int = 1, **changes: Any) -> None:
+    def send_heartbeat(self, name: str, state: str, incarnation: int = 1, **changes: Any) -> None:
         """Process a heartbeat that lists every task bound to the machine in this state."""
         self.sequence += 1
         machine = self.fleet.machines.get(MachineId(name))
         bound = machine.bindings.values() if machine is not None and incarnation == 1 else ()
         why = "done" if state == "ended" else None
-        lines = [(str(b.task), int(b.attempt), state, why) for b in bound]
-        heard = msgspec.structs.replace(
-            report(name, incarnation, self.sequence, 1, lines), **changes
+        statuses = [(str(b.task), int(b.attempt), state, why) for b in bound]
+        heartbeat = msgspec.structs.replace(
+            report(name, incarnation, self.sequence, 1, statuses), **changes
+        )
+        self.fleet.heartbeats.process(
+            heartbeat, MachineId(name), Monotonic(self.now), Wall(self.now)
         )
-        self.fleet.heartbeats.process(heard, MachineId(name), Monotonic(self.now), Wall(self.now))
 
     def stop(self) -> None:
         for job in list(self.job_store.jobs.values()):
@@ -151,14 +154,14 @@
                 self.fleet.commands.stop(binding, "preemption", 5.0, Monotonic(self.now))
 
     def check(self) -> None:
-        kept = _plain(
+        cached_views = _as_dicts(
             self.scheduling_loop.snapshots.view(Monotonic(self.now), Wall(self.now)).machines
         )
         for machine in self.fleet.machines.values():
             machine.invalidate_caches()
-            if isinstance(machine, _Sticky):
-                machine.forget()
-        assert kept == _plain(
+            if isinstance(machine, _StaleViewMachine):
+                machine.clear_view()
+        assert cached_views == _as_dicts(
             self.scheduling_loop.snapshots.view(Monotonic(self.now), Wall(self.now)).machines
         )
 
@@ -172,22 +175,22 @@
                 case 2 | 3 | 4:
                     self.scheduling_loop.run(Monotonic(self.now), Wall(self.now))
                 case 5 | 6:
-                    self.beat(name, "running")
+                    self.send_heartbeat(name, "running")
                 case 7:
-                    self.beat(name, "ended")
+                    self.send_heartbeat(name, "ended")
                 case 8:
                     self.stop()
                 case 9:
-                    self.beat(name, "running", type="huge")
+                    self.send_heartbeat(name, "running", type="huge")
                 case 10:
-                    self.beat(name, "pulling", incarnation=2 + step // 60)
+                    self.send_heartbeat(name, "pulling", incarnation=2 + step // 60)
             self.check()
 
 
-class _Sticky(Machine):
+class _StaleViewMachine(Machine):
     """A machine whose cached view survives changes of its state."""
 
-    def forget(self) -> None:
+    def clear_view(self) -> None:
         super().__setattr__("view", None)
 
     def __setattr__(self, name: str, value: Any) -> None:
@@ -195,7 +198,7 @@
             super().__setattr__(name, value)
 
 
-def _plain(views: list[MachineView]) -> list[dict[str, Any]]:
+def _as_dicts(views: list[MachineView]) -> list[dict[str, Any]]:
     return [dataclasses.asdict(view) for view in views]
 
 
@@ -203,204 +206,206 @@
 
 
 @given(_STEPS)
-def test_views_that_are_kept_are_those_made_afresh(steps: list[int]) -> None:
-    _Play().run([5, 16, 27, 0, 1, 2, *steps])
+def test_cached_views_equal_rebuilt_views(steps: list[int]) -> None:
+    _EventModel().run([5, 16, 27, 0, 1, 2, *steps])
 
 
-def test_a_kept_view_that_is_never_dropped_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_stale_cached_view_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     for module in (heartbeats, inventory):
-        monkeypatch.setattr(module, "Machine", _Sticky)
+        monkeypatch.setattr(module, "Machine", _StaleViewMachine)
     with pytest.raises(AssertionError):
-        _Play().run([5, 16, 27, 0, 1, 2, 5, 16, 27])
+        _EventModel().run([5, 16, 27, 0, 1, 2, 5, 16, 27])
 
 
-def test_a_view_does_not_outlive_the_catalogue_that_it_was_made_with() -> None:
+def test_catalogue_change_invalidates_cached_views() -> None:
     """A machine that is unreachable while the catalogue changes must not keep its cached view."""
-    play = _Play()
-    play.run([5, 16, 27])
-    play.now += 10.0
+    model = _EventModel()
+    model.run([5, 16, 27])
+    model.now += 10.0
     larger = {"builds": [{**_MACHINE_TYPE, "vcpus": 12}]}
-    play.provisioner.set_catalogue(wire.decode(orjson.dumps(larger), wire.Catalogue))
-    assert not play.scheduling_loop.snapshots.view(Monotonic(play.now), Wall(play.now)).machines
-    play.beat("m-1", "running")
-    play.check()
+    model.provisioner.set_catalogue(wire.decode(orjson.dumps(larger), wire.Catalogue))
+    assert not model.scheduling_loop.snapshots.view(Monotonic(model.now), Wall(model.now)).machines
+    model.send_heartbeat("m-1", "running")
+    model.check()
 
 
-def test_a_pass_after_one_report_makes_one_view(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_heartbeat_with_change_rebuilds_only_one_view(monkeypatch: pytest.MonkeyPatch) -> None:
     """Rebuilding the views of all machines and tasks ten times a second was most of a pass."""
-    play = _Play()
-    play.run([5, 16, 27, 0, 1, 2])
-    made: list[MachineId] = []
-    fresh = play.scheduling_loop.snapshots._fresh
+    model = _EventModel()
+    model.run([5, 16, 27, 0, 1, 2])
+    rebuilt: list[MachineId] = []
+    build_view = model.scheduling_loop.snapshots._fresh
 
     def counted(machine: Machine, kind: wire.MachineType) -> MachineView:
-        made.append(machine.id)
-        return fresh(machine, kind)
+        rebuilt.append(machine.id)
+        return build_view(machine, kind)
 
-    play.scheduling_loop.snapshots.view(Monotonic(play.now), Wall(play.now))
-    monkeypatch.setattr(play.scheduling_loop.snapshots, "_fresh", counted)
-    play.beat("m-1", "running")
-    play.scheduling_loop.snapshots.view(Monotonic(play.now), Wall(play.now))
-    assert made == ["m-1"]
-    play.beat("m-1", "running")
-    play.scheduling_loop.snapshots.view(Monotonic(play.now), Wall(play.now))
-    assert made == ["m-1"]
+    model.scheduling_loop.snapshots.view(Monotonic(model.now), Wall(model.now))
+    monkeypatch.setattr(model.scheduling_loop.snapshots, "_fresh", counted)
+    model.send_heartbeat("m-1", "running")
+    model.scheduling_loop.snapshots.view(Monotonic(model.now), Wall(model.now))
+    assert rebuilt == ["m-1"]
+    model.send_heartbeat("m-1", "running")
+    model.scheduling_loop.snapshots.view(Monotonic(model.now), Wall(model.now))
+    assert rebuilt == ["m-1"]
 
 
-def test_a_report_that_says_nothing_new_is_not_gone_through(
+def test_unchanged_heartbeat_is_not_reconciled(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Hundreds of heartbeats a second repeat the previous list and must cost little."""
-    play = _Play()
-    play.run([5, 16, 27, 0, 1, 2, 5, 16, 27, 5])
-    machine = play.fleet.machines[MachineId("m-2")]
-    read: list[str] = []
-    taken: list[str] = []
+    model = _EventModel()
+    model.run([5, 16, 27, 0, 1, 2, 5, 16, 27, 5])
+    machine = model.fleet.machines[MachineId("m-2")]
+    reconciled: list[str] = []
+    applied: list[str] = []
     reconcile, progress = Reconciler.reconcile, Reconciler._progress
 
-    def counted(self: Reconciler, of: Machine, *rest: Any, **more: Any) -> None:
-        read.append(of.id)
-        reconcile(self, of, *rest, **more)
+    def counted(self: Reconciler, reported: Machine, *args: Any, **kwargs: Any) -> None:
+        reconciled.append(reported.id)
+        reconcile(self, reported, *args, **kwargs)
 
-    def counted_progress(self: Reconciler, of: Machine, *rest: Any) -> None:
-        taken.append(of.id)
-        progress(self, of, *rest)
+    def counted_progress(self: Reconciler, reported: Machine, *args: Any) -> None:
+        applied.append(reported.id)
+        progress(self, reported, *args)
 
     monkeypatch.setattr(Reconciler, "reconcile", counted)
     monkeypatch.setattr(Reconciler, "_progress", counted_progress)
     assert machine.bindings
-    play.beat("m-2", "running")
-    read.clear()
-    taken.clear()
-    play.beat("m-2", "running")
-    assert not read
-    play.beat("m-2", "flushing")
-    assert len(read) == 1 and len(taken) == len(machine.bindings)
+    model.send_heartbeat("m-2", "running")
+    reconciled.clear()
+    applied.clear()
+    model.send_heartbeat("m-2", "running")
+    assert not reconciled
+    model.send_heartbeat("m-2", "flushing")
+    assert len(reconciled) == 1 and len(applied) == len(machine.bindings)
 
 
-def test_of_a_list_with_one_change_one_line_is_taken_in(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_only_changed_task_status_is_applied(monkeypatch: pytest.MonkeyPatch) -> None:
     """On a machine with many tasks, nearly every heartbeat changes just one of them."""
-    play = _Play()
-    job_store, fleet = play.job_store, play.fleet
-    play.beat("m-1", "running")
+    model = _EventModel()
+    job_store, fleet = model.job_store, model.fleet
+    model.send_heartbeat("m-1", "running")
     machine = fleet.machines[MachineId("m-1")]
     job = job_store.add(spec(pieces=100, vcpus=0.01, memoryGb=0.01), Wall(0.0), Revision(1))
     for _ in range(100):
-        assert fleet.bind(job, machine, False, Wall(0.0), Monotonic(play.now)) is not None
-    play.beat("m-1", "running")
+        assert fleet.bind(job, machine, False, Wall(0.0), Monotonic(model.now)) is not None
+    model.send_heartbeat("m-1", "running")
     parsed: list[str] = []
-    taken: list[TaskId] = []
+    applied: list[TaskId] = []
     progress = Reconciler._progress
 
     def counted(text: str) -> TaskId | None:
         parsed.append(text)
         return parse_task_id(text)
 
-    def counted_progress(of: Reconciler, machine: Machine, binding: Any, *rest: Any) -> None:
-        taken.append(binding.task)
-        progress(of, machine, binding, *rest)
+    def counted_progress(self: Reconciler, machine: Machine, binding: Any, *args: Any) -> None:
+        applied.append(binding.task)
+        progress(self, machine, binding, *args)
 
     monkeypatch.setattr(reconciliation, "parse_task_id", counted)
     monkeypatch.setattr(Reconciler, "_progress", counted_progress)
     ended = next(iter(machine.bindings))
-    play.sequence += 1
-    lines = [
+    model.sequence += 1
+    statuses = [
         (str(b.task), int(b.attempt), "ended" if b.task == ended else "running",
          "done" if b.task == ended else None)
         for b in machine.bindings.values()
     ]  # fmt: skip
-    heard = report("m-1", 1, play.sequence, 1, lines)
-    fleet.heartbeats.process(heard, machine.id, Monotonic(play.now), Wall(play.now))
-    assert taken == [ended] and not parsed
+    heartbeat = report("m-1", 1, model.sequence, 1, statuses)
+    fleet.heartbeats.process(heartbeat, machine.id, Monotonic(model.now), Wall(model.now))
+    assert applied == [ended] and not parsed
     assert len(machine.bindings) == 99 and job.done_count == 1
 
 
-def test_a_stop_goes_with_the_answer_to_a_report_that_says_nothing_new() -> None:
-    play = _Play()
-    play.run([5, 16, 27, 0, 1, 2, 5, 16, 27, 5])
-    machine = play.fleet.machines[MachineId("m-2")]
-    lines: list[tuple[str, int, str, str | None]] = [
+def test_stop_is_sent_in_response_to_unchanged_heartbeat() -> None:
+    model = _EventModel()
+    model.run([5, 16, 27, 0, 1, 2, 5, 16, 27, 5])
+    machine = model.fleet.machines[MachineId("m-2")]
+    statuses: list[tuple[str, int, str, str | None]] = [
         (str(b.task), int(b.attempt), "running", None) for b in machine.bindings.values()
     ]
 
-    def beat(sequence: int) -> list[dict[str, Any]] | None:
-        heard = report("m-2", 1, 1000 + sequence, 1, lines)
-        return play.fleet.heartbeats.process(heard, machine.id, Monotonic(play.now), Wall(play.now))
+    def send_heartbeat(sequence: int) -> list[dict[str, Any]] | None:
+        heartbeat = report("m-2", 1, 1000 + sequence, 1, statuses)
+        return model.fleet.heartbeats.process(
+            heartbeat, machine.id, Monotonic(model.now), Wall(model.now)
+        )
 
-    assert lines and beat(1) == [] and beat(2) == []
+    assert statuses and send_heartbeat(1) == [] and send_heartbeat(2) == []
     binding = next(iter(machine.bindings.values()))
-    play.fleet.commands.stop(binding, "preemption", 0.0, Monotonic(play.now))
+    model.fleet.commands.stop(binding, "preemption", 0.0, Monotonic(model.now))
     stop = wire.stop(str(binding.task), binding.attempt, 0.0)
     # The stop is repeated until the list shows that it was carried out.
-    assert (beat(3), beat(4)) == ([stop], [stop])
+    assert (send_heartbeat(3), send_heartbeat(4)) == ([stop], [stop])
 
 
 @pytest.mark.parametrize(
     ("took_s", "gap_s"), [(0.0, 0.1), (0.01, 0.1), (0.1, 0.3), (0.4, 1.2), (5.0, 2.0)]
 )
-def test_a_dear_pass_leaves_time_for_the_rest(took_s: float, gap_s: float) -> None:
+def test_pass_gap_grows_with_pass_duration(took_s: float, gap_s: float) -> None:
     """On a node several times slower, passes delayed heartbeats and lease renewals."""
     assert pass_gap_s(took_s) == pytest.approx(gap_s)
 
 
-def _finish_jobs(play: _Play, count: int) -> None:
+def _finish_jobs(model: _EventModel, count: int) -> None:
     """Run `count` jobs one after the other, from submission to the deletion of their records."""
     for _ in range(count):
-        play.now += 1.0
-        job = play.job_store.add(
-            spec(id=f"wk-{play.jobs:06d}", pieces=1), Wall(play.now), Revision(1)
+        model.now += 1.0
+        job = model.job_store.add(
+            spec(id=f"wk-{model.jobs:06d}", pieces=1), Wall(model.now), Revision(1)
         )
-        play.jobs += 1
-        play.beat("m-1", "ended")  # nothing is bound: an empty list
-        play.scheduling_loop.run(Monotonic(play.now), Wall(play.now))
+        model.jobs += 1
+        model.send_heartbeat("m-1", "ended")  # nothing is bound: an empty list
+        model.scheduling_loop.run(Monotonic(model.now), Wall(model.now))
         for chunk in job.chunks.values():
             chunk.committed = chunk.version
-        play.beat("m-1", "ended")
+        model.send_heartbeat("m-1", "ended")
         for chunk in job.chunks.values():
-            chunk.committed, chunk.mod_revision = chunk.version, Revision(play.jobs)
+            chunk.committed, chunk.mod_revision = chunk.version, Revision(model.jobs)
         assert job.complete
-        play.job_store.ended(job)
-        play.job_store.orphaned_chunks.clear()  # the records are deleted
-        play.beat("m-1", "running")
+        model.job_store.ended(job)
+        model.job_store.orphaned_chunks.clear()  # the records are deleted
+        model.send_heartbeat("m-1", "running")
 
 
-def test_nothing_is_kept_of_ten_thousand_finished_jobs() -> None:
+def test_finished_jobs_leave_no_objects_behind() -> None:
     """Memory must stay bounded in a service that runs for months."""
-    play = _Play()
-    _finish_jobs(play, 200)
+    model = _EventModel()
+    _finish_jobs(model, 200)
     gc.collect()
     before = len(gc.get_objects())
-    _finish_jobs(play, 10_000)
+    _finish_jobs(model, 10_000)
     gc.collect()
-    assert not play.job_store.jobs and not play.job_store.ending_jobs
-    assert not play.job_store.urgent_chunks and not play.job_store.deferred_chunks
+    assert not model.job_store.jobs and not model.job_store.ending_jobs
+    assert not model.job_store.urgent_chunks and not model.job_store.deferred_chunks
     assert len(gc.get_objects()) < before + 500
 
 
-def test_finished_jobs_do_not_wait_for_the_collector() -> None:
+def test_finished_jobs_are_freed_without_garbage_collection() -> None:
     """In a reference cycle with their chunks, 10,000 jobs occupied 20 MB until a collection."""
-    play = _Play()
+    model = _EventModel()
     gc.collect()
     gc.disable()
     try:
-        _finish_jobs(play, 100)
-        assert sum(isinstance(found, Job) for found in gc.get_objects()) <= 2
+        _finish_jobs(model, 100)
+        assert sum(isinstance(item, Job) for item in gc.get_objects()) <= 2
     finally:
         gc.enable()
 
 
-def test_a_pass_does_not_wait_for_the_collector() -> None:
+def test_pass_is_freed_without_garbage_collection() -> None:
     """In a reference cycle with its plan, a pass kept the view of the whole fleet: 10 MB more."""
-    play = _Play()
-    play.run([5, 16, 27, 0, 1, 0, 1, 0, 1, 2])
+    model = _EventModel()
+    model.run([5, 16, 27, 0, 1, 0, 1, 0, 1, 2])
     gc.collect()
     gc.disable()
     try:
         for _ in range(5):
-            play.submit()
-            play.now += 1.0
-            play.scheduling_loop.run(Monotonic(play.now), Wall(play.now))
-        assert play.scheduling_loop.last_plan.reserved_job is not None
-        assert not any(isinstance(found, _Pass | View) for found in gc.get_objects())
+            model.submit()
+            model.now += 1.0
+            model.scheduling_loop.run(Monotonic(model.now), Wall(model.now))
+        assert model.scheduling_loop.last_plan.reserved_job is not None
+        assert not any(isinstance(item, _Pass | View) for item in gc.get_objects())
     finally:
         gc.enable()
--- a/tests/test_prober.py
+++ b/tests/test_prober.py
@@ -38,7 +38,7 @@
 # -- probes ---------------------------------------------------------------------------------------
 
 
-def test_who_takes_connections_is_told_from_who_is_silent() -> None:
+def test_accepts_is_true_for_accepted_and_refused_connections() -> None:
     async def scenario() -> None:
         (listening,) = netutil.bind_sockets(0, "127.0.0.1")
         port = listening.getsockname()[1]
@@ -51,7 +51,9 @@
     asyncio.run(scenario())
 
 
-def test_a_silent_address_and_this_nodes_own_trouble(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_accepts_is_false_on_timeout_and_none_without_sockets(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     async def never(*_: Any, **__: Any) -> None:
         await asyncio.Event().wait()
 
@@ -77,19 +79,19 @@
     return fleet
 
 
-def _hear(fleet: Fleet, names: range, now: float) -> None:
+def _record_contact(fleet: Fleet, names: range, now: float) -> None:
     for n in names:
         fleet.machines[MachineId(f"m-{n}")].last_contact_at = Monotonic(now)
 
 
-def test_attempts_are_bounded_and_the_longest_untried_go_first() -> None:
+def test_concurrent_probes_are_bounded_and_diagnose_failed_machines() -> None:
     async def scenario() -> None:
-        hold = asyncio.Event()
-        tried: list[str] = []
+        finish_probes = asyncio.Event()
+        probed_hosts: list[str] = []
 
         async def probe(address: Address, _: float) -> bool:
-            tried.append(address.host)
-            await hold.wait()
+            probed_hosts.append(address.host)
+            await finish_probes.wait()
             return False
 
         fleet = _fleet(40)
@@ -98,20 +100,20 @@
         spare_sockets = 10
         prober = Prober(fleet, _HEARTBEAT_INTERVAL_S, lambda: spare_sockets, probe)
         # Half of the zone sends heartbeats, so the zone is not partitioned.
-        _hear(fleet, range(20, 40), 4.0)
+        _record_contact(fleet, range(20, 40), 4.0)
         for machine in prober.evaluate(Monotonic(4.0)):
             prober._start_probe(machine, Monotonic(4.0))
         await asyncio.sleep(0)
-        assert len(tried) == 10
+        assert len(probed_hosts) == 10
         assert prober.evaluate(Monotonic(4.5)) == [], "no further probes while all slots are in use"
-        hold.set()
+        finish_probes.set()
         for moment in (6.0, 7.5, 9.0, 10.5):
             await asyncio.sleep(0.01)
-            _hear(fleet, range(20, 40), moment)
+            _record_contact(fleet, range(20, 40), moment)
             for machine in prober.evaluate(Monotonic(moment)):
                 prober._start_probe(machine, Monotonic(moment))
         await asyncio.sleep(0.01)
-        _hear(fleet, range(20, 40), 11.0)
+        _record_contact(fleet, range(20, 40), 11.0)
         prober.evaluate(Monotonic(11.0))
         assert set(prober.diagnosis.suspicions.values()) == {Suspicion.FAILED}
         assert len(prober.diagnosis.suspicions) == 20
@@ -122,7 +124,7 @@
     asyncio.run(scenario())
 
 
-def test_an_answer_that_comes_after_a_report_says_nothing() -> None:
+def test_probe_result_after_heartbeat_is_ignored() -> None:
     async def scenario() -> None:
         fleet = _fleet(4)
         machine = fleet.machines[MachineId("m-0")]
@@ -140,16 +142,16 @@
     asyncio.run(scenario())
 
 
-def test_machines_without_a_good_address_take_no_place_from_others() -> None:
+def test_machines_without_valid_address_do_not_block_probes() -> None:
     async def scenario() -> None:
         fleet = _fleet(12)
         for n in range(6):
             fleet.machines[MachineId(f"m-{n}")].addr = ""
         fleet.machines[MachineId("m-6")].addr = "nowhere"
-        tried: list[str] = []
+        probed_hosts: list[str] = []
 
         async def probe(address: Address, _: float) -> bool:
-            tried.append(address.host)
+            probed_hosts.append(address.host)
             return True
 
         prober = Prober(fleet, _HEARTBEAT_INTERVAL_S, lambda: 4, probe)
@@ -157,12 +159,12 @@
             for machine in prober.evaluate(Monotonic(moment)):
                 prober._start_probe(machine, Monotonic(moment))
             await asyncio.sleep(0.01)
-        assert len(tried) >= 5
+        assert len(probed_hosts) >= 5
 
     asyncio.run(scenario())
 
 
-def test_nothing_is_tried_while_all_are_heard() -> None:
+def test_no_probes_while_all_machines_send_heartbeats() -> None:
     fleet = _fleet(4)
     prober = Prober(fleet, _HEARTBEAT_INTERVAL_S, lambda: 10)
     diagnosis_changed: list[None] = []
@@ -170,12 +172,12 @@
     assert prober.evaluate(Monotonic(1.0)) == [] and not diagnosis_changed
 
 
-def test_attempts_take_only_sockets_that_nobody_needs() -> None:
+def test_spare_sockets_exclude_heartbeats_and_reserve() -> None:
     machines = 0
-    lines = ConnectionPool(1000, lambda: machines)
-    assert lines.spare_sockets == 920
+    pool = ConnectionPool(1000, lambda: machines)
+    assert pool.spare_sockets == 920
     machines = 950
-    assert lines.spare_sockets == -30
+    assert pool.spare_sockets == -30
 
 
 # -- leadership transfer --------------------------------------------------------------------------
@@ -186,51 +188,51 @@
         self.finish(orjson.dumps({"leads": False, "reports": 7}))
 
 
-def test_a_leader_learns_that_workers_report_to_another_node() -> None:
+def test_peer_receives_heartbeats_compares_counts() -> None:
     async def scenario() -> None:
         server = httpserver.HTTPServer(web.Application([(PING_PATH, _Ping)]))
         sockets = netutil.bind_sockets(0, "127.0.0.1")
         server.add_sockets(sockets)
         values = copy.deepcopy(SETTINGS)
         values["members"][0]["peer_addr"] = f"127.0.0.1:{sockets[0].getsockname()[1]}"
-        giveway = LeadershipTransfer(settings.parse(orjson.dumps(values)))
-        assert await giveway.peer_receives_heartbeats(100)
-        assert not await giveway.peer_receives_heartbeats(1000), (
+        transfer = LeadershipTransfer(settings.parse(orjson.dumps(values)))
+        assert await transfer.peer_receives_heartbeats(100)
+        assert not await transfer.peer_receives_heartbeats(1000), (
             "a few workers always contact the wrong node"
         )
         server.stop()
         await server.close_all_connections()
-        assert not await giveway.peer_receives_heartbeats(3), (
+        assert not await transfer.peer_receives_heartbeats(3), (
             "a node that does not answer is no alternative"
         )
 
     asyncio.run(scenario())
 
 
-def test_reports_are_counted_for_a_time() -> None:
-    giveway = LeadershipTransfer(settings.parse(orjson.dumps(SETTINGS)))
+def test_heartbeat_count_covers_recent_windows() -> None:
+    transfer = LeadershipTransfer(settings.parse(orjson.dumps(SETTINGS)))
     for n in range(5):
-        giveway.record_heartbeat(Monotonic(10.0 + 0.1 * n))
-    assert giveway.recent_heartbeats(Monotonic(11.0)) == 5
-    giveway.record_heartbeat(Monotonic(12.5))
-    assert giveway.recent_heartbeats(Monotonic(13.0)) == 6
-    assert giveway.recent_heartbeats(Monotonic(14.5)) == 1
-    assert giveway.recent_heartbeats(Monotonic(30.0)) == 0
+        transfer.record_heartbeat(Monotonic(10.0 + 0.1 * n))
+    assert transfer.recent_heartbeats(Monotonic(11.0)) == 5
+    transfer.record_heartbeat(Monotonic(12.5))
+    assert transfer.recent_heartbeats(Monotonic(13.0)) == 6
+    assert transfer.recent_heartbeats(Monotonic(14.5)) == 1
+    assert transfer.recent_heartbeats(Monotonic(30.0)) == 0
 
 
-@pytest.mark.parametrize("elsewhere", [True, False])
-def test_a_leader_that_hears_nobody_gives_way_only_if_another_node_does(
-    elsewhere: bool, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("peer_receives", [True, False])
+def test_leader_without_heartbeats_resigns_only_if_peer_receives_them(
+    peer_receives: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scenario() -> None:
         world = World()
         world.start()
-        asked = asyncio.Event()
+        peers_asked = asyncio.Event()
         resigned: list[str] = []
 
         async def peer_receives_heartbeats(_: int) -> bool:
-            asked.set()
-            return elsewhere
+            peers_asked.set()
+            return peer_receives
 
         async def resign(why: str, _: float) -> None:
             resigned.append(why)
@@ -247,10 +249,10 @@
                 await world.beat(worker)
                 await world.beat(worker)
             async with asyncio.timeout(30.0):
-                await asked.wait()
-                while elsewhere and not resigned:
+                await peers_asked.wait()
+                while peer_receives and not resigned:
                     await asyncio.sleep(0.01)
-            assert resigned[:1] == (["workers report to others only"] if elsewhere else [])
+            assert resigned[:1] == (["workers report to others only"] if peer_receives else [])
         finally:
             await world.stop()
 
@@ -265,7 +267,7 @@
 
     def __init__(self, answers: list[list[str] | None]) -> None:
         self.answers = answers
-        self.asked: list[int] = []
+        self.requested_counts: list[int] = []
 
     async def rent(
         self,
@@ -277,7 +279,7 @@
         check: Callable[[], None],
     ) -> list[str]:
         check()
-        self.asked.append(count)
+        self.requested_counts.append(count)
         answer = self.answers.pop(0)
         if answer is None:
             raise NoCapacityError
@@ -300,7 +302,7 @@
     await asyncio.sleep(0.01)
 
 
-def test_a_large_wish_goes_out_in_the_fewest_requests() -> None:
+def test_large_rental_uses_fewest_requests() -> None:
     async def scenario() -> None:
         names = [[f"m-{part}-{n}" for n in range(count)] for part, count in enumerate((50, 50, 20))]
         provisioner, cloud, fleet = _provisioner([*names, []])
@@ -310,26 +312,32 @@
         provisioner.rent(Rental("big", "north", True, 120), Monotonic(0.0))
         assert sum(r.count for r in provisioner.pending_rentals()) == 120
         await _all_answered(provisioner)
-        assert cloud.asked == [50, 50, 20]
+        assert cloud.requested_counts == [50, 50, 20]
         assert not provisioner.requests and granted == [50, 50, 20] and len(fleet.machines) == 120
         provisioner.rent(Rental("big", "north", True, 1), Monotonic(0.0))
         await _all_answered(provisioner)
-        assert cloud.asked[3:] == [1], "all requests are answered, so another one may be sent"
+        assert cloud.requested_counts[3:] == [1], (
+            "all requests are answered, so another one may be sent"
+        )
 
     asyncio.run(scenario())
 
 
-def test_what_the_cloud_does_not_have_is_not_asked_for_again_and_again() -> None:
+def test_partially_granted_rental_is_not_repeated() -> None:
     async def scenario() -> None:
         provisioner, cloud, fleet = _provisioner([[f"m-{n}" for n in range(30)]])
         provisioner.rent(Rental("big", "north", True, 300), Monotonic(0.0))
         await _all_answered(provisioner)
-        assert cloud.asked == [50] and not provisioner.requests and len(fleet.machines) == 30
+        assert (
+            cloud.requested_counts == [50]
+            and not provisioner.requests
+            and len(fleet.machines) == 30
+        )
 
     asyncio.run(scenario())
 
 
-def test_machines_that_go_back_go_before_those_that_are_asked_for() -> None:
+def test_releases_precede_rentals() -> None:
     """The cloud has capacity only after the releases, and its request rate is limited."""
 
     async def scenario() -> None:
@@ -339,17 +347,17 @@
         fleet.machines[name].releasing = True
         provisioner.rent(Rental("big", "north", True, 1), Monotonic(0.0))
         await asyncio.sleep(0.25)
-        assert cloud.asked == []
+        assert cloud.requested_counts == []
         fleet.released(name, Monotonic(1.0))
         async with asyncio.timeout(10.0):
-            while not cloud.asked:
+            while not cloud.requested_counts:
                 await asyncio.sleep(0.01)
 
     asyncio.run(scenario())
 
 
 @pytest.mark.parametrize(
-    ("brought", "kept"),
+    ("granted_names", "expected_names"),
     [
         (["m-1", "m-1", "m-2"], {"m-1", "m-2"}),
         (["", "m-1", "no name", "x" * 200], {"m-1"}),
@@ -357,34 +365,38 @@
         ([], set()),
     ],
 )
-def test_what_a_cloud_should_not_answer(brought: list[str], kept: set[str]) -> None:
+def test_usable_machines_of_invalid_rental_response_are_kept(
+    granted_names: list[str], expected_names: set[str]
+) -> None:
     """Duplicate, missing, malformed and surplus names: every usable machine is kept.
 
     The request is not repeated, and too few machines count as a refusal.
     """
 
     async def scenario() -> None:
-        provisioner, cloud, fleet = _provisioner([brought])
+        provisioner, cloud, fleet = _provisioner([granted_names])
         provisioner.rent(Rental("big", "north", True, 3), Monotonic(0.0))
         await _all_answered(provisioner)
-        assert set(fleet.machines) == kept
-        assert cloud.asked == [3] and not provisioner.requests
+        assert set(fleet.machines) == expected_names
+        assert cloud.requested_counts == [3] and not provisioner.requests
         assert provisioner.capacity_backoff.is_refused(("big", "north", True), Monotonic(1.0)) == (
-            len(kept) < 3
+            len(expected_names) < 3
         )
 
     asyncio.run(scenario())
 
 
-def test_a_machine_of_a_kind_that_the_catalogue_lost_harms_nothing() -> None:
+def test_listed_machine_of_unknown_type_is_kept() -> None:
     provisioner, _, fleet = _provisioner([])
-    line = wire.ListedMachine(id="m-1", type="lost", zone="north", spot=True, state="running")
+    listed_machine = wire.ListedMachine(
+        id="m-1", type="lost", zone="north", spot=True, state="running"
+    )
     provisioner.set_catalogue(wire.decode(b'{"builds":[]}', wire.Catalogue))
-    provisioner.apply_list([line, line], Monotonic(100.0))
+    provisioner.apply_list([listed_machine, listed_machine], Monotonic(100.0))
     assert set(fleet.machines) == {"m-1"} and not fleet.machines[MachineId("m-1")].releasing
 
 
-def test_an_idle_machine_that_goes_back_does_not_end_a_refusal() -> None:
+def test_release_of_idle_machine_does_not_end_capacity_backoff() -> None:
     """Only a failed machine certainly frees capacity at the cloud.
 
     When the release of idle ones counted, cheap kinds were requested again and again while
@@ -394,12 +406,12 @@
     kind = ("big", "north", False)
     for name in ("m-1", "m-2"):
         fleet.heartbeats.process(report(name, 1, 1, 1), MachineId(name), Monotonic(0.0), Wall(0.0))
-    idle, dead = (fleet.machines[MachineId(name)] for name in ("m-1", "m-2"))
+    idle, failed = (fleet.machines[MachineId(name)] for name in ("m-1", "m-2"))
     provisioner.capacity_backoff.record_response(kind, 1, 0, Monotonic(0.0))
     provisioner._on_machine_terminated(idle)
     assert provisioner.capacity_backoff.is_refused(kind, Monotonic(4.0))
     assert not provisioner.capacity_backoff.is_refused(kind, Monotonic(5.5))
     provisioner.capacity_backoff.record_response(kind, 1, 0, Monotonic(5.5))
-    dead.failed_connects = 2
-    provisioner._on_machine_terminated(dead)
+    failed.failed_connects = 2
+    provisioner._on_machine_terminated(failed)
     assert not provisioner.capacity_backoff.is_refused(kind, Monotonic(5.6))
