--- a/tealrill/fleet/commands.py
+++ b/tealrill/fleet/commands.py
@@ -32,11 +32,7 @@
                 commands.append(wire.forget(status.task, attempt))
         if not machine.releasing:
             for binding in machine.bindings.values():
-                if (
-                    binding.sent is None
-                    and not binding.start_confirmed
-                    and self._may_send_in_response(binding)
-                ):
+                if binding.sent is None and not binding.start_confirmed and self._to_send(binding):
                     binding.sent = HeartbeatSequence(heartbeat.sequence)
                     commands.append(wire.start(str(binding.task), binding.attempt))
         return commands
@@ -64,7 +60,7 @@
         job = self._fleet.job_store.jobs.get(task.job) if task is not None else None
         return task is None or (job is not None and not job.cancelled)
 
-    def _may_send_in_response(self, binding: Binding) -> bool:
+    def _to_send(self, binding: Binding) -> bool:
         """Return whether a heartbeat's response may carry the start.
 
         While a direct start is in flight, the start is sent even for a task that is to be stopped:
