--- a/tests/test_prober.py
+++ b/tests/test_prober.py
@@ -79,8 +79,8 @@
     return fleet
 
 
-def _record_contact(fleet: Fleet, names: range, now: float) -> None:
-    for n in names:
+def _record_contact(fleet: Fleet, numbers: range, now: float) -> None:
+    for n in numbers:
         fleet.machines[MachineId(f"m-{n}")].last_contact_at = Monotonic(now)
 
 
