--- a/tealrill/fleet/commands.py
+++ b/tealrill/fleet/commands.py
@@ -101,6 +101,7 @@
 
     @staticmethod
     def _may_start(binding: Binding) -> bool:
+        """Return whether the task is to run and its binding is committed by this term."""
         return (
             not binding.inherited
             and binding.stop is None
--- a/tealrill/fleet/heartbeats.py
+++ b/tealrill/fleet/heartbeats.py
@@ -235,6 +235,7 @@
 
     @staticmethod
     def _out_of_date(machine: Machine, heartbeat: wire.Heartbeat) -> bool:
+        """Return whether a newer message was processed or the incarnation's lease has expired."""
         if machine.incarnation is None:
             return False
         if machine.lease_expired and heartbeat.incarnation <= machine.incarnation:
@@ -294,6 +295,7 @@
     def _begin_incarnation(
         self, machine: Machine, incarnation: Incarnation, now: Monotonic
     ) -> None:
+        """End all bindings of the previous incarnations (proof 2)."""
         log.info("new incarnation: machine=%s incarnation=%d", machine.id, incarnation)
         for binding in list(machine.bindings.values()):
             self._fleet.unbind(machine, binding, now, "later incarnation")
--- a/tealrill/fleet/leases.py
+++ b/tealrill/fleet/leases.py
@@ -56,6 +56,7 @@
         ]
 
     def _renewed_at(self, machine: Machine) -> Monotonic:
+        """Return the latest time at which the machine's lease may have been renewed."""
         acknowledged_at = (
             machine.last_acknowledged_at
             if machine.last_acknowledged_at is not None
--- a/tealrill/fleet/machine.py
+++ b/tealrill/fleet/machine.py
@@ -56,7 +56,7 @@
     rented_at: Monotonic
     """When it was rented, or the best estimate of that."""
     rented_this_term: bool = False
-    """Rented in this term, so that `since` is when its boot began."""
+    """Rented in this term, so that `rented_at` is when its boot began."""
     addr: str = ""
     incarnation: Incarnation | None = None
     sequence: HeartbeatSequence = HeartbeatSequence(-1)
--- a/tealrill/fleet/prober.py
+++ b/tealrill/fleet/prober.py
@@ -26,7 +26,7 @@
 
 _INTERVAL_S: Final = 0.5
 _MAX_DELAY_S: Final = 1.0
-"""A round that begins later than this shows that this node was suspended or overloaded."""
+"""A round delayed by more than this shows that this node was suspended or overloaded."""
 _PROBE_TIMEOUT_S: Final = 0.8
 _REPROBE_INTERVAL_S: Final = 1.0
 """The minimum interval between two probes of one machine."""
@@ -183,6 +183,7 @@
         task.add_done_callback(lambda _: self._running_probes.pop(machine.id, None))
 
     async def _run_probe(self, machine: Machine, address: Address) -> None:
+        """Probe a machine; its result is ignored if a message of the machine came meanwhile."""
         last_contact_at = machine.last_contact_at
         result = await self._probe(address, _PROBE_TIMEOUT_S)
         if result is not None and machine.last_contact_at == last_contact_at:
--- a/tealrill/fleet/reconciliation.py
+++ b/tealrill/fleet/reconciliation.py
@@ -94,6 +94,7 @@
         now: Monotonic,
         wall: Wall,
     ) -> None:
+        """Apply the listed status of an attempt to its binding."""
         binding.start_confirmed = True
         binding.state = status.state
         job = binding.chunk.job
@@ -106,6 +107,7 @@
             self._apply_exit(machine, binding, status, now)
 
     def _remember_image(self, machine: Machine, image: str) -> None:
+        """Record that the machine has an image; only the most recently used ones are kept."""
         machine.images.pop(image, None)
         machine.images[image] = None
         while len(machine.images) > _MAX_IMAGES:
@@ -114,6 +116,7 @@
     def _apply_exit(
         self, machine: Machine, binding: Binding, status: wire.TaskStatus, now: Monotonic
     ) -> None:
+        """Record the outcome of an exited attempt and end its binding."""
         job = binding.chunk.job
         if status.why == wire.WHY_DONE and not job.spec.is_service:
             self._fleet.drain_faulty(
--- a/tealrill/fleet/snapshot.py
+++ b/tealrill/fleet/snapshot.py
@@ -147,6 +147,7 @@
         return list(self._fleet.machines.values())
 
     def _machine(self, machine: Machine, now: Monotonic) -> MachineView | None:
+        """Return the view of a machine that takes tasks now or after its boot; None otherwise."""
         kind = self._provisioner.type_of(machine.type)
         if kind is None or machine.releasing or machine.drain_reason or machine.lease_expired:
             return None
@@ -168,6 +169,7 @@
     def _cached_view(
         self, machine: Machine, kind: wire.MachineType, ready_at: Monotonic
     ) -> MachineView:
+        """Return the machine's view, rebuilt if its state or a planner has changed it."""
         view = machine.view
         if view is None or view.is_modified:
             view = machine.view = self._fresh(machine, kind)
@@ -201,6 +203,7 @@
         return views
 
     def _fresh(self, machine: Machine, kind: wire.MachineType) -> MachineView:
+        """Build the view of a machine from its present state."""
         return MachineView(
             machine.id,
             machine.type,
@@ -250,6 +253,7 @@
         return self._estimates.run_s(spec.team, spec.estimate_s)
 
     def _queue(self, now: Monotonic, wall: Wall) -> list[JobView]:
+        """Return the views of all jobs with tasks that may be placed now."""
         waiting_jobs = ((job, self._waiting(job, now)) for job in self._job_store.jobs.values())
         return [self._job(job, waiting, now, wall) for job, waiting in waiting_jobs if waiting > 0]
 
--- a/tests/test_bindings.py
+++ b/tests/test_bindings.py
@@ -444,6 +444,8 @@
 
 
 class StartsBeforeCommit(Fleet):
+    """Sends starts of bindings that are not committed yet."""
+
     class _Commands(Commands):
         @staticmethod
         def _may_start(binding: Binding) -> bool:
@@ -455,6 +457,8 @@
 
 
 class TrustsHeartbeatsOfOlderTerms(Fleet):
+    """Treats a heartbeat with an older token as one with this term's token."""
+
     class _Heartbeats(HeartbeatProcessor):
         def process(
             self, heartbeat: wire.Heartbeat, machine_id: MachineId, now: Monotonic, wall: Wall
@@ -469,6 +473,8 @@
 
 
 class AcceptsReorderedHeartbeats(Fleet):
+    """Accepts heartbeats of one incarnation without regard to their sequence numbers."""
+
     class _Heartbeats(HeartbeatProcessor):
         @staticmethod
         def _out_of_date(machine: Machine, heartbeat: wire.Heartbeat) -> bool:
@@ -480,6 +486,8 @@
 
 
 class IgnoresDirectStartsInFlight(Fleet):
+    """Does not record that a direct start may still arrive."""
+
     class _Commands(Commands):
         def direct_sent(self, bindings: Any) -> None:
             return
@@ -490,6 +498,8 @@
 
 
 class ExpiresLeasesTooEarly(Fleet):
+    """Treats leases as expired after a third of their length."""
+
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
         self.leases.expiry_s = LEASE_S / 3
