--- a/tealrill/leadership/__init__.py
+++ b/tealrill/leadership/__init__.py
@@ -1,1 +1,1 @@
-"""Who leads, and every right to speak to workers in the leader's place."""
+"""Leader election, lease extension and revocation, and renewal of workers on behalf of a leader."""
--- a/tealrill/leadership/election.py
+++ b/tealrill/leadership/election.py
@@ -1,9 +1,10 @@
-"""The election of the leader, and the renewal of its lease.
+"""Leader election and renewal of the leader's lease.
 
-The key `leader` is attached to a lease, the key `term` only ever grows, and both are set in one
-transaction. The term is the fencing token that workers see. A leader counts itself valid from the
-moment it *sent* its last successful renewal, shortened by the most that two steady clocks may
-differ; after that it says nothing to workers until it knows more.
+The key `leader` is attached to a lease, the value of the key `term` only increases, and one
+transaction sets both. The term is the fencing token that workers see. A leader considers its lease
+valid for the lease's TTL, counted from the moment it *sent* the last successful renewal and reduced
+by the largest drift between two steady clocks. After that it sends nothing to workers until a
+renewal succeeds.
 """
 
 from __future__ import annotations
@@ -49,57 +50,58 @@
 
 TERM_KEY: Final = "term"
 EXCLUSION_PREFIX: Final = "out/"
-"""Members that may not stand, because they were silent (`leadership/exclusion.py`)."""
+"""Prefix of the keys of members excluded from elections (`leadership/exclusion.py`)."""
 READMISSION_S: Final = 15.0
-"""For so long a member that was kept out sees that nobody leads before it lets itself in."""
+"""How long an excluded member must observe that there is no leader before it readmits itself."""
 TTL_S: Final = 3.0
 _MARGIN_S: Final = 0.2
 _RENEW_S: Final = TTL_S / 4
 _WATCH_S: Final = 2.0
 _COMMIT_TIMEOUT_S: Final = 1.0
-"""The lease that an election is attached to lasts three times as long."""
+"""A third of the TTL of the lease that the leader's key is attached to."""
 _PAUSE_STEP_S: Final = 0.05
 _OTHERS_FIRST_S: Final = 0.5
 _OFTEN: Final = 2
-"""A host that would follow itself once more than so often, each time soon, lets others go first."""
+"""After more quick re-elections in a row than this, a host lets other members campaign first."""
 _SOON_S: Final = 30.0
+"""A re-election within this time of the host's previous one counts as quick."""
 _YIELD_S: Final = 2.0
 _UNREADABLE_S: Final = 1.0
-"""Between two readings of a record that this version can't read."""
+"""Pause before a record that this version can't decode is read again."""
 
 
 def exclusion_key(host: str) -> str:
-    """Return the key that keeps a member from standing."""
+    """Return the key whose existence excludes a member from elections."""
     return EXCLUSION_PREFIX + host
 
 
 @dataclass(frozen=True, slots=True)
 class KnownLeader:
-    """The leader as another member reads it from its key."""
+    """The leader as another member reads it from the leader's key."""
 
     host: str
     term: FencingToken
     stamp: Revision = ABSENT
-    """The version of its key."""
+    """Revision of the leader's key."""
 
 
 class _LeaderRecord(msgspec.Struct, frozen=True):
-    """As much of the leader's record as others need."""
+    """The fields of the leader's record that other members need."""
 
     host: str
     term: int
 
 
 class _Leaderless(NamedTuple):
-    """That nobody led was seen."""
+    """The first observation that there is no leader."""
 
     stamp: Revision
-    """The version of the term's key at that time."""
+    """Revision of the term's key at that time."""
     since: Monotonic
 
 
 class _Candidacy(NamedTuple):
-    """A transaction that elects this node, if it is committed."""
+    """A transaction that elects this node if it is committed."""
 
     term: FencingToken
     guards: list[dict[str, Any]]
@@ -111,7 +113,7 @@
 
 
 def follows_itself(holder: dict[str, Any], now: Wall) -> int:
-    """Return how often in a row the holder's host will have followed itself shortly after."""
+    """Return the number of quick re-elections in a row if the holder's host is elected now."""
     elected, again = holder.get("at"), holder.get("again")
     if not isinstance(elected, int | float) or not isinstance(again, int):
         return 0
@@ -119,17 +121,17 @@
 
 
 def _validity(sent: Monotonic) -> Monotonic:
-    """Return until when a lease that was renewed by a request sent then is valid."""
+    """Return the moment until which a lease renewed by a request sent at `sent` is valid."""
     return lower_bound_deadline(sent, TTL_S, _MARGIN_S)
 
 
 def is_held_by_lease(mine: Leadership) -> bool:
-    """Whether the term is valid by its lease alone, and not longer by other members' promises."""
+    """Return True if the lease alone makes the term valid, without extension grants."""
     return mine.valid_until <= _validity(mine.renewed_at)
 
 
 class Election:
-    """Stands for election whenever there is no leader, and keeps what it has won."""
+    """Campaigns whenever there is no leader, and renews the lease once elected."""
 
     def __init__(
         self,
@@ -138,60 +140,65 @@
         changed: Callable[[], None],
         promised_s: float = 0.0,
     ) -> None:
-        """Stand for `host`; `changed` is called whenever its leadership begins or ends.
+        """Campaign for `host`; `changed` is called whenever its leadership begins or ends.
 
-        `promised_s` is for how long a former process of this host may have promised not to stand.
+        `promised_s` is the longest time for which a previous process of this host may have granted
+        a lease extension.
         """
         self._client = client
         self._host = host
         self._promised_until = monotonic_now()
-        # This process does not know what its former one promised (`lease_extension.py`).
+        # The grants of this host's previous process are unknown (`lease_extension.py`).
         self._restarted_until = Monotonic(monotonic_now() + promised_s)
         self.nobody_leads: Callable[[], Awaitable[bool]] = _not_known
-        """Whether every other member has just said that it does not lead."""
+        """Returns True if every other member answers that it does not lead."""
         self.others_up: Callable[[], Awaitable[bool]] = _not_known
-        """Whether another member answers."""
+        """Returns True if at least one other member answers."""
         self.revoking: FencingToken | None = None
-        """The term whose lease this node is ending: it gets no promise."""
+        """The term whose lease this node is revoking; its leader is refused lease extensions."""
         self._unreadable = ChangeLog(log)
         self._states = ChangeLog(log)
-        """Whom this node follows, or why it does not stand."""
+        """Logs which leader this node follows, or why it does not campaign."""
         self._standing: FencingToken | None = None
-        """The term of an election of this node that is in flight, or that brought no answer.
+        """The term of a campaign whose transaction is in flight or has an unknown outcome.
 
-        It may take place at any later time.
+        The transaction may still be executed at any later time.
         """
         self._incarnation = secrets.token_hex(8)
         self._changed = changed
         self._not_before = Monotonic(0.0)
         self._may_stand_now = False
-        """A pause between two tries is to end."""
+        """Set to end a pause between two campaigns early."""
         self._is_first = False
-        """Nobody else can be elected at present."""
+        """No other member can be elected at present."""
         self._leaderless: _Leaderless | None = None
-        """While this host may not stand: when nobody was first seen to lead."""
+        """While this host is excluded: when it first observed that there is no leader."""
         self.mine: Leadership | None = None
         self.known: KnownLeader | None = None
         self.has_quorum_reach: Callable[[], bool] = lambda: True
-        """Whether workers reach this node well; one that they don't reach lets others go first."""
+        """Returns True if workers reach this node; otherwise other members campaign first."""
 
     def leading(self, now: Monotonic) -> Leadership | None:
-        """Return the current term if this node may act on it at this very moment."""
+        """Return the current term if this node may act as its leader at `now`."""
         mine = self.mine
         return mine if mine is not None and mine.valid(now) else None
 
     @property
     def promised_until(self) -> Monotonic:
-        """Until when this node may be bound by promises, its former process's included."""
+        """When all extension grants of this node expire, those of its previous process included."""
         return max(self._promised_until, self._restarted_until)
 
     def promise(self, term: FencingToken, until: Monotonic) -> str:
-        """Promise not to stand before `until`; return why that can't be promised, or nothing."""
+        """Promise the leader of `term` not to campaign before `until`.
+
+        Returns the reason of a refusal, or the empty string if the extension is granted.
+        """
         if self.mine is not None and term > self.mine.term:
-            # Whoever asks was elected later, so the key of this node's term has gone. While the
-            # state service refuses this node it can't see that, and its refusal to promise ended
-            # every task in the outage that followed.
-            self.step_down(f"term {term} asks for a promise")
+            # The requesting leader was elected later, so the key of this node's term no longer
+            # exists. This node can't see that while the state service refuses its requests. If it
+            # refused the grant, the new leader's lease would expire during an outage, and all
+            # tasks would end.
+            self.step_down(f"lease extension requested by later term {term}")
         if self.mine is not None:
             return "leads itself"
         if self.known is not None and self.known.term > term:
@@ -199,13 +206,16 @@
         if self.revoking is not None and self.revoking >= term:
             return f"ends the lease of term {self.revoking}"
         if self._standing is not None and self._standing > term:
-            # Its transaction may be executed late, after the leader's key has gone.
+            # That transaction may be executed late, after the leader's key was deleted.
             return f"stands for term {self._standing}"
         self._promised_until = Monotonic(max(self._promised_until, until))
         return ""
 
     async def run(self) -> None:
-        """Follow the leader, stand when there is none, and keep what was won, for ever."""
+        """Follow the leader, campaign when there is none, and renew the lease once elected.
+
+        Does not return.
+        """
         while True:
             try:
                 if self.mine is None:
@@ -213,11 +223,11 @@
                 else:
                     await self._hold(self.mine)
             except StateError as error:
-                log.debug("election: %s", error)
+                log.debug("election step failed: error=%s", error)
                 await self._pause(random.uniform(0.2, 0.5))
 
     async def _pause(self, longest_s: float) -> None:
-        """Wait before the next try, until `stand_first` at the latest."""
+        """Wait before the next campaign; `stand_first` ends the wait early."""
         for _ in range(math.ceil(longest_s / _PAUSE_STEP_S)):
             if self._may_stand_now:
                 break
@@ -225,21 +235,21 @@
         self._may_stand_now = False
 
     def stand_first(self) -> None:
-        """Stand at once, until somebody leads: the other members are excluded from elections."""
+        """Campaign without delay until there is a leader: all other members are excluded."""
         self._is_first = True
         self._may_stand_now = True
 
     def step_down(self, why: str) -> None:
-        """Forget a term that is certainly or possibly over."""
+        """Stop leading a term that has ended or may have ended."""
         if self.mine is not None:
-            log.info("term %d: no longer leader: %s", self.mine.term, why)
+            log.info("no longer leader: term=%d reason=%s", self.mine.term, why)
             self.mine = None
             self.known = None
             self._client.set_leading(False)
             self._changed()
 
     async def resign(self, why: str, pause_s: float) -> None:
-        """Hand leadership to somebody better placed, and don't stand for `pause_s` seconds."""
+        """Give up leadership, and don't campaign for `pause_s` seconds."""
         mine = self.mine
         self._not_before = Monotonic(monotonic_now() + pause_s)
         self.step_down(why)
@@ -253,28 +263,29 @@
         try:
             alive = await self._client.extend_lease(mine.lease, timeout_s=0.6)
         except StateError as error:
-            log.debug("term %d: renewal failed: %s", mine.term, error)
+            log.debug("lease renewal failed: term=%d error=%s", mine.term, error)
             mine.troubled = True
             await asyncio.sleep(0.15)
             return
         if self.mine is not mine:
             return
         if not alive:
-            self.step_down("its lease ended")
+            self.step_down("lease expired or revoked")
             return
         was_valid = mine.valid(monotonic_now())
-        # A lease that answers has never ended, so the key attached to it has stood all the time
-        # and nobody else can have led: a term that went silent in an outage may go on.
+        # A lease that can be renewed has never ended, so the leader's key has existed all the time
+        # and no other member can have been elected. A term that became invalid in an outage may
+        # therefore be resumed.
         mine.valid_until = max(mine.valid_until, _validity(sent))
         mine.renewed_at = sent
         mine.troubled = False
         if not was_valid:
-            log.info("term %d: leadership valid again after an interruption", mine.term)
+            log.info("leadership valid again after an interruption: term=%d", mine.term)
             self._changed()
         await asyncio.sleep(_RENEW_S)
 
     async def _follow(self) -> None:
-        """Watch the leader for a time, or stand if there is none."""
+        """Watch the leader's key for up to `_WATCH_S`, or campaign if there is no leader."""
         entries, revision = await self._client.scan(LEADER_KEY)
         entry = next((e for e in entries if e.key == LEADER_KEY), None)
         if entry is None:
@@ -295,68 +306,73 @@
         await self._client.watch(LEADER_KEY, revision, _WATCH_S)
 
     async def _replace_own_key(self, entry: wire.Entry, holder: dict[str, Any]) -> None:
-        """Stand in the place of this host's former process, or let others go first.
+        """Replace the leader's key of this host's previous process, or let others campaign first.
 
-        That process is gone, and with it whatever it might still have said.
+        That process has ended, so it can't act on the key any more.
         """
         again = follows_itself(holder, wall_now())
         if holder.get("incarnation") == self._incarnation:
             await self._withdraw(entry)
         elif again > _OFTEN and await self.others_up():
-            # It ends again and again, perhaps by leading. At once back each time, it would keep
-            # the lease from all others: one that ended every second was elected 12 times.
-            log.info("led %d terms in a row: other members stand first", again)
+            # The process ends repeatedly, perhaps because it leads. Re-elected at once each time,
+            # it would keep all other members from leading (12 terms in a row for a process that
+            # ended every second).
+            log.info("campaign delayed after repeated re-elections: terms_in_a_row=%d", again)
             self._not_before = Monotonic(monotonic_now() + _YIELD_S)
             await self._withdraw(entry)
         else:
             await self._stand(Revision(entry.version), again)
 
     def _read_leader(self, entry: wire.Entry) -> KnownLeader | None:
-        """Read another member's record; None if this version can't.
+        """Decode another member's record; return None if this version can't.
 
-        Nobody is deposed by that: the key stands until its lease ends.
+        The leader's key stays in that case and goes with its lease.
         """
         try:
             record = msgspec.convert(entry.value, _LeaderRecord)
         except msgspec.ValidationError as error:
-            self._unreadable.error(f"record {entry.key} at {entry.version}: {error}")
+            self._unreadable.error(
+                f"unreadable record: key={entry.key} revision={entry.version} error={error}"
+            )
             return None
         return KnownLeader(record.host, FencingToken(record.term), Revision(entry.version))
 
     async def _withdraw(self, entry: wire.Entry) -> None:
-        """Remove a key of this host.
+        """Delete the leader's key that this host has set.
 
-        It was set by this very process in a term that it no longer knows of, or by a former one.
+        It belongs to a term that this process has given up, or to a previous process.
         """
         await self._client.commit(
             [wire.guard(LEADER_KEY, entry.version)], [wire.delete(LEADER_KEY)]
         )
 
     async def _stand(self, stamp: Revision, again: int = 0) -> None:
-        """Stand for election once.
+        """Campaign once.
 
-        `stamp` is the version of the key that this host's former process left, if it did, and
-        `again` how often in a row this host will have followed itself.
+        `stamp` is the revision of the leader's key that this host's previous process left (`ABSENT`
+        if there is none), `again` the number of quick re-elections in a row, this one included.
         """
         if not await self._wait_for_turn(stamp):
             return
         last = await self._client.get(TERM_KEY)
         if last is not None and type(last.value) is not int:
-            # A term of this node's making might be an earlier one.
-            self._unreadable.error(f"record {TERM_KEY} at {last.version}: not a term")
+            # Any term chosen without it might be lower than one already used.
+            self._unreadable.error(
+                f"unreadable record: key={TERM_KEY} revision={last.version} error=not an integer"
+            )
             await asyncio.sleep(_UNREADABLE_S)
             return
         sent = monotonic_now()
         lease = await self._client.create_lease(TTL_S)
         candidacy = self._candidacy(stamp, again, last, lease)
-        # A key that this host's former process left is no other leader's, and a service without a
-        # term has had no leader who could hold a promise.
+        # No grant can be in force if the leader's key was left by this host's previous process (no
+        # other member leads), or if there has been no term yet (no leader has requested one).
         bound = stamp == ABSENT and last is not None
-        # Looked at last of all: a promise may have been given while the rest was awaited.
+        # Checked last: a lease extension may have been granted during the awaits above.
         if bound and (
             not await self._free_of_former_promises() or monotonic_now() < self._promised_until
         ):
-            self._states.info("nobody leads; this node may be bound by a promise not to stand")
+            self._states.info("no leader; campaign delayed by a lease extension grant")
             await asyncio.sleep(0.05)
             return
         revision = await self._commit(candidacy)
@@ -370,7 +386,7 @@
         )
 
     async def _wait_for_turn(self, stamp: Revision) -> bool:
-        """Let others stand first where they should; return whether to stand now."""
+        """Let other members campaign first where they should; return True to campaign now."""
         pause_s = self._not_before - monotonic_now()
         if stamp == ABSENT:
             pause_s = max(
@@ -378,14 +394,14 @@
             ) + random.uniform(0, 0.05)
         if pause_s > 0:
             if pause_s > _OTHERS_FIRST_S + 0.1:
-                self._states.info("nobody leads; this node lets others stand first")
+                self._states.info("no leader; campaign delayed, other members go first")
             await asyncio.sleep(min(pause_s, 1.0))
         return pause_s <= 1.0
 
     def _candidacy(
         self, stamp: Revision, again: int, last: wire.KeyValue | None, lease: LeaseId
     ) -> _Candidacy:
-        """Make the transaction that elects this node for the term after `last`."""
+        """Return the transaction that elects this node for the term after `last`."""
         term = FencingToken((last.value if last is not None else 0) + 1)
         value = {
             "host": self._host,
@@ -405,7 +421,7 @@
 
     async def _commit(self, candidacy: _Candidacy) -> Revision | None:
         """Return the revision at which this node was elected, None if it was not."""
-        self._states.info(f"nobody leads; this node stands for term {candidacy.term}")
+        self._states.info(f"no leader; campaigning: term={candidacy.term}")
         self._standing = candidacy.term
         try:
             result = await self._client.commit(
@@ -422,11 +438,12 @@
         return result.revision if isinstance(result, Committed) else None
 
     async def _readmit_itself(self) -> None:
-        """Readmit this host, excluded while it was silent, if it may be the only one left.
+        """Readmit this excluded host after `READMISSION_S` without a leader.
 
-        A leader that excludes it may go on without its promise until `READMISSION_S` after its
-        lease has ended. Only an election changes the term's key: as it is the one that was read
-        before nobody was seen to lead, nobody has led since.
+        The leader that excluded it may rely on the exclusion, instead of on its extension grant,
+        until `READMISSION_S` after the end of the leader's lease. Only an election changes the
+        term's key, so as long as that key has the revision of the first observation, no member has
+        led in between.
         """
         term = await self._client.get(TERM_KEY)
         leader = await self._client.get(LEADER_KEY)
@@ -435,12 +452,15 @@
         if leader is not None:
             self._leaderless = None
         elif self._leaderless is None or self._leaderless.stamp != stamp:
-            log.info("this member is excluded from elections: it was unreachable")
+            log.info("this member is excluded from elections, no leader seen")
             self._leaderless = _Leaderless(stamp, now)
         elif now - self._leaderless.since >= READMISSION_S * CLOCK_DRIFT:
             entry = await self._client.get(exclusion_key(self._host))
             if entry is not None:
-                log.info("no leader seen for %.0f s", now - self._leaderless.since)
+                log.info(
+                    "this member readmits itself to elections: leaderless_s=%.0f",
+                    now - self._leaderless.since,
+                )
                 guards = [
                     wire.guard(LEADER_KEY, ABSENT),
                     wire.guard(TERM_KEY, stamp),
@@ -450,17 +470,17 @@
         await self._pause(0.25)
 
     async def _free_of_former_promises(self) -> bool:
-        """Whether what this host's former process may have promised binds nobody any more.
+        """Return True if no leader can rely on grants of this host's previous process any more.
 
-        Only a leader could go on by it. When all controllers crash together, their workers' leases
-        do not leave the time to wait for the promise's end.
+        That is so once they have expired, or if no member leads. The second condition matters when
+        all controllers crash together: the workers' leases are too short to wait for the expiry.
         """
         if monotonic_now() < self._restarted_until and await self.nobody_leads():
             self._restarted_until = monotonic_now()
         return monotonic_now() >= self._restarted_until
 
     async def _read_back(self, term: FencingToken) -> Revision | None:
-        """Return the revision of an election without an answer, None if it did not take place."""
+        """Return the revision of a campaign with an unknown outcome, None if it did not succeed."""
         entry = await self._client.get(LEADER_KEY)
         if (
             entry is not None
@@ -472,7 +492,7 @@
 
     def _won(self, mine: Leadership) -> None:
         """Begin a term."""
-        log.info("term %d: elected, its key is at revision %d", mine.term, mine.stamp)
+        log.info("elected: term=%d key_revision=%d", mine.term, mine.stamp)
         self._states.forget()
         self._is_first = False
         self.mine = mine
--- a/tealrill/leadership/exclusion.py
+++ b/tealrill/leadership/exclusion.py
@@ -1,11 +1,12 @@
-"""Members that have fallen silent: kept from being elected while the state service is away.
-
-A leader goes on through an outage by the others' promises not to stand (`lease_extension.py`). One
-that does not answer promises nothing, and could be elected if it alone reached the state service.
-So the leader writes down, while it can, that a silent member may not stand: its election requires
-that record to be absent. The leader takes it back when the member answers again. A member that
-finds itself alone takes it back itself, but only after it has seen for `READMISSION_S` that nobody
-leads: until then the leader may go on without its promise. docs/design.md has the argument.
+"""Exclusion of unreachable members from elections.
+
+A leader continues through an outage of the state service if every other member grants it a lease
+extension (`lease_extension.py`). A member that does not answer grants nothing, and could be elected
+if it alone reached the state service. So the leader excludes unreachable members while it still can
+write: it creates a record, and a member's election requires its record to be absent. The leader
+deletes the record when the member answers again. A member without a leader deletes its own record,
+but only after it has observed for `READMISSION_S` that there is no leader: until then the leader
+may rely on the exclusion instead of on the member's grant. docs/design.md has the argument.
 """
 
 from __future__ import annotations
@@ -30,26 +31,26 @@
 log = logging.getLogger(__name__)
 
 SILENT_S: Final = 6.0
-"""Longer than a process takes to be back, as a rule."""
+"""Time without an answer after which a member is excluded; longer than a usual process restart."""
 _LOOK_EVERY_S: Final = 1.0
 _READ_EVERY: Final = 10
-"""Looks between two readings of all records: one without an answer may be written late."""
+"""Probes per reading of all records: a write with an unknown outcome may be executed late."""
 
 
 class ExclusionRecord(msgspec.Struct, frozen=True):
-    """A member that may not stand."""
+    """The record that excludes a member from elections."""
 
     term: int
-    """Of the leader that wrote it, or against which it was written."""
+    """The term of the leader that wrote it, or whose lease its writer revokes."""
     v: Literal[1] = 1
     ends_term: int = 0
-    """The term whose lease its writer ends (`lease_revocation.py`); 0 if none."""
+    """The term whose lease its writer revokes (`lease_revocation.py`); 0 if none."""
     mark: str = ""
-    """Its writer's own, to know it again."""
+    """Identifies the writer's attempt, so that it recognises its own record."""
 
 
 class Exclusions:
-    """The leader's part, for one term. Wanted: exactly the silent members are kept out."""
+    """Excludes unreachable members and readmits reachable ones, for one term of the leader."""
 
     def __init__(
         self,
@@ -62,7 +63,7 @@
         revoked: Callable[[], None] = lambda: None,
     ) -> None:
         self._revoked = revoked
-        """This term's lease may be ended by another member at any moment."""
+        """Called when another member may revoke this term's lease at any moment."""
         self._client = client
         self._fence = Fence(client, stamp)
         self._term = term
@@ -70,51 +71,57 @@
         self._now = now
         self._peers = peer_clients(settings)
         self._most = len(self._peers) // 2
-        """Kept out at a time. In a cut the silent ones may be those that are to follow this leader:
-        some must be left who need not wait first."""
+        """Largest number of members excluded at a time. In a network partition the unreachable
+        members may be those that have to replace this leader, so some must stay electable without
+        waiting for their readmission."""
         self._heard = dict.fromkeys(self._peers, now())
         self._records: dict[str, Revision] = {}
-        """Records that were seen last, by host."""
+        """Revisions of the exclusion records as last read or written, by host."""
         self._certain: set[str] = set()
-        """Hosts whose record stands and that nothing under way removes."""
+        """Hosts whose record exists and can't be deleted by any request still in flight."""
         self._given_up = False
-        """The term ends because another member is ending its lease."""
+        """The term ends because another member is revoking its lease."""
         self._relied_until = Monotonic(-math.inf)
         self._looks = 0
         self._read_before = False
-        """A record found from now on may be this leader's own, with a removal under way."""
+        """Set after the first reading. A record found later may be one written by this leader, with
+        a deletion of it still in flight."""
 
     def is_excluded(self, host: str) -> bool:
-        """Whether that member can't be elected before `READMISSION_S` without a leader."""
+        """Return True if `host` can't be elected before `READMISSION_S` without a leader."""
         return host in self._certain
 
     def hold_until(self, until: Monotonic) -> None:
-        """Readmit nobody before `until`: the term is extended until then by `is_excluded`."""
+        """Readmit no member before `until`: the term was extended relying on `is_excluded`."""
         self._relied_until = Monotonic(max(self._relied_until, until))
 
     async def run(self) -> None:
-        """Exclude members that are silent and readmit those that answer, for ever."""
+        """Exclude unreachable members and readmit those that answer. Does not return."""
         while True:
             try:
                 await self.turn()
             except StateError as error:
-                log.debug("members that are silent: %s", error)
+                log.debug("exclusions not updated: error=%s", error)
             await asyncio.sleep(_LOOK_EVERY_S)
 
     async def turn(self) -> None:
-        """Probe once, and read all records before some of the probes."""
+        """Probe all members once; before every `_READ_EVERY`th probe read all records."""
         if self._looks % _READ_EVERY == 0:
             await self._read()
         await self.look()
         self._looks += 1
 
     def close(self) -> None:
-        """Close the connections to other members; the term is over."""
+        """Close the connections to other members at the end of the term."""
         for peer in self._peers.values():
             peer.close()
 
     async def _read(self) -> None:
-        """All records. At a term's start they are former leaders', whose fence is gone: certain."""
+        """Read all records.
+
+        At a term's start they were written by earlier leaders, whose requests are all fenced off:
+        no deletion of them can be in flight.
+        """
         entries, _ = await self._client.scan(EXCLUSION_PREFIX)
         for entry in entries:
             host = entry.key.removeprefix(EXCLUSION_PREFIX)
@@ -122,12 +129,12 @@
                 self._found(host, entry.value, entry.version)
                 if not self._read_before and not self._given_up:
                     self._certain.add(host)
-        # Not by the number of looks: one that fails is not counted, and the record whose removal
-        # had brought no answer was taken for certain again.
+        # Not derived from the number of probes: a failed probe isn't counted, so that the first
+        # reading would be repeated, and a record whose deletion is in flight would become certain.
         self._read_before = True
 
     async def look(self) -> None:
-        """Ask every other member once, and exclude or readmit by the answers."""
+        """Ping every other member once; exclude or readmit it accordingly."""
         asked = [self._answers(peer) for peer in self._peers.values()]
         for host, answers in zip(self._peers, await asyncio.gather(*asked), strict=True):
             now = self._now()
@@ -149,25 +156,28 @@
         return await ask_presence(peer) is not None
 
     async def _readmit(self, host: str) -> None:
-        # Sent, it may be executed at any later time: nothing is built on the record any more.
+        # Once sent, the deletion may be executed at any later time, so the record isn't certain.
         self._certain.discard(host)
-        log.info("term %d: member readmitted to elections: host=%s", self._term, host)
+        log.info("member readmitted to elections: term=%d host=%s", self._term, host)
         await self._change(host, wire.delete(exclusion_key(host)))
 
     async def _exclude(self, host: str) -> None:
-        """Write the record, anew if it is there: a removal in flight names its former version."""
-        log.info("term %d: unreachable member excluded from elections: host=%s", self._term, host)
+        """Write the record, also over an existing one.
+
+        A deletion in flight is guarded by the previous revision, so it can't delete the new record.
+        """
+        log.info("unreachable member excluded from elections: term=%d host=%s", self._term, host)
         record = wire.plain(ExclusionRecord(self._term))
         if await self._change(host, wire.put(exclusion_key(host), record)):
             self._certain.add(host)
 
     async def _change(self, host: str, change: dict[str, Any]) -> bool:
-        """Return whether the change certainly was made; otherwise the record is read."""
+        """Return True if the change was certainly committed; otherwise read the record."""
         guards = {exclusion_key(host): self._records.get(host, ABSENT)}
         try:
             result = await self._fence.commit(guards, [change])
         except StateError as error:
-            log.debug("record of %s: %s", host, error)
+            log.debug("exclusion record not changed: host=%s error=%s", host, error)
             result = None
         if isinstance(result, Committed):
             if "delete" in change:
@@ -185,7 +195,7 @@
     def _found(self, host: str, value: Any, version: int) -> None:
         self._records[host] = Revision(version)
         if isinstance(value, dict) and value.get("ends_term") == self._term:
-            # Whoever is let in now could be elected right after that end, while this term seems
-            # valid. It is given up instead, and its lease with it.
+            # A member readmitted now could be elected as soon as this lease is revoked, while this
+            # term still appears valid. So the term is given up, and its lease with it.
             self._given_up = True
             self._revoked()
--- a/tealrill/leadership/lease_extension.py
+++ b/tealrill/leadership/lease_extension.py
@@ -1,8 +1,9 @@
-"""Going on through an outage of the state service.
+"""Extension of the leader's validity during an outage of the state service.
 
-A leader that can't renew its lease falls silent, and an outage longer than the workers' lease then
-ends every task. It may go on if every other member has promised, for a short time, not to stand
-for election: then nobody can be elected, whatever the lease does. docs/design.md has the argument.
+A leader that can't renew its lease must stop answering workers, and in an outage longer than the
+workers' leases all tasks would end. It may continue if every other member grants it a lease
+extension, which is a promise not to campaign for a short time: then no other member can be elected,
+even if the lease expires. docs/design.md has the argument.
 """
 
 from __future__ import annotations
@@ -31,7 +32,7 @@
 log = logging.getLogger(__name__)
 
 PROMISE_S: Final = 4.0
-"""How long a promise holds on the clock of the member that gives it."""
+"""How long a lease extension grant is in force, on the clock of the member that grants it."""
 EXTENSION_PATH: Final = "/peer/truce"
 PING_PATH: Final = "/peer/ping"
 _MARGIN_S: Final = 0.2
@@ -43,22 +44,22 @@
 
 
 class ExtensionRequest(msgspec.Struct, frozen=True):
-    """The leader asks a member for its promise not to elect another."""
+    """The leader's request for a lease extension grant."""
 
     term: int
     seen: int = 0
-    """The revision up to which the leader has seen changes of jobs."""
+    """The revision up to which the leader knows all changes of jobs."""
 
 
 class ExtensionAnswer(msgspec.Struct, frozen=True):
-    """A member's promise, or its refusal, with the cancellations it acknowledged."""
+    """A member's grant or refusal, with the cancellations that it has acknowledged."""
 
     promised: bool
     why: str = ""
     cancelled: list[str] = []
-    """Jobs whose cancellation was acknowledged here after the revision that the leader has seen."""
+    """Jobs whose cancellation was acknowledged here after the leader's revision `seen`."""
     vouches: bool = True
-    """These are all that this host acknowledged; a restarted process can't know that at first."""
+    """True if `cancelled` is certainly complete for this host; just after a restart it isn't."""
 
 
 class Presence(msgspec.Struct, frozen=True):
@@ -66,13 +67,13 @@
 
     leads: bool
     reports: int = 0
-    """Workers' reports that came to this node lately (`leadership/transfer.py`)."""
+    """Number of recent heartbeats received from workers (`leadership/transfer.py`)."""
     lost_term: int | None = None
-    """The term whose leader it finds lost (`lease_revocation.py`)."""
+    """The term whose leader this member considers failed (`lease_revocation.py`)."""
 
 
 async def ask_presence(peer: Client) -> Presence | None:
-    """What another member says of itself; None if it does not answer at once."""
+    """Return another member's presence; None if it does not answer within `_PROBE_S`."""
     try:
         answer = await peer.request("GET", PING_PATH, timeout_s=_PROBE_S)
         return wire.decode(answer.body, Presence)
@@ -81,26 +82,26 @@
 
 
 class Standing(Protocol):
-    """The part of an election that promises concern."""
+    """The part of an `Election` that lease extensions use."""
 
     mine: Leadership | None
 
     def promise(self, term: FencingToken, until: Monotonic) -> str:
-        """Empty if this node will not stand before `until`; else why it can't promise that."""
+        """Grant an extension until `until`; return the reason of a refusal, empty if granted."""
 
 
 @dataclass(frozen=True, slots=True)
 class CancellationKnowledge:
-    """What a leader knows of cancellations."""
+    """Up to when a leader knows all cancellations."""
 
     revision: Revision = Revision(0)
-    """It knows all up to this one."""
+    """All cancellations up to this revision are known."""
     at: Monotonic = Monotonic(-math.inf)
-    """Whatever was acknowledged before this moment is among them."""
+    """All cancellations acknowledged before this moment are known."""
 
 
 class LeaseExtension:
-    """Asks for promises while this node leads, and gives them while another does."""
+    """Requests extension grants while this node leads, and grants them to another leader."""
 
     def __init__(
         self,
@@ -115,21 +116,21 @@
         self._acknowledged = acknowledged or AcknowledgedCancellations(lambda: Revision(0))
         self._now = now
         self.seen: Callable[[], CancellationKnowledge] = CancellationKnowledge
-        """What this node, when it leads, knows of cancellations."""
+        """Returns this node's knowledge of cancellations while it leads."""
         self.cancelled: Callable[[str], None] = lambda _: None
-        """Tells this node's leader of a cancellation that another node has acknowledged."""
+        """Called with each job whose cancellation some node reports as acknowledged."""
         self.on_cancellations_known: Callable[[Leadership, Monotonic], None] = lambda _, __: None
-        """All that was acknowledged before that moment has been told."""
+        """Called when all cancellations acknowledged before that moment have been reported."""
         self.reports: Callable[[], int] = lambda: 0
         self.lost_term: Callable[[], FencingToken | None] = lambda: None
         self.is_excluded: Callable[[Leadership, str], bool] = lambda _, __: False
-        """Whether a member that does not answer certainly can't be elected for a while."""
+        """Returns True if the member certainly can't be elected before its readmission."""
         self.extended: Callable[[Leadership, Monotonic], None] = lambda _, __: None
-        """The term is prolonged until then by that."""
+        """Called with the latest end of a term that was extended relying on `is_excluded`."""
         self._peers = peer_clients(settings)
         workers = settings.params.workers
-        # A cancellation can be acknowledged right after a promise was given. The leader may then
-        # go on for as long as the promise holds, and the worker for a lease longer.
+        # A cancellation can be acknowledged right after a grant. The leader may then act without
+        # knowing it until the grant expires, and a worker runs its task for one more lease.
         self._unseen_s = renewal_bound_s(workers)
         self.possible = cancel_spare_s(workers) >= PROMISE_S
         self._extending = False
@@ -139,14 +140,14 @@
     # -- the leader's side ----------------------------------------------------------------------
 
     async def run(self) -> None:
-        """Extend the leader's validity by a majority whenever its lease can't be renewed."""
+        """Extend the leader's validity by extension grants while its lease can't be renewed."""
         while True:
             mine = self._election.mine
             if mine is not None and mine.troubled and self.possible:
                 await self._seek(mine)
             else:
                 if mine is not None and self._extending:
-                    log.info("term %d: leadership held by its lease again", mine.term)
+                    log.info("lease renewed again, no extension needed: term=%d", mine.term)
                 self._extending = False
                 self._refusals.forget()
             await asyncio.sleep(_ASK_EVERY_S)
@@ -158,7 +159,7 @@
         seen = self.seen()
         request = ExtensionRequest(mine.term, seen.revision)
         answers = await asyncio.gather(*(self._ask(c, request) for c in self._peers.values()))
-        # What this node itself acknowledged may not have come back by its watch either.
+        # The watch may not have delivered this node's own acknowledged cancellations yet either.
         told = [self._acknowledged.since(seen.revision)]
         told += [answer.cancelled for answer in answers if answer is not None]
         for job in chain.from_iterable(told):
@@ -168,7 +169,9 @@
         refused = [f"{n}: no answer" for n in silent if not self.is_excluded(mine, n)]
         refused += [f"{n}: {a.why}" for n, a in by_name.items() if a is not None and not a.promised]
         if refused:
-            self._refusals.info(f"term {mine.term}: lease not extended: {'; '.join(refused)}")
+            self._refusals.info(
+                f"lease not extended: term={mine.term} refused={'; '.join(refused)}"
+            )
             return
         latest = _FOREVER
         unknown = [n for n, a in by_name.items() if a is None or not a.vouches]
@@ -177,7 +180,7 @@
         if not unknown:
             self.on_cancellations_known(mine, sent)
         else:
-            # They, or their former processes, may have acknowledged what nobody here has seen.
+            # These hosts may have acknowledged cancellations that no answer has reported.
             latest = Monotonic(seen.at + self._unseen_s)
         if silent:
             latest = min(
@@ -186,32 +189,31 @@
             )
             self.extended(mine, latest)
         if not self._extending:
-            log.info(
-                "term %d: goes on without the state service, by all others' promise", mine.term
-            )
+            log.info("lease extended without the state service: term=%d", mine.term)
         if unknown and (not self._extending or not self._bounded):
             log.info(
-                "term %d: for %.1f s at most, since %s can't vouch for cancellations",
+                "lease extension limited, cancellations may be unknown: "
+                "term=%d at_most_s=%.1f hosts=%s",
                 mine.term,
                 max(0.0, latest - sent),
-                ", ".join(unknown),
+                ",".join(unknown),
             )
         self._extending = True
         self._bounded = bool(unknown)
         self.extend(mine, sent, latest)
 
     def extend(self, mine: Leadership, sent: Monotonic, latest: Monotonic = _FOREVER) -> None:
-        """All others have promised, after `sent`; `latest` is how far they may be prolonged on.
+        """Extend the term after all other members granted it, in answer to requests sent at `sent`.
 
-        Only a term that was valid all the time is prolonged. After a gap somebody else may have
-        been elected, and promises given afterwards would not undo that.
+        The term is not extended beyond `latest`, and only if it is still valid: after a gap another
+        member may have been elected, which later grants would not undo.
         """
         if mine.valid(self._now()):
             until = lower_bound_deadline(sent, PROMISE_S, _MARGIN_S)
             mine.valid_until = max(mine.valid_until, min(until, latest))
 
     async def _ask(self, client: Client, request: ExtensionRequest) -> ExtensionAnswer | None:
-        """A member's answer; None if it says nothing."""
+        """Return a member's answer; None if it does not answer."""
         try:
             body = wire.encode(request)
             answer = await client.request("POST", EXTENSION_PATH, body, _ASK_TIMEOUT_S)
@@ -224,29 +226,29 @@
     # -- a restarted member -----------------------------------------------------------------------
 
     async def nobody_leads(self) -> bool:
-        """Whether every other member says that it does not lead; no answer says nothing."""
+        """Return True if every other member answers that it does not lead."""
         return all(found is not None and not found.leads for found in await self._presences())
 
     async def others_up(self) -> bool:
-        """Whether any other member answers."""
+        """Return True if at least one other member answers."""
         return any(found is not None for found in await self._presences())
 
     async def _presences(self) -> list[Presence | None]:
-        """What every other member says of itself; None for those that say nothing."""
+        """Return the presence of every other member; None for those that do not answer."""
         return await asyncio.gather(*map(ask_presence, self._peers.values()))
 
     def presence(self) -> Presence:
-        """Return what this member tells others of itself."""
+        """Return this member's presence."""
         return Presence(self._election.mine is not None, self.reports(), self.lost_term())
 
-    # -- the others' side -----------------------------------------------------------------------
+    # -- the other members' side ------------------------------------------------------------------
 
     async def asked(self, request: ExtensionRequest) -> ExtensionAnswer:
-        """A promise is given only by a member that can't reach the state service either.
+        """Answer a leader's request; grant it only if the state service is unreachable from here.
 
-        Were it reachable from here, the leader alone would be cut off, and another leader serves
-        better. With the promise goes what the leader may not have heard: cancellations that were
-        acknowledged here, which it would otherwise let run on.
+        If this member reaches it, only the leader is partitioned from it, and another member should
+        be elected. The answer carries the cancellations acknowledged here, which the leader may not
+        know and whose tasks it would otherwise keep running.
         """
         if await self._state_answers():
             return ExtensionAnswer(False, "the state service answers here")
--- a/tealrill/leadership/lease_revocation.py
+++ b/tealrill/leadership/lease_revocation.py
@@ -1,23 +1,26 @@
-"""Ending the lease of a leader that is lost, where outages of the state service keep it alive.
-
-After every outage all leases have their full time again. A service that goes away every second or
-two therefore never lets the lease of a leader end that froze, died or was cut off, and nobody is
-elected. One of the others then ends that lease by its id. Nothing is taken over by that: the next
-leader is elected as always, and only once the former one certainly counts itself valid no more.
-
-1. The leader is lost: it has not answered this member for `LOST_S` while the state service went
-   away `_LEAST_INTERRUPTIONS` times, and a majority of all members finds the same.
-2. In one transaction, which requires the leader's key as it was and this member not to be excluded,
-   all members but the leader are excluded from elections, this one too. It promises nothing to that
-   leader any more.
-3. The lease is ended, again and again until that is answered.
+"""Revocation of a failed leader's lease that repeated outages of the state service keep alive.
+
+After every outage the state service gives all leases their full TTL again. If it is interrupted
+every second or two, the lease of a leader that froze, died or was partitioned never expires, and no
+other member can be elected. Another member then revokes that lease by its id. This alone makes no
+member the leader: the next one is elected as usual, and only once the failed leader certainly
+considers itself invalid.
+
+1. The leader has failed: it has not answered this member for `LOST_S`, the state service was
+   interrupted `_LEAST_INTERRUPTIONS` times meanwhile, and a majority of all members finds the same.
+2. One transaction excludes all members but the leader from elections, this one included. It
+   requires that the leader's key is unchanged and that this member was not excluded before. From
+   then on this member grants that leader no lease extension.
+3. The lease is revoked; the request is repeated until it is answered.
 4. After the longest validity that the leader's last renewal can have given it, and after this
-   member's own promises, it removes its own exclusion if that is still the one it wrote and nobody
-   was elected. It is elected then, and lets the others in.
+   member's own grants have expired, this member deletes its own exclusion record, provided that the
+   record is still the one it wrote and that no leader was elected. It is then elected and readmits
+   the other members.
 
-A process that ends in between leaves all excluded, who let themselves in after `READMISSION_S`
-without a leader, as always. A leader that finds such a record written against its own term steps
-down: its lease may be ended at any later moment. docs/design.md has the argument.
+If the revoking process ends in between, all members stay excluded and readmit themselves after
+`READMISSION_S` without a leader, as after any exclusion. A leader that finds such a record against
+its own term steps down, since its lease may be revoked at any later moment. docs/design.md has the
+argument.
 """
 
 from __future__ import annotations
@@ -57,30 +60,30 @@
 log = logging.getLogger(__name__)
 
 LOST_S: Final = 6.0
-"""Longer than a process takes to be back, as a rule."""
+"""Time without an answer after which a leader may count as failed; longer than a usual restart."""
 _LEAST_INTERRUPTIONS: Final = 3
-"""A single outage, however long, leaves the lease its ordinary end."""
+"""After fewer interruptions than this, the lease expires by itself."""
 _EVERY_S: Final = 0.25
 _COMMIT_TIMEOUT_S: Final = 0.5
-"""An answer that is lost must not cost the whole time for which the state service is back."""
+"""Short, because waiting for a lost answer would use up the time between two outages."""
 _MARGIN_S: Final = 0.2
 
 
 @dataclass(slots=True)
 class _Attempt:
-    """One leader's lease that is being ended."""
+    """The revocation of one leader's lease."""
 
     leader: KnownLeader
     lease: LeaseId
     term_version: Revision
     exclusion: Revision
-    """The version of this member's own record."""
+    """Revision of this member's own exclusion record."""
     may_stand_at: Monotonic = Monotonic(math.inf)
-    """From then on the former leader is certainly not valid; known once its lease has ended."""
+    """When the failed leader is certainly invalid; infinite until its lease is revoked."""
 
 
 class LeaseRevocation:
-    """One member's part."""
+    """One member's part in finding the leader failed and revoking its lease."""
 
     def __init__(
         self,
@@ -93,7 +96,7 @@
         self._client = client
         self._election = election
         self._unheard_since = unheard_since
-        """Since when the known leader has not answered this member; None if it does."""
+        """Returns since when the known leader has not answered this member; None if it does."""
         self._now = now
         self._host = settings.host_name
         self._peers = peer_clients(settings)
@@ -104,17 +107,17 @@
         self._mark: tuple[KnownLeader, str] | None = None
 
     async def run(self) -> None:
-        """End the lease of a lost leader whenever a majority agrees that it is lost."""
+        """Revoke the lease of a failed leader whenever a majority agrees that it has failed."""
         while True:
             await asyncio.sleep(_EVERY_S)
             try:
                 await self.turn()
             except StateError as error:
-                log.debug("lost leader's lease not ended yet: error=%s", error)
+                log.debug("lease revocation step failed: error=%s", error)
 
     @property
     def lost_term(self) -> FencingToken | None:
-        """The term whose leader this member finds lost."""
+        """The term whose leader this member considers failed; None if it does not."""
         leader, since = self._election.known, self._unheard_since()
         if leader is None or since is None or self._election.mine is not None:
             self._suspected = None
@@ -127,17 +130,17 @@
         return leader.term if lost else None
 
     async def turn(self) -> None:
-        """One step. Raises `StateError` where it has to be tried again."""
+        """Take the next step. Raises `StateError` if the step must be repeated."""
         attempt = self._attempt
         if attempt is not None and self._is_over(attempt):
-            self._give_up("somebody leads")
+            self._give_up("another leader was elected")
         elif attempt is None:
             leader = self._election.known
             if self.lost_term is None or leader is None:
-                # A try that brought no answer is over: nothing was ended by it.
+                # An attempt with an unknown outcome is abandoned: it has revoked no lease.
                 self._election.revoking = None
                 if self._suspected is not None:
-                    # An outage between two requests of this member would not be noticed.
+                    # An extra request, so that outages between this member's other requests count.
                     await self._client.get(LEADER_KEY)
             elif await self._agreed(leader):
                 await self._exclude_members(leader)
@@ -151,12 +154,12 @@
         return self._election.mine is not None or (known is not None and known != attempt.leader)
 
     def _give_up(self, why: str) -> None:
-        log.info("the lost leader's lease: %s", why)
+        log.info("lease revocation finished: reason=%s", why)
         self._attempt = None
         self._election.revoking = None
 
     async def _agreed(self, leader: KnownLeader) -> bool:
-        """Whether a majority of all members, the leader counted among them, finds it lost."""
+        """Return True if a majority of all members, the leader included, finds it failed."""
         others = [peer for host, peer in self._peers.items() if host != leader.host]
         found: list[Presence | None] = await asyncio.gather(*map(ask_presence, others))
         agreeing = sum(one is not None and one.lost_term == leader.term for one in found)
@@ -177,15 +180,15 @@
             or len(hosts) > self._most_changes
         ):
             return
-        # Before the transaction leaves: a promise given after it could prolong the leader's term.
+        # Set before the transaction is sent: a grant after it could extend the leader's term.
         self._election.revoking = leader.term
         mark = self._mark_for(leader)
         record = wire.plain(ExclusionRecord(leader.term, ends_term=leader.term, mark=mark))
         guards = [
             wire.guard(LEADER_KEY, leader.stamp),
             wire.guard(TERM_KEY, term.version),
-            # A member that is excluded already was perhaps excluded by this leader, which then
-            # goes on without its promise.
+            # A member excluded before may have been excluded by this leader, which then extends its
+            # term without that member's grant.
             wire.guard(exclusion_key(self._host), ABSENT),
         ]
         changes = [wire.put(exclusion_key(host), record) for host in hosts]
@@ -196,25 +199,25 @@
         if isinstance(result, Committed):
             revision: Revision | None = result.revision
         else:
-            # This try, or one before it that brought no answer, may have been carried out.
+            # This transaction, or an earlier one with an unknown outcome, may have been committed.
             revision = await self._read_back(mark)
         if revision is None:
-            self._give_up(f"term {leader.term}: not ended by this member")
+            self._give_up(f"exclusion of term {leader.term} not committed")
             return
         lease = LeaseId(entry.lease)
         self._attempt = _Attempt(leader, lease, Revision(term.version), revision)
         log.warning(
-            "term %d: %s is lost and outages keep its lease: it is ended", leader.term, leader.host
+            "revoking the lease of a failed leader: term=%d host=%s", leader.term, leader.host
         )
 
     def _mark_for(self, leader: KnownLeader) -> str:
-        """The same for each try against one leader."""
+        """Return the mark of this member's records against `leader`, the same for all attempts."""
         if self._mark is None or self._mark[0] != leader:
             self._mark = (leader, secrets.token_hex(8))
         return self._mark[1]
 
     async def _read_back(self, mark: str) -> Revision | None:
-        """After no answer: the version of this member's record if it was written just now."""
+        """Return the revision of this member's exclusion record if it has that mark, else None."""
         entry = await self._client.get(exclusion_key(self._host))
         if entry is None or not isinstance(entry.value, dict) or entry.value.get("mark") != mark:
             return None
@@ -222,10 +225,10 @@
 
     async def _end_lease(self, attempt: _Attempt) -> None:
         await self._client.end_lease(attempt.lease)
-        # It was renewed for the last time before this answer.
+        # The leader's last successful renewal was executed before this answer.
         attempt.may_stand_at = Monotonic(self._now() + TTL_S * CLOCK_DRIFT + _MARGIN_S)
         log.info(
-            "term %d: the lease of %s is ended, nobody leads for %.1f s",
+            "lease revoked: term=%d host=%s no_election_s=%.1f",
             attempt.leader.term,
             attempt.leader.host,
             attempt.may_stand_at - self._now(),
@@ -236,19 +239,19 @@
         guards = [
             wire.guard(LEADER_KEY, ABSENT),
             wire.guard(TERM_KEY, attempt.term_version),
-            # Written anew by the leader, it is one by which that may have gone on.
+            # If the leader has rewritten the record, it may have extended its term relying on it.
             wire.guard(own, attempt.exclusion),
         ]
-        # Without an answer it may have been carried out: the election's own guard tells.
+        # Before the commit, whose outcome may stay unknown: the campaign's guards decide then.
         self._election.stand_first()
         result = await self._client.commit(guards, [wire.delete(own)], timeout_s=_COMMIT_TIMEOUT_S)
         if isinstance(result, GuardsFailed):
-            self._give_up(f"changed by others: {', '.join(result.keys)}")
+            self._give_up(f"keys changed by other members: {', '.join(result.keys)}")
         else:
-            self._give_up("it has ended, and this member may stand")
+            self._give_up("lease revoked, this member campaigns")
             self._election.stand_first()
 
 
 def _is_revocable(entry: wire.KeyValue) -> bool:
-    """Whether its holder knows what a record against its own term means."""
+    """Return True if the leader steps down on finding an exclusion against its own term."""
     return isinstance(entry.value, dict) and entry.value.get("revocable") is True
--- a/tealrill/leadership/open_jobs.py
+++ b/tealrill/leadership/open_jobs.py
@@ -1,14 +1,14 @@
-"""Which jobs are open, as a controller knows it that renews workers for the leader.
+"""The open jobs, as known to a controller that renews workers on behalf of the leader.
 
-A worker may be renewed only by whoever knows every cancellation that a user was told of more than
-the staleness bound ago (`renewal_bound_s`). The leader knows them from its watch. A controller
-that renews in its place learns them here: it reads the jobs and the bindings once, and what changed
-under `job/` before each confirmation of its right. A job without a record there is over; what it
-left on a machine that still reports was cancelled, at the earliest when its end's revision can have
-come about (`state/revision_clock.py`).
+A worker may be renewed only by a controller that knows every cancellation acknowledged longer ago
+than the staleness bound (`renewal_bound_s`). The leader knows them from its watch. A controller
+that renews in its place learns them here: it reads the jobs and the bindings once, and the changes
+under `job/` before each confirmation of its delegation. A job without a record there has ended. Its
+tasks that are still on a reporting machine count as cancelled, at the earliest when the revision of
+the job's end can have been created (`state/revision_clock.py`).
 
-Bindings are read because a start that left directly may arrive minutes late: its task is in no
-report yet, and must not find its worker renewed.
+The bindings are needed because a direct start may arrive minutes late: its task is in no heartbeat
+yet, and its worker must not be renewed if the job was cancelled.
 """
 
 from __future__ import annotations
@@ -43,41 +43,41 @@
 _NEVER: Final = Monotonic(-math.inf)
 _ALWAYS: Final = Monotonic(math.inf)
 _LEAST_BOUND_S: Final = 6.0
-"""A watch that is answered in its ordinary time comes well within this."""
+"""Well above the usual answer time of a watch."""
 _CANCEL_MARGIN_S: Final = 5.0
 _ENDS_READ_AT_ONCE: Final = 24
 _READ_AT_ONCE: Final = 8
-"""Cancelled jobs whose bindings are read with one refresh; the others wait for the next."""
+"""Ended jobs whose bindings are read in one refresh; the others wait for the next refresh."""
 
 
 def cancel_spare_s(workers: Workers) -> float:
-    """What `cancel_s` leaves beside a worker's lease, in seconds."""
+    """Return the part of `cancel_s` that a worker's lease and a margin leave, in seconds."""
     return workers.cancel_s - workers.lease_s - _CANCEL_MARGIN_S
 
 
 def renewal_bound_s(workers: Workers) -> float:
-    """How old the knowledge of cancellations may be by which a worker is renewed, in seconds.
+    """Return how old the knowledge of cancellations may be when a worker is renewed, in seconds.
 
-    A worker that is renewed at the end of it runs on for its lease. Where `cancel_s` leaves less
-    than a watch takes, nothing but the watch's ordinary pace can be asked for.
+    A worker renewed at that age keeps running for one more lease. If `cancel_s` leaves less time
+    than a watch takes, the bound is the usual pace of the watch.
     """
     return max(_LEAST_BOUND_S, cancel_spare_s(workers))
 
 
 class UnreadableRecordError(StateError):
-    """A record that this version can't read, so that nothing may be concluded from it."""
+    """This version can't decode a record, so nothing may be concluded from it."""
 
 
 @dataclass(frozen=True, slots=True)
 class _LeftBinding:
-    """A task of a job that is over, bound to a machine's incarnation."""
+    """A task of an ended job that is bound to an agent incarnation."""
 
     incarnation: Incarnation
     job: str
 
 
 class OpenJobs:
-    """The jobs that are open, and what those that are not have left on machines."""
+    """The open jobs, and the bindings that ended jobs have left on machines."""
 
     def __init__(
         self, client: StateClient, bound_s: float, now: Callable[[], Monotonic] = monotonic_now
@@ -88,17 +88,18 @@
         self._revision: Revision | None = None
         self._read_through = _NEVER
         self._owners: dict[str, str | None] = {}
-        """Open jobs and graphs, each with the record that it belongs to."""
+        """Open jobs and graphs, each with the name of the graph that owns it, if any."""
         self._last_open: dict[str, Monotonic] = {}
-        """Jobs that have ended since, with the last moment at which each was known to be open."""
+        """Ended jobs, with the last moment at which each was known to be open."""
         self._bindings_unread: set[str] = set()
+        """Ended jobs whose bindings are not read yet."""
         self._ends_unread: dict[str, str | None] = {}
-        """Jobs that were over at the first reading, each with its owner: as if never open, until
-        their ends are read."""
+        """Jobs that had ended before the first reading, each with its owner; until their ends are
+        read they count as never open."""
         self._left: dict[MachineId, list[_LeftBinding]] = {}
 
     def clear(self) -> None:
-        """Forgets everything: the next refresh reads all records."""
+        """Discard everything; the next refresh reads all records."""
         self._revision = None
         self._read_through = _NEVER
         self._owners.clear()
@@ -109,32 +110,35 @@
 
     @property
     def known_through(self) -> Monotonic:
-        """Every cancellation that was committed before this moment is known, with its bindings."""
+        """All cancellations committed before this moment are known, with the jobs' bindings."""
         unread = (self._last_open[name] for name in self._bindings_unread)
         return min((self._read_through, *unread))
 
     def may_renew(self, report: wire.Heartbeat, machine: MachineId, now: Monotonic) -> bool:
-        """Whether all that the worker runs, or may be about to start, was open recently enough."""
+        """Return True if the jobs of all tasks of the worker were open recently enough.
+
+        This includes tasks that the worker may be about to start.
+        """
         through = min(
             self.known_through, self._reported_through(report), self._left_through(report, machine)
         )
         return now < through + self._bound_s
 
     def _reported_through(self, report: wire.Heartbeat) -> Monotonic:
-        """The last moment at which the jobs of all reported tasks were known to be open."""
+        """Return the last moment at which the jobs of all reported tasks were known to be open."""
         through = _ALWAYS
         for task in report.tasks:
             if task.state != wire.EXITED:
                 task_id = parse_task_id(task.task)
-                # A name that is no task's is none of an open job's.
+                # A malformed task name belongs to no open job.
                 through = min(through, self._job_open_through(task_id.job if task_id else ""))
         return through
 
     def _left_through(self, report: wire.Heartbeat, machine: MachineId) -> Monotonic:
-        """The same of the jobs that have left bindings to the worker's incarnation."""
+        """Return the same for ended jobs bound to the worker's incarnation or a later one."""
         through = _ALWAYS
         for left in self._left.get(machine, ()):
-            # Commands for an earlier incarnation are refused by the worker.
+            # A worker refuses commands for an earlier incarnation.
             if report.incarnation <= left.incarnation:
                 through = min(through, self._job_open_through(left.job))
         return through
@@ -147,7 +151,10 @@
     # -- reading ----------------------------------------------------------------------------------
 
     async def refresh(self) -> None:
-        """Takes in what has changed. Raises `StateError`; no more is claimed to be known then."""
+        """Read the changes since the last refresh.
+
+        Raises `StateError`; `known_through` then covers no more than what was read.
+        """
         if self._revision is None:
             try:
                 await self._load()
@@ -161,7 +168,7 @@
             self._keep_bindings(entries)
             self._bindings_unread.discard(name)
         ends = list(self._ends_unread.items())[:_ENDS_READ_AT_ONCE]
-        # Side by side: until an end is read, machines with the job's tasks are renewed by nobody.
+        # In parallel: until a job's end is read, machines with its tasks can't be renewed.
         found = await asyncio.gather(
             *(self._read_end(*end) for end in ends), return_exceptions=True
         )
@@ -170,7 +177,7 @@
                 raise error
 
     async def _read_end(self, name: str, owner: str | None) -> None:
-        """When a job was open at the latest that this process never saw open."""
+        """Read the end of a job that had ended before this process's first reading."""
         end = await self._client.get(over_key(JobId(name)))
         if end is None and owner is not None:
             end = await self._client.get(OVER_PREFIX + owner)
@@ -183,12 +190,12 @@
         jobs, revision = await self._client.scan(JOB_PREFIX)
         chunks, _ = await self._client.scan(RUN_PREFIX)
         owners = {_name(entry.key): _owner(entry.value) for entry in jobs}
-        # Without its owner a job is over, though its own record is not removed yet.
+        # A job whose owner has ended has ended too, even if its own record still exists.
         self._owners = {
             name: owner for name, owner in owners.items() if owner is None or owner in owners
         }
-        # Read before the bindings are looked at: jobs that were accepted between the two readings
-        # would seem to be over.
+        # Before the bindings are examined: jobs accepted between the two readings would otherwise
+        # appear to have ended.
         await self._follow(revision, sent)
         self._keep_bindings(chunks)
         left = {binding.job for found in self._left.values() for binding in found}
@@ -197,12 +204,12 @@
         }
 
     async def _follow(self, revision: Revision, last_open: Monotonic) -> None:
-        """Changes after that revision; what has ended was open at `last_open`."""
+        """Apply the changes after `revision`; jobs that have ended were open at `last_open`."""
         sent = self._now()
         result = await self._client.watch(JOB_PREFIX, revision, 0.0)
         if result is None:
             self.clear()
-            raise StateError("changes of jobs were missed: all are read again")
+            raise StateError(f"job changes after revision {revision} are compacted")
         for event in result.events:
             if event.put is not None:
                 self._opened(_name(event.put), _owner(event.value))
@@ -219,7 +226,10 @@
             self._owners[name] = owner
 
     def _closed(self, name: str, last_open: Monotonic) -> None:
-        """Its record is gone, or that of its owner; it was there at `last_open`."""
+        """Mark a job as ended whose record, or whose owner's record, was deleted.
+
+        The record existed at `last_open`.
+        """
         if name not in self._owners:
             return
         del self._owners[name]
@@ -250,4 +260,4 @@
     try:
         yield from chunk_bindings(entry.value)
     except RecordError as error:
-        raise UnreadableRecordError(f"record {entry.key}: {error}") from None
+        raise UnreadableRecordError(f"unreadable record: key={entry.key} error={error}") from None
--- a/tealrill/leadership/renewal_delegation.py
+++ b/tealrill/leadership/renewal_delegation.py
@@ -1,13 +1,15 @@
-"""Renewing workers' leases for a leader that can't hear them.
-
-In a cut between zones the leader's workers on the far side fall silent, and after a lease all they
-run is lost, though a node beside them and the state service are reached by both sides. That node
-may answer their reports, without any command, while it holds a delegation: a key that it keeps
-writing anew, guarded by the leader's own key. The leader reads these keys before it calls any
-machine lapsed, and revokes a delegation that it does not want to wait for.
-
-The leader may also be lost, and its key may stand for any time. So a node renews only workers whose
-tasks it knows itself to be those of open jobs (`open_jobs.py`). docs/design.md has the argument.
+"""Delegation: renewal of workers' leases on behalf of a leader that does not receive heartbeats.
+
+In a network partition between zones, heartbeats from the far zone do not reach the leader, and the
+tasks there would end with their workers' leases, although both sides reach the state service and a
+controller in the far zone reaches the workers. That controller may answer their heartbeats, without
+commands, while it holds a delegation: a key that it keeps rewriting, guarded by the leader's key.
+The leader reads these keys before it declares any lease expired, and revokes a delegation that it
+does not want to wait for.
+
+The leader may also have failed, while its key stays for any length of time. So a delegate renews
+only workers whose tasks it knows to belong to open jobs (`open_jobs.py`). docs/design.md has the
+argument.
 """
 
 from __future__ import annotations
@@ -42,39 +44,43 @@
 
 DELEGATION_PREFIX: Final = "deputy/"
 DELEGATION_S: Final = 2.5
-"""How long a node may act on a delegation after it sent the write that confirmed it."""
+"""How long a delegation is valid after the delegate sent the write that confirmed it."""
 _MARGIN_S: Final = 0.1
 _EVERY_S: Final = 0.5
 _PING_TIMEOUT_S: Final = 0.7
 _MISSES: Final = 2
 _CONFIRM_S: Final = 1.0
 _READY_S: Final = 15.0
-"""Workers come to this node some seconds after a cut began, each at its own time."""
+"""How long a delegation is confirmed after a partition began even if no worker sends heartbeats.
+
+Workers reach this node some seconds after the partition began, each at a different time.
+"""
 _ASKED_S: Final = 4.0
+"""How long a delegation is confirmed after the last heartbeat of a worker to this node."""
 
 
 class Delegation(msgspec.Struct, frozen=True):
-    """The record by which a member may renew workers in the leader's place."""
+    """The record that permits a member to renew workers on behalf of the leader."""
 
     term: int
     revoked: bool = msgspec.field(default=False, name="closed")
-    """The leader does not wait for this node any more."""
+    """The leader no longer waits for this delegate."""
     beat: int = 0
 
 
 def _read_delegation(
     key: str, value: object, version: int, unreadable: ChangeLog
 ) -> Delegation | None:
-    """The record, or None if this version can't read it."""
+    """Return the record, or None if this version can't decode it."""
     try:
         return msgspec.convert(value, Delegation)
     except msgspec.ValidationError as error:
-        unreadable.error(f"record {key} at {version}: {error}")
+        unreadable.error(f"unreadable record: key={key} revision={version} error={error}")
         return None
 
 
 class RenewalDelegate:
-    """One node's part."""
+    """The delegate's part: renews workers while the known leader is unreachable."""
 
     def __init__(
         self,
@@ -94,7 +100,7 @@
         self._misses = 0
         self._cut_since: Monotonic | None = None
         self.unheard_since: Monotonic | None = None
-        """Since when the known leader has not answered, a refused connection counted as well."""
+        """Since when the known leader has not answered; refused connections count too."""
         self._asked_at = Monotonic(-1e9)
         self._confirmed_at = Monotonic(-1e9)
         self._valid_until = Monotonic(-1e9)
@@ -105,7 +111,7 @@
     def renews(
         self, report: wire.Heartbeat, machine: MachineId, now: Monotonic
     ) -> FencingToken | None:
-        """The term whose token may be given to this worker at this very moment."""
+        """Return the fencing token with which this worker may be renewed at `now`, else None."""
         self._asked_at = now
         renewals = self._renewals
         if (
@@ -117,8 +123,8 @@
         ):
             return None
         if not self._jobs.may_renew(report, machine, now):
-            # It runs, or may be about to start, what its user was told is cancelled, or may have
-            # been: its lease ends that, and the others' work goes on.
+            # The worker runs, or may be about to start, a task of a job that is or may be
+            # cancelled. Its lease must expire to end that task; other workers are still renewed.
             renewals.withhold(machine, now)
             return None
         renewals.renewed.add(machine)
@@ -126,11 +132,11 @@
 
     @property
     def leader_silent(self) -> bool:
-        """The leader has not answered this node for about a second."""
+        """True if the leader has not answered `_MISSES` pings in a row, about a second."""
         return self._cut_since is not None
 
     def describe(self, now: Monotonic) -> dict[str, object] | None:
-        """For operators: for whom workers are renewed, since when, and by which knowledge."""
+        """Return the state of the delegation for operators; None if no worker is renewed."""
         if self._renewals is None:
             return None
         return {
@@ -152,7 +158,7 @@
                 try:
                     await self.confirm(known)
                 except StateError as error:
-                    log.debug("delegation: %s", error)
+                    log.debug("delegation not confirmed: error=%s", error)
 
     async def _ping(self, leader: Client) -> None:
         try:
@@ -161,7 +167,8 @@
             if self.unheard_since is None:
                 self.unheard_since = self._now()
             if error.refused:
-                # Its process is gone, or controllers are kept apart: neither cuts off workers.
+                # The leader's process has ended, or only controllers are partitioned from each
+                # other. Neither keeps heartbeats from reaching a leader.
                 return self._heard()
             self._misses += 1
             if self._misses >= _MISSES and self._cut_since is None:
@@ -173,7 +180,7 @@
     def _heard(self) -> None:
         self._misses = 0
         self._cut_since = None
-        self._end_renewals("the leader answers, or nobody leads")
+        self._end_renewals("leader reachable or none elected")
         self._jobs.clear()
 
     def _wanted(self, now: Monotonic) -> bool:
@@ -184,15 +191,15 @@
         )
 
     async def confirm(self, leader: KnownLeader) -> None:
-        """Writes the delegation anew. It holds only while the leader's key stands as it was read.
+        """Rewrite the delegation, on the condition that the leader's key is unchanged.
 
-        Cancellations are read first: without knowing them nobody is renewed.
+        Cancellations are read first: no worker may be renewed without knowing them.
         """
         entry = await self._client.get(self._key)
         if entry is not None:
             kept = _read_delegation(self._key, entry.value, entry.version, self._unreadable)
             if kept is None or (kept.revoked and kept.term == leader.term):
-                self._end_renewals("the leader has revoked its delegation, or it can't be read")
+                self._end_renewals("delegation revoked or unreadable")
                 return
         await self._jobs.refresh()
         self._beat += 1
@@ -207,7 +214,7 @@
         if not isinstance(result, Committed):
             return
         if self._renewals is None or self._renewals.leader != leader:
-            self._end_renewals("another one leads")
+            self._end_renewals("another leader elected")
             self._renewals = _DelegatedRenewals(leader, sent, self._warn_after_s)
         self._confirmed_at = sent
         self._valid_until = lower_bound_deadline(sent, DELEGATION_S, _MARGIN_S)
@@ -220,7 +227,7 @@
 
 
 class _DelegatedRenewals:
-    """Renewals for one leader from the first confirmation on, as the log and operators see them."""
+    """Renewals on behalf of one leader since the first confirmation, for the log and operators."""
 
     def __init__(self, leader: KnownLeader, since: Monotonic, warn_after_s: float) -> None:
         self.leader = leader
@@ -230,18 +237,18 @@
         self._warned = False
         self._withheld: set[MachineId] = set()
         log.info(
-            "term %d: renewing workers in place of an unreachable leader: host=%s",
+            "renewing workers for an unreachable leader: term=%d host=%s",
             leader.term,
             leader.host,
         )
 
     def confirmed(self, revision: Revision, now: Monotonic) -> None:
-        """Warns once when the leader has been lost for longer than any cut should last."""
+        """Warn once if workers have been renewed for longer than `cancel_s`."""
         if not self._warned and now - self._since > self._warn_after_s:
             self._warned = True
             log.warning(
-                "term %d: %s has not answered for %.0f s, its key stands at revision %d and nobody "
-                "can be elected; %d workers renewed, %d left to their leases",
+                "leader unreachable and no other can be elected: term=%d host=%s "
+                "renewing_s=%.0f revision=%d workers_renewed=%d workers_withheld=%d",
                 self.leader.term,
                 self.leader.host,
                 now - self._since,
@@ -254,8 +261,8 @@
         if machine not in self._withheld:
             self._withheld.add(machine)
             log.info(
-                "term %d: machine %s is left to its lease, %.0f s after the first renewal: "
-                "its tasks may be cancelled ones",
+                "worker not renewed, its tasks may be cancelled: "
+                "term=%d machine=%s renewing_s=%.0f",
                 self.leader.term,
                 machine,
                 now - self._since,
@@ -263,7 +270,8 @@
 
     def end(self, why: str, now: Monotonic) -> None:
         log.info(
-            "term %d: %d workers were renewed for %.0f s, %d left to their leases: %s",
+            "stopped renewing workers for another leader: "
+            "term=%d workers_renewed=%d renewing_s=%.0f workers_withheld=%d reason=%s",
             self.leader.term,
             len(self.renewed),
             now - self._since,
@@ -282,11 +290,12 @@
 
 
 class Delegations:
-    """The leader's part: whose delegations stand, before any machine is called lapsed."""
+    """The leader's part: finds active delegations before any machine's lease counts as expired."""
 
     _STALE_S = 4.0
-    """A delegation that was not written anew for so long serves no worker."""
+    """A delegation that was not rewritten for this long renews no worker."""
     _LONGEST_S = 60.0
+    """The leader revokes a delegation this long after it first read it, even if still rewritten."""
 
     def __init__(
         self, client: StateClient, term: FencingToken, stamp: Revision, ended: Callable[[], None]
@@ -295,27 +304,29 @@
         self._fence = Fence(client, stamp)
         self._term = term
         self._ended = ended
-        """Called when a delegation has ended, or may have."""
+        """Called when a delegation has ended or may have ended."""
         self._unreadable = ChangeLog(log)
         self._since: dict[str, Monotonic] = {}
         self._written: dict[str, tuple[int, Monotonic]] = {}
 
     async def stand(self, now: Monotonic, revoke: bool) -> bool:
-        """Whether any node may have renewed workers a moment ago.
+        """Return True if any delegate may have renewed workers a moment ago.
 
-        Raises `StateError` where that can't be learnt, and then nothing may be called lapsed.
+        Revokes stale and overlong delegations, and all of them if `revoke` is set. Raises
+        `StateError` if that can't be determined; then no lease may be declared expired.
         """
         entries, _ = await self._client.scan(DELEGATION_PREFIX)
         standing = False
         for entry in entries:
             delegation = _read_delegation(entry.key, entry.value, entry.version, self._unreadable)
             if delegation is not None and (delegation.term != self._term or delegation.revoked):
-                # The guard on the leader's key ended an older term's delegations with that term.
+                # An older term's delegations can't be confirmed any more: the guard on its leader's
+                # key fails.
                 continue
             standing = True
-            # One that can't be read may be this term's: it is waited for, and closed.
+            # An unreadable one may belong to this term: it counts as active and is revoked.
             if delegation is None or self._outdated(entry, now) or revoke:
-                log.info("delegation %s is revoked", entry.key)
+                log.info("delegation revoked: key=%s", entry.key)
                 await self._change(
                     entry, wire.put(entry.key, wire.plain(Delegation(self._term, True)))
                 )
@@ -330,7 +341,7 @@
         return now - at > self._STALE_S or now - since > self._LONGEST_S
 
     async def clear(self) -> None:
-        """Removes all delegations once every machine is heard again."""
+        """Delete all delegations; used once no machine misses heartbeats any more."""
         if not self._since:
             return
         entries, _ = await self._client.scan(DELEGATION_PREFIX)
@@ -343,8 +354,8 @@
         try:
             result = await self._fence.commit({entry.key: Revision(entry.version)}, [change])
         finally:
-            # Without an answer it may have ended all the same.
+            # Also after an unknown outcome: the delegation may have ended.
             self._ended()
         if not isinstance(result, Committed):
-            # The node wrote it anew meanwhile, or somebody else leads by now.
-            raise StateUnavailableError(f"{entry.key} has changed")
+            # The delegate has rewritten it meanwhile, or another leader was elected.
+            raise StateUnavailableError(f"delegation changed by another member: key={entry.key}")
--- a/tealrill/leadership/transfer.py
+++ b/tealrill/leadership/transfer.py
@@ -1,9 +1,10 @@
-"""Whether another node hears the workers that this leader does not hear.
+"""Detection that workers reach another controller but not the leader.
 
-A leader whose way to the workers is broken keeps its lease: the state service and the other nodes
-reach it. Its workers wait 4 s for an answer, try the next node, are sent back to the leader, and
-lapse. So every node counts the reports that come to it, and a leader that suddenly hears nobody
-asks the others. If workers come to them, it gives way while the leases still run.
+A leader that workers can't reach keeps its lease, because the state service and the other
+controllers still reach it. Its workers wait 4 s for an answer, try the next controller, are
+redirected to the leader, and their leases expire. So every controller counts the heartbeats that it
+receives, and a leader that suddenly receives none asks the others. If they receive heartbeats, the
+leader resigns before the workers' leases expire.
 """
 
 from __future__ import annotations
@@ -18,13 +19,14 @@
 from tealrill.types import Monotonic
 
 _PERIODS: Final = 2.0
+"""Length of a counting window in heartbeat intervals."""
 _FEWEST: Final = 2
 _SHARE: Final = 0.05
-"""Some workers always come to the wrong node, those that have just booted among them."""
+"""Some workers always contact a controller that does not lead, for instance just after booting."""
 
 
 class LeadershipTransfer:
-    """The count of this node's reports, and what the others say of theirs."""
+    """Counts the heartbeats received by this node, and asks the other nodes for their counts."""
 
     def __init__(self, settings: Settings) -> None:
         self._window_s = _PERIODS * settings.params.workers.heartbeat_interval_s
@@ -33,12 +35,12 @@
         self._counts = [0, 0]
 
     def took(self, now: Monotonic) -> None:
-        """A worker's report came to this node."""
+        """Count a worker's heartbeat received by this node."""
         self._turn(now)
         self._counts[1] += 1
 
     def recent(self, now: Monotonic) -> int:
-        """How many reports came within the last one to two windows of two report periods."""
+        """Return the number of heartbeats received in the current window and the one before."""
         self._turn(now)
         return sum(self._counts)
 
@@ -49,7 +51,10 @@
             self._window = window
 
     async def better(self, heard: int) -> bool:
-        """Whether any other node hears workers; `heard` machines were heard here until now."""
+        """Return True if another node receives heartbeats from more than a few workers.
+
+        `heard` is the number of machines whose heartbeats this node received until now.
+        """
         found = await asyncio.gather(*(self._ask(client) for client in self._peers))
         return max(found, default=0) >= max(_FEWEST, math.ceil(_SHARE * heard))
 
