--- a/tests/test_acknowledged_cancellations.py
+++ b/tests/test_acknowledged_cancellations.py
@@ -1,9 +1,9 @@
-"""A leader that goes on through an outage stops in time what users were told is cancelled.
+"""A leader whose term is extended through an outage stops acknowledged cancelled tasks in time.
 
-One leader and two members acknowledge cancellations; the leader's watch lags, the state service
-comes and goes, members are started again within a moment and know nothing of what they said. A
-cancellation that the leader does not know of must never be older than the protocol allows while
-the leader may act. `test_each_clause_is_needed` takes the clauses away one by one.
+One leader and two members acknowledge cancellations. The leader's watch lags, the state service
+fails and recovers, and members restart quickly and lose their knowledge of what they acknowledged.
+While the leader may act, a cancellation that it does not know must be recent enough for its tasks
+to end within `cancel_s`. `test_each_clause_is_needed` removes the protocol's conditions one by one.
 """
 
 from __future__ import annotations
@@ -49,7 +49,7 @@
 
 
 class _Member:
-    """A node that does not stand; all that it knows goes with its process."""
+    """A node that never campaigns; a restart loses all its knowledge."""
 
     mine: Leadership | None = None
 
@@ -105,7 +105,7 @@
             self.check()
 
     def cancel(self) -> None:
-        """A member commits a cancellation; its user may learn of it from it or from a poll."""
+        """Commit a cancellation; its user learns of it by the answer or by a later poll."""
         if self.state.up:
             self.state.revision += 1
             name = f"wk-{self.state.revision}"
@@ -114,7 +114,7 @@
                 self._tell(name, self.rng.choice(self.members))
             elif self.rng.random() < 0.5:
                 self.poll()
-            # What matters is told in the last moment before an outage.
+            # The critical cancellations are those acknowledged just before an outage.
             self.state.up = self.rng.random() < 0.5
 
     def poll(self) -> None:
@@ -140,7 +140,7 @@
                 member.first = Revision(self.state.revision)
 
     def turn(self) -> None:
-        # Outages are to outlast what may run unseen.
+        # Outages must last longer than an unknown cancellation may stay unknown.
         self.state.up = not self.state.up and self.rng.random() < 0.3
 
     def ask(self) -> None:
@@ -184,7 +184,7 @@
 @given(st.integers(0, 2**32))
 @hypothesis_settings(max_examples=200, deadline=None, derandomize=True)
 def test_nothing_runs_on_where_more_are_called_off_than_are_kept(seed: int) -> None:
-    """One-task jobs by the hundred, a quarter of them called off, in an outage."""
+    """Each member keeps only its latest acknowledged cancellation, so older ones are dropped."""
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(acknowledged_module, "_KEPT", 1)
         _World(seed).run(80)
@@ -218,7 +218,7 @@
     for at in (7, 9, 8, 10):
         known.add(f"wk-{at}", Revision(at))
     assert known.since(Revision(0)) == ["wk-9", "wk-8", "wk-10"]
-    # The oldest was let go, so a leader that has not seen it is told that something is missing.
+    # The oldest was dropped, so the list is incomplete for a leader that has not seen it.
     assert not known.all_since(Revision(6))
     assert known.all_since(Revision(7))
 
@@ -233,6 +233,6 @@
     while world.mine.valid(world.now):
         world.ask()
         world.now = Monotonic(world.now + 0.5)
-    # Longer than one promise, and no longer than what nobody here knows of may run.
+    # Longer than one grant, but no longer than an unknown cancelled task may run.
     spare = _WORKERS["cancel_s"] - _WORKERS["lease_s"]
     assert PROMISE_S < world.now - began < spare
--- a/tests/test_exclusion.py
+++ b/tests/test_exclusion.py
@@ -1,10 +1,10 @@
-"""At no moment two leaders, whoever is silent, cut off, restarted or late.
+"""At most one leader is valid at any moment, whichever members are unreachable or restarted.
 
-Three hosts with real elections, lease extensions and exclusions stand around one store with leases.
-Links between hosts, and of each host to the store, come and go; transactions are executed late or
-without an answer; processes are started again; time passes at the hosts' own slightly different
-paces. After each step at most one of the leaders may be valid. `test_each_clause_is_needed` takes
-the clauses of the exception for silent members away.
+Simulates three hosts with real elections, lease extensions and exclusions, and one store with
+leases. Links between hosts, and from each host to the store, fail and recover; transactions are
+executed late or have an unknown outcome; processes restart; the hosts' clocks run at slightly
+different rates. After each step at most one leader may be valid. `test_each_clause_is_needed`
+removes the conditions under which a term may be extended without an excluded member's grant.
 """
 
 from __future__ import annotations
@@ -51,11 +51,11 @@
 
 
 class TwoLeaders(AssertionError):
-    """Two processes may act for the controllers at the same moment."""
+    """Two valid leaders at the same moment."""
 
 
 class _Store:
-    """The state service in true time."""
+    """The state service, on the simulation's clock."""
 
     def __init__(self, world: World) -> None:
         self.world = world
@@ -90,7 +90,7 @@
 
 
 class _Client:
-    """The store as one host reaches it."""
+    """The state service as one host reaches it."""
 
     first_seen = Revision(0)
 
@@ -158,7 +158,7 @@
 
 
 class _Peer:
-    """One host as another one reaches it."""
+    """One host as another host reaches it."""
 
     def __init__(self, world: World, own: str, other: str) -> None:
         self.world, self.own, self.other = world, own, other
@@ -181,7 +181,7 @@
 
 
 class _Node:
-    """One process."""
+    """One controller process."""
 
     def __init__(self, world: World, host: str) -> None:
         self.world, self.host = world, host
@@ -199,7 +199,7 @@
         self.extension.is_excluded = lambda mine, other: self._exclusions(mine).is_excluded(other)
         if world.without != "relying":
             self.extension.extended = lambda mine, until: self._exclusions(mine).hold_until(until)
-        # Cancellations bound it more tightly; what is looked for here is two leaders.
+        # All cancellations are known, so that they don't shorten extensions here.
         self.extension.seen = lambda: CancellationKnowledge(Revision(1 << 40), Monotonic(1e9))
         self.peers = peers
         self.of: Any = None
@@ -270,7 +270,7 @@
                 self.check()
 
     def _change(self) -> None:
-        """Trouble of a kind that lasts until the next one."""
+        """Change which links are down, or restart a process; lasts until the next change."""
         kind = self.rng.choice(["silent", "outage", "silent+outage", "alone", "heal", "restart"])
         one = self.rng.choice(_HOSTS)
         others = [host for host in _HOSTS if host != one]
@@ -286,7 +286,7 @@
             self.apart = {frozenset((one, other)) for other in others}
             self.cut = set(_HOSTS) if self.rng.random() < 0.5 else set(others)
         elif kind == "alone":
-            # The one that is silent is back at the state service, the others are not.
+            # Only the unreachable host reaches the state service again.
             self.cut = set(_HOSTS) - {one}
         else:
             self.nodes[one] = self.node_type(self, one)
@@ -342,12 +342,13 @@
 
 
 def test_a_leader_goes_on_without_a_silent_member() -> None:
-    # 15 s and three of the lease, while one of three was silent and the state service away.
+    # A term may be extended for 15 s after its lease while one member of three is unreachable and
+    # the state service is down.
     assert max(_play(seed).longest_extension for seed in range(60)) > TTL_S + 6.0
 
 
 def _unguarded(patch: pytest.MonkeyPatch) -> None:
-    """An election that doesn't ask whether its host may stand."""
+    """An election does not require its host's exclusion record to be absent."""
     whole = _Client.commit
 
     async def commit(
@@ -361,22 +362,22 @@
 
 
 def _impatient(patch: pytest.MonkeyPatch) -> None:
-    """A member lets itself in as soon as it sees nobody lead."""
+    """An excluded member readmits itself as soon as it observes that there is no leader."""
     patch.setattr(election_module, "CLOCK_DRIFT", 0.0)
 
 
 def _unbounded(patch: pytest.MonkeyPatch) -> None:
-    """The leader goes on for as long as the record stands by what it knows."""
+    """The term is extended for as long as the leader believes the record to exist."""
     patch.setattr(extension_module, "READMISSION_S", 1e6)
 
 
 def _never_written(patch: pytest.MonkeyPatch) -> None:
-    """Silence alone keeps a member out."""
+    """An unreachable member counts as excluded without a record."""
     patch.setattr(Exclusions, "is_excluded", lambda *_: True)
 
 
 def _hasty(patch: pytest.MonkeyPatch) -> None:
-    """A record counts though its removal is under way."""
+    """A record counts as certain while its deletion is in flight."""
 
     async def let_in(self: Exclusions, host: str) -> None:
         await self._change(host, wire.delete(exclusion_key(host)))
@@ -386,8 +387,8 @@
 
 @pytest.mark.parametrize("clause", [_unguarded, _impatient, _unbounded, _never_written, _hasty])
 def test_each_clause_is_needed(clause: Any, monkeypatch: pytest.MonkeyPatch) -> None:
-    # That nobody is let in while a term relies on it shows in one world of some thousand only, and
-    # has a test of its own below.
+    # That no member is readmitted while a term relies on its exclusion fails only for one of some
+    # thousand seeds, and has its own test below.
     clause(monkeypatch)
     with pytest.raises(TwoLeaders):
         for seed in range(300):
@@ -417,7 +418,7 @@
         world.true += SILENT_S
         await found.look()
         assert found.is_excluded("host-1") and exclusion_key("host-1") in store.keys
-        # It answers; its removal gets no answer and is not executed yet.
+        # It answers; the deletion of its record has an unknown outcome and is not executed yet.
         answers["value"] = True
         world.rng.random = lambda: 0.0  # type: ignore[method-assign]
         with contextlib.suppress(OutcomeUnknownError):
@@ -438,8 +439,8 @@
 
 @pytest.mark.parametrize("guarded", [True, False])
 def test_only_the_first_reading_finds_records_that_nothing_removes(guarded: bool) -> None:
-    """The removal of a record found at the term's start brings no answer, nor does the reading
-    after it. The next reading finds the record: its removal may be executed at any time."""
+    """The deletion of a record found at the term's start has an unknown outcome, and the reading
+    after it fails. The next reading finds the record, but the deletion may still be executed."""
     world = World(0)
     store = world.store
     store.keys[LEADER_KEY] = ({}, 1, None)
@@ -464,7 +465,7 @@
         client.get = get
         if not guarded:
             found._read_before = False
-        # It falls silent again.
+        # The member becomes unreachable again.
         world.apart = {frozenset(("host-0", "host-1"))}
         await found.turn()
         assert found.is_excluded("host-1") is not guarded
@@ -476,7 +477,7 @@
 
 
 def test_some_are_left_who_need_not_wait() -> None:
-    """In a cut the leader hears nobody; if it is lost, one of the others must be able to follow."""
+    """A partitioned leader reaches no member. If it fails, one must be electable at once."""
     world = World(0)
     world.store.keys[LEADER_KEY] = ({}, 1, None)
     world.rng.random = lambda: 1.0  # type: ignore[method-assign]
@@ -510,7 +511,7 @@
         )
         found._peers = {"host-1": node.peers["host-1"]}
         await found._read()
-        # Found at the term's start: its writer's fence has gone.
+        # Read at the term's start: requests of the leader that wrote it are fenced off.
         assert found.is_excluded("host-1")
         found.hold_until(Monotonic(node.now() + 5.0))
         await found.look()
@@ -524,7 +525,7 @@
 
 
 def test_a_terms_connections_end_with_it() -> None:
-    # One to each member stayed open with every term, until the collector came by.
+    # Otherwise one connection to each member stays open per term until it is garbage-collected.
     world = World(0)
     node = world.nodes["host-0"]
     found = Exclusions(
--- a/tests/test_flapping.py
+++ b/tests/test_flapping.py
@@ -1,12 +1,10 @@
-"""Cancelled tasks while the state service flaps and the leader is lost.
-
-Incident: a task of a cancelled job was still on its machine when `cancel_s` had passed. The leader
-had just frozen (in a second case its machine was lost), and the state service went away for a
-second or two again and again. Every outage gives the leader's lease its full time again, so its key
-stood for 45 s and nobody was elected. The other controllers renewed its workers all that time by
-their delegations, without looking whether a worker held a task of a cancelled job: only the leader
-did that, whose absence gave the right. Proof: the workers' reports were answered with 200 until the
-leader was back, and the stop was first sent then.
+"""Cancelled tasks end in time while the state service flaps and the leader has failed.
+
+Guards against tasks of cancelled jobs that are still on their machines after `cancel_s`. It comes
+about when the leader freezes or its machine fails while the state service has repeated outages of a
+second or two: each outage gives the leader's lease its full TTL again, so its key stays for 45 s
+and no other member is elected. Controllers that renew the leader's workers by delegation all that
+time must withhold the renewal from a worker with a task of a cancelled job.
 """
 
 from __future__ import annotations
@@ -23,7 +21,7 @@
 from tealrill.types import Monotonic
 
 LONG_JOBS = ((2, 70.0), (3, 90.0), (1, 120.0))
-"""Tasks and run times in seconds: none ends by itself before its time to be gone."""
+"""Number of tasks and run time in seconds; all run longer than `cancel_s`."""
 FLAPPING_S = 52.0
 
 
@@ -40,8 +38,8 @@
 
 
 SUCCEEDED_WITHIN_S = 20.0
-"""A lost leader's time, its lease's end, its longest validity after that, an election, each with
-its retries while the state service is away."""
+"""Upper bound for detecting the failure, revoking the lease, waiting until the former leader is
+invalid, and an election, each with its retries while the state service is down."""
 
 
 @pytest.mark.parametrize("way", [FROZEN, GONE, CUT])
@@ -50,16 +48,15 @@
 def test_another_one_leads_while_the_state_service_still_flaps(
     seed: int, nodes: int, way: str
 ) -> None:
-    """Nobody was elected, and nothing new begun, before the flapping ended; later, for too long.
-
-    Seen: a successor after 22.4 s (seed 2, three controllers, cut) and 20.0 s (seed 24, frozen).
-    Cause: the service is back for a second at a time, and a member let such a second pass: it
-    waited 2 s for an answer that was lost, paused after it had let itself in, or let others stand
-    first who were all excluded. Outages between two of its requests it did not notice at all: on
-    seed 24 the third was noticed at the eleventh.
-    Proof: the requests of these days by the second. Of 144 days (24 seeds) two were over the bound;
-    with the repairs one of 360 (60 seeds), seed 40, where the answer to the election and that to
-    the removal of its key are lost one after the other.
+    """Guards against a successor that is elected late or only after the flapping has ended.
+
+    The state service is up for only about a second at a time. A member misses such a second if it
+    waits 2 s for a lost answer, pauses after it has readmitted itself, or delays its campaign for
+    members that are all excluded. And it counts too few interruptions if it does not notice outages
+    between two of its requests. Such delays elected the successor only after 22.4 s (seed 2, three
+    controllers, cut) and 20.0 s (seed 24, frozen). Of 360 runs (60 seeds) one still exceeds the
+    bound (seed 40, five controllers, cut): the answers to the election and to the deletion of its
+    key are lost one after the other.
     """
     led_after_s: list[float] = []
 
@@ -83,5 +80,5 @@
 
 
 def _steady(world: SimulatedCluster) -> Monotonic:
-    """The processes' own clock."""
+    """Return the current time of the processes' steady clock."""
     return Monotonic(STEADY_AT + world.now())
--- a/tests/test_leader_churn.py
+++ b/tests/test_leader_churn.py
@@ -1,19 +1,13 @@
-"""Cancelled tasks while leaders change every few seconds.
-
-Incident: a task of a cancelled job was still on its machine when `cancel_s` had passed. Every
-controller was killed or frozen again and again, so that no term lasted longer than two or three
-seconds. The worker's heartbeats were answered with 200 by one term after the other, and it listed
-the cancelled task in each of them.
-How it came about: the first heartbeat that reaches a term carries an older token. It was answered
-200, which renews the lease, without any command, since its list may be older than the term; the
-stop was left to the next one. A worker sends that early, after half a second, for a higher token at
-most once in half a lease, and otherwise 2.5 s later. By then the next term had begun.
-Cause: a right was renewed on one path without the check that another path makes: that what has to
-end is stopped by the very answer.
-Proof: in the records each 200 after the cancellation is the first of its token, and the early
-heartbeats come where that pace has them: at 42.12 and 50.17 s, to a frozen and to a killed leader.
-In the first day below eleven such answers follow one another, without a command. With the stop in
-them, and nothing else changed, the rule holds on all days.
+"""Cancelled tasks end in time while leaders change every two or three seconds.
+
+Guards against tasks of cancelled jobs that are still on their machines after `cancel_s`. The first
+heartbeat that reaches a term carries an older token, and its task list may be older than the term.
+If the answer renews the lease without commands and leaves the stop to the next heartbeat, that one
+comes only after the next change of leaders: a worker sends its next heartbeat early, after half a
+second, for a higher token at most once in half a lease, and otherwise 2.5 s later. So term after
+term renews the worker and none stops the task (eleven such answers in a row on the first of
+`DAYS`). Therefore every answer that renews a lease carries the stops of the listed tasks that have
+to end.
 """
 
 from __future__ import annotations
@@ -45,12 +39,12 @@
 from tests.samples import report, spec
 
 LONG_JOBS = ((4, 90.0), (6, 100.0), (2, 120.0))
-"""Tasks and run times in seconds: none ends by itself before its time to be gone."""
+"""Number of tasks and run time in seconds; all run longer than `cancel_s`."""
 CHURN_S = 55.0
 
 
 def _shape(nodes: int) -> Shape:
-    """The incident's times: a heartbeat interval is longer than most terms."""
+    """Return a cluster whose heartbeat interval is longer than most terms."""
     return Shape(
         nodes=nodes,
         machines=14,
@@ -65,7 +59,7 @@
 
 
 DAYS = ((3, 2.1, 2), (5, 1.5, 1), (5, 1.7, 2), (5, 2.1, 2), (5, 2.5, 2))
-"""Controllers, seconds between their ends, seed."""
+"""Number of controllers, seconds between changes of the leader, seed."""
 
 
 def _play(nodes: int, every_s: float, seed: int) -> SimulatedCluster:
@@ -100,7 +94,7 @@
 
 
 class Term:
-    """A leader that has just read its records; a former one had started one task."""
+    """A leader that has just read its records, with one task started in an earlier term."""
 
     def __init__(self, bound: bool = True, cancelled: bool = True) -> None:
         self.job_store = JobStore(4.0)
@@ -120,7 +114,7 @@
             self.fleet.commands.stop(binding, "cancelled", 0.0, ELECTED_AT)
 
     def answer(self, sequence: int, token: int) -> list[dict[str, Any]] | None:
-        """The commands of the answer to a heartbeat that lists the task."""
+        """Return the commands of the answer to a heartbeat that lists the task."""
         self._answers += 1
         now = Monotonic(ELECTED_AT + self._answers)
         heartbeat = report(MACHINE, 1, sequence, token, RUNNING)
@@ -146,18 +140,18 @@
 
 
 def test_the_first_answer_stops_what_no_record_covers_once_its_job_has_ended() -> None:
-    """Its job is over, or the leader does not know it: nothing else would end it."""
+    """A task without a record, whose job has ended or is unknown, is not stopped otherwise."""
     assert Term(bound=False).answer(sequence=5, token=TERM - 1) == [STOP]
 
 
 def test_an_old_list_stops_nothing_of_an_open_job() -> None:
     assert Term(cancelled=False).answer(sequence=5, token=TERM - 1) == []
     assert Term(bound=False, cancelled=False).answer(sequence=5, token=TERM - 1) == []
-    # The term's own list counts: this attempt has no record any more.
+    # A list sent within the term is current, so an attempt without a record is stopped.
     assert Term(bound=False, cancelled=False).answer(sequence=5, token=TERM) == [STOP]
 
 
-# -- what is shown of it ---------------------------------------------------------------------------
+# -- log lines and status --------------------------------------------------------------------------
 
 
 def test_a_task_that_outlives_its_cancellation_is_logged_once_a_term(
--- a/tests/test_lease_extension.py
+++ b/tests/test_lease_extension.py
@@ -1,4 +1,4 @@
-"""Promises not to stand for election: each clause of the argument in docs/design.md."""
+"""Lease extension grants: each condition of the safety argument in docs/design.md."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 class _State:
-    """As much of the state service as an election uses."""
+    """The part of the state service that an election uses."""
 
     def __init__(self, term: int | None = 4, outcome: str = "ok") -> None:
         self.keys: dict[str, tuple[Any, int]] = {} if term is None else {TERM_KEY: (term, 9)}
@@ -102,14 +102,15 @@
 
 def test_a_restarted_member_may_have_promised(clock: _Clock) -> None:
     assert not _stand(_election(_State(), PROMISE_S))
-    # Before the first term nobody can hold a promise, and nothing is to be waited for.
+    # Before the first term no leader can have been granted an extension.
     assert _stand(_election(_State(term=None), PROMISE_S))
-    # The key of this host's own former process belongs to nobody who could hold one.
+    # If the leader's key is that of this host's previous process, no other member leads.
     assert _stand(_election(_State(), PROMISE_S), stamp=7)
 
 
 def test_a_restarted_member_stands_at_once_if_nobody_leads(clock: _Clock) -> None:
-    # All controllers crashed together, and the wait for the promise's end cost every task.
+    # After a crash of all controllers, waiting for the grants to expire would outlast the workers'
+    # leases and end every task.
     election = _election(_State(), PROMISE_S)
     extension = _extension(_State(), election, clock)
     said: dict[str, NoAnswerError | bytes] = {
@@ -131,7 +132,7 @@
     said["answer"] = wire.encode(Presence(leads=True))
     assert not _stand(election)
     said["answer"] = wire.encode(Presence(leads=False))
-    # A promise of this very process still holds.
+    # A grant by this process itself is still in force.
     assert election.promise(FencingToken(4), Monotonic(clock.now + 1.0)) == ""
     assert not _stand(election)
     clock.now = Monotonic(clock.now + 1.0)
@@ -147,7 +148,7 @@
     election = _election(_State(outcome=outcome))
     assert not _stand(election)
     assert (election.promise(FencingToken(4), Monotonic(200.0)) == "") is promised
-    # The guard on the term makes the late one fail once a later term is there.
+    # The guard on the term's key makes the late transaction fail once there is a later term.
     assert election.promise(FencingToken(5), Monotonic(200.0)) == ""
 
 
@@ -158,13 +159,14 @@
     election.known = None
     assert _stand(election)
     assert election.mine is not None
-    # Asked by its own term's number, it is not asked by a later leader.
+    # A request with this node's own term is not one of a later leader.
     assert election.promise(election.mine.term, Monotonic(200.0)) == "leads itself"
 
 
 def test_who_was_followed_promises_to_the_one_that_follows(clock: _Clock) -> None:
-    # Refused by the state service alone it can't see that its key has gone. Its "leads itself" made
-    # its successor fall silent in an outage, and every task ended with its lease.
+    # While only its own requests to the state service fail, the former leader can't see that its
+    # key no longer exists. If it refused the grant ("leads itself"), its successor would become
+    # invalid in an outage, and every task would end with its worker's lease.
     election = _election(_State())
     assert _stand(election)
     mine = election.mine
@@ -204,7 +206,7 @@
     assert not asyncio.run(extension.asked(ExtensionRequest(4))).promised
     state.down = True
     assert asyncio.run(extension.asked(ExtensionRequest(4, seen=60))) == ExtensionAnswer(True)
-    # What was cancelled here without the leader's knowledge goes with the promise.
+    # The grant carries cancellations acknowledged here that the leader does not know.
     assert asyncio.run(extension.asked(ExtensionRequest(4, seen=40))) == ExtensionAnswer(
         True, cancelled=["wk-1"]
     )
@@ -216,7 +218,7 @@
     election = _election(_State())
     members = [{"host_name": f"n-{n}", "zone": "north", "peer_addr": "x:1"} for n in range(2)]
     extension = _extension(_State(), election, clock, members=members)
-    # Its own process's first look lies before what it has seen as a leader.
+    # The revision that this process read first is older than what it knows as the leader.
     extension.seen = lambda: CancellationKnowledge(Revision(30), clock.now)
     told: list[str] = []
     extension.cancelled = told.append
@@ -236,7 +238,7 @@
 
     assert extended(ExtensionAnswer(True))
     assert not extended(ExtensionAnswer(False, "no answer"))
-    # With what this node itself acknowledged, which may not have come back to it.
+    # Includes this node's own cancellation, which its watch may not have delivered yet.
     assert set(told) == {"wk-1", "wk-2"}
 
 
--- a/tests/test_lease_revocation.py
+++ b/tests/test_lease_revocation.py
@@ -1,12 +1,13 @@
-"""Leaders that are lost while the state service flaps are replaced, and never two lead.
+"""Lease revocation replaces a leader that fails while the state service flaps.
 
-Incident: outages a second apart gave the lease of a frozen leader its full time again and again.
-For 45 s nobody could be elected and nothing new was started.
+Guards against two failures. Outages a second apart give a frozen leader's lease its full TTL again
+each time, so that no other member can be elected (45 s in an incident). And a revocation that is
+not careful enough leaves two valid leaders at the same moment.
 
-The worlds of `tests/test_exclusion.py` are played with the real `LeaseRevocation` beside elections,
-lease extensions and exclusions: the state service goes away often and renews all leases, a leader
-is not heard by the others though it holds its lease, requests to end a lease arrive late or without
-an answer. Each clause taken away leaves two valid leaders in some world.
+The simulation of `tests/test_exclusion.py` runs with the real `LeaseRevocation` beside elections,
+lease extensions and exclusions. The state service is interrupted often and renews all leases each
+time, a leader that holds its lease is unreachable for the other members, and requests to revoke a
+lease are executed late or have an unknown outcome.
 """
 
 from __future__ import annotations
@@ -39,7 +40,7 @@
 
 
 class _Interrupted(_Client):
-    """The state service as it goes away again and again."""
+    """The state service with frequent interruptions."""
 
     interruptions = 0
 
@@ -91,7 +92,7 @@
 
 
 class FlappingWorld(World):
-    """Three hosts; leases are given their full time while the state service flaps."""
+    """Three hosts; all leases get their full TTL again while the state service flaps."""
 
     client_type = _Interrupted
     node_type = _Member
@@ -114,7 +115,7 @@
             super()._change()
             self.flapping = self.rng.random() < 0.3
             return
-        # The others don't hear the leader; it may be lost, or just be cut off from them.
+        # The leader is unreachable for the others: it has failed, or is only partitioned from them.
         self.flapping = True
         self.apart = {frozenset((leader, other)) for other in HOSTS if other != leader}
         self.cut = {leader} if self.rng.random() < 0.5 else set()
@@ -157,16 +158,16 @@
     _never_two()
 
 
-# -- clauses taken away ---------------------------------------------------------------------------
+# -- without one of the protocol's conditions -----------------------------------------------------
 
 
 def _no_wait(patch: pytest.MonkeyPatch) -> None:
-    """The former leader is taken to be invalid as soon as its lease has ended."""
+    """The failed leader counts as invalid as soon as its lease is revoked."""
     patch.setattr(revocation_module, "TTL_S", 0.0)
 
 
 def _without_an_answer(patch: pytest.MonkeyPatch) -> None:
-    """A request to end the lease counts as carried out."""
+    """A request to revoke the lease counts as executed although its outcome is unknown."""
 
     async def end_lease(self: LeaseRevocation, attempt: Any) -> None:
         with contextlib.suppress(OutcomeUnknownError):
@@ -177,7 +178,7 @@
 
 
 def _exclude_only(patch: pytest.MonkeyPatch, kept: Callable[[str, str], bool]) -> None:
-    """Of the exclusions that a member writes only some are, by the member's own and each key."""
+    """Drop those exclusions for which `kept(own key, key)` is False from a member's transaction."""
     whole = _Interrupted.commit
 
     async def commit(
@@ -191,12 +192,12 @@
 
 
 def _others_may_stand(patch: pytest.MonkeyPatch) -> None:
-    """Only the member that ends the lease is excluded meanwhile."""
+    """Only the member that revokes the lease is excluded meanwhile."""
     _exclude_only(patch, lambda own, key: key == own)
 
 
 def _itself_may_stand(patch: pytest.MonkeyPatch) -> None:
-    """The member that ends the lease does not exclude itself."""
+    """The member that revokes the lease does not exclude itself."""
     _exclude_only(patch, lambda own, key: key != own)
 
 
@@ -212,18 +213,18 @@
 def test_each_clause_is_needed(
     clause: Callable[[pytest.MonkeyPatch], None], first: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Played from near a world that shows it: two of them show in one of some hundred."""
+    """The first seed is near a failing one, since some violations need several hundred seeds."""
     clause(monkeypatch)
     with pytest.raises(TwoLeaders):
         for seed in range(first, first + 100):
             play(seed, rounds=20)
 
 
-# -- clauses that show in one world of many thousand ----------------------------------------------
+# -- conditions whose absence shows only in one of many thousand seeds ----------------------------
 
 
 class _Lost:
-    """host-0 leads and is not heard; host-1 has begun to end its lease."""
+    """host-0 leads and is unreachable; host-1 revokes its lease."""
 
     def __init__(self) -> None:
         self.world = FlappingWorld(0)
@@ -238,7 +239,7 @@
         for host in HOSTS[1:]:
             election = self.member(host).election
             election.known = self.leader
-            # These processes have run for long, and have promised nothing lately.
+            # These processes have run for long and have no lease extension grants in force.
             election._promised_until = election._restarted_until = Monotonic(0.0)
         self.ender = self.member(HOSTS[1])
 
@@ -246,7 +247,7 @@
         return cast(_Member, self.world.nodes[host])
 
     async def lose(self) -> None:
-        """Not heard for long enough, while the state service went away often enough."""
+        """Let time and interruptions pass until the unreachable leader counts as failed."""
         for _ in range(12):
             for host in HOSTS[1:]:
                 await self.member(host).step("revoke")
@@ -286,7 +287,7 @@
     lost = _Lost()
     asyncio.run(lost.lose())
     assert "ends" in lost.ender.election.promise(FencingToken(5), Monotonic(lost.ender.now() + 4.0))
-    # A later leader gets one.
+    # The leader of a later term is granted an extension.
     assert not lost.ender.election.promise(FencingToken(6), Monotonic(lost.ender.now() + 4.0))
 
 
@@ -306,7 +307,7 @@
 
 
 def test_an_exclusion_that_the_leader_wrote_anew_stays() -> None:
-    """By that one it may go on without this member's promise."""
+    """The leader may have extended its term relying on that exclusion."""
     lost = _Lost()
     asyncio.run(lost.lose())
     lost.store.epoch += 1
@@ -327,9 +328,10 @@
 
 @pytest.mark.parametrize("given_up", [True, False])
 def test_a_leader_steps_down_whose_lease_may_be_ended_at_any_time(given_up: bool) -> None:
-    """The request to end its lease is on its way, and its sender is gone; the leader is back.
+    """The leader is reachable again while the request to revoke its lease is still in flight.
 
-    Whoever it let in would be elected at that end, while the leader still counts itself valid.
+    The sender of that request has ended. A member that the leader readmitted now could be elected
+    as soon as the lease is revoked, while the leader still considers itself valid.
     """
     lost = _Lost()
     record = {"term": 5, "v": 1, "ends_term": 5, "mark": "a"}
@@ -352,8 +354,8 @@
 
 @pytest.mark.parametrize("executed", ["at once", "late", "never"])
 def test_an_exclusion_without_an_answer_is_gone_on_with_or_forgotten(executed: str) -> None:
-    """The member went on refusing its promise to a leader that had come back, or could not go on
-    with what had been carried out after all."""
+    """Guards against a member that keeps refusing extensions to a leader that is reachable again,
+    and against one that can't continue a revocation whose first transaction was executed."""
     lost = _Lost()
     held: list[tuple[Any, Any]] = []
     whole, reach = lost.store.execute, lost.ender.client
@@ -373,7 +375,7 @@
         raise StateUnavailableError("status 503")
 
     async def scenario() -> None:
-        # Only this member's transaction is on its way.
+        # Only this member's transaction is in flight.
         lost.member(HOSTS[2]).revocation.turn = _nothing  # type: ignore[method-assign]
         await lost.lose()
         assert held and lost.ender.revocation._attempt is None
@@ -398,7 +400,7 @@
 async def _nothing() -> None: ...
 
 
-# -- when a leader is lost ------------------------------------------------------------------------
+# -- when a leader counts as failed ---------------------------------------------------------------
 
 
 def test_one_outage_however_long_ends_no_lease() -> None:
--- a/tests/test_open_jobs.py
+++ b/tests/test_open_jobs.py
@@ -1,12 +1,12 @@
-"""Workers are renewed for a lost leader only while their jobs are known to be open.
+"""Delegates renew workers of a failed leader only while the workers' jobs are known to be open.
 
-Incident: while the state service flapped, the key of a lost leader stood for 45 s, and controllers
-with a delegation renewed workers that ran cancelled jobs until `cancel_s` had passed.
+Guards against cancelled tasks that run on after `cancel_s`: while the state service flaps, a failed
+leader's key can stay for 45 s and more, and delegates renew its workers all that time.
 
-The model plays two such controllers with the real `RenewalDelegate` and `OpenJobs`, one worker with
-its lease, a start that may arrive at any time, cancellations of jobs and of graphs, restarts, and a
-state service that goes away, refuses one of them or loses answers. The leader is gone for ever and
-its key stands for ever: nothing but the renewing controllers' own knowledge bounds anything.
+The simulation has two delegates with the real `RenewalDelegate` and `OpenJobs`, one worker with its
+lease, a direct start that may arrive at any time, cancellations of jobs and graphs, restarts, and a
+state service that is down, refuses one delegate or loses answers. The leader never returns and its
+key stays, so that only the delegates' own knowledge limits the renewals.
 """
 
 from __future__ import annotations
@@ -46,13 +46,13 @@
 GRAPH = "dag7"
 OWNED = f"{GRAPH}-1"
 LATE = "wk-000009"
-"""Its only task is bound, and its start is on its way."""
+"""A job whose only task is bound and whose direct start is in flight."""
 STEP_S = 0.25
 DAY_S = 70.0
 
 
 class Store:
-    """The state service: keys with versions, and a log of changes."""
+    """The state service: keys with revisions, and a log of changes."""
 
     def __init__(self) -> None:
         self.keys: dict[str, tuple[Any, int]] = {}
@@ -135,7 +135,7 @@
 
 
 class World:
-    """Time goes on in small steps."""
+    """Two delegates, one worker and the state service, simulated in steps of `STEP_S`."""
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
@@ -154,13 +154,13 @@
         self.reach = [Reach(self.store, self.rng) for _ in range(2)]
         self.delegates = [self._process(reach) for reach in self.reach]
         self.reports_at = self.now
-        # Where more is cancelled, the worker's lease ends before a late start can show.
+        # Half of the runs cancel only `LATE`: otherwise the lease expires before the late start.
         self.cancellable = self.rng.choice([[*JOBS, LATE, GRAPH], [LATE]])
         self.renewals = 0
         self.late: list[str] = []
 
     def _process(self, reach: Reach) -> RenewalDelegate:
-        # Its observations go with a process.
+        # A new process has no observations of revisions.
         reach.revisions = RevisionClock()
         reach.now = lambda: self.now
         client = cast(StateClient, reach)
@@ -177,7 +177,7 @@
         while self.now < until:
             self._draw()
             for reach in self.reach:
-                # Followers watch the leader's key all the time.
+                # Members that do not lead watch the leader's key all the time.
                 if not reach.down:
                     reach.revisions.observe(self.now, Revision(self.store.revision))
             for delegate in self.delegates:
@@ -192,7 +192,7 @@
     def _draw(self) -> None:
         for number, reach in enumerate(self.reach):
             if self.rng.random() < 0.12:
-                # The one or the other is away for a second again and again, or for long.
+                # Outages are of any length, and often short and repeated.
                 reach.down = not reach.down and self.rng.random() < 0.7
             reach.lost = self.rng.choice([0.0, 0.0, 0.1])
             reach.compacted = self.rng.random() < 0.01
@@ -202,7 +202,7 @@
             self.cancel(self.rng.choice(self.cancellable))
 
     def cancel(self, name: str) -> None:
-        """Some controller reaches the state service, and tells the user."""
+        """Commit a cancellation through some other controller, which acknowledges it."""
         if name in self.cancelled_at:
             return
         self.cancelled_at[name] = self.now
@@ -249,21 +249,21 @@
     assert not play(seed).late
 
 
-# -- clauses taken away ---------------------------------------------------------------------------
+# -- without one of the protocol's conditions -----------------------------------------------------
 
 
 def _reported_tasks(patch: pytest.MonkeyPatch) -> None:
-    """What a worker runs is not looked at."""
+    """The tasks listed in a heartbeat are not checked."""
     patch.setattr(OpenJobs, "_reported_through", lambda *_: Monotonic(1e9))
 
 
 def _left_bindings(patch: pytest.MonkeyPatch) -> None:
-    """A start that is still on its way is forgotten."""
+    """Bindings of ended jobs are not read, so starts in flight are not known."""
     patch.setattr(OpenJobs, "_keep_bindings", lambda *_: None)
 
 
 def _end_of_the_owner(patch: pytest.MonkeyPatch) -> None:
-    """A graph's end is not that of its jobs."""
+    """The end of a graph does not end its jobs."""
 
     def closed(self: OpenJobs, name: str, last_open: Monotonic) -> None:
         if self._owners.pop(name, "none") != "none":
@@ -274,7 +274,7 @@
 
 
 def _time_of_the_reading_before(patch: pytest.MonkeyPatch) -> None:
-    """A job counts as open until its end was learnt, however long that took."""
+    """A job counts as open until its end was read, however much earlier it ended."""
     whole = OpenJobs._closed
 
     def closed(self: OpenJobs, name: str, _: Monotonic) -> None:
@@ -284,7 +284,7 @@
 
 
 def _unknown_jobs(patch: pytest.MonkeyPatch) -> None:
-    """A process that has just started takes what it never saw open for just ended."""
+    """Jobs that had ended before a process started count as having ended just now."""
     load = OpenJobs._load
 
     async def loaded(self: OpenJobs) -> None:
@@ -298,7 +298,7 @@
 
 
 def _time_of_the_next_answer(patch: pytest.MonkeyPatch) -> None:
-    """An end came about after the answer that shows it, instead of after the one before it."""
+    """A revision is dated by the first answer that shows it, not by the last one that does not."""
 
     def not_before(self: RevisionClock, revision: Revision) -> Monotonic:
         later = [sent for sent, seen in self._seen if seen >= revision]
@@ -308,7 +308,7 @@
 
 
 def _age_and_reading(patch: pytest.MonkeyPatch) -> None:
-    """Neither is a delegation confirmed only after a reading, nor does what was read grow old."""
+    """Delegations are confirmed without reading the changes, and knowledge does not age."""
     whole = OpenJobs.refresh
 
     async def refresh(self: OpenJobs) -> None:
@@ -345,7 +345,7 @@
 def test_what_a_worker_runs_is_found_by_its_report_and_by_its_binding(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Either is enough for a task that runs; a start on its way is found by its binding alone."""
+    """Either finds a running task; only the binding finds a direct start in flight."""
 
     def late_ones() -> set[str]:
         return {line.split()[0] for seed in range(100) for line in play(seed).late}
@@ -360,7 +360,7 @@
         assert not late_ones()
 
 
-# -- only machines with such a task pay -----------------------------------------------------------
+# -- only machines with tasks of ended jobs lose their leases -------------------------------------
 
 
 def _calm(seed: int = 1) -> World:
@@ -399,7 +399,7 @@
 
 
 def test_a_job_that_ended_before_the_first_reading_has_what_is_left_of_its_time() -> None:
-    """Its machine was left to its lease at once, and hundreds of others' tasks ended with it."""
+    """The delegate must not withhold renewals at once: that ends all other tasks on the machine."""
     world = _calm()
     for reach in world.reach:
         reach.revisions.observe(world.now, Revision(world.store.revision))
@@ -412,7 +412,7 @@
     assert world.incarnation == 2 and not world.late
 
 
-# -- what can't be read ---------------------------------------------------------------------------
+# -- unreadable records and reports ---------------------------------------------------------------
 
 
 @pytest.mark.parametrize("value", [None, [], {"tasks": 3}, {"n": 1, "tasks": [[1, "m-1"]]}])
@@ -434,12 +434,12 @@
     world.store.put(DELEGATION_PREFIX + "node-0", value)
     asyncio.run(world.play(5.0))
     assert world.renewals == 0
-    # Once by each of the two processes; it was said again with every look.
+    # Logged once by each of the two processes, not with every reading.
     assert len([r for r in caplog.records if DELEGATION_PREFIX in r.getMessage()]) == 2
     delegations = delegation_module.Delegations(
         cast(StateClient, world.reach[0]), LEADER.term, LEADER.stamp, lambda: None
     )
-    # The leader waits for it, since it may be of its term, and closes it.
+    # The leader counts it as active, since it may belong to its term, and revokes it.
     assert asyncio.run(delegations.stand(Monotonic(1.0), False)) is True
     assert asyncio.run(delegations.stand(Monotonic(2.0), False)) is False
 
--- a/tests/test_renewal_delegation.py
+++ b/tests/test_renewal_delegation.py
@@ -1,4 +1,4 @@
-"""Delegations to renew workers: the delegate's side and the leader's, against one store."""
+"""Delegation of lease renewals: the delegate and the leader against one store."""
 
 from __future__ import annotations
 
@@ -71,7 +71,7 @@
 
 
 class _Leader:
-    """The leader's cluster address, as the delegate reaches it."""
+    """The leader's peer address as the delegate reaches it."""
 
     error: NoAnswerError | None = NoAnswerError("TimeoutError", False)
 
@@ -82,7 +82,7 @@
 
 
 class _Side:
-    """A delegate in a cut zone, with its own clock."""
+    """A delegate in a partitioned zone, with its own clock."""
 
     def __init__(self, store: Store) -> None:
         self.now = Monotonic(100.0)
@@ -103,7 +103,7 @@
         return self.term()
 
     def term(self) -> FencingToken | None:
-        """For a worker without tasks."""
+        """Return the token for a worker without tasks."""
         return self.delegate.renews(report(MACHINE, 1, 1, 0), MACHINE, self.now)
 
 
@@ -119,7 +119,8 @@
     assert side.tick() == 3
     side.leader.error = None
     assert side.tick() is None
-    # A refusal means a process that is gone, or controllers kept apart: workers aren't cut off.
+    # A refused connection means that the leader's process has ended, or that only controllers are
+    # partitioned from each other: heartbeats would still reach a leader.
     side.leader.error = NoAnswerError("refused", False, refused=True)
     assert [side.tick(), side.tick()] == [None, None]
 
@@ -163,7 +164,7 @@
 
 
 def test_a_delegation_counts_as_ended_whenever_its_removal_was_tried() -> None:
-    # Two delegations: one is removed, the other has just been written anew.
+    # The deletion fails, because its guard on the leader's key does (revision 8 instead of 7).
     store = Store()
     side = _Side(store)
     side.tick()
@@ -197,8 +198,8 @@
 
 
 def test_no_worker_is_sent_to_a_leader_that_does_not_answer_this_node() -> None:
-    # In a cut between zones workers came to the node beside them, were sent back to the leader
-    # beyond the cut, and lost 4 s of their lease there each time.
+    # A worker redirected to a leader on the other side of a partition waits 4 s there for an
+    # answer, and so loses 4 s of its lease each time.
     node = Controller(settings.parse(orjson.dumps(SETTINGS)))
     node.election.known = LEADER
     beat = {
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -1,4 +1,4 @@
-"""Processes that are started again within a fraction of a second: who leads, and what they ask."""
+"""Processes that restart within a fraction of a second: re-election, and machine types."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class _State(Store):
-    """Keys with versions, none of them at first; leases are never over."""
+    """A store without keys at first, whose leases never expire."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -40,7 +40,7 @@
 
 
 def _process(state: _State, host: str, others_up: bool = True) -> Election:
-    """A process of this host that was just started."""
+    """Return the election of a new process of this host."""
     election = Election(cast(StateClient, state), host, lambda: None)
 
     async def up() -> bool:
@@ -51,7 +51,7 @@
 
 
 def _look(election: Election) -> bool:
-    """One look at who leads; whether this process does then."""
+    """Take one election step; return True if this process leads then."""
     asyncio.run(election._follow())
     return election.mine is not None
 
@@ -63,12 +63,12 @@
 
 def test_a_host_that_ends_again_and_again_lets_others_lead() -> None:
     state = _State()
-    # Once back after an end or two it goes on at once.
+    # It is re-elected at once after its first two restarts.
     assert [_look(_process(state, "host-0")) for _ in range(3)] == [True] * 3
     back = _process(state, "host-0")
     assert not _look(back)
     assert _leading_host(state) is None
-    # It holds back for a moment, and whoever has stood by is elected.
+    # It delays its campaign, and another member is elected.
     assert back._not_before > 0
     assert _look(_process(state, "host-1"))
     assert not _look(back)
@@ -84,13 +84,13 @@
 def test_only_what_follows_soon_counts() -> None:
     assert follows_itself({"host": "a", "at": 1000.0, "again": 2}, Wall(1010.0)) == 3
     assert follows_itself({"host": "a", "at": 1000.0, "again": 2}, Wall(1031.0)) == 0
-    # A key that an older version wrote, or something else did.
+    # Records written by an older version or with malformed values.
     assert follows_itself({"host": "a"}, wall_now()) == 0
     assert follows_itself({"at": "soon", "again": None}, wall_now()) == 0
 
 
 def test_the_former_processs_late_election_can_not_be_mistaken_for_the_own() -> None:
-    """It is executed after the new process has read that nobody leads."""
+    """It is executed after the new process has read that there is no leader."""
     state = _State()
     state.keys[TERM_KEY] = (4, 1)
     state.epoch = 1
@@ -114,12 +114,12 @@
     state.commit = late_first  # type: ignore[method-assign,assignment]
     now = _process(state, "host-0")
     assert not _look(now)
-    # Nobody acts on the former process's term; the new one follows it with a later token.
+    # No process acts on the previous process's term; the new one is elected with a higher token.
     assert state.keys[TERM_KEY][0] == 5
     state.commit = execute  # type: ignore[method-assign]
     assert _look(now)
     assert now.mine is not None and now.mine.term == 6
-    # And the other way round: late, it finds a later term and does nothing.
+    # Executed after a later election, the old transaction fails and changes nothing.
     before = dict(state.keys)
     assert isinstance(asyncio.run(execute(*sent[0])), GuardsFailed)
     assert state.keys == before
@@ -202,7 +202,7 @@
 
 
 def test_a_restarted_node_learns_the_machine_types_from_another_one() -> None:
-    # Also while the cloud is away; and one that ends every second makes no calls to it.
+    # This also works while the cloud is down, and a node that restarts every second adds no calls.
     cloud = _Cloud(away=True)
     known = _started(_catalogues(cloud, [None, b"{", orjson.dumps(_CATALOGUE)]))
     assert known is not None and [kind.name for kind in known.types] == ["g8"]
@@ -217,7 +217,7 @@
 
 
 class _Silent:
-    """A node whose connections hang."""
+    """A node that accepts connections and never answers."""
 
     async def request(self, *_: object, timeout_s: float) -> Answer:
         await asyncio.Event().wait()
@@ -225,7 +225,7 @@
 
 
 def test_a_silent_node_does_not_keep_the_cloud_from_being_asked() -> None:
-    # All nodes were restarted together, and users waited for the machine types.
+    # After a restart of all nodes no other node can answer, and users wait for the machine types.
     cloud = _Cloud()
     found = _catalogues(cloud, [])
     found._peers = [cast(Any, _Silent())]
