--- a/tealrill/leadership/election.py
+++ b/tealrill/leadership/election.py
@@ -51,22 +51,22 @@
 TERM_KEY: Final = "term"
 EXCLUSION_PREFIX: Final = "out/"
 """Prefix of the keys of members excluded from elections (`leadership/exclusion.py`)."""
-READMISSION_S: Final = 15.0
+READMISSION_DELAY_S: Final = 15.0
 """How long an excluded member must observe that there is no leader before it readmits itself."""
 TTL_S: Final = 3.0
-_MARGIN_S: Final = 0.2
-_RENEW_S: Final = TTL_S / 4
-_WATCH_S: Final = 2.0
+_LEASE_MARGIN_S: Final = 0.2
+_RENEW_INTERVAL_S: Final = TTL_S / 4
+_WATCH_TIMEOUT_S: Final = 2.0
 _COMMIT_TIMEOUT_S: Final = 1.0
 """A third of the TTL of the lease that the leader's key is attached to."""
 _PAUSE_STEP_S: Final = 0.05
-_OTHERS_FIRST_S: Final = 0.5
-_OFTEN: Final = 2
+_UNREACHED_CAMPAIGN_DELAY_S: Final = 0.5
+_MAX_QUICK_REELECTIONS: Final = 2
 """After more quick re-elections in a row than this, a host lets other members campaign first."""
-_SOON_S: Final = 30.0
+_QUICK_REELECTION_S: Final = 30.0
 """A re-election within this time of the host's previous one counts as quick."""
-_YIELD_S: Final = 2.0
-_UNREADABLE_S: Final = 1.0
+_REELECTION_DELAY_S: Final = 2.0
+_UNREADABLE_RETRY_S: Final = 1.0
 """Pause before a record that this version can't decode is read again."""
 
 
@@ -92,7 +92,7 @@
     term: int
 
 
-class _Leaderless(NamedTuple):
+class _LeaderlessObservation(NamedTuple):
     """The first observation that there is no leader."""
 
     stamp: Revision
@@ -108,21 +108,21 @@
     changes: list[dict[str, Any]]
 
 
-async def _not_known() -> bool:
+async def _always_false() -> bool:
     return False
 
 
 def follows_itself(holder: dict[str, Any], now: Wall) -> int:
     """Return the number of quick re-elections in a row if the holder's host is elected now."""
-    elected, again = holder.get("at"), holder.get("again")
-    if not isinstance(elected, int | float) or not isinstance(again, int):
+    elected, reelections = holder.get("at"), holder.get("again")
+    if not isinstance(elected, int | float) or not isinstance(reelections, int):
         return 0
-    return again + 1 if abs(now - elected) <= _SOON_S else 0
+    return reelections + 1 if abs(now - elected) <= _QUICK_REELECTION_S else 0
 
 
 def _validity(sent: Monotonic) -> Monotonic:
     """Return the moment until which a lease renewed by a request sent at `sent` is valid."""
-    return lower_bound_deadline(sent, TTL_S, _MARGIN_S)
+    return lower_bound_deadline(sent, TTL_S, _LEASE_MARGIN_S)
 
 
 def is_held_by_lease(mine: Leadership) -> bool:
@@ -138,40 +138,40 @@
         client: StateClient,
         host: str,
         changed: Callable[[], None],
-        promised_s: float = 0.0,
+        previous_grants_s: float = 0.0,
     ) -> None:
         """Campaign for `host`; `changed` is called whenever its leadership begins or ends.
 
-        `promised_s` is the longest time for which a previous process of this host may have granted
-        a lease extension.
+        `previous_grants_s` is the longest time for which a previous process of this host may have
+        granted a lease extension.
         """
         self._client = client
         self._host = host
-        self._promised_until = monotonic_now()
+        self._own_grants_expire_at = monotonic_now()
         # The grants of this host's previous process are unknown (`lease_extension.py`).
-        self._restarted_until = Monotonic(monotonic_now() + promised_s)
-        self.nobody_leads: Callable[[], Awaitable[bool]] = _not_known
+        self._previous_grants_expire_at = Monotonic(monotonic_now() + previous_grants_s)
+        self.nobody_leads: Callable[[], Awaitable[bool]] = _always_false
         """Returns True if every other member answers that it does not lead."""
-        self.others_up: Callable[[], Awaitable[bool]] = _not_known
+        self.others_up: Callable[[], Awaitable[bool]] = _always_false
         """Returns True if at least one other member answers."""
-        self.revoking: FencingToken | None = None
+        self.revoking_term: FencingToken | None = None
         """The term whose lease this node is revoking; its leader is refused lease extensions."""
-        self._unreadable = ChangeLog(log)
-        self._states = ChangeLog(log)
+        self._unreadable_log = ChangeLog(log)
+        self._status_log = ChangeLog(log)
         """Logs which leader this node follows, or why it does not campaign."""
-        self._standing: FencingToken | None = None
+        self._campaign_term: FencingToken | None = None
         """The term of a campaign whose transaction is in flight or has an unknown outcome.
 
         The transaction may still be executed at any later time.
         """
         self._incarnation = secrets.token_hex(8)
         self._changed = changed
-        self._not_before = Monotonic(0.0)
-        self._may_stand_now = False
+        self._campaign_not_before = Monotonic(0.0)
+        self._is_pause_ended = False
         """Set to end a pause between two campaigns early."""
-        self._is_first = False
+        self._others_excluded = False
         """No other member can be elected at present."""
-        self._leaderless: _Leaderless | None = None
+        self._leaderless: _LeaderlessObservation | None = None
         """While this host is excluded: when it first observed that there is no leader."""
         self.mine: Leadership | None = None
         self.known: KnownLeader | None = None
@@ -184,9 +184,9 @@
         return mine if mine is not None and mine.valid(now) else None
 
     @property
-    def promised_until(self) -> Monotonic:
+    def grants_expire_at(self) -> Monotonic:
         """When all extension grants of this node expire, those of its previous process included."""
-        return max(self._promised_until, self._restarted_until)
+        return max(self._own_grants_expire_at, self._previous_grants_expire_at)
 
     def promise(self, term: FencingToken, until: Monotonic) -> str:
         """Promise the leader of `term` not to campaign before `until`.
@@ -203,12 +203,12 @@
             return "leads itself"
         if self.known is not None and self.known.term > term:
             return f"knows of term {self.known.term}"
-        if self.revoking is not None and self.revoking >= term:
-            return f"ends the lease of term {self.revoking}"
-        if self._standing is not None and self._standing > term:
+        if self.revoking_term is not None and self.revoking_term >= term:
+            return f"ends the lease of term {self.revoking_term}"
+        if self._campaign_term is not None and self._campaign_term > term:
             # That transaction may be executed late, after the leader's key was deleted.
-            return f"stands for term {self._standing}"
-        self._promised_until = Monotonic(max(self._promised_until, until))
+            return f"stands for term {self._campaign_term}"
+        self._own_grants_expire_at = Monotonic(max(self._own_grants_expire_at, until))
         return ""
 
     async def run(self) -> None:
@@ -221,43 +221,43 @@
                 if self.mine is None:
                     await self._follow()
                 else:
-                    await self._hold(self.mine)
+                    await self._renew_lease(self.mine)
             except StateError as error:
                 log.debug("election step failed: error=%s", error)
                 await self._pause(random.uniform(0.2, 0.5))
 
     async def _pause(self, longest_s: float) -> None:
-        """Wait before the next campaign; `stand_first` ends the wait early."""
+        """Wait before the next campaign; `campaign_without_delay` ends the wait early."""
         for _ in range(math.ceil(longest_s / _PAUSE_STEP_S)):
-            if self._may_stand_now:
+            if self._is_pause_ended:
                 break
             await asyncio.sleep(_PAUSE_STEP_S)
-        self._may_stand_now = False
+        self._is_pause_ended = False
 
-    def stand_first(self) -> None:
+    def campaign_without_delay(self) -> None:
         """Campaign without delay until there is a leader: all other members are excluded."""
-        self._is_first = True
-        self._may_stand_now = True
+        self._others_excluded = True
+        self._is_pause_ended = True
 
-    def step_down(self, why: str) -> None:
+    def step_down(self, reason: str) -> None:
         """Stop leading a term that has ended or may have ended."""
         if self.mine is not None:
-            log.info("no longer leader: term=%d reason=%s", self.mine.term, why)
+            log.info("no longer leader: term=%d reason=%s", self.mine.term, reason)
             self.mine = None
             self.known = None
             self._client.set_leading(False)
             self._changed()
 
-    async def resign(self, why: str, pause_s: float) -> None:
+    async def resign(self, reason: str, pause_s: float) -> None:
         """Give up leadership, and don't campaign for `pause_s` seconds."""
         mine = self.mine
-        self._not_before = Monotonic(monotonic_now() + pause_s)
-        self.step_down(why)
+        self._campaign_not_before = Monotonic(monotonic_now() + pause_s)
+        self.step_down(reason)
         if mine is not None:
             with contextlib.suppress(StateError):
                 await self._client.end_lease(mine.lease)
 
-    async def _hold(self, mine: Leadership) -> None:
+    async def _renew_lease(self, mine: Leadership) -> None:
         """Renew the lease of this node's term once."""
         sent = monotonic_now()
         try:
@@ -282,10 +282,10 @@
         if not was_valid:
             log.info("leadership valid again after an interruption: term=%d", mine.term)
             self._changed()
-        await asyncio.sleep(_RENEW_S)
+        await asyncio.sleep(_RENEW_INTERVAL_S)
 
     async def _follow(self) -> None:
-        """Watch the leader's key for up to `_WATCH_S`, or campaign if there is no leader."""
+        """Watch the leader's key for up to `_WATCH_TIMEOUT_S`; campaign if there is no leader."""
         entries, revision = await self._client.scan(LEADER_KEY)
         entry = next((e for e in entries if e.key == LEADER_KEY), None)
         if entry is None:
@@ -296,32 +296,32 @@
         if holder.get("host") == self._host:
             await self._replace_own_key(entry, holder)
             return
-        self._is_first = False
+        self._others_excluded = False
         self.known = self._read_leader(entry)
         if self.known is not None:
-            self._states.info(
+            self._status_log.info(
                 f"term {self.known.term}: follows {self.known.host}, "
                 f"whose key is at revision {self.known.stamp}"
             )
-        await self._client.watch(LEADER_KEY, revision, _WATCH_S)
+        await self._client.watch(LEADER_KEY, revision, _WATCH_TIMEOUT_S)
 
     async def _replace_own_key(self, entry: wire.Entry, holder: dict[str, Any]) -> None:
         """Replace the leader's key of this host's previous process, or let others campaign first.
 
         That process has ended, so it can't act on the key any more.
         """
-        again = follows_itself(holder, wall_now())
+        reelections = follows_itself(holder, wall_now())
         if holder.get("incarnation") == self._incarnation:
-            await self._withdraw(entry)
-        elif again > _OFTEN and await self.others_up():
+            await self._delete_own_key(entry)
+        elif reelections > _MAX_QUICK_REELECTIONS and await self.others_up():
             # The process ends repeatedly, perhaps because it leads. Re-elected at once each time,
             # it would keep all other members from leading (12 terms in a row for a process that
             # ended every second).
-            log.info("campaign delayed after repeated re-elections: terms_in_a_row=%d", again)
-            self._not_before = Monotonic(monotonic_now() + _YIELD_S)
-            await self._withdraw(entry)
+            log.info("campaign delayed after repeated re-elections: terms_in_a_row=%d", reelections)
+            self._campaign_not_before = Monotonic(monotonic_now() + _REELECTION_DELAY_S)
+            await self._delete_own_key(entry)
         else:
-            await self._stand(Revision(entry.version), again)
+            await self._stand(Revision(entry.version), reelections)
 
     def _read_leader(self, entry: wire.Entry) -> KnownLeader | None:
         """Decode another member's record; return None if this version can't.
@@ -331,13 +331,13 @@
         try:
             record = msgspec.convert(entry.value, _LeaderRecord)
         except msgspec.ValidationError as error:
-            self._unreadable.error(
+            self._unreadable_log.error(
                 f"unreadable record: key={entry.key} revision={entry.version} error={error}"
             )
             return None
         return KnownLeader(record.host, FencingToken(record.term), Revision(entry.version))
 
-    async def _withdraw(self, entry: wire.Entry) -> None:
+    async def _delete_own_key(self, entry: wire.Entry) -> None:
         """Delete the leader's key that this host has set.
 
         It belongs to a term that this process has given up, or to a previous process.
@@ -346,33 +346,35 @@
             [wire.guard(LEADER_KEY, entry.version)], [wire.delete(LEADER_KEY)]
         )
 
-    async def _stand(self, stamp: Revision, again: int = 0) -> None:
+    async def _stand(self, stamp: Revision, reelections: int = 0) -> None:
         """Campaign once.
 
         `stamp` is the revision of the leader's key that this host's previous process left (`ABSENT`
-        if there is none), `again` the number of quick re-elections in a row, this one included.
+        if there is none). `reelections` is the number of quick re-elections in a row, this one
+        included.
         """
         if not await self._wait_for_turn(stamp):
             return
         last = await self._client.get(TERM_KEY)
         if last is not None and type(last.value) is not int:
             # Any term chosen without it might be lower than one already used.
-            self._unreadable.error(
+            self._unreadable_log.error(
                 f"unreadable record: key={TERM_KEY} revision={last.version} error=not an integer"
             )
-            await asyncio.sleep(_UNREADABLE_S)
+            await asyncio.sleep(_UNREADABLE_RETRY_S)
             return
         sent = monotonic_now()
         lease = await self._client.create_lease(TTL_S)
-        candidacy = self._candidacy(stamp, again, last, lease)
+        candidacy = self._candidacy(stamp, reelections, last, lease)
         # No grant can be in force if the leader's key was left by this host's previous process (no
         # other member leads), or if there has been no term yet (no leader has requested one).
-        bound = stamp == ABSENT and last is not None
+        grants_possible = stamp == ABSENT and last is not None
         # Checked last: a lease extension may have been granted during the awaits above.
-        if bound and (
-            not await self._free_of_former_promises() or monotonic_now() < self._promised_until
+        if grants_possible and (
+            not await self._previous_grants_expired()
+            or monotonic_now() < self._own_grants_expire_at
         ):
-            self._states.info("no leader; campaign delayed by a lease extension grant")
+            self._status_log.info("no leader; campaign delayed by a lease extension grant")
             await asyncio.sleep(0.05)
             return
         revision = await self._commit(candidacy)
@@ -381,25 +383,28 @@
                 await self._client.end_lease(lease)
             return
         now = monotonic_now()
-        self._won(
+        self._begin_term(
             Leadership(candidacy.term, revision, lease, now, _validity(sent), renewed_at=sent)
         )
 
     async def _wait_for_turn(self, stamp: Revision) -> bool:
         """Let other members campaign first where they should; return True to campaign now."""
-        pause_s = self._not_before - monotonic_now()
+        pause_s = self._campaign_not_before - monotonic_now()
         if stamp == ABSENT:
             pause_s = max(
-                pause_s, 0.0 if self._is_first or self.has_quorum_reach() else _OTHERS_FIRST_S
+                pause_s,
+                0.0
+                if self._others_excluded or self.has_quorum_reach()
+                else _UNREACHED_CAMPAIGN_DELAY_S,
             ) + random.uniform(0, 0.05)
         if pause_s > 0:
-            if pause_s > _OTHERS_FIRST_S + 0.1:
-                self._states.info("no leader; campaign delayed, other members go first")
+            if pause_s > _UNREACHED_CAMPAIGN_DELAY_S + 0.1:
+                self._status_log.info("no leader; campaign delayed, other members go first")
             await asyncio.sleep(min(pause_s, 1.0))
         return pause_s <= 1.0
 
     def _candidacy(
-        self, stamp: Revision, again: int, last: wire.KeyValue | None, lease: LeaseId
+        self, stamp: Revision, reelections: int, last: wire.KeyValue | None, lease: LeaseId
     ) -> _Candidacy:
         """Return the transaction that elects this node for the term after `last`."""
         term = FencingToken((last.value if last is not None else 0) + 1)
@@ -408,7 +413,7 @@
             "incarnation": self._incarnation,
             "term": term,
             "at": wall_now(),
-            "again": again,
+            "again": reelections,
             "revocable": True,
         }
         guards = [
@@ -421,29 +426,29 @@
 
     async def _commit(self, candidacy: _Candidacy) -> Revision | None:
         """Return the revision at which this node was elected, None if it was not."""
-        self._states.info(f"no leader; campaigning: term={candidacy.term}")
-        self._standing = candidacy.term
+        self._status_log.info(f"no leader; campaigning: term={candidacy.term}")
+        self._campaign_term = candidacy.term
         try:
             result = await self._client.commit(
                 candidacy.guards, candidacy.changes, timeout_s=_COMMIT_TIMEOUT_S
             )
-            self._standing = None
+            self._campaign_term = None
             if isinstance(result, GuardsFailed) and exclusion_key(self._host) in result.keys:
                 await self._readmit_itself()
         except (TransactionRejectedError, StateUnavailableError):
-            self._standing = None
+            self._campaign_term = None
             return None
         except OutcomeUnknownError:
             return await self._read_back(candidacy.term)
         return result.revision if isinstance(result, Committed) else None
 
     async def _readmit_itself(self) -> None:
-        """Readmit this excluded host after `READMISSION_S` without a leader.
+        """Readmit this excluded host after `READMISSION_DELAY_S` without a leader.
 
         The leader that excluded it may rely on the exclusion, instead of on its extension grant,
-        until `READMISSION_S` after the end of the leader's lease. Only an election changes the
-        term's key, so as long as that key has the revision of the first observation, no member has
-        led in between.
+        until `READMISSION_DELAY_S` after the end of the leader's lease. Only an election changes
+        the term's key, so as long as that key has the revision of the first observation, no member
+        has led in between.
         """
         term = await self._client.get(TERM_KEY)
         leader = await self._client.get(LEADER_KEY)
@@ -453,8 +458,8 @@
             self._leaderless = None
         elif self._leaderless is None or self._leaderless.stamp != stamp:
             log.info("this member is excluded from elections, no leader seen")
-            self._leaderless = _Leaderless(stamp, now)
-        elif now - self._leaderless.since >= READMISSION_S * CLOCK_DRIFT:
+            self._leaderless = _LeaderlessObservation(stamp, now)
+        elif now - self._leaderless.since >= READMISSION_DELAY_S * CLOCK_DRIFT:
             entry = await self._client.get(exclusion_key(self._host))
             if entry is not None:
                 log.info(
@@ -469,15 +474,15 @@
                 await self._client.commit(guards, [wire.delete(exclusion_key(self._host))])
         await self._pause(0.25)
 
-    async def _free_of_former_promises(self) -> bool:
+    async def _previous_grants_expired(self) -> bool:
         """Return True if no leader can rely on grants of this host's previous process any more.
 
         That is so once they have expired, or if no member leads. The second condition matters when
         all controllers crash together: the workers' leases are too short to wait for the expiry.
         """
-        if monotonic_now() < self._restarted_until and await self.nobody_leads():
-            self._restarted_until = monotonic_now()
-        return monotonic_now() >= self._restarted_until
+        if monotonic_now() < self._previous_grants_expire_at and await self.nobody_leads():
+            self._previous_grants_expire_at = monotonic_now()
+        return monotonic_now() >= self._previous_grants_expire_at
 
     async def _read_back(self, term: FencingToken) -> Revision | None:
         """Return the revision of a campaign with an unknown outcome, None if it did not succeed."""
@@ -490,11 +495,11 @@
             return Revision(entry.version)
         return None
 
-    def _won(self, mine: Leadership) -> None:
+    def _begin_term(self, mine: Leadership) -> None:
         """Begin a term."""
         log.info("elected: term=%d key_revision=%d", mine.term, mine.stamp)
-        self._states.forget()
-        self._is_first = False
+        self._status_log.forget()
+        self._others_excluded = False
         self.mine = mine
         self.known = KnownLeader(self._host, mine.term, mine.stamp)
         self._client.set_leading(True)
--- a/tealrill/leadership/exclusion.py
+++ b/tealrill/leadership/exclusion.py
@@ -5,8 +5,8 @@
 if it alone reached the state service. So the leader excludes unreachable members while it still can
 write: it creates a record, and a member's election requires its record to be absent. The leader
 deletes the record when the member answers again. A member without a leader deletes its own record,
-but only after it has observed for `READMISSION_S` that there is no leader: until then the leader
-may rely on the exclusion instead of on the member's grant. docs/design.md has the argument.
+but only after it has observed for `READMISSION_DELAY_S` that there is no leader: until then the
+leader may rely on the exclusion instead of on the member's grant. docs/design.md has the argument.
 """
 
 from __future__ import annotations
@@ -30,10 +30,10 @@
 
 log = logging.getLogger(__name__)
 
-SILENT_S: Final = 6.0
+UNREACHABLE_S: Final = 6.0
 """Time without an answer after which a member is excluded; longer than a usual process restart."""
-_LOOK_EVERY_S: Final = 1.0
-_READ_EVERY: Final = 10
+_PROBE_INTERVAL_S: Final = 1.0
+_PROBES_PER_READ: Final = 10
 """Probes per reading of all records: a write with an unknown outcome may be executed late."""
 
 
@@ -62,7 +62,7 @@
         now: Callable[[], Monotonic] = monotonic_now,
         revoked: Callable[[], None] = lambda: None,
     ) -> None:
-        self._revoked = revoked
+        self._on_lease_revoked = revoked
         """Called when another member may revoke this term's lease at any moment."""
         self._client = client
         self._fence = Fence(client, stamp)
@@ -70,53 +70,53 @@
         self._valid = valid
         self._now = now
         self._peers = peer_clients(settings)
-        self._most = len(self._peers) // 2
+        self._max_excluded = len(self._peers) // 2
         """Largest number of members excluded at a time. In a network partition the unreachable
         members may be those that have to replace this leader, so some must stay electable without
         waiting for their readmission."""
-        self._heard = dict.fromkeys(self._peers, now())
+        self._answered_at = dict.fromkeys(self._peers, now())
         self._records: dict[str, Revision] = {}
         """Revisions of the exclusion records as last read or written, by host."""
-        self._certain: set[str] = set()
+        self._certainly_excluded: set[str] = set()
         """Hosts whose record exists and can't be deleted by any request still in flight."""
-        self._given_up = False
+        self._is_being_revoked = False
         """The term ends because another member is revoking its lease."""
-        self._relied_until = Monotonic(-math.inf)
-        self._looks = 0
-        self._read_before = False
+        self._no_readmission_before = Monotonic(-math.inf)
+        self._probes = 0
+        self._has_read_records = False
         """Set after the first reading. A record found later may be one written by this leader, with
         a deletion of it still in flight."""
 
     def is_excluded(self, host: str) -> bool:
-        """Return True if `host` can't be elected before `READMISSION_S` without a leader."""
-        return host in self._certain
+        """Return True if `host` can't be elected before `READMISSION_DELAY_S` without a leader."""
+        return host in self._certainly_excluded
 
     def hold_until(self, until: Monotonic) -> None:
         """Readmit no member before `until`: the term was extended relying on `is_excluded`."""
-        self._relied_until = Monotonic(max(self._relied_until, until))
+        self._no_readmission_before = Monotonic(max(self._no_readmission_before, until))
 
     async def run(self) -> None:
         """Exclude unreachable members and readmit those that answer. Does not return."""
         while True:
             try:
-                await self.turn()
+                await self.step()
             except StateError as error:
                 log.debug("exclusions not updated: error=%s", error)
-            await asyncio.sleep(_LOOK_EVERY_S)
+            await asyncio.sleep(_PROBE_INTERVAL_S)
 
-    async def turn(self) -> None:
-        """Probe all members once; before every `_READ_EVERY`th probe read all records."""
-        if self._looks % _READ_EVERY == 0:
-            await self._read()
-        await self.look()
-        self._looks += 1
+    async def step(self) -> None:
+        """Probe all members once; before every `_PROBES_PER_READ`th probe read all records."""
+        if self._probes % _PROBES_PER_READ == 0:
+            await self._read_records()
+        await self.probe()
+        self._probes += 1
 
     def close(self) -> None:
         """Close the connections to other members at the end of the term."""
         for peer in self._peers.values():
             peer.close()
 
-    async def _read(self) -> None:
+    async def _read_records(self) -> None:
         """Read all records.
 
         At a term's start they were written by earlier leaders, whose requests are all fenced off:
@@ -125,39 +125,39 @@
         entries, _ = await self._client.scan(EXCLUSION_PREFIX)
         for entry in entries:
             host = entry.key.removeprefix(EXCLUSION_PREFIX)
-            if host in self._peers and host not in self._certain:
-                self._found(host, entry.value, entry.version)
-                if not self._read_before and not self._given_up:
-                    self._certain.add(host)
+            if host in self._peers and host not in self._certainly_excluded:
+                self._note_record(host, entry.value, entry.version)
+                if not self._has_read_records and not self._is_being_revoked:
+                    self._certainly_excluded.add(host)
         # Not derived from the number of probes: a failed probe isn't counted, so that the first
         # reading would be repeated, and a record whose deletion is in flight would become certain.
-        self._read_before = True
+        self._has_read_records = True
 
-    async def look(self) -> None:
+    async def probe(self) -> None:
         """Ping every other member once; exclude or readmit it accordingly."""
-        asked = [self._answers(peer) for peer in self._peers.values()]
-        for host, answers in zip(self._peers, await asyncio.gather(*asked), strict=True):
+        pings = [self._is_reachable(peer) for peer in self._peers.values()]
+        for host, reachable in zip(self._peers, await asyncio.gather(*pings), strict=True):
             now = self._now()
-            if answers:
-                self._heard[host] = now
-            if not self._valid() or self._given_up:
+            if reachable:
+                self._answered_at[host] = now
+            if not self._valid() or self._is_being_revoked:
                 continue
-            if answers and host in self._records and now >= self._relied_until:
+            if reachable and host in self._records and now >= self._no_readmission_before:
                 await self._readmit(host)
             elif (
-                host not in self._certain
-                and now - self._heard[host] >= SILENT_S
-                and len(self._records.keys() - {host}) < self._most
+                host not in self._certainly_excluded
+                and now - self._answered_at[host] >= UNREACHABLE_S
+                and len(self._records.keys() - {host}) < self._max_excluded
             ):
                 await self._exclude(host)
 
     @staticmethod
-    async def _answers(peer: Client) -> bool:
+    async def _is_reachable(peer: Client) -> bool:
         return await ask_presence(peer) is not None
 
     async def _readmit(self, host: str) -> None:
         # Once sent, the deletion may be executed at any later time, so the record isn't certain.
-        self._certain.discard(host)
+        self._certainly_excluded.discard(host)
         log.info("member readmitted to elections: term=%d host=%s", self._term, host)
         await self._change(host, wire.delete(exclusion_key(host)))
 
@@ -169,7 +169,7 @@
         log.info("unreachable member excluded from elections: term=%d host=%s", self._term, host)
         record = wire.plain(ExclusionRecord(self._term))
         if await self._change(host, wire.put(exclusion_key(host), record)):
-            self._certain.add(host)
+            self._certainly_excluded.add(host)
 
     async def _change(self, host: str, change: dict[str, Any]) -> bool:
         """Return True if the change was certainly committed; otherwise read the record."""
@@ -189,13 +189,13 @@
         if entry is None:
             self._records.pop(host, None)
         else:
-            self._found(host, entry.value, entry.version)
+            self._note_record(host, entry.value, entry.version)
         return False
 
-    def _found(self, host: str, value: Any, version: int) -> None:
+    def _note_record(self, host: str, value: Any, version: int) -> None:
         self._records[host] = Revision(version)
         if isinstance(value, dict) and value.get("ends_term") == self._term:
             # A member readmitted now could be elected as soon as this lease is revoked, while this
             # term still appears valid. So the term is given up, and its lease with it.
-            self._given_up = True
-            self._revoked()
+            self._is_being_revoked = True
+            self._on_lease_revoked()
--- a/tealrill/leadership/lease_extension.py
+++ b/tealrill/leadership/lease_extension.py
@@ -21,8 +21,8 @@
 from tealrill import wire
 from tealrill.change_log import ChangeLog
 from tealrill.http import Client, NoAnswerError, peer_clients
-from tealrill.leadership.election import READMISSION_S, TTL_S
-from tealrill.leadership.open_jobs import cancel_spare_s, renewal_bound_s
+from tealrill.leadership.election import READMISSION_DELAY_S, TTL_S
+from tealrill.leadership.open_jobs import cancellation_slack_s, renewal_bound_s
 from tealrill.settings import Settings
 from tealrill.state.acknowledged_cancellations import AcknowledgedCancellations
 from tealrill.state.client import StateClient, StateError
@@ -35,12 +35,12 @@
 """How long a lease extension grant is in force, on the clock of the member that grants it."""
 EXTENSION_PATH: Final = "/peer/truce"
 PING_PATH: Final = "/peer/ping"
-_MARGIN_S: Final = 0.2
-_ASK_EVERY_S: Final = 0.7
-_ASK_TIMEOUT_S: Final = 0.6
-_PROBE_S: Final = 0.3
+_GRANT_MARGIN_S: Final = 0.2
+_REQUEST_INTERVAL_S: Final = 0.7
+_REQUEST_TIMEOUT_S: Final = 0.6
+_PROBE_TIMEOUT_S: Final = 0.3
 _READMISSION_MARGIN_S: Final = 0.5
-_FOREVER: Final = Monotonic(math.inf)
+_NO_LIMIT: Final = Monotonic(math.inf)
 
 
 class ExtensionRequest(msgspec.Struct, frozen=True):
@@ -73,15 +73,15 @@
 
 
 async def ask_presence(peer: Client) -> Presence | None:
-    """Return another member's presence; None if it does not answer within `_PROBE_S`."""
+    """Return another member's presence; None if it does not answer within `_PROBE_TIMEOUT_S`."""
     try:
-        answer = await peer.request("GET", PING_PATH, timeout_s=_PROBE_S)
+        answer = await peer.request("GET", PING_PATH, timeout_s=_PROBE_TIMEOUT_S)
         return wire.decode(answer.body, Presence)
     except (NoAnswerError, wire.MalformedMessageError):
         return None
 
 
-class Standing(Protocol):
+class ExtensionGranter(Protocol):
     """The part of an `Election` that lease extensions use."""
 
     mine: Leadership | None
@@ -107,7 +107,7 @@
         self,
         settings: Settings,
         client: StateClient,
-        election: Standing,
+        election: ExtensionGranter,
         acknowledged: AcknowledgedCancellations | None = None,
         now: Callable[[], Monotonic] = monotonic_now,
     ) -> None:
@@ -131,10 +131,10 @@
         workers = settings.params.workers
         # A cancellation can be acknowledged right after a grant. The leader may then act without
         # knowing it until the grant expires, and a worker runs its task for one more lease.
-        self._unseen_s = renewal_bound_s(workers)
-        self.possible = cancel_spare_s(workers) >= PROMISE_S
-        self._extending = False
-        self._bounded = False
+        self._staleness_bound_s = renewal_bound_s(workers)
+        self.is_possible = cancellation_slack_s(workers) >= PROMISE_S
+        self._is_extended = False
+        self._is_limited = False
         self._refusals = ChangeLog(log)
 
     # -- the leader's side ----------------------------------------------------------------------
@@ -143,14 +143,14 @@
         """Extend the leader's validity by extension grants while its lease can't be renewed."""
         while True:
             mine = self._election.mine
-            if mine is not None and mine.troubled and self.possible:
+            if mine is not None and mine.troubled and self.is_possible:
                 await self._seek(mine)
             else:
-                if mine is not None and self._extending:
+                if mine is not None and self._is_extended:
                     log.info("lease renewed again, no extension needed: term=%d", mine.term)
-                self._extending = False
+                self._is_extended = False
                 self._refusals.forget()
-            await asyncio.sleep(_ASK_EVERY_S)
+            await asyncio.sleep(_REQUEST_INTERVAL_S)
 
     async def _seek(self, mine: Leadership) -> None:
         sent = self._now()
@@ -160,63 +160,67 @@
         request = ExtensionRequest(mine.term, seen.revision)
         answers = await asyncio.gather(*(self._ask(c, request) for c in self._peers.values()))
         # The watch may not have delivered this node's own acknowledged cancellations yet either.
-        told = [self._acknowledged.since(seen.revision)]
-        told += [answer.cancelled for answer in answers if answer is not None]
-        for job in chain.from_iterable(told):
+        acknowledged_jobs = [self._acknowledged.since(seen.revision)]
+        acknowledged_jobs += [answer.cancelled for answer in answers if answer is not None]
+        for job in chain.from_iterable(acknowledged_jobs):
             self.cancelled(job)
-        by_name = dict(zip(self._peers, answers, strict=True))
-        silent = [name for name, answer in by_name.items() if answer is None]
-        refused = [f"{n}: no answer" for n in silent if not self.is_excluded(mine, n)]
-        refused += [f"{n}: {a.why}" for n, a in by_name.items() if a is not None and not a.promised]
+        answer_by_host = dict(zip(self._peers, answers, strict=True))
+        unreachable = [name for name, answer in answer_by_host.items() if answer is None]
+        refused = [f"{n}: no answer" for n in unreachable if not self.is_excluded(mine, n)]
+        refused += [
+            f"{n}: {a.why}" for n, a in answer_by_host.items() if a is not None and not a.promised
+        ]
         if refused:
             self._refusals.info(
                 f"lease not extended: term={mine.term} refused={'; '.join(refused)}"
             )
             return
-        latest = _FOREVER
-        unknown = [n for n, a in by_name.items() if a is None or not a.vouches]
+        limit = _NO_LIMIT
+        not_vouching = [n for n, a in answer_by_host.items() if a is None or not a.vouches]
         if not self._acknowledged.all_since(seen.revision):
-            unknown.append("this node itself")
-        if not unknown:
+            not_vouching.append("this node itself")
+        if not not_vouching:
             self.on_cancellations_known(mine, sent)
         else:
             # These hosts may have acknowledged cancellations that no answer has reported.
-            latest = Monotonic(seen.at + self._unseen_s)
-        if silent:
-            latest = min(
-                latest,
-                lower_bound_deadline(mine.renewed_at, TTL_S + READMISSION_S, _READMISSION_MARGIN_S),
+            limit = Monotonic(seen.at + self._staleness_bound_s)
+        if unreachable:
+            limit = min(
+                limit,
+                lower_bound_deadline(
+                    mine.renewed_at, TTL_S + READMISSION_DELAY_S, _READMISSION_MARGIN_S
+                ),
             )
-            self.extended(mine, latest)
-        if not self._extending:
+            self.extended(mine, limit)
+        if not self._is_extended:
             log.info("lease extended without the state service: term=%d", mine.term)
-        if unknown and (not self._extending or not self._bounded):
+        if not_vouching and (not self._is_extended or not self._is_limited):
             log.info(
                 "lease extension limited, cancellations may be unknown: "
                 "term=%d at_most_s=%.1f hosts=%s",
                 mine.term,
-                max(0.0, latest - sent),
-                ",".join(unknown),
+                max(0.0, limit - sent),
+                ",".join(not_vouching),
             )
-        self._extending = True
-        self._bounded = bool(unknown)
-        self.extend(mine, sent, latest)
+        self._is_extended = True
+        self._is_limited = bool(not_vouching)
+        self.extend(mine, sent, limit)
 
-    def extend(self, mine: Leadership, sent: Monotonic, latest: Monotonic = _FOREVER) -> None:
+    def extend(self, mine: Leadership, sent: Monotonic, limit: Monotonic = _NO_LIMIT) -> None:
         """Extend the term after all other members granted it, in answer to requests sent at `sent`.
 
-        The term is not extended beyond `latest`, and only if it is still valid: after a gap another
+        The term is not extended beyond `limit`, and only if it is still valid: after a gap another
         member may have been elected, which later grants would not undo.
         """
         if mine.valid(self._now()):
-            until = lower_bound_deadline(sent, PROMISE_S, _MARGIN_S)
-            mine.valid_until = max(mine.valid_until, min(until, latest))
+            until = lower_bound_deadline(sent, PROMISE_S, _GRANT_MARGIN_S)
+            mine.valid_until = max(mine.valid_until, min(until, limit))
 
     async def _ask(self, client: Client, request: ExtensionRequest) -> ExtensionAnswer | None:
         """Return a member's answer; None if it does not answer."""
         try:
             body = wire.encode(request)
-            answer = await client.request("POST", EXTENSION_PATH, body, _ASK_TIMEOUT_S)
+            answer = await client.request("POST", EXTENSION_PATH, body, _REQUEST_TIMEOUT_S)
             return wire.decode(answer.body, ExtensionAnswer)
         except NoAnswerError:
             return None
@@ -250,16 +254,16 @@
         be elected. The answer carries the cancellations acknowledged here, which the leader may not
         know and whose tasks it would otherwise keep running.
         """
-        if await self._state_answers():
+        if await self._is_state_service_reachable():
             return ExtensionAnswer(False, "the state service answers here")
         why = self._election.promise(FencingToken(request.term), Monotonic(self._now() + PROMISE_S))
         seen = Revision(request.seen)
-        known = self._acknowledged
-        return ExtensionAnswer(not why, why, known.since(seen), known.all_since(seen))
+        acknowledged = self._acknowledged
+        return ExtensionAnswer(not why, why, acknowledged.since(seen), acknowledged.all_since(seen))
 
-    async def _state_answers(self) -> bool:
+    async def _is_state_service_reachable(self) -> bool:
         try:
-            async with asyncio.timeout(_PROBE_S):
+            async with asyncio.timeout(_PROBE_TIMEOUT_S):
                 await self._client.get("leader")
         except (StateError, TimeoutError):
             return False
--- a/tealrill/leadership/lease_revocation.py
+++ b/tealrill/leadership/lease_revocation.py
@@ -6,8 +6,9 @@
 member the leader: the next one is elected as usual, and only once the failed leader certainly
 considers itself invalid.
 
-1. The leader has failed: it has not answered this member for `LOST_S`, the state service was
-   interrupted `_LEAST_INTERRUPTIONS` times meanwhile, and a majority of all members finds the same.
+1. The leader has failed: it has not answered this member for `LEADER_FAILURE_S`, the state service
+   was interrupted `_MIN_INTERRUPTIONS` times meanwhile, and a majority of all members finds the
+   same.
 2. One transaction excludes all members but the leader from elections, this one included. It
    requires that the leader's key is unchanged and that this member was not excluded before. From
    then on this member grants that leader no lease extension.
@@ -18,9 +19,9 @@
    the other members.
 
 If the revoking process ends in between, all members stay excluded and readmit themselves after
-`READMISSION_S` without a leader, as after any exclusion. A leader that finds such a record against
-its own term steps down, since its lease may be revoked at any later moment. docs/design.md has the
-argument.
+`READMISSION_DELAY_S` without a leader, as after any exclusion. A leader that finds such a record
+against its own term steps down, since its lease may be revoked at any later moment. docs/design.md
+has the argument.
 """
 
 from __future__ import annotations
@@ -59,14 +60,14 @@
 
 log = logging.getLogger(__name__)
 
-LOST_S: Final = 6.0
+LEADER_FAILURE_S: Final = 6.0
 """Time without an answer after which a leader may count as failed; longer than a usual restart."""
-_LEAST_INTERRUPTIONS: Final = 3
+_MIN_INTERRUPTIONS: Final = 3
 """After fewer interruptions than this, the lease expires by itself."""
-_EVERY_S: Final = 0.25
+_STEP_INTERVAL_S: Final = 0.25
 _COMMIT_TIMEOUT_S: Final = 0.5
 """Short, because waiting for a lost answer would use up the time between two outages."""
-_MARGIN_S: Final = 0.2
+_VALIDITY_MARGIN_S: Final = 0.2
 
 
 @dataclass(slots=True)
@@ -78,7 +79,7 @@
     term_version: Revision
     exclusion: Revision
     """Revision of this member's own exclusion record."""
-    may_stand_at: Monotonic = Monotonic(math.inf)
+    leader_invalid_at: Monotonic = Monotonic(math.inf)
     """When the failed leader is certainly invalid; infinite until its lease is revoked."""
 
 
@@ -100,7 +101,7 @@
         self._now = now
         self._host = settings.host_name
         self._peers = peer_clients(settings)
-        self._most_changes = settings.params.state.txn_ops
+        self._max_changes = settings.params.state.txn_ops
         self._suspected: KnownLeader | None = None
         self._interruptions_before = 0
         self._attempt: _Attempt | None = None
@@ -109,9 +110,9 @@
     async def run(self) -> None:
         """Revoke the lease of a failed leader whenever a majority agrees that it has failed."""
         while True:
-            await asyncio.sleep(_EVERY_S)
+            await asyncio.sleep(_STEP_INTERVAL_S)
             try:
-                await self.turn()
+                await self.step()
             except StateError as error:
                 log.debug("lease revocation step failed: error=%s", error)
 
@@ -126,43 +127,45 @@
             self._suspected = leader
             self._interruptions_before = self._client.interruptions
         interruptions = self._client.interruptions - self._interruptions_before
-        lost = self._now() - since >= LOST_S and interruptions >= _LEAST_INTERRUPTIONS
-        return leader.term if lost else None
+        has_failed = self._now() - since >= LEADER_FAILURE_S and interruptions >= _MIN_INTERRUPTIONS
+        return leader.term if has_failed else None
 
-    async def turn(self) -> None:
+    async def step(self) -> None:
         """Take the next step. Raises `StateError` if the step must be repeated."""
         attempt = self._attempt
-        if attempt is not None and self._is_over(attempt):
-            self._give_up("another leader was elected")
+        if attempt is not None and self._is_obsolete(attempt):
+            self._finish("another leader was elected")
         elif attempt is None:
             leader = self._election.known
             if self.lost_term is None or leader is None:
                 # An attempt with an unknown outcome is abandoned: it has revoked no lease.
-                self._election.revoking = None
+                self._election.revoking_term = None
                 if self._suspected is not None:
                     # An extra request, so that outages between this member's other requests count.
                     await self._client.get(LEADER_KEY)
-            elif await self._agreed(leader):
+            elif await self._has_majority(leader):
                 await self._exclude_members(leader)
-        elif attempt.may_stand_at == math.inf:
-            await self._end_lease(attempt)
-        elif self._now() >= max(attempt.may_stand_at, self._election.promised_until):
+        elif attempt.leader_invalid_at == math.inf:
+            await self._revoke_lease(attempt)
+        elif self._now() >= max(attempt.leader_invalid_at, self._election.grants_expire_at):
             await self._readmit_itself(attempt)
 
-    def _is_over(self, attempt: _Attempt) -> bool:
+    def _is_obsolete(self, attempt: _Attempt) -> bool:
         known = self._election.known
         return self._election.mine is not None or (known is not None and known != attempt.leader)
 
-    def _give_up(self, why: str) -> None:
-        log.info("lease revocation finished: reason=%s", why)
+    def _finish(self, reason: str) -> None:
+        log.info("lease revocation finished: reason=%s", reason)
         self._attempt = None
-        self._election.revoking = None
+        self._election.revoking_term = None
 
-    async def _agreed(self, leader: KnownLeader) -> bool:
+    async def _has_majority(self, leader: KnownLeader) -> bool:
         """Return True if a majority of all members, the leader included, finds it failed."""
         others = [peer for host, peer in self._peers.items() if host != leader.host]
-        found: list[Presence | None] = await asyncio.gather(*map(ask_presence, others))
-        agreeing = sum(one is not None and one.lost_term == leader.term for one in found)
+        presences: list[Presence | None] = await asyncio.gather(*map(ask_presence, others))
+        agreeing = sum(
+            presence is not None and presence.lost_term == leader.term for presence in presences
+        )
         return agreeing + 1 > (len(self._peers) + 1) // 2
 
     # -- the steps --------------------------------------------------------------------------------
@@ -177,11 +180,11 @@
             or entry.lease is None
             or not _is_revocable(entry)
             or term is None
-            or len(hosts) > self._most_changes
+            or len(hosts) > self._max_changes
         ):
             return
         # Set before the transaction is sent: a grant after it could extend the leader's term.
-        self._election.revoking = leader.term
+        self._election.revoking_term = leader.term
         mark = self._mark_for(leader)
         record = wire.plain(ExclusionRecord(leader.term, ends_term=leader.term, mark=mark))
         guards = [
@@ -202,7 +205,7 @@
             # This transaction, or an earlier one with an unknown outcome, may have been committed.
             revision = await self._read_back(mark)
         if revision is None:
-            self._give_up(f"exclusion of term {leader.term} not committed")
+            self._finish(f"exclusion of term {leader.term} not committed")
             return
         lease = LeaseId(entry.lease)
         self._attempt = _Attempt(leader, lease, Revision(term.version), revision)
@@ -223,15 +226,17 @@
             return None
         return Revision(entry.version)
 
-    async def _end_lease(self, attempt: _Attempt) -> None:
+    async def _revoke_lease(self, attempt: _Attempt) -> None:
         await self._client.end_lease(attempt.lease)
         # The leader's last successful renewal was executed before this answer.
-        attempt.may_stand_at = Monotonic(self._now() + TTL_S * CLOCK_DRIFT + _MARGIN_S)
+        attempt.leader_invalid_at = Monotonic(
+            self._now() + TTL_S * CLOCK_DRIFT + _VALIDITY_MARGIN_S
+        )
         log.info(
             "lease revoked: term=%d host=%s no_election_s=%.1f",
             attempt.leader.term,
             attempt.leader.host,
-            attempt.may_stand_at - self._now(),
+            attempt.leader_invalid_at - self._now(),
         )
 
     async def _readmit_itself(self, attempt: _Attempt) -> None:
@@ -243,13 +248,13 @@
             wire.guard(own, attempt.exclusion),
         ]
         # Before the commit, whose outcome may stay unknown: the campaign's guards decide then.
-        self._election.stand_first()
+        self._election.campaign_without_delay()
         result = await self._client.commit(guards, [wire.delete(own)], timeout_s=_COMMIT_TIMEOUT_S)
         if isinstance(result, GuardsFailed):
-            self._give_up(f"keys changed by other members: {', '.join(result.keys)}")
+            self._finish(f"keys changed by other members: {', '.join(result.keys)}")
         else:
-            self._give_up("lease revoked, this member campaigns")
-            self._election.stand_first()
+            self._finish("lease revoked, this member campaigns")
+            self._election.campaign_without_delay()
 
 
 def _is_revocable(entry: wire.KeyValue) -> bool:
--- a/tealrill/leadership/open_jobs.py
+++ b/tealrill/leadership/open_jobs.py
@@ -42,15 +42,15 @@
 
 _NEVER: Final = Monotonic(-math.inf)
 _ALWAYS: Final = Monotonic(math.inf)
-_LEAST_BOUND_S: Final = 6.0
+_MIN_BOUND_S: Final = 6.0
 """Well above the usual answer time of a watch."""
 _CANCEL_MARGIN_S: Final = 5.0
-_ENDS_READ_AT_ONCE: Final = 24
-_READ_AT_ONCE: Final = 8
+_MAX_ENDS_PER_REFRESH: Final = 24
+_MAX_JOBS_PER_REFRESH: Final = 8
 """Ended jobs whose bindings are read in one refresh; the others wait for the next refresh."""
 
 
-def cancel_spare_s(workers: Workers) -> float:
+def cancellation_slack_s(workers: Workers) -> float:
     """Return the part of `cancel_s` that a worker's lease and a margin leave, in seconds."""
     return workers.cancel_s - workers.lease_s - _CANCEL_MARGIN_S
 
@@ -61,7 +61,7 @@
     A worker renewed at that age keeps running for one more lease. If `cancel_s` leaves less time
     than a watch takes, the bound is the usual pace of the watch.
     """
-    return max(_LEAST_BOUND_S, cancel_spare_s(workers))
+    return max(_MIN_BOUND_S, cancellation_slack_s(workers))
 
 
 class UnreadableRecordError(StateError):
@@ -69,7 +69,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _LeftBinding:
+class _RemainingBinding:
     """A task of an ended job that is bound to an agent incarnation."""
 
     incarnation: Incarnation
@@ -96,7 +96,7 @@
         self._ends_unread: dict[str, str | None] = {}
         """Jobs that had ended before the first reading, each with its owner; until their ends are
         read they count as never open."""
-        self._left: dict[MachineId, list[_LeftBinding]] = {}
+        self._remaining_bindings: dict[MachineId, list[_RemainingBinding]] = {}
 
     def clear(self) -> None:
         """Discard everything; the next refresh reads all records."""
@@ -106,7 +106,7 @@
         self._last_open.clear()
         self._bindings_unread.clear()
         self._ends_unread.clear()
-        self._left.clear()
+        self._remaining_bindings.clear()
 
     @property
     def known_through(self) -> Monotonic:
@@ -120,11 +120,13 @@
         This includes tasks that the worker may be about to start.
         """
         through = min(
-            self.known_through, self._reported_through(report), self._left_through(report, machine)
+            self.known_through,
+            self._reported_jobs_open_through(report),
+            self._bound_jobs_open_through(report, machine),
         )
         return now < through + self._bound_s
 
-    def _reported_through(self, report: wire.Heartbeat) -> Monotonic:
+    def _reported_jobs_open_through(self, report: wire.Heartbeat) -> Monotonic:
         """Return the last moment at which the jobs of all reported tasks were known to be open."""
         through = _ALWAYS
         for task in report.tasks:
@@ -134,13 +136,13 @@
                 through = min(through, self._job_open_through(task_id.job if task_id else ""))
         return through
 
-    def _left_through(self, report: wire.Heartbeat, machine: MachineId) -> Monotonic:
+    def _bound_jobs_open_through(self, report: wire.Heartbeat, machine: MachineId) -> Monotonic:
         """Return the same for ended jobs bound to the worker's incarnation or a later one."""
         through = _ALWAYS
-        for left in self._left.get(machine, ()):
+        for remaining in self._remaining_bindings.get(machine, ()):
             # A worker refuses commands for an earlier incarnation.
-            if report.incarnation <= left.incarnation:
-                through = min(through, self._job_open_through(left.job))
+            if report.incarnation <= remaining.incarnation:
+                through = min(through, self._job_open_through(remaining.job))
         return through
 
     def _job_open_through(self, name: str) -> Monotonic:
@@ -162,12 +164,12 @@
                 self.clear()
                 raise
         else:
-            await self._follow(self._revision, self._read_through)
-        for name in sorted(self._bindings_unread)[:_READ_AT_ONCE]:
+            await self._apply_changes(self._revision, self._read_through)
+        for name in sorted(self._bindings_unread)[:_MAX_JOBS_PER_REFRESH]:
             entries, _ = await self._client.scan(f"{RUN_PREFIX}{name}/")
-            self._keep_bindings(entries)
+            self._add_remaining_bindings(entries)
             self._bindings_unread.discard(name)
-        ends = list(self._ends_unread.items())[:_ENDS_READ_AT_ONCE]
+        ends = list(self._ends_unread.items())[:_MAX_ENDS_PER_REFRESH]
         # In parallel: until a job's end is read, machines with its tasks can't be renewed.
         found = await asyncio.gather(
             *(self._read_end(*end) for end in ends), return_exceptions=True
@@ -189,21 +191,23 @@
         sent = self._now()
         jobs, revision = await self._client.scan(JOB_PREFIX)
         chunks, _ = await self._client.scan(RUN_PREFIX)
-        owners = {_name(entry.key): _owner(entry.value) for entry in jobs}
+        owners = {_job_name(entry.key): _owner(entry.value) for entry in jobs}
         # A job whose owner has ended has ended too, even if its own record still exists.
         self._owners = {
             name: owner for name, owner in owners.items() if owner is None or owner in owners
         }
         # Before the bindings are examined: jobs accepted between the two readings would otherwise
         # appear to have ended.
-        await self._follow(revision, sent)
-        self._keep_bindings(chunks)
-        left = {binding.job for found in self._left.values() for binding in found}
+        await self._apply_changes(revision, sent)
+        self._add_remaining_bindings(chunks)
+        remaining = {
+            binding.job for found in self._remaining_bindings.values() for binding in found
+        }
         self._ends_unread = {
-            name: owners.get(name) for name in sorted(left - self._last_open.keys())
+            name: owners.get(name) for name in sorted(remaining - self._last_open.keys())
         }
 
-    async def _follow(self, revision: Revision, last_open: Monotonic) -> None:
+    async def _apply_changes(self, revision: Revision, last_open: Monotonic) -> None:
         """Apply the changes after `revision`; jobs that have ended were open at `last_open`."""
         sent = self._now()
         result = await self._client.watch(JOB_PREFIX, revision, 0.0)
@@ -212,9 +216,9 @@
             raise StateError(f"job changes after revision {revision} are compacted")
         for event in result.events:
             if event.put is not None:
-                self._opened(_name(event.put), _owner(event.value))
+                self._opened(_job_name(event.put), _owner(event.value))
             elif event.delete is not None:
-                self._closed(_name(event.delete), last_open)
+                self._closed(_job_name(event.delete), last_open)
         self._revision = Revision(max(revision, result.revision))
         self._read_through = sent
 
@@ -238,16 +242,18 @@
         for owned in [job for job, owner in self._owners.items() if owner == name]:
             self._closed(owned, last_open)
 
-    def _keep_bindings(self, chunks: Sequence[wire.Entry]) -> None:
+    def _add_remaining_bindings(self, chunks: Sequence[wire.Entry]) -> None:
         for entry in chunks:
             name = entry.key.removeprefix(RUN_PREFIX).partition("/")[0]
             if name in self._owners:
                 continue
             for machine, incarnation in _bindings(entry):
-                self._left.setdefault(machine, []).append(_LeftBinding(incarnation, name))
+                self._remaining_bindings.setdefault(machine, []).append(
+                    _RemainingBinding(incarnation, name)
+                )
 
 
-def _name(key: str) -> str:
+def _job_name(key: str) -> str:
     return key.removeprefix(JOB_PREFIX)
 
 
--- a/tealrill/leadership/renewal_delegation.py
+++ b/tealrill/leadership/renewal_delegation.py
@@ -45,17 +45,17 @@
 DELEGATION_PREFIX: Final = "deputy/"
 DELEGATION_S: Final = 2.5
 """How long a delegation is valid after the delegate sent the write that confirmed it."""
-_MARGIN_S: Final = 0.1
-_EVERY_S: Final = 0.5
+_DELEGATION_MARGIN_S: Final = 0.1
+_PING_INTERVAL_S: Final = 0.5
 _PING_TIMEOUT_S: Final = 0.7
-_MISSES: Final = 2
-_CONFIRM_S: Final = 1.0
-_READY_S: Final = 15.0
+_MISSED_PINGS: Final = 2
+_CONFIRM_INTERVAL_S: Final = 1.0
+_CONFIRM_AFTER_PARTITION_S: Final = 15.0
 """How long a delegation is confirmed after a partition began even if no worker sends heartbeats.
 
 Workers reach this node some seconds after the partition began, each at a different time.
 """
-_ASKED_S: Final = 4.0
+_CONFIRM_AFTER_HEARTBEAT_S: Final = 4.0
 """How long a delegation is confirmed after the last heartbeat of a worker to this node."""
 
 
@@ -96,33 +96,33 @@
         self._peers = peer_clients(settings)
         workers = settings.params.workers
         self._warn_after_s = workers.cancel_s
-        self._jobs = OpenJobs(client, renewal_bound_s(workers), now)
-        self._misses = 0
-        self._cut_since: Monotonic | None = None
+        self._open_jobs = OpenJobs(client, renewal_bound_s(workers), now)
+        self._missed_pings = 0
+        self._partitioned_since: Monotonic | None = None
         self.unheard_since: Monotonic | None = None
         """Since when the known leader has not answered; refused connections count too."""
-        self._asked_at = Monotonic(-1e9)
+        self._last_heartbeat_at = Monotonic(-1e9)
         self._confirmed_at = Monotonic(-1e9)
         self._valid_until = Monotonic(-1e9)
         self._beat = 0
         self._renewals: _DelegatedRenewals | None = None
-        self._unreadable = ChangeLog(log)
+        self._unreadable_log = ChangeLog(log)
 
     def renews(
         self, report: wire.Heartbeat, machine: MachineId, now: Monotonic
     ) -> FencingToken | None:
         """Return the fencing token with which this worker may be renewed at `now`, else None."""
-        self._asked_at = now
+        self._last_heartbeat_at = now
         renewals = self._renewals
         if (
             renewals is None
-            or self._cut_since is None
+            or self._partitioned_since is None
             or renewals.leader != self._election.known
             or now >= self._valid_until
             or report.token > renewals.leader.term
         ):
             return None
-        if not self._jobs.may_renew(report, machine, now):
+        if not self._open_jobs.may_renew(report, machine, now):
             # The worker runs, or may be about to start, a task of a job that is or may be
             # cancelled. Its lease must expire to end that task; other workers are still renewed.
             renewals.withhold(machine, now)
@@ -132,8 +132,8 @@
 
     @property
     def leader_silent(self) -> bool:
-        """True if the leader has not answered `_MISSES` pings in a row, about a second."""
-        return self._cut_since is not None
+        """True if the leader has not answered `_MISSED_PINGS` pings in a row, about a second."""
+        return self._partitioned_since is not None
 
     def describe(self, now: Monotonic) -> dict[str, object] | None:
         """Return the state of the delegation for operators; None if no worker is renewed."""
@@ -141,20 +141,20 @@
             return None
         return {
             **self._renewals.describe(now),
-            "known_s_ago": round(now - self._jobs.known_through, 1),
+            "known_s_ago": round(now - self._open_jobs.known_through, 1),
         }
 
     async def run(self) -> None:
         """Ping the leader, and confirm or end the delegation."""
         while True:
-            await asyncio.sleep(_EVERY_S)
+            await asyncio.sleep(_PING_INTERVAL_S)
             known = self._election.known
             if known is None or self._election.mine is not None or known.host not in self._peers:
                 self.unheard_since = None
-                self._heard()
+                self._on_leader_reachable()
                 continue
             await self._ping(self._peers[known.host])
-            if self._wanted(self._now()):
+            if self._should_confirm(self._now()):
                 try:
                     await self.confirm(known)
                 except StateError as error:
@@ -169,25 +169,28 @@
             if error.refused:
                 # The leader's process has ended, or only controllers are partitioned from each
                 # other. Neither keeps heartbeats from reaching a leader.
-                return self._heard()
-            self._misses += 1
-            if self._misses >= _MISSES and self._cut_since is None:
-                self._cut_since = self._now()
+                return self._on_leader_reachable()
+            self._missed_pings += 1
+            if self._missed_pings >= _MISSED_PINGS and self._partitioned_since is None:
+                self._partitioned_since = self._now()
             return None
         self.unheard_since = None
-        return self._heard()
+        return self._on_leader_reachable()
 
-    def _heard(self) -> None:
-        self._misses = 0
-        self._cut_since = None
+    def _on_leader_reachable(self) -> None:
+        self._missed_pings = 0
+        self._partitioned_since = None
         self._end_renewals("leader reachable or none elected")
-        self._jobs.clear()
+        self._open_jobs.clear()
 
-    def _wanted(self, now: Monotonic) -> bool:
+    def _should_confirm(self, now: Monotonic) -> bool:
         return (
-            self._cut_since is not None
-            and (now - self._cut_since < _READY_S or now - self._asked_at < _ASKED_S)
-            and now - self._confirmed_at >= _CONFIRM_S
+            self._partitioned_since is not None
+            and (
+                now - self._partitioned_since < _CONFIRM_AFTER_PARTITION_S
+                or now - self._last_heartbeat_at < _CONFIRM_AFTER_HEARTBEAT_S
+            )
+            and now - self._confirmed_at >= _CONFIRM_INTERVAL_S
         )
 
     async def confirm(self, leader: KnownLeader) -> None:
@@ -197,11 +200,11 @@
         """
         entry = await self._client.get(self._key)
         if entry is not None:
-            kept = _read_delegation(self._key, entry.value, entry.version, self._unreadable)
-            if kept is None or (kept.revoked and kept.term == leader.term):
+            existing = _read_delegation(self._key, entry.value, entry.version, self._unreadable_log)
+            if existing is None or (existing.revoked and existing.term == leader.term):
                 self._end_renewals("delegation revoked or unreadable")
                 return
-        await self._jobs.refresh()
+        await self._open_jobs.refresh()
         self._beat += 1
         sent = self._now()
         result = await self._client.commit(
@@ -217,12 +220,12 @@
             self._end_renewals("another leader elected")
             self._renewals = _DelegatedRenewals(leader, sent, self._warn_after_s)
         self._confirmed_at = sent
-        self._valid_until = lower_bound_deadline(sent, DELEGATION_S, _MARGIN_S)
+        self._valid_until = lower_bound_deadline(sent, DELEGATION_S, _DELEGATION_MARGIN_S)
         self._renewals.confirmed(result.revision, sent)
 
-    def _end_renewals(self, why: str) -> None:
+    def _end_renewals(self, reason: str) -> None:
         if self._renewals is not None:
-            self._renewals.end(why, self._now())
+            self._renewals.end(reason, self._now())
             self._renewals = None
 
 
@@ -268,7 +271,7 @@
                 now - self._since,
             )
 
-    def end(self, why: str, now: Monotonic) -> None:
+    def end(self, reason: str, now: Monotonic) -> None:
         log.info(
             "stopped renewing workers for another leader: "
             "term=%d workers_renewed=%d renewing_s=%.0f workers_withheld=%d reason=%s",
@@ -276,7 +279,7 @@
             len(self.renewed),
             now - self._since,
             len(self._withheld),
-            why,
+            reason,
         )
 
     def describe(self, now: Monotonic) -> dict[str, object]:
@@ -294,7 +297,7 @@
 
     _STALE_S = 4.0
     """A delegation that was not rewritten for this long renews no worker."""
-    _LONGEST_S = 60.0
+    _MAX_DURATION_S = 60.0
     """The leader revokes a delegation this long after it first read it, even if still rewritten."""
 
     def __init__(
@@ -303,11 +306,11 @@
         self._client = client
         self._fence = Fence(client, stamp)
         self._term = term
-        self._ended = ended
+        self._on_ended = ended
         """Called when a delegation has ended or may have ended."""
-        self._unreadable = ChangeLog(log)
+        self._unreadable_log = ChangeLog(log)
         self._since: dict[str, Monotonic] = {}
-        self._written: dict[str, tuple[int, Monotonic]] = {}
+        self._last_written: dict[str, tuple[int, Monotonic]] = {}
 
     async def stand(self, now: Monotonic, revoke: bool) -> bool:
         """Return True if any delegate may have renewed workers a moment ago.
@@ -316,29 +319,31 @@
         `StateError` if that can't be determined; then no lease may be declared expired.
         """
         entries, _ = await self._client.scan(DELEGATION_PREFIX)
-        standing = False
+        active = False
         for entry in entries:
-            delegation = _read_delegation(entry.key, entry.value, entry.version, self._unreadable)
+            delegation = _read_delegation(
+                entry.key, entry.value, entry.version, self._unreadable_log
+            )
             if delegation is not None and (delegation.term != self._term or delegation.revoked):
                 # An older term's delegations can't be confirmed any more: the guard on its leader's
                 # key fails.
                 continue
-            standing = True
+            active = True
             # An unreadable one may belong to this term: it counts as active and is revoked.
-            if delegation is None or self._outdated(entry, now) or revoke:
+            if delegation is None or self._is_outdated(entry, now) or revoke:
                 log.info("delegation revoked: key=%s", entry.key)
                 await self._change(
                     entry, wire.put(entry.key, wire.plain(Delegation(self._term, True)))
                 )
-        return standing
+        return active
 
-    def _outdated(self, entry: wire.Entry, now: Monotonic) -> bool:
+    def _is_outdated(self, entry: wire.Entry, now: Monotonic) -> bool:
         since = self._since.setdefault(entry.key, now)
-        version, at = self._written.get(entry.key, (-1, now))
+        version, at = self._last_written.get(entry.key, (-1, now))
         if version != entry.version:
             at = now
-            self._written[entry.key] = (entry.version, now)
-        return now - at > self._STALE_S or now - since > self._LONGEST_S
+            self._last_written[entry.key] = (entry.version, now)
+        return now - at > self._STALE_S or now - since > self._MAX_DURATION_S
 
     async def clear(self) -> None:
         """Delete all delegations; used once no machine misses heartbeats any more."""
@@ -348,14 +353,14 @@
         for entry in entries:
             await self._change(entry, wire.delete(entry.key))
         self._since.clear()
-        self._written.clear()
+        self._last_written.clear()
 
     async def _change(self, entry: wire.Entry, change: dict[str, object]) -> None:
         try:
             result = await self._fence.commit({entry.key: Revision(entry.version)}, [change])
         finally:
             # Also after an unknown outcome: the delegation may have ended.
-            self._ended()
+            self._on_ended()
         if not isinstance(result, Committed):
             # The delegate has rewritten it meanwhile, or another leader was elected.
             raise StateUnavailableError(f"delegation changed by another member: key={entry.key}")
--- a/tealrill/leadership/transfer.py
+++ b/tealrill/leadership/transfer.py
@@ -18,10 +18,10 @@
 from tealrill.settings import Settings
 from tealrill.types import Monotonic
 
-_PERIODS: Final = 2.0
+_WINDOW_INTERVALS: Final = 2.0
 """Length of a counting window in heartbeat intervals."""
-_FEWEST: Final = 2
-_SHARE: Final = 0.05
+_MIN_HEARTBEATS: Final = 2
+_MIN_HEARTBEAT_SHARE: Final = 0.05
 """Some workers always contact a controller that does not lead, for instance just after booting."""
 
 
@@ -29,36 +29,38 @@
     """Counts the heartbeats received by this node, and asks the other nodes for their counts."""
 
     def __init__(self, settings: Settings) -> None:
-        self._window_s = _PERIODS * settings.params.workers.heartbeat_interval_s
+        self._window_s = _WINDOW_INTERVALS * settings.params.workers.heartbeat_interval_s
         self._peers = list(peer_clients(settings).values())
         self._window = 0
         self._counts = [0, 0]
 
     def took(self, now: Monotonic) -> None:
         """Count a worker's heartbeat received by this node."""
-        self._turn(now)
+        self._advance_window(now)
         self._counts[1] += 1
 
     def recent(self, now: Monotonic) -> int:
         """Return the number of heartbeats received in the current window and the one before."""
-        self._turn(now)
+        self._advance_window(now)
         return sum(self._counts)
 
-    def _turn(self, now: Monotonic) -> None:
+    def _advance_window(self, now: Monotonic) -> None:
         window = int(now // self._window_s)
         if window != self._window:
             self._counts = [self._counts[1] if window == self._window + 1 else 0, 0]
             self._window = window
 
-    async def better(self, heard: int) -> bool:
+    async def better(self, machines: int) -> bool:
         """Return True if another node receives heartbeats from more than a few workers.
 
-        `heard` is the number of machines whose heartbeats this node received until now.
+        `machines` is the number of machines whose heartbeats this node received until now.
         """
-        found = await asyncio.gather(*(self._ask(client) for client in self._peers))
-        return max(found, default=0) >= max(_FEWEST, math.ceil(_SHARE * heard))
+        counts = await asyncio.gather(*(self._ask(client) for client in self._peers))
+        return max(counts, default=0) >= max(
+            _MIN_HEARTBEATS, math.ceil(_MIN_HEARTBEAT_SHARE * machines)
+        )
 
     @staticmethod
     async def _ask(client: Client) -> int:
-        found = await ask_presence(client)
-        return found.reports if found is not None else 0
+        presence = await ask_presence(client)
+        return presence.reports if presence is not None else 0
--- a/tests/test_exclusion.py
+++ b/tests/test_exclusion.py
@@ -28,7 +28,7 @@
 from tealrill.leadership import exclusion as exclusion_module
 from tealrill.leadership import lease_extension as extension_module
 from tealrill.leadership.election import EXCLUSION_PREFIX, TTL_S, Election, exclusion_key
-from tealrill.leadership.exclusion import SILENT_S, Exclusions
+from tealrill.leadership.exclusion import UNREACHABLE_S, Exclusions
 from tealrill.leadership.lease_extension import (
     PING_PATH,
     PROMISE_S,
@@ -216,21 +216,21 @@
                 lambda: self.election.leading(self.now()) is mine, self.now,
             )  # fmt: skip
             found._peers = self.peers
-            found._heard = dict.fromkeys(self.peers, self.now())
+            found._answered_at = dict.fromkeys(self.peers, self.now())
         return self.exclusions
 
     async def step(self, what: str) -> None:
         mine = self.election.mine
         try:
             if what == "look" and mine is not None:
-                await self._exclusions(mine).turn()
+                await self._exclusions(mine).step()
             elif what == "extend" and mine is not None:
                 if mine.troubled:
                     await self.extension._seek(mine)
             elif mine is None:
                 await self.election._follow()
             else:
-                await self.election._hold(mine)
+                await self.election._renew_lease(mine)
         except (StateUnavailableError, OutcomeUnknownError):
             pass
 
@@ -368,7 +368,7 @@
 
 def _unbounded(patch: pytest.MonkeyPatch) -> None:
     """The term is extended for as long as the leader believes the record to exist."""
-    patch.setattr(extension_module, "READMISSION_S", 1e6)
+    patch.setattr(extension_module, "READMISSION_DELAY_S", 1e6)
 
 
 def _never_written(patch: pytest.MonkeyPatch) -> None:
@@ -410,24 +410,24 @@
             node.settings, node.client, FencingToken(1), Revision(1), lambda: True, node.now
         )
         found._peers = {"host-1": node.peers["host-1"]}
-        found._heard = {"host-1": node.now()}
-        found._answers = answered  # type: ignore[method-assign,assignment]
+        found._answered_at = {"host-1": node.now()}
+        found._is_reachable = answered  # type: ignore[method-assign,assignment]
         world.rng.random = lambda: 1.0  # type: ignore[method-assign]
-        await found.look()
+        await found.probe()
         assert not found.is_excluded("host-1")
-        world.true += SILENT_S
-        await found.look()
+        world.true += UNREACHABLE_S
+        await found.probe()
         assert found.is_excluded("host-1") and exclusion_key("host-1") in store.keys
         # It answers; the deletion of its record has an unknown outcome and is not executed yet.
         answers["value"] = True
         world.rng.random = lambda: 0.0  # type: ignore[method-assign]
         with contextlib.suppress(OutcomeUnknownError):
-            await found.look()
+            await found.probe()
         assert not found.is_excluded("host-1") and exclusion_key("host-1") in store.keys
         answers["value"] = False
         world.rng.random = lambda: 1.0  # type: ignore[method-assign]
-        world.true += SILENT_S
-        await found.look()
+        world.true += UNREACHABLE_S
+        await found.probe()
         assert found.is_excluded("host-1")
         return found
 
@@ -461,13 +461,13 @@
 
         client.get = refused
         with pytest.raises(StateUnavailableError):
-            await found.turn()
+            await found.step()
         client.get = get
         if not guarded:
-            found._read_before = False
+            found._has_read_records = False
         # The member becomes unreachable again.
         world.apart = {frozenset(("host-0", "host-1"))}
-        await found.turn()
+        await found.step()
         assert found.is_excluded("host-1") is not guarded
 
     asyncio.run(scenario())
@@ -490,8 +490,8 @@
         )
         found._peers = node.peers
         for _ in range(5):
-            world.true += SILENT_S
-            await found.look()
+            world.true += UNREACHABLE_S
+            await found.probe()
         assert [found.is_excluded(host) for host in _HOSTS[1:]] == [True, False]
         assert sum(key.startswith(EXCLUSION_PREFIX) for key in world.store.keys) == 1
 
@@ -510,14 +510,14 @@
             node.settings, node.client, FencingToken(2), Revision(1), lambda: True, node.now
         )
         found._peers = {"host-1": node.peers["host-1"]}
-        await found._read()
+        await found._read_records()
         # Read at the term's start: requests of the leader that wrote it are fenced off.
         assert found.is_excluded("host-1")
         found.hold_until(Monotonic(node.now() + 5.0))
-        await found.look()
+        await found.probe()
         assert found.is_excluded("host-1")
         world.true += 5.1
-        await found.look()
+        await found.probe()
         assert not found.is_excluded("host-1")
         assert exclusion_key("host-1") not in world.store.keys
 
--- a/tests/test_lease_extension.py
+++ b/tests/test_lease_extension.py
@@ -181,9 +181,9 @@
     values = {**SETTINGS, **changes}
     parsed = settings.parse(orjson.dumps(values))
 
-    known = AcknowledgedCancellations(lambda: state.first_seen)
-    known.add("wk-1", Revision(50))
-    return LeaseExtension(parsed, cast(StateClient, state), election, known, clock)
+    acknowledged = AcknowledgedCancellations(lambda: state.first_seen)
+    acknowledged.add("wk-1", Revision(50))
+    return LeaseExtension(parsed, cast(StateClient, state), election, acknowledged, clock)
 
 
 def test_only_a_term_without_a_gap_is_prolonged(clock: _Clock) -> None:
@@ -246,5 +246,5 @@
     workers = SETTINGS["params"]["workers"]
     short = {**workers, "cancel_s": workers["lease_s"] + PROMISE_S}
     params = {**SETTINGS["params"], "workers": short}
-    assert not _extension(_State(), _election(_State()), clock, params=params).possible
-    assert _extension(_State(), _election(_State()), clock).possible
+    assert not _extension(_State(), _election(_State()), clock, params=params).is_possible
+    assert _extension(_State(), _election(_State()), clock).is_possible
--- a/tests/test_lease_revocation.py
+++ b/tests/test_lease_revocation.py
@@ -29,7 +29,7 @@
 from tealrill.leadership import lease_revocation as revocation_module
 from tealrill.leadership.election import TTL_S, KnownLeader, exclusion_key
 from tealrill.leadership.exclusion import Exclusions
-from tealrill.leadership.lease_revocation import LOST_S, LeaseRevocation
+from tealrill.leadership.lease_revocation import LEADER_FAILURE_S, LeaseRevocation
 from tealrill.state.client import OutcomeUnknownError, StateUnavailableError
 from tealrill.state.fencing import LEADER_KEY
 from tealrill.types import FencingToken, LeaseId, Monotonic, Revision
@@ -68,7 +68,7 @@
 
     def _exclusions(self, mine: Any) -> Exclusions:
         found = super()._exclusions(mine)
-        found._revoked = self._resign
+        found._on_lease_revoked = self._resign
         return found
 
     def _resign(self) -> None:
@@ -88,7 +88,7 @@
         elif self.unheard_since is None:
             self.unheard_since = self.now()
         with contextlib.suppress(StateUnavailableError, OutcomeUnknownError):
-            await self.revocation.turn()
+            await self.revocation.step()
 
 
 class FlappingWorld(World):
@@ -172,9 +172,9 @@
     async def end_lease(self: LeaseRevocation, attempt: Any) -> None:
         with contextlib.suppress(OutcomeUnknownError):
             await self._client.end_lease(attempt.lease)
-        attempt.may_stand_at = Monotonic(self._now() + TTL_S * 1.001 + 0.2)
+        attempt.leader_invalid_at = Monotonic(self._now() + TTL_S * 1.001 + 0.2)
 
-    patch.setattr(LeaseRevocation, "_end_lease", end_lease)
+    patch.setattr(LeaseRevocation, "_revoke_lease", end_lease)
 
 
 def _exclude_only(patch: pytest.MonkeyPatch, kept: Callable[[str, str], bool]) -> None:
@@ -240,7 +240,7 @@
             election = self.member(host).election
             election.known = self.leader
             # These processes have run for long and have no lease extension grants in force.
-            election._promised_until = election._restarted_until = Monotonic(0.0)
+            election._own_grants_expire_at = election._previous_grants_expire_at = Monotonic(0.0)
         self.ender = self.member(HOSTS[1])
 
     def member(self, host: str) -> _Member:
@@ -252,7 +252,7 @@
             for host in HOSTS[1:]:
                 await self.member(host).step("revoke")
                 cast(_Interrupted, self.member(host).client).interruptions += 1
-            self.pass_s(LOST_S / 8)
+            self.pass_s(LEADER_FAILURE_S / 8)
 
     def pass_s(self, seconds: float) -> None:
         self.world.true += seconds
@@ -296,8 +296,8 @@
     asyncio.run(lost.lose())
     attempt = lost.ender.revocation._attempt
     assert attempt is not None
-    until = Monotonic(attempt.may_stand_at + 2.0)
-    lost.ender.election._promised_until = until
+    until = Monotonic(attempt.leader_invalid_at + 2.0)
+    lost.ender.election._own_grants_expire_at = until
     lost.world.true += until - lost.ender.now() - 0.1
     asyncio.run(lost.ender.step("revoke"))
     assert exclusion_key(HOSTS[1]) in lost.store.keys
@@ -346,7 +346,7 @@
     found._peers = node.peers
     if not given_up:
         record["ends_term"] = 4
-    asyncio.run(found.turn())
+    asyncio.run(found.step())
     assert bool(told) is given_up
     assert (exclusion_key(HOSTS[1]) in lost.store.keys) is given_up
     assert not (given_up and found.is_excluded(HOSTS[1]))
@@ -376,7 +376,7 @@
 
     async def scenario() -> None:
         # Only this member's transaction is in flight.
-        lost.member(HOSTS[2]).revocation.turn = _nothing  # type: ignore[method-assign]
+        lost.member(HOSTS[2]).revocation.step = _nothing  # type: ignore[method-assign]
         await lost.lose()
         assert held and lost.ender.revocation._attempt is None
         cast(Any, reach).get = get
@@ -411,7 +411,7 @@
             for host in HOSTS[1:]:
                 await lost.member(host).step("revoke")
                 cast(_Interrupted, lost.member(host).client).interruptions = number > 3
-            lost.pass_s(LOST_S / 8)
+            lost.pass_s(LEADER_FAILURE_S / 8)
 
     asyncio.run(scenario())
     assert LEADER_KEY in lost.store.keys and exclusion_key(HOSTS[1]) not in lost.store.keys
--- a/tests/test_open_jobs.py
+++ b/tests/test_open_jobs.py
@@ -169,7 +169,7 @@
         found = RenewalDelegate(
             settings.parse(orjson.dumps(SETTINGS)), client, election, lambda: self.now
         )
-        found._cut_since = self.now
+        found._partitioned_since = self.now
         return found
 
     async def play(self, seconds: float = DAY_S) -> None:
@@ -181,7 +181,7 @@
                 if not reach.down:
                     reach.revisions.observe(self.now, Revision(self.store.revision))
             for delegate in self.delegates:
-                if delegate._wanted(self.now):
+                if delegate._should_confirm(self.now):
                     try:
                         await delegate.confirm(LEADER)
                     except StateError:
@@ -254,12 +254,12 @@
 
 def _reported_tasks(patch: pytest.MonkeyPatch) -> None:
     """The tasks listed in a heartbeat are not checked."""
-    patch.setattr(OpenJobs, "_reported_through", lambda *_: Monotonic(1e9))
+    patch.setattr(OpenJobs, "_reported_jobs_open_through", lambda *_: Monotonic(1e9))
 
 
 def _left_bindings(patch: pytest.MonkeyPatch) -> None:
     """Bindings of ended jobs are not read, so starts in flight are not known."""
-    patch.setattr(OpenJobs, "_keep_bindings", lambda *_: None)
+    patch.setattr(OpenJobs, "_add_remaining_bindings", lambda *_: None)
 
 
 def _end_of_the_owner(patch: pytest.MonkeyPatch) -> None:
@@ -289,8 +289,10 @@
 
     async def loaded(self: OpenJobs) -> None:
         await load(self)
-        left = {binding.job for found in self._left.values() for binding in found}
-        for name in left - self._last_open.keys():
+        remaining = {
+            binding.job for found in self._remaining_bindings.values() for binding in found
+        }
+        for name in remaining - self._last_open.keys():
             self._last_open[name] = self._now()
         self._ends_unread.clear()
 
@@ -475,5 +477,7 @@
     asyncio.run(jobs.refresh())
     asyncio.run(jobs.refresh())
     assert jobs.known_through == world.now
-    machine_left = jobs._left[MACHINE]
-    assert sum(left.incarnation == Incarnation(2) for left in machine_left) == len(many)
+    remaining_on_machine = jobs._remaining_bindings[MACHINE]
+    assert sum(
+        remaining.incarnation == Incarnation(2) for remaining in remaining_on_machine
+    ) == len(many)
--- a/tests/test_renewal_delegation.py
+++ b/tests/test_renewal_delegation.py
@@ -96,7 +96,7 @@
     def tick(self) -> FencingToken | None:
         async def run() -> None:
             await self.delegate._ping(cast(Client, self.leader))
-            if self.delegate._wanted(self.now):
+            if self.delegate._should_confirm(self.now):
                 await self.delegate.confirm(LEADER)
 
         asyncio.run(run())
@@ -208,7 +208,7 @@
     }  # fmt: skip
     report = wire.decode(orjson.dumps(beat), wire.Heartbeat)
     assert node.handle_heartbeat(report, MachineId("m-1")) == (421, {"foreman": "node-1"})
-    node._renewal_delegate._cut_since = Monotonic(0.0)
+    node._renewal_delegate._partitioned_since = Monotonic(0.0)
     assert node.handle_heartbeat(report, MachineId("m-1")) == (421, {})
-    node._renewal_delegate._heard()
+    node._renewal_delegate._on_leader_reachable()
     assert node.handle_heartbeat(report, MachineId("m-1")) == (421, {"foreman": "node-1"})
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -69,7 +69,7 @@
     assert not _look(back)
     assert _leading_host(state) is None
     # It delays its campaign, and another member is elected.
-    assert back._not_before > 0
+    assert back._campaign_not_before > 0
     assert _look(_process(state, "host-1"))
     assert not _look(back)
     terms = state.keys[TERM_KEY][0]
