--- a/tests/test_acknowledged_cancellations.py
+++ b/tests/test_acknowledged_cancellations.py
@@ -3,7 +3,8 @@
 One leader and two members acknowledge cancellations. The leader's watch lags, the state service
 fails and recovers, and members restart quickly and lose their knowledge of what they acknowledged.
 While the leader may act, a cancellation that it does not know must be recent enough for its tasks
-to end within `cancel_s`. `test_each_clause_is_needed` removes the protocol's conditions one by one.
+to end within `cancel_s`. `test_removed_condition_lets_cancelled_tasks_run_on` removes the
+protocol's conditions one by one.
 """
 
 from __future__ import annotations
@@ -53,30 +54,30 @@
 
     mine: Leadership | None = None
 
-    def __init__(self, world: _World) -> None:
+    def __init__(self, simulation: _Simulation) -> None:
         self.first: Revision | None = None
         self.known = AcknowledgedCancellations(lambda: self.first)
         self.extension = LeaseExtension(
             settings.parse(orjson.dumps(SETTINGS)),
-            cast(StateClient, world.state),
+            cast(StateClient, simulation.state),
             self,
             self.known,
-            lambda: world.now,
+            lambda: simulation.now,
         )
 
     def promise(self, term: FencingToken, until: Monotonic) -> str:
         return ""
 
 
-class _World:
-    def __init__(self, seed: int, without: str = "") -> None:
+class _Simulation:
+    def __init__(self, seed: int, removed_condition: str = "") -> None:
         self.rng = random.Random(seed)
-        self.without = without
+        self.removed_condition = removed_condition
         self.now = Monotonic(100.0)
         self.state = _State()
         self.members = [_Member(self) for _ in range(3)]
-        self.told: dict[str, Monotonic] = {}
-        self.at: dict[str, int] = {}
+        self.acknowledged_at: dict[str, Monotonic] = {}
+        self.revision_of: dict[str, int] = {}
         self.known: set[str] = set()
         self.seen = CancellationKnowledge(Revision(10), self.now)
         self.mine = Leadership(FencingToken(1), Revision(1), LeaseId(1), self.now, self.now)
@@ -92,13 +93,21 @@
 
         async def ask(number: Any, request: ExtensionRequest) -> ExtensionAnswer:
             answer: ExtensionAnswer = await self.members[number].extension.asked(request)
-            vouches = answer.vouches or self.without == "vouching"
+            vouches = answer.vouches or self.removed_condition == "vouching"
             return ExtensionAnswer(answer.promised, answer.why, answer.cancelled, vouches)
 
         extension._ask = ask  # type: ignore[method-assign,assignment]
 
     def run(self, steps: int) -> None:
-        actions = [self.cancel, self.poll, self.ask, self.ask, self.restart, self.turn, self.look]
+        actions = [
+            self.cancel,
+            self.poll,
+            self.ask,
+            self.ask,
+            self.restart,
+            self.toggle_outage,
+            self.read_first_revision,
+        ]
         for action in self.rng.choices(actions, k=steps):
             action()
             self.pass_time(self.rng.choice([0.05, 0.3, 0.7, 2.0]))
@@ -109,7 +118,7 @@
         if self.state.up:
             self.state.revision += 1
             name = f"wk-{self.state.revision}"
-            self.at[name] = self.state.revision
+            self.revision_of[name] = self.state.revision
             if self.rng.random() < 0.7:
                 self._tell(name, self.rng.choice(self.members))
             elif self.rng.random() < 0.5:
@@ -118,34 +127,34 @@
             self.state.up = self.rng.random() < 0.5
 
     def poll(self) -> None:
-        never_sent = [name for name in self.at if name not in self.told]
-        if never_sent and self.state.up:
-            name = never_sent[-1]
-            if self.without == "polls":
-                self.told[name] = self.now
+        unacknowledged = [name for name in self.revision_of if name not in self.acknowledged_at]
+        if unacknowledged and self.state.up:
+            name = unacknowledged[-1]
+            if self.removed_condition == "polls":
+                self.acknowledged_at[name] = self.now
             else:
                 self._tell(name, self.rng.choice(self.members))
 
     def _tell(self, name: str, member: _Member) -> None:
-        member.known.add(name, Revision(self.at[name]))
-        self.told[name] = self.now
+        member.known.add(name, Revision(self.revision_of[name]))
+        self.acknowledged_at[name] = self.now
 
     def restart(self) -> None:
         if self.rng.random() < 0.5:
             self.members[self.rng.choice([1, 2])] = _Member(self)
 
-    def look(self) -> None:
+    def read_first_revision(self) -> None:
         for member in self.members:
             if self.state.up and member.first is None:
                 member.first = Revision(self.state.revision)
 
-    def turn(self) -> None:
+    def toggle_outage(self) -> None:
         # Outages must last longer than an unknown cancellation may stay unknown.
         self.state.up = not self.state.up and self.rng.random() < 0.3
 
     def ask(self) -> None:
         if not self.state.up and self.mine.valid(self.now):
-            if self.without == "own":
+            if self.removed_condition == "own":
                 self.members[0].extension._acknowledged = AcknowledgedCancellations(
                     lambda: Revision(0)
                 )
@@ -157,40 +166,42 @@
             self.mine.valid_until = Monotonic(self.now + _RENEWED_S)
             if self.now - self.seen.at > self.rng.uniform(0.0, _WATCH_LAG_S):
                 self.seen = CancellationKnowledge(Revision(self.state.revision), self.now)
-                self.known |= {n for n, at in self.at.items() if at <= self.seen.revision}
+                self.known |= {n for n, at in self.revision_of.items() if at <= self.seen.revision}
 
     def check(self) -> None:
         if not self.mine.valid(self.now):
             return
         gone_at = self.now + _WORKERS["lease_s"]
-        for name, told in self.told.items():
-            late = gone_at > told + _WORKERS["cancel_s"]
+        for name, acknowledged_at in self.acknowledged_at.items():
+            late = gone_at > acknowledged_at + _WORKERS["cancel_s"]
             assert name in self.known or not late, f"{name} runs on"
 
 
 @given(st.integers(0, 2**32))
 @hypothesis_settings(max_examples=300, deadline=None, derandomize=True)
-def test_nothing_cancelled_runs_on_through_an_outage(seed: int) -> None:
-    _World(seed).run(80)
+def test_cancelled_tasks_end_in_time_during_outage(seed: int) -> None:
+    _Simulation(seed).run(80)
 
 
-@pytest.mark.parametrize("clause", ["vouching", "polls", "own"])
-def test_each_clause_is_needed(clause: str) -> None:
+@pytest.mark.parametrize("removed_condition", ["vouching", "polls", "own"])
+def test_removed_condition_lets_cancelled_tasks_run_on(removed_condition: str) -> None:
     with pytest.raises(AssertionError, match="runs on"):
         for seed in range(3000):
-            _World(seed, clause).run(80)
+            _Simulation(seed, removed_condition).run(80)
 
 
 @given(st.integers(0, 2**32))
 @hypothesis_settings(max_examples=200, deadline=None, derandomize=True)
-def test_nothing_runs_on_where_more_are_called_off_than_are_kept(seed: int) -> None:
+def test_cancelled_tasks_end_in_time_if_cancellations_are_dropped(seed: int) -> None:
     """Each member keeps only its latest acknowledged cancellation, so older ones are dropped."""
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(acknowledged_module, "_KEPT", 1)
-        _World(seed).run(80)
+        _Simulation(seed).run(80)
 
 
-def test_what_was_let_go_is_not_vouched_for(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_vouching_for_dropped_cancellations_lets_tasks_run_on(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(acknowledged_module, "_KEPT", 1)
 
     def all_since(self: AcknowledgedCancellations, revision: Revision) -> bool:
@@ -200,10 +211,10 @@
     monkeypatch.setattr(AcknowledgedCancellations, "all_since", all_since)
     with pytest.raises(AssertionError, match="runs on"):
         for seed in range(3000):
-            _World(seed).run(80)
+            _Simulation(seed).run(80)
 
 
-def test_a_restarted_member_vouches_for_what_came_after_its_first_look() -> None:
+def test_cancellations_are_complete_since_first_revision() -> None:
     first: list[Revision] = []
     known = AcknowledgedCancellations(lambda: first[0] if first else None)
     assert not known.all_since(Revision(100))
@@ -212,7 +223,7 @@
     assert not known.all_since(Revision(49))
 
 
-def test_too_many_cancellations_are_not_vouched_for(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_cancellations_are_incomplete_after_dropping(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(acknowledged_module, "_KEPT", 3)
     known = AcknowledgedCancellations(lambda: Revision(0))
     for at in (7, 9, 8, 10):
@@ -223,16 +234,16 @@
     assert known.all_since(Revision(7))
 
 
-def test_an_unvouched_promise_holds_for_a_bounded_time() -> None:
-    world = _World(0)
-    world.members[1] = _Member(world)
-    world.seen = CancellationKnowledge(Revision(10), world.now)
-    world.mine.valid_until = Monotonic(world.now + _RENEWED_S)
-    world.state.up = False
-    began = world.now
-    while world.mine.valid(world.now):
-        world.ask()
-        world.now = Monotonic(world.now + 0.5)
+def test_extension_without_vouching_is_limited() -> None:
+    simulation = _Simulation(0)
+    simulation.members[1] = _Member(simulation)
+    simulation.seen = CancellationKnowledge(Revision(10), simulation.now)
+    simulation.mine.valid_until = Monotonic(simulation.now + _RENEWED_S)
+    simulation.state.up = False
+    began = simulation.now
+    while simulation.mine.valid(simulation.now):
+        simulation.ask()
+        simulation.now = Monotonic(simulation.now + 0.5)
     # Longer than one grant, but no longer than an unknown cancelled task may run.
     spare = _WORKERS["cancel_s"] - _WORKERS["lease_s"]
-    assert PROMISE_S < world.now - began < spare
+    assert PROMISE_S < simulation.now - began < spare
--- a/tests/test_exclusion.py
+++ b/tests/test_exclusion.py
@@ -3,8 +3,9 @@
 Simulates three hosts with real elections, lease extensions and exclusions, and one store with
 leases. Links between hosts, and from each host to the store, fail and recover; transactions are
 executed late or have an unknown outcome; processes restart; the hosts' clocks run at slightly
-different rates. After each step at most one leader may be valid. `test_each_clause_is_needed`
-removes the conditions under which a term may be extended without an excluded member's grant.
+different rates. After each step at most one leader may be valid.
+`test_removed_condition_allows_two_leaders` removes the conditions under which a term may be
+extended without an excluded member's grant.
 """
 
 from __future__ import annotations
@@ -57,16 +58,16 @@
 class _Store:
     """The state service, on the simulation's clock."""
 
-    def __init__(self, world: World) -> None:
-        self.world = world
+    def __init__(self, cluster: Cluster) -> None:
+        self.cluster = cluster
         self.keys: dict[str, tuple[Any, int, int | None]] = {}
         self.leases: dict[int, float] = {}
         self.epoch = 1
-        self.numbers = 0
-        self.late: list[tuple[Any, Any]] = []
+        self.last_lease = 0
+        self.delayed: list[tuple[Any, Any]] = []
 
     def expire(self) -> None:
-        over = {n for n, until in self.leases.items() if until <= self.world.true}
+        over = {n for n, until in self.leases.items() if until <= self.cluster.true_now}
         for number in over:
             del self.leases[number]
         for key in [k for k, (_, _, lease) in self.keys.items() if lease in over]:
@@ -94,17 +95,17 @@
 
     first_seen = Revision(0)
 
-    def __init__(self, world: World, host: str) -> None:
-        self.world, self.host = world, host
+    def __init__(self, cluster: Cluster, host: str) -> None:
+        self.cluster, self.host = cluster, host
 
     def _reach(self) -> None:
-        if self.host in self.world.cut:
+        if self.host in self.cluster.state_unreachable:
             raise StateUnavailableError("status 503")
-        self.world.store.expire()
+        self.cluster.store.expire()
 
     async def get(self, key: str) -> wire.KeyValue | None:
         self._reach()
-        entry = self.world.store.keys.get(key)
+        entry = self.cluster.store.keys.get(key)
         if entry is None:
             return None
         return wire.KeyValue(value=entry[0], version=entry[1], lease=entry[2])
@@ -113,31 +114,31 @@
         self._reach()
         found = [
             wire.Entry(key=k, value=v, version=r)
-            for k, (v, r, _) in self.world.store.keys.items()
+            for k, (v, r, _) in self.cluster.store.keys.items()
             if k.startswith(prefix)
         ]
-        return found, Revision(self.world.store.epoch)
+        return found, Revision(self.cluster.store.epoch)
 
     async def watch(self, prefix: str, since: Revision, hold_s: float) -> None:
         return None
 
     async def create_lease(self, ttl_s: float) -> LeaseId:
         self._reach()
-        store = self.world.store
-        store.numbers += 1
-        store.leases[store.numbers] = self.world.true + ttl_s
-        return LeaseId(store.numbers)
+        store = self.cluster.store
+        store.last_lease += 1
+        store.leases[store.last_lease] = self.cluster.true_now + ttl_s
+        return LeaseId(store.last_lease)
 
     async def extend_lease(self, lease: LeaseId, timeout_s: float) -> bool:
         self._reach()
-        if lease not in self.world.store.leases:
+        if lease not in self.cluster.store.leases:
             return False
-        self.world.store.leases[lease] = self.world.true + TTL_S
+        self.cluster.store.leases[lease] = self.cluster.true_now + TTL_S
         return True
 
     async def end_lease(self, lease: LeaseId) -> None:
         self._reach()
-        self.world.store.leases[lease] = self.world.true
+        self.cluster.store.leases[lease] = self.cluster.true_now
 
     def set_leading(self, leads: bool) -> None: ...
 
@@ -145,12 +146,12 @@
         self, guards: Any, changes: Any, paid: bool = False, timeout_s: float = 2.0
     ) -> Committed | GuardsFailed:
         self._reach()
-        fate = self.world.rng.random()
-        if fate < 0.08:
-            self.world.store.late.append((guards, changes))
+        draw = self.cluster.rng.random()
+        if draw < 0.08:
+            self.cluster.store.delayed.append((guards, changes))
             raise OutcomeUnknownError("no answer")
-        result = self.world.store.execute(guards, changes)
-        if fate < 0.16:
+        result = self.cluster.store.execute(guards, changes)
+        if draw < 0.16:
             raise OutcomeUnknownError("no answer")
         if result is None:
             raise StateUnavailableError("no such lease")
@@ -160,57 +161,57 @@
 class _Peer:
     """One host as another host reaches it."""
 
-    def __init__(self, world: World, own: str, other: str) -> None:
-        self.world, self.own, self.other = world, own, other
+    def __init__(self, cluster: Cluster, own: str, other: str) -> None:
+        self.cluster, self.own, self.other = cluster, own, other
 
     async def request(
         self, method: str, path: str, body: bytes | None = None, timeout_s: float = 1.0
     ) -> HttpAnswer:
-        if frozenset((self.own, self.other)) in self.world.apart:
+        if frozenset((self.own, self.other)) in self.cluster.partitioned:
             raise NoAnswerError("TimeoutError", True)
-        there = self.world.nodes[self.other]
+        peer = self.cluster.nodes[self.other]
         answer = HttpAnswer()
         answer.status = 200
         if path == PING_PATH:
-            answer.body = wire.encode(there.extension.presence())
+            answer.body = wire.encode(peer.extension.presence())
         else:
             assert body is not None
             request = wire.decode(body, ExtensionRequest)
-            answer.body = wire.encode(await there.extension.asked(request))
+            answer.body = wire.encode(await peer.extension.asked(request))
         return answer
 
 
 class _Node:
     """One controller process."""
 
-    def __init__(self, world: World, host: str) -> None:
-        self.world, self.host = world, host
-        self.client = cast(StateClient, world.client_type(world, host))
+    def __init__(self, cluster: Cluster, host: str) -> None:
+        self.cluster, self.host = cluster, host
+        self.client = cast(StateClient, cluster.client_type(cluster, host))
         members = [{"host_name": h, "zone": "north", "peer_addr": "x:1"} for h in _HOSTS]
         others = [member for member in members if member["host_name"] != host]
         values = {**SETTINGS, "host_name": host, "members": others}
         self.settings = settings.parse(orjson.dumps(values))
         self.election = Election(self.client, host, lambda: None, PROMISE_S)
         self.extension = LeaseExtension(self.settings, self.client, self.election, None, self.now)
-        peers = {h: cast(Client, _Peer(world, host, h)) for h in _HOSTS if h != host}
+        peers = {h: cast(Client, _Peer(cluster, host, h)) for h in _HOSTS if h != host}
         self.extension._peers = peers
         self.election.nobody_leads = self.extension.nobody_leads
         self.election.others_up = self.extension.others_up
         self.extension.is_excluded = lambda mine, other: self._exclusions(mine).is_excluded(other)
-        if world.without != "relying":
+        if cluster.removed_condition != "relying":
             self.extension.extended = lambda mine, until: self._exclusions(mine).hold_until(until)
         # All cancellations are known, so that they don't shorten extensions here.
         self.extension.seen = lambda: CancellationKnowledge(Revision(1 << 40), Monotonic(1e9))
         self.peers = peers
-        self.of: Any = None
+        self.exclusions_term: Any = None
         self.exclusions: Exclusions | None = None
 
     def now(self) -> Monotonic:
-        return Monotonic(self.world.true * self.world.pace[self.host] + 1000.0)
+        return Monotonic(self.cluster.true_now * self.cluster.clock_rate[self.host] + 1000.0)
 
     def _exclusions(self, mine: Any) -> Exclusions:
-        if self.of is not mine or self.exclusions is None:
-            self.of = mine
+        if self.exclusions_term is not mine or self.exclusions is None:
+            self.exclusions_term = mine
             found = self.exclusions = Exclusions(
                 self.settings, self.client, mine.term, mine.stamp,
                 lambda: self.election.leading(self.now()) is mine, self.now,
@@ -219,12 +220,12 @@
             found._answered_at = dict.fromkeys(self.peers, self.now())
         return self.exclusions
 
-    async def step(self, what: str) -> None:
+    async def step(self, action: str) -> None:
         mine = self.election.mine
         try:
-            if what == "look" and mine is not None:
+            if action == "look" and mine is not None:
                 await self._exclusions(mine).step()
-            elif what == "extend" and mine is not None:
+            elif action == "extend" and mine is not None:
                 if mine.troubled:
                     await self.extension._seek(mine)
             elif mine is None:
@@ -235,61 +236,61 @@
             pass
 
 
-class World:
+class Cluster:
     client_type: type[_Client] = _Client
     node_type: type[_Node] = _Node
     steps: tuple[str, ...] = ("hold", "extend", "look")
 
-    def __init__(self, seed: int, without: str = "") -> None:
+    def __init__(self, seed: int, removed_condition: str = "") -> None:
         self.rng = random.Random(seed)
-        self.without = without
-        self.true = 0.0
-        self.acting = _HOSTS[0]
-        self.pace = {host: self.rng.choice([0.9995, 1.0, 1.0005]) for host in _HOSTS}
+        self.removed_condition = removed_condition
+        self.true_now = 0.0
+        self.current_host = _HOSTS[0]
+        self.clock_rate = {host: self.rng.choice([0.9995, 1.0, 1.0005]) for host in _HOSTS}
         self.store = _Store(self)
-        self.cut: set[str] = set()
-        self.apart: set[frozenset[str]] = set()
+        self.state_unreachable: set[str] = set()
+        self.partitioned: set[frozenset[str]] = set()
         self.nodes = {host: self.node_type(self, host) for host in _HOSTS}
         self.longest_extension = 0.0
 
     def clock(self) -> Monotonic:
-        return self.nodes[self.acting].now()
+        return self.nodes[self.current_host].now()
 
     async def run(self, rounds: int) -> None:
         for _ in range(rounds):
-            self._change()
+            self._inject_fault()
             for _ in range(self.rng.choice([2, 6, 20, 40])):
                 for host in _HOSTS:
-                    self.acting = host
-                    for what in self.steps:
-                        await self.nodes[host].step(what)
-                self.true += self.rng.choice([0.2, 0.5, 0.7])
-                if self.store.late and self.rng.random() < 0.15:
-                    late = self.store.late.pop(self.rng.randrange(len(self.store.late)))
-                    self.store.execute(*late)
+                    self.current_host = host
+                    for action in self.steps:
+                        await self.nodes[host].step(action)
+                self.true_now += self.rng.choice([0.2, 0.5, 0.7])
+                if self.store.delayed and self.rng.random() < 0.15:
+                    delayed = self.store.delayed.pop(self.rng.randrange(len(self.store.delayed)))
+                    self.store.execute(*delayed)
                 self.check()
 
-    def _change(self) -> None:
+    def _inject_fault(self) -> None:
         """Change which links are down, or restart a process; lasts until the next change."""
         kind = self.rng.choice(["silent", "outage", "silent+outage", "alone", "heal", "restart"])
-        one = self.rng.choice(_HOSTS)
-        others = [host for host in _HOSTS if host != one]
+        target = self.rng.choice(_HOSTS)
+        others = [host for host in _HOSTS if host != target]
         if kind == "heal":
-            self.cut.clear()
-            self.apart.clear()
+            self.state_unreachable.clear()
+            self.partitioned.clear()
         elif kind == "silent":
-            self.apart = {frozenset((one, other)) for other in others}
-            self.cut = {one} if self.rng.random() < 0.5 else set()
+            self.partitioned = {frozenset((target, other)) for other in others}
+            self.state_unreachable = {target} if self.rng.random() < 0.5 else set()
         elif kind == "outage":
-            self.cut = set(_HOSTS)
+            self.state_unreachable = set(_HOSTS)
         elif kind == "silent+outage":
-            self.apart = {frozenset((one, other)) for other in others}
-            self.cut = set(_HOSTS) if self.rng.random() < 0.5 else set(others)
+            self.partitioned = {frozenset((target, other)) for other in others}
+            self.state_unreachable = set(_HOSTS) if self.rng.random() < 0.5 else set(others)
         elif kind == "alone":
             # Only the unreachable host reaches the state service again.
-            self.cut = set(_HOSTS) - {one}
+            self.state_unreachable = set(_HOSTS) - {target}
         else:
-            self.nodes[one] = self.node_type(self, one)
+            self.nodes[target] = self.node_type(self, target)
 
     def check(self) -> None:
         valid = []
@@ -297,107 +298,120 @@
             mine = node.election.mine
             if mine is not None and mine.valid(node.now()):
                 valid.append((node.host, mine.term))
-                away = self.true * self.pace[node.host] + 1000.0 - mine.renewed_at
+                away = self.true_now * self.clock_rate[node.host] + 1000.0 - mine.renewed_at
                 self.longest_extension = max(self.longest_extension, away)
         if len(valid) > 1:
-            raise TwoLeaders(f"at {self.true:.1f} s: {valid}")
+            raise TwoLeaders(f"at {self.true_now:.1f} s: {valid}")
 
 
 @pytest.fixture(autouse=True)
-def _quick(monkeypatch: pytest.MonkeyPatch) -> None:
+def _no_sleeps(monkeypatch: pytest.MonkeyPatch) -> None:
     async def sleep(_: float) -> None: ...
 
-    quick = SimpleNamespace(sleep=sleep, gather=asyncio.gather, timeout=asyncio.timeout)
+    fast_asyncio = SimpleNamespace(sleep=sleep, gather=asyncio.gather, timeout=asyncio.timeout)
     for module in (election_module, extension_module, exclusion_module):
-        monkeypatch.setattr(module, "asyncio", quick)
+        monkeypatch.setattr(module, "asyncio", fast_asyncio)
 
 
-def _play(seed: int, without: str = "", rounds: int = 14, world_type: type[World] = World) -> World:
+def _simulate(
+    seed: int, removed_condition: str = "", rounds: int = 14, cluster_type: type[Cluster] = Cluster
+) -> Cluster:
     with pytest.MonkeyPatch.context() as patch:
-        world = world_type.__new__(world_type)
-        patch.setattr(election_module, "monotonic_now", lambda: world.clock())
-        world.acting = _HOSTS[0]
-        world.nodes = {}
-        world.true = 0.0
-        world.pace = dict.fromkeys(_HOSTS, 1.0)
+        cluster = cluster_type.__new__(cluster_type)
+        patch.setattr(election_module, "monotonic_now", lambda: cluster.clock())
+        cluster.current_host = _HOSTS[0]
+        cluster.nodes = {}
+        cluster.true_now = 0.0
+        cluster.clock_rate = dict.fromkeys(_HOSTS, 1.0)
 
         def clock() -> Monotonic:
-            return Monotonic(world.true * world.pace[world.acting] + 1000.0)
+            return Monotonic(cluster.true_now * cluster.clock_rate[cluster.current_host] + 1000.0)
 
-        world.clock = clock  # type: ignore[method-assign]
-        world.__init__(seed, without)  # type: ignore[misc]
-        world.clock = clock  # type: ignore[method-assign]
-        asyncio.run(world.run(rounds))
-    return world
+        cluster.clock = clock  # type: ignore[method-assign]
+        cluster.__init__(seed, removed_condition)  # type: ignore[misc]
+        cluster.clock = clock  # type: ignore[method-assign]
+        asyncio.run(cluster.run(rounds))
+    return cluster
 
 
 @given(st.integers(0, 2**32))
 @hypothesis_settings(max_examples=150, deadline=None)
-def _never_two(seed: int) -> None:
-    _play(seed)
+def _check_at_most_one_leader(seed: int) -> None:
+    _simulate(seed)
 
 
-def test_at_no_moment_two_leaders() -> None:
-    _never_two()
+def test_at_most_one_valid_leader() -> None:
+    _check_at_most_one_leader()
 
 
-def test_a_leader_goes_on_without_a_silent_member() -> None:
+def test_term_is_extended_despite_excluded_member() -> None:
     # A term may be extended for 15 s after its lease while one member of three is unreachable and
     # the state service is down.
-    assert max(_play(seed).longest_extension for seed in range(60)) > TTL_S + 6.0
+    assert max(_simulate(seed).longest_extension for seed in range(60)) > TTL_S + 6.0
 
 
-def _unguarded(patch: pytest.MonkeyPatch) -> None:
+def _no_exclusion_guard(patch: pytest.MonkeyPatch) -> None:
     """An election does not require its host's exclusion record to be absent."""
-    whole = _Client.commit
+    original = _Client.commit
 
     async def commit(
         self: _Client, guards: Any, changes: Any, paid: bool = False, timeout_s: float = 2.0
     ) -> Any:
         if any(c.get("set") == LEADER_KEY for c in changes):
             guards = [g for g in guards if not g["path"].startswith(EXCLUSION_PREFIX)]
-        return await whole(self, guards, changes, paid, timeout_s)
+        return await original(self, guards, changes, paid, timeout_s)
 
     patch.setattr(_Client, "commit", commit)
 
 
-def _impatient(patch: pytest.MonkeyPatch) -> None:
+def _immediate_readmission(patch: pytest.MonkeyPatch) -> None:
     """An excluded member readmits itself as soon as it observes that there is no leader."""
     patch.setattr(election_module, "CLOCK_DRIFT", 0.0)
 
 
-def _unbounded(patch: pytest.MonkeyPatch) -> None:
+def _unlimited_extension(patch: pytest.MonkeyPatch) -> None:
     """The term is extended for as long as the leader believes the record to exist."""
     patch.setattr(extension_module, "READMISSION_DELAY_S", 1e6)
 
 
-def _never_written(patch: pytest.MonkeyPatch) -> None:
+def _excluded_without_record(patch: pytest.MonkeyPatch) -> None:
     """An unreachable member counts as excluded without a record."""
     patch.setattr(Exclusions, "is_excluded", lambda *_: True)
 
 
-def _hasty(patch: pytest.MonkeyPatch) -> None:
+def _certain_despite_deletion(patch: pytest.MonkeyPatch) -> None:
     """A record counts as certain while its deletion is in flight."""
 
-    async def let_in(self: Exclusions, host: str) -> None:
+    async def readmit(self: Exclusions, host: str) -> None:
         await self._change(host, wire.delete(exclusion_key(host)))
 
-    patch.setattr(Exclusions, "_readmit", let_in)
+    patch.setattr(Exclusions, "_readmit", readmit)
 
 
-@pytest.mark.parametrize("clause", [_unguarded, _impatient, _unbounded, _never_written, _hasty])
-def test_each_clause_is_needed(clause: Any, monkeypatch: pytest.MonkeyPatch) -> None:
+@pytest.mark.parametrize(
+    "mutation",
+    [
+        _no_exclusion_guard,
+        _immediate_readmission,
+        _unlimited_extension,
+        _excluded_without_record,
+        _certain_despite_deletion,
+    ],
+)
+def test_removed_condition_allows_two_leaders(
+    mutation: Any, monkeypatch: pytest.MonkeyPatch
+) -> None:
     # That no member is readmitted while a term relies on its exclusion fails only for one of some
     # thousand seeds, and has its own test below.
-    clause(monkeypatch)
+    mutation(monkeypatch)
     with pytest.raises(TwoLeaders):
         for seed in range(300):
-            _play(seed, rounds=20)
+            _simulate(seed, rounds=20)
 
 
-def test_a_late_removal_does_not_let_in_who_is_silent_again() -> None:
-    world = World(0)
-    store = world.store
+def test_late_record_deletion_does_not_readmit_unreachable_member() -> None:
+    cluster = Cluster(0)
+    store = cluster.store
     store.keys[LEADER_KEY] = ({}, 1, None)
     answers = {"value": False}
 
@@ -405,55 +419,55 @@
         return answers["value"]
 
     async def scenario() -> Exclusions:
-        node = world.nodes["host-0"]
-        found = Exclusions(
+        node = cluster.nodes["host-0"]
+        exclusions = Exclusions(
             node.settings, node.client, FencingToken(1), Revision(1), lambda: True, node.now
         )
-        found._peers = {"host-1": node.peers["host-1"]}
-        found._answered_at = {"host-1": node.now()}
-        found._is_reachable = answered  # type: ignore[method-assign,assignment]
-        world.rng.random = lambda: 1.0  # type: ignore[method-assign]
-        await found.probe()
-        assert not found.is_excluded("host-1")
-        world.true += UNREACHABLE_S
-        await found.probe()
-        assert found.is_excluded("host-1") and exclusion_key("host-1") in store.keys
+        exclusions._peers = {"host-1": node.peers["host-1"]}
+        exclusions._answered_at = {"host-1": node.now()}
+        exclusions._is_reachable = answered  # type: ignore[method-assign,assignment]
+        cluster.rng.random = lambda: 1.0  # type: ignore[method-assign]
+        await exclusions.probe()
+        assert not exclusions.is_excluded("host-1")
+        cluster.true_now += UNREACHABLE_S
+        await exclusions.probe()
+        assert exclusions.is_excluded("host-1") and exclusion_key("host-1") in store.keys
         # It answers; the deletion of its record has an unknown outcome and is not executed yet.
         answers["value"] = True
-        world.rng.random = lambda: 0.0  # type: ignore[method-assign]
+        cluster.rng.random = lambda: 0.0  # type: ignore[method-assign]
         with contextlib.suppress(OutcomeUnknownError):
-            await found.probe()
-        assert not found.is_excluded("host-1") and exclusion_key("host-1") in store.keys
+            await exclusions.probe()
+        assert not exclusions.is_excluded("host-1") and exclusion_key("host-1") in store.keys
         answers["value"] = False
-        world.rng.random = lambda: 1.0  # type: ignore[method-assign]
-        world.true += UNREACHABLE_S
-        await found.probe()
-        assert found.is_excluded("host-1")
-        return found
+        cluster.rng.random = lambda: 1.0  # type: ignore[method-assign]
+        cluster.true_now += UNREACHABLE_S
+        await exclusions.probe()
+        assert exclusions.is_excluded("host-1")
+        return exclusions
 
     asyncio.run(scenario())
-    (late,) = store.late
-    assert isinstance(store.execute(*late), GuardsFailed)
+    (delayed,) = store.delayed
+    assert isinstance(store.execute(*delayed), GuardsFailed)
     assert exclusion_key("host-1") in store.keys
 
 
 @pytest.mark.parametrize("guarded", [True, False])
-def test_only_the_first_reading_finds_records_that_nothing_removes(guarded: bool) -> None:
-    """The deletion of a record found at the term's start has an unknown outcome, and the reading
+def test_records_are_certain_only_in_first_reading(guarded: bool) -> None:
+    """The deletion of a record read at the term's start has an unknown outcome, and the reading
     after it fails. The next reading finds the record, but the deletion may still be executed."""
-    world = World(0)
-    store = world.store
+    cluster = Cluster(0)
+    store = cluster.store
     store.keys[LEADER_KEY] = ({}, 1, None)
     store.keys[exclusion_key("host-1")] = ({"term": 1, "v": 1}, 1, None)
 
     async def scenario() -> None:
-        node = world.nodes["host-0"]
+        node = cluster.nodes["host-0"]
         client = cast(Any, node.client)
-        found = Exclusions(
+        exclusions = Exclusions(
             node.settings, client, FencingToken(2), Revision(1), lambda: True, node.now
         )
-        found._peers = {"host-1": node.peers["host-1"]}
-        world.rng.random = lambda: 0.0  # type: ignore[method-assign]
+        exclusions._peers = {"host-1": node.peers["host-1"]}
+        cluster.rng.random = lambda: 0.0  # type: ignore[method-assign]
         get = client.get
 
         async def refused(_: str) -> None:
@@ -461,74 +475,74 @@
 
         client.get = refused
         with pytest.raises(StateUnavailableError):
-            await found.step()
+            await exclusions.step()
         client.get = get
         if not guarded:
-            found._has_read_records = False
+            exclusions._has_read_records = False
         # The member becomes unreachable again.
-        world.apart = {frozenset(("host-0", "host-1"))}
-        await found.step()
-        assert found.is_excluded("host-1") is not guarded
+        cluster.partitioned = {frozenset(("host-0", "host-1"))}
+        await exclusions.step()
+        assert exclusions.is_excluded("host-1") is not guarded
 
     asyncio.run(scenario())
-    (late,) = store.late
-    assert isinstance(store.execute(*late), Committed)
+    (delayed,) = store.delayed
+    assert isinstance(store.execute(*delayed), Committed)
     assert exclusion_key("host-1") not in store.keys
 
 
-def test_some_are_left_who_need_not_wait() -> None:
+def test_at_most_half_of_the_peers_are_excluded() -> None:
     """A partitioned leader reaches no member. If it fails, one must be electable at once."""
-    world = World(0)
-    world.store.keys[LEADER_KEY] = ({}, 1, None)
-    world.rng.random = lambda: 1.0  # type: ignore[method-assign]
-    world.apart = {frozenset(("host-0", other)) for other in _HOSTS[1:]}
+    cluster = Cluster(0)
+    cluster.store.keys[LEADER_KEY] = ({}, 1, None)
+    cluster.rng.random = lambda: 1.0  # type: ignore[method-assign]
+    cluster.partitioned = {frozenset(("host-0", other)) for other in _HOSTS[1:]}
 
     async def scenario() -> None:
-        node = world.nodes["host-0"]
-        found = Exclusions(
+        node = cluster.nodes["host-0"]
+        exclusions = Exclusions(
             node.settings, node.client, FencingToken(1), Revision(1), lambda: True, node.now
         )
-        found._peers = node.peers
+        exclusions._peers = node.peers
         for _ in range(5):
-            world.true += UNREACHABLE_S
-            await found.probe()
-        assert [found.is_excluded(host) for host in _HOSTS[1:]] == [True, False]
-        assert sum(key.startswith(EXCLUSION_PREFIX) for key in world.store.keys) == 1
+            cluster.true_now += UNREACHABLE_S
+            await exclusions.probe()
+        assert [exclusions.is_excluded(host) for host in _HOSTS[1:]] == [True, False]
+        assert sum(key.startswith(EXCLUSION_PREFIX) for key in cluster.store.keys) == 1
 
     asyncio.run(scenario())
 
 
-def test_an_answering_member_is_let_in_once_nothing_relies_on_its_record() -> None:
-    world = World(0)
-    world.store.keys[LEADER_KEY] = ({}, 1, None)
-    world.store.keys[exclusion_key("host-1")] = ({"term": 1, "v": 1}, 1, None)
-    world.rng.random = lambda: 1.0  # type: ignore[method-assign]
+def test_readmission_waits_for_end_of_extension() -> None:
+    cluster = Cluster(0)
+    cluster.store.keys[LEADER_KEY] = ({}, 1, None)
+    cluster.store.keys[exclusion_key("host-1")] = ({"term": 1, "v": 1}, 1, None)
+    cluster.rng.random = lambda: 1.0  # type: ignore[method-assign]
 
     async def scenario() -> None:
-        node = world.nodes["host-0"]
-        found = Exclusions(
+        node = cluster.nodes["host-0"]
+        exclusions = Exclusions(
             node.settings, node.client, FencingToken(2), Revision(1), lambda: True, node.now
         )
-        found._peers = {"host-1": node.peers["host-1"]}
-        await found._read_records()
+        exclusions._peers = {"host-1": node.peers["host-1"]}
+        await exclusions._read_records()
         # Read at the term's start: requests of the leader that wrote it are fenced off.
-        assert found.is_excluded("host-1")
-        found.hold_until(Monotonic(node.now() + 5.0))
-        await found.probe()
-        assert found.is_excluded("host-1")
-        world.true += 5.1
-        await found.probe()
-        assert not found.is_excluded("host-1")
-        assert exclusion_key("host-1") not in world.store.keys
+        assert exclusions.is_excluded("host-1")
+        exclusions.hold_until(Monotonic(node.now() + 5.0))
+        await exclusions.probe()
+        assert exclusions.is_excluded("host-1")
+        cluster.true_now += 5.1
+        await exclusions.probe()
+        assert not exclusions.is_excluded("host-1")
+        assert exclusion_key("host-1") not in cluster.store.keys
 
     asyncio.run(scenario())
 
 
-def test_a_terms_connections_end_with_it() -> None:
+def test_close_closes_peer_connections() -> None:
     # Otherwise one connection to each member stays open per term until it is garbage-collected.
-    world = World(0)
-    node = world.nodes["host-0"]
-    found = Exclusions(
+    cluster = Cluster(0)
+    node = cluster.nodes["host-0"]
+    exclusions = Exclusions(
         node.settings, node.client, FencingToken(1), Revision(1), lambda: True, node.now
     )
     closed: list[str] = []
@@ -537,6 +551,6 @@
         def close(self) -> None:
             closed.append("one")
 
-    found._peers = {host: cast(Client, Peer()) for host in _HOSTS[1:]}
-    found.close()
+    exclusions._peers = {host: cast(Client, Peer()) for host in _HOSTS[1:]}
+    exclusions.close()
     assert closed == ["one", "one"]
--- a/tests/test_flapping.py
+++ b/tests/test_flapping.py
@@ -27,17 +27,17 @@
 
 @pytest.mark.parametrize("way", [FROZEN, GONE, CUT, REFUSED])
 def test_cancelled_tasks_end_in_time_while_the_state_service_flaps(way: str) -> None:
-    async def script(world: SimulatedCluster) -> None:
-        await FaultInjector(world).flapping(way, FLAPPING_S)
+    async def script(cluster: SimulatedCluster) -> None:
+        await FaultInjector(cluster).flapping(way, FLAPPING_S)
 
     for seed, nodes in ((1, 3), (2, 5)):
         shape = Shape(nodes=nodes, jobs=LONG_JOBS, cancelled=0.0, saving=0.0)
-        world = play(seed, shape, FLAPPING_S, script=script, calm_s=5.0)
-        assert not world.broken, [*world.events, *world.broken]
-        assert sum(job.cancelled_at is not None for job in world.jobs.values()) >= 2
+        cluster = play(seed, shape, FLAPPING_S, script=script, calm_s=5.0)
+        assert not cluster.broken, [*cluster.events, *cluster.broken]
+        assert sum(job.cancelled_at is not None for job in cluster.jobs.values()) >= 2
 
 
-SUCCEEDED_WITHIN_S = 20.0
+MAX_FAILOVER_S = 20.0
 """Upper bound for detecting the failure, revoking the lease, waiting until the former leader is
 invalid, and an election, each with its retries while the state service is down."""
 
@@ -58,27 +58,27 @@
     bound (seed 40, five controllers, cut): the answers to the election and to the deletion of its
     key are lost one after the other.
     """
-    led_after_s: list[float] = []
+    failover_s: list[float] = []
 
-    async def script(world: SimulatedCluster) -> None:
-        lost, began = world.leader(), world.now()
-        assert lost is not None
-        flapping = world.begin(FaultInjector(world).flapping(way, FLAPPING_S))
+    async def script(cluster: SimulatedCluster) -> None:
+        failed_host, began = cluster.leader(), cluster.now()
+        assert failed_host is not None
+        flapping = cluster.begin(FaultInjector(cluster).flapping(way, FLAPPING_S))
         while not flapping.done():
-            for host in world.hosts.values():
+            for host in cluster.hosts.values():
                 node = host.node
-                valid = node is not None and node.election.leading(_steady(world)) is not None
-                if valid and host is not lost and not led_after_s:
-                    led_after_s.append(world.now() - began)
+                valid = node is not None and node.election.leading(_steady_now(cluster)) is not None
+                if valid and host is not failed_host and not failover_s:
+                    failover_s.append(cluster.now() - began)
             await asyncio.sleep(0.1)
 
-    world = play(
+    cluster = play(
         seed, Shape(nodes=nodes, jobs=LONG_JOBS, saving=0.0), FLAPPING_S, script=script, calm_s=5.0
     )
-    assert not world.broken, [*world.events, *world.broken]
-    assert led_after_s and led_after_s[0] < SUCCEEDED_WITHIN_S
+    assert not cluster.broken, [*cluster.events, *cluster.broken]
+    assert failover_s and failover_s[0] < MAX_FAILOVER_S
 
 
-def _steady(world: SimulatedCluster) -> Monotonic:
+def _steady_now(cluster: SimulatedCluster) -> Monotonic:
     """Return the current time of the processes' steady clock."""
-    return Monotonic(STEADY_AT + world.now())
+    return Monotonic(STEADY_AT + cluster.now())
--- a/tests/test_leader_churn.py
+++ b/tests/test_leader_churn.py
@@ -6,7 +6,7 @@
 comes only after the next change of leaders: a worker sends its next heartbeat early, after half a
 second, for a higher token at most once in half a lease, and otherwise 2.5 s later. So term after
 term renews the worker and none stops the task (eleven such answers in a row on the first of
-`DAYS`). Therefore every answer that renews a lease carries the stops of the listed tasks that have
+`RUNS`). Therefore every answer that renews a lease carries the stops of the listed tasks that have
 to end.
 """
 
@@ -58,27 +58,27 @@
     )
 
 
-DAYS = ((3, 2.1, 2), (5, 1.5, 1), (5, 1.7, 2), (5, 2.1, 2), (5, 2.5, 2))
+RUNS = ((3, 2.1, 2), (5, 1.5, 1), (5, 1.7, 2), (5, 2.1, 2), (5, 2.5, 2))
 """Number of controllers, seconds between changes of the leader, seed."""
 
 
 def _play(nodes: int, every_s: float, seed: int) -> SimulatedCluster:
-    async def script(world: SimulatedCluster) -> None:
-        await FaultInjector(world).change_leaders(every_s, CHURN_S)
+    async def script(cluster: SimulatedCluster) -> None:
+        await FaultInjector(cluster).change_leaders(every_s, CHURN_S)
 
     return play(seed, _shape(nodes), CHURN_S, script=script, calm_s=5.0)
 
 
 def test_cancelled_tasks_end_in_time_while_leaders_change() -> None:
     broken: list[str] = []
-    for nodes, every_s, seed in DAYS:
-        world = _play(nodes, every_s, seed)
-        broken += [f"{nodes} controllers, every {every_s} s: {text}" for text in world.broken]
-        assert sum(job.cancelled_at is not None for job in world.jobs.values()) >= 4
+    for nodes, every_s, seed in RUNS:
+        cluster = _play(nodes, every_s, seed)
+        broken += [f"{nodes} controllers, every {every_s} s: {text}" for text in cluster.broken]
+        assert sum(job.cancelled_at is not None for job in cluster.jobs.values()) >= 4
     assert not broken
 
 
-def test_a_first_answer_without_stops_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_missing_stop_in_first_answer_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Commands, "stops_for_old_list", lambda *_: [])
     assert {"ran_cancelled", "renewed_unstopped"} <= _play(5, 1.5, 1).rules
 
@@ -121,30 +121,30 @@
         return self.fleet.heartbeats.process(heartbeat, MACHINE, now, Wall(0.0))
 
 
-def test_the_first_answer_of_a_term_has_the_stop() -> None:
+def test_first_answer_of_term_contains_stop() -> None:
     assert Term().answer(sequence=5, token=TERM - 1) == [STOP]
 
 
-def test_the_answer_to_an_overtaken_heartbeat_has_the_stop() -> None:
+def test_answer_to_overtaken_heartbeat_contains_stop() -> None:
     term = Term()
     assert term.answer(sequence=6, token=TERM) == [STOP]
     assert term.answer(sequence=5, token=TERM) == [STOP]
     assert term.answer(sequence=4, token=TERM - 1) == [STOP]
 
 
-def test_a_cancellation_reaches_a_machine_on_which_nothing_changes() -> None:
+def test_cancellation_stops_task_on_unchanged_machine() -> None:
     term = Term(cancelled=False)
     assert [term.answer(n, TERM) for n in (5, 6, 7)] == [[], [], []]
     term.cancel()
     assert term.answer(8, TERM) == [STOP]
 
 
-def test_the_first_answer_stops_what_no_record_covers_once_its_job_has_ended() -> None:
+def test_first_answer_stops_task_without_record_of_ended_job() -> None:
     """A task without a record, whose job has ended or is unknown, is not stopped otherwise."""
     assert Term(bound=False).answer(sequence=5, token=TERM - 1) == [STOP]
 
 
-def test_an_old_list_stops_nothing_of_an_open_job() -> None:
+def test_outdated_list_stops_no_task_of_open_job() -> None:
     assert Term(cancelled=False).answer(sequence=5, token=TERM - 1) == []
     assert Term(bound=False, cancelled=False).answer(sequence=5, token=TERM - 1) == []
     # A list sent within the term is current, so an attempt without a record is stopped.
@@ -154,7 +154,7 @@
 # -- log lines and status --------------------------------------------------------------------------
 
 
-def test_a_task_that_outlives_its_cancellation_is_logged_once_a_term(
+def test_overdue_cancelled_task_is_logged_once_per_term(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     term = Term()
@@ -173,7 +173,7 @@
     assert shown.rows(Wall(5.0)) == [CancelledJob("wk-000412", 25.0, 1, [MACHINE])]
 
 
-def test_a_cancellation_that_is_fresh_is_not_logged(caplog: pytest.LogCaptureFixture) -> None:
+def test_recent_cancellation_is_not_logged(caplog: pytest.LogCaptureFixture) -> None:
     term = Term()
     term.job.cancelled_at = Wall(-9.0)
     term.fleet.stop_timeout_s = 10.0
--- a/tests/test_lease_extension.py
+++ b/tests/test_lease_extension.py
@@ -92,7 +92,7 @@
     return election.mine is not None
 
 
-def test_who_has_promised_does_not_stand_before_the_promise_is_over(clock: _Clock) -> None:
+def test_no_campaign_before_grant_expires(clock: _Clock) -> None:
     election = _election(_State())
     assert election.promise(FencingToken(4), Monotonic(clock.now + PROMISE_S)) == ""
     assert not _stand(election)
@@ -100,7 +100,7 @@
     assert _stand(election)
 
 
-def test_a_restarted_member_may_have_promised(clock: _Clock) -> None:
+def test_restarted_member_waits_for_possible_grants(clock: _Clock) -> None:
     assert not _stand(_election(_State(), PROMISE_S))
     # Before the first term no leader can have been granted an extension.
     assert _stand(_election(_State(term=None), PROMISE_S))
@@ -108,17 +108,17 @@
     assert _stand(_election(_State(), PROMISE_S), stamp=7)
 
 
-def test_a_restarted_member_stands_at_once_if_nobody_leads(clock: _Clock) -> None:
+def test_restarted_member_campaigns_at_once_if_no_peer_leads(clock: _Clock) -> None:
     # After a crash of all controllers, waiting for the grants to expire would outlast the workers'
     # leases and end every task.
     election = _election(_State(), PROMISE_S)
     extension = _extension(_State(), election, clock)
-    said: dict[str, NoAnswerError | bytes] = {
+    peer_answer: dict[str, NoAnswerError | bytes] = {
         "answer": NoAnswerError("refused", False, refused=True)
     }
 
     async def request(*_: object, timeout_s: float) -> HttpAnswer:
-        answer = said["answer"]
+        answer = peer_answer["answer"]
         if isinstance(answer, NoAnswerError):
             raise answer
         found = HttpAnswer()
@@ -129,9 +129,9 @@
         peer.request = request  # type: ignore[method-assign,assignment]
     election.nobody_leads = extension.nobody_leads
     assert not _stand(election)
-    said["answer"] = wire.encode(Presence(leads=True))
+    peer_answer["answer"] = wire.encode(Presence(leads=True))
     assert not _stand(election)
-    said["answer"] = wire.encode(Presence(leads=False))
+    peer_answer["answer"] = wire.encode(Presence(leads=False))
     # A grant by this process itself is still in force.
     assert election.promise(FencingToken(4), Monotonic(clock.now + 1.0)) == ""
     assert not _stand(election)
@@ -142,7 +142,7 @@
 @pytest.mark.parametrize(
     ("outcome", "promised"), [("unknown", False), ("refused", True), ("failed", True)]
 )
-def test_an_election_without_an_answer_may_take_place_late(
+def test_unknown_campaign_outcome_refuses_grants_to_earlier_terms(
     clock: _Clock, outcome: str, promised: bool
 ) -> None:
     election = _election(_State(outcome=outcome))
@@ -152,7 +152,7 @@
     assert election.promise(FencingToken(5), Monotonic(200.0)) == ""
 
 
-def test_no_promise_to_a_leader_of_the_past(clock: _Clock) -> None:
+def test_extension_is_refused_to_earlier_terms(clock: _Clock) -> None:
     election = _election(_State())
     election.known = KnownLeader("host-1", FencingToken(5))
     assert election.promise(FencingToken(4), Monotonic(200.0)) != ""
@@ -163,7 +163,7 @@
     assert election.promise(election.mine.term, Monotonic(200.0)) == "leads itself"
 
 
-def test_who_was_followed_promises_to_the_one_that_follows(clock: _Clock) -> None:
+def test_replaced_leader_grants_extension_to_successor(clock: _Clock) -> None:
     # While only its own requests to the state service fail, the former leader can't see that its
     # key no longer exists. If it refused the grant ("leads itself"), its successor would become
     # invalid in an outage, and every task would end with its worker's lease.
@@ -186,7 +186,7 @@
     return LeaseExtension(parsed, cast(StateClient, state), election, acknowledged, clock)
 
 
-def test_only_a_term_without_a_gap_is_prolonged(clock: _Clock) -> None:
+def test_only_valid_term_is_extended(clock: _Clock) -> None:
     extension = _extension(_State(), _election(_State()), clock)
     mine = Leadership(FencingToken(4), Revision(1), LeaseId(1), Monotonic(90.0), Monotonic(101.0))
     sent = clock.now
@@ -198,7 +198,7 @@
     assert not mine.valid(clock.now)
 
 
-def test_a_member_that_reaches_the_state_service_promises_nothing(clock: _Clock) -> None:
+def test_member_that_reaches_state_service_grants_nothing(clock: _Clock) -> None:
     state = _State()
     state.keys[LEADER_KEY] = ({"host": "host-1"}, 8)
     election = _election(state)
@@ -214,20 +214,20 @@
     assert not _stand(election)
 
 
-def test_one_missing_promise_is_silence(clock: _Clock, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_one_refusal_prevents_extension(clock: _Clock, monkeypatch: pytest.MonkeyPatch) -> None:
     election = _election(_State())
     members = [{"host_name": f"n-{n}", "zone": "north", "peer_addr": "x:1"} for n in range(2)]
     extension = _extension(_State(), election, clock, members=members)
     # The revision that this process read first is older than what it knows as the leader.
     extension.seen = lambda: CancellationKnowledge(Revision(30), clock.now)
-    told: list[str] = []
-    extension.cancelled = told.append
+    cancelled_jobs: list[str] = []
+    extension.cancelled = cancelled_jobs.append
 
-    def extended(last: ExtensionAnswer) -> bool:
-        left = iter([ExtensionAnswer(True, cancelled=["wk-2"]), last])
+    def is_extended(last: ExtensionAnswer) -> bool:
+        answers = iter([ExtensionAnswer(True, cancelled=["wk-2"]), last])
 
         async def ask(*_: object) -> ExtensionAnswer:
-            return next(left)
+            return next(answers)
 
         monkeypatch.setattr(extension, "_ask", ask)
         mine = Leadership(
@@ -236,13 +236,13 @@
         asyncio.run(extension._seek(mine))
         return mine.valid_until > 101.0
 
-    assert extended(ExtensionAnswer(True))
-    assert not extended(ExtensionAnswer(False, "no answer"))
+    assert is_extended(ExtensionAnswer(True))
+    assert not is_extended(ExtensionAnswer(False, "no answer"))
     # Includes this node's own cancellation, which its watch may not have delivered yet.
-    assert set(told) == {"wk-1", "wk-2"}
+    assert set(cancelled_jobs) == {"wk-1", "wk-2"}
 
 
-def test_no_extension_where_a_cancellation_would_come_too_late(clock: _Clock) -> None:
+def test_extension_requires_enough_cancellation_slack(clock: _Clock) -> None:
     workers = SETTINGS["params"]["workers"]
     short = {**workers, "cancel_s": workers["lease_s"] + PROMISE_S}
     params = {**SETTINGS["params"], "workers": short}
--- a/tests/test_open_jobs.py
+++ b/tests/test_open_jobs.py
@@ -45,10 +45,10 @@
 JOBS = tuple(f"wk-{number:06d}" for number in range(4))
 GRAPH = "dag7"
 OWNED = f"{GRAPH}-1"
-LATE = "wk-000009"
+DELAYED = "wk-000009"
 """A job whose only task is bound and whose direct start is in flight."""
 STEP_S = 0.25
-DAY_S = 70.0
+DURATION_S = 70.0
 
 
 class Store:
@@ -75,13 +75,13 @@
         self.put(f"run/{job}/0", {"n": 8, "tasks": [entry, [2], 0, -1]})
 
 
-class Reach:
+class StateLink:
     """The state service as one controller reaches it."""
 
     def __init__(self, store: Store, rng: random.Random) -> None:
         self.store, self.rng = store, rng
         self.down = False
-        self.lost = 0.0
+        self.loss_probability = 0.0
         self.revisions = RevisionClock()
         self.now: Callable[[], Monotonic] = lambda: Monotonic(0.0)
         self.compacted = False
@@ -91,7 +91,7 @@
         self.requests += 1
         if self.down:
             raise StateUnavailableError("status 503")
-        if self.rng.random() < self.lost:
+        if self.rng.random() < self.loss_probability:
             raise OutcomeUnknownError("no answer")
 
     async def get(self, key: str) -> wire.KeyValue | None:
@@ -134,7 +134,7 @@
         return Committed(Revision(self.store.revision))
 
 
-class World:
+class Simulation:
     """Two delegates, one worker and the state service, simulated in steps of `STEP_S`."""
 
     def __init__(self, seed: int) -> None:
@@ -143,27 +143,27 @@
         self.store = Store()
         self.store.put(f"job/{GRAPH}", {"v": 1})
         self.store.put(f"job/{OWNED}", {"owner": GRAPH})
-        for job in (*JOBS, LATE):
+        for job in (*JOBS, DELAYED):
             self.store.put(f"job/{job}", {})
-        for job in (*JOBS, OWNED, LATE):
+        for job in (*JOBS, OWNED, DELAYED):
             self.store.bind(job)
         self.cancelled_at: dict[str, Monotonic] = {}
         self.incarnation, self.renewed_at = 1, self.now
         self.running = {*JOBS, OWNED}
-        self.start_arrives_at = self.now + self.rng.uniform(0.0, DAY_S)
-        self.reach = [Reach(self.store, self.rng) for _ in range(2)]
-        self.delegates = [self._process(reach) for reach in self.reach]
+        self.start_arrives_at = self.now + self.rng.uniform(0.0, DURATION_S)
+        self.links = [StateLink(self.store, self.rng) for _ in range(2)]
+        self.delegates = [self._process(link) for link in self.links]
         self.reports_at = self.now
-        # Half of the runs cancel only `LATE`: otherwise the lease expires before the late start.
-        self.cancellable = self.rng.choice([[*JOBS, LATE, GRAPH], [LATE]])
+        # Half of the runs cancel only `DELAYED`: otherwise the lease expires before the late start.
+        self.cancellable = self.rng.choice([[*JOBS, DELAYED, GRAPH], [DELAYED]])
         self.renewals = 0
-        self.late: list[str] = []
+        self.overdue: list[str] = []
 
-    def _process(self, reach: Reach) -> RenewalDelegate:
+    def _process(self, link: StateLink) -> RenewalDelegate:
         # A new process has no observations of revisions.
-        reach.revisions = RevisionClock()
-        reach.now = lambda: self.now
-        client = cast(StateClient, reach)
+        link.revisions = RevisionClock()
+        link.now = lambda: self.now
+        client = cast(StateClient, link)
         election = Election(client, "node-0", lambda: None)
         election.known = LEADER
         found = RenewalDelegate(
@@ -172,32 +172,32 @@
         found._partitioned_since = self.now
         return found
 
-    async def play(self, seconds: float = DAY_S) -> None:
+    async def run(self, seconds: float = DURATION_S) -> None:
         until = self.now + seconds
         while self.now < until:
-            self._draw()
-            for reach in self.reach:
+            self._inject_faults()
+            for link in self.links:
                 # Members that do not lead watch the leader's key all the time.
-                if not reach.down:
-                    reach.revisions.observe(self.now, Revision(self.store.revision))
+                if not link.down:
+                    link.revisions.observe(self.now, Revision(self.store.revision))
             for delegate in self.delegates:
                 if delegate._should_confirm(self.now):
                     try:
                         await delegate.confirm(LEADER)
                     except StateError:
                         continue
-            self._work()
+            self._run_worker()
             self.now = Monotonic(self.now + STEP_S)
 
-    def _draw(self) -> None:
-        for number, reach in enumerate(self.reach):
+    def _inject_faults(self) -> None:
+        for number, link in enumerate(self.links):
             if self.rng.random() < 0.12:
                 # Outages are of any length, and often short and repeated.
-                reach.down = not reach.down and self.rng.random() < 0.7
-            reach.lost = self.rng.choice([0.0, 0.0, 0.1])
-            reach.compacted = self.rng.random() < 0.01
+                link.down = not link.down and self.rng.random() < 0.7
+            link.loss_probability = self.rng.choice([0.0, 0.0, 0.1])
+            link.compacted = self.rng.random() < 0.01
             if self.rng.random() < 0.01:
-                self.delegates[number] = self._process(reach)
+                self.delegates[number] = self._process(link)
         if self.rng.random() < 0.06:
             self.cancel(self.rng.choice(self.cancellable))
 
@@ -211,7 +211,7 @@
         self.store.put(f"over/{name}", {"status": wire.JOB_CANCELLED})
         self.store.delete(f"job/{name}")
 
-    def _work(self) -> None:
+    def _run_worker(self) -> None:
         if self.now - self.renewed_at > WORKERS.lease_s:
             self.incarnation += 1
             self.renewed_at = self.now
@@ -219,10 +219,10 @@
         if self.now >= self.start_arrives_at:
             self.start_arrives_at = 1e9
             if self.incarnation == 1:
-                self.running.add(LATE)
+                self.running.add(DELAYED)
         for job in self.running:
             if self.now > self.cancelled_at.get(job, 1e9) + WORKERS.cancel_s:
-                self.late.append(f"{job} at {self.now}, cancelled at {self.cancelled_at[job]}")
+                self.overdue.append(f"{job} at {self.now}, cancelled at {self.cancelled_at[job]}")
         if self.now >= self.reports_at:
             pause_s = WORKERS.heartbeat_interval_s * self.rng.uniform(0.75, 1.25)
             self.reports_at = Monotonic(self.now + pause_s)
@@ -238,31 +238,31 @@
             self.renewed_at = self.now
 
 
-def play(seed: int) -> World:
-    world = World(seed)
-    asyncio.run(world.play())
-    return world
+def simulate(seed: int) -> Simulation:
+    simulation = Simulation(seed)
+    asyncio.run(simulation.run())
+    return simulation
 
 
 @given(st.integers(0, 10**9))
-def test_cancelled_tasks_end_in_time_though_the_leader_is_gone_for_ever(seed: int) -> None:
-    assert not play(seed).late
+def test_cancelled_tasks_end_in_time_without_leader(seed: int) -> None:
+    assert not simulate(seed).overdue
 
 
 # -- without one of the protocol's conditions -----------------------------------------------------
 
 
-def _reported_tasks(patch: pytest.MonkeyPatch) -> None:
+def _ignore_reported_tasks(patch: pytest.MonkeyPatch) -> None:
     """The tasks listed in a heartbeat are not checked."""
     patch.setattr(OpenJobs, "_reported_jobs_open_through", lambda *_: Monotonic(1e9))
 
 
-def _left_bindings(patch: pytest.MonkeyPatch) -> None:
+def _ignore_remaining_bindings(patch: pytest.MonkeyPatch) -> None:
     """Bindings of ended jobs are not read, so starts in flight are not known."""
     patch.setattr(OpenJobs, "_add_remaining_bindings", lambda *_: None)
 
 
-def _end_of_the_owner(patch: pytest.MonkeyPatch) -> None:
+def _ignore_end_of_owner(patch: pytest.MonkeyPatch) -> None:
     """The end of a graph does not end its jobs."""
 
     def closed(self: OpenJobs, name: str, last_open: Monotonic) -> None:
@@ -273,17 +273,17 @@
     patch.setattr(OpenJobs, "_closed", closed)
 
 
-def _time_of_the_reading_before(patch: pytest.MonkeyPatch) -> None:
+def _date_end_by_reading(patch: pytest.MonkeyPatch) -> None:
     """A job counts as open until its end was read, however much earlier it ended."""
-    whole = OpenJobs._closed
+    original = OpenJobs._closed
 
     def closed(self: OpenJobs, name: str, _: Monotonic) -> None:
-        whole(self, name, self._now())
+        original(self, name, self._now())
 
     patch.setattr(OpenJobs, "_closed", closed)
 
 
-def _unknown_jobs(patch: pytest.MonkeyPatch) -> None:
+def _date_unknown_ends_by_start(patch: pytest.MonkeyPatch) -> None:
     """Jobs that had ended before a process started count as having ended just now."""
     load = OpenJobs._load
 
@@ -299,7 +299,7 @@
     patch.setattr(OpenJobs, "_load", loaded)
 
 
-def _time_of_the_next_answer(patch: pytest.MonkeyPatch) -> None:
+def _date_revision_by_next_answer(patch: pytest.MonkeyPatch) -> None:
     """A revision is dated by the first answer that shows it, not by the last one that does not."""
 
     def not_before(self: RevisionClock, revision: Revision) -> Monotonic:
@@ -309,13 +309,13 @@
     patch.setattr(RevisionClock, "not_before", not_before)
 
 
-def _age_and_reading(patch: pytest.MonkeyPatch) -> None:
+def _ignore_age(patch: pytest.MonkeyPatch) -> None:
     """Delegations are confirmed without reading the changes, and knowledge does not age."""
-    whole = OpenJobs.refresh
+    original = OpenJobs.refresh
 
     async def refresh(self: OpenJobs) -> None:
         if self._revision is None or self._now() % 20.0 < 1.0:
-            await whole(self)
+            await original(self)
 
     patch.setattr(OpenJobs, "refresh", refresh)
     patch.setattr(OpenJobs, "known_through", property(lambda self: self._now()))
@@ -327,156 +327,156 @@
 
 
 @pytest.mark.parametrize(
-    "clause",
+    "mutation",
     [
-        _left_bindings,
-        _end_of_the_owner,
-        _time_of_the_reading_before,
-        _unknown_jobs,
-        _time_of_the_next_answer,
-        _age_and_reading,
+        _ignore_remaining_bindings,
+        _ignore_end_of_owner,
+        _date_end_by_reading,
+        _date_unknown_ends_by_start,
+        _date_revision_by_next_answer,
+        _ignore_age,
     ],
 )
-def test_each_clause_is_needed(
-    clause: Callable[[pytest.MonkeyPatch], None], monkeypatch: pytest.MonkeyPatch
+def test_removed_condition_lets_cancelled_tasks_run_on(
+    mutation: Callable[[pytest.MonkeyPatch], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    clause(monkeypatch)
-    assert any(play(seed).late for seed in range(400))
+    mutation(monkeypatch)
+    assert any(simulate(seed).overdue for seed in range(400))
 
 
-def test_what_a_worker_runs_is_found_by_its_report_and_by_its_binding(
+def test_tasks_are_found_by_heartbeat_and_by_binding(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Either finds a running task; only the binding finds a direct start in flight."""
 
-    def late_ones() -> set[str]:
-        return {line.split()[0] for seed in range(100) for line in play(seed).late}
+    def overdue_jobs() -> set[str]:
+        return {line.split()[0] for seed in range(100) for line in simulate(seed).overdue}
 
     with monkeypatch.context() as patch:
-        _left_bindings(patch)
-        assert late_ones() == {LATE}
-        _reported_tasks(patch)
-        assert late_ones() >= {*JOBS, LATE}
+        _ignore_remaining_bindings(patch)
+        assert overdue_jobs() == {DELAYED}
+        _ignore_reported_tasks(patch)
+        assert overdue_jobs() >= {*JOBS, DELAYED}
     with monkeypatch.context() as patch:
-        _reported_tasks(patch)
-        assert not late_ones()
+        _ignore_reported_tasks(patch)
+        assert not overdue_jobs()
 
 
 # -- only machines with tasks of ended jobs lose their leases -------------------------------------
 
 
-def _calm(seed: int = 1) -> World:
-    world = World(seed)
-    world._draw = lambda: None  # type: ignore[method-assign]
-    world.start_arrives_at = 1e9
-    return world
+def _simulation_without_faults(seed: int = 1) -> Simulation:
+    simulation = Simulation(seed)
+    simulation._inject_faults = lambda: None  # type: ignore[method-assign]
+    simulation.start_arrives_at = 1e9
+    return simulation
 
 
-def test_a_worker_of_open_jobs_is_renewed_for_as_long_as_they_are_open() -> None:
-    world = _calm()
-    asyncio.run(world.play())
-    assert world.incarnation == 1 and world.renewals > DAY_S / 2
+def test_worker_with_open_jobs_is_renewed() -> None:
+    simulation = _simulation_without_faults()
+    asyncio.run(simulation.run())
+    assert simulation.incarnation == 1 and simulation.renewals > DURATION_S / 2
 
 
-def test_a_worker_is_renewed_again_once_its_lease_has_ended_the_cancelled_task() -> None:
-    world = _calm()
-    asyncio.run(world.play(5.0))
-    world.cancel(JOBS[0])
-    asyncio.run(world.play(renewal_bound_s(WORKERS) - 2.0))
-    assert world.renewed_at > world.cancelled_at[JOBS[0]], "not before the bound is near"
-    asyncio.run(world.play(40.0))
-    assert world.incarnation == 2 and not world.running and not world.late
+def test_worker_is_renewed_again_after_lease_ended_cancelled_task() -> None:
+    simulation = _simulation_without_faults()
+    asyncio.run(simulation.run(5.0))
+    simulation.cancel(JOBS[0])
+    asyncio.run(simulation.run(renewal_bound_s(WORKERS) - 2.0))
+    assert simulation.renewed_at > simulation.cancelled_at[JOBS[0]], "not before the bound is near"
+    asyncio.run(simulation.run(40.0))
+    assert simulation.incarnation == 2 and not simulation.running and not simulation.overdue
 
 
-def test_what_ended_by_itself_and_exited_tasks_hold_up_nothing() -> None:
-    world = _calm()
-    world.store.delete(f"job/{JOBS[1]}")
-    world.store.bind(JOBS[1], done=True)
-    world.running.discard(JOBS[1])
-    world.store.bind(JOBS[1], incarnation=0)
-    asyncio.run(world.play(5.0))
+def test_completed_jobs_and_exited_tasks_do_not_prevent_renewal() -> None:
+    simulation = _simulation_without_faults()
+    simulation.store.delete(f"job/{JOBS[1]}")
+    simulation.store.bind(JOBS[1], done=True)
+    simulation.running.discard(JOBS[1])
+    simulation.store.bind(JOBS[1], incarnation=0)
+    asyncio.run(simulation.run(5.0))
     exited: list[tuple[str, int, str, str | None]] = [(f"{JOBS[1]}/0", 1, wire.EXITED, "done")]
     message = report(MACHINE, 1, 9, LEADER.term, exited)
-    assert world.delegates[0].renews(message, MACHINE, world.now) == LEADER.term
+    assert simulation.delegates[0].renews(message, MACHINE, simulation.now) == LEADER.term
 
 
-def test_a_job_that_ended_before_the_first_reading_has_what_is_left_of_its_time() -> None:
+def test_job_cancelled_before_first_reading_is_renewed_for_remaining_time() -> None:
     """The delegate must not withhold renewals at once: that ends all other tasks on the machine."""
-    world = _calm()
-    for reach in world.reach:
-        reach.revisions.observe(world.now, Revision(world.store.revision))
-    world.now = Monotonic(world.now + 2.0)
-    world.cancel(JOBS[0])
-    world.now = Monotonic(world.now + 1.0)
-    asyncio.run(world.play(1.0))
-    assert world.renewals > 0
-    asyncio.run(world.play(40.0))
-    assert world.incarnation == 2 and not world.late
+    simulation = _simulation_without_faults()
+    for link in simulation.links:
+        link.revisions.observe(simulation.now, Revision(simulation.store.revision))
+    simulation.now = Monotonic(simulation.now + 2.0)
+    simulation.cancel(JOBS[0])
+    simulation.now = Monotonic(simulation.now + 1.0)
+    asyncio.run(simulation.run(1.0))
+    assert simulation.renewals > 0
+    asyncio.run(simulation.run(40.0))
+    assert simulation.incarnation == 2 and not simulation.overdue
 
 
 # -- unreadable records and reports ---------------------------------------------------------------
 
 
 @pytest.mark.parametrize("value", [None, [], {"tasks": 3}, {"n": 1, "tasks": [[1, "m-1"]]}])
-def test_bindings_that_can_not_be_read_renew_nobody(value: Any) -> None:
-    world = _calm()
-    world.store.put("run/wk-000099/0", value)
-    asyncio.run(world.play(5.0))
-    assert world.renewals == 0
-    world.store.delete("run/wk-000099/0")
-    asyncio.run(world.play(5.0))
-    assert world.renewals > 0
+def test_unreadable_binding_prevents_renewal(value: Any) -> None:
+    simulation = _simulation_without_faults()
+    simulation.store.put("run/wk-000099/0", value)
+    asyncio.run(simulation.run(5.0))
+    assert simulation.renewals == 0
+    simulation.store.delete("run/wk-000099/0")
+    asyncio.run(simulation.run(5.0))
+    assert simulation.renewals > 0
 
 
 @pytest.mark.parametrize("value", [None, [], {"term": "three"}, {"closed": True}])
-def test_a_delegation_that_can_not_be_read_renews_nobody_and_ends_no_node(
+def test_unreadable_delegation_prevents_renewal_and_is_revoked(
     value: Any, caplog: pytest.LogCaptureFixture
 ) -> None:
-    world = _calm()
-    world.store.put(DELEGATION_PREFIX + "node-0", value)
-    asyncio.run(world.play(5.0))
-    assert world.renewals == 0
+    simulation = _simulation_without_faults()
+    simulation.store.put(DELEGATION_PREFIX + "node-0", value)
+    asyncio.run(simulation.run(5.0))
+    assert simulation.renewals == 0
     # Logged once by each of the two processes, not with every reading.
     assert len([r for r in caplog.records if DELEGATION_PREFIX in r.getMessage()]) == 2
     delegations = delegation_module.Delegations(
-        cast(StateClient, world.reach[0]), LEADER.term, LEADER.stamp, lambda: None
+        cast(StateClient, simulation.links[0]), LEADER.term, LEADER.stamp, lambda: None
     )
     # The leader counts it as active, since it may belong to its term, and revokes it.
     assert asyncio.run(delegations.stand(Monotonic(1.0), False)) is True
     assert asyncio.run(delegations.stand(Monotonic(2.0), False)) is False
 
 
-def test_an_absurd_report_costs_no_reading() -> None:
-    world = _calm()
-    asyncio.run(world.play(5.0))
-    before = [reach.requests for reach in world.reach]
+def test_implausible_heartbeat_causes_no_requests() -> None:
+    simulation = _simulation_without_faults()
+    asyncio.run(simulation.run(5.0))
+    before = [link.requests for link in simulation.links]
     unbound_tasks: list[tuple[str, int, str, str | None]] = [
         (f"wk-{number:06d}/0", 1, "running", None) for number in range(5000, 7000)
     ]
     unbound_tasks.append(("no task", 1, "running", None))
-    delegate = world.delegates[0]
-    assert delegate.renews(report(MACHINE, 1, 9, 3, unbound_tasks), MACHINE, world.now) is None
-    assert delegate.renews(report(MACHINE, 1, 9, LEADER.term + 1), MACHINE, world.now) is None
-    assert [reach.requests for reach in world.reach] == before
+    delegate = simulation.delegates[0]
+    assert delegate.renews(report(MACHINE, 1, 9, 3, unbound_tasks), MACHINE, simulation.now) is None
+    assert delegate.renews(report(MACHINE, 1, 9, LEADER.term + 1), MACHINE, simulation.now) is None
+    assert [link.requests for link in simulation.links] == before
 
 
-def test_cancelled_jobs_whose_bindings_are_not_read_yet_count_as_unknown() -> None:
-    world = _calm()
-    jobs = OpenJobs(cast(StateClient, world.reach[0]), 7.0, lambda: world.now)
+def test_unread_bindings_limit_known_through() -> None:
+    simulation = _simulation_without_faults()
+    jobs = OpenJobs(cast(StateClient, simulation.links[0]), 7.0, lambda: simulation.now)
     many = [f"wk-{number:06d}" for number in range(100, 120)]
     for job in many:
-        world.store.put(f"job/{job}", {})
-        world.store.bind(job, incarnation=2)
+        simulation.store.put(f"job/{job}", {})
+        simulation.store.bind(job, incarnation=2)
     asyncio.run(jobs.refresh())
-    opened = world.now
-    world.now = Monotonic(world.now + 1.0)
+    opened = simulation.now
+    simulation.now = Monotonic(simulation.now + 1.0)
     for job in many:
-        world.store.delete(f"job/{job}")
+        simulation.store.delete(f"job/{job}")
     asyncio.run(jobs.refresh())
     assert jobs.known_through == opened
     asyncio.run(jobs.refresh())
     asyncio.run(jobs.refresh())
-    assert jobs.known_through == world.now
+    assert jobs.known_through == simulation.now
     remaining_on_machine = jobs._remaining_bindings[MACHINE]
     assert sum(
         remaining.incarnation == Incarnation(2) for remaining in remaining_on_machine
--- a/tests/test_renewal_delegation.py
+++ b/tests/test_renewal_delegation.py
@@ -81,7 +81,7 @@
         return Answer()
 
 
-class _Side:
+class _DelegateNode:
     """A delegate in a partitioned zone, with its own clock."""
 
     def __init__(self, store: Store) -> None:
@@ -111,64 +111,64 @@
     return Delegations(cast(StateClient, store), LEADER.term, LEADER.stamp, lambda: None)
 
 
-def test_a_delegate_renews_only_while_the_leader_is_out_of_reach() -> None:
-    side = _Side(Store())
-    assert [side.tick(), side.tick()] == [None, 3]
-    side.now = Monotonic(side.now + DELEGATION_S)
-    assert side.term() is None
-    assert side.tick() == 3
-    side.leader.error = None
-    assert side.tick() is None
+def test_delegate_renews_only_while_leader_is_unreachable() -> None:
+    delegate_node = _DelegateNode(Store())
+    assert [delegate_node.tick(), delegate_node.tick()] == [None, 3]
+    delegate_node.now = Monotonic(delegate_node.now + DELEGATION_S)
+    assert delegate_node.term() is None
+    assert delegate_node.tick() == 3
+    delegate_node.leader.error = None
+    assert delegate_node.tick() is None
     # A refused connection means that the leader's process has ended, or that only controllers are
     # partitioned from each other: heartbeats would still reach a leader.
-    side.leader.error = NoAnswerError("refused", False, refused=True)
-    assert [side.tick(), side.tick()] == [None, None]
+    delegate_node.leader.error = NoAnswerError("refused", False, refused=True)
+    assert [delegate_node.tick(), delegate_node.tick()] == [None, None]
 
 
-def test_a_delegation_ends_with_the_leader_it_is_from() -> None:
+def test_delegation_ends_with_its_term() -> None:
     store = Store()
-    side = _Side(store)
-    side.tick()
+    delegate_node = _DelegateNode(store)
+    delegate_node.tick()
     store.keys[LEADER_KEY] = ({}, 9)
-    assert side.tick() is None
+    assert delegate_node.tick() is None
     assert DELEGATION_PREFIX + "node-0" not in store.keys
     store.keys[LEADER_KEY] = ({}, 7)
-    assert side.tick() == 3
-    side.election.known = KnownLeader("node-1", FencingToken(4), Revision(9))
-    assert side.term() is None
+    assert delegate_node.tick() == 3
+    delegate_node.election.known = KnownLeader("node-1", FencingToken(4), Revision(9))
+    assert delegate_node.term() is None
 
 
-def test_nothing_lapses_while_a_delegation_stands_or_can_not_be_looked_for() -> None:
+def test_check_active_finds_delegation_and_propagates_state_errors() -> None:
     store = Store()
-    side, delegations = _Side(store), _delegations(store)
+    delegate_node, delegations = _DelegateNode(store), _delegations(store)
     assert asyncio.run(delegations.stand(Monotonic(0.0), False)) is False
-    side.tick()
-    side.tick()
+    delegate_node.tick()
+    delegate_node.tick()
     assert asyncio.run(delegations.stand(Monotonic(1.0), False)) is True
     store.down = True
     with pytest.raises(StateError):
         asyncio.run(delegations.stand(Monotonic(1.5), False))
 
 
-def test_a_closed_permit_is_not_confirmed_again_in_its_term() -> None:
+def test_revoked_delegation_is_not_confirmed_again_in_its_term() -> None:
     store = Store()
-    side, delegations = _Side(store), _delegations(store)
-    side.tick()
-    side.tick()
+    delegate_node, delegations = _DelegateNode(store), _delegations(store)
+    delegate_node.tick()
+    delegate_node.tick()
     assert asyncio.run(delegations.stand(Monotonic(1.0), revoke=True)) is True
     assert asyncio.run(delegations.stand(Monotonic(1.5), revoke=True)) is False
-    side.now = Monotonic(side.now + DELEGATION_S)
-    assert side.tick() is None
+    delegate_node.now = Monotonic(delegate_node.now + DELEGATION_S)
+    assert delegate_node.tick() is None
     asyncio.run(delegations.clear())
-    assert side.tick() == 3
+    assert delegate_node.tick() == 3
 
 
-def test_a_delegation_counts_as_ended_whenever_its_removal_was_tried() -> None:
+def test_ended_is_called_although_deletion_fails() -> None:
     # The deletion fails, because its guard on the leader's key does (revision 8 instead of 7).
     store = Store()
-    side = _Side(store)
-    side.tick()
-    side.tick()
+    delegate_node = _DelegateNode(store)
+    delegate_node.tick()
+    delegate_node.tick()
     ended: list[int] = []
     delegations = Delegations(
         cast(StateClient, store), FencingToken(3), Revision(8), lambda: ended.append(1)
@@ -179,25 +179,25 @@
     assert ended
 
 
-def test_a_delegation_that_serves_nobody_any_more_is_closed() -> None:
+def test_stale_delegation_is_revoked() -> None:
     store = Store()
-    side, delegations = _Side(store), _delegations(store)
-    side.tick()
-    side.tick()
+    delegate_node, delegations = _DelegateNode(store), _delegations(store)
+    delegate_node.tick()
+    delegate_node.tick()
     found = [asyncio.run(delegations.stand(Monotonic(float(at)), False)) for at in (1, 3, 6, 7)]
     assert found == [True, True, True, False]
 
 
-def test_the_delegation_of_an_older_term_is_void() -> None:
+def test_delegation_of_earlier_term_is_ignored() -> None:
     store = Store()
-    side = _Side(store)
-    side.tick()
-    side.tick()
+    delegate_node = _DelegateNode(store)
+    delegate_node.tick()
+    delegate_node.tick()
     later = Delegations(cast(StateClient, store), FencingToken(4), Revision(9), lambda: None)
     assert asyncio.run(later.stand(Monotonic(1.0), False)) is False
 
 
-def test_no_worker_is_sent_to_a_leader_that_does_not_answer_this_node() -> None:
+def test_worker_is_not_redirected_to_unreachable_leader() -> None:
     # A worker redirected to a leader on the other side of a partition waits 4 s there for an
     # answer, and so loses 4 s of its lease each time.
     node = Controller(settings.parse(orjson.dumps(SETTINGS)))
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -50,7 +50,7 @@
     return election
 
 
-def _look(election: Election) -> bool:
+def _election_step(election: Election) -> bool:
     """Take one election step; return True if this process leads then."""
     asyncio.run(election._follow())
     return election.mine is not None
@@ -61,27 +61,27 @@
     return entry[0]["host"] if entry is not None else None
 
 
-def test_a_host_that_ends_again_and_again_lets_others_lead() -> None:
+def test_repeatedly_restarting_host_delays_its_campaign() -> None:
     state = _State()
     # It is re-elected at once after its first two restarts.
-    assert [_look(_process(state, "host-0")) for _ in range(3)] == [True] * 3
-    back = _process(state, "host-0")
-    assert not _look(back)
+    assert [_election_step(_process(state, "host-0")) for _ in range(3)] == [True] * 3
+    restarted = _process(state, "host-0")
+    assert not _election_step(restarted)
     assert _leading_host(state) is None
     # It delays its campaign, and another member is elected.
-    assert back._campaign_not_before > 0
-    assert _look(_process(state, "host-1"))
-    assert not _look(back)
+    assert restarted._campaign_not_before > 0
+    assert _election_step(_process(state, "host-1"))
+    assert not _election_step(restarted)
     terms = state.keys[TERM_KEY][0]
     assert terms == 4, "every term is later than all before"
 
 
-def test_a_host_alone_goes_on_leading_however_often_it_ends() -> None:
+def test_sole_host_is_reelected_despite_restarts() -> None:
     state = _State()
-    assert all(_look(_process(state, "host-0", others_up=False)) for _ in range(6))
+    assert all(_election_step(_process(state, "host-0", others_up=False)) for _ in range(6))
 
 
-def test_only_what_follows_soon_counts() -> None:
+def test_only_quick_reelections_count() -> None:
     assert follows_itself({"host": "a", "at": 1000.0, "again": 2}, Wall(1010.0)) == 3
     assert follows_itself({"host": "a", "at": 1000.0, "again": 2}, Wall(1031.0)) == 0
     # Records written by an older version or with malformed values.
@@ -89,7 +89,7 @@
     assert follows_itself({"at": "soon", "again": None}, wall_now()) == 0
 
 
-def test_the_former_processs_late_election_can_not_be_mistaken_for_the_own() -> None:
+def test_late_election_of_previous_process_is_not_adopted() -> None:
     """It is executed after the new process has read that there is no leader."""
     state = _State()
     state.keys[TERM_KEY] = (4, 1)
@@ -103,22 +103,22 @@
         return GuardsFailed([])
 
     state.commit = held  # type: ignore[method-assign,assignment]
-    assert not _look(former)
+    assert not _election_step(former)
 
-    async def late_first(
+    async def delayed_first(
         guards: Any, changes: Any, timeout_s: float = 2.0
     ) -> Committed | GuardsFailed:
         await execute(*sent[0])
         return await execute(guards, changes)
 
-    state.commit = late_first  # type: ignore[method-assign,assignment]
-    now = _process(state, "host-0")
-    assert not _look(now)
+    state.commit = delayed_first  # type: ignore[method-assign,assignment]
+    current = _process(state, "host-0")
+    assert not _election_step(current)
     # No process acts on the previous process's term; the new one is elected with a higher token.
     assert state.keys[TERM_KEY][0] == 5
     state.commit = execute  # type: ignore[method-assign]
-    assert _look(now)
-    assert now.mine is not None and now.mine.term == 6
+    assert _election_step(current)
+    assert current.mine is not None and current.mine.term == 6
     # Executed after a later election, the old transaction fails and changes nothing.
     before = dict(state.keys)
     assert isinstance(asyncio.run(execute(*sent[0])), GuardsFailed)
@@ -128,24 +128,22 @@
 @pytest.mark.parametrize(
     "value", [None, [], "node-1", {"host": 7, "term": 1}, {"host": "a", "term": "x"}]
 )
-def test_a_leaders_record_that_can_not_be_read_deposes_nobody_and_ends_no_node(
-    value: Any, caplog: pytest.LogCaptureFixture
-) -> None:
+def test_unreadable_leader_record_is_kept(value: Any, caplog: pytest.LogCaptureFixture) -> None:
     state = _State()
     state.keys = {LEADER_KEY: (value, 3), TERM_KEY: (4, 1)}
     node = _process(state, "host-0")
     before = dict(state.keys)
-    assert not _look(node) and not _look(node)
+    assert not _election_step(node) and not _election_step(node)
     assert node.known is None and state.keys == before
     assert [r.getMessage() for r in caplog.records if LEADER_KEY in r.getMessage()][1:] == []
     assert LEADER_KEY in caplog.text
 
 
 @pytest.mark.parametrize("value", [None, "4", 4.5, True, {"term": 4}])
-def test_nobody_stands_by_a_term_that_can_not_be_read(value: Any) -> None:
+def test_no_campaign_with_unreadable_term(value: Any) -> None:
     state = _State()
     state.keys = {TERM_KEY: (value, 1)}
-    assert not _look(_process(state, "host-0"))
+    assert not _election_step(_process(state, "host-0"))
     assert state.keys == {TERM_KEY: (value, 1)}
 
 
@@ -160,13 +158,13 @@
 
 
 class _Cloud:
-    def __init__(self, away: bool = False) -> None:
+    def __init__(self, unavailable: bool = False) -> None:
         self.calls = 0
-        self.away = away
+        self.unavailable = unavailable
 
     async def catalogue(self) -> wire.Catalogue:
         self.calls += 1
-        if self.away:
+        if self.unavailable:
             raise CloudError("status 503")
         return wire.decode(orjson.dumps(_CATALOGUE), wire.Catalogue)
 
@@ -190,7 +188,7 @@
     return found
 
 
-def _started(found: Catalogues) -> wire.Catalogue | None:
+def _catalogue_after_start(found: Catalogues) -> wire.Catalogue | None:
     async def run() -> None:
         running = asyncio.create_task(found.run())
         for _ in range(20):
@@ -201,22 +199,22 @@
     return found.known
 
 
-def test_a_restarted_node_learns_the_machine_types_from_another_one() -> None:
+def test_restarted_node_gets_catalogue_from_peer() -> None:
     # This also works while the cloud is down, and a node that restarts every second adds no calls.
-    cloud = _Cloud(away=True)
-    known = _started(_catalogues(cloud, [None, b"{", orjson.dumps(_CATALOGUE)]))
+    cloud = _Cloud(unavailable=True)
+    known = _catalogue_after_start(_catalogues(cloud, [None, b"{", orjson.dumps(_CATALOGUE)]))
     assert known is not None and [kind.name for kind in known.types] == ["g8"]
     assert cloud.calls == 0
 
 
 @pytest.mark.parametrize("peers", [[], [None, None], [b"{}"]])
-def test_where_no_node_knows_them_the_cloud_is_asked(peers: list[bytes | None]) -> None:
+def test_catalogue_is_requested_from_cloud_if_no_peer_has_it(peers: list[bytes | None]) -> None:
     cloud = _Cloud()
-    assert _started(_catalogues(cloud, peers)) is not None
+    assert _catalogue_after_start(_catalogues(cloud, peers)) is not None
     assert cloud.calls == 1
 
 
-class _Silent:
+class _HangingPeer:
     """A node that accepts connections and never answers."""
 
     async def request(self, *_: object, timeout_s: float) -> Answer:
@@ -224,10 +222,10 @@
         raise AssertionError
 
 
-def test_a_silent_node_does_not_keep_the_cloud_from_being_asked() -> None:
+def test_hanging_peer_does_not_prevent_cloud_request() -> None:
     # After a restart of all nodes no other node can answer, and users wait for the machine types.
     cloud = _Cloud()
     found = _catalogues(cloud, [])
-    found._peers = [cast(Any, _Silent())]
+    found._peers = [cast(Any, _HangingPeer())]
     assert asyncio.run(found._first()) is not None
     assert cloud.calls == 1
