--- a/tealrill/leadership/election.py
+++ b/tealrill/leadership/election.py
@@ -53,9 +53,9 @@
 """Prefix of the keys of members excluded from elections (`leadership/exclusion.py`)."""
 READMISSION_DELAY_S: Final = 15.0
 """How long an excluded member must observe that there is no leader before it readmits itself."""
-TTL_S: Final = 3.0
+LEASE_TTL_S: Final = 3.0
 _LEASE_MARGIN_S: Final = 0.2
-_RENEW_INTERVAL_S: Final = TTL_S / 4
+_RENEW_INTERVAL_S: Final = LEASE_TTL_S / 4
 _WATCH_TIMEOUT_S: Final = 2.0
 _COMMIT_TIMEOUT_S: Final = 1.0
 """A third of the TTL of the lease that the leader's key is attached to."""
@@ -81,7 +81,7 @@
 
     host: str
     term: FencingToken
-    stamp: Revision = ABSENT
+    mod_revision: Revision = ABSENT
     """Revision of the leader's key."""
 
 
@@ -95,7 +95,7 @@
 class _LeaderlessObservation(NamedTuple):
     """The first observation that there is no leader."""
 
-    stamp: Revision
+    mod_revision: Revision
     """Revision of the term's key at that time."""
     since: Monotonic
 
@@ -112,7 +112,7 @@
     return False
 
 
-def follows_itself(holder: dict[str, Any], now: Wall) -> int:
+def consecutive_reelections(holder: dict[str, Any], now: Wall) -> int:
     """Return the number of quick re-elections in a row if the holder's host is elected now."""
     elected, reelections = holder.get("at"), holder.get("again")
     if not isinstance(elected, int | float) or not isinstance(reelections, int):
@@ -122,12 +122,12 @@
 
 def _validity(sent: Monotonic) -> Monotonic:
     """Return the moment until which a lease renewed by a request sent at `sent` is valid."""
-    return lower_bound_deadline(sent, TTL_S, _LEASE_MARGIN_S)
+    return lower_bound_deadline(sent, LEASE_TTL_S, _LEASE_MARGIN_S)
 
 
-def is_held_by_lease(mine: Leadership) -> bool:
+def is_held_by_lease(leadership: Leadership) -> bool:
     """Return True if the lease alone makes the term valid, without extension grants."""
-    return mine.valid_until <= _validity(mine.renewed_at)
+    return leadership.valid_until <= _validity(leadership.renewed_at)
 
 
 class Election:
@@ -150,9 +150,9 @@
         self._own_grants_expire_at = monotonic_now()
         # The grants of this host's previous process are unknown (`lease_extension.py`).
         self._previous_grants_expire_at = Monotonic(monotonic_now() + previous_grants_s)
-        self.nobody_leads: Callable[[], Awaitable[bool]] = _always_false
+        self.no_peer_leads: Callable[[], Awaitable[bool]] = _always_false
         """Returns True if every other member answers that it does not lead."""
-        self.others_up: Callable[[], Awaitable[bool]] = _always_false
+        self.any_peer_answers: Callable[[], Awaitable[bool]] = _always_false
         """Returns True if at least one other member answers."""
         self.revoking_term: FencingToken | None = None
         """The term whose lease this node is revoking; its leader is refused lease extensions."""
@@ -173,36 +173,36 @@
         """No other member can be elected at present."""
         self._leaderless: _LeaderlessObservation | None = None
         """While this host is excluded: when it first observed that there is no leader."""
-        self.mine: Leadership | None = None
-        self.known: KnownLeader | None = None
+        self.leadership: Leadership | None = None
+        self.known_leader: KnownLeader | None = None
         self.has_quorum_reach: Callable[[], bool] = lambda: True
         """Returns True if workers reach this node; otherwise other members campaign first."""
 
-    def leading(self, now: Monotonic) -> Leadership | None:
+    def valid_leadership(self, now: Monotonic) -> Leadership | None:
         """Return the current term if this node may act as its leader at `now`."""
-        mine = self.mine
-        return mine if mine is not None and mine.valid(now) else None
+        leadership = self.leadership
+        return leadership if leadership is not None and leadership.valid(now) else None
 
     @property
     def grants_expire_at(self) -> Monotonic:
         """When all extension grants of this node expire, those of its previous process included."""
         return max(self._own_grants_expire_at, self._previous_grants_expire_at)
 
-    def promise(self, term: FencingToken, until: Monotonic) -> str:
+    def grant_extension(self, term: FencingToken, until: Monotonic) -> str:
         """Promise the leader of `term` not to campaign before `until`.
 
         Returns the reason of a refusal, or the empty string if the extension is granted.
         """
-        if self.mine is not None and term > self.mine.term:
+        if self.leadership is not None and term > self.leadership.term:
             # The requesting leader was elected later, so the key of this node's term no longer
             # exists. This node can't see that while the state service refuses its requests. If it
             # refused the grant, the new leader's lease would expire during an outage, and all
             # tasks would end.
             self.step_down(f"lease extension requested by later term {term}")
-        if self.mine is not None:
+        if self.leadership is not None:
             return "leads itself"
-        if self.known is not None and self.known.term > term:
-            return f"knows of term {self.known.term}"
+        if self.known_leader is not None and self.known_leader.term > term:
+            return f"knows of term {self.known_leader.term}"
         if self.revoking_term is not None and self.revoking_term >= term:
             return f"ends the lease of term {self.revoking_term}"
         if self._campaign_term is not None and self._campaign_term > term:
@@ -218,10 +218,10 @@
         """
         while True:
             try:
-                if self.mine is None:
+                if self.leadership is None:
                     await self._follow()
                 else:
-                    await self._renew_lease(self.mine)
+                    await self._renew_lease(self.leadership)
             except StateError as error:
                 log.debug("election step failed: error=%s", error)
                 await self._pause(random.uniform(0.2, 0.5))
@@ -241,46 +241,46 @@
 
     def step_down(self, reason: str) -> None:
         """Stop leading a term that has ended or may have ended."""
-        if self.mine is not None:
-            log.info("no longer leader: term=%d reason=%s", self.mine.term, reason)
-            self.mine = None
-            self.known = None
+        if self.leadership is not None:
+            log.info("no longer leader: term=%d reason=%s", self.leadership.term, reason)
+            self.leadership = None
+            self.known_leader = None
             self._client.set_leading(False)
             self._changed()
 
     async def resign(self, reason: str, pause_s: float) -> None:
         """Give up leadership, and don't campaign for `pause_s` seconds."""
-        mine = self.mine
+        leadership = self.leadership
         self._campaign_not_before = Monotonic(monotonic_now() + pause_s)
         self.step_down(reason)
-        if mine is not None:
+        if leadership is not None:
             with contextlib.suppress(StateError):
-                await self._client.end_lease(mine.lease)
+                await self._client.end_lease(leadership.lease)
 
-    async def _renew_lease(self, mine: Leadership) -> None:
+    async def _renew_lease(self, leadership: Leadership) -> None:
         """Renew the lease of this node's term once."""
         sent = monotonic_now()
         try:
-            alive = await self._client.extend_lease(mine.lease, timeout_s=0.6)
+            alive = await self._client.extend_lease(leadership.lease, timeout_s=0.6)
         except StateError as error:
-            log.debug("lease renewal failed: term=%d error=%s", mine.term, error)
-            mine.troubled = True
+            log.debug("lease renewal failed: term=%d error=%s", leadership.term, error)
+            leadership.renewal_failed = True
             await asyncio.sleep(0.15)
             return
-        if self.mine is not mine:
+        if self.leadership is not leadership:
             return
         if not alive:
             self.step_down("lease expired or revoked")
             return
-        was_valid = mine.valid(monotonic_now())
+        was_valid = leadership.valid(monotonic_now())
         # A lease that can be renewed has never ended, so the leader's key has existed all the time
         # and no other member can have been elected. A term that became invalid in an outage may
         # therefore be resumed.
-        mine.valid_until = max(mine.valid_until, _validity(sent))
-        mine.renewed_at = sent
-        mine.troubled = False
+        leadership.valid_until = max(leadership.valid_until, _validity(sent))
+        leadership.renewed_at = sent
+        leadership.renewal_failed = False
         if not was_valid:
-            log.info("leadership valid again after an interruption: term=%d", mine.term)
+            log.info("leadership valid again after an interruption: term=%d", leadership.term)
             self._changed()
         await asyncio.sleep(_RENEW_INTERVAL_S)
 
@@ -289,19 +289,19 @@
         entries, revision = await self._client.scan(LEADER_KEY)
         entry = next((e for e in entries if e.key == LEADER_KEY), None)
         if entry is None:
-            self.known = None
-            await self._stand(ABSENT)
+            self.known_leader = None
+            await self._campaign(ABSENT)
             return
         holder = entry.value if isinstance(entry.value, dict) else {}
         if holder.get("host") == self._host:
             await self._replace_own_key(entry, holder)
             return
         self._others_excluded = False
-        self.known = self._read_leader(entry)
-        if self.known is not None:
+        self.known_leader = self._read_leader(entry)
+        if self.known_leader is not None:
             self._status_log.info(
-                f"term {self.known.term}: follows {self.known.host}, "
-                f"whose key is at revision {self.known.stamp}"
+                f"term {self.known_leader.term}: follows {self.known_leader.host}, "
+                f"whose key is at revision {self.known_leader.mod_revision}"
             )
         await self._client.watch(LEADER_KEY, revision, _WATCH_TIMEOUT_S)
 
@@ -310,10 +310,10 @@
 
         That process has ended, so it can't act on the key any more.
         """
-        reelections = follows_itself(holder, wall_now())
+        reelections = consecutive_reelections(holder, wall_now())
         if holder.get("incarnation") == self._incarnation:
             await self._delete_own_key(entry)
-        elif reelections > _MAX_QUICK_REELECTIONS and await self.others_up():
+        elif reelections > _MAX_QUICK_REELECTIONS and await self.any_peer_answers():
             # The process ends repeatedly, perhaps because it leads. Re-elected at once each time,
             # it would keep all other members from leading (12 terms in a row for a process that
             # ended every second).
@@ -321,7 +321,7 @@
             self._campaign_not_before = Monotonic(monotonic_now() + _REELECTION_DELAY_S)
             await self._delete_own_key(entry)
         else:
-            await self._stand(Revision(entry.version), reelections)
+            await self._campaign(Revision(entry.version), reelections)
 
     def _read_leader(self, entry: wire.Entry) -> KnownLeader | None:
         """Decode another member's record; return None if this version can't.
@@ -346,14 +346,14 @@
             [wire.guard(LEADER_KEY, entry.version)], [wire.delete(LEADER_KEY)]
         )
 
-    async def _stand(self, stamp: Revision, reelections: int = 0) -> None:
+    async def _campaign(self, mod_revision: Revision, reelections: int = 0) -> None:
         """Campaign once.
 
-        `stamp` is the revision of the leader's key that this host's previous process left (`ABSENT`
-        if there is none). `reelections` is the number of quick re-elections in a row, this one
-        included.
+        `mod_revision` is the revision of the leader's key that this host's previous process left
+        (`ABSENT` if there is none). `reelections` is the number of quick re-elections in a row,
+        this one included.
         """
-        if not await self._wait_for_turn(stamp):
+        if not await self._wait_for_turn(mod_revision):
             return
         last = await self._client.get(TERM_KEY)
         if last is not None and type(last.value) is not int:
@@ -364,11 +364,11 @@
             await asyncio.sleep(_UNREADABLE_RETRY_S)
             return
         sent = monotonic_now()
-        lease = await self._client.create_lease(TTL_S)
-        candidacy = self._candidacy(stamp, reelections, last, lease)
+        lease = await self._client.create_lease(LEASE_TTL_S)
+        candidacy = self._candidacy(mod_revision, reelections, last, lease)
         # No grant can be in force if the leader's key was left by this host's previous process (no
         # other member leads), or if there has been no term yet (no leader has requested one).
-        grants_possible = stamp == ABSENT and last is not None
+        grants_possible = mod_revision == ABSENT and last is not None
         # Checked last: a lease extension may have been granted during the awaits above.
         if grants_possible and (
             not await self._previous_grants_expired()
@@ -387,10 +387,10 @@
             Leadership(candidacy.term, revision, lease, now, _validity(sent), renewed_at=sent)
         )
 
-    async def _wait_for_turn(self, stamp: Revision) -> bool:
+    async def _wait_for_turn(self, mod_revision: Revision) -> bool:
         """Let other members campaign first where they should; return True to campaign now."""
         pause_s = self._campaign_not_before - monotonic_now()
-        if stamp == ABSENT:
+        if mod_revision == ABSENT:
             pause_s = max(
                 pause_s,
                 0.0
@@ -404,7 +404,7 @@
         return pause_s <= 1.0
 
     def _candidacy(
-        self, stamp: Revision, reelections: int, last: wire.KeyValue | None, lease: LeaseId
+        self, mod_revision: Revision, reelections: int, last: wire.KeyValue | None, lease: LeaseId
     ) -> _Candidacy:
         """Return the transaction that elects this node for the term after `last`."""
         term = FencingToken((last.value if last is not None else 0) + 1)
@@ -417,7 +417,7 @@
             "revocable": True,
         }
         guards = [
-            wire.guard(LEADER_KEY, stamp),
+            wire.guard(LEADER_KEY, mod_revision),
             wire.guard(TERM_KEY, last.version if last is not None else ABSENT),
             wire.guard(exclusion_key(self._host), ABSENT),
         ]
@@ -452,13 +452,13 @@
         """
         term = await self._client.get(TERM_KEY)
         leader = await self._client.get(LEADER_KEY)
-        stamp = Revision(term.version) if term is not None else ABSENT
+        mod_revision = Revision(term.version) if term is not None else ABSENT
         now = monotonic_now()
         if leader is not None:
             self._leaderless = None
-        elif self._leaderless is None or self._leaderless.stamp != stamp:
+        elif self._leaderless is None or self._leaderless.mod_revision != mod_revision:
             log.info("this member is excluded from elections, no leader seen")
-            self._leaderless = _LeaderlessObservation(stamp, now)
+            self._leaderless = _LeaderlessObservation(mod_revision, now)
         elif now - self._leaderless.since >= READMISSION_DELAY_S * CLOCK_DRIFT:
             entry = await self._client.get(exclusion_key(self._host))
             if entry is not None:
@@ -468,7 +468,7 @@
                 )
                 guards = [
                     wire.guard(LEADER_KEY, ABSENT),
-                    wire.guard(TERM_KEY, stamp),
+                    wire.guard(TERM_KEY, mod_revision),
                     wire.guard(exclusion_key(self._host), entry.version),
                 ]
                 await self._client.commit(guards, [wire.delete(exclusion_key(self._host))])
@@ -480,7 +480,7 @@
         That is so once they have expired, or if no member leads. The second condition matters when
         all controllers crash together: the workers' leases are too short to wait for the expiry.
         """
-        if monotonic_now() < self._previous_grants_expire_at and await self.nobody_leads():
+        if monotonic_now() < self._previous_grants_expire_at and await self.no_peer_leads():
             self._previous_grants_expire_at = monotonic_now()
         return monotonic_now() >= self._previous_grants_expire_at
 
@@ -495,12 +495,12 @@
             return Revision(entry.version)
         return None
 
-    def _begin_term(self, mine: Leadership) -> None:
+    def _begin_term(self, leadership: Leadership) -> None:
         """Begin a term."""
-        log.info("elected: term=%d key_revision=%d", mine.term, mine.stamp)
+        log.info("elected: term=%d key_revision=%d", leadership.term, leadership.mod_revision)
         self._status_log.forget()
         self._others_excluded = False
-        self.mine = mine
-        self.known = KnownLeader(self._host, mine.term, mine.stamp)
+        self.leadership = leadership
+        self.known_leader = KnownLeader(self._host, leadership.term, leadership.mod_revision)
         self._client.set_leading(True)
         self._changed()
--- a/tealrill/leadership/exclusion.py
+++ b/tealrill/leadership/exclusion.py
@@ -57,15 +57,15 @@
         settings: Settings,
         client: StateClient,
         term: FencingToken,
-        stamp: Revision,
+        mod_revision: Revision,
         valid: Callable[[], bool],
         now: Callable[[], Monotonic] = monotonic_now,
-        revoked: Callable[[], None] = lambda: None,
+        on_lease_revoked: Callable[[], None] = lambda: None,
     ) -> None:
-        self._on_lease_revoked = revoked
+        self._on_lease_revoked = on_lease_revoked
         """Called when another member may revoke this term's lease at any moment."""
         self._client = client
-        self._fence = Fence(client, stamp)
+        self._fence = Fence(client, mod_revision)
         self._term = term
         self._valid = valid
         self._now = now
@@ -91,7 +91,7 @@
         """Return True if `host` can't be elected before `READMISSION_DELAY_S` without a leader."""
         return host in self._certainly_excluded
 
-    def hold_until(self, until: Monotonic) -> None:
+    def defer_readmissions_until(self, until: Monotonic) -> None:
         """Readmit no member before `until`: the term was extended relying on `is_excluded`."""
         self._no_readmission_before = Monotonic(max(self._no_readmission_before, until))
 
--- a/tealrill/leadership/lease_extension.py
+++ b/tealrill/leadership/lease_extension.py
@@ -21,8 +21,8 @@
 from tealrill import wire
 from tealrill.change_log import ChangeLog
 from tealrill.http import Client, NoAnswerError, peer_clients
-from tealrill.leadership.election import READMISSION_DELAY_S, TTL_S
-from tealrill.leadership.open_jobs import cancellation_slack_s, renewal_bound_s
+from tealrill.leadership.election import LEASE_TTL_S, READMISSION_DELAY_S
+from tealrill.leadership.open_jobs import cancellation_slack_s, renewal_staleness_bound_s
 from tealrill.settings import Settings
 from tealrill.state.acknowledged_cancellations import AcknowledgedCancellations
 from tealrill.state.client import StateClient, StateError
@@ -31,7 +31,7 @@
 
 log = logging.getLogger(__name__)
 
-PROMISE_S: Final = 4.0
+EXTENSION_GRANT_S: Final = 4.0
 """How long a lease extension grant is in force, on the clock of the member that grants it."""
 EXTENSION_PATH: Final = "/peer/truce"
 PING_PATH: Final = "/peer/ping"
@@ -84,9 +84,9 @@
 class ExtensionGranter(Protocol):
     """The part of an `Election` that lease extensions use."""
 
-    mine: Leadership | None
+    leadership: Leadership | None
 
-    def promise(self, term: FencingToken, until: Monotonic) -> str:
+    def grant_extension(self, term: FencingToken, until: Monotonic) -> str:
         """Grant an extension until `until`; return the reason of a refusal, empty if granted."""
 
 
@@ -115,24 +115,24 @@
         self._election = election
         self._acknowledged = acknowledged or AcknowledgedCancellations(lambda: Revision(0))
         self._now = now
-        self.seen: Callable[[], CancellationKnowledge] = CancellationKnowledge
+        self.cancellation_knowledge: Callable[[], CancellationKnowledge] = CancellationKnowledge
         """Returns this node's knowledge of cancellations while it leads."""
-        self.cancelled: Callable[[str], None] = lambda _: None
+        self.on_cancelled: Callable[[str], None] = lambda _: None
         """Called with each job whose cancellation some node reports as acknowledged."""
         self.on_cancellations_known: Callable[[Leadership, Monotonic], None] = lambda _, __: None
         """Called when all cancellations acknowledged before that moment have been reported."""
-        self.reports: Callable[[], int] = lambda: 0
+        self.heartbeat_count: Callable[[], int] = lambda: 0
         self.lost_term: Callable[[], FencingToken | None] = lambda: None
         self.is_excluded: Callable[[Leadership, str], bool] = lambda _, __: False
         """Returns True if the member certainly can't be elected before its readmission."""
-        self.extended: Callable[[Leadership, Monotonic], None] = lambda _, __: None
+        self.on_extended_by_exclusion: Callable[[Leadership, Monotonic], None] = lambda _, __: None
         """Called with the latest end of a term that was extended relying on `is_excluded`."""
         self._peers = peer_clients(settings)
         workers = settings.params.workers
         # A cancellation can be acknowledged right after a grant. The leader may then act without
         # knowing it until the grant expires, and a worker runs its task for one more lease.
-        self._staleness_bound_s = renewal_bound_s(workers)
-        self.is_possible = cancellation_slack_s(workers) >= PROMISE_S
+        self._staleness_bound_s = renewal_staleness_bound_s(workers)
+        self.is_possible = cancellation_slack_s(workers) >= EXTENSION_GRANT_S
         self._is_extended = False
         self._is_limited = False
         self._refusals = ChangeLog(log)
@@ -142,45 +142,45 @@
     async def run(self) -> None:
         """Extend the leader's validity by extension grants while its lease can't be renewed."""
         while True:
-            mine = self._election.mine
-            if mine is not None and mine.troubled and self.is_possible:
-                await self._seek(mine)
+            leadership = self._election.leadership
+            if leadership is not None and leadership.renewal_failed and self.is_possible:
+                await self._seek(leadership)
             else:
-                if mine is not None and self._is_extended:
-                    log.info("lease renewed again, no extension needed: term=%d", mine.term)
+                if leadership is not None and self._is_extended:
+                    log.info("lease renewed again, no extension needed: term=%d", leadership.term)
                 self._is_extended = False
                 self._refusals.forget()
             await asyncio.sleep(_REQUEST_INTERVAL_S)
 
-    async def _seek(self, mine: Leadership) -> None:
+    async def _seek(self, leadership: Leadership) -> None:
         sent = self._now()
-        if not mine.valid(sent):
+        if not leadership.valid(sent):
             return
-        seen = self.seen()
-        request = ExtensionRequest(mine.term, seen.revision)
+        seen = self.cancellation_knowledge()
+        request = ExtensionRequest(leadership.term, seen.revision)
         answers = await asyncio.gather(*(self._ask(c, request) for c in self._peers.values()))
         # The watch may not have delivered this node's own acknowledged cancellations yet either.
         acknowledged_jobs = [self._acknowledged.since(seen.revision)]
         acknowledged_jobs += [answer.cancelled for answer in answers if answer is not None]
         for job in chain.from_iterable(acknowledged_jobs):
-            self.cancelled(job)
+            self.on_cancelled(job)
         answer_by_host = dict(zip(self._peers, answers, strict=True))
         unreachable = [name for name, answer in answer_by_host.items() if answer is None]
-        refused = [f"{n}: no answer" for n in unreachable if not self.is_excluded(mine, n)]
+        refused = [f"{n}: no answer" for n in unreachable if not self.is_excluded(leadership, n)]
         refused += [
             f"{n}: {a.why}" for n, a in answer_by_host.items() if a is not None and not a.promised
         ]
         if refused:
             self._refusals.info(
-                f"lease not extended: term={mine.term} refused={'; '.join(refused)}"
+                f"lease not extended: term={leadership.term} refused={'; '.join(refused)}"
             )
             return
         limit = _NO_LIMIT
         not_vouching = [n for n, a in answer_by_host.items() if a is None or not a.vouches]
-        if not self._acknowledged.all_since(seen.revision):
+        if not self._acknowledged.is_complete_since(seen.revision):
             not_vouching.append("this node itself")
         if not not_vouching:
-            self.on_cancellations_known(mine, sent)
+            self.on_cancellations_known(leadership, sent)
         else:
             # These hosts may have acknowledged cancellations that no answer has reported.
             limit = Monotonic(seen.at + self._staleness_bound_s)
@@ -188,33 +188,33 @@
             limit = min(
                 limit,
                 lower_bound_deadline(
-                    mine.renewed_at, TTL_S + READMISSION_DELAY_S, _READMISSION_MARGIN_S
+                    leadership.renewed_at, LEASE_TTL_S + READMISSION_DELAY_S, _READMISSION_MARGIN_S
                 ),
             )
-            self.extended(mine, limit)
+            self.on_extended_by_exclusion(leadership, limit)
         if not self._is_extended:
-            log.info("lease extended without the state service: term=%d", mine.term)
+            log.info("lease extended without the state service: term=%d", leadership.term)
         if not_vouching and (not self._is_extended or not self._is_limited):
             log.info(
                 "lease extension limited, cancellations may be unknown: "
                 "term=%d at_most_s=%.1f hosts=%s",
-                mine.term,
+                leadership.term,
                 max(0.0, limit - sent),
                 ",".join(not_vouching),
             )
         self._is_extended = True
         self._is_limited = bool(not_vouching)
-        self.extend(mine, sent, limit)
+        self.extend(leadership, sent, limit)
 
-    def extend(self, mine: Leadership, sent: Monotonic, limit: Monotonic = _NO_LIMIT) -> None:
+    def extend(self, leadership: Leadership, sent: Monotonic, limit: Monotonic = _NO_LIMIT) -> None:
         """Extend the term after all other members granted it, in answer to requests sent at `sent`.
 
         The term is not extended beyond `limit`, and only if it is still valid: after a gap another
         member may have been elected, which later grants would not undo.
         """
-        if mine.valid(self._now()):
-            until = lower_bound_deadline(sent, PROMISE_S, _GRANT_MARGIN_S)
-            mine.valid_until = max(mine.valid_until, min(until, limit))
+        if leadership.valid(self._now()):
+            until = lower_bound_deadline(sent, EXTENSION_GRANT_S, _GRANT_MARGIN_S)
+            leadership.valid_until = max(leadership.valid_until, min(until, limit))
 
     async def _ask(self, client: Client, request: ExtensionRequest) -> ExtensionAnswer | None:
         """Return a member's answer; None if it does not answer."""
@@ -229,11 +229,11 @@
 
     # -- a restarted member -----------------------------------------------------------------------
 
-    async def nobody_leads(self) -> bool:
+    async def no_peer_leads(self) -> bool:
         """Return True if every other member answers that it does not lead."""
         return all(found is not None and not found.leads for found in await self._presences())
 
-    async def others_up(self) -> bool:
+    async def any_peer_answers(self) -> bool:
         """Return True if at least one other member answers."""
         return any(found is not None for found in await self._presences())
 
@@ -243,11 +243,13 @@
 
     def presence(self) -> Presence:
         """Return this member's presence."""
-        return Presence(self._election.mine is not None, self.reports(), self.lost_term())
+        return Presence(
+            self._election.leadership is not None, self.heartbeat_count(), self.lost_term()
+        )
 
     # -- the other members' side ------------------------------------------------------------------
 
-    async def asked(self, request: ExtensionRequest) -> ExtensionAnswer:
+    async def handle_request(self, request: ExtensionRequest) -> ExtensionAnswer:
         """Answer a leader's request; grant it only if the state service is unreachable from here.
 
         If this member reaches it, only the leader is partitioned from it, and another member should
@@ -256,10 +258,14 @@
         """
         if await self._is_state_service_reachable():
             return ExtensionAnswer(False, "the state service answers here")
-        why = self._election.promise(FencingToken(request.term), Monotonic(self._now() + PROMISE_S))
+        why = self._election.grant_extension(
+            FencingToken(request.term), Monotonic(self._now() + EXTENSION_GRANT_S)
+        )
         seen = Revision(request.seen)
         acknowledged = self._acknowledged
-        return ExtensionAnswer(not why, why, acknowledged.since(seen), acknowledged.all_since(seen))
+        return ExtensionAnswer(
+            not why, why, acknowledged.since(seen), acknowledged.is_complete_since(seen)
+        )
 
     async def _is_state_service_reachable(self) -> bool:
         try:
--- a/tealrill/leadership/lease_revocation.py
+++ b/tealrill/leadership/lease_revocation.py
@@ -36,7 +36,7 @@
 
 from tealrill import wire
 from tealrill.http import peer_clients
-from tealrill.leadership.election import TERM_KEY, TTL_S, Election, KnownLeader, exclusion_key
+from tealrill.leadership.election import LEASE_TTL_S, TERM_KEY, Election, KnownLeader, exclusion_key
 from tealrill.leadership.exclusion import ExclusionRecord
 from tealrill.leadership.lease_extension import Presence, ask_presence
 from tealrill.settings import Settings
@@ -91,12 +91,12 @@
         settings: Settings,
         client: StateClient,
         election: Election,
-        unheard_since: Callable[[], Monotonic | None],
+        leader_unreachable_since: Callable[[], Monotonic | None],
         now: Callable[[], Monotonic] = monotonic_now,
     ) -> None:
         self._client = client
         self._election = election
-        self._unheard_since = unheard_since
+        self._unheard_since = leader_unreachable_since
         """Returns since when the known leader has not answered this member; None if it does."""
         self._now = now
         self._host = settings.host_name
@@ -119,8 +119,8 @@
     @property
     def lost_term(self) -> FencingToken | None:
         """The term whose leader this member considers failed; None if it does not."""
-        leader, since = self._election.known, self._unheard_since()
-        if leader is None or since is None or self._election.mine is not None:
+        leader, since = self._election.known_leader, self._unheard_since()
+        if leader is None or since is None or self._election.leadership is not None:
             self._suspected = None
             return None
         if leader != self._suspected:
@@ -136,7 +136,7 @@
         if attempt is not None and self._is_obsolete(attempt):
             self._finish("another leader was elected")
         elif attempt is None:
-            leader = self._election.known
+            leader = self._election.known_leader
             if self.lost_term is None or leader is None:
                 # An attempt with an unknown outcome is abandoned: it has revoked no lease.
                 self._election.revoking_term = None
@@ -151,8 +151,10 @@
             await self._readmit_itself(attempt)
 
     def _is_obsolete(self, attempt: _Attempt) -> bool:
-        known = self._election.known
-        return self._election.mine is not None or (known is not None and known != attempt.leader)
+        known_leader = self._election.known_leader
+        return self._election.leadership is not None or (
+            known_leader is not None and known_leader != attempt.leader
+        )
 
     def _finish(self, reason: str) -> None:
         log.info("lease revocation finished: reason=%s", reason)
@@ -176,7 +178,7 @@
         hosts = [self._host, *(host for host in self._peers if host != leader.host)]
         if (
             entry is None
-            or entry.version != leader.stamp
+            or entry.version != leader.mod_revision
             or entry.lease is None
             or not _is_revocable(entry)
             or term is None
@@ -188,7 +190,7 @@
         mark = self._mark_for(leader)
         record = wire.plain(ExclusionRecord(leader.term, ends_term=leader.term, mark=mark))
         guards = [
-            wire.guard(LEADER_KEY, leader.stamp),
+            wire.guard(LEADER_KEY, leader.mod_revision),
             wire.guard(TERM_KEY, term.version),
             # A member excluded before may have been excluded by this leader, which then extends its
             # term without that member's grant.
@@ -230,7 +232,7 @@
         await self._client.end_lease(attempt.lease)
         # The leader's last successful renewal was executed before this answer.
         attempt.leader_invalid_at = Monotonic(
-            self._now() + TTL_S * CLOCK_DRIFT + _VALIDITY_MARGIN_S
+            self._now() + LEASE_TTL_S * CLOCK_DRIFT + _VALIDITY_MARGIN_S
         )
         log.info(
             "lease revoked: term=%d host=%s no_election_s=%.1f",
--- a/tealrill/leadership/open_jobs.py
+++ b/tealrill/leadership/open_jobs.py
@@ -1,11 +1,11 @@
 """The open jobs, as known to a controller that renews workers on behalf of the leader.
 
 A worker may be renewed only by a controller that knows every cancellation acknowledged longer ago
-than the staleness bound (`renewal_bound_s`). The leader knows them from its watch. A controller
-that renews in its place learns them here: it reads the jobs and the bindings once, and the changes
-under `job/` before each confirmation of its delegation. A job without a record there has ended. Its
-tasks that are still on a reporting machine count as cancelled, at the earliest when the revision of
-the job's end can have been created (`state/revision_clock.py`).
+than the staleness bound (`renewal_staleness_bound_s`). The leader knows them from its watch. A
+controller that renews in its place learns them here: it reads the jobs and the bindings once, and
+the changes under `job/` before each confirmation of its delegation. A job without a record there
+has ended. Its tasks that are still on a reporting machine count as cancelled, at the earliest when
+the revision of the job's end can have been created (`state/revision_clock.py`).
 
 The bindings are needed because a direct start may arrive minutes late: its task is in no heartbeat
 yet, and its worker must not be renewed if the job was cancelled.
@@ -23,12 +23,12 @@
 from tealrill.settings import Workers
 from tealrill.state.client import StateClient, StateError
 from tealrill.state.records import (
+    ENDED_PREFIX,
     JOB_PREFIX,
-    OVER_PREFIX,
     RUN_PREFIX,
     RecordError,
     chunk_bindings,
-    over_key,
+    ended_key,
 )
 from tealrill.types import (
     Incarnation,
@@ -55,7 +55,7 @@
     return workers.cancel_s - workers.lease_s - _CANCEL_MARGIN_S
 
 
-def renewal_bound_s(workers: Workers) -> float:
+def renewal_staleness_bound_s(workers: Workers) -> float:
     """Return how old the knowledge of cancellations may be when a worker is renewed, in seconds.
 
     A worker renewed at that age keeps running for one more lease. If `cancel_s` leaves less time
@@ -180,9 +180,9 @@
 
     async def _read_end(self, name: str, owner: str | None) -> None:
         """Read the end of a job that had ended before this process's first reading."""
-        end = await self._client.get(over_key(JobId(name)))
+        end = await self._client.get(ended_key(JobId(name)))
         if end is None and owner is not None:
-            end = await self._client.get(OVER_PREFIX + owner)
+            end = await self._client.get(ENDED_PREFIX + owner)
         if end is not None:
             self._last_open[name] = self._client.revisions.not_before(Revision(end.version))
         self._ends_unread.pop(name, None)
--- a/tealrill/leadership/renewal_delegation.py
+++ b/tealrill/leadership/renewal_delegation.py
@@ -26,7 +26,7 @@
 from tealrill.http import Client, NoAnswerError, peer_clients
 from tealrill.leadership.election import Election, KnownLeader
 from tealrill.leadership.lease_extension import PING_PATH
-from tealrill.leadership.open_jobs import OpenJobs, renewal_bound_s
+from tealrill.leadership.open_jobs import OpenJobs, renewal_staleness_bound_s
 from tealrill.settings import Settings
 from tealrill.state.client import Committed, StateClient, StateError, StateUnavailableError
 from tealrill.state.fencing import LEADER_KEY, Fence
@@ -96,10 +96,10 @@
         self._peers = peer_clients(settings)
         workers = settings.params.workers
         self._warn_after_s = workers.cancel_s
-        self._open_jobs = OpenJobs(client, renewal_bound_s(workers), now)
+        self._open_jobs = OpenJobs(client, renewal_staleness_bound_s(workers), now)
         self._missed_pings = 0
         self._partitioned_since: Monotonic | None = None
-        self.unheard_since: Monotonic | None = None
+        self.leader_unreachable_since: Monotonic | None = None
         """Since when the known leader has not answered; refused connections count too."""
         self._last_heartbeat_at = Monotonic(-1e9)
         self._confirmed_at = Monotonic(-1e9)
@@ -108,7 +108,7 @@
         self._renewals: _DelegatedRenewals | None = None
         self._unreadable_log = ChangeLog(log)
 
-    def renews(
+    def renewal_token(
         self, report: wire.Heartbeat, machine: MachineId, now: Monotonic
     ) -> FencingToken | None:
         """Return the fencing token with which this worker may be renewed at `now`, else None."""
@@ -117,7 +117,7 @@
         if (
             renewals is None
             or self._partitioned_since is None
-            or renewals.leader != self._election.known
+            or renewals.leader != self._election.known_leader
             or now >= self._valid_until
             or report.token > renewals.leader.term
         ):
@@ -131,7 +131,7 @@
         return renewals.leader.term
 
     @property
-    def leader_silent(self) -> bool:
+    def leader_unreachable(self) -> bool:
         """True if the leader has not answered `_MISSED_PINGS` pings in a row, about a second."""
         return self._partitioned_since is not None
 
@@ -148,15 +148,19 @@
         """Ping the leader, and confirm or end the delegation."""
         while True:
             await asyncio.sleep(_PING_INTERVAL_S)
-            known = self._election.known
-            if known is None or self._election.mine is not None or known.host not in self._peers:
-                self.unheard_since = None
+            known_leader = self._election.known_leader
+            if (
+                known_leader is None
+                or self._election.leadership is not None
+                or known_leader.host not in self._peers
+            ):
+                self.leader_unreachable_since = None
                 self._on_leader_reachable()
                 continue
-            await self._ping(self._peers[known.host])
+            await self._ping(self._peers[known_leader.host])
             if self._should_confirm(self._now()):
                 try:
-                    await self.confirm(known)
+                    await self.confirm(known_leader)
                 except StateError as error:
                     log.debug("delegation not confirmed: error=%s", error)
 
@@ -164,8 +168,8 @@
         try:
             await leader.request("GET", PING_PATH, timeout_s=_PING_TIMEOUT_S)
         except NoAnswerError as error:
-            if self.unheard_since is None:
-                self.unheard_since = self._now()
+            if self.leader_unreachable_since is None:
+                self.leader_unreachable_since = self._now()
             if error.refused:
                 # The leader's process has ended, or only controllers are partitioned from each
                 # other. Neither keeps heartbeats from reaching a leader.
@@ -174,7 +178,7 @@
             if self._missed_pings >= _MISSED_PINGS and self._partitioned_since is None:
                 self._partitioned_since = self._now()
             return None
-        self.unheard_since = None
+        self.leader_unreachable_since = None
         return self._on_leader_reachable()
 
     def _on_leader_reachable(self) -> None:
@@ -209,7 +213,7 @@
         sent = self._now()
         result = await self._client.commit(
             [
-                wire.guard(LEADER_KEY, leader.stamp),
+                wire.guard(LEADER_KEY, leader.mod_revision),
                 wire.guard(self._key, entry.version if entry is not None else ABSENT),
             ],
             [wire.put(self._key, wire.plain(Delegation(leader.term, beat=self._beat)))],
@@ -301,10 +305,14 @@
     """The leader revokes a delegation this long after it first read it, even if still rewritten."""
 
     def __init__(
-        self, client: StateClient, term: FencingToken, stamp: Revision, ended: Callable[[], None]
+        self,
+        client: StateClient,
+        term: FencingToken,
+        mod_revision: Revision,
+        ended: Callable[[], None],
     ) -> None:
         self._client = client
-        self._fence = Fence(client, stamp)
+        self._fence = Fence(client, mod_revision)
         self._term = term
         self._on_ended = ended
         """Called when a delegation has ended or may have ended."""
@@ -312,7 +320,7 @@
         self._since: dict[str, Monotonic] = {}
         self._last_written: dict[str, tuple[int, Monotonic]] = {}
 
-    async def stand(self, now: Monotonic, revoke: bool) -> bool:
+    async def check_active(self, now: Monotonic, revoke: bool) -> bool:
         """Return True if any delegate may have renewed workers a moment ago.
 
         Revokes stale and overlong delegations, and all of them if `revoke` is set. Raises
--- a/tealrill/leadership/transfer.py
+++ b/tealrill/leadership/transfer.py
@@ -34,12 +34,12 @@
         self._window = 0
         self._counts = [0, 0]
 
-    def took(self, now: Monotonic) -> None:
+    def record_heartbeat(self, now: Monotonic) -> None:
         """Count a worker's heartbeat received by this node."""
         self._advance_window(now)
         self._counts[1] += 1
 
-    def recent(self, now: Monotonic) -> int:
+    def recent_heartbeats(self, now: Monotonic) -> int:
         """Return the number of heartbeats received in the current window and the one before."""
         self._advance_window(now)
         return sum(self._counts)
@@ -50,7 +50,7 @@
             self._counts = [self._counts[1] if window == self._window + 1 else 0, 0]
             self._window = window
 
-    async def better(self, machines: int) -> bool:
+    async def peer_receives_heartbeats(self, machines: int) -> bool:
         """Return True if another node receives heartbeats from more than a few workers.
 
         `machines` is the number of machines whose heartbeats this node received until now.
--- a/tests/test_acknowledged_cancellations.py
+++ b/tests/test_acknowledged_cancellations.py
@@ -21,7 +21,7 @@
 
 from tealrill import settings
 from tealrill.leadership.lease_extension import (
-    PROMISE_S,
+    EXTENSION_GRANT_S,
     CancellationKnowledge,
     ExtensionAnswer,
     ExtensionRequest,
@@ -52,7 +52,7 @@
 class _Member:
     """A node that never campaigns; a restart loses all its knowledge."""
 
-    mine: Leadership | None = None
+    leadership: Leadership | None = None
 
     def __init__(self, simulation: _Simulation) -> None:
         self.first: Revision | None = None
@@ -65,7 +65,7 @@
             lambda: simulation.now,
         )
 
-    def promise(self, term: FencingToken, until: Monotonic) -> str:
+    def grant_extension(self, term: FencingToken, until: Monotonic) -> str:
         return ""
 
 
@@ -80,19 +80,19 @@
         self.revision_of: dict[str, int] = {}
         self.known: set[str] = set()
         self.seen = CancellationKnowledge(Revision(10), self.now)
-        self.mine = Leadership(FencingToken(1), Revision(1), LeaseId(1), self.now, self.now)
+        self.leadership = Leadership(FencingToken(1), Revision(1), LeaseId(1), self.now, self.now)
         for member in self.members:
             member.first = Revision(10)
         self._lead()
 
     def _lead(self) -> None:
         extension = self.members[0].extension
-        extension.seen = lambda: self.seen
-        extension.cancelled = self.known.add
+        extension.cancellation_knowledge = lambda: self.seen
+        extension.on_cancelled = self.known.add
         extension._peers = {"1": cast(Any, 1), "2": cast(Any, 2)}
 
         async def ask(number: Any, request: ExtensionRequest) -> ExtensionAnswer:
-            answer: ExtensionAnswer = await self.members[number].extension.asked(request)
+            answer: ExtensionAnswer = await self.members[number].extension.handle_request(request)
             vouches = answer.vouches or self.removed_condition == "vouching"
             return ExtensionAnswer(answer.promised, answer.why, answer.cancelled, vouches)
 
@@ -153,23 +153,23 @@
         self.state.up = not self.state.up and self.rng.random() < 0.3
 
     def ask(self) -> None:
-        if not self.state.up and self.mine.valid(self.now):
+        if not self.state.up and self.leadership.valid(self.now):
             if self.removed_condition == "own":
                 self.members[0].extension._acknowledged = AcknowledgedCancellations(
                     lambda: Revision(0)
                 )
-            asyncio.run(self.members[0].extension._seek(self.mine))
+            asyncio.run(self.members[0].extension._seek(self.leadership))
 
     def pass_time(self, seconds: float) -> None:
         self.now = Monotonic(self.now + seconds)
         if self.state.up:
-            self.mine.valid_until = Monotonic(self.now + _RENEWED_S)
+            self.leadership.valid_until = Monotonic(self.now + _RENEWED_S)
             if self.now - self.seen.at > self.rng.uniform(0.0, _WATCH_LAG_S):
                 self.seen = CancellationKnowledge(Revision(self.state.revision), self.now)
                 self.known |= {n for n, at in self.revision_of.items() if at <= self.seen.revision}
 
     def check(self) -> None:
-        if not self.mine.valid(self.now):
+        if not self.leadership.valid(self.now):
             return
         gone_at = self.now + _WORKERS["lease_s"]
         for name, acknowledged_at in self.acknowledged_at.items():
@@ -204,11 +204,11 @@
 ) -> None:
     monkeypatch.setattr(acknowledged_module, "_KEPT", 1)
 
-    def all_since(self: AcknowledgedCancellations, revision: Revision) -> bool:
+    def is_complete_since(self: AcknowledgedCancellations, revision: Revision) -> bool:
         first = self._first_seen()
         return first is not None and first <= revision
 
-    monkeypatch.setattr(AcknowledgedCancellations, "all_since", all_since)
+    monkeypatch.setattr(AcknowledgedCancellations, "is_complete_since", is_complete_since)
     with pytest.raises(AssertionError, match="runs on"):
         for seed in range(3000):
             _Simulation(seed).run(80)
@@ -217,10 +217,10 @@
 def test_cancellations_are_complete_since_first_revision() -> None:
     first: list[Revision] = []
     known = AcknowledgedCancellations(lambda: first[0] if first else None)
-    assert not known.all_since(Revision(100))
+    assert not known.is_complete_since(Revision(100))
     first.append(Revision(50))
-    assert known.all_since(Revision(50))
-    assert not known.all_since(Revision(49))
+    assert known.is_complete_since(Revision(50))
+    assert not known.is_complete_since(Revision(49))
 
 
 def test_cancellations_are_incomplete_after_dropping(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -230,20 +230,20 @@
         known.add(f"wk-{at}", Revision(at))
     assert known.since(Revision(0)) == ["wk-9", "wk-8", "wk-10"]
     # The oldest was dropped, so the list is incomplete for a leader that has not seen it.
-    assert not known.all_since(Revision(6))
-    assert known.all_since(Revision(7))
+    assert not known.is_complete_since(Revision(6))
+    assert known.is_complete_since(Revision(7))
 
 
 def test_extension_without_vouching_is_limited() -> None:
     simulation = _Simulation(0)
     simulation.members[1] = _Member(simulation)
     simulation.seen = CancellationKnowledge(Revision(10), simulation.now)
-    simulation.mine.valid_until = Monotonic(simulation.now + _RENEWED_S)
+    simulation.leadership.valid_until = Monotonic(simulation.now + _RENEWED_S)
     simulation.state.up = False
     began = simulation.now
-    while simulation.mine.valid(simulation.now):
+    while simulation.leadership.valid(simulation.now):
         simulation.ask()
         simulation.now = Monotonic(simulation.now + 0.5)
     # Longer than one grant, but no longer than an unknown cancelled task may run.
     spare = _WORKERS["cancel_s"] - _WORKERS["lease_s"]
-    assert PROMISE_S < simulation.now - began < spare
+    assert EXTENSION_GRANT_S < simulation.now - began < spare
--- a/tests/test_exclusion.py
+++ b/tests/test_exclusion.py
@@ -28,11 +28,11 @@
 from tealrill.leadership import election as election_module
 from tealrill.leadership import exclusion as exclusion_module
 from tealrill.leadership import lease_extension as extension_module
-from tealrill.leadership.election import EXCLUSION_PREFIX, TTL_S, Election, exclusion_key
+from tealrill.leadership.election import EXCLUSION_PREFIX, LEASE_TTL_S, Election, exclusion_key
 from tealrill.leadership.exclusion import UNREACHABLE_S, Exclusions
 from tealrill.leadership.lease_extension import (
+    EXTENSION_GRANT_S,
     PING_PATH,
-    PROMISE_S,
     CancellationKnowledge,
     ExtensionRequest,
     LeaseExtension,
@@ -133,7 +133,7 @@
         self._reach()
         if lease not in self.cluster.store.leases:
             return False
-        self.cluster.store.leases[lease] = self.cluster.true_now + TTL_S
+        self.cluster.store.leases[lease] = self.cluster.true_now + LEASE_TTL_S
         return True
 
     async def end_lease(self, lease: LeaseId) -> None:
@@ -143,7 +143,7 @@
     def set_leading(self, leads: bool) -> None: ...
 
     async def commit(
-        self, guards: Any, changes: Any, paid: bool = False, timeout_s: float = 2.0
+        self, guards: Any, changes: Any, tokens_acquired: bool = False, timeout_s: float = 2.0
     ) -> Committed | GuardsFailed:
         self._reach()
         draw = self.cluster.rng.random()
@@ -177,7 +177,7 @@
         else:
             assert body is not None
             request = wire.decode(body, ExtensionRequest)
-            answer.body = wire.encode(await peer.extension.asked(request))
+            answer.body = wire.encode(await peer.extension.handle_request(request))
         return answer
 
 
@@ -191,17 +191,23 @@
         others = [member for member in members if member["host_name"] != host]
         values = {**SETTINGS, "host_name": host, "members": others}
         self.settings = settings.parse(orjson.dumps(values))
-        self.election = Election(self.client, host, lambda: None, PROMISE_S)
+        self.election = Election(self.client, host, lambda: None, EXTENSION_GRANT_S)
         self.extension = LeaseExtension(self.settings, self.client, self.election, None, self.now)
         peers = {h: cast(Client, _Peer(cluster, host, h)) for h in _HOSTS if h != host}
         self.extension._peers = peers
-        self.election.nobody_leads = self.extension.nobody_leads
-        self.election.others_up = self.extension.others_up
-        self.extension.is_excluded = lambda mine, other: self._exclusions(mine).is_excluded(other)
+        self.election.no_peer_leads = self.extension.no_peer_leads
+        self.election.any_peer_answers = self.extension.any_peer_answers
+        self.extension.is_excluded = lambda leadership, other: self._exclusions(
+            leadership
+        ).is_excluded(other)
         if cluster.removed_condition != "relying":
-            self.extension.extended = lambda mine, until: self._exclusions(mine).hold_until(until)
+            self.extension.on_extended_by_exclusion = lambda leadership, until: self._exclusions(
+                leadership
+            ).defer_readmissions_until(until)
         # All cancellations are known, so that they don't shorten extensions here.
-        self.extension.seen = lambda: CancellationKnowledge(Revision(1 << 40), Monotonic(1e9))
+        self.extension.cancellation_knowledge = lambda: CancellationKnowledge(
+            Revision(1 << 40), Monotonic(1e9)
+        )
         self.peers = peers
         self.exclusions_term: Any = None
         self.exclusions: Exclusions | None = None
@@ -209,29 +215,29 @@
     def now(self) -> Monotonic:
         return Monotonic(self.cluster.true_now * self.cluster.clock_rate[self.host] + 1000.0)
 
-    def _exclusions(self, mine: Any) -> Exclusions:
-        if self.exclusions_term is not mine or self.exclusions is None:
-            self.exclusions_term = mine
+    def _exclusions(self, leadership: Any) -> Exclusions:
+        if self.exclusions_term is not leadership or self.exclusions is None:
+            self.exclusions_term = leadership
             found = self.exclusions = Exclusions(
-                self.settings, self.client, mine.term, mine.stamp,
-                lambda: self.election.leading(self.now()) is mine, self.now,
+                self.settings, self.client, leadership.term, leadership.mod_revision,
+                lambda: self.election.valid_leadership(self.now()) is leadership, self.now,
             )  # fmt: skip
             found._peers = self.peers
             found._answered_at = dict.fromkeys(self.peers, self.now())
         return self.exclusions
 
     async def step(self, action: str) -> None:
-        mine = self.election.mine
+        leadership = self.election.leadership
         try:
-            if action == "look" and mine is not None:
-                await self._exclusions(mine).step()
-            elif action == "extend" and mine is not None:
-                if mine.troubled:
-                    await self.extension._seek(mine)
-            elif mine is None:
+            if action == "look" and leadership is not None:
+                await self._exclusions(leadership).step()
+            elif action == "extend" and leadership is not None:
+                if leadership.renewal_failed:
+                    await self.extension._seek(leadership)
+            elif leadership is None:
                 await self.election._follow()
             else:
-                await self.election._renew_lease(mine)
+                await self.election._renew_lease(leadership)
         except (StateUnavailableError, OutcomeUnknownError):
             pass
 
@@ -295,10 +301,10 @@
     def check(self) -> None:
         valid = []
         for node in self.nodes.values():
-            mine = node.election.mine
-            if mine is not None and mine.valid(node.now()):
-                valid.append((node.host, mine.term))
-                away = self.true_now * self.clock_rate[node.host] + 1000.0 - mine.renewed_at
+            leadership = node.election.leadership
+            if leadership is not None and leadership.valid(node.now()):
+                valid.append((node.host, leadership.term))
+                away = self.true_now * self.clock_rate[node.host] + 1000.0 - leadership.renewed_at
                 self.longest_extension = max(self.longest_extension, away)
         if len(valid) > 1:
             raise TwoLeaders(f"at {self.true_now:.1f} s: {valid}")
@@ -347,7 +353,7 @@
 def test_term_is_extended_despite_excluded_member() -> None:
     # A term may be extended for 15 s after its lease while one member of three is unreachable and
     # the state service is down.
-    assert max(_simulate(seed).longest_extension for seed in range(60)) > TTL_S + 6.0
+    assert max(_simulate(seed).longest_extension for seed in range(60)) > LEASE_TTL_S + 6.0
 
 
 def _no_exclusion_guard(patch: pytest.MonkeyPatch) -> None:
@@ -355,11 +361,15 @@
     original = _Client.commit
 
     async def commit(
-        self: _Client, guards: Any, changes: Any, paid: bool = False, timeout_s: float = 2.0
+        self: _Client,
+        guards: Any,
+        changes: Any,
+        tokens_acquired: bool = False,
+        timeout_s: float = 2.0,
     ) -> Any:
         if any(c.get("set") == LEADER_KEY for c in changes):
             guards = [g for g in guards if not g["path"].startswith(EXCLUSION_PREFIX)]
-        return await original(self, guards, changes, paid, timeout_s)
+        return await original(self, guards, changes, tokens_acquired, timeout_s)
 
     patch.setattr(_Client, "commit", commit)
 
@@ -527,7 +537,7 @@
         await exclusions._read_records()
         # Read at the term's start: requests of the leader that wrote it are fenced off.
         assert exclusions.is_excluded("host-1")
-        exclusions.hold_until(Monotonic(node.now() + 5.0))
+        exclusions.defer_readmissions_until(Monotonic(node.now() + 5.0))
         await exclusions.probe()
         assert exclusions.is_excluded("host-1")
         cluster.true_now += 5.1
--- a/tests/test_flapping.py
+++ b/tests/test_flapping.py
@@ -67,7 +67,10 @@
         while not flapping.done():
             for host in cluster.hosts.values():
                 node = host.node
-                valid = node is not None and node.election.leading(_steady_now(cluster)) is not None
+                valid = (
+                    node is not None
+                    and node.election.valid_leadership(_steady_now(cluster)) is not None
+                )
                 if valid and host is not failed_host and not failover_s:
                     failover_s.append(cluster.now() - began)
             await asyncio.sleep(0.1)
--- a/tests/test_lease_extension.py
+++ b/tests/test_lease_extension.py
@@ -14,7 +14,7 @@
 from tealrill.leadership import election as election_module
 from tealrill.leadership.election import TERM_KEY, Election, KnownLeader
 from tealrill.leadership.lease_extension import (
-    PROMISE_S,
+    EXTENSION_GRANT_S,
     CancellationKnowledge,
     ExtensionAnswer,
     ExtensionRequest,
@@ -87,31 +87,31 @@
     return Election(cast(StateClient, state), "host-0", lambda: None, promised_s)
 
 
-def _stand(election: Election, stamp: int = 0) -> bool:
-    asyncio.run(election._stand(Revision(stamp)))
-    return election.mine is not None
+def _campaign(election: Election, mod_revision: int = 0) -> bool:
+    asyncio.run(election._campaign(Revision(mod_revision)))
+    return election.leadership is not None
 
 
 def test_no_campaign_before_grant_expires(clock: _Clock) -> None:
     election = _election(_State())
-    assert election.promise(FencingToken(4), Monotonic(clock.now + PROMISE_S)) == ""
-    assert not _stand(election)
-    clock.now = Monotonic(clock.now + PROMISE_S)
-    assert _stand(election)
+    assert election.grant_extension(FencingToken(4), Monotonic(clock.now + EXTENSION_GRANT_S)) == ""
+    assert not _campaign(election)
+    clock.now = Monotonic(clock.now + EXTENSION_GRANT_S)
+    assert _campaign(election)
 
 
 def test_restarted_member_waits_for_possible_grants(clock: _Clock) -> None:
-    assert not _stand(_election(_State(), PROMISE_S))
+    assert not _campaign(_election(_State(), EXTENSION_GRANT_S))
     # Before the first term no leader can have been granted an extension.
-    assert _stand(_election(_State(term=None), PROMISE_S))
+    assert _campaign(_election(_State(term=None), EXTENSION_GRANT_S))
     # If the leader's key is that of this host's previous process, no other member leads.
-    assert _stand(_election(_State(), PROMISE_S), stamp=7)
+    assert _campaign(_election(_State(), EXTENSION_GRANT_S), mod_revision=7)
 
 
 def test_restarted_member_campaigns_at_once_if_no_peer_leads(clock: _Clock) -> None:
     # After a crash of all controllers, waiting for the grants to expire would outlast the workers'
     # leases and end every task.
-    election = _election(_State(), PROMISE_S)
+    election = _election(_State(), EXTENSION_GRANT_S)
     extension = _extension(_State(), election, clock)
     peer_answer: dict[str, NoAnswerError | bytes] = {
         "answer": NoAnswerError("refused", False, refused=True)
@@ -127,16 +127,16 @@
 
     for peer in extension._peers.values():
         peer.request = request  # type: ignore[method-assign,assignment]
-    election.nobody_leads = extension.nobody_leads
-    assert not _stand(election)
+    election.no_peer_leads = extension.no_peer_leads
+    assert not _campaign(election)
     peer_answer["answer"] = wire.encode(Presence(leads=True))
-    assert not _stand(election)
+    assert not _campaign(election)
     peer_answer["answer"] = wire.encode(Presence(leads=False))
     # A grant by this process itself is still in force.
-    assert election.promise(FencingToken(4), Monotonic(clock.now + 1.0)) == ""
-    assert not _stand(election)
+    assert election.grant_extension(FencingToken(4), Monotonic(clock.now + 1.0)) == ""
+    assert not _campaign(election)
     clock.now = Monotonic(clock.now + 1.0)
-    assert _stand(election)
+    assert _campaign(election)
 
 
 @pytest.mark.parametrize(
@@ -146,21 +146,21 @@
     clock: _Clock, outcome: str, promised: bool
 ) -> None:
     election = _election(_State(outcome=outcome))
-    assert not _stand(election)
-    assert (election.promise(FencingToken(4), Monotonic(200.0)) == "") is promised
+    assert not _campaign(election)
+    assert (election.grant_extension(FencingToken(4), Monotonic(200.0)) == "") is promised
     # The guard on the term's key makes the late transaction fail once there is a later term.
-    assert election.promise(FencingToken(5), Monotonic(200.0)) == ""
+    assert election.grant_extension(FencingToken(5), Monotonic(200.0)) == ""
 
 
 def test_extension_is_refused_to_earlier_terms(clock: _Clock) -> None:
     election = _election(_State())
-    election.known = KnownLeader("host-1", FencingToken(5))
-    assert election.promise(FencingToken(4), Monotonic(200.0)) != ""
-    election.known = None
-    assert _stand(election)
-    assert election.mine is not None
+    election.known_leader = KnownLeader("host-1", FencingToken(5))
+    assert election.grant_extension(FencingToken(4), Monotonic(200.0)) != ""
+    election.known_leader = None
+    assert _campaign(election)
+    assert election.leadership is not None
     # A request with this node's own term is not one of a later leader.
-    assert election.promise(election.mine.term, Monotonic(200.0)) == "leads itself"
+    assert election.grant_extension(election.leadership.term, Monotonic(200.0)) == "leads itself"
 
 
 def test_replaced_leader_grants_extension_to_successor(clock: _Clock) -> None:
@@ -168,13 +168,16 @@
     # key no longer exists. If it refused the grant ("leads itself"), its successor would become
     # invalid in an outage, and every task would end with its worker's lease.
     election = _election(_State())
-    assert _stand(election)
-    mine = election.mine
-    assert mine is not None
-    assert election.promise(FencingToken(mine.term - 1), Monotonic(200.0)) == "leads itself"
-    assert election.mine is mine
-    assert election.promise(FencingToken(mine.term + 1), Monotonic(200.0)) == ""
-    assert election.mine is None and not mine.valid(Monotonic(500.0))
+    assert _campaign(election)
+    leadership = election.leadership
+    assert leadership is not None
+    assert (
+        election.grant_extension(FencingToken(leadership.term - 1), Monotonic(200.0))
+        == "leads itself"
+    )
+    assert election.leadership is leadership
+    assert election.grant_extension(FencingToken(leadership.term + 1), Monotonic(200.0)) == ""
+    assert election.leadership is None and not leadership.valid(Monotonic(500.0))
 
 
 def _extension(state: _State, election: Election, clock: _Clock, **changes: Any) -> LeaseExtension:
@@ -188,14 +191,16 @@
 
 def test_only_valid_term_is_extended(clock: _Clock) -> None:
     extension = _extension(_State(), _election(_State()), clock)
-    mine = Leadership(FencingToken(4), Revision(1), LeaseId(1), Monotonic(90.0), Monotonic(101.0))
+    leadership = Leadership(
+        FencingToken(4), Revision(1), LeaseId(1), Monotonic(90.0), Monotonic(101.0)
+    )
     sent = clock.now
     clock.now = Monotonic(100.5)
-    extension.extend(mine, sent)
-    assert 103.0 < mine.valid_until < sent + PROMISE_S
+    extension.extend(leadership, sent)
+    assert 103.0 < leadership.valid_until < sent + EXTENSION_GRANT_S
     clock.now = Monotonic(110.0)
-    extension.extend(mine, Monotonic(109.9))
-    assert not mine.valid(clock.now)
+    extension.extend(leadership, Monotonic(109.9))
+    assert not leadership.valid(clock.now)
 
 
 def test_member_that_reaches_state_service_grants_nothing(clock: _Clock) -> None:
@@ -203,15 +208,17 @@
     state.keys[LEADER_KEY] = ({"host": "host-1"}, 8)
     election = _election(state)
     extension = _extension(state, election, clock)
-    assert not asyncio.run(extension.asked(ExtensionRequest(4))).promised
+    assert not asyncio.run(extension.handle_request(ExtensionRequest(4))).promised
     state.down = True
-    assert asyncio.run(extension.asked(ExtensionRequest(4, seen=60))) == ExtensionAnswer(True)
+    assert asyncio.run(extension.handle_request(ExtensionRequest(4, seen=60))) == ExtensionAnswer(
+        True
+    )
     # The grant carries cancellations acknowledged here that the leader does not know.
-    assert asyncio.run(extension.asked(ExtensionRequest(4, seen=40))) == ExtensionAnswer(
+    assert asyncio.run(extension.handle_request(ExtensionRequest(4, seen=40))) == ExtensionAnswer(
         True, cancelled=["wk-1"]
     )
     state.down = False
-    assert not _stand(election)
+    assert not _campaign(election)
 
 
 def test_one_refusal_prevents_extension(clock: _Clock, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -219,9 +226,9 @@
     members = [{"host_name": f"n-{n}", "zone": "north", "peer_addr": "x:1"} for n in range(2)]
     extension = _extension(_State(), election, clock, members=members)
     # The revision that this process read first is older than what it knows as the leader.
-    extension.seen = lambda: CancellationKnowledge(Revision(30), clock.now)
+    extension.cancellation_knowledge = lambda: CancellationKnowledge(Revision(30), clock.now)
     cancelled_jobs: list[str] = []
-    extension.cancelled = cancelled_jobs.append
+    extension.on_cancelled = cancelled_jobs.append
 
     def is_extended(last: ExtensionAnswer) -> bool:
         answers = iter([ExtensionAnswer(True, cancelled=["wk-2"]), last])
@@ -230,11 +237,11 @@
             return next(answers)
 
         monkeypatch.setattr(extension, "_ask", ask)
-        mine = Leadership(
+        leadership = Leadership(
             FencingToken(4), Revision(1), LeaseId(1), Monotonic(90.0), Monotonic(101.0)
         )
-        asyncio.run(extension._seek(mine))
-        return mine.valid_until > 101.0
+        asyncio.run(extension._seek(leadership))
+        return leadership.valid_until > 101.0
 
     assert is_extended(ExtensionAnswer(True))
     assert not is_extended(ExtensionAnswer(False, "no answer"))
@@ -244,7 +251,7 @@
 
 def test_extension_requires_enough_cancellation_slack(clock: _Clock) -> None:
     workers = SETTINGS["params"]["workers"]
-    short = {**workers, "cancel_s": workers["lease_s"] + PROMISE_S}
+    short = {**workers, "cancel_s": workers["lease_s"] + EXTENSION_GRANT_S}
     params = {**SETTINGS["params"], "workers": short}
     assert not _extension(_State(), _election(_State()), clock, params=params).is_possible
     assert _extension(_State(), _election(_State()), clock).is_possible
--- a/tests/test_lease_revocation.py
+++ b/tests/test_lease_revocation.py
@@ -27,7 +27,7 @@
 from tealrill.leadership import exclusion as exclusion_module
 from tealrill.leadership import lease_extension as extension_module
 from tealrill.leadership import lease_revocation as revocation_module
-from tealrill.leadership.election import TTL_S, KnownLeader, exclusion_key
+from tealrill.leadership.election import LEASE_TTL_S, KnownLeader, exclusion_key
 from tealrill.leadership.exclusion import Exclusions
 from tealrill.leadership.lease_revocation import LEADER_FAILURE_S, LeaseRevocation
 from tealrill.state.client import OutcomeUnknownError, StateUnavailableError
@@ -59,15 +59,19 @@
 class _Member(_Node):
     def __init__(self, cluster: Cluster, host: str) -> None:
         super().__init__(cluster, host)
-        self.unheard_since: Monotonic | None = None
+        self.leader_unreachable_since: Monotonic | None = None
         self.revocation = LeaseRevocation(
-            self.settings, self.client, self.election, lambda: self.unheard_since, self.now
+            self.settings,
+            self.client,
+            self.election,
+            lambda: self.leader_unreachable_since,
+            self.now,
         )
         self.revocation._peers = self.peers
         self.extension.lost_term = lambda: self.revocation.lost_term
 
-    def _exclusions(self, mine: Any) -> Exclusions:
-        exclusions = super()._exclusions(mine)
+    def _exclusions(self, leadership: Any) -> Exclusions:
+        exclusions = super()._exclusions(leadership)
         exclusions._on_lease_revoked = self._resign
         return exclusions
 
@@ -77,16 +81,16 @@
     async def step(self, action: str) -> None:
         if action != "revoke":
             return await super().step(action)
-        known = self.election.known
+        known_leader = self.election.known_leader
         if (
-            known is None
-            or known.host not in self.peers
-            or self.election.mine is not None
-            or frozenset((self.host, known.host)) not in self.cluster.partitioned
+            known_leader is None
+            or known_leader.host not in self.peers
+            or self.election.leadership is not None
+            or frozenset((self.host, known_leader.host)) not in self.cluster.partitioned
         ):
-            self.unheard_since = None
-        elif self.unheard_since is None:
-            self.unheard_since = self.now()
+            self.leader_unreachable_since = None
+        elif self.leader_unreachable_since is None:
+            self.leader_unreachable_since = self.now()
         with contextlib.suppress(StateUnavailableError, OutcomeUnknownError):
             await self.revocation.step()
 
@@ -110,7 +114,7 @@
             self.store.expire()
 
     def _inject_fault(self) -> None:
-        leader = next((h for h, n in self.nodes.items() if n.election.mine is not None), None)
+        leader = next((h for h, n in self.nodes.items() if n.election.leadership is not None), None)
         if leader is None or self.rng.random() < 0.4:
             super()._inject_fault()
             self.flapping = self.rng.random() < 0.3
@@ -125,7 +129,7 @@
         if self.flapping and self.rng.random() < 0.5:
             self.store.expire()
             for number in self.store.leases:
-                self.store.leases[number] = self.true_now + TTL_S
+                self.store.leases[number] = self.true_now + LEASE_TTL_S
             for node in self.nodes.values():
                 cast(_FlappingClient, node.client).interruptions += 1
         if self.delayed_revocations and self.rng.random() < 0.1:
@@ -165,7 +169,7 @@
 
 def _no_wait_for_invalidity(patch: pytest.MonkeyPatch) -> None:
     """The failed leader counts as invalid as soon as its lease is revoked."""
-    patch.setattr(revocation_module, "TTL_S", 0.0)
+    patch.setattr(revocation_module, "LEASE_TTL_S", 0.0)
 
 
 def _unknown_outcome_counts_as_executed(patch: pytest.MonkeyPatch) -> None:
@@ -174,7 +178,7 @@
     async def end_lease(self: LeaseRevocation, attempt: Any) -> None:
         with contextlib.suppress(OutcomeUnknownError):
             await self._client.end_lease(attempt.lease)
-        attempt.leader_invalid_at = Monotonic(self._now() + TTL_S * 1.001 + 0.2)
+        attempt.leader_invalid_at = Monotonic(self._now() + LEASE_TTL_S * 1.001 + 0.2)
 
     patch.setattr(LeaseRevocation, "_revoke_lease", end_lease)
 
@@ -184,11 +188,11 @@
     original = _FlappingClient.commit
 
     async def commit(
-        self: Any, guards: Any, changes: Any, paid: bool = False, timeout_s: float = 2.0
+        self: Any, guards: Any, changes: Any, tokens_acquired: bool = False, timeout_s: float = 2.0
     ) -> Any:
         if len(changes) > 1 and all(c.get("set", "").startswith("out/") for c in changes):
             changes = [c for c in changes if is_kept(exclusion_key(self.host), c["set"])]
-        return await original(self, guards, changes, paid, timeout_s)
+        return await original(self, guards, changes, tokens_acquired, timeout_s)
 
     patch.setattr(_FlappingClient, "commit", commit)
 
@@ -232,7 +236,7 @@
         self.cluster = FlappingCluster(0)
         self.cluster.rng.random = lambda: 1.0  # type: ignore[method-assign]
         self.store = self.cluster.store
-        self.store.leases[1] = self.cluster.true_now + TTL_S
+        self.store.leases[1] = self.cluster.true_now + LEASE_TTL_S
         value = {"host": HOSTS[0], "term": 5, "revocable": True}
         self.store.keys[LEADER_KEY] = (value, 1, 1)
         self.store.keys["term"] = (5, 1, None)
@@ -240,7 +244,7 @@
         self.leader = KnownLeader(HOSTS[0], FencingToken(5), Revision(1))
         for host in HOSTS[1:]:
             election = self.member(host).election
-            election.known = self.leader
+            election.known_leader = self.leader
             # These processes have run for long and have no lease extension grants in force.
             election._own_grants_expire_at = election._previous_grants_expire_at = Monotonic(0.0)
         self.revoker = self.member(HOSTS[1])
@@ -259,7 +263,7 @@
     def advance(self, seconds: float) -> None:
         self.cluster.true_now += seconds
         for number in self.store.leases:
-            self.store.leases[number] = self.cluster.true_now + TTL_S
+            self.store.leases[number] = self.cluster.true_now + LEASE_TTL_S
 
 
 def test_failed_leader_is_replaced_within_seconds() -> None:
@@ -269,12 +273,12 @@
         await setup.fail_leader()
         assert LEADER_KEY not in setup.store.keys
         ended = setup.cluster.true_now
-        while setup.revoker.election.mine is None:
-            assert setup.cluster.true_now - ended < TTL_S + 1.0
+        while setup.revoker.election.leadership is None:
+            assert setup.cluster.true_now - ended < LEASE_TTL_S + 1.0
             await setup.revoker.step("revoke")
             await setup.revoker.step("hold")
             setup.cluster.true_now += 0.25
-        assert setup.cluster.true_now - ended >= TTL_S * 0.5
+        assert setup.cluster.true_now - ended >= LEASE_TTL_S * 0.5
 
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(election_module, "monotonic_now", lambda: setup.revoker.now())
@@ -288,11 +292,13 @@
 def test_extension_is_refused_while_revoking_the_lease() -> None:
     setup = _FailedLeader()
     asyncio.run(setup.fail_leader())
-    assert "ends" in setup.revoker.election.promise(
+    assert "ends" in setup.revoker.election.grant_extension(
         FencingToken(5), Monotonic(setup.revoker.now() + 4.0)
     )
     # The leader of a later term is granted an extension.
-    assert not setup.revoker.election.promise(FencingToken(6), Monotonic(setup.revoker.now() + 4.0))
+    assert not setup.revoker.election.grant_extension(
+        FencingToken(6), Monotonic(setup.revoker.now() + 4.0)
+    )
 
 
 def test_revoking_member_waits_for_its_own_grant() -> None:
@@ -316,7 +322,7 @@
     asyncio.run(setup.fail_leader())
     setup.store.epoch += 1
     setup.store.keys[exclusion_key(HOSTS[1])] = ({"term": 5, "v": 1}, setup.store.epoch, None)
-    setup.cluster.true_now += TTL_S * 2
+    setup.cluster.true_now += LEASE_TTL_S * 2
     asyncio.run(setup.revoker.step("revoke"))
     assert exclusion_key(HOSTS[1]) in setup.store.keys
     assert setup.revoker.revocation._attempt is None
@@ -364,14 +370,18 @@
     held: list[tuple[Any, Any]] = []
     original, reach = setup.store.execute, setup.revoker.client
 
-    async def commit(guards: Any, changes: Any, paid: bool = False, timeout_s: float = 2.0) -> Any:
+    async def commit(
+        guards: Any, changes: Any, tokens_acquired: bool = False, timeout_s: float = 2.0
+    ) -> Any:
         if not held:
             held.append((guards, changes))
             if executed == "at once":
                 original(guards, changes)
             cast(Any, reach).get = refused
             raise OutcomeUnknownError("no answer")
-        return await _FlappingClient.commit(cast(Any, reach), guards, changes, paid, timeout_s)
+        return await _FlappingClient.commit(
+            cast(Any, reach), guards, changes, tokens_acquired, timeout_s
+        )
 
     get = reach.get
 
@@ -395,7 +405,7 @@
     asyncio.run(scenario())
     if executed == "never":
         assert LEADER_KEY in setup.store.keys
-        assert not setup.revoker.election.promise(
+        assert not setup.revoker.election.grant_extension(
             FencingToken(5), Monotonic(setup.revoker.now() + 4.0)
         )
     else:
--- a/tests/test_open_jobs.py
+++ b/tests/test_open_jobs.py
@@ -24,7 +24,7 @@
 from tealrill import settings, wire
 from tealrill.leadership import renewal_delegation as delegation_module
 from tealrill.leadership.election import Election, KnownLeader
-from tealrill.leadership.open_jobs import OpenJobs, renewal_bound_s
+from tealrill.leadership.open_jobs import OpenJobs, renewal_staleness_bound_s
 from tealrill.leadership.renewal_delegation import DELEGATION_PREFIX, RenewalDelegate
 from tealrill.state.client import (
     Committed,
@@ -122,7 +122,7 @@
         return wire.WatchResult(revision=self.store.revision, events=events)
 
     async def commit(
-        self, guards: list[Any], changes: list[Any], paid: bool = False
+        self, guards: list[Any], changes: list[Any], tokens_acquired: bool = False
     ) -> Committed | GuardsFailed:
         self._request()
         keys = self.store.keys
@@ -165,7 +165,7 @@
         link.now = lambda: self.now
         client = cast(StateClient, link)
         election = Election(client, "node-0", lambda: None)
-        election.known = LEADER
+        election.known_leader = LEADER
         found = RenewalDelegate(
             settings.parse(orjson.dumps(SETTINGS)), client, election, lambda: self.now
         )
@@ -233,7 +233,7 @@
             (f"{job}/0", 1, "running", None) for job in sorted(self.running)
         ]
         message = report(MACHINE, self.incarnation, 1, LEADER.term, tasks)
-        if delegate.renews(message, MACHINE, self.now) is not None:
+        if delegate.renewal_token(message, MACHINE, self.now) is not None:
             self.renewals += 1
             self.renewed_at = self.now
 
@@ -382,7 +382,7 @@
     simulation = _simulation_without_faults()
     asyncio.run(simulation.run(5.0))
     simulation.cancel(JOBS[0])
-    asyncio.run(simulation.run(renewal_bound_s(WORKERS) - 2.0))
+    asyncio.run(simulation.run(renewal_staleness_bound_s(WORKERS) - 2.0))
     assert simulation.renewed_at > simulation.cancelled_at[JOBS[0]], "not before the bound is near"
     asyncio.run(simulation.run(40.0))
     assert simulation.incarnation == 2 and not simulation.running and not simulation.overdue
@@ -397,7 +397,7 @@
     asyncio.run(simulation.run(5.0))
     exited: list[tuple[str, int, str, str | None]] = [(f"{JOBS[1]}/0", 1, wire.EXITED, "done")]
     message = report(MACHINE, 1, 9, LEADER.term, exited)
-    assert simulation.delegates[0].renews(message, MACHINE, simulation.now) == LEADER.term
+    assert simulation.delegates[0].renewal_token(message, MACHINE, simulation.now) == LEADER.term
 
 
 def test_job_cancelled_before_first_reading_is_renewed_for_remaining_time() -> None:
@@ -439,11 +439,11 @@
     # Logged once by each of the two processes, not with every reading.
     assert len([r for r in caplog.records if DELEGATION_PREFIX in r.getMessage()]) == 2
     delegations = delegation_module.Delegations(
-        cast(StateClient, simulation.links[0]), LEADER.term, LEADER.stamp, lambda: None
+        cast(StateClient, simulation.links[0]), LEADER.term, LEADER.mod_revision, lambda: None
     )
     # The leader counts it as active, since it may belong to its term, and revokes it.
-    assert asyncio.run(delegations.stand(Monotonic(1.0), False)) is True
-    assert asyncio.run(delegations.stand(Monotonic(2.0), False)) is False
+    assert asyncio.run(delegations.check_active(Monotonic(1.0), False)) is True
+    assert asyncio.run(delegations.check_active(Monotonic(2.0), False)) is False
 
 
 def test_implausible_heartbeat_causes_no_requests() -> None:
@@ -455,8 +455,14 @@
     ]
     unbound_tasks.append(("no task", 1, "running", None))
     delegate = simulation.delegates[0]
-    assert delegate.renews(report(MACHINE, 1, 9, 3, unbound_tasks), MACHINE, simulation.now) is None
-    assert delegate.renews(report(MACHINE, 1, 9, LEADER.term + 1), MACHINE, simulation.now) is None
+    assert (
+        delegate.renewal_token(report(MACHINE, 1, 9, 3, unbound_tasks), MACHINE, simulation.now)
+        is None
+    )
+    assert (
+        delegate.renewal_token(report(MACHINE, 1, 9, LEADER.term + 1), MACHINE, simulation.now)
+        is None
+    )
     assert [link.requests for link in simulation.links] == before
 
 
--- a/tests/test_renewal_delegation.py
+++ b/tests/test_renewal_delegation.py
@@ -56,7 +56,11 @@
         return wire.WatchResult(revision=self.epoch, events=[])
 
     async def commit(
-        self, guards: list[Any], changes: list[Any], paid: bool = False, timeout_s: float = 2.0
+        self,
+        guards: list[Any],
+        changes: list[Any],
+        tokens_acquired: bool = False,
+        timeout_s: float = 2.0,
     ) -> Committed | GuardsFailed:
         failed = [g["path"] for g in guards if self.keys.get(g["path"], (0, 0))[1] != g["stamp"]]
         if failed:
@@ -88,7 +92,7 @@
         self.now = Monotonic(100.0)
         client = cast(StateClient, store)
         self.election = Election(client, "node-0", lambda: None)
-        self.election.known = LEADER
+        self.election.known_leader = LEADER
         parsed = settings.parse(orjson.dumps(SETTINGS))
         self.delegate = RenewalDelegate(parsed, client, self.election, lambda: self.now)
         self.leader = _Leader()
@@ -104,11 +108,11 @@
 
     def term(self) -> FencingToken | None:
         """Return the token for a worker without tasks."""
-        return self.delegate.renews(report(MACHINE, 1, 1, 0), MACHINE, self.now)
+        return self.delegate.renewal_token(report(MACHINE, 1, 1, 0), MACHINE, self.now)
 
 
 def _delegations(store: Store) -> Delegations:
-    return Delegations(cast(StateClient, store), LEADER.term, LEADER.stamp, lambda: None)
+    return Delegations(cast(StateClient, store), LEADER.term, LEADER.mod_revision, lambda: None)
 
 
 def test_delegate_renews_only_while_leader_is_unreachable() -> None:
@@ -134,20 +138,20 @@
     assert DELEGATION_PREFIX + "node-0" not in store.keys
     store.keys[LEADER_KEY] = ({}, 7)
     assert delegate_node.tick() == 3
-    delegate_node.election.known = KnownLeader("node-1", FencingToken(4), Revision(9))
+    delegate_node.election.known_leader = KnownLeader("node-1", FencingToken(4), Revision(9))
     assert delegate_node.term() is None
 
 
 def test_check_active_finds_delegation_and_propagates_state_errors() -> None:
     store = Store()
     delegate_node, delegations = _DelegateNode(store), _delegations(store)
-    assert asyncio.run(delegations.stand(Monotonic(0.0), False)) is False
+    assert asyncio.run(delegations.check_active(Monotonic(0.0), False)) is False
     delegate_node.tick()
     delegate_node.tick()
-    assert asyncio.run(delegations.stand(Monotonic(1.0), False)) is True
+    assert asyncio.run(delegations.check_active(Monotonic(1.0), False)) is True
     store.down = True
     with pytest.raises(StateError):
-        asyncio.run(delegations.stand(Monotonic(1.5), False))
+        asyncio.run(delegations.check_active(Monotonic(1.5), False))
 
 
 def test_revoked_delegation_is_not_confirmed_again_in_its_term() -> None:
@@ -155,8 +159,8 @@
     delegate_node, delegations = _DelegateNode(store), _delegations(store)
     delegate_node.tick()
     delegate_node.tick()
-    assert asyncio.run(delegations.stand(Monotonic(1.0), revoke=True)) is True
-    assert asyncio.run(delegations.stand(Monotonic(1.5), revoke=True)) is False
+    assert asyncio.run(delegations.check_active(Monotonic(1.0), revoke=True)) is True
+    assert asyncio.run(delegations.check_active(Monotonic(1.5), revoke=True)) is False
     delegate_node.now = Monotonic(delegate_node.now + DELEGATION_S)
     assert delegate_node.tick() is None
     asyncio.run(delegations.clear())
@@ -173,7 +177,7 @@
     delegations = Delegations(
         cast(StateClient, store), FencingToken(3), Revision(8), lambda: ended.append(1)
     )
-    asyncio.run(delegations.stand(Monotonic(1.0), False))
+    asyncio.run(delegations.check_active(Monotonic(1.0), False))
     with pytest.raises(StateError):
         asyncio.run(delegations.clear())
     assert ended
@@ -184,7 +188,9 @@
     delegate_node, delegations = _DelegateNode(store), _delegations(store)
     delegate_node.tick()
     delegate_node.tick()
-    found = [asyncio.run(delegations.stand(Monotonic(float(at)), False)) for at in (1, 3, 6, 7)]
+    found = [
+        asyncio.run(delegations.check_active(Monotonic(float(at)), False)) for at in (1, 3, 6, 7)
+    ]
     assert found == [True, True, True, False]
 
 
@@ -194,14 +200,14 @@
     delegate_node.tick()
     delegate_node.tick()
     later = Delegations(cast(StateClient, store), FencingToken(4), Revision(9), lambda: None)
-    assert asyncio.run(later.stand(Monotonic(1.0), False)) is False
+    assert asyncio.run(later.check_active(Monotonic(1.0), False)) is False
 
 
 def test_worker_is_not_redirected_to_unreachable_leader() -> None:
     # A worker redirected to a leader on the other side of a partition waits 4 s there for an
     # answer, and so loses 4 s of its lease each time.
     node = Controller(settings.parse(orjson.dumps(SETTINGS)))
-    node.election.known = LEADER
+    node.election.known_leader = LEADER
     beat = {
         "kiln": "m-1", "addr": "10.0.0.1:1", "build": "g8", "hall": "north", "loaners": False,
         "shift": 1, "tick": 1, "baton": 3, "warningS": None, "pieces": [],
