--- a/tealrill/leadership/election.py
+++ b/tealrill/leadership/election.py
@@ -66,7 +66,7 @@
 _QUICK_REELECTION_S: Final = 30.0
 """A re-election within this time of the host's previous one counts as quick."""
 _REELECTION_DELAY_S: Final = 2.0
-_UNREADABLE_RETRY_S: Final = 1.0
+_UNREADABLE_S: Final = 1.0
 """Pause before a record that this version can't decode is read again."""
 
 
@@ -156,7 +156,7 @@
         """Returns True if at least one other member answers."""
         self.revoking_term: FencingToken | None = None
         """The term whose lease this node is revoking; its leader is refused lease extensions."""
-        self._unreadable_log = ChangeLog(log)
+        self._unreadable = ChangeLog(log)
         self._status_log = ChangeLog(log)
         """Logs which leader this node follows, or why it does not campaign."""
         self._campaign_term: FencingToken | None = None
@@ -331,7 +331,7 @@
         try:
             record = msgspec.convert(entry.value, _LeaderRecord)
         except msgspec.ValidationError as error:
-            self._unreadable_log.error(
+            self._unreadable.error(
                 f"unreadable record: key={entry.key} revision={entry.version} error={error}"
             )
             return None
@@ -358,10 +358,10 @@
         last = await self._client.get(TERM_KEY)
         if last is not None and type(last.value) is not int:
             # Any term chosen without it might be lower than one already used.
-            self._unreadable_log.error(
+            self._unreadable.error(
                 f"unreadable record: key={TERM_KEY} revision={last.version} error=not an integer"
             )
-            await asyncio.sleep(_UNREADABLE_RETRY_S)
+            await asyncio.sleep(_UNREADABLE_S)
             return
         sent = monotonic_now()
         lease = await self._client.create_lease(LEASE_TTL_S)
--- a/tealrill/leadership/renewal_delegation.py
+++ b/tealrill/leadership/renewal_delegation.py
@@ -106,7 +106,7 @@
         self._valid_until = Monotonic(-1e9)
         self._beat = 0
         self._renewals: _DelegatedRenewals | None = None
-        self._unreadable_log = ChangeLog(log)
+        self._unreadable = ChangeLog(log)
 
     def renewal_token(
         self, report: wire.Heartbeat, machine: MachineId, now: Monotonic
@@ -204,7 +204,7 @@
         """
         entry = await self._client.get(self._key)
         if entry is not None:
-            existing = _read_delegation(self._key, entry.value, entry.version, self._unreadable_log)
+            existing = _read_delegation(self._key, entry.value, entry.version, self._unreadable)
             if existing is None or (existing.revoked and existing.term == leader.term):
                 self._end_renewals("delegation revoked or unreadable")
                 return
@@ -316,7 +316,7 @@
         self._term = term
         self._on_ended = ended
         """Called when a delegation has ended or may have ended."""
-        self._unreadable_log = ChangeLog(log)
+        self._unreadable = ChangeLog(log)
         self._since: dict[str, Monotonic] = {}
         self._last_written: dict[str, tuple[int, Monotonic]] = {}
 
@@ -329,9 +329,7 @@
         entries, _ = await self._client.scan(DELEGATION_PREFIX)
         active = False
         for entry in entries:
-            delegation = _read_delegation(
-                entry.key, entry.value, entry.version, self._unreadable_log
-            )
+            delegation = _read_delegation(entry.key, entry.value, entry.version, self._unreadable)
             if delegation is not None and (delegation.term != self._term or delegation.revoked):
                 # An older term's delegations can't be confirmed any more: the guard on its leader's
                 # key fails.
