--- a/tealrill/leadership/election.py
+++ b/tealrill/leadership/election.py
@@ -315,8 +315,8 @@
             await self._delete_own_key(entry)
         elif reelections > _MAX_QUICK_REELECTIONS and await self.any_peer_answers():
             # The process ends repeatedly, perhaps because it leads. Re-elected at once each time,
-            # it would keep all other members from leading (12 terms in a row for a process that
-            # ended every second).
+            # it would keep all other members from leading: a process that ended every second was
+            # elected 12 times.
             log.info("campaign delayed after repeated re-elections: terms_in_a_row=%d", reelections)
             self._campaign_not_before = Monotonic(monotonic_now() + _REELECTION_DELAY_S)
             await self._delete_own_key(entry)
@@ -326,7 +326,7 @@
     def _read_leader(self, entry: wire.Entry) -> KnownLeader | None:
         """Decode another member's record; return None if this version can't.
 
-        The leader's key stays in that case and goes with its lease.
+        The leader's key is left alone in that case; it is deleted when its lease expires.
         """
         try:
             record = msgspec.convert(entry.value, _LeaderRecord)
--- a/tealrill/leadership/lease_extension.py
+++ b/tealrill/leadership/lease_extension.py
@@ -207,7 +207,7 @@
         self.extend(leadership, sent, limit)
 
     def extend(self, leadership: Leadership, sent: Monotonic, limit: Monotonic = _NO_LIMIT) -> None:
-        """Extend the term after all other members granted it, in answer to requests sent at `sent`.
+        """Extend the term, since each other member has granted it after `sent` or is excluded.
 
         The term is not extended beyond `limit`, and only if it is still valid: after a gap another
         member may have been elected, which later grants would not undo.
--- a/tealrill/leadership/lease_revocation.py
+++ b/tealrill/leadership/lease_revocation.py
@@ -63,7 +63,7 @@
 LEADER_FAILURE_S: Final = 6.0
 """Time without an answer after which a leader may count as failed; longer than a usual restart."""
 _MIN_INTERRUPTIONS: Final = 3
-"""After fewer interruptions than this, the lease expires by itself."""
+"""With fewer interruptions the lease expires by itself, however long a single outage lasts."""
 _STEP_INTERVAL_S: Final = 0.25
 _COMMIT_TIMEOUT_S: Final = 0.5
 """Short, because waiting for a lost answer would use up the time between two outages."""
--- a/tealrill/leadership/renewal_delegation.py
+++ b/tealrill/leadership/renewal_delegation.py
@@ -255,7 +255,7 @@
             self._warned = True
             log.warning(
                 "leader unreachable and no other can be elected: term=%d host=%s "
-                "renewing_s=%.0f revision=%d workers_renewed=%d workers_withheld=%d",
+                "renewing_s=%.0f as_of_revision=%d workers_renewed=%d workers_withheld=%d",
                 self.leader.term,
                 self.leader.host,
                 now - self._since,
@@ -277,7 +277,7 @@
 
     def end(self, reason: str, now: Monotonic) -> None:
         log.info(
-            "stopped renewing workers for another leader: "
+            "renewal of workers for an unreachable leader ended: "
             "term=%d workers_renewed=%d renewing_s=%.0f workers_withheld=%d reason=%s",
             self.leader.term,
             len(self.renewed),
--- a/tealrill/leadership/transfer.py
+++ b/tealrill/leadership/transfer.py
@@ -22,7 +22,8 @@
 """Length of a counting window in heartbeat intervals."""
 _MIN_HEARTBEATS: Final = 2
 _MIN_HEARTBEAT_SHARE: Final = 0.05
-"""Some workers always contact a controller that does not lead, for instance just after booting."""
+"""Smaller counts are usual: some workers contact a controller that does not lead, for instance just
+after booting."""
 
 
 class LeadershipTransfer:
