--- a/tealrill/leadership/lease_extension.py
+++ b/tealrill/leadership/lease_extension.py
@@ -156,11 +156,11 @@
         sent = self._now()
         if not leadership.valid(sent):
             return
-        seen = self.cancellation_knowledge()
-        request = ExtensionRequest(leadership.term, seen.revision)
+        knowledge = self.cancellation_knowledge()
+        request = ExtensionRequest(leadership.term, knowledge.revision)
         answers = await asyncio.gather(*(self._ask(c, request) for c in self._peers.values()))
         # The watch may not have delivered this node's own acknowledged cancellations yet either.
-        acknowledged_jobs = [self._acknowledged.since(seen.revision)]
+        acknowledged_jobs = [self._acknowledged.since(knowledge.revision)]
         acknowledged_jobs += [answer.cancelled for answer in answers if answer is not None]
         for job in chain.from_iterable(acknowledged_jobs):
             self.on_cancelled(job)
@@ -177,13 +177,13 @@
             return
         limit = _NO_LIMIT
         not_vouching = [n for n, a in answer_by_host.items() if a is None or not a.vouches]
-        if not self._acknowledged.is_complete_since(seen.revision):
+        if not self._acknowledged.is_complete_since(knowledge.revision):
             not_vouching.append("this node itself")
         if not not_vouching:
             self.on_cancellations_known(leadership, sent)
         else:
             # These hosts may have acknowledged cancellations that no answer has reported.
-            limit = Monotonic(seen.at + self._staleness_bound_s)
+            limit = Monotonic(knowledge.at + self._staleness_bound_s)
         if unreachable:
             limit = min(
                 limit,
--- a/tealrill/leadership/lease_revocation.py
+++ b/tealrill/leadership/lease_revocation.py
@@ -76,8 +76,8 @@
 
     leader: KnownLeader
     lease: LeaseId
-    term_version: Revision
-    exclusion: Revision
+    term_mod_revision: Revision
+    exclusion_mod_revision: Revision
     """Revision of this member's own exclusion record."""
     leader_invalid_at: Monotonic = Monotonic(math.inf)
     """When the failed leader is certainly invalid; infinite until its lease is revoked."""
@@ -96,7 +96,7 @@
     ) -> None:
         self._client = client
         self._election = election
-        self._unheard_since = leader_unreachable_since
+        self._leader_unreachable_since = leader_unreachable_since
         """Returns since when the known leader has not answered this member; None if it does."""
         self._now = now
         self._host = settings.host_name
@@ -119,7 +119,7 @@
     @property
     def lost_term(self) -> FencingToken | None:
         """The term whose leader this member considers failed; None if it does not."""
-        leader, since = self._election.known_leader, self._unheard_since()
+        leader, since = self._election.known_leader, self._leader_unreachable_since()
         if leader is None or since is None or self._election.leadership is not None:
             self._suspected = None
             return None
@@ -245,9 +245,9 @@
         own = exclusion_key(self._host)
         guards = [
             wire.guard(LEADER_KEY, ABSENT),
-            wire.guard(TERM_KEY, attempt.term_version),
+            wire.guard(TERM_KEY, attempt.term_mod_revision),
             # If the leader has rewritten the record, it may have extended its term relying on it.
-            wire.guard(own, attempt.exclusion),
+            wire.guard(own, attempt.exclusion_mod_revision),
         ]
         # Before the commit, whose outcome may stay unknown: the campaign's guards decide then.
         self._election.campaign_without_delay()
--- a/tealrill/leadership/renewal_delegation.py
+++ b/tealrill/leadership/renewal_delegation.py
@@ -317,7 +317,7 @@
         self._on_ended = ended
         """Called when a delegation has ended or may have ended."""
         self._unreadable = ChangeLog(log)
-        self._since: dict[str, Monotonic] = {}
+        self._first_read_at: dict[str, Monotonic] = {}
         self._last_written: dict[str, tuple[int, Monotonic]] = {}
 
     async def check_active(self, now: Monotonic, revoke: bool) -> bool:
@@ -344,7 +344,7 @@
         return active
 
     def _is_outdated(self, entry: wire.Entry, now: Monotonic) -> bool:
-        since = self._since.setdefault(entry.key, now)
+        since = self._first_read_at.setdefault(entry.key, now)
         version, at = self._last_written.get(entry.key, (-1, now))
         if version != entry.version:
             at = now
@@ -353,12 +353,12 @@
 
     async def clear(self) -> None:
         """Delete all delegations; used once no machine misses heartbeats any more."""
-        if not self._since:
+        if not self._first_read_at:
             return
         entries, _ = await self._client.scan(DELEGATION_PREFIX)
         for entry in entries:
             await self._change(entry, wire.delete(entry.key))
-        self._since.clear()
+        self._first_read_at.clear()
         self._last_written.clear()
 
     async def _change(self, entry: wire.Entry, change: dict[str, object]) -> None:
--- a/tests/test_acknowledged_cancellations.py
+++ b/tests/test_acknowledged_cancellations.py
@@ -35,7 +35,7 @@
 from tests.samples import SETTINGS
 
 _WORKERS = SETTINGS["params"]["workers"]
-_RENEWED_S = 3.0
+_LEASE_VALIDITY_S = 3.0
 _WATCH_LAG_S = 3.0
 
 
@@ -55,8 +55,8 @@
     leadership: Leadership | None = None
 
     def __init__(self, simulation: _Simulation) -> None:
-        self.first: Revision | None = None
-        self.known = AcknowledgedCancellations(lambda: self.first)
+        self.first_revision: Revision | None = None
+        self.known = AcknowledgedCancellations(lambda: self.first_revision)
         self.extension = LeaseExtension(
             settings.parse(orjson.dumps(SETTINGS)),
             cast(StateClient, simulation.state),
@@ -79,15 +79,15 @@
         self.acknowledged_at: dict[str, Monotonic] = {}
         self.revision_of: dict[str, int] = {}
         self.known: set[str] = set()
-        self.seen = CancellationKnowledge(Revision(10), self.now)
+        self.knowledge = CancellationKnowledge(Revision(10), self.now)
         self.leadership = Leadership(FencingToken(1), Revision(1), LeaseId(1), self.now, self.now)
         for member in self.members:
-            member.first = Revision(10)
+            member.first_revision = Revision(10)
         self._lead()
 
     def _lead(self) -> None:
         extension = self.members[0].extension
-        extension.cancellation_knowledge = lambda: self.seen
+        extension.cancellation_knowledge = lambda: self.knowledge
         extension.on_cancelled = self.known.add
         extension._peers = {"1": cast(Any, 1), "2": cast(Any, 2)}
 
@@ -120,7 +120,7 @@
             name = f"wk-{self.state.revision}"
             self.revision_of[name] = self.state.revision
             if self.rng.random() < 0.7:
-                self._tell(name, self.rng.choice(self.members))
+                self._acknowledge(name, self.rng.choice(self.members))
             elif self.rng.random() < 0.5:
                 self.poll()
             # The critical cancellations are those acknowledged just before an outage.
@@ -133,9 +133,9 @@
             if self.removed_condition == "polls":
                 self.acknowledged_at[name] = self.now
             else:
-                self._tell(name, self.rng.choice(self.members))
+                self._acknowledge(name, self.rng.choice(self.members))
 
-    def _tell(self, name: str, member: _Member) -> None:
+    def _acknowledge(self, name: str, member: _Member) -> None:
         member.known.add(name, Revision(self.revision_of[name]))
         self.acknowledged_at[name] = self.now
 
@@ -145,8 +145,8 @@
 
     def read_first_revision(self) -> None:
         for member in self.members:
-            if self.state.up and member.first is None:
-                member.first = Revision(self.state.revision)
+            if self.state.up and member.first_revision is None:
+                member.first_revision = Revision(self.state.revision)
 
     def toggle_outage(self) -> None:
         # Outages must last longer than an unknown cancellation may stay unknown.
@@ -163,10 +163,12 @@
     def pass_time(self, seconds: float) -> None:
         self.now = Monotonic(self.now + seconds)
         if self.state.up:
-            self.leadership.valid_until = Monotonic(self.now + _RENEWED_S)
-            if self.now - self.seen.at > self.rng.uniform(0.0, _WATCH_LAG_S):
-                self.seen = CancellationKnowledge(Revision(self.state.revision), self.now)
-                self.known |= {n for n, at in self.revision_of.items() if at <= self.seen.revision}
+            self.leadership.valid_until = Monotonic(self.now + _LEASE_VALIDITY_S)
+            if self.now - self.knowledge.at > self.rng.uniform(0.0, _WATCH_LAG_S):
+                self.knowledge = CancellationKnowledge(Revision(self.state.revision), self.now)
+                self.known |= {
+                    n for n, at in self.revision_of.items() if at <= self.knowledge.revision
+                }
 
     def check(self) -> None:
         if not self.leadership.valid(self.now):
@@ -205,8 +207,8 @@
     monkeypatch.setattr(acknowledged_module, "_KEPT", 1)
 
     def is_complete_since(self: AcknowledgedCancellations, revision: Revision) -> bool:
-        first = self._first_seen()
-        return first is not None and first <= revision
+        first_revision = self._first_seen()
+        return first_revision is not None and first_revision <= revision
 
     monkeypatch.setattr(AcknowledgedCancellations, "is_complete_since", is_complete_since)
     with pytest.raises(AssertionError, match="runs on"):
@@ -215,10 +217,10 @@
 
 
 def test_cancellations_are_complete_since_first_revision() -> None:
-    first: list[Revision] = []
-    known = AcknowledgedCancellations(lambda: first[0] if first else None)
+    first_revision: list[Revision] = []
+    known = AcknowledgedCancellations(lambda: first_revision[0] if first_revision else None)
     assert not known.is_complete_since(Revision(100))
-    first.append(Revision(50))
+    first_revision.append(Revision(50))
     assert known.is_complete_since(Revision(50))
     assert not known.is_complete_since(Revision(49))
 
@@ -237,8 +239,8 @@
 def test_extension_without_vouching_is_limited() -> None:
     simulation = _Simulation(0)
     simulation.members[1] = _Member(simulation)
-    simulation.seen = CancellationKnowledge(Revision(10), simulation.now)
-    simulation.leadership.valid_until = Monotonic(simulation.now + _RENEWED_S)
+    simulation.knowledge = CancellationKnowledge(Revision(10), simulation.now)
+    simulation.leadership.valid_until = Monotonic(simulation.now + _LEASE_VALIDITY_S)
     simulation.state.up = False
     began = simulation.now
     while simulation.leadership.valid(simulation.now):
--- a/tests/test_exclusion.py
+++ b/tests/test_exclusion.py
@@ -67,10 +67,10 @@
         self.delayed: list[tuple[Any, Any]] = []
 
     def expire(self) -> None:
-        over = {n for n, until in self.leases.items() if until <= self.cluster.true_now}
-        for number in over:
+        expired = {n for n, until in self.leases.items() if until <= self.cluster.true_now}
+        for number in expired:
             del self.leases[number]
-        for key in [k for k, (_, _, lease) in self.keys.items() if lease in over]:
+        for key in [k for k, (_, _, lease) in self.keys.items() if lease in expired]:
             del self.keys[key]
             self.epoch += 1
 
@@ -218,12 +218,12 @@
     def _exclusions(self, leadership: Any) -> Exclusions:
         if self.exclusions_term is not leadership or self.exclusions is None:
             self.exclusions_term = leadership
-            found = self.exclusions = Exclusions(
+            exclusions = self.exclusions = Exclusions(
                 self.settings, self.client, leadership.term, leadership.mod_revision,
                 lambda: self.election.valid_leadership(self.now()) is leadership, self.now,
             )  # fmt: skip
-            found._peers = self.peers
-            found._answered_at = dict.fromkeys(self.peers, self.now())
+            exclusions._peers = self.peers
+            exclusions._answered_at = dict.fromkeys(self.peers, self.now())
         return self.exclusions
 
     async def step(self, action: str) -> None:
@@ -243,6 +243,8 @@
 
 
 class Cluster:
+    """Three hosts with random faults; after each step at most one leader may be valid."""
+
     client_type: type[_Client] = _Client
     node_type: type[_Node] = _Node
     steps: tuple[str, ...] = ("hold", "extend", "look")
@@ -304,8 +306,10 @@
             leadership = node.election.leadership
             if leadership is not None and leadership.valid(node.now()):
                 valid.append((node.host, leadership.term))
-                away = self.true_now * self.clock_rate[node.host] + 1000.0 - leadership.renewed_at
-                self.longest_extension = max(self.longest_extension, away)
+                since_renewal_s = (
+                    self.true_now * self.clock_rate[node.host] + 1000.0 - leadership.renewed_at
+                )
+                self.longest_extension = max(self.longest_extension, since_renewal_s)
         if len(valid) > 1:
             raise TwoLeaders(f"at {self.true_now:.1f} s: {valid}")
 
--- a/tests/test_flapping.py
+++ b/tests/test_flapping.py
@@ -21,7 +21,7 @@
 from tealrill.types import Monotonic
 
 LONG_JOBS = ((2, 70.0), (3, 90.0), (1, 120.0))
-"""Number of tasks and run time in seconds; all run longer than `cancel_s`."""
+"""Number of tasks and run time in seconds; no task ends before its cancellation must end it."""
 FLAPPING_S = 52.0
 
 
@@ -45,7 +45,7 @@
 @pytest.mark.parametrize("way", [FROZEN, GONE, CUT])
 @pytest.mark.parametrize("nodes", [3, 5])
 @pytest.mark.parametrize("seed", [2, 3, 7, 24, 40])
-def test_another_one_leads_while_the_state_service_still_flaps(
+def test_successor_is_elected_while_the_state_service_flaps(
     seed: int, nodes: int, way: str
 ) -> None:
     """Guards against a successor that is elected late or only after the flapping has ended.
--- a/tests/test_leader_churn.py
+++ b/tests/test_leader_churn.py
@@ -39,7 +39,7 @@
 from tests.samples import report, spec
 
 LONG_JOBS = ((4, 90.0), (6, 100.0), (2, 120.0))
-"""Number of tasks and run time in seconds; all run longer than `cancel_s`."""
+"""Number of tasks and run time in seconds; no task ends before its cancellation must end it."""
 CHURN_S = 55.0
 
 
--- a/tests/test_lease_extension.py
+++ b/tests/test_lease_extension.py
@@ -83,8 +83,8 @@
     return clock
 
 
-def _election(state: _State, promised_s: float = 0.0) -> Election:
-    return Election(cast(StateClient, state), "host-0", lambda: None, promised_s)
+def _election(state: _State, previous_grants_s: float = 0.0) -> Election:
+    return Election(cast(StateClient, state), "host-0", lambda: None, previous_grants_s)
 
 
 def _campaign(election: Election, mod_revision: int = 0) -> bool:
--- a/tests/test_lease_revocation.py
+++ b/tests/test_lease_revocation.py
@@ -184,7 +184,7 @@
 
 
 def _exclude_only(patch: pytest.MonkeyPatch, is_kept: Callable[[str, str], bool]) -> None:
-    """Drop those exclusions for which `kept(own key, key)` is False from a member's transaction."""
+    """Drop the exclusions for which `is_kept(own key, key)` is False from all transactions."""
     original = _FlappingClient.commit
 
     async def commit(
@@ -368,7 +368,7 @@
     and against one that can't continue a revocation whose first transaction was executed."""
     setup = _FailedLeader()
     held: list[tuple[Any, Any]] = []
-    original, reach = setup.store.execute, setup.revoker.client
+    original, client = setup.store.execute, setup.revoker.client
 
     async def commit(
         guards: Any, changes: Any, tokens_acquired: bool = False, timeout_s: float = 2.0
@@ -377,13 +377,13 @@
             held.append((guards, changes))
             if executed == "at once":
                 original(guards, changes)
-            cast(Any, reach).get = refused
+            cast(Any, client).get = refused
             raise OutcomeUnknownError("no answer")
         return await _FlappingClient.commit(
-            cast(Any, reach), guards, changes, tokens_acquired, timeout_s
+            cast(Any, client), guards, changes, tokens_acquired, timeout_s
         )
 
-    get = reach.get
+    get = client.get
 
     async def refused(_: str) -> None:
         raise StateUnavailableError("status 503")
@@ -393,7 +393,7 @@
         setup.member(HOSTS[2]).revocation.step = _nothing  # type: ignore[method-assign]
         await setup.fail_leader()
         assert held and setup.revoker.revocation._attempt is None
-        cast(Any, reach).get = get
+        cast(Any, client).get = get
         if executed == "late":
             original(*held[0])
         if executed == "never":
@@ -401,7 +401,7 @@
         for _ in range(2):
             await setup.revoker.step("revoke")
 
-    cast(Any, reach).commit = commit
+    cast(Any, client).commit = commit
     asyncio.run(scenario())
     if executed == "never":
         assert LEADER_KEY in setup.store.keys
--- a/tests/test_open_jobs.py
+++ b/tests/test_open_jobs.py
@@ -166,11 +166,11 @@
         client = cast(StateClient, link)
         election = Election(client, "node-0", lambda: None)
         election.known_leader = LEADER
-        found = RenewalDelegate(
+        delegate = RenewalDelegate(
             settings.parse(orjson.dumps(SETTINGS)), client, election, lambda: self.now
         )
-        found._partitioned_since = self.now
-        return found
+        delegate._partitioned_since = self.now
+        return delegate
 
     async def run(self, seconds: float = DURATION_S) -> None:
         until = self.now + seconds
--- a/tests/test_renewal_delegation.py
+++ b/tests/test_renewal_delegation.py
@@ -208,11 +208,11 @@
     # answer, and so loses 4 s of its lease each time.
     node = Controller(settings.parse(orjson.dumps(SETTINGS)))
     node.election.known_leader = LEADER
-    beat = {
+    message = {
         "kiln": "m-1", "addr": "10.0.0.1:1", "build": "g8", "hall": "north", "loaners": False,
         "shift": 1, "tick": 1, "baton": 3, "warningS": None, "pieces": [],
     }  # fmt: skip
-    report = wire.decode(orjson.dumps(beat), wire.Heartbeat)
+    report = wire.decode(orjson.dumps(message), wire.Heartbeat)
     assert node.handle_heartbeat(report, MachineId("m-1")) == (421, {"foreman": "node-1"})
     node._renewal_delegate._partitioned_since = Monotonic(0.0)
     assert node.handle_heartbeat(report, MachineId("m-1")) == (421, {})
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -176,33 +176,33 @@
     async def request(self, *_: object, timeout_s: float) -> Answer:
         if self.body is None:
             raise NoAnswerError("refused", False)
-        found = Answer()
-        found.status = 200
-        found.body = self.body
-        return found
+        answer = Answer()
+        answer.status = 200
+        answer.body = self.body
+        return answer
 
 
-def _catalogues(cloud: _Cloud, peers: list[bytes | None]) -> CatalogueCache:
-    found = CatalogueCache(settings.parse(orjson.dumps(SETTINGS)), cast(Cloud, cloud))
-    found._peers = [cast(Any, _Peer(body)) for body in peers]
-    return found
+def _cache(cloud: _Cloud, peers: list[bytes | None]) -> CatalogueCache:
+    cache = CatalogueCache(settings.parse(orjson.dumps(SETTINGS)), cast(Cloud, cloud))
+    cache._peers = [cast(Any, _Peer(body)) for body in peers]
+    return cache
 
 
-def _catalogue_after_start(found: CatalogueCache) -> wire.Catalogue | None:
+def _catalogue_after_start(cache: CatalogueCache) -> wire.Catalogue | None:
     async def run() -> None:
-        running = asyncio.create_task(found.run())
+        running = asyncio.create_task(cache.run())
         for _ in range(20):
             await asyncio.sleep(0)
         running.cancel()
 
     asyncio.run(run())
-    return found.known
+    return cache.known
 
 
 def test_restarted_node_gets_catalogue_from_peer() -> None:
     # This also works while the cloud is down, and a node that restarts every second adds no calls.
     cloud = _Cloud(unavailable=True)
-    known = _catalogue_after_start(_catalogues(cloud, [None, b"{", orjson.dumps(_CATALOGUE)]))
+    known = _catalogue_after_start(_cache(cloud, [None, b"{", orjson.dumps(_CATALOGUE)]))
     assert known is not None and [kind.name for kind in known.types] == ["g8"]
     assert cloud.calls == 0
 
@@ -210,7 +210,7 @@
 @pytest.mark.parametrize("peers", [[], [None, None], [b"{}"]])
 def test_catalogue_is_requested_from_cloud_if_no_peer_has_it(peers: list[bytes | None]) -> None:
     cloud = _Cloud()
-    assert _catalogue_after_start(_catalogues(cloud, peers)) is not None
+    assert _catalogue_after_start(_cache(cloud, peers)) is not None
     assert cloud.calls == 1
 
 
@@ -225,7 +225,7 @@
 def test_hanging_peer_does_not_prevent_cloud_request() -> None:
     # After a restart of all nodes no other node can answer, and users wait for the machine types.
     cloud = _Cloud()
-    found = _catalogues(cloud, [])
-    found._peers = [cast(Any, _HangingPeer())]
-    assert asyncio.run(found._first()) is not None
+    cache = _cache(cloud, [])
+    cache._peers = [cast(Any, _HangingPeer())]
+    assert asyncio.run(cache._first()) is not None
     assert cloud.calls == 1
