--- a/tests/test_leader_churn.py
+++ b/tests/test_leader_churn.py
@@ -1,19 +1,13 @@
-"""Cancelled tasks while leaders change every few seconds.
-
-Incident: a task of a cancelled job was still on its machine when `cancel_s` had passed. Every
-controller was killed or frozen again and again, so that no term lasted longer than two or three
-seconds. The worker's heartbeats were answered with 200 by one term after the other, and it listed
-the cancelled task in each of them.
-How it came about: the first heartbeat that reaches a term carries an older token. It was answered
-200, which renews the lease, without any command, since its list may be older than the term; the
-stop was left to the next one. A worker sends that early, after half a second, for a higher token at
-most once in half a lease, and otherwise 2.5 s later. By then the next term had begun.
-Cause: a right was renewed on one path without the check that another path makes: that what has to
-end is stopped by the very answer.
-Proof: in the records each 200 after the cancellation is the first of its token, and the early
-heartbeats come where that pace has them: at 42.12 and 50.17 s, to a frozen and to a killed leader.
-In the first day below eleven such answers follow one another, without a command. With the stop in
-them, and nothing else changed, the rule holds on all days.
+"""Cancelled tasks end in time while leaders change every two or three seconds.
+
+Guards against tasks of cancelled jobs that are still on their machines after `cancel_s`. The first
+heartbeat that reaches a term carries an older token, and its task list may be older than the term.
+If the answer renews the lease without commands and leaves the stop to the next heartbeat, that one
+comes only after the next change of leaders: a worker sends its next heartbeat early, after half a
+second, for a higher token at most once in half a lease, and otherwise 2.5 s later. So term after
+term renews the worker and none stops the task (eleven such answers in a row on the first of
+`RUNS`). Therefore every answer that renews a lease carries the stops of the listed tasks that have
+to end.
 """
 
 from __future__ import annotations
@@ -45,12 +39,12 @@
 from tests.samples import report, spec
 
 LONG_JOBS = ((4, 90.0), (6, 100.0), (2, 120.0))
-"""Tasks and run times in seconds: none ends by itself before its time to be gone."""
+"""Number of tasks and run time in seconds; no task ends before its cancellation must end it."""
 CHURN_S = 55.0
 
 
 def _shape(nodes: int) -> Shape:
-    """The incident's times: a heartbeat interval is longer than most terms."""
+    """Return a cluster whose heartbeat interval is longer than most terms."""
     return Shape(
         nodes=nodes,
         machines=14,
@@ -64,27 +58,27 @@
     )
 
 
-DAYS = ((3, 2.1, 2), (5, 1.5, 1), (5, 1.7, 2), (5, 2.1, 2), (5, 2.5, 2))
-"""Controllers, seconds between their ends, seed."""
+RUNS = ((3, 2.1, 2), (5, 1.5, 1), (5, 1.7, 2), (5, 2.1, 2), (5, 2.5, 2))
+"""Number of controllers, seconds between changes of the leader, seed."""
 
 
 def _play(nodes: int, every_s: float, seed: int) -> SimulatedCluster:
-    async def script(world: SimulatedCluster) -> None:
-        await FaultInjector(world).change_leaders(every_s, CHURN_S)
+    async def script(cluster: SimulatedCluster) -> None:
+        await FaultInjector(cluster).change_leaders(every_s, CHURN_S)
 
     return play(seed, _shape(nodes), CHURN_S, script=script, calm_s=5.0)
 
 
 def test_cancelled_tasks_end_in_time_while_leaders_change() -> None:
     broken: list[str] = []
-    for nodes, every_s, seed in DAYS:
-        world = _play(nodes, every_s, seed)
-        broken += [f"{nodes} controllers, every {every_s} s: {text}" for text in world.broken]
-        assert sum(job.cancelled_at is not None for job in world.jobs.values()) >= 4
+    for nodes, every_s, seed in RUNS:
+        cluster = _play(nodes, every_s, seed)
+        broken += [f"{nodes} controllers, every {every_s} s: {text}" for text in cluster.broken]
+        assert sum(job.cancelled_at is not None for job in cluster.jobs.values()) >= 4
     assert not broken
 
 
-def test_a_first_answer_without_stops_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_missing_stop_in_first_answer_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Commands, "stops_for_old_list", lambda *_: [])
     assert {"ran_cancelled", "renewed_unstopped"} <= _play(5, 1.5, 1).rules
 
@@ -100,7 +94,7 @@
 
 
 class Term:
-    """A leader that has just read its records; a former one had started one task."""
+    """A leader that has just read its records, with one task started in an earlier term."""
 
     def __init__(self, bound: bool = True, cancelled: bool = True) -> None:
         self.job_store = JobStore(4.0)
@@ -120,47 +114,47 @@
             self.fleet.commands.stop(binding, "cancelled", 0.0, ELECTED_AT)
 
     def answer(self, sequence: int, token: int) -> list[dict[str, Any]] | None:
-        """The commands of the answer to a heartbeat that lists the task."""
+        """Return the commands of the answer to a heartbeat that lists the task."""
         self._answers += 1
         now = Monotonic(ELECTED_AT + self._answers)
         heartbeat = report(MACHINE, 1, sequence, token, RUNNING)
         return self.fleet.heartbeats.process(heartbeat, MACHINE, now, Wall(0.0))
 
 
-def test_the_first_answer_of_a_term_has_the_stop() -> None:
+def test_first_answer_of_term_contains_stop() -> None:
     assert Term().answer(sequence=5, token=TERM - 1) == [STOP]
 
 
-def test_the_answer_to_an_overtaken_heartbeat_has_the_stop() -> None:
+def test_answer_to_overtaken_heartbeat_contains_stop() -> None:
     term = Term()
     assert term.answer(sequence=6, token=TERM) == [STOP]
     assert term.answer(sequence=5, token=TERM) == [STOP]
     assert term.answer(sequence=4, token=TERM - 1) == [STOP]
 
 
-def test_a_cancellation_reaches_a_machine_on_which_nothing_changes() -> None:
+def test_cancellation_stops_task_on_unchanged_machine() -> None:
     term = Term(cancelled=False)
     assert [term.answer(n, TERM) for n in (5, 6, 7)] == [[], [], []]
     term.cancel()
     assert term.answer(8, TERM) == [STOP]
 
 
-def test_the_first_answer_stops_what_no_record_covers_once_its_job_has_ended() -> None:
-    """Its job is over, or the leader does not know it: nothing else would end it."""
+def test_first_answer_stops_task_without_record_of_ended_job() -> None:
+    """A task without a record, whose job has ended or is unknown, is not stopped otherwise."""
     assert Term(bound=False).answer(sequence=5, token=TERM - 1) == [STOP]
 
 
-def test_an_old_list_stops_nothing_of_an_open_job() -> None:
+def test_outdated_list_stops_no_task_of_open_job() -> None:
     assert Term(cancelled=False).answer(sequence=5, token=TERM - 1) == []
     assert Term(bound=False, cancelled=False).answer(sequence=5, token=TERM - 1) == []
-    # The term's own list counts: this attempt has no record any more.
+    # A list sent within the term is current, so an attempt without a record is stopped.
     assert Term(bound=False, cancelled=False).answer(sequence=5, token=TERM) == [STOP]
 
 
-# -- what is shown of it ---------------------------------------------------------------------------
+# -- log lines and status --------------------------------------------------------------------------
 
 
-def test_a_task_that_outlives_its_cancellation_is_logged_once_a_term(
+def test_overdue_cancelled_task_is_logged_once_per_term(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     term = Term()
@@ -179,7 +173,7 @@
     assert shown.rows(Wall(5.0)) == [CancelledJob("wk-000412", 25.0, 1, [MACHINE])]
 
 
-def test_a_cancellation_that_is_fresh_is_not_logged(caplog: pytest.LogCaptureFixture) -> None:
+def test_recent_cancellation_is_not_logged(caplog: pytest.LogCaptureFixture) -> None:
     term = Term()
     term.job.cancelled_at = Wall(-9.0)
     term.fleet.stop_timeout_s = 10.0
