--- a/tealrill/fleet/__init__.py
+++ b/tealrill/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Machines of one term: incarnations, leases, bindings, renting and releasing."""
+"""The machines of one term: incarnations, leases, bindings, rental and release."""
--- a/tealrill/fleet/autoscaling.py
+++ b/tealrill/fleet/autoscaling.py
@@ -1,4 +1,4 @@
-"""The size of the fleet: machines are rented for demand, restored after losses, and returned."""
+"""Autoscaling: rents machines for demand, replaces lost ones, and releases unneeded ones."""
 
 from __future__ import annotations
 
@@ -28,20 +28,22 @@
 _SILENT_RETURN_S: Final = 45.0
 _HEARD_SHARE: Final = 0.8
 _COMING_REPORTS: Final = 2.5
-"""For so many report periods at most a new leader waits for so large a part of the machines."""
+"""Heartbeat intervals that a new leader waits at most for heartbeats of `_HEARD_SHARE` of the
+machines."""
 _UNHEARD_BOOTS: Final = 3.0
-"""A machine that the list calls running and nobody hears for so many boots more is returned."""
+"""Boot times, beyond its boot, within which a machine that is up must send its first heartbeat."""
 RENT_EVERY_S: Final = 0.5
-"""A machine takes many times as long to boot, so wishes for more are worked out more rarely than
-placement: in an overload they are the dearest part of a pass."""
+"""Rentals are calculated less often than placement: a boot takes many times as long, and under
+overload this calculation is the most expensive part of a pass."""
 
 
 _Upcoming = Callable[[Monotonic, float], Iterable[tuple[JobView, int]]]
-"""Jobs that are about to wait, with their tasks, seen from a moment within so many seconds."""
+"""Given the time and a period in seconds, return the jobs, with their number of tasks, that will
+start to wait within that period."""
 
 
 class Autoscaler:
-    """Rents and returns the machines of one term."""
+    """Decides which machines to rent and to release during one term."""
 
     def __init__(
         self,
@@ -52,9 +54,8 @@
         diagnosis: Callable[[], Diagnosis],
     ) -> None:
         self.put_off = False
-        """A wish for machines waits for a pass soon after this one."""
+        """The last call of `rent` came too early to calculate rentals; a pass must follow soon."""
         self.upcoming: _Upcoming = lambda _, __: ()
-        """Tasks that will wait for machines within so many seconds."""
         self._fleet = fleet
         self._provisioner = provisioner
         self._params = params
@@ -63,7 +64,7 @@
         self._silence_s = failure_detector.silent_after_s(params.workers.heartbeat_interval_s)
         self._capacity_losses = CapacityLosses()
         self._acquainted = False
-        """This leader has heard most machines that were up when it was elected."""
+        """Most machines that are up have sent a heartbeat to this leader, or it stopped waiting."""
         self._coming_s = _COMING_REPORTS * params.workers.heartbeat_interval_s
         self._rent_at = Monotonic(-math.inf)
         provisioner.granted = self._granted
@@ -75,8 +76,9 @@
         if not offers or now < self._rent_at:
             return
         if not self._acquainted:
-            # Machines that a new leader has not heard yet seem to have no room. In the first second
-            # of a term one rented 116 of them a second time, the dear ones too.
+            # Machines that have not sent a heartbeat to a new leader count as having no free
+            # capacity. Without this wait a leader rented 116 surplus machines, expensive ones too,
+            # in the first second of its term.
             self._acquainted = not self._fleet.leases.still_coming(
                 now, _HEARD_SHARE, self._coming_s
             )
@@ -86,11 +88,12 @@
         self._rent_at = Monotonic(now + RENT_EVERY_S)
         available = self._available(now)
         if all(self._provisioner.asked_for(offer.kind) for offer in available):
-            # Whatever would be wished for is not asked for before those requests are answered. (In
-            # an overload this reckoning was the dearest part of a pass, and mostly for nothing.)
+            # No kind can be requested before its pending requests are answered, so the expensive
+            # calculation below would have no effect.
             return
         machines = view.machines + view.coming
-        # Behind what waits already: machines that boot while the tasks before them still run.
+        # Tasks whose predecessors still run come behind those that wait already: machines for them
+        # boot in the meantime.
         soon = self.upcoming(now, max(o.boot_s for o in offers))
         unplaced = [*result.unplaced, *soon]
         wanted = capacity.rentals(
@@ -104,16 +107,19 @@
             self._provisioner.rent(rental, now)
 
     def _available(self, now: Monotonic) -> list[Offer]:
-        """Not refused a short while ago, and not in a zone that is cut off from here.
+        """Return the offers that are neither in capacity back-off nor in a partitioned zone.
 
-        A machine booted into a cut costs its price and takes no task. Zones are chosen by where we
-        have the fewest machines, which was just the one that is not heard.
+        A machine in a partitioned zone is charged but gets no tasks. Without this filter such a
+        zone would even be preferred, because zones with the fewest machines are chosen first.
         """
         cut = self._diagnosis().partitioned_zones
         return [o for o in self._provisioner.available(now) if o.zone not in cut]
 
     def restore(self, now: Monotonic) -> None:
-        """Ask at once for what was lost, in parts over all cheap kinds of the same type."""
+        """Request replacements after a mass failure, spread over all cheap kinds of the same type.
+
+        Expensive kinds are left to `rent`.
+        """
         if now < self._rent_at:
             return
         self._count_losses(now)
@@ -133,7 +139,7 @@
                 self._ask_for(offers, math.ceil(missing / offers[0].cpus), now)
 
     def _ask_for(self, offers: list[Offer], count: int, now: Monotonic) -> None:
-        """So many machines, in even parts: who has how many to give is not known beforehand."""
+        """Request `count` machines in even parts, as the capacity of each offer is unknown."""
         for number, offer in enumerate(offers):
             part = count // len(offers) + (number < count % len(offers))
             if part > 0:
@@ -151,7 +157,7 @@
             ):
                 cpus = max(machine.cpus, machine.expired_cpus)
                 if self._capacity_losses.lost(machine.id, machine.type, cpus, now):
-                    # Refused while the fleet was whole; the cloud may have its place again.
+                    # The kind may have been refused earlier; the failure may have freed capacity.
                     self._provisioner.capacity_backoff.hopeful(machine.kind)
             elif (
                 some_lost
@@ -167,7 +173,7 @@
         self._capacity_losses.rented(rental.type, self._cpus(rental))
 
     def _cpus(self, rental: Rental) -> float:
-        """Processors of all machines of a rental; 0 for a type that the catalogue lost."""
+        """Return the processors of all machines of a rental; 0 for a type not in the catalogue."""
         kind = self._provisioner.type_of(rental.type)
         return kind.cpus * rental.count if kind is not None else 0.0
 
@@ -177,7 +183,10 @@
     def _missing_for_expected(
         self, view: View, machines: list[MachineView]
     ) -> list[tuple[JobView, int]]:
-        """Room for expected work that is neither free nor booting, as tasks of one processor."""
+        """Return the capacity missing for expected work, as a job with tasks of one processor.
+
+        Capacity that is free or booting is subtracted.
+        """
         if view.expected is None:
             return []
         missing = math.ceil(view.expected.cpus - _free(machines))
@@ -207,10 +216,10 @@
         return [(job, missing)]
 
     def return_unneeded(self, result: Plan, view: View, now: Monotonic) -> None:
-        """Return machines that have nothing to do.
+        """Mark machines that are not needed for release.
 
-        Tasks that wait are no reason to keep an idle machine: if they fitted it, they would run.
-        Thirty small machines once stood idle for minutes because large tasks were waiting.
+        Waiting tasks are no reason to keep an idle machine: if they fitted it, they would run.
+        Otherwise small machines would stay idle for as long as large tasks wait.
         """
         spare = _free(view.machines) - (view.expected.cpus if view.expected is not None else 0.0)
         verdicts = self._diagnosis().verdicts
@@ -223,8 +232,8 @@
                 and verdicts.get(machine.id) is Suspicion.GONE
                 and self._may_be_released(machine, now)
             ):
-                # The cloud counts a dead machine as ours until it is released, and has none to give
-                # in its place. It says itself that it failed, but only half a minute later.
+                # A failed machine occupies capacity at the cloud until it is released, and the
+                # cloud itself lists it as failed only half a minute later.
                 self._release(machine, "gone")
                 continue
             if machine.bindings:
@@ -248,27 +257,34 @@
                 self._release(machine, "idle")
 
     def _return_silent(self, machine: Machine, lease_expired: int, now: Monotonic) -> None:
-        """Return a machine silent for long; `lease_expired` counts all whose lease expired."""
+        """Release a machine that has long been silent.
+
+        `lease_expired` is the number of machines whose lease has expired.
+        """
         assert machine.last_contact_at is not None
-        # Many silent machines at once mean that this node is cut off, not that they died.
+        # If most leases have expired, this node is probably partitioned and the machines run on.
         long = now - machine.last_contact_at > self._params.workers.lease_s + _SILENT_RETURN_S
         if long and 2 * lease_expired <= len(self._fleet.machines):
             self._release(machine, "silent")
 
     @staticmethod
     def _has_idled(machine: Machine, dear: bool, now: Monotonic) -> bool:
-        """Whether it has had no task for long enough; its idle time begins now if it had not."""
+        """Return whether a machine without tasks may be released, and start its idle time if unset.
+
+        It must have been idle for the idle time of its price class and rented for `_MINIMUM_S`.
+        """
         if machine.idle_since is None:
             machine.idle_since = now
         idle_s = _DEAR_IDLE_S if dear else _IDLE_S
         return now - machine.idle_since > idle_s and now - machine.since > _MINIMUM_S
 
     def _may_be_released(self, machine: Machine, now: Monotonic) -> bool:
-        """Once its lease is over anyway, or at once if the cloud shows that it has taken it.
+        """Return whether a machine that is suspected gone may be released.
 
-        The release is the proof that its tasks are gone. Where a delegate or an unread delegation
-        keeps every silent machine from lapsing, it is the only one: 109 machines' tasks once waited
-        for 35 s behind a partition that did not concern them.
+        It may be released once it was silent for a lease, or at once if the cloud no longer lists
+        it. The confirmed release proves that its tasks have ended. This is the only such proof
+        while a delegate, or a delegation that was not read, prevents leases from expiring: without
+        it the tasks of 109 machines waited 35 s for a partition elsewhere to end.
         """
         silent_s = self._fleet.leases.silence_s_of(machine, now)
         return (
@@ -277,7 +293,11 @@
         )
 
     def _return_unheard(self, machine: Machine, now: Monotonic) -> None:
-        """The cloud says that it runs, its worker has not come, and its zone is heard."""
+        """Release a machine that is up but sent no heartbeat in this term from a reachable zone.
+
+        If it is suspected gone it is released after a lease and a boot time, otherwise after
+        `_UNHEARD_BOOTS` boot times more than one.
+        """
         kind = self._provisioner.type_of(machine.type)
         if kind is None or not machine.up or machine.zone in self._diagnosis().partitioned_zones:
             return
@@ -292,5 +312,5 @@
 
 
 def _free(machines: list[MachineView]) -> float:
-    """Processors that are free now, or will be once a machine is up."""
+    """Return the processors that are free now or will be once machines have booted."""
     return sum(m.cpus for m in machines if m.cpus > 0)
--- a/tealrill/fleet/capacity_backoff.py
+++ b/tealrill/fleet/capacity_backoff.py
@@ -1,10 +1,10 @@
-"""Kinds of machine that the cloud has just refused, and when to ask again.
+"""Back-off for kinds of machine that the cloud has refused.
 
-A refusal says that there was none of a kind at one moment. More of it comes when somebody gives
-some back: often ourselves. So the time until the next try doubles while nothing is given, begins
-anew when a part is given, and ends when machines of that kind have gone. (Dead machines hold their
-places at the cloud until they are released. Asked for while they did, their kinds were refused for
-40 s, of which most passed after the places had come free.)
+A refusal means that the cloud had no capacity of a kind at that moment. Capacity comes back when a
+customer releases machines, and often that customer is this cluster. So the delay until the next
+request doubles while nothing is granted, is reset when a part is granted, and ends when machines of
+that kind have gone. (Failed machines occupy their capacity until they are released: a request made
+before that is refused, and without this reset its back-off of 40 s would outlast the release.)
 Pure state, without I/O and clock.
 """
 
@@ -28,18 +28,18 @@
 
 
 class CapacityBackoff:
-    """What is not worth asking for at this moment."""
+    """The kinds of machine that are backed off, and until when."""
 
     def __init__(self) -> None:
         self._kinds: dict[Kind, _Refusal] = {}
 
     def refused(self, kind: Kind, now: Monotonic) -> bool:
-        """Return whether the cloud has just refused machines of this kind."""
+        """Return whether this kind is backed off after a refusal."""
         known = self._kinds.get(kind)
         return known is not None and now < known.until
 
     def answered(self, kind: Kind, asked: int, given: int, now: Monotonic) -> None:
-        """The cloud gave `given` of `asked` machines."""
+        """Record that the cloud granted `given` of `asked` machines."""
         if given >= asked:
             self._kinds.pop(kind, None)
             return
@@ -53,10 +53,11 @@
         self._kinds[kind] = _Refusal(Monotonic(now + back_off_s), back_off_s)
 
     def hopeful(self, kind: Kind) -> None:
-        """Machines of this kind seem to be lost: the cloud has places again if they were taken.
+        """Shorten the back-off of a kind of which a machine was lost or released.
 
-        If they are dead it has none until they are released, so this does not end a refusal but
-        shortens it, however many machines are lost.
+        If the cloud has taken a lost machine back, the capacity is available again. If the machine
+        has failed, it is not before its release. So the back-off is shortened to that of a partial
+        grant instead of ended, however many machines are lost.
         """
         known = self._kinds.get(kind)
         if known is not None:
@@ -64,5 +65,5 @@
             known.back_off_s = min(known.back_off_s, _PARTLY_S)
 
     def freed(self, kind: Kind) -> None:
-        """Machines of this kind have gone: the cloud may have places again."""
+        """End the back-off of a kind of which a machine has gone."""
         self._kinds.pop(kind, None)
--- a/tealrill/fleet/catalogue.py
+++ b/tealrill/fleet/catalogue.py
@@ -1,8 +1,8 @@
-"""The machine types, as this node knows them.
+"""This node's cache of the cloud's machine types.
 
-A process that was just started asks the other nodes first: they have what the cloud told them, also
-while the cloud is away, and a process that ends again and again would use up the few requests that
-the cloud grants to all.
+After a start the catalogue is requested from the other nodes first. They have it even while the
+cloud is unavailable, and a process that restarts repeatedly would otherwise use up the cloud's rate
+limit, which all nodes share.
 """
 
 from __future__ import annotations
@@ -21,7 +21,8 @@
 CATALOGUE_PATH: Final = "/peer/catalogue"
 _PEER_S: Final = 0.3
 _HEAD_START_S: Final = 0.05
-"""Nodes answer within milliseconds, those that don't may be silent."""
+"""Seconds that the other nodes have to answer before the cloud is asked as well; a node that is
+reachable answers within milliseconds."""
 _RETRY_S: Final = 2.0
 _EVERY_S: Final = 300.0
 
@@ -30,7 +31,7 @@
 
 
 async def _first_found(asked: list[_Asked]) -> wire.Catalogue | None:
-    """The first of them that brings any; the others are given up."""
+    """Return the first catalogue that a task brings, or None, and cancel the other tasks."""
     try:
         for first in asyncio.as_completed(asked):
             found = await first
@@ -43,7 +44,10 @@
 
 
 class Catalogues:
-    """Wanted: the types that the cloud offers. Prices move; the leader asks for those itself."""
+    """Cache of the cloud's machine types.
+
+    Prices change; the leader fetches the current ones itself.
+    """
 
     def __init__(self, settings: Settings, cloud: Cloud) -> None:
         self._cloud = cloud
@@ -51,16 +55,17 @@
         self.known: wire.Catalogue | None = None
 
     async def run(self) -> None:
-        """Keep the catalogue known and fresh; never returns."""
+        """Fetch the catalogue and refresh it periodically; never returns."""
         while True:
             found = await (self._first() if self.known is None else self._ask_cloud())
             self.known = found or self.known
             await asyncio.sleep(_EVERY_S if found is not None else _RETRY_S)
 
     async def _first(self) -> wire.Catalogue | None:
-        """The first answer that there is; the cloud is asked if no node has answered at once.
+        """Return the first catalogue from another node or the cloud; None if neither has one.
 
-        Where all nodes were restarted together none knows, and users wait for the types.
+        The cloud is asked if no node has answered within `_HEAD_START_S`: after a restart of all
+        nodes none has the catalogue, and submissions wait for it.
         """
         peers = asyncio.create_task(self.ask_peers())
         return await _first_found([peers, asyncio.create_task(self._ask_cloud_after(peers))])
@@ -74,11 +79,11 @@
         try:
             return await self._cloud.catalogue()
         except CloudError as error:
-            log.debug("catalogue: %s", error)
+            log.debug("catalogue not received from the cloud: error=%s", error)
             return None
 
     async def ask_peers(self) -> wire.Catalogue | None:
-        """What another node knows; None if none knows any."""
+        """Return another node's catalogue, or None if no node has one."""
         return await _first_found([asyncio.create_task(self._ask(peer)) for peer in self._peers])
 
     @staticmethod
@@ -87,5 +92,5 @@
             answer = await peer.request("GET", CATALOGUE_PATH, timeout_s=_PEER_S)
             return wire.decode(answer.body, wire.Catalogue) if answer.status == 200 else None
         except (NoAnswerError, wire.MalformedMessageError) as error:
-            log.debug("catalogue of another node: %s", error)
+            log.debug("catalogue not received from a node: error=%s", error)
             return None
--- a/tealrill/fleet/cloud.py
+++ b/tealrill/fleet/cloud.py
@@ -1,4 +1,4 @@
-"""Client of the cloud, within a budget."""
+"""Rate-limited client of the cloud's API."""
 
 from __future__ import annotations
 
@@ -22,15 +22,15 @@
 
 
 class CloudError(TealrillError):
-    """The request brought no result; it may have taken effect or may yet."""
+    """The request got no usable response; it may have taken effect, or may still do so."""
 
 
 class NoCapacityError(TealrillError):
-    """The cloud has none of what was asked for; nothing was rented."""
+    """The cloud refused the rental; no machine was rented."""
 
 
 class Cloud:
-    """The cloud's API. Only the leader rents and returns."""
+    """Client of the cloud's API. Only the leader rents and releases machines."""
 
     def __init__(self, address: str, rate: float, nodes: int) -> None:
         self._http = Client(parse_address(address), most=3)
@@ -53,7 +53,7 @@
         return self._read(await self._send("GET", "/catalog"), wire.Catalogue)
 
     async def machines(self) -> list[wire.ListedMachine]:
-        """The whole list, page after page."""
+        """Return the complete machine list, fetched page by page; raises `CloudError`."""
         found: list[wire.ListedMachine] = []
         after = ""
         while True:
@@ -77,10 +77,13 @@
         count: int,
         check: Callable[[], None],
     ) -> list[str]:
-        """The machines rented under this request name; raises `NoCapacityError` or `CloudError`.
+        """Rent machines and return their names; raises `NoCapacityError` or `CloudError`.
 
-        `check` is called after every wait, right before the request leaves; what it raises comes
-        out here, and then nothing was sent.
+        The request name makes the call idempotent: once a request has succeeded, repeating it under
+        the same name rents nothing more.
+
+        `check` is called after every wait, immediately before the request is sent. If it raises,
+        nothing is sent and the exception propagates to the caller.
         """
         await self.budget.take()
         body = wire.encode(wire.rent_request(name, type_name, zone, spot, count))
@@ -88,21 +91,21 @@
         if answer.status == 503 and b"no capacity" in answer.body:
             raise NoCapacityError
         if answer.status == 400:
-            # Repeating it would bring the same answer for ever.
-            log.error("rental %s was called malformed: %s", name, answer.body[:200])
+            # Not retried: the cloud rejects the same request every time.
+            log.error("rental rejected as malformed: name=%s response=%s", name, answer.body[:200])
             raise NoCapacityError
         return self._read(answer, wire.Rented).machines
 
     async def release(self, machines: Sequence[MachineId], check: Callable[[], None]) -> None:
-        """Returns when the machines and everything on them are gone; raises `CloudError`.
+        """Release machines; return once the cloud has confirmed that they are terminated.
 
-        `check` as in `rent`.
+        Raises `CloudError`. `check` is called as in `rent`.
         """
         await self.budget.take()
         body = wire.encode(wire.release_request(list(machines)))
         answer = await self._send("POST", "/hosts/release", body, check)
         if answer.status != 200:
-            raise CloudError(f"status {answer.status}")
+            raise CloudError(f"cloud answered with status {answer.status}")
 
     async def _send(
         self,
@@ -119,7 +122,7 @@
     @staticmethod
     def _read(answer: Answer, kind: type[wire.T]) -> wire.T:
         if answer.status != 200:
-            raise CloudError(f"status {answer.status}")
+            raise CloudError(f"cloud answered with status {answer.status}")
         try:
             return wire.decode(answer.body, kind)
         except wire.MalformedMessageError as error:
--- a/tealrill/fleet/dispatch.py
+++ b/tealrill/fleet/dispatch.py
@@ -1,4 +1,4 @@
-"""A placement pass: snapshot, plan, bindings and stops, machines rented and returned."""
+"""A scheduling pass: snapshot, plan, bindings and stops, machines rented and released."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class SchedulingLoop:
-    """One term's placement passes."""
+    """Runs the scheduling passes of one term."""
 
     def __init__(
         self,
@@ -35,7 +35,7 @@
         command_now: Callable[[Machine], None],
     ) -> None:
         self.diagnosis: Callable[[], Diagnosis] = lambda: _ALL_HEARD
-        """What the silence of machines means, as it was judged last."""
+        """Return the latest diagnosis of silent machines."""
         self.last: Plan = Plan()
         self._policy = Policy()
 
@@ -49,7 +49,7 @@
         self.autoscaler = Autoscaler(fleet, provisioner, params, self._policy, diagnosis)
 
     def run(self, now: Monotonic, wall: Wall) -> None:
-        """Carry out one pass."""
+        """Run one pass."""
         self.autoscaler.restore(now)
         view = self.snapshots.view(now, wall)
         result = plan(view, now, self._policy)
--- a/tealrill/fleet/intent_log.py
+++ b/tealrill/fleet/intent_log.py
@@ -1,14 +1,16 @@
-"""What the cloud is to be asked for, recorded before it is asked.
-
-The cloud knows no terms: it rents and deletes for whoever asks, at any later time. So a leader
-writes down what it is about to ask for, fenced by its right to lead, and asks only once that is
-committed. Whoever leads next reads what is open and goes on with it: a rental under its own name,
-which rents nothing twice, and a return, which is final and may be repeated. Between the two a
-machine under a recorded return is no room for anybody.
-
-Wanted: per record a value, or none. What is: what the state service holds. One change of a record
-is on its way at a time; the difference is worked off when it is answered. No I/O here: changes are
-joined to the leader's transactions (`state/write_batcher.py`).
+"""Write-ahead log of rental and release requests to the cloud.
+
+The cloud has no fencing: it executes a request of any sender, however late the request arrives. So
+a leader first writes the intended request to the state service, guarded by its fencing token, and
+sends it only once the record is committed. The next leader reads the open records and resumes the
+requests. Both kinds may be repeated: a rental keeps its request name, under which machines are
+rented only once, and a release is final. No leader places tasks on a machine with a recorded
+release, because a release request may still arrive at the cloud.
+
+For each record the log keeps the desired value, or None to delete it, and the value in the state
+service. Only one write of a record is in flight at a time; if the values still differ when it is
+answered, the next one follows. This module does no I/O: writes join the leader's transactions
+(`state/write_batcher.py`).
 """
 
 from __future__ import annotations
@@ -43,30 +45,31 @@
 _RENT: Final = CLOUD_PREFIX + "rent/"
 _RETURN: Final = CLOUD_PREFIX + "return/"
 MOST_OPEN: Final = 256
-"""Records at a time. A rental's is at most some 3.5 KiB, a return's at most a value."""
+"""Limit of open records. A rental record takes up to about 3.5 KiB, a release record up to the
+maximum size of a value."""
 _AHEAD_S: Final = 1.0
-"""Behind bindings for so long, then before them: a fall's bindings take seconds to write, and the
-machines that replace it are to boot meanwhile."""
+"""Seconds that a new record waits behind bindings before it is written ahead of them. After a mass
+failure the bindings take seconds to write, and replacements should boot in the meantime."""
 _NAME_BYTES: Final = 68
-"""Most that a machine's name takes in a record."""
+"""Maximum size of a machine name in a record."""
 
 
 class RentRecord(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A rental asked for, or about to be. Removed once its machines are seen."""
+    """A rental that is or will be requested. Deleted once its machines are listed or contacted."""
 
     type: str
     zone: str
     spot: bool
     count: int
     at: float
-    """Time of day, in seconds."""
+    """Wall clock time of the record, in seconds."""
     names: list[str] | None = None
-    """What the cloud answered; None as long as it has not."""
+    """The machines that the cloud granted; None until it has answered."""
     v: Literal[1] = 1
 
 
 class ReturnRecord(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Machines on their way back. Removed once the cloud has confirmed that they are gone."""
+    """Machines to release. Deleted once the cloud has confirmed that they are terminated."""
 
     names: list[str]
     at: float
@@ -74,14 +77,14 @@
 
 
 class Record(msgspec.Struct):
-    """The least that every record has."""
+    """The version field that all records have."""
 
     v: int = 0
 
 
 @dataclass(slots=True, eq=False)
 class _Kept:
-    """One record: what it is to hold, and what it holds."""
+    """One record with its desired value and its value in the state service."""
 
     key: str
     wanted: dict[str, Any] | None
@@ -89,11 +92,11 @@
     stamp: Revision = ABSENT
     under_way: bool = False
     recorded: list[asyncio.Future[None]] = field(default_factory=list)
-    """Those who wait until what is wanted is written."""
+    """Resolved when the desired value is committed."""
 
 
 class IntentLog:
-    """The open requests to the cloud of one term, with those taken over."""
+    """The open cloud requests of one term, including those taken over from earlier terms."""
 
     def __init__(
         self,
@@ -111,26 +114,26 @@
         self._kept: dict[str, _Kept] = {}
         self._returns = 0
         self.closed = False
-        """Nothing new is taken up: the duties are being handed over."""
+        """No new requests are accepted, because leadership is being handed over."""
         self.rents: dict[str, RentRecord] = {}
         """Open rentals by their request names."""
         self.returns: dict[str, tuple[MachineId, ...]] = {}
-        """Machines on their way back, by the key of their record; committed ones only."""
+        """Machines to release by the key of their record; committed records only."""
 
     @property
     def full(self) -> bool:
-        """No more is taken up until something is over."""
+        """Whether no new request is accepted, because the log is closed or at its limit."""
         return self.closed or len(self._kept) >= MOST_OPEN
 
     @property
     def open(self) -> int:
-        """The number of open requests."""
+        """Number of open requests."""
         return len(self.rents) + len(self.returns)
 
     # -- records --------------------------------------------------------------------------------
 
     def read(self, entries: Iterable[wire.Entry]) -> list[str]:
-        """Takes over what former leaders left open; the names of the rentals among it."""
+        """Load the open records of earlier leaders and return the names of the rentals."""
         found: list[str] = []
         for entry in entries:
             try:
@@ -147,8 +150,8 @@
                 else:
                     raise msgspec.ValidationError("unknown record")
             except msgspec.ValidationError as error:
-                # What it asks for is not known to this version: it stays for one that knows it.
-                log.error("record %s is left alone: %s", entry.key, error)
+                # This version can't interpret the record; it is kept for one that can.
+                log.error("cloud record ignored: key=%s error=%s", entry.key, error)
                 continue
             self._kept[entry.key] = _Kept(
                 entry.key, entry.value, entry.value, Revision(entry.version)
@@ -156,27 +159,28 @@
         return found
 
     async def rent(self, name: str, rental: Rental) -> None:
-        """Records a rental; returns when it is committed."""
+        """Record a rental; return once the record is committed."""
         record = RentRecord(rental.type, rental.zone, rental.spot, rental.count, self._wall())
         self.rents[name] = record
         await self._want(_RENT + name, wire.plain(record))
 
     def granted(self, name: str, names: Sequence[str]) -> None:
-        """The cloud's answer; a successor knows these machines at once."""
-        # More than were asked for are listed before long; what a value holds is bounded.
+        """Record the machines granted for a rental, so that the next leader knows them at once."""
+        # The size of a value is limited; surplus machines show up in the cloud's list.
         kept = list(names[: self._most_names])
         record = self.rents[name] = msgspec.structs.replace(self.rents[name], names=kept)
         self._set(_RENT + name, wire.plain(record))
 
     def rent_over(self, name: str) -> None:
-        """Nothing was rented, or every machine of it has been seen."""
+        """Delete the record of a rental that got no machines, or whose machines are all known."""
         if self.rents.pop(name, None) is not None:
             self._set(_RENT + name, None)
 
     async def give_back(self, machines: Sequence[MachineId]) -> tuple[str, tuple[MachineId, ...]]:
-        """Records a return of as many as fit one record; key and machines, once committed.
+        """Record the release of as many of the machines as fit into one record.
 
-        From then on they go back, whoever leads: it is never taken back.
+        Return the record's key and machines once it is committed. From then on every leader
+        releases these machines; a recorded release is never revoked.
         """
         part = tuple(machines[: min(self._most_names, MOST_RELEASED)])
         self._returns += 1
@@ -186,11 +190,11 @@
         return key, part
 
     def terminated(self, key: str) -> None:
-        """The cloud has confirmed the return."""
+        """Delete the record of a release that the cloud has confirmed."""
         if self.returns.pop(key, None) is not None:
             self._set(key, None)
 
-    # -- the difference -------------------------------------------------------------------------
+    # -- writing --------------------------------------------------------------------------------
 
     async def _want(self, key: str, value: dict[str, Any]) -> None:
         kept = self._kept[key] = _Kept(key, value)
@@ -225,12 +229,13 @@
             self._work_off(kept)
 
         def refused(found: dict[str, wire.KeyValue | None]) -> None:
-            # Only this leader writes this key: it is its own change, whose answer was lost.
+            # Only this leader writes this key, so an earlier write of its own was executed although
+            # its response was lost.
             entry = found.get(kept.key)
             answered(*((Revision(entry.version), entry.value) if entry else (ABSENT, None)))
 
         change = wire.delete(kept.key) if value is None else wire.put(kept.key, value)
-        # Nobody waits for what only tidies up.
+        # Only a new record is awaited; updates and deletions can wait behind bindings.
         ahead_at = Monotonic(self._now() + _AHEAD_S) if kept.recorded else None
         self._join(
             JoinedWrite(
@@ -246,5 +251,5 @@
 def _convert(entry: wire.Entry, kind: type[wire.T]) -> wire.T:
     version = msgspec.convert(entry.value, Record).v
     if version != 1:
-        raise msgspec.ValidationError(f"version {version} is not known")
+        raise msgspec.ValidationError(f"unsupported record version {version}")
     return msgspec.convert(entry.value, kind)
--- a/tealrill/fleet/machine_list.py
+++ b/tealrill/fleet/machine_list.py
@@ -1,7 +1,7 @@
-"""Reconciliation of the machines of a term with the cloud's list of them.
+"""Reconciliation of the machines of a term with the cloud's machine list.
 
-The list lags and may be older than the one before it. So neither a line nor the lack of one proves
-anything about tasks; `tealrill.fleet.inventory` has the proofs.
+The list lags, and a list may be older than the previous one. So neither the presence nor the
+absence of a machine proves anything about its tasks; `tealrill.fleet.inventory` has the proofs.
 """
 
 from __future__ import annotations
@@ -18,9 +18,9 @@
 log = logging.getLogger(__name__)
 
 _RELISTED_LAGS: Final = 4
-"""Lags of the list after which a released machine that it shows was not released."""
+"""List lags after which a machine that is still listed counts as not released."""
 _MISSING_LAGS: Final = 3
-"""Lags of the list after which a machine that it does not show is gone."""
+"""List lags after which a silent machine that is not listed counts as gone."""
 _LAG_MARGIN_S: Final = 10.0
 
 
@@ -36,11 +36,11 @@
         changed: Callable[[], None],
         freed: Callable[[Machine], None],
     ) -> None:
-        """Apply lists that are `lag_s` late as a rule.
+        """Reconcile with lists that usually lag by `lag_s` seconds.
 
-        `boot_timeout_s` says how long a machine may take to come up, `partitioned_zones` of which
-        zones nothing is heard. `changed` is called when a machine was found, `freed` when one is
-        gone.
+        `boot_timeout_s` returns how long a machine may take to boot, `partitioned_zones` the zones
+        that are partitioned from this node. `changed` is called after an unknown machine was added,
+        `freed` before a machine that is gone is dropped.
         """
         self._fleet = fleet
         self._lag_s = lag_s
@@ -50,7 +50,7 @@
         self._freed = freed
 
     def apply(self, listed: list[wire.ListedMachine], now: Monotonic) -> None:
-        """Apply a list: new machines, their state, and those that it does not show."""
+        """Add unknown machines, update the listed ones, and check those that are not listed."""
         present: set[MachineId] = set()
         for line in listed:
             machine_id = parse_machine_id(line.id)
@@ -68,16 +68,19 @@
         self._fleet.forget_gone(now)
 
     def _check_relisted(self, machine_id: MachineId, now: Monotonic) -> None:
-        """The list lags, so a released machine may stand on it for a while."""
+        """Treat a released machine as unknown again if it is listed for longer than the lag allows.
+
+        The next list then adds it to the fleet again.
+        """
         if now - self._fleet.terminated[machine_id] > _RELISTED_LAGS * self._lag_s + _LAG_MARGIN_S:
-            log.info("machine still listed long after its release: machine=%s", machine_id)
+            log.info("released machine still listed: machine=%s", machine_id)
             del self._fleet.terminated[machine_id]
 
     def _apply_line(self, machine_id: MachineId, line: wire.ListedMachine, now: Monotonic) -> None:
         machine = self._fleet.machines.get(machine_id)
         if machine is None:
             # Rented by an earlier leader, or by a request that took effect late.
-            log.info("machine listed that was not known: machine=%s", machine_id)
+            log.info("unknown machine listed: machine=%s", machine_id)
             since = Monotonic(now - line.age_s)
             machine = Machine(machine_id, line.type, line.zone, line.spot, since)
             self._fleet.machines[machine_id] = machine
@@ -90,18 +93,19 @@
         machine.listed_addr = line.addr
         machine.missing_from_lists = 0
         if line.state == wire.MACHINE_FAILED and not machine.releasing:
-            # It stopped by itself; the release is the proof that its tasks are gone.
+            # Released although it has already stopped: only a confirmed release proves that its
+            # tasks have ended.
             log.info("machine failed: machine=%s", machine_id)
             machine.releasing = True
         if line.state == wire.MACHINE_BOOTING and machine.last_contact_at is None:
             self._check_boot(machine, now)
 
     def _check_boot(self, machine: Machine, now: Monotonic) -> None:
-        """Some machines never come up, and are charged until they are returned.
+        """Release a machine that exceeded its boot timeout, as it is charged but may never boot.
 
-        Only what the list calls starting is one of them. A new leader has not heard machines that
-        are cut off from it, and once returned 256 good ones in the middle of a cut of their zone.
-        In a zone that is not heard nothing is late.
+        Only machines that are listed as booting are checked, and none in a partitioned zone. Missed
+        heartbeats are not sufficient evidence: a new leader has had none from machines behind a
+        partition, and by that rule one released 256 working machines during a zone's partition.
         """
         if machine.releasing or machine.bindings:
             return
@@ -109,16 +113,19 @@
             return
         waited_s = now - machine.since
         if waited_s > self._boot_timeout_s(machine, now):
-            log.info("machine did not come up: machine=%s waited_s=%.0f", machine.id, waited_s)
+            log.info("boot timed out: machine=%s waited_s=%.0f", machine.id, waited_s)
             machine.releasing = True
 
     def _check_missing(self, machine: Machine, now: Monotonic) -> None:
-        """Absence proves nothing about tasks: a machine is dropped only when nothing is bound."""
+        """Drop a silent machine that is no longer listed and has no bindings.
+
+        A machine with bindings is kept, because absence from lists proves nothing about its tasks.
+        """
         if machine.bindings or machine.releasing:
             return
         known_for = now - (machine.listed_at if machine.listed_at is not None else machine.since)
         silent = machine.lease_expired or machine.last_contact_at is None
         if silent and known_for > _MISSING_LAGS * self._lag_s + _LAG_MARGIN_S:
-            log.info("machine gone from the list: machine=%s", machine.id)
+            log.info("machine no longer listed: machine=%s", machine.id)
             self._freed(machine)
             self._fleet.drop(machine)
--- a/tealrill/fleet/placement.py
+++ b/tealrill/fleet/placement.py
@@ -1,4 +1,4 @@
-"""The carrying out of a plan: bindings, and stops for preemption, cancellation and notice."""
+"""Execution of a plan: binds tasks, and stops them on preemption, cancellation or notice."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Placement:
-    """Turns plans into wanted bindings and stops, and has machines told of stops."""
+    """Turns plans into bindings and stops, and has stops sent to their machines at once."""
 
     def __init__(
         self,
@@ -41,7 +41,7 @@
             binding = self._fleet.bind(job, machine, start.backfilled, wall, now)
             if binding is not None:
                 note = " as backfill" if start.backfilled else ""
-                log.debug("task %s bound to %s%s", binding.task, machine.id, note)
+                log.debug("task bound: task=%s machine=%s%s", binding.task, machine.id, note)
 
     def stop(self, result: Plan, now: Monotonic) -> None:
         """Stop the tasks that the plan preempts."""
@@ -53,7 +53,7 @@
             if binding is None:
                 continue
             log.info(
-                "preempting: task=%s machine=%s for_job=%s",
+                "preempting task: task=%s machine=%s for_job=%s",
                 stop.task,
                 binding.machine,
                 stop.for_job,
@@ -62,19 +62,22 @@
         self._tell(told)
 
     def cancel(self, job: Job, now: Monotonic) -> None:
-        """Stop every task of a cancelled job; nothing that it still does is of use."""
+        """Stop every task of a cancelled job without a grace period, as its results are unused."""
         told: dict[Machine, None] = {}
         for binding in list(job.bindings()):
             self._want_stopped(binding, "cancelled", 0.0, now, told)
         self._tell(told)
 
     def drain_noticed(self, now: Monotonic) -> None:
-        """Have tasks save at once that can, and won't end before their machine's notice does."""
+        """Stop tasks that can save their state and won't finish before their machine is taken.
+
+        Applies to machines with a preemption notice.
+        """
         for machine in self._fleet.machines.values():
             if machine.preemption_notice_until is None or not machine.bindings:
                 continue
             told = False
-            # The notice may run to half its nominal value.
+            # A machine may be taken after as little as half of the announced notice period.
             left_s = 0.5 * (machine.preemption_notice_until - now)
             for binding in list(machine.bindings.values()):
                 spec = binding.chunk.job.spec
@@ -93,7 +96,7 @@
         now: Monotonic,
         told: dict[Machine, None],
     ) -> None:
-        """Adds to `told` the machine that has to hear of it."""
+        """Request a stop, and add the machine to `told` unless the task was never sent to it."""
         machine = self._fleet.machines.get(binding.machine)
         if self._fleet.commands.stop(binding, reason, grace_s, now) and machine is not None:
             told[machine] = None
--- a/tealrill/fleet/provisioning.py
+++ b/tealrill/fleet/provisioning.py
@@ -1,11 +1,12 @@
-"""Renting and returning machines: requests under way, refusals, and the catalogue.
+"""Renting and releasing machines: pending requests, refusals, the machine list and the catalogue.
 
-The wanted state is a number of machines of each kind and a set of machines to return; the loops in
-here work off the difference. A request without an answer is repeated under its name until it gets
-one, since a name that was answered 200 rents nothing more.
+Each rental is a request for a number of machines of one kind; each machine to release is marked
+`releasing`. The loops in this module send the requests. A request without a response is repeated
+under the same name until it gets one: a name that was answered 200 rents nothing more.
 
-Nothing is asked for that is not recorded first (`fleet/intent_log.py`), and nothing leaves once the
-term may be over: whoever leads next reads the records and goes on.
+A rental or release is recorded (`fleet/intent_log.py`) before it is requested, and no request is
+sent once the term may have ended: the next leader reads the records and resumes the requests. The
+one exception, a leader without a state service, is described at `_record`.
 """
 
 from __future__ import annotations
@@ -41,7 +42,7 @@
 
 @dataclass(slots=True)
 class Request:
-    """A rental under way."""
+    """A rental that has not been answered."""
 
     name: str
     rental: Rental
@@ -49,7 +50,7 @@
 
 
 class Provisioner:
-    """Deals with the cloud for one term."""
+    """Rents and releases machines for one term, and reads the cloud's list and catalogue."""
 
     def __init__(
         self,
@@ -73,12 +74,12 @@
         self._tasks: set[asyncio.Task[Any]] = set()
         self.catalogue: wire.Catalogue | None = None
         self.offers: list[Offer] = []
-        """Every kind of machine in the catalogue."""
+        """Every kind of machine in the catalogue: each type in each zone, spot and on-demand."""
         self._types: dict[str, wire.MachineType] = {}
         self._ratios: dict[tuple[str, bool], float] = {}
         self.boots = BootTimeEstimator()
         self.partitioned_zones: Callable[[], frozenset[str]] = frozenset
-        """Zones of which nothing is heard."""
+        """Return the zones that are partitioned from this node."""
         self.changed: Callable[[], None] = lambda: None
         self.machine_list = MachineListReconciler(
             fleet,
@@ -89,22 +90,22 @@
             self._freed,
         )
         self.granted: Callable[[Rental], None] = lambda _: None
-        """So many machines of a kind were rented."""
+        """Called after each rental with the machines that the cloud granted."""
 
-    # -- what may be rented ---------------------------------------------------------------------
+    # -- offers ---------------------------------------------------------------------------------
 
     def available(self, now: Monotonic) -> list[Offer]:
-        """What was not refused a short while ago."""
+        """Return the offers that are not in capacity back-off."""
         return [
             offer for offer in self.offers if not self.capacity_backoff.refused(offer.kind, now)
         ]
 
     def is_dear(self, type_name: str, spot: bool, dear: float) -> bool:
-        """Whether a kind of machine costs much more per processor than the cheapest."""
+        """Return whether a kind costs more than `dear` times the cheapest, per processor."""
         return self._ratios.get((type_name, spot), 1.0) > dear
 
     def take_catalogue(self, catalogue: wire.Catalogue) -> None:
-        """What the cloud has, at the prices of this moment."""
+        """Set the machine types and their current prices."""
         self.catalogue = catalogue
         self._types = {kind.name: kind for kind in reversed(catalogue.types)}
         self.offers = [
@@ -126,29 +127,30 @@
         self._ratios = _price_ratios(self.offers)
 
     def type_of(self, name: str) -> wire.MachineType | None:
-        """Return the machine type of that name, None if the catalogue lost it."""
+        """Return the machine type with that name, or None if the catalogue does not have it."""
         return self._types.get(name)
 
     def _boot_timeout_s(self, machine: Machine, now: Monotonic) -> float:
-        """Return how long the machine may take to come up; no limit for an unknown type."""
+        """Return how long the machine may take to boot; infinite for an unknown type."""
         kind = self.type_of(machine.type)
         if kind is None:
             return math.inf
         return self.boots.boot_timeout_s((machine.type, machine.zone), kind.boot_s, now)
 
     def under_way(self) -> list[Rental]:
-        """Rentals asked for and not yet answered."""
+        """Return the rentals that are requested and not answered."""
         return [request.rental for request in self.requests.values()]
 
     # -- renting --------------------------------------------------------------------------------
 
     def rent(self, rental: Rental, now: Monotonic) -> None:
-        """Asks for machines, in the fewest requests; no more of a kind until all are answered.
+        """Request machines of a kind, unless earlier requests for this kind are unanswered.
 
-        While jobs arrive every moment brings another wish; asked for one by one, they would use
-        up the cloud's rate on answers that the first one already brings. A wish for more than a
-        request may bring goes out in several, each sent when the one before was granted in full:
-        with a pass between them, 160 machines took 15 s.
+        While jobs arrive, every pass demands more machines. Sent one by one, these requests would
+        use up the cloud's rate limit, although the first response already shows whether the kind
+        is available. A rental above the limit of one request is split into several; each is sent
+        once the previous one was granted in full. Waiting for another scheduling pass between
+        them would take too long: 15 s for 160 machines.
         """
         kind = rental.kind
         if self.asked_for(kind) or self.intent_log.full:
@@ -163,18 +165,18 @@
         self._begin(self._rent_parts(parts))
 
     def _begin(self, work: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
-        """Goes on beside the others until it is done, or the term is over."""
+        """Run a coroutine as a task, which `close` cancels if it has not finished."""
         task = asyncio.create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         return task
 
     def asked_for(self, kind: Kind) -> bool:
-        """Whether a request for this kind has not been answered yet."""
+        """Return whether a request for this kind is unanswered."""
         return any(request.rental.kind == kind for request in self.requests.values())
 
     def close(self) -> None:
-        """Cancel the requests under way; their records stay for the next leader."""
+        """Cancel the pending requests; their records remain for the next leader."""
         for task in self._tasks:
             task.cancel()
 
@@ -182,22 +184,23 @@
         while parts:
             part = parts.pop(0)
             if await self._rent(part) < part.rental.count:
-                # The cloud has no more of this kind: the rest would be asked for in vain.
+                # The cloud has no more of this kind: the remaining requests would be refused.
                 for rest in parts:
                     del self.requests[rest.name]
                 return
 
     async def _releases_first(self) -> None:
-        """Machines that go back make the places for those that are asked for.
+        """Wait up to `_RELEASES_FIRST_S` for pending releases, which free capacity for rentals.
 
-        With 3 calls a second, 40 requests in vain went before the releases of 220 dead machines.
+        With a rate limit of 3 requests/s, 40 refused rental requests would otherwise delay the
+        releases of 220 failed machines, whose capacity these rentals need.
         """
         until = monotonic_now() + _RELEASES_FIRST_S
         while monotonic_now() < until and any(m.releasing for m in self._fleet.machines.values()):
             await asyncio.sleep(0.1)
 
     async def _rent(self, request: Request) -> int:
-        """Records a rental and asks for it; how many were rented."""
+        """Record a rental and request it; return the number of machines rented."""
         await self._releases_first()
         if self.intent_log.closed:
             del self.requests[request.name]
@@ -206,7 +209,7 @@
         return await self._ask(request)
 
     async def _ask(self, request: Request) -> int:
-        """Asks until there is an answer; how many were rented."""
+        """Repeat a rental request until it is answered; return the number of machines rented."""
         rental = request.rental
         kind = rental.kind
         while True:
@@ -216,14 +219,15 @@
                 )
                 break
             except NotHolderError as error:
-                # The record stands: this term goes on, or the next leader asks for it.
-                log.debug("rental not answered: name=%s error=%s", request.name, error)
+                # The record remains: this leader sends the request if its lease is renewed, and
+                # the next leader does otherwise.
+                log.debug("rental request not sent: name=%s error=%s", request.name, error)
                 await asyncio.sleep(_RETRY_S)
             except NoCapacityError:
                 names = []
                 break
             except CloudError as error:
-                log.debug("rental not answered: name=%s error=%s", request.name, error)
+                log.debug("rental request failed: name=%s error=%s", request.name, error)
                 await asyncio.sleep(_RETRY_S)
         del self.requests[request.name]
         now = monotonic_now()
@@ -251,12 +255,13 @@
         return len(names)
 
     async def _record(self, request: Request) -> None:
-        """Returns once the rental is recorded, or as soon as it may be asked for without.
+        """Return once the rental is recorded, or may be requested without a record.
 
-        While the state service is away nothing can be recorded, and a leader that goes on by the
-        others' promises is the only one there can be. Its rentals end no task, so they don't wait
-        for the end of the outage (104 machines that were taken just before one of 25 s once did);
-        the record follows. If this leader is lost before, the list shows what it rented.
+        While the state service is unavailable nothing can be recorded. A leader whose lease the
+        other members extend is then the only possible leader, and a rental ends no task, so it is
+        safe to rent before the record is written; the write stays queued. Otherwise the
+        replacements of machines lost just before an outage would wait for its end. If this leader
+        fails before the record is written, the next leader finds the machines in the cloud's list.
         """
         recorded = self._begin(self.intent_log.rent(request.name, request.rental))
         while not recorded.done():
@@ -266,15 +271,16 @@
 
     @staticmethod
     def _usable(names: list[str], asked: int) -> list[str]:
-        """What a rental brought, each machine once.
+        """Return the valid machine names of a rental response without duplicates.
 
-        Machines beyond what was asked for are kept too: they are charged, and known they are used
-        or given back. A name that is none can't be released; the list shows it if it is a machine.
+        Machines beyond the requested number are kept: they are charged, and once known they are
+        used or released. Invalid names are dropped: they can't be released, and if such a machine
+        exists, the cloud's list shows it.
         """
         found = list(dict.fromkeys(n for n in names if parse_machine_id(n) is not None))
         if len(found) != len(names) or len(found) > asked:
             log.warning(
-                "rental with unusable names: asked=%d names=%d usable=%d",
+                "rental response with unexpected names: requested=%d names=%d usable=%d",
                 asked,
                 len(names),
                 len(found),
@@ -282,7 +288,7 @@
         return found
 
     def registered(self, machine: Machine, now: Monotonic) -> None:
-        """A machine reports for the first time in this term."""
+        """Record the boot time on a machine's first heartbeat, if it was rented in this term."""
         if machine.booted:
             self.boots.registered((machine.type, machine.zone), now - machine.since, now)
 
@@ -295,18 +301,19 @@
             machine = Machine(machine_id, rental.type, rental.zone, rental.spot, since)
             self._fleet.machines[machine_id] = machine
         elif not machine.type:
-            # Known from a former leader's bindings only.
+            # Known only from the bindings of an earlier term, which have no type.
             self._fleet.locate(machine, rental.type, rental.zone, rental.spot)
         machine.since = since
         machine.booted = booted
 
-    # -- what former terms left open ------------------------------------------------------------
+    # -- takeover from earlier terms ------------------------------------------------------------
 
     def inherit(self, entries: Sequence[wire.Entry], now: Monotonic, wall: Wall) -> None:
-        """Takes over what was recorded and is not over, before anything is placed.
+        """Take over the open records of earlier terms; to be called before tasks are placed.
 
-        Machines under a recorded return are no room from here on: a request for them may be on its
-        way. Rentals that were answered name their machines; the others are asked for again.
+        Machines with a recorded release are marked `releasing` and get no tasks, because a release
+        request for them may be in flight. The machines of answered rentals are added to the fleet;
+        unanswered rentals are requested again.
         """
         for name in self.intent_log.read(entries):
             record = self.intent_log.rents[name]
@@ -327,16 +334,16 @@
                 known.releasing = known.returned = True
         if entries:
             log.info(
-                "term %d: %d rentals and %d returns taken over",
+                "cloud records taken over: term=%d rentals=%d releases=%d",
                 self._term,
                 len(self.intent_log.rents),
                 len(self.intent_log.returns),
             )
 
-    # -- returning ------------------------------------------------------------------------------
+    # -- releasing ------------------------------------------------------------------------------
 
     async def run_returns(self) -> None:
-        """Records the return of every machine marked `releasing`, as many at once as there are."""
+        """Record the release of all machines marked `releasing`, in batches; never returns."""
         while True:
             wanted = [m for m in self._fleet.machines.values() if m.releasing and not m.returned][
                 :MOST_RELEASED
@@ -351,7 +358,7 @@
                     machine.returned = True
 
     async def run_releases(self) -> None:
-        """Asks for the release of what is recorded, until it is confirmed."""
+        """Request the recorded releases until the cloud confirms them; never returns."""
         while True:
             keys, names = self._next_release()
             if not keys:
@@ -360,7 +367,7 @@
             try:
                 await self._cloud.release(names, self.returning.check)
             except (CloudError, NotHolderError) as error:
-                log.debug("release not answered: machines=%s error=%s", names, error)
+                log.debug("release request failed: machines=%s error=%s", names, error)
                 await asyncio.sleep(_RETRY_S)
                 continue
             log.info("machines released: machines=%s", ",".join(names))
@@ -372,7 +379,7 @@
                 self._fleet.released(machine_id, monotonic_now())
 
     def _next_release(self) -> tuple[list[str], list[MachineId]]:
-        """As many whole records as one request takes, the oldest first."""
+        """Return the keys and machines of the oldest records that fit into one request."""
         keys: list[str] = []
         names: list[MachineId] = []
         for key, machines in self.intent_log.returns.items():
@@ -383,12 +390,12 @@
         return keys, names
 
     def _freed(self, machine: Machine | None) -> None:
-        """A machine has gone: the cloud may have places of its kind again.
+        """Reset or shorten the capacity back-off of the kind of a machine that has gone.
 
-        Of those that died it surely has, and they are wanted back. One that was given back since it
-        had nothing to do only shortens a refusal: where every such return ended it, cheap kinds
-        were asked for again and again before the dear ones that there were (a busy and a calm day
-        with 0.02 and 0.03 less).
+        The capacity of a failed machine is available again and its replacement is needed, so the
+        back-off ends. The release of an idle machine only shortens it: if each such release ended
+        it, cheap kinds that the cloud refuses would be requested again and again before the
+        expensive kinds that it has (a busy and a calm day came out 0.02 and 0.03 lower).
         """
         if machine is None or not machine.type:
             return
@@ -402,7 +409,7 @@
         else:
             self.capacity_backoff.hopeful(machine.kind)
 
-    # -- the list and the catalogue -------------------------------------------------------------
+    # -- machine list and catalogue -------------------------------------------------------------
 
     def _unheard_zones(self) -> frozenset[str]:
         return self.partitioned_zones()
@@ -411,12 +418,12 @@
         self.changed()
 
     def apply_list(self, listed: list[wire.ListedMachine], now: Monotonic) -> None:
-        """Apply the cloud's list to the machines and to the records of rentals."""
+        """Reconcile the machines and the rental records with the cloud's list."""
         self.machine_list.apply(listed, now)
         self._drop_seen_rentals()
 
     def _drop_seen_rentals(self) -> None:
-        """Remove the records of rentals whose machines are all known by themselves."""
+        """Remove the records of rentals whose machines were all listed, contacted or dropped."""
         for name, record in list(self.intent_log.rents.items()):
             if record.names is not None and not any(map(self._unseen, record.names)):
                 self.intent_log.rent_over(name)
@@ -427,11 +434,12 @@
         return machine is not None and machine.listed_at is None and machine.last_contact_at is None
 
     async def run_lists(self) -> None:
-        """Reconcile the machines with the cloud's list until the term ends."""
+        """Fetch the cloud's list and catalogue periodically; never returns."""
         fetched: Monotonic | None = None
         while True:
             try:
-                # What the node knew before its term will do for placing; machines come first then.
+                # With a catalogue known from before the term, tasks can be placed already, so the
+                # machine list is fetched first.
                 if self.catalogue is not None:
                     self.apply_list(await self._cloud.machines(), monotonic_now())
                 if fetched is None or monotonic_now() - fetched > _CATALOGUE_EVERY_S:
@@ -442,14 +450,14 @@
                     if not known:
                         continue
             except CloudError as error:
-                log.debug("cloud not read: error=%s", error)
+                log.debug("machine list or catalogue not fetched: error=%s", error)
                 await asyncio.sleep(_RETRY_S)
                 continue
             await asyncio.sleep(_LIST_EVERY_S)
 
 
 def _price_ratios(offers: list[Offer]) -> dict[tuple[str, bool], float]:
-    """What a processor costs on each kind of machine, against the cheapest kind."""
+    """Return the price per processor by type and spot flag, relative to the cheapest."""
     prices = {(o.type, o.spot): o.price / max(o.cpus, 1e-6) for o in offers}
     lowest = max(1e-9, min(prices.values(), default=1.0))
     return {kind: price / lowest for kind, price in prices.items()}
