--- a/tealrill/fleet/autoscaling.py
+++ b/tealrill/fleet/autoscaling.py
@@ -219,7 +219,8 @@
         """Mark machines that are not needed for release.
 
         Waiting tasks are no reason to keep an idle machine: if they fitted it, they would run.
-        Otherwise small machines would stay idle for as long as large tasks wait.
+        Otherwise small machines would stay idle for as long as large tasks wait: 30 of them were
+        kept idle for minutes.
         """
         spare = _free(view.machines) - (view.expected.cpus if view.expected is not None else 0.0)
         verdicts = self._diagnosis().verdicts
--- a/tealrill/fleet/provisioning.py
+++ b/tealrill/fleet/provisioning.py
@@ -259,9 +259,10 @@
 
         While the state service is unavailable nothing can be recorded. A leader whose lease the
         other members extend is then the only possible leader, and a rental ends no task, so it is
-        safe to rent before the record is written; the write stays queued. Otherwise the
-        replacements of machines lost just before an outage would wait for its end. If this leader
-        fails before the record is written, the next leader finds the machines in the cloud's list.
+        safe to rent before the record is written; the write stays queued. Otherwise replacements
+        would wait for the end of the outage (104 machines lost just before an outage of 25 s did).
+        If this leader fails before the record is written, the next leader finds the machines in
+        the cloud's list.
         """
         recorded = self._begin(self.intent_log.rent(request.name, request.rental))
         while not recorded.done():
--- a/tests/test_boot_times.py
+++ b/tests/test_boot_times.py
@@ -35,7 +35,7 @@
 
 def test_without_others_to_compare_with_a_machine_is_waited_for_long() -> None:
     assert _patience(_seen()) == _patience(_seen(30.0, 30.0, 30.0, 30.0)) == 120.0
-    # Boots of another zone say nothing, and neither do those of long ago.
+    # Boot times of other zones and old ones do not count.
     other = BootTimeEstimator()
     for _ in range(9):
         other.registered(("m8", "south"), 30.0, Monotonic(100.0))
@@ -44,9 +44,10 @@
 
 
 def test_beside_others_that_come_it_is_given_up_sooner() -> None:
-    # One that never came was charged for four boots, and counted as room for all that time.
+    # With the maximum timeout, a machine that never boots would be charged, and counted as coming
+    # capacity, for four boot times.
     assert _patience(_seen(*[30.0] * 6)) == 60.0
-    # Up almost at once for a while: a usual boot is still no late one.
+    # Even if recent machines booted almost at once, a boot of the usual duration is not late.
     assert _patience(_seen(*[1.5] * 6)) == 1.75 * _NOMINAL_S
 
 
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -1,8 +1,10 @@
-"""Duties through successions: who was replaced ends nothing, rents nothing and loses nothing.
+"""Renting and releasing across leader changes: a deposed leader must not harm later terms.
 
-Real terms (`WriteBatcher`, `IntentLog`, `Provisioner`, `Fleet`) over a state service and a cloud
-that lose, refuse and delay. A term that is replaced goes on running, as a process does that stood
-still and wakes: all that keeps it from harm is what docs/design.md says does.
+Guards against two failures: a deposed leader releases a machine that runs tasks of a later term,
+and a rented machine or an open record is forgotten in a failover. Real components of several terms
+(`WriteBatcher`, `IntentLog`, `Provisioner`, `Fleet`) run on a simulated state service and cloud
+that lose, refuse and delay requests. A deposed term keeps running, like a process that resumes
+after a pause: only the protocol in docs/design.md may protect the later terms from it.
 """
 
 from __future__ import annotations
@@ -47,7 +49,7 @@
 
 
 class Broken(AssertionError):
-    """One of the claims does not hold."""
+    """A safety property is violated."""
 
 
 class _Store(Store):
@@ -63,7 +65,10 @@
 
 
 class _CloudWorld:
-    """Rents under names, deletes at once with all that runs there; requests may come late."""
+    """The cloud: rents once per request name and terminates machines with all tasks at once.
+
+    Requests may be executed late.
+    """
 
     def __init__(self, world: World) -> None:
         self.world = world
@@ -75,7 +80,7 @@
 
     def hire(self, term: int, name: str, count: int) -> list[str]:
         if CLOUD_PREFIX + "rent/" + name not in self.world.store.ever:
-            raise Broken(f"{name} was not recorded")
+            raise Broken(f"rental {name} was requested without a record")
         if name not in self.answers:
             names = [f"m-{self.count + n:06d}" for n in range(count)]
             self.count += count
@@ -100,7 +105,7 @@
 
 
 class _Cloud:
-    """One term's way to it."""
+    """One term's client of the cloud, over a faulty network."""
 
     def __init__(self, world: World, term: int) -> None:
         self.world, self.term = world, term
@@ -136,7 +141,7 @@
 
 
 class _Term:
-    """What the leader of one term has of duties; it is never told that it is over."""
+    """A leader's components that rent and release; they are never told that the term has ended."""
 
     def __init__(self, world: World, number: int) -> None:
         self.world, self.number = world, number
@@ -183,7 +188,7 @@
             self.world.broken.append(error)
 
     def act(self) -> None:
-        """Its workers report, and what it may use has work of this term from then on."""
+        """Process a heartbeat of every machine; those that may take tasks run work of this term."""
         for name in self.world.cloud.alive:
             self.world.sequence += 1
             machine_id = MachineId(name)
@@ -211,7 +216,7 @@
         self.store = _Store(self.rng)
         self.cloud = _CloudWorld(self)
         self.work: dict[str, int] = {}
-        """The machines that have work, and of which term."""
+        """The machines that run tasks, with the term of these tasks."""
         self.broken: list[Broken] = []
         self.calm = False
         self.checked = True
@@ -232,7 +237,7 @@
         return self.term
 
     async def deliver(self, everything: bool = False) -> None:
-        """What was held on the way arrives."""
+        """Execute delayed cloud requests that are due, or all, and sometimes a delayed write."""
         due = [held for held in self.cloud.held if everything or held[0] <= self.now]
         for held in due:
             self.cloud.held.remove(held)
@@ -250,18 +255,18 @@
             await self.deliver()
             assert self.term is not None
             if self.rng.random() < 0.15:
-                for _ in range(self.rng.choice([1, 1, 1, 5])):  # five die on the way, in a row
+                for _ in range(self.rng.choice([1, 1, 1, 5])):  # up to five leaders in a row
                     await self.elect()
             for term in self.terms[-3:]:
                 if term is self.term or self.rng.random() < 0.3:
-                    term.wish()  # one that was replaced and does not know it wishes as before
+                    term.wish()  # a deposed leader that does not know it rents and releases too
             self.term.act()
             if self.broken:
                 raise self.broken[0]
         await self.end()
 
     async def end(self) -> None:
-        """All that is late arrives, the network is good, and one term has time to tidy up."""
+        """Execute all delayed requests, end the faults, and let one last term clean up."""
         self.calm = self.store.calm = True
         while self.store.late:
             self.store.execute(*self.store.late.pop())
@@ -275,11 +280,11 @@
             raise self.broken[0]
         alive = set(self.cloud.alive)
         lost = alive - set(last.fleet.machines)
-        assert not lost, f"nobody accounts for {lost}"
+        assert not lost, f"rented machines unknown to the last leader: {lost}"
         idle = {m.id for m in last.fleet.machines.values() if m.releasing} & alive
-        assert not idle, f"{idle} were to go back"
+        assert not idle, f"machines marked for release but not released: {idle}"
         left = [k for k in self.store.keys if k.startswith(CLOUD_PREFIX)]
-        assert not left, f"records that nobody needs: {left}"
+        assert not left, f"obsolete records not deleted: {left}"
         assert last.intent_log.open == 0 and not last.intent_log._kept
 
     def close(self) -> None:
@@ -324,24 +329,24 @@
 @settings(max_examples=10)
 @given(st.integers(0, 2**32))
 def test_even_one_that_never_looks_whether_it_still_holds_the_duty(seed: int) -> None:
-    """The look before sending saves calls; what keeps the claims is what was recorded."""
+    """The check before sending only saves calls; the safety properties rest on the records."""
     _play(seed, checked=False)
 
 
 def _found(seeds: int = 80, checked: bool = True) -> str:
-    """What a replaced holder did, in the first play in which it did harm."""
+    """Return the first violation that any of the seeds brings, or an empty string."""
     for seed in range(seeds):
         try:
             _play(seed, checked=checked)
         except Broken as error:
             return str(error)
         except AssertionError:
-            continue  # records left over, or machines: not what is looked for here
+            continue  # leftover records or machines are not a safety violation
     return ""
 
 
 def _not_waiting(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Returns are asked for as soon as their record is on its way."""
+    """Request rentals and releases without waiting for the commit of their records."""
     want = IntentLog._want
 
     async def at_once(self: IntentLog, key: str, value: dict[str, Any]) -> None:
@@ -378,11 +383,11 @@
     assert "ended work of term" in _found(checked=False)
 
 
-# -- one by one -----------------------------------------------------------------------------------
+# -- single cases ---------------------------------------------------------------------------------
 
 
 def test_nothing_leaves_once_the_duty_may_be_over() -> None:
-    """After every wait: for its releases, for its record, for the budget, for a connection."""
+    """The check runs after the last wait, when `Cloud` is about to send the request."""
     held = Duty("renting", FencingToken(3), Monotonic(0.0), lambda: False)
     with pytest.raises(NotHolderError):
         held.check()
@@ -450,7 +455,7 @@
 
 
 def test_records_fit_their_values_and_their_number_is_bounded() -> None:
-    """A fall of hundreds, within 4 KiB a value."""
+    """A mass failure of 300 machines with long names is recorded in values of at most 4 KiB."""
 
     async def scenario() -> None:
         found, joined = _open(4.0)
@@ -509,7 +514,10 @@
 
 
 def test_rentals_go_before_bindings_once_they_have_waited() -> None:
-    """A fall's bindings use every change for seconds, and its replacements boot meanwhile."""
+    """After a mass failure bindings fill all transactions for seconds.
+
+    A rental that waited behind them would delay the boot of the replacements.
+    """
     store = Store(random.Random(1), True)
     job_store = JobStore(8.0)
     mine = Leadership(FencingToken(1), Revision(1), LeaseId(1), Monotonic(0.0), Monotonic(9.0))
@@ -535,7 +543,10 @@
 
 @pytest.mark.parametrize("alone", [False, True])
 def test_with_the_state_service_away_only_one_who_is_alone_rents(alone: bool) -> None:
-    """104 machines that were taken just before an outage of 25 s waited for its end."""
+    """Replacements of machines lost just before an outage must not wait for its end.
+
+    Only a leader that cannot be replaced during the outage may rent without a committed record.
+    """
 
     class _Granting:
         asked = 0
@@ -556,7 +567,7 @@
         provisioner.rent(Rental(*_KIND, 2), monotonic_now())
         await asyncio.sleep(5.0)
         assert provisioner.asked_for(_KIND) == (not alone) and len(fleet.machines) == 2 * alone
-        # It comes back: the record is written, and then what the cloud has answered meanwhile.
+        # The state service is back: the record is committed, then the cloud's response.
         joined[0].applied(Revision(1))
         await asyncio.sleep(1.0)
         assert not provisioner.asked_for(_KIND) and set(fleet.machines) == {"m-1", "m-2"}
--- a/tests/test_falls.py
+++ b/tests/test_falls.py
@@ -1,7 +1,7 @@
-"""Hundreds of machines fall at once: the leader's part against a model of workers and a cloud.
+"""Mass failures: the leader's scheduling passes against a model of workers and a cloud.
 
-The model keeps its own truth (who runs what, whose lease has ended, what the cloud has rented out)
-and steps a second at a time. Nothing here needs a socket or a clock.
+The model keeps the real state (running tasks, leases, rented machines) apart from what the leader
+knows, and advances in steps of one second. It uses no sockets and no clock.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 
 _BOOT_S, _LEASE_S, _RUN_S = 12, 8.0, 15
 _PLACES = 20
-"""Spot machines that the cloud has in each of two zones."""
+"""Spot capacity of the cloud in each of two zones, in machines."""
 _CATALOGUE = {"builds": [{
     "label": "big", "vcpus": 8, "gpus": 0, "memoryGb": 64, "localGb": 50, "fetchGbPerS": 1.0,
     "price": 1.0, "marketPrice": 0.4, "startupS": _BOOT_S, "halls": ["north", "south"],
@@ -41,7 +41,7 @@
 
 @dataclass
 class _Worker:
-    """A machine as it is, whatever the leader thinks of it."""
+    """The real state of a machine, as opposed to what the leader knows of it."""
 
     name: MachineId
     zone: str
@@ -55,12 +55,12 @@
     sequence: int = 0
     token: int = 0
     tasks: dict[tuple[str, int], float] = field(default_factory=dict)
-    """Task and attempt, and when it ends."""
+    """End times of the running tasks, by task and attempt."""
     done: set[tuple[str, int]] = field(default_factory=set)
 
 
 class _Cloud(Provisioner):
-    """Grants at once as long as it has places; dead machines hold theirs until released."""
+    """Grants rentals at once within its capacity; failed machines occupy theirs until released."""
 
     def __init__(self, world: _World) -> None:
         super().__init__(
@@ -96,10 +96,10 @@
         for _ in range(jobs):
             self.submit()
 
-    # -- leaders --------------------------------------------------------------------------------
+    # -- elections and jobs ---------------------------------------------------------------------
 
     def elect(self) -> None:
-        """A new leader with the records of the last one, and nothing else."""
+        """Replace the leader by a new one that has only the jobs and the committed bindings."""
         params = daemon_settings.parse(orjson.dumps(SETTINGS)).params
         self.term += 1
         former, self.job_store = self.job_store, JobStore(8.0)
@@ -125,7 +125,7 @@
     def submit(self) -> None:
         self.submitted += 1
         changes: dict[str, Any] = {"id": f"wk-{self.submitted:06d}", "pieces": 20, "vcpus": 4.0}
-        # No deadline: nothing but the queue and what was lost asks for machines.
+        # Without a deadline only waiting tasks and lost capacity demand machines.
         changes.update(guessS=float(_RUN_S), dueS=None, lineup="train", crew="blue")
         self.job_store.add(spec(**changes), Wall(self.now), Revision(1))
 
@@ -232,7 +232,7 @@
         for worker in list(self.workers.values()):
             if worker.dead or worker.taken or self.now < worker.up_at:
                 continue
-            # A machine that hangs past its lease doesn't take its tasks up again.
+            # A machine that hangs past its lease does not resume its tasks.
             self._lapses(worker)
             if self.now >= worker.hung_until:
                 self._runs(worker)
@@ -264,21 +264,24 @@
                 self.submit()
 
     def play(self, seconds: int) -> int:
-        """The most tasks that ran at a moment of the last 20 s: jobs come and go in waves."""
+        """Run for some seconds and return the maximum of `used` in the last 20 s.
+
+        The maximum, because jobs come and go in waves.
+        """
         used = [0]
         for _ in range(seconds):
             self.step()
             used.append(self.used())
         return max(used[-20:])
 
-    # -- what is looked at ----------------------------------------------------------------------
+    # -- observation ----------------------------------------------------------------------------
 
     def standing(self) -> list[_Worker]:
-        """Machines that are or will be up, those that hang or are cut off included."""
+        """Return the machines that run or boot, including hung and partitioned ones."""
         return [w for w in self.workers.values() if not w.dead and not w.taken]
 
     def used(self) -> int:
-        """Tasks that run on machines that are heard."""
+        """Return the number of tasks on machines whose heartbeats arrive."""
         return sum(len(w.tasks) for w in self.workers.values() if self.heard(w))
 
     def up(self) -> list[_Worker]:
@@ -292,7 +295,7 @@
 
 
 def test_deaths_are_replaced_a_lease_and_a_boot_later() -> None:
-    """Dead machines hold their places at the cloud until they are released."""
+    """The release must come before the rental: failed machines occupy capacity until released."""
     world = _settled()
     used, most = world.used(), len(world.standing())
     for worker in world.up()[::2]:
@@ -308,7 +311,7 @@
     for worker in world.up()[::2]:
         worker.taken = True
     world.play(6)
-    # Missed, tried twice, judged; nothing has lapsed yet.
+    # Diagnosed after missed heartbeats and two failed connection attempts, before leases expire.
     assert not any(m.lease_expired for m in world.fleet.machines.values())
     assert len(world.standing()) >= 0.9 * most
 
@@ -331,14 +334,14 @@
     world.cut = {"south"}
     world.play(40)
     now_there = {w.name for w in world.workers.values() if w.zone == "south"}
-    # What was asked for before the cut could be seen may still come.
+    # Machines requested before the partition was detected may still come.
     assert names <= now_there and len(now_there) <= len(names) + 2
     world.cut = set()
     assert world.play(10) >= 50
 
 
 def test_a_leader_elected_in_a_cut_does_not_return_the_machines_behind_it() -> None:
-    """It has heard none of them, and once took them for machines that never came up."""
+    """It has had no heartbeat from them, so they look like machines that never booted."""
     world = _settled()
     names = {w.name for w in world.workers.values() if w.zone == "south"}
     world.cut = {"south"}
@@ -382,12 +385,12 @@
     world.play(30)
     assert len(world.standing()) <= most // 2 + 1
     world.refuses = False
-    # The longest wait between two tries, and a boot.
+    # The maximum back-off between two rental requests, and a boot.
     assert world.play(40 + _BOOT_S + 5) >= 0.9 * used
 
 
 def test_without_a_verdict_deaths_are_not_replaced(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The tests above depend on the judgement: without it the fleet stays small."""
+    """Shows that the tests above depend on the diagnosis: without it the fleet stays small."""
     monkeypatch.setattr(failure_detector, "_suspect", lambda *_: Suspicion.LATE)
     world = _World(jobs=8)
     world.play(60)
@@ -399,12 +402,16 @@
 
 
 def test_a_new_leader_hears_its_machines_before_it_rents() -> None:
-    """Those it has not heard yet seem full: 116 were once rented in the first second of a term."""
+    """Machines without a heartbeat in the new term seem to have no free capacity.
+
+    A leader that rents before their first heartbeats rents machines that are not needed: it rented
+    116 in the first second of a term.
+    """
     world = _settled()
     made = world.made
     world.refuses = False
     for worker in world.up():
-        # They still wait for an answer of the former leader.
+        # The workers still wait for a response of the former leader.
         worker.hung_until = world.now + 2.5
     world.elect()
     for _ in range(3):
@@ -416,7 +423,7 @@
 
 
 def _fall(world: _World, kind: str) -> None:
-    """Half of the machines fall, or a zone, or the leader's own way to all."""
+    """Fail or hang half of the machines, or partition a zone or the leader."""
     for worker in world.up()[::2]:
         if kind == "dead":
             worker.dead = True
@@ -446,7 +453,7 @@
     world.elect()
     world.play(12)
     if kind not in ("dead", "taken"):
-        assert names <= set(world.workers), "machines that will be back are not returned"
+        assert names <= set(world.workers), "machines that will recover must not be released"
     _heal(world)
     assert world.play(2 * int(_LEASE_S) + 2 * _BOOT_S + 20) >= 0.9 * used
 
@@ -465,7 +472,7 @@
 
 @pytest.mark.parametrize("kind", _KINDS)
 def test_a_fall_while_the_state_service_is_away(kind: str) -> None:
-    """Nothing can be bound, but capacity is asked for all the same, and no task runs twice."""
+    """Bindings can't be committed, but replacements are rented, and no task runs twice."""
     world = _settled()
     used = world.used()
     world.state_away = True
@@ -496,13 +503,13 @@
     world.one_at_a_time = True
     for worker in world.up()[: most // 4]:
         worker.taken = True
-    # A part given means the next try 5 s later, in each of two zones.
+    # After a partial grant the next request follows 5 s later, in each of two zones.
     world.play(8 + 5 * (most // 8) + 5)
     assert len(world.standing()) >= 0.9 * most
 
 
 def test_a_machine_that_runs_and_is_never_heard_goes_back() -> None:
-    """It takes connections, so nothing else tells a new leader that it is of no use."""
+    """It accepts connections, so only the missing first heartbeat reveals the fault."""
     world = _settled()
     worker = world.up()[0]
     worker.hung_until = 1e9
@@ -523,7 +530,7 @@
 @settings(max_examples=12)
 @given(st.lists(_EVENT, min_size=1, max_size=6))
 def test_generated_falls(events: list[tuple[str, int, int]]) -> None:
-    """No task runs twice; what stands is bounded; and after the last fall all comes back."""
+    """No task runs twice, the fleet size is bounded, and capacity recovers after the last fault."""
     world = _settled()
     used, most = world.used(), len(world.standing())
     back: list[tuple[float, Callable[[], None]]] = []
@@ -537,8 +544,8 @@
                 back.remove(due)
                 due[1]()
             world.step()
-            # Machines that the cloud still has, dead ones left out, against what was wanted: as
-            # many as there were, and one more each for those that are silent and may come back.
+            # The fleet without failed machines may be as large as before, plus a replacement for
+            # each silent machine that may still recover.
             silent = sum(not world.heard(w) and w.up_at <= world.now for w in world.standing())
             assert len(world.standing()) <= 1.25 * most + silent + 4
 
@@ -568,7 +575,11 @@
 
 
 def test_machines_are_not_returned_in_the_moment_in_which_a_cut_ends() -> None:
-    """Attempts made through the cut failed; the first machines heard again make them look gone."""
+    """The end of a partition must not make its silent machines look gone.
+
+    Connection attempts failed during the partition. Once the first machines of the zone are heard
+    again, the others seem to be the only unreachable ones.
+    """
     world = _settled()
     names = {w.name for w in world.workers.values() if w.zone == "south"}
     world.cut = {"south"}
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -1,8 +1,8 @@
-"""What a term keeps follows what there is, not what there has been.
+"""Memory and connections of a long term must not grow with past machines and jobs.
 
-5,000 machines and 20,000 jobs come and go through a real leader, with its commands over real
-connections to one server that stands in for every machine's worker (each has an address of its own
-within 127.0.0.0/8).
+5,000 machines and 20,000 jobs pass through a real leader. It sends its commands over real
+connections to one server that plays the workers of all machines, each at its own address within
+127.0.0.0/8.
 """
 
 from __future__ import annotations
@@ -42,11 +42,11 @@
 _SOCKETS = 300
 _WAVE = 50
 _JOBS = 4
-"""A machine's jobs, of one task each."""
+"""Jobs per machine, of one task each."""
 
 
 class _Election:
-    """A term that lasts."""
+    """An election in which this node stays leader."""
 
     def __init__(self, mine: Leadership) -> None:
         self.mine = mine
@@ -136,7 +136,7 @@
             await self.leader.write_batcher._commit(batch)
 
     async def wave(self) -> None:
-        """Machines are rented, run some jobs and go back."""
+        """Rent machines, run jobs on them, and release them."""
         names = []
         for _ in range(_WAVE):
             self.machines += 1
@@ -190,14 +190,14 @@
         assert not world.leader.job_store.jobs and not world.leader.fleet.machines
         assert len(gc.get_objects()) < before + 1000
         assert len(asyncio.all_tasks()) <= 2
-        # Clients were closed with their machines; the server hears of it a moment later.
+        # Connections are closed with their machines; the server notices this a moment later.
         assert world.server.most_open <= 3 * _WAVE
 
     asyncio.run(scenario())
 
 
 def test_connections_for_commands_leave_room_for_reports() -> None:
-    """More machines than sockets: all commands get there, over as many as are to spare."""
+    """With more machines than spare sockets, all commands are delivered within the limit."""
 
     async def scenario() -> None:
         open_now = most = served = 0
