--- a/tealrill/fleet/autoscaling.py
+++ b/tealrill/fleet/autoscaling.py
@@ -32,7 +32,7 @@
 machines."""
 _UNHEARD_BOOTS: Final = 3.0
 """Boot times, beyond its boot, within which a machine that is up must send its first heartbeat."""
-RENT_EVERY_S: Final = 0.5
+RENT_INTERVAL_S: Final = 0.5
 """Rentals are calculated less often than placement: a boot takes many times as long, and under
 overload this calculation is the most expensive part of a pass."""
 
@@ -53,7 +53,7 @@
         policy: Policy,
         diagnosis: Callable[[], Diagnosis],
     ) -> None:
-        self.put_off = False
+        self.rental_deferred = False
         """The last call of `rent` came too early to calculate rentals; a pass must follow soon."""
         self.upcoming: _Upcoming = lambda _, __: ()
         self._fleet = fleet
@@ -66,32 +66,32 @@
         self._acquainted = False
         """Most machines that are up have sent a heartbeat to this leader, or it stopped waiting."""
         self._coming_s = _COMING_REPORTS * params.workers.heartbeat_interval_s
-        self._rent_at = Monotonic(-math.inf)
+        self._next_rental_at = Monotonic(-math.inf)
         provisioner.granted = self._granted
 
     def rent(self, result: Plan, view: View, now: Monotonic) -> None:
         """Rent machines for what the plan could not place, and for expected work."""
         offers = self._provisioner.offers
-        self.put_off = now < self._rent_at and bool(result.unplaced)
-        if not offers or now < self._rent_at:
+        self.rental_deferred = now < self._next_rental_at and bool(result.unplaced)
+        if not offers or now < self._next_rental_at:
             return
         if not self._acquainted:
             # Machines that have not sent a heartbeat to a new leader count as having no free
             # capacity. Without this wait a leader rented 116 surplus machines, expensive ones too,
             # in the first second of its term.
-            self._acquainted = not self._fleet.leases.still_coming(
+            self._acquainted = not self._fleet.leases.is_awaiting_heartbeats(
                 now, _HEARD_SHARE, self._coming_s
             )
             if not self._acquainted:
-                self.put_off = True
+                self.rental_deferred = True
                 return
-        self._rent_at = Monotonic(now + RENT_EVERY_S)
+        self._next_rental_at = Monotonic(now + RENT_INTERVAL_S)
         available = self._available(now)
         if all(self._provisioner.asked_for(offer.kind) for offer in available):
             # No kind can be requested before its pending requests are answered, so the expensive
             # calculation below would have no effect.
             return
-        machines = view.machines + view.coming
+        machines = view.machines + view.pending_machines
         # Tasks whose predecessors still run come behind those that wait already: machines for them
         # boot in the meantime.
         soon = self.upcoming(now, max(o.boot_s for o in offers))
@@ -115,12 +115,12 @@
         cut = self._diagnosis().partitioned_zones
         return [o for o in self._provisioner.available(now) if o.zone not in cut]
 
-    def restore(self, now: Monotonic) -> None:
+    def replace_losses(self, now: Monotonic) -> None:
         """Request replacements after a mass failure, spread over all cheap kinds of the same type.
 
         Expensive kinds are left to `rent`.
         """
-        if now < self._rent_at:
+        if now < self._next_rental_at:
             return
         self._count_losses(now)
         replacement_capacity = self._capacity_losses.replacement_capacity(
@@ -129,7 +129,7 @@
         if not replacement_capacity:
             return
         asked: dict[str, float] = {}
-        for rental in self._provisioner.under_way():
+        for rental in self._provisioner.pending_rentals():
             asked[rental.type] = asked.get(rental.type, 0.0) + self._cpus(rental)
         available = [o for o in self._available(now) if not self._is_dear(o.type, o.spot)]
         for type_name, cpus in replacement_capacity.items():
@@ -146,19 +146,19 @@
                 self._provisioner.rent(Rental(offer.type, offer.zone, offer.spot, part), now)
 
     def _count_losses(self, now: Monotonic) -> None:
-        verdicts = self._diagnosis().verdicts
+        suspicions = self._diagnosis().suspicions
         heard_from = now - self._silence_s
         some_lost = self._capacity_losses.has_losses
         for machine in self._fleet.machines.values():
             if (
                 machine.preemption_notice_until is not None
-                or machine.listed == wire.MACHINE_FAILED
-                or verdicts.get(machine.id) is Suspicion.GONE
+                or machine.listed_state == wire.MACHINE_FAILED
+                or suspicions.get(machine.id) is Suspicion.FAILED
             ):
                 cpus = max(machine.cpus, machine.expired_cpus)
                 if self._capacity_losses.lost(machine.id, machine.type, cpus, now):
                     # The kind may have been refused earlier; the failure may have freed capacity.
-                    self._provisioner.capacity_backoff.hopeful(machine.kind)
+                    self._provisioner.capacity_backoff.shorten(machine.kind)
             elif (
                 some_lost
                 and machine.last_contact_at is not None
@@ -167,7 +167,7 @@
                 self._capacity_losses.recovered(machine.id)
 
     def _gone(self, machine: Machine) -> bool:
-        return suspicion(self._diagnosis(), machine) is Suspicion.GONE
+        return suspicion(self._diagnosis(), machine) is Suspicion.FAILED
 
     def _granted(self, rental: Rental) -> None:
         self._capacity_losses.rented(rental.type, self._cpus(rental))
@@ -178,7 +178,7 @@
         return kind.cpus * rental.count if kind is not None else 0.0
 
     def _is_dear(self, type_name: str, spot: bool) -> bool:
-        return self._provisioner.is_dear(type_name, spot, self._policy.dear)
+        return self._provisioner.is_expensive(type_name, spot, self._policy.expensive_ratio)
 
     def _missing_for_expected(
         self, view: View, machines: list[MachineView]
@@ -202,7 +202,7 @@
             waiting=missing,
             tasks=missing,
             waited_s=0.0,
-            latest_s=(),
+            latest_start_s=(),
             estimate_s=1.0,
             image="",
             image_gb=0.0,
@@ -215,7 +215,7 @@
         )
         return [(job, missing)]
 
-    def return_unneeded(self, result: Plan, view: View, now: Monotonic) -> None:
+    def release_unneeded(self, result: Plan, view: View, now: Monotonic) -> None:
         """Mark machines that are not needed for release.
 
         Waiting tasks are no reason to keep an idle machine: if they fitted it, they would run.
@@ -223,14 +223,14 @@
         kept idle for minutes.
         """
         spare = _free(view.machines) - (view.expected.cpus if view.expected is not None else 0.0)
-        verdicts = self._diagnosis().verdicts
+        suspicions = self._diagnosis().suspicions
         lease_expired = sum(m.lease_expired for m in self._fleet.machines.values())
         for machine in self._fleet.machines.values():
             if machine.releasing:
                 continue
             if (
-                verdicts
-                and verdicts.get(machine.id) is Suspicion.GONE
+                suspicions
+                and suspicions.get(machine.id) is Suspicion.FAILED
                 and self._may_be_released(machine, now)
             ):
                 # A failed machine occupies capacity at the cloud until it is released, and the
@@ -245,8 +245,8 @@
             if machine.lease_expired:
                 self._return_silent(machine, lease_expired, now)
                 continue
-            if machine.draining or machine.preemption_notice_until is not None:
-                self._release(machine, machine.draining or "notice")
+            if machine.drain_reason or machine.preemption_notice_until is not None:
+                self._release(machine, machine.drain_reason or "notice")
                 continue
             dear = self._is_dear(machine.type, machine.spot)
             if not self._has_idled(machine, dear, now):
@@ -277,7 +277,7 @@
         if machine.idle_since is None:
             machine.idle_since = now
         idle_s = _DEAR_IDLE_S if dear else _IDLE_S
-        return now - machine.idle_since > idle_s and now - machine.since > _MINIMUM_S
+        return now - machine.idle_since > idle_s and now - machine.rented_at > _MINIMUM_S
 
     def _may_be_released(self, machine: Machine, now: Monotonic) -> bool:
         """Return whether a machine that is suspected gone may be released.
@@ -287,9 +287,9 @@
         while a delegate, or a delegation that was not read, prevents leases from expiring: without
         it the tasks of 109 machines waited 35 s for a partition elsewhere to end.
         """
-        silent_s = self._fleet.leases.silence_s_of(machine, now)
+        silent_s = self._fleet.leases.contact_age_s(machine, now)
         return (
-            machine.missing_from_lists >= failure_detector.LISTS
+            machine.missing_from_lists >= failure_detector.MIN_MISSING_LISTS
             or silent_s > self._params.workers.lease_s
         )
 
@@ -300,11 +300,15 @@
         `_UNHEARD_BOOTS` boot times more than one.
         """
         kind = self._provisioner.type_of(machine.type)
-        if kind is None or not machine.up or machine.zone in self._diagnosis().partitioned_zones:
+        if (
+            kind is None
+            or not machine.has_booted
+            or machine.zone in self._diagnosis().partitioned_zones
+        ):
             return
         terminated = self._gone(machine)
         patience_s = self._params.workers.lease_s if terminated else _UNHEARD_BOOTS * kind.boot_s
-        if self._fleet.leases.silence_s_of(machine, now) > patience_s + kind.boot_s:
+        if self._fleet.leases.contact_age_s(machine, now) > patience_s + kind.boot_s:
             self._release(machine, "gone" if terminated else "never heard")
 
     def _release(self, machine: Machine, why: str) -> None:
--- a/tealrill/fleet/catalogue.py
+++ b/tealrill/fleet/catalogue.py
@@ -43,7 +43,7 @@
             task.cancel()
 
 
-class Catalogues:
+class CatalogueCache:
     """Cache of the cloud's machine types.
 
     Prices change; the leader fetches the current ones itself.
--- a/tealrill/fleet/intent_log.py
+++ b/tealrill/fleet/intent_log.py
@@ -42,8 +42,8 @@
 log = logging.getLogger(__name__)
 
 CLOUD_PREFIX: Final = "cloud/"
-_RENT: Final = CLOUD_PREFIX + "rent/"
-_RETURN: Final = CLOUD_PREFIX + "return/"
+_RENTAL_PREFIX: Final = CLOUD_PREFIX + "rent/"
+_RELEASE_PREFIX: Final = CLOUD_PREFIX + "return/"
 MOST_OPEN: Final = 256
 """Limit of open records. A rental record takes up to about 3.5 KiB, a release record up to the
 maximum size of a value."""
@@ -54,7 +54,7 @@
 """Maximum size of a machine name in a record."""
 
 
-class RentRecord(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class RentalRecord(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """A rental that is or will be requested. Deleted once its machines are listed or contacted."""
 
     type: str
@@ -68,7 +68,7 @@
     v: Literal[1] = 1
 
 
-class ReturnRecord(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class ReleaseRecord(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Machines to release. Deleted once the cloud has confirmed that they are terminated."""
 
     names: list[str]
@@ -89,7 +89,7 @@
     key: str
     wanted: dict[str, Any] | None
     written: dict[str, Any] | None = None
-    stamp: Revision = ABSENT
+    mod_revision: Revision = ABSENT
     under_way: bool = False
     recorded: list[asyncio.Future[None]] = field(default_factory=list)
     """Resolved when the desired value is committed."""
@@ -115,9 +115,9 @@
         self._returns = 0
         self.closed = False
         """No new requests are accepted, because leadership is being handed over."""
-        self.rents: dict[str, RentRecord] = {}
+        self.open_rentals: dict[str, RentalRecord] = {}
         """Open rentals by their request names."""
-        self.returns: dict[str, tuple[MachineId, ...]] = {}
+        self.open_releases: dict[str, tuple[MachineId, ...]] = {}
         """Machines to release by the key of their record; committed records only."""
 
     @property
@@ -128,7 +128,7 @@
     @property
     def open(self) -> int:
         """Number of open requests."""
-        return len(self.rents) + len(self.returns)
+        return len(self.open_rentals) + len(self.open_releases)
 
     # -- records --------------------------------------------------------------------------------
 
@@ -137,14 +137,14 @@
         found: list[str] = []
         for entry in entries:
             try:
-                if entry.key.startswith(_RENT):
-                    record = _convert(entry, RentRecord)
-                    name = entry.key.removeprefix(_RENT)
-                    self.rents[name] = record
+                if entry.key.startswith(_RENTAL_PREFIX):
+                    record = _convert(entry, RentalRecord)
+                    name = entry.key.removeprefix(_RENTAL_PREFIX)
+                    self.open_rentals[name] = record
                     found.append(name)
-                elif entry.key.startswith(_RETURN):
-                    names = _convert(entry, ReturnRecord).names
-                    self.returns[entry.key] = tuple(
+                elif entry.key.startswith(_RELEASE_PREFIX):
+                    names = _convert(entry, ReleaseRecord).names
+                    self.open_releases[entry.key] = tuple(
                         i for i in map(parse_machine_id, names) if i is not None
                     )
                 else:
@@ -160,23 +160,27 @@
 
     async def rent(self, name: str, rental: Rental) -> None:
         """Record a rental; return once the record is committed."""
-        record = RentRecord(rental.type, rental.zone, rental.spot, rental.count, self._wall())
-        self.rents[name] = record
-        await self._want(_RENT + name, wire.plain(record))
+        record = RentalRecord(rental.type, rental.zone, rental.spot, rental.count, self._wall())
+        self.open_rentals[name] = record
+        await self._want(_RENTAL_PREFIX + name, wire.plain(record))
 
     def granted(self, name: str, names: Sequence[str]) -> None:
         """Record the machines granted for a rental, so that the next leader knows them at once."""
         # The size of a value is limited; surplus machines show up in the cloud's list.
         kept = list(names[: self._most_names])
-        record = self.rents[name] = msgspec.structs.replace(self.rents[name], names=kept)
-        self._set(_RENT + name, wire.plain(record))
+        record = self.open_rentals[name] = msgspec.structs.replace(
+            self.open_rentals[name], names=kept
+        )
+        self._set(_RENTAL_PREFIX + name, wire.plain(record))
 
     def rent_over(self, name: str) -> None:
         """Delete the record of a rental that got no machines, or whose machines are all known."""
-        if self.rents.pop(name, None) is not None:
-            self._set(_RENT + name, None)
+        if self.open_rentals.pop(name, None) is not None:
+            self._set(_RENTAL_PREFIX + name, None)
 
-    async def give_back(self, machines: Sequence[MachineId]) -> tuple[str, tuple[MachineId, ...]]:
+    async def record_release(
+        self, machines: Sequence[MachineId]
+    ) -> tuple[str, tuple[MachineId, ...]]:
         """Record the release of as many of the machines as fit into one record.
 
         Return the record's key and machines once it is committed. From then on every leader
@@ -184,14 +188,14 @@
         """
         part = tuple(machines[: min(self._most_names, MOST_RELEASED)])
         self._returns += 1
-        key = f"{_RETURN}{self._term:08d}.{self._returns:06d}"
-        await self._want(key, wire.plain(ReturnRecord(list(part), self._wall())))
-        self.returns[key] = part
+        key = f"{_RELEASE_PREFIX}{self._term:08d}.{self._returns:06d}"
+        await self._want(key, wire.plain(ReleaseRecord(list(part), self._wall())))
+        self.open_releases[key] = part
         return key, part
 
     def terminated(self, key: str) -> None:
         """Delete the record of a release that the cloud has confirmed."""
-        if self.returns.pop(key, None) is not None:
+        if self.open_releases.pop(key, None) is not None:
             self._set(key, None)
 
     # -- writing --------------------------------------------------------------------------------
@@ -223,9 +227,9 @@
         kept.under_way = True
         value = kept.wanted
 
-        def answered(stamp: Revision, written: dict[str, Any] | None) -> None:
+        def answered(mod_revision: Revision, written: dict[str, Any] | None) -> None:
             kept.under_way = False
-            kept.stamp, kept.written = stamp, written
+            kept.mod_revision, kept.written = mod_revision, written
             self._work_off(kept)
 
         def refused(found: dict[str, wire.KeyValue | None]) -> None:
@@ -236,14 +240,14 @@
 
         change = wire.delete(kept.key) if value is None else wire.put(kept.key, value)
         # Only a new record is awaited; updates and deletions can wait behind bindings.
-        ahead_at = Monotonic(self._now() + _AHEAD_S) if kept.recorded else None
+        priority_at = Monotonic(self._now() + _AHEAD_S) if kept.recorded else None
         self._join(
             JoinedWrite(
-                {kept.key: kept.stamp},
+                {kept.key: kept.mod_revision},
                 [change],
                 lambda revision: answered(ABSENT if value is None else revision, value),
                 refused,
-                ahead_at,
+                priority_at,
             )
         )
 
--- a/tealrill/fleet/provisioning.py
+++ b/tealrill/fleet/provisioning.py
@@ -59,15 +59,15 @@
         term: FencingToken,
         list_lag_s: float,
         intent_log: IntentLog,
-        renting: Duty,
-        returning: Duty,
+        rent_duty: Duty,
+        release_duty: Duty,
     ) -> None:
         self._cloud = cloud
         self._fleet = fleet
         self._term = term
         self.intent_log = intent_log
-        self.renting = renting
-        self.returning = returning
+        self.rent_duty = rent_duty
+        self.release_duty = release_duty
         self._names = 0
         self.requests: dict[str, Request] = {}
         self.capacity_backoff = CapacityBackoff()
@@ -87,7 +87,7 @@
             self._boot_timeout_s,
             self._unheard_zones,
             self._machine_found,
-            self._freed,
+            self._on_machine_terminated,
         )
         self.granted: Callable[[Rental], None] = lambda _: None
         """Called after each rental with the machines that the cloud granted."""
@@ -97,14 +97,14 @@
     def available(self, now: Monotonic) -> list[Offer]:
         """Return the offers that are not in capacity back-off."""
         return [
-            offer for offer in self.offers if not self.capacity_backoff.refused(offer.kind, now)
+            offer for offer in self.offers if not self.capacity_backoff.is_refused(offer.kind, now)
         ]
 
-    def is_dear(self, type_name: str, spot: bool, dear: float) -> bool:
+    def is_expensive(self, type_name: str, spot: bool, dear: float) -> bool:
         """Return whether a kind costs more than `dear` times the cheapest, per processor."""
         return self._ratios.get((type_name, spot), 1.0) > dear
 
-    def take_catalogue(self, catalogue: wire.Catalogue) -> None:
+    def set_catalogue(self, catalogue: wire.Catalogue) -> None:
         """Set the machine types and their current prices."""
         self.catalogue = catalogue
         self._types = {kind.name: kind for kind in reversed(catalogue.types)}
@@ -137,7 +137,7 @@
             return math.inf
         return self.boots.boot_timeout_s((machine.type, machine.zone), kind.boot_s, now)
 
-    def under_way(self) -> list[Rental]:
+    def pending_rentals(self) -> list[Rental]:
         """Return the rentals that are requested and not answered."""
         return [request.rental for request in self.requests.values()]
 
@@ -215,7 +215,7 @@
         while True:
             try:
                 names = await self._cloud.rent(
-                    request.name, *kind, rental.count, self.renting.check
+                    request.name, *kind, rental.count, self.rent_duty.check
                 )
                 break
             except NotHolderError as error:
@@ -236,8 +236,10 @@
             self.intent_log.granted(request.name, names)
         else:
             self.intent_log.rent_over(request.name)
-        self.renting.did(f"{request.name}: {len(names)} of {rental.count} {rental.type}")
-        self.capacity_backoff.answered(kind, rental.count, len(names), now)
+        self.rent_duty.record_action(
+            f"{request.name}: {len(names)} of {rental.count} {rental.type}"
+        )
+        self.capacity_backoff.record_response(kind, rental.count, len(names), now)
         log.info(
             "rental %s: %d of %d %s in %s%s",
             request.name,
@@ -248,7 +250,7 @@
             ", spot" if rental.spot else "",
         )
         for name in names:
-            self._rented(name, rental, request.since, booted=True)
+            self._add_rented_machine(name, rental, request.since, rented_this_term=True)
         if names:
             self.granted(Rental(*kind, len(names)))
         self.changed()
@@ -267,7 +269,7 @@
         recorded = self._begin(self.intent_log.rent(request.name, request.rental))
         while not recorded.done():
             await asyncio.wait({recorded}, timeout=_RECORD_LOOK_S)
-            if self.renting.alone() and self.renting.valid():
+            if self.rent_duty.state_service_unreachable() and self.rent_duty.valid():
                 return
 
     @staticmethod
@@ -290,10 +292,12 @@
 
     def registered(self, machine: Machine, now: Monotonic) -> None:
         """Record the boot time on a machine's first heartbeat, if it was rented in this term."""
-        if machine.booted:
-            self.boots.registered((machine.type, machine.zone), now - machine.since, now)
+        if machine.rented_this_term:
+            self.boots.registered((machine.type, machine.zone), now - machine.rented_at, now)
 
-    def _rented(self, name: str, rental: Rental, since: Monotonic, booted: bool = False) -> None:
+    def _add_rented_machine(
+        self, name: str, rental: Rental, since: Monotonic, rented_this_term: bool = False
+    ) -> None:
         machine_id = parse_machine_id(name)
         if machine_id is None or machine_id in self._fleet.terminated:
             return
@@ -303,9 +307,9 @@
             self._fleet.machines[machine_id] = machine
         elif not machine.type:
             # Known only from the bindings of an earlier term, which have no type.
-            self._fleet.locate(machine, rental.type, rental.zone, rental.spot)
-        machine.since = since
-        machine.booted = booted
+            self._fleet.set_kind(machine, rental.type, rental.zone, rental.spot)
+        machine.rented_at = since
+        machine.rented_this_term = rented_this_term
 
     # -- takeover from earlier terms ------------------------------------------------------------
 
@@ -317,48 +321,48 @@
         unanswered rentals are requested again.
         """
         for name in self.intent_log.read(entries):
-            record = self.intent_log.rents[name]
+            record = self.intent_log.open_rentals[name]
             rental = Rental(record.type, record.zone, record.spot, record.count)
             since = Monotonic(now - max(0.0, wall - record.at))
             if record.names is not None:
                 for machine in record.names:
-                    self._rented(machine, rental, since)
+                    self._add_rented_machine(machine, rental, since)
                 continue
             request = self.requests[name] = Request(name, rental, since)
             self._begin(self._ask(request))
-        for names in self.intent_log.returns.values():
+        for names in self.intent_log.open_releases.values():
             for machine_id in names:
                 known = self._fleet.machines.get(machine_id)
                 if known is None:
                     known = Machine(machine_id, "", "", False, now)
                     self._fleet.machines[machine_id] = known
-                known.releasing = known.returned = True
+                known.releasing = known.release_recorded = True
         if entries:
             log.info(
                 "cloud records taken over: term=%d rentals=%d releases=%d",
                 self._term,
-                len(self.intent_log.rents),
-                len(self.intent_log.returns),
+                len(self.intent_log.open_rentals),
+                len(self.intent_log.open_releases),
             )
 
     # -- releasing ------------------------------------------------------------------------------
 
-    async def run_returns(self) -> None:
+    async def run_release_recording(self) -> None:
         """Record the release of all machines marked `releasing`, in batches; never returns."""
         while True:
-            wanted = [m for m in self._fleet.machines.values() if m.releasing and not m.returned][
-                :MOST_RELEASED
-            ]
+            wanted = [
+                m for m in self._fleet.machines.values() if m.releasing and not m.release_recorded
+            ][:MOST_RELEASED]
             if not wanted or self.intent_log.full:
                 await asyncio.sleep(_RETURNS_EVERY_S)
                 continue
-            _, recorded = await self.intent_log.give_back([m.id for m in wanted])
+            _, recorded = await self.intent_log.record_release([m.id for m in wanted])
             for machine_id in recorded:
                 machine = self._fleet.machines.get(machine_id)
                 if machine is not None:
-                    machine.returned = True
+                    machine.release_recorded = True
 
-    async def run_releases(self) -> None:
+    async def run_release_requests(self) -> None:
         """Request the recorded releases until the cloud confirms them; never returns."""
         while True:
             keys, names = self._next_release()
@@ -366,31 +370,31 @@
                 await asyncio.sleep(_RETURNS_EVERY_S)
                 continue
             try:
-                await self._cloud.release(names, self.returning.check)
+                await self._cloud.release(names, self.release_duty.check)
             except (CloudError, NotHolderError) as error:
                 log.debug("release request failed: machines=%s error=%s", names, error)
                 await asyncio.sleep(_RETRY_S)
                 continue
             log.info("machines released: machines=%s", ",".join(names))
-            self.returning.did(f"{len(names)} machines")
+            self.release_duty.record_action(f"{len(names)} machines")
             for key in keys:
                 self.intent_log.terminated(key)
             for machine_id in names:
-                self._freed(self._fleet.machines.get(machine_id))
+                self._on_machine_terminated(self._fleet.machines.get(machine_id))
                 self._fleet.released(machine_id, monotonic_now())
 
     def _next_release(self) -> tuple[list[str], list[MachineId]]:
         """Return the keys and machines of the oldest records that fit into one request."""
         keys: list[str] = []
         names: list[MachineId] = []
-        for key, machines in self.intent_log.returns.items():
+        for key, machines in self.intent_log.open_releases.items():
             if len(names) + len(machines) > MOST_RELEASED:
                 break
             keys.append(key)
             names += machines
         return keys, names
 
-    def _freed(self, machine: Machine | None) -> None:
+    def _on_machine_terminated(self, machine: Machine | None) -> None:
         """Reset or shorten the capacity back-off of the kind of a machine that has gone.
 
         The capacity of a failed machine is available again and its replacement is needed, so the
@@ -404,11 +408,11 @@
             machine.lease_expired
             or machine.failed_connects
             or machine.missing_from_lists
-            or machine.listed == wire.MACHINE_FAILED
+            or machine.listed_state == wire.MACHINE_FAILED
         ):
-            self.capacity_backoff.freed(machine.kind)
+            self.capacity_backoff.clear(machine.kind)
         else:
-            self.capacity_backoff.hopeful(machine.kind)
+            self.capacity_backoff.shorten(machine.kind)
 
     # -- machine list and catalogue -------------------------------------------------------------
 
@@ -425,7 +429,7 @@
 
     def _drop_seen_rentals(self) -> None:
         """Remove the records of rentals whose machines were all listed, contacted or dropped."""
-        for name, record in list(self.intent_log.rents.items()):
+        for name, record in list(self.intent_log.open_rentals.items()):
             if record.names is not None and not any(map(self._unseen, record.names)):
                 self.intent_log.rent_over(name)
 
@@ -434,7 +438,7 @@
         machine = self._fleet.machines.get(machine_id) if machine_id is not None else None
         return machine is not None and machine.listed_at is None and machine.last_contact_at is None
 
-    async def run_lists(self) -> None:
+    async def run_reconciliation(self) -> None:
         """Fetch the cloud's list and catalogue periodically; never returns."""
         fetched: Monotonic | None = None
         while True:
@@ -445,7 +449,7 @@
                     self.apply_list(await self._cloud.machines(), monotonic_now())
                 if fetched is None or monotonic_now() - fetched > _CATALOGUE_EVERY_S:
                     known = self.catalogue is not None
-                    self.take_catalogue(await self._cloud.catalogue())
+                    self.set_catalogue(await self._cloud.catalogue())
                     fetched = monotonic_now()
                     self.changed()
                     if not known:
