--- a/tealrill/fleet/autoscaling.py
+++ b/tealrill/fleet/autoscaling.py
@@ -22,22 +22,22 @@
 
 log = logging.getLogger(__name__)
 
-_IDLE_S: Final = 20.0
-_DEAR_IDLE_S: Final = 8.0
-_MINIMUM_S: Final = 58.0
-_SILENT_RETURN_S: Final = 45.0
-_HEARD_SHARE: Final = 0.8
-_COMING_REPORTS: Final = 2.5
-"""Heartbeat intervals that a new leader waits at most for heartbeats of `_HEARD_SHARE` of the
+_IDLE_TIMEOUT_S: Final = 20.0
+_EXPENSIVE_IDLE_TIMEOUT_S: Final = 8.0
+_MIN_RENTAL_S: Final = 58.0
+_SILENT_RELEASE_S: Final = 45.0
+_CONTACTED_SHARE: Final = 0.8
+_MAX_WAIT_INTERVALS: Final = 2.5
+"""Heartbeat intervals that a new leader waits at most for heartbeats of `_CONTACTED_SHARE` of the
 machines."""
-_UNHEARD_BOOTS: Final = 3.0
+_FIRST_HEARTBEAT_BOOTS: Final = 3.0
 """Boot times, beyond its boot, within which a machine that is up must send its first heartbeat."""
 RENT_INTERVAL_S: Final = 0.5
 """Rentals are calculated less often than placement: a boot takes many times as long, and under
 overload this calculation is the most expensive part of a pass."""
 
 
-_Upcoming = Callable[[Monotonic, float], Iterable[tuple[JobView, int]]]
+_UpcomingTasks = Callable[[Monotonic, float], Iterable[tuple[JobView, int]]]
 """Given the time and a period in seconds, return the jobs, with their number of tasks, that will
 start to wait within that period."""
 
@@ -55,7 +55,7 @@
     ) -> None:
         self.rental_deferred = False
         """The last call of `rent` came too early to calculate rentals; a pass must follow soon."""
-        self.upcoming: _Upcoming = lambda _, __: ()
+        self.upcoming: _UpcomingTasks = lambda _, __: ()
         self._fleet = fleet
         self._provisioner = provisioner
         self._params = params
@@ -63,11 +63,11 @@
         self._diagnosis = diagnosis
         self._silence_s = failure_detector.silent_after_s(params.workers.heartbeat_interval_s)
         self._capacity_losses = CapacityLosses()
-        self._acquainted = False
+        self._fleet_contacted = False
         """Most machines that are up have sent a heartbeat to this leader, or it stopped waiting."""
-        self._coming_s = _COMING_REPORTS * params.workers.heartbeat_interval_s
+        self._max_heartbeat_wait_s = _MAX_WAIT_INTERVALS * params.workers.heartbeat_interval_s
         self._next_rental_at = Monotonic(-math.inf)
-        provisioner.granted = self._granted
+        provisioner.granted = self._on_granted
 
     def rent(self, result: Plan, view: View, now: Monotonic) -> None:
         """Rent machines for what the plan could not place, and for expected work."""
@@ -75,35 +75,35 @@
         self.rental_deferred = now < self._next_rental_at and bool(result.unplaced)
         if not offers or now < self._next_rental_at:
             return
-        if not self._acquainted:
+        if not self._fleet_contacted:
             # Machines that have not sent a heartbeat to a new leader count as having no free
             # capacity. Without this wait a leader rented 116 surplus machines, expensive ones too,
             # in the first second of its term.
-            self._acquainted = not self._fleet.leases.is_awaiting_heartbeats(
-                now, _HEARD_SHARE, self._coming_s
+            self._fleet_contacted = not self._fleet.leases.is_awaiting_heartbeats(
+                now, _CONTACTED_SHARE, self._max_heartbeat_wait_s
             )
-            if not self._acquainted:
+            if not self._fleet_contacted:
                 self.rental_deferred = True
                 return
         self._next_rental_at = Monotonic(now + RENT_INTERVAL_S)
         available = self._available(now)
-        if all(self._provisioner.asked_for(offer.kind) for offer in available):
+        if all(self._provisioner.has_pending_request(offer.kind) for offer in available):
             # No kind can be requested before its pending requests are answered, so the expensive
             # calculation below would have no effect.
             return
         machines = view.machines + view.pending_machines
         # Tasks whose predecessors still run come behind those that wait already: machines for them
         # boot in the meantime.
-        soon = self.upcoming(now, max(o.boot_s for o in offers))
-        unplaced = [*result.unplaced, *soon]
-        wanted = capacity.rentals(
+        upcoming_tasks = self.upcoming(now, max(o.boot_s for o in offers))
+        unplaced = [*result.unplaced, *upcoming_tasks]
+        rentals = capacity.rentals(
             unplaced, machines, offers, available, now, self._policy, result.affordable
         )
-        if not wanted:
-            missing = self._missing_for_expected(view, machines)
-            cheap = [o for o in available if not self._is_dear(o.type, o.spot)]
-            wanted = capacity.rentals(missing, [], offers, cheap, now, self._policy)
-        for rental in wanted:
+        if not rentals:
+            missing = self._demand_for_expected_work(view, machines)
+            cheap = [o for o in available if not self._is_expensive(o.type, o.spot)]
+            rentals = capacity.rentals(missing, [], offers, cheap, now, self._policy)
+        for rental in rentals:
             self._provisioner.rent(rental, now)
 
     def _available(self, now: Monotonic) -> list[Offer]:
@@ -112,8 +112,8 @@
         A machine in a partitioned zone is charged but gets no tasks. Without this filter such a
         zone would even be preferred, because zones with the fewest machines are chosen first.
         """
-        cut = self._diagnosis().partitioned_zones
-        return [o for o in self._provisioner.available(now) if o.zone not in cut]
+        partitioned = self._diagnosis().partitioned_zones
+        return [o for o in self._provisioner.available(now) if o.zone not in partitioned]
 
     def replace_losses(self, now: Monotonic) -> None:
         """Request replacements after a mass failure, spread over all cheap kinds of the same type.
@@ -122,33 +122,33 @@
         """
         if now < self._next_rental_at:
             return
-        self._count_losses(now)
+        self._record_losses(now)
         replacement_capacity = self._capacity_losses.replacement_capacity(
             now, len(self._fleet.machines)
         )
         if not replacement_capacity:
             return
-        asked: dict[str, float] = {}
+        pending_cpus: dict[str, float] = {}
         for rental in self._provisioner.pending_rentals():
-            asked[rental.type] = asked.get(rental.type, 0.0) + self._cpus(rental)
-        available = [o for o in self._available(now) if not self._is_dear(o.type, o.spot)]
+            pending_cpus[rental.type] = pending_cpus.get(rental.type, 0.0) + self._cpus(rental)
+        available = [o for o in self._available(now) if not self._is_expensive(o.type, o.spot)]
         for type_name, cpus in replacement_capacity.items():
             offers = [o for o in available if o.type == type_name and o.cpus > 0]
-            missing = cpus - asked.get(type_name, 0.0)
+            missing = cpus - pending_cpus.get(type_name, 0.0)
             if offers and missing > 0:
-                self._ask_for(offers, math.ceil(missing / offers[0].cpus), now)
+                self._request_evenly(offers, math.ceil(missing / offers[0].cpus), now)
 
-    def _ask_for(self, offers: list[Offer], count: int, now: Monotonic) -> None:
+    def _request_evenly(self, offers: list[Offer], count: int, now: Monotonic) -> None:
         """Request `count` machines in even parts, as the capacity of each offer is unknown."""
         for number, offer in enumerate(offers):
             part = count // len(offers) + (number < count % len(offers))
             if part > 0:
                 self._provisioner.rent(Rental(offer.type, offer.zone, offer.spot, part), now)
 
-    def _count_losses(self, now: Monotonic) -> None:
+    def _record_losses(self, now: Monotonic) -> None:
         suspicions = self._diagnosis().suspicions
-        heard_from = now - self._silence_s
-        some_lost = self._capacity_losses.has_losses
+        contacted_since = now - self._silence_s
+        has_losses = self._capacity_losses.has_losses
         for machine in self._fleet.machines.values():
             if (
                 machine.preemption_notice_until is not None
@@ -160,16 +160,16 @@
                     # The kind may have been refused earlier; the failure may have freed capacity.
                     self._provisioner.capacity_backoff.shorten(machine.kind)
             elif (
-                some_lost
+                has_losses
                 and machine.last_contact_at is not None
-                and machine.last_contact_at >= heard_from
+                and machine.last_contact_at >= contacted_since
             ):
                 self._capacity_losses.recovered(machine.id)
 
-    def _gone(self, machine: Machine) -> bool:
+    def _is_suspected_failed(self, machine: Machine) -> bool:
         return suspicion(self._diagnosis(), machine) is Suspicion.FAILED
 
-    def _granted(self, rental: Rental) -> None:
+    def _on_granted(self, rental: Rental) -> None:
         self._capacity_losses.rented(rental.type, self._cpus(rental))
 
     def _cpus(self, rental: Rental) -> float:
@@ -177,10 +177,10 @@
         kind = self._provisioner.type_of(rental.type)
         return kind.cpus * rental.count if kind is not None else 0.0
 
-    def _is_dear(self, type_name: str, spot: bool) -> bool:
+    def _is_expensive(self, type_name: str, spot: bool) -> bool:
         return self._provisioner.is_expensive(type_name, spot, self._policy.expensive_ratio)
 
-    def _missing_for_expected(
+    def _demand_for_expected_work(
         self, view: View, machines: list[MachineView]
     ) -> list[tuple[JobView, int]]:
         """Return the capacity missing for expected work, as a job with tasks of one processor.
@@ -189,7 +189,7 @@
         """
         if view.expected is None:
             return []
-        missing = math.ceil(view.expected.cpus - _free(machines))
+        missing = math.ceil(view.expected.cpus - _free_cpus(machines))
         if missing <= 0:
             return []
         job = JobView(
@@ -222,9 +222,11 @@
         Otherwise small machines would stay idle for as long as large tasks wait: 30 of them were
         kept idle for minutes.
         """
-        spare = _free(view.machines) - (view.expected.cpus if view.expected is not None else 0.0)
+        spare_cpus = _free_cpus(view.machines) - (
+            view.expected.cpus if view.expected is not None else 0.0
+        )
         suspicions = self._diagnosis().suspicions
-        lease_expired = sum(m.lease_expired for m in self._fleet.machines.values())
+        expired_count = sum(m.lease_expired for m in self._fleet.machines.values())
         for machine in self._fleet.machines.values():
             if machine.releasing:
                 continue
@@ -240,47 +242,49 @@
             if machine.bindings:
                 continue
             if machine.last_contact_at is None:
-                self._return_unheard(machine, now)
+                self._release_without_heartbeat(machine, now)
                 continue
             if machine.lease_expired:
-                self._return_silent(machine, lease_expired, now)
+                self._release_silent(machine, expired_count, now)
                 continue
             if machine.drain_reason or machine.preemption_notice_until is not None:
                 self._release(machine, machine.drain_reason or "notice")
                 continue
-            dear = self._is_dear(machine.type, machine.spot)
-            if not self._has_idled(machine, dear, now):
+            is_expensive = self._is_expensive(machine.type, machine.spot)
+            if not self._is_idle_long_enough(machine, is_expensive, now):
                 continue
             kind = self._provisioner.type_of(machine.type)
-            size = kind.cpus if kind is not None else 0.0
-            if (dear or spare >= size) and machine.id not in result.reservations:
-                spare -= size
+            cpus = kind.cpus if kind is not None else 0.0
+            if (is_expensive or spare_cpus >= cpus) and machine.id not in result.reservations:
+                spare_cpus -= cpus
                 self._release(machine, "idle")
 
-    def _return_silent(self, machine: Machine, lease_expired: int, now: Monotonic) -> None:
+    def _release_silent(self, machine: Machine, expired_count: int, now: Monotonic) -> None:
         """Release a machine that has long been silent.
 
-        `lease_expired` is the number of machines whose lease has expired.
+        `expired_count` is the number of machines whose lease has expired.
         """
         assert machine.last_contact_at is not None
         # If most leases have expired, this node is probably partitioned and the machines run on.
-        long = now - machine.last_contact_at > self._params.workers.lease_s + _SILENT_RETURN_S
-        if long and 2 * lease_expired <= len(self._fleet.machines):
+        is_overdue = (
+            now - machine.last_contact_at > self._params.workers.lease_s + _SILENT_RELEASE_S
+        )
+        if is_overdue and 2 * expired_count <= len(self._fleet.machines):
             self._release(machine, "silent")
 
     @staticmethod
-    def _has_idled(machine: Machine, dear: bool, now: Monotonic) -> bool:
+    def _is_idle_long_enough(machine: Machine, is_expensive: bool, now: Monotonic) -> bool:
         """Return whether a machine without tasks may be released, and start its idle time if unset.
 
-        It must have been idle for the idle time of its price class and rented for `_MINIMUM_S`.
+        It must have been idle for the idle time of its price class and rented for `_MIN_RENTAL_S`.
         """
         if machine.idle_since is None:
             machine.idle_since = now
-        idle_s = _DEAR_IDLE_S if dear else _IDLE_S
-        return now - machine.idle_since > idle_s and now - machine.rented_at > _MINIMUM_S
+        idle_s = _EXPENSIVE_IDLE_TIMEOUT_S if is_expensive else _IDLE_TIMEOUT_S
+        return now - machine.idle_since > idle_s and now - machine.rented_at > _MIN_RENTAL_S
 
     def _may_be_released(self, machine: Machine, now: Monotonic) -> bool:
-        """Return whether a machine that is suspected gone may be released.
+        """Return whether a machine that is suspected failed may be released.
 
         It may be released once it was silent for a lease, or at once if the cloud no longer lists
         it. The confirmed release proves that its tasks have ended. This is the only such proof
@@ -293,11 +297,11 @@
             or silent_s > self._params.workers.lease_s
         )
 
-    def _return_unheard(self, machine: Machine, now: Monotonic) -> None:
+    def _release_without_heartbeat(self, machine: Machine, now: Monotonic) -> None:
         """Release a machine that is up but sent no heartbeat in this term from a reachable zone.
 
-        If it is suspected gone it is released after a lease and a boot time, otherwise after
-        `_UNHEARD_BOOTS` boot times more than one.
+        If it is suspected failed it is released after a lease and a boot time, otherwise after
+        `_FIRST_HEARTBEAT_BOOTS` boot times more than one.
         """
         kind = self._provisioner.type_of(machine.type)
         if (
@@ -306,16 +310,16 @@
             or machine.zone in self._diagnosis().partitioned_zones
         ):
             return
-        terminated = self._gone(machine)
-        patience_s = self._params.workers.lease_s if terminated else _UNHEARD_BOOTS * kind.boot_s
-        if self._fleet.leases.contact_age_s(machine, now) > patience_s + kind.boot_s:
-            self._release(machine, "gone" if terminated else "never heard")
+        failed = self._is_suspected_failed(machine)
+        timeout_s = self._params.workers.lease_s if failed else _FIRST_HEARTBEAT_BOOTS * kind.boot_s
+        if self._fleet.leases.contact_age_s(machine, now) > timeout_s + kind.boot_s:
+            self._release(machine, "gone" if failed else "never heard")
 
-    def _release(self, machine: Machine, why: str) -> None:
-        log.info("releasing machine: machine=%s reason=%s", machine.id, why)
+    def _release(self, machine: Machine, reason: str) -> None:
+        log.info("releasing machine: machine=%s reason=%s", machine.id, reason)
         machine.releasing = True
 
 
-def _free(machines: list[MachineView]) -> float:
+def _free_cpus(machines: list[MachineView]) -> float:
     """Return the processors that are free now or will be once machines have booted."""
     return sum(m.cpus for m in machines if m.cpus > 0)
--- a/tealrill/fleet/capacity_backoff.py
+++ b/tealrill/fleet/capacity_backoff.py
@@ -16,9 +16,9 @@
 from tealrill.scheduler.model import Kind
 from tealrill.types import Monotonic
 
-_FIRST_S: Final = 10.0
-_PARTLY_S: Final = 5.0
-_MOST_S: Final = 40.0
+_INITIAL_S: Final = 10.0
+_AFTER_PARTIAL_GRANT_S: Final = 5.0
+_MAX_S: Final = 40.0
 
 
 @dataclass(slots=True)
@@ -31,26 +31,26 @@
     """The kinds of machine that are backed off, and until when."""
 
     def __init__(self) -> None:
-        self._kinds: dict[Kind, _Refusal] = {}
+        self._refusals: dict[Kind, _Refusal] = {}
 
     def is_refused(self, kind: Kind, now: Monotonic) -> bool:
         """Return whether this kind is backed off after a refusal."""
-        known = self._kinds.get(kind)
-        return known is not None and now < known.until
+        refusal = self._refusals.get(kind)
+        return refusal is not None and now < refusal.until
 
-    def record_response(self, kind: Kind, asked: int, given: int, now: Monotonic) -> None:
-        """Record that the cloud granted `given` of `asked` machines."""
-        if given >= asked:
-            self._kinds.pop(kind, None)
+    def record_response(self, kind: Kind, requested: int, granted: int, now: Monotonic) -> None:
+        """Record that the cloud granted `granted` of `requested` machines."""
+        if granted >= requested:
+            self._refusals.pop(kind, None)
             return
-        last = self._kinds.get(kind)
-        if given:
-            back_off_s = _PARTLY_S
-        elif last is None:
-            back_off_s = _FIRST_S
+        previous = self._refusals.get(kind)
+        if granted:
+            back_off_s = _AFTER_PARTIAL_GRANT_S
+        elif previous is None:
+            back_off_s = _INITIAL_S
         else:
-            back_off_s = min(_MOST_S, 2 * last.back_off_s)
-        self._kinds[kind] = _Refusal(Monotonic(now + back_off_s), back_off_s)
+            back_off_s = min(_MAX_S, 2 * previous.back_off_s)
+        self._refusals[kind] = _Refusal(Monotonic(now + back_off_s), back_off_s)
 
     def shorten(self, kind: Kind) -> None:
         """Shorten the back-off of a kind of which a machine was lost or released.
@@ -59,11 +59,14 @@
         has failed, it is not before its release. So the back-off is shortened to that of a partial
         grant instead of ended, however many machines are lost.
         """
-        known = self._kinds.get(kind)
-        if known is not None:
-            known.until = min(known.until, Monotonic(known.until - known.back_off_s + _PARTLY_S))
-            known.back_off_s = min(known.back_off_s, _PARTLY_S)
+        refusal = self._refusals.get(kind)
+        if refusal is not None:
+            refusal.until = min(
+                refusal.until,
+                Monotonic(refusal.until - refusal.back_off_s + _AFTER_PARTIAL_GRANT_S),
+            )
+            refusal.back_off_s = min(refusal.back_off_s, _AFTER_PARTIAL_GRANT_S)
 
     def clear(self, kind: Kind) -> None:
         """End the back-off of a kind of which a machine has gone."""
-        self._kinds.pop(kind, None)
+        self._refusals.pop(kind, None)
--- a/tealrill/fleet/catalogue.py
+++ b/tealrill/fleet/catalogue.py
@@ -19,27 +19,27 @@
 log = logging.getLogger(__name__)
 
 CATALOGUE_PATH: Final = "/peer/catalogue"
-_PEER_S: Final = 0.3
-_HEAD_START_S: Final = 0.05
+_PEER_TIMEOUT_S: Final = 0.3
+_PEERS_HEAD_START_S: Final = 0.05
 """Seconds that the other nodes have to answer before the cloud is asked as well; a node that is
 reachable answers within milliseconds."""
-_RETRY_S: Final = 2.0
-_EVERY_S: Final = 300.0
+_RETRY_INTERVAL_S: Final = 2.0
+_REFRESH_INTERVAL_S: Final = 300.0
 
 
-_Asked = asyncio.Task[wire.Catalogue | None]
+_FetchTask = asyncio.Task[wire.Catalogue | None]
 
 
-async def _first_found(asked: list[_Asked]) -> wire.Catalogue | None:
+async def _first_available(tasks: list[_FetchTask]) -> wire.Catalogue | None:
     """Return the first catalogue that a task brings, or None, and cancel the other tasks."""
     try:
-        for first in asyncio.as_completed(asked):
-            found = await first
-            if found is not None:
-                return found
+        for completed in asyncio.as_completed(tasks):
+            catalogue = await completed
+            if catalogue is not None:
+                return catalogue
         return None
     finally:
-        for task in asked:
+        for task in tasks:
             task.cancel()
 
 
@@ -57,39 +57,43 @@
     async def run(self) -> None:
         """Fetch the catalogue and refresh it periodically; never returns."""
         while True:
-            found = await (self._first() if self.known is None else self._ask_cloud())
-            self.known = found or self.known
-            await asyncio.sleep(_EVERY_S if found is not None else _RETRY_S)
+            catalogue = await (self._first() if self.known is None else self._fetch_from_cloud())
+            self.known = catalogue or self.known
+            await asyncio.sleep(_REFRESH_INTERVAL_S if catalogue is not None else _RETRY_INTERVAL_S)
 
     async def _first(self) -> wire.Catalogue | None:
         """Return the first catalogue from another node or the cloud; None if neither has one.
 
-        The cloud is asked if no node has answered within `_HEAD_START_S`: after a restart of all
-        nodes none has the catalogue, and submissions wait for it.
+        The cloud is asked if no node has answered within `_PEERS_HEAD_START_S`: after a restart of
+        all nodes none has the catalogue, and submissions wait for it.
         """
-        peers = asyncio.create_task(self.ask_peers())
-        return await _first_found([peers, asyncio.create_task(self._ask_cloud_after(peers))])
+        peers = asyncio.create_task(self.fetch_from_peers())
+        return await _first_available(
+            [peers, asyncio.create_task(self._fetch_from_cloud_after(peers))]
+        )
 
-    async def _ask_cloud_after(self, peers: _Asked) -> wire.Catalogue | None:
-        await asyncio.wait({peers}, timeout=_HEAD_START_S)
+    async def _fetch_from_cloud_after(self, peers: _FetchTask) -> wire.Catalogue | None:
+        await asyncio.wait({peers}, timeout=_PEERS_HEAD_START_S)
         known = peers.done() and peers.result() is not None
-        return None if known else await self._ask_cloud()
+        return None if known else await self._fetch_from_cloud()
 
-    async def _ask_cloud(self) -> wire.Catalogue | None:
+    async def _fetch_from_cloud(self) -> wire.Catalogue | None:
         try:
             return await self._cloud.catalogue()
         except CloudError as error:
             log.debug("catalogue not received from the cloud: error=%s", error)
             return None
 
-    async def ask_peers(self) -> wire.Catalogue | None:
+    async def fetch_from_peers(self) -> wire.Catalogue | None:
         """Return another node's catalogue, or None if no node has one."""
-        return await _first_found([asyncio.create_task(self._ask(peer)) for peer in self._peers])
+        return await _first_available(
+            [asyncio.create_task(self._fetch_from_peer(peer)) for peer in self._peers]
+        )
 
     @staticmethod
-    async def _ask(peer: Client) -> wire.Catalogue | None:
+    async def _fetch_from_peer(peer: Client) -> wire.Catalogue | None:
         try:
-            answer = await peer.request("GET", CATALOGUE_PATH, timeout_s=_PEER_S)
+            answer = await peer.request("GET", CATALOGUE_PATH, timeout_s=_PEER_TIMEOUT_S)
             return wire.decode(answer.body, wire.Catalogue) if answer.status == 200 else None
         except (NoAnswerError, wire.MalformedMessageError) as error:
             log.debug("catalogue not received from a node: error=%s", error)
--- a/tealrill/fleet/cloud.py
+++ b/tealrill/fleet/cloud.py
@@ -16,9 +16,9 @@
 log = logging.getLogger(__name__)
 
 _TIMEOUT_S = 5.0
-_LIST_PAGE = 500
-MOST_RELEASED = 100
-MOST_RENTED = 50
+_LIST_PAGE_SIZE = 500
+MAX_RELEASED_PER_REQUEST = 100
+MAX_RENTED_PER_REQUEST = 50
 
 
 class CloudError(TealrillError):
@@ -35,17 +35,17 @@
     def __init__(self, address: str, rate: float, nodes: int) -> None:
         self._http = Client(parse_address(address), most=3)
         self._rate = rate
-        self._nodes = nodes
-        self.budget = RateLimiter(rate * self._share(False))
+        self._node_count = nodes
+        self.budget = RateLimiter(rate * self._rate_share(False))
 
     def set_leading(self, leads: bool) -> None:
         """Give the leader the larger share of the cloud's request rate."""
-        self.budget.set_rate(self._rate * self._share(leads))
+        self.budget.set_rate(self._rate * self._rate_share(leads))
 
-    def _share(self, leads: bool) -> float:
-        if self._nodes == 1:
+    def _rate_share(self, leads: bool) -> float:
+        if self._node_count == 1:
             return 0.9
-        return 0.7 if leads else 0.2 / (self._nodes - 1)
+        return 0.7 if leads else 0.2 / (self._node_count - 1)
 
     async def catalogue(self) -> wire.Catalogue:
         """Return the machine types that the cloud offers; raises `CloudError`."""
@@ -54,19 +54,19 @@
 
     async def machines(self) -> list[wire.ListedMachine]:
         """Return the complete machine list, fetched page by page; raises `CloudError`."""
-        found: list[wire.ListedMachine] = []
-        after = ""
+        listed: list[wire.ListedMachine] = []
+        last_id = ""
         while True:
             await self.budget.acquire(priority=RequestPriority.LOW)
-            query: dict[str, str | int] = {"most": _LIST_PAGE}
-            if after:
-                query["from"] = after
+            query: dict[str, str | int] = {"most": _LIST_PAGE_SIZE}
+            if last_id:
+                query["from"] = last_id
             answer = await self._send("GET", "/hosts?" + urlencode(query))
             page = self._read(answer, wire.MachineList)
-            found.extend(page.machines)
+            listed.extend(page.machines)
             if not page.more or not page.machines:
-                return found
-            after = page.machines[-1].id
+                return listed
+            last_id = page.machines[-1].id
 
     async def rent(
         self,
--- a/tealrill/fleet/dispatch.py
+++ b/tealrill/fleet/dispatch.py
@@ -19,7 +19,7 @@
 from tealrill.state.job_store import JobStore
 from tealrill.types import Monotonic, Wall
 
-_ALL_HEARD: Final = Diagnosis({}, frozenset())
+_NO_SUSPICIONS: Final = Diagnosis({}, frozenset())
 
 
 class SchedulingLoop:
@@ -34,7 +34,7 @@
         params: Params,
         command_now: Callable[[Machine], None],
     ) -> None:
-        self.diagnosis: Callable[[], Diagnosis] = lambda: _ALL_HEARD
+        self.diagnosis: Callable[[], Diagnosis] = lambda: _NO_SUSPICIONS
         """Return the latest diagnosis of silent machines."""
         self.last_plan: Plan = Plan()
         self._policy = Policy()
@@ -57,6 +57,6 @@
         self.placement.start(result, now, wall)
         self.placement.stop(result, now)
         self.autoscaler.rent(result, view, now)
-        self.placement.drain_noticed(now)
+        self.placement.save_before_preemption(now)
         self.autoscaler.release_unneeded(result, view, now)
         result.release_view()
--- a/tealrill/fleet/intent_log.py
+++ b/tealrill/fleet/intent_log.py
@@ -24,7 +24,7 @@
 import msgspec
 
 from tealrill import wire
-from tealrill.fleet.cloud import MOST_RELEASED
+from tealrill.fleet.cloud import MAX_RELEASED_PER_REQUEST
 from tealrill.scheduler.capacity import Rental
 from tealrill.state.transaction_batch import JoinedWrite
 from tealrill.types import (
@@ -44,13 +44,13 @@
 CLOUD_PREFIX: Final = "cloud/"
 _RENTAL_PREFIX: Final = CLOUD_PREFIX + "rent/"
 _RELEASE_PREFIX: Final = CLOUD_PREFIX + "return/"
-MOST_OPEN: Final = 256
+MAX_OPEN_RECORDS: Final = 256
 """Limit of open records. A rental record takes up to about 3.5 KiB, a release record up to the
 maximum size of a value."""
-_AHEAD_S: Final = 1.0
+_PRIORITY_DELAY_S: Final = 1.0
 """Seconds that a new record waits behind bindings before it is written ahead of them. After a mass
 failure the bindings take seconds to write, and replacements should boot in the meantime."""
-_NAME_BYTES: Final = 68
+_MAX_NAME_BYTES: Final = 68
 """Maximum size of a machine name in a record."""
 
 
@@ -76,22 +76,22 @@
     v: Literal[1] = 1
 
 
-class Record(msgspec.Struct):
+class VersionedRecord(msgspec.Struct):
     """The version field that all records have."""
 
     v: int = 0
 
 
 @dataclass(slots=True, eq=False)
-class _Kept:
+class _RecordState:
     """One record with its desired value and its value in the state service."""
 
     key: str
-    wanted: dict[str, Any] | None
-    written: dict[str, Any] | None = None
+    desired: dict[str, Any] | None
+    stored: dict[str, Any] | None = None
     mod_revision: Revision = ABSENT
-    under_way: bool = False
-    recorded: list[asyncio.Future[None]] = field(default_factory=list)
+    in_flight: bool = False
+    waiters: list[asyncio.Future[None]] = field(default_factory=list)
     """Resolved when the desired value is committed."""
 
 
@@ -108,11 +108,11 @@
     ) -> None:
         self._join = join
         self._term = term
-        self._most_names = max(1, int((value_kb * 1024 - 100) // _NAME_BYTES))
+        self._max_names = max(1, int((value_kb * 1024 - 100) // _MAX_NAME_BYTES))
         self._wall = wall
         self._now = now
-        self._kept: dict[str, _Kept] = {}
-        self._returns = 0
+        self._records: dict[str, _RecordState] = {}
+        self._release_count = 0
         self.closed = False
         """No new requests are accepted, because leadership is being handed over."""
         self.open_rentals: dict[str, RentalRecord] = {}
@@ -123,10 +123,10 @@
     @property
     def full(self) -> bool:
         """Whether no new request is accepted, because the log is closed or at its limit."""
-        return self.closed or len(self._kept) >= MOST_OPEN
+        return self.closed or len(self._records) >= MAX_OPEN_RECORDS
 
     @property
-    def open(self) -> int:
+    def open_count(self) -> int:
         """Number of open requests."""
         return len(self.open_rentals) + len(self.open_releases)
 
@@ -134,14 +134,14 @@
 
     def read(self, entries: Iterable[wire.Entry]) -> list[str]:
         """Load the open records of earlier leaders and return the names of the rentals."""
-        found: list[str] = []
+        rental_names: list[str] = []
         for entry in entries:
             try:
                 if entry.key.startswith(_RENTAL_PREFIX):
                     record = _convert(entry, RentalRecord)
                     name = entry.key.removeprefix(_RENTAL_PREFIX)
                     self.open_rentals[name] = record
-                    found.append(name)
+                    rental_names.append(name)
                 elif entry.key.startswith(_RELEASE_PREFIX):
                     names = _convert(entry, ReleaseRecord).names
                     self.open_releases[entry.key] = tuple(
@@ -153,30 +153,30 @@
                 # This version can't interpret the record; it is kept for one that can.
                 log.error("cloud record ignored: key=%s error=%s", entry.key, error)
                 continue
-            self._kept[entry.key] = _Kept(
+            self._records[entry.key] = _RecordState(
                 entry.key, entry.value, entry.value, Revision(entry.version)
             )
-        return found
+        return rental_names
 
     async def rent(self, name: str, rental: Rental) -> None:
         """Record a rental; return once the record is committed."""
         record = RentalRecord(rental.type, rental.zone, rental.spot, rental.count, self._wall())
         self.open_rentals[name] = record
-        await self._want(_RENTAL_PREFIX + name, wire.plain(record))
+        await self._create(_RENTAL_PREFIX + name, wire.plain(record))
 
     def granted(self, name: str, names: Sequence[str]) -> None:
         """Record the machines granted for a rental, so that the next leader knows them at once."""
         # The size of a value is limited; surplus machines show up in the cloud's list.
-        kept = list(names[: self._most_names])
+        kept = list(names[: self._max_names])
         record = self.open_rentals[name] = msgspec.structs.replace(
             self.open_rentals[name], names=kept
         )
-        self._set(_RENTAL_PREFIX + name, wire.plain(record))
+        self._update(_RENTAL_PREFIX + name, wire.plain(record))
 
-    def rent_over(self, name: str) -> None:
+    def close_rental(self, name: str) -> None:
         """Delete the record of a rental that got no machines, or whose machines are all known."""
         if self.open_rentals.pop(name, None) is not None:
-            self._set(_RENTAL_PREFIX + name, None)
+            self._update(_RENTAL_PREFIX + name, None)
 
     async def record_release(
         self, machines: Sequence[MachineId]
@@ -186,74 +186,74 @@
         Return the record's key and machines once it is committed. From then on every leader
         releases these machines; a recorded release is never revoked.
         """
-        part = tuple(machines[: min(self._most_names, MOST_RELEASED)])
-        self._returns += 1
-        key = f"{_RELEASE_PREFIX}{self._term:08d}.{self._returns:06d}"
-        await self._want(key, wire.plain(ReleaseRecord(list(part), self._wall())))
+        part = tuple(machines[: min(self._max_names, MAX_RELEASED_PER_REQUEST)])
+        self._release_count += 1
+        key = f"{_RELEASE_PREFIX}{self._term:08d}.{self._release_count:06d}"
+        await self._create(key, wire.plain(ReleaseRecord(list(part), self._wall())))
         self.open_releases[key] = part
         return key, part
 
-    def terminated(self, key: str) -> None:
+    def confirm_release(self, key: str) -> None:
         """Delete the record of a release that the cloud has confirmed."""
         if self.open_releases.pop(key, None) is not None:
-            self._set(key, None)
+            self._update(key, None)
 
     # -- writing --------------------------------------------------------------------------------
 
-    async def _want(self, key: str, value: dict[str, Any]) -> None:
-        kept = self._kept[key] = _Kept(key, value)
+    async def _create(self, key: str, value: dict[str, Any]) -> None:
+        state = self._records[key] = _RecordState(key, value)
         done: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        kept.recorded.append(done)
-        self._work_off(kept)
+        state.waiters.append(done)
+        self._write_pending(state)
         await done
 
-    def _set(self, key: str, value: dict[str, Any] | None) -> None:
-        kept = self._kept.get(key)
-        if kept is not None:
-            kept.wanted = value
-            self._work_off(kept)
+    def _update(self, key: str, value: dict[str, Any] | None) -> None:
+        state = self._records.get(key)
+        if state is not None:
+            state.desired = value
+            self._write_pending(state)
 
-    def _work_off(self, kept: _Kept) -> None:
-        if kept.under_way:
+    def _write_pending(self, state: _RecordState) -> None:
+        if state.in_flight:
             return
-        if kept.wanted == kept.written:
-            for waiting in kept.recorded:
-                if not waiting.done():
-                    waiting.set_result(None)
-            kept.recorded.clear()
-            if kept.wanted is None:
-                self._kept.pop(kept.key, None)
+        if state.desired == state.stored:
+            for waiter in state.waiters:
+                if not waiter.done():
+                    waiter.set_result(None)
+            state.waiters.clear()
+            if state.desired is None:
+                self._records.pop(state.key, None)
             return
-        kept.under_way = True
-        value = kept.wanted
+        state.in_flight = True
+        value = state.desired
 
-        def answered(mod_revision: Revision, written: dict[str, Any] | None) -> None:
-            kept.under_way = False
-            kept.mod_revision, kept.written = mod_revision, written
-            self._work_off(kept)
+        def on_result(mod_revision: Revision, stored: dict[str, Any] | None) -> None:
+            state.in_flight = False
+            state.mod_revision, state.stored = mod_revision, stored
+            self._write_pending(state)
 
-        def refused(found: dict[str, wire.KeyValue | None]) -> None:
+        def on_refused(current: dict[str, wire.KeyValue | None]) -> None:
             # Only this leader writes this key, so an earlier write of its own was executed although
             # its response was lost.
-            entry = found.get(kept.key)
-            answered(*((Revision(entry.version), entry.value) if entry else (ABSENT, None)))
+            entry = current.get(state.key)
+            on_result(*((Revision(entry.version), entry.value) if entry else (ABSENT, None)))
 
-        change = wire.delete(kept.key) if value is None else wire.put(kept.key, value)
+        change = wire.delete(state.key) if value is None else wire.put(state.key, value)
         # Only a new record is awaited; updates and deletions can wait behind bindings.
-        priority_at = Monotonic(self._now() + _AHEAD_S) if kept.recorded else None
+        priority_at = Monotonic(self._now() + _PRIORITY_DELAY_S) if state.waiters else None
         self._join(
             JoinedWrite(
-                {kept.key: kept.mod_revision},
+                {state.key: state.mod_revision},
                 [change],
-                lambda revision: answered(ABSENT if value is None else revision, value),
-                refused,
+                lambda revision: on_result(ABSENT if value is None else revision, value),
+                on_refused,
                 priority_at,
             )
         )
 
 
 def _convert(entry: wire.Entry, kind: type[wire.T]) -> wire.T:
-    version = msgspec.convert(entry.value, Record).v
+    version = msgspec.convert(entry.value, VersionedRecord).v
     if version != 1:
         raise msgspec.ValidationError(f"unsupported record version {version}")
     return msgspec.convert(entry.value, kind)
--- a/tealrill/fleet/machine_list.py
+++ b/tealrill/fleet/machine_list.py
@@ -33,21 +33,21 @@
         lag_s: float,
         boot_timeout_s: Callable[[Machine, Monotonic], float],
         partitioned_zones: Callable[[], frozenset[str]],
-        changed: Callable[[], None],
-        freed: Callable[[Machine], None],
+        on_machine_found: Callable[[], None],
+        on_machine_terminated: Callable[[Machine], None],
     ) -> None:
         """Reconcile with lists that usually lag by `lag_s` seconds.
 
         `boot_timeout_s` returns how long a machine may take to boot, `partitioned_zones` the zones
-        that are partitioned from this node. `changed` is called after an unknown machine was added,
-        `freed` before a machine that is gone is dropped.
+        that are partitioned from this node. `on_machine_found` is called after an unknown machine
+        was added, `on_machine_terminated` before a machine that is gone is dropped.
         """
         self._fleet = fleet
         self._lag_s = lag_s
         self._boot_timeout_s = boot_timeout_s
         self._partitioned_zones = partitioned_zones
-        self._changed = changed
-        self._on_machine_terminated = freed
+        self._on_machine_found = on_machine_found
+        self._on_machine_terminated = on_machine_terminated
 
     def apply(self, listed: list[wire.ListedMachine], now: Monotonic) -> None:
         """Add unknown machines, update the listed ones, and check those that are not listed."""
@@ -84,7 +84,7 @@
             since = Monotonic(now - line.age_s)
             machine = Machine(machine_id, line.type, line.zone, line.spot, since)
             self._fleet.machines[machine_id] = machine
-            self._changed()
+            self._on_machine_found()
         elif machine.listed_at is None:
             machine.rented_at = Monotonic(min(machine.rented_at, now - line.age_s))
         if not machine.type:
@@ -123,11 +123,11 @@
         """
         if machine.bindings or machine.releasing:
             return
-        known_for = now - (
+        unlisted_s = now - (
             machine.listed_at if machine.listed_at is not None else machine.rented_at
         )
         silent = machine.lease_expired or machine.last_contact_at is None
-        if silent and known_for > _MISSING_LAGS * self._lag_s + _LAG_MARGIN_S:
+        if silent and unlisted_s > _MISSING_LAGS * self._lag_s + _LAG_MARGIN_S:
             log.info("machine no longer listed: machine=%s", machine.id)
             self._on_machine_terminated(machine)
             self._fleet.drop(machine)
--- a/tealrill/fleet/placement.py
+++ b/tealrill/fleet/placement.py
@@ -40,12 +40,12 @@
                 continue
             binding = self._fleet.bind(job, machine, start.backfilled, wall, now)
             if binding is not None:
-                note = " as backfill" if start.backfilled else ""
-                log.debug("task bound: task=%s machine=%s%s", binding.task, machine.id, note)
+                suffix = " as backfill" if start.backfilled else ""
+                log.debug("task bound: task=%s machine=%s%s", binding.task, machine.id, suffix)
 
     def stop(self, result: Plan, now: Monotonic) -> None:
         """Stop the tasks that the plan preempts."""
-        told: dict[Machine, None] = {}
+        to_notify: dict[Machine, None] = {}
         for stop in result.stops:
             job = self._job_store.jobs.get(stop.task.job)
             task = job.tasks.get(stop.task.index) if job is not None else None
@@ -58,17 +58,17 @@
                 binding.machine,
                 stop.for_job,
             )
-            self._want_stopped(binding, "preemption", stop.grace_s, now, told)
-        self._tell(told)
+            self._request_stop(binding, "preemption", stop.grace_s, now, to_notify)
+        self._send_commands(to_notify)
 
     def cancel(self, job: Job, now: Monotonic) -> None:
         """Stop every task of a cancelled job without a grace period, as its results are unused."""
-        told: dict[Machine, None] = {}
+        to_notify: dict[Machine, None] = {}
         for binding in list(job.bindings()):
-            self._want_stopped(binding, "cancelled", 0.0, now, told)
-        self._tell(told)
+            self._request_stop(binding, "cancelled", 0.0, now, to_notify)
+        self._send_commands(to_notify)
 
-    def drain_noticed(self, now: Monotonic) -> None:
+    def save_before_preemption(self, now: Monotonic) -> None:
         """Stop tasks that can save their state and won't finish before their machine is taken.
 
         Applies to machines with a preemption notice.
@@ -76,31 +76,31 @@
         for machine in self._fleet.machines.values():
             if machine.preemption_notice_until is None or not machine.bindings:
                 continue
-            told = False
+            needs_command = False
             # A machine may be taken after as little as half of the announced notice period.
-            left_s = 0.5 * (machine.preemption_notice_until - now)
+            min_notice_s = 0.5 * (machine.preemption_notice_until - now)
             for binding in list(machine.bindings.values()):
                 spec = binding.chunk.job.spec
                 if not spec.saves or binding.stop is not None or binding.running_since is None:
                     continue
-                if remaining_s(self._run_s(spec), now - binding.running_since) > left_s:
-                    told |= self._fleet.commands.stop(binding, "notice", spec.save_s, now)
-            if told:
+                if remaining_s(self._run_s(spec), now - binding.running_since) > min_notice_s:
+                    needs_command |= self._fleet.commands.stop(binding, "notice", spec.save_s, now)
+            if needs_command:
                 self._command_now(machine)
 
-    def _want_stopped(
+    def _request_stop(
         self,
         binding: Binding,
         reason: str,
         grace_s: float,
         now: Monotonic,
-        told: dict[Machine, None],
+        to_notify: dict[Machine, None],
     ) -> None:
-        """Request a stop, and add the machine to `told` unless the task was never sent to it."""
+        """Request a stop; add the machine to `to_notify` unless the task was never sent to it."""
         machine = self._fleet.machines.get(binding.machine)
         if self._fleet.commands.stop(binding, reason, grace_s, now) and machine is not None:
-            told[machine] = None
+            to_notify[machine] = None
 
-    def _tell(self, machines: dict[Machine, None]) -> None:
+    def _send_commands(self, machines: dict[Machine, None]) -> None:
         for machine in machines:
             self._command_now(machine)
--- a/tealrill/fleet/provisioning.py
+++ b/tealrill/fleet/provisioning.py
@@ -6,7 +6,7 @@
 
 A rental or release is recorded (`fleet/intent_log.py`) before it is requested, and no request is
 sent once the term may have ended: the next leader reads the records and resumes the requests. The
-one exception, a leader without a state service, is described at `_record`.
+one exception, a leader without a state service, is described at `_await_record`.
 """
 
 from __future__ import annotations
@@ -20,7 +20,13 @@
 
 from tealrill import wire
 from tealrill.fleet.capacity_backoff import CapacityBackoff
-from tealrill.fleet.cloud import MOST_RELEASED, MOST_RENTED, Cloud, CloudError, NoCapacityError
+from tealrill.fleet.cloud import (
+    MAX_RELEASED_PER_REQUEST,
+    MAX_RENTED_PER_REQUEST,
+    Cloud,
+    CloudError,
+    NoCapacityError,
+)
 from tealrill.fleet.intent_log import IntentLog
 from tealrill.fleet.inventory import Fleet
 from tealrill.fleet.machine import Machine
@@ -33,15 +39,15 @@
 log = logging.getLogger(__name__)
 
 _RETRY_S: Final = 1.0
-_RECORD_LOOK_S: Final = 0.5
-_RETURNS_EVERY_S: Final = 0.25
-_RELEASES_FIRST_S: Final = 2.0
-_LIST_EVERY_S: Final = 5.0
-_CATALOGUE_EVERY_S: Final = 30.0
+_RECORD_POLL_S: Final = 0.5
+_RELEASE_POLL_S: Final = 0.25
+_MAX_RELEASE_WAIT_S: Final = 2.0
+_LIST_INTERVAL_S: Final = 5.0
+_CATALOGUE_INTERVAL_S: Final = 30.0
 
 
 @dataclass(slots=True)
-class Request:
+class RentalRequest:
     """A rental that has not been answered."""
 
     name: str
@@ -68,16 +74,16 @@
         self.intent_log = intent_log
         self.rent_duty = rent_duty
         self.release_duty = release_duty
-        self._names = 0
-        self.requests: dict[str, Request] = {}
+        self._request_count = 0
+        self.requests: dict[str, RentalRequest] = {}
         self.capacity_backoff = CapacityBackoff()
         self._tasks: set[asyncio.Task[Any]] = set()
         self.catalogue: wire.Catalogue | None = None
         self.offers: list[Offer] = []
         """Every kind of machine in the catalogue: each type in each zone, spot and on-demand."""
-        self._types: dict[str, wire.MachineType] = {}
-        self._ratios: dict[tuple[str, bool], float] = {}
-        self.boots = BootTimeEstimator()
+        self._machine_types: dict[str, wire.MachineType] = {}
+        self._relative_prices: dict[tuple[str, bool], float] = {}
+        self.boot_times = BootTimeEstimator()
         self.partitioned_zones: Callable[[], frozenset[str]] = frozenset
         """Return the zones that are partitioned from this node."""
         self.changed: Callable[[], None] = lambda: None
@@ -85,8 +91,8 @@
             fleet,
             list_lag_s,
             self._boot_timeout_s,
-            self._unheard_zones,
-            self._machine_found,
+            self._get_partitioned_zones,
+            self._on_machine_found,
             self._on_machine_terminated,
         )
         self.granted: Callable[[Rental], None] = lambda _: None
@@ -100,14 +106,14 @@
             offer for offer in self.offers if not self.capacity_backoff.is_refused(offer.kind, now)
         ]
 
-    def is_expensive(self, type_name: str, spot: bool, dear: float) -> bool:
-        """Return whether a kind costs more than `dear` times the cheapest, per processor."""
-        return self._ratios.get((type_name, spot), 1.0) > dear
+    def is_expensive(self, type_name: str, spot: bool, max_price_ratio: float) -> bool:
+        """Return whether a kind costs more than `max_price_ratio` times the cheapest, per CPU."""
+        return self._relative_prices.get((type_name, spot), 1.0) > max_price_ratio
 
     def set_catalogue(self, catalogue: wire.Catalogue) -> None:
         """Set the machine types and their current prices."""
         self.catalogue = catalogue
-        self._types = {kind.name: kind for kind in reversed(catalogue.types)}
+        self._machine_types = {kind.name: kind for kind in reversed(catalogue.types)}
         self.offers = [
             Offer(
                 kind.name,
@@ -124,18 +130,18 @@
             for zone in kind.zones
             for spot in (True, False)
         ]
-        self._ratios = _price_ratios(self.offers)
+        self._relative_prices = _price_ratios(self.offers)
 
     def type_of(self, name: str) -> wire.MachineType | None:
         """Return the machine type with that name, or None if the catalogue does not have it."""
-        return self._types.get(name)
+        return self._machine_types.get(name)
 
     def _boot_timeout_s(self, machine: Machine, now: Monotonic) -> float:
         """Return how long the machine may take to boot; infinite for an unknown type."""
         kind = self.type_of(machine.type)
         if kind is None:
             return math.inf
-        return self.boots.boot_timeout_s((machine.type, machine.zone), kind.boot_s, now)
+        return self.boot_times.boot_timeout_s((machine.type, machine.zone), kind.boot_s, now)
 
     def pending_rentals(self) -> list[Rental]:
         """Return the rentals that are requested and not answered."""
@@ -153,25 +159,25 @@
         them would take too long: 15 s for 160 machines.
         """
         kind = rental.kind
-        if self.asked_for(kind) or self.intent_log.full:
+        if self.has_pending_request(kind) or self.intent_log.full:
             return
-        parts: list[Request] = []
-        for begin in range(0, rental.count, MOST_RENTED):
-            count = min(rental.count - begin, MOST_RENTED)
-            self._names += 1
-            name = f"tr-{self._term}-{self._names}"
-            parts.append(Request(name, Rental(*kind, count), now))
+        parts: list[RentalRequest] = []
+        for begin in range(0, rental.count, MAX_RENTED_PER_REQUEST):
+            count = min(rental.count - begin, MAX_RENTED_PER_REQUEST)
+            self._request_count += 1
+            name = f"tr-{self._term}-{self._request_count}"
+            parts.append(RentalRequest(name, Rental(*kind, count), now))
         self.requests.update((part.name, part) for part in parts)
-        self._begin(self._rent_parts(parts))
+        self._start_task(self._rent_in_parts(parts))
 
-    def _begin(self, work: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
+    def _start_task(self, work: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
         """Run a coroutine as a task, which `close` cancels if it has not finished."""
         task = asyncio.create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         return task
 
-    def asked_for(self, kind: Kind) -> bool:
+    def has_pending_request(self, kind: Kind) -> bool:
         """Return whether a request for this kind is unanswered."""
         return any(request.rental.kind == kind for request in self.requests.values())
 
@@ -180,35 +186,37 @@
         for task in self._tasks:
             task.cancel()
 
-    async def _rent_parts(self, parts: list[Request]) -> None:
+    async def _rent_in_parts(self, parts: list[RentalRequest]) -> None:
         while parts:
             part = parts.pop(0)
             if await self._rent(part) < part.rental.count:
                 # The cloud has no more of this kind: the remaining requests would be refused.
-                for rest in parts:
-                    del self.requests[rest.name]
+                for unsent in parts:
+                    del self.requests[unsent.name]
                 return
 
-    async def _releases_first(self) -> None:
-        """Wait up to `_RELEASES_FIRST_S` for pending releases, which free capacity for rentals.
+    async def _wait_for_releases(self) -> None:
+        """Wait up to `_MAX_RELEASE_WAIT_S` for pending releases, which free capacity for rentals.
 
         With a rate limit of 3 requests/s, 40 refused rental requests would otherwise delay the
         releases of 220 failed machines, whose capacity these rentals need.
         """
-        until = monotonic_now() + _RELEASES_FIRST_S
-        while monotonic_now() < until and any(m.releasing for m in self._fleet.machines.values()):
+        deadline = monotonic_now() + _MAX_RELEASE_WAIT_S
+        while monotonic_now() < deadline and any(
+            m.releasing for m in self._fleet.machines.values()
+        ):
             await asyncio.sleep(0.1)
 
-    async def _rent(self, request: Request) -> int:
+    async def _rent(self, request: RentalRequest) -> int:
         """Record a rental and request it; return the number of machines rented."""
-        await self._releases_first()
+        await self._wait_for_releases()
         if self.intent_log.closed:
             del self.requests[request.name]
             return 0
-        await self._record(request)
-        return await self._ask(request)
+        await self._await_record(request)
+        return await self._request_until_answered(request)
 
-    async def _ask(self, request: Request) -> int:
+    async def _request_until_answered(self, request: RentalRequest) -> int:
         """Repeat a rental request until it is answered; return the number of machines rented."""
         rental = request.rental
         kind = rental.kind
@@ -231,11 +239,11 @@
                 await asyncio.sleep(_RETRY_S)
         del self.requests[request.name]
         now = monotonic_now()
-        names = self._usable(names, rental.count)
+        names = self._valid_names(names, rental.count)
         if names:
             self.intent_log.granted(request.name, names)
         else:
-            self.intent_log.rent_over(request.name)
+            self.intent_log.close_rental(request.name)
         self.rent_duty.record_action(
             f"{request.name}: {len(names)} of {rental.count} {rental.type}"
         )
@@ -256,7 +264,7 @@
         self.changed()
         return len(names)
 
-    async def _record(self, request: Request) -> None:
+    async def _await_record(self, request: RentalRequest) -> None:
         """Return once the rental is recorded, or may be requested without a record.
 
         While the state service is unavailable nothing can be recorded. A leader whose lease the
@@ -266,34 +274,34 @@
         If this leader fails before the record is written, the next leader finds the machines in
         the cloud's list.
         """
-        recorded = self._begin(self.intent_log.rent(request.name, request.rental))
-        while not recorded.done():
-            await asyncio.wait({recorded}, timeout=_RECORD_LOOK_S)
+        recording = self._start_task(self.intent_log.rent(request.name, request.rental))
+        while not recording.done():
+            await asyncio.wait({recording}, timeout=_RECORD_POLL_S)
             if self.rent_duty.state_service_unreachable() and self.rent_duty.valid():
                 return
 
     @staticmethod
-    def _usable(names: list[str], asked: int) -> list[str]:
+    def _valid_names(names: list[str], requested: int) -> list[str]:
         """Return the valid machine names of a rental response without duplicates.
 
         Machines beyond the requested number are kept: they are charged, and once known they are
         used or released. Invalid names are dropped: they can't be released, and if such a machine
         exists, the cloud's list shows it.
         """
-        found = list(dict.fromkeys(n for n in names if parse_machine_id(n) is not None))
-        if len(found) != len(names) or len(found) > asked:
+        valid = list(dict.fromkeys(n for n in names if parse_machine_id(n) is not None))
+        if len(valid) != len(names) or len(valid) > requested:
             log.warning(
                 "rental response with unexpected names: requested=%d names=%d usable=%d",
-                asked,
+                requested,
                 len(names),
-                len(found),
+                len(valid),
             )
-        return found
+        return valid
 
     def registered(self, machine: Machine, now: Monotonic) -> None:
         """Record the boot time on a machine's first heartbeat, if it was rented in this term."""
         if machine.rented_this_term:
-            self.boots.registered((machine.type, machine.zone), now - machine.rented_at, now)
+            self.boot_times.registered((machine.type, machine.zone), now - machine.rented_at, now)
 
     def _add_rented_machine(
         self, name: str, rental: Rental, since: Monotonic, rented_this_term: bool = False
@@ -328,15 +336,15 @@
                 for machine in record.names:
                     self._add_rented_machine(machine, rental, since)
                 continue
-            request = self.requests[name] = Request(name, rental, since)
-            self._begin(self._ask(request))
+            request = self.requests[name] = RentalRequest(name, rental, since)
+            self._start_task(self._request_until_answered(request))
         for names in self.intent_log.open_releases.values():
             for machine_id in names:
-                known = self._fleet.machines.get(machine_id)
-                if known is None:
-                    known = Machine(machine_id, "", "", False, now)
-                    self._fleet.machines[machine_id] = known
-                known.releasing = known.release_recorded = True
+                inherited = self._fleet.machines.get(machine_id)
+                if inherited is None:
+                    inherited = Machine(machine_id, "", "", False, now)
+                    self._fleet.machines[machine_id] = inherited
+                inherited.releasing = inherited.release_recorded = True
         if entries:
             log.info(
                 "cloud records taken over: term=%d rentals=%d releases=%d",
@@ -350,13 +358,13 @@
     async def run_release_recording(self) -> None:
         """Record the release of all machines marked `releasing`, in batches; never returns."""
         while True:
-            wanted = [
+            to_release = [
                 m for m in self._fleet.machines.values() if m.releasing and not m.release_recorded
-            ][:MOST_RELEASED]
-            if not wanted or self.intent_log.full:
-                await asyncio.sleep(_RETURNS_EVERY_S)
+            ][:MAX_RELEASED_PER_REQUEST]
+            if not to_release or self.intent_log.full:
+                await asyncio.sleep(_RELEASE_POLL_S)
                 continue
-            _, recorded = await self.intent_log.record_release([m.id for m in wanted])
+            _, recorded = await self.intent_log.record_release([m.id for m in to_release])
             for machine_id in recorded:
                 machine = self._fleet.machines.get(machine_id)
                 if machine is not None:
@@ -367,7 +375,7 @@
         while True:
             keys, names = self._next_release()
             if not keys:
-                await asyncio.sleep(_RETURNS_EVERY_S)
+                await asyncio.sleep(_RELEASE_POLL_S)
                 continue
             try:
                 await self._cloud.release(names, self.release_duty.check)
@@ -378,7 +386,7 @@
             log.info("machines released: machines=%s", ",".join(names))
             self.release_duty.record_action(f"{len(names)} machines")
             for key in keys:
-                self.intent_log.terminated(key)
+                self.intent_log.confirm_release(key)
             for machine_id in names:
                 self._on_machine_terminated(self._fleet.machines.get(machine_id))
                 self._fleet.released(machine_id, monotonic_now())
@@ -388,7 +396,7 @@
         keys: list[str] = []
         names: list[MachineId] = []
         for key, machines in self.intent_log.open_releases.items():
-            if len(names) + len(machines) > MOST_RELEASED:
+            if len(names) + len(machines) > MAX_RELEASED_PER_REQUEST:
                 break
             keys.append(key)
             names += machines
@@ -416,49 +424,52 @@
 
     # -- machine list and catalogue -------------------------------------------------------------
 
-    def _unheard_zones(self) -> frozenset[str]:
+    def _get_partitioned_zones(self) -> frozenset[str]:
         return self.partitioned_zones()
 
-    def _machine_found(self) -> None:
+    def _on_machine_found(self) -> None:
         self.changed()
 
     def apply_list(self, listed: list[wire.ListedMachine], now: Monotonic) -> None:
         """Reconcile the machines and the rental records with the cloud's list."""
         self.machine_list.apply(listed, now)
-        self._drop_seen_rentals()
+        self._close_confirmed_rentals()
 
-    def _drop_seen_rentals(self) -> None:
+    def _close_confirmed_rentals(self) -> None:
         """Remove the records of rentals whose machines were all listed, contacted or dropped."""
         for name, record in list(self.intent_log.open_rentals.items()):
-            if record.names is not None and not any(map(self._unseen, record.names)):
-                self.intent_log.rent_over(name)
+            if record.names is not None and not any(map(self._is_unconfirmed, record.names)):
+                self.intent_log.close_rental(name)
 
-    def _unseen(self, name: str) -> bool:
+    def _is_unconfirmed(self, name: str) -> bool:
         machine_id = parse_machine_id(name)
         machine = self._fleet.machines.get(machine_id) if machine_id is not None else None
         return machine is not None and machine.listed_at is None and machine.last_contact_at is None
 
     async def run_reconciliation(self) -> None:
         """Fetch the cloud's list and catalogue periodically; never returns."""
-        fetched: Monotonic | None = None
+        catalogue_fetched_at: Monotonic | None = None
         while True:
             try:
                 # With a catalogue known from before the term, tasks can be placed already, so the
                 # machine list is fetched first.
                 if self.catalogue is not None:
                     self.apply_list(await self._cloud.machines(), monotonic_now())
-                if fetched is None or monotonic_now() - fetched > _CATALOGUE_EVERY_S:
-                    known = self.catalogue is not None
+                if (
+                    catalogue_fetched_at is None
+                    or monotonic_now() - catalogue_fetched_at > _CATALOGUE_INTERVAL_S
+                ):
+                    had_catalogue = self.catalogue is not None
                     self.set_catalogue(await self._cloud.catalogue())
-                    fetched = monotonic_now()
+                    catalogue_fetched_at = monotonic_now()
                     self.changed()
-                    if not known:
+                    if not had_catalogue:
                         continue
             except CloudError as error:
                 log.debug("machine list or catalogue not fetched: error=%s", error)
                 await asyncio.sleep(_RETRY_S)
                 continue
-            await asyncio.sleep(_LIST_EVERY_S)
+            await asyncio.sleep(_LIST_INTERVAL_S)
 
 
 def _price_ratios(offers: list[Offer]) -> dict[tuple[str, bool], float]:
--- a/tests/test_boot_times.py
+++ b/tests/test_boot_times.py
@@ -23,14 +23,14 @@
 
 
 def _seen(*took_s: float, at: float = 100.0) -> BootTimeEstimator:
-    boots = BootTimeEstimator()
+    boot_times = BootTimeEstimator()
     for each in took_s:
-        boots.registered(_KIND, each, Monotonic(at))
-    return boots
+        boot_times.registered(_KIND, each, Monotonic(at))
+    return boot_times
 
 
-def _patience(boots: BootTimeEstimator, now: float = 100.0) -> float:
-    return boots.boot_timeout_s(_KIND, _NOMINAL_S, Monotonic(now))
+def _patience(boot_times: BootTimeEstimator, now: float = 100.0) -> float:
+    return boot_times.boot_timeout_s(_KIND, _NOMINAL_S, Monotonic(now))
 
 
 def test_without_others_to_compare_with_a_machine_is_waited_for_long() -> None:
@@ -96,4 +96,6 @@
     for number in range(9):
         known = Machine(MachineId(f"m-{number}"), "m8", "north", False, Monotonic(-500.0))
         provisioner.registered(known, Monotonic(5.0))
-    assert provisioner.boots.boot_timeout_s(_KIND, _NOMINAL_S, Monotonic(5.0)) == 4 * _NOMINAL_S
+    assert (
+        provisioner.boot_times.boot_timeout_s(_KIND, _NOMINAL_S, Monotonic(5.0)) == 4 * _NOMINAL_S
+    )
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -296,7 +296,7 @@
         assert not idle, f"machines marked for release but not released: {idle}"
         left = [k for k in self.store.keys if k.startswith(CLOUD_PREFIX)]
         assert not left, f"obsolete records not deleted: {left}"
-        assert last.intent_log.open == 0 and not last.intent_log._kept
+        assert last.intent_log.open_count == 0 and not last.intent_log._records
 
     def close(self) -> None:
         for term in self.terms:
@@ -358,14 +358,14 @@
 
 def _not_waiting(monkeypatch: pytest.MonkeyPatch) -> None:
     """Request rentals and releases without waiting for the commit of their records."""
-    want = IntentLog._want
+    want = IntentLog._create
 
     async def at_once(self: IntentLog, key: str, value: dict[str, Any]) -> None:
         task = asyncio.ensure_future(want(self, key, value))
         task.add_done_callback(lambda done: done.cancelled() or done.exception())
         await asyncio.sleep(0)
 
-    monkeypatch.setattr(IntentLog, "_want", at_once)
+    monkeypatch.setattr(IntentLog, "_create", at_once)
 
 
 def _not_fenced(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -459,7 +459,7 @@
         cloud = cast(Cloud, None)
         holds = [Duty(n, FencingToken(4), Monotonic(0.0), lambda: True) for n in ("a", "b")]
         provisioner = Provisioner(cloud, fleet, FencingToken(4), 2.0, second, *holds)
-        provisioner._ask = lambda request: asyncio.sleep(0, 0)  # type: ignore[method-assign]
+        provisioner._request_until_answered = lambda request: asyncio.sleep(0, 0)  # type: ignore[method-assign]
         provisioner.inherit([], monotonic_now(), Wall(5.0))
         assert set(fleet.machines) == {"m-7", "m-8"}
         assert all(m.releasing and m.release_recorded for m in fleet.machines.values())
@@ -490,7 +490,9 @@
         found.granted("tr-3-1", list(map(str, names[:80])))
         assert len(wire.encode(joined[-1].changes[0]["value"])) <= 4096
         assert not found.full
-        found._kept.update({f"k{n}": cast(Any, None) for n in range(intent_log.MOST_OPEN)})
+        found._records.update(
+            {f"k{n}": cast(Any, None) for n in range(intent_log.MAX_OPEN_RECORDS)}
+        )
         assert found.full
 
     asyncio.run(scenario())
@@ -581,11 +583,14 @@
         provisioner = Provisioner(cast(Cloud, cloud), fleet, FencingToken(3), 2.0, found, *holds)
         provisioner.rent(Rental(*_KIND, 2), monotonic_now())
         await asyncio.sleep(5.0)
-        assert provisioner.asked_for(_KIND) == (not alone) and len(fleet.machines) == 2 * alone
+        assert (
+            provisioner.has_pending_request(_KIND) == (not alone)
+            and len(fleet.machines) == 2 * alone
+        )
         # The state service is back: the record is committed, then the cloud's response.
         joined[0].applied(Revision(1))
         await asyncio.sleep(1.0)
-        assert not provisioner.asked_for(_KIND) and set(fleet.machines) == {"m-1", "m-2"}
+        assert not provisioner.has_pending_request(_KIND) and set(fleet.machines) == {"m-1", "m-2"}
         assert joined[1].changes[0]["value"]["names"] == ["m-1", "m-2"]
         provisioner.close()
         return cloud.asked, joined, found
--- a/tests/test_falls.py
+++ b/tests/test_falls.py
@@ -421,7 +421,7 @@
     world.play(2)
     assert world.made == made
     world.play(4)
-    assert world.scheduling_loop.autoscaler._acquainted
+    assert world.scheduling_loop.autoscaler._fleet_contacted
 
 
 def _fall(world: _World, kind: str) -> None:
