--- a/tests/test_boot_times.py
+++ b/tests/test_boot_times.py
@@ -22,50 +22,54 @@
 _NOMINAL_S = 30.0
 
 
-def _seen(*took_s: float, at: float = 100.0) -> BootTimeEstimator:
+def _estimator_with(*boot_times_s: float, at: float = 100.0) -> BootTimeEstimator:
     boot_times = BootTimeEstimator()
-    for each in took_s:
-        boot_times.registered(_KIND, each, Monotonic(at))
+    for boot_time_s in boot_times_s:
+        boot_times.registered(_KIND, boot_time_s, Monotonic(at))
     return boot_times
 
 
-def _patience(boot_times: BootTimeEstimator, now: float = 100.0) -> float:
+def _timeout_s(boot_times: BootTimeEstimator, now: float = 100.0) -> float:
     return boot_times.boot_timeout_s(_KIND, _NOMINAL_S, Monotonic(now))
 
 
-def test_without_others_to_compare_with_a_machine_is_waited_for_long() -> None:
-    assert _patience(_seen()) == _patience(_seen(30.0, 30.0, 30.0, 30.0)) == 120.0
+def test_boot_timeout_is_maximum_without_recent_samples() -> None:
+    assert (
+        _timeout_s(_estimator_with())
+        == _timeout_s(_estimator_with(30.0, 30.0, 30.0, 30.0))
+        == 120.0
+    )
     # Boot times of other zones and old ones do not count.
     other = BootTimeEstimator()
     for _ in range(9):
         other.registered(("m8", "south"), 30.0, Monotonic(100.0))
-    assert _patience(other) == 120.0
-    assert _patience(_seen(*[30.0] * 9), now=191.0) == 120.0
+    assert _timeout_s(other) == 120.0
+    assert _timeout_s(_estimator_with(*[30.0] * 9), now=191.0) == 120.0
 
 
-def test_beside_others_that_come_it_is_given_up_sooner() -> None:
+def test_boot_timeout_follows_recent_boot_times() -> None:
     # With the maximum timeout, a machine that never boots would be charged, and counted as coming
     # capacity, for four boot times.
-    assert _patience(_seen(*[30.0] * 6)) == 60.0
+    assert _timeout_s(_estimator_with(*[30.0] * 6)) == 60.0
     # Even if recent machines booted almost at once, a boot of the usual duration is not late.
-    assert _patience(_seen(*[1.5] * 6)) == 1.75 * _NOMINAL_S
+    assert _timeout_s(_estimator_with(*[1.5] * 6)) == 1.75 * _NOMINAL_S
 
 
-def test_where_all_are_slow_none_is_given_up_for_it() -> None:
-    assert _patience(_seen(*[100.0] * 6)) == 120.0
-    assert _patience(_seen(*[45.0] * 6)) == 90.0
+def test_boot_timeout_grows_with_slow_boots() -> None:
+    assert _timeout_s(_estimator_with(*[100.0] * 6)) == 120.0
+    assert _timeout_s(_estimator_with(*[45.0] * 6)) == 90.0
 
 
 @given(st.lists(st.floats(0.1, 1000.0), max_size=60), st.floats(100.0, 300.0))
-def test_patience_is_bounded(took_s: list[float], now: float) -> None:
-    assert 1.75 * _NOMINAL_S <= _patience(_seen(*took_s), now) <= 4 * _NOMINAL_S
+def test_boot_timeout_is_bounded(boot_times_s: list[float], now: float) -> None:
+    assert 1.75 * _NOMINAL_S <= _timeout_s(_estimator_with(*boot_times_s), now) <= 4 * _NOMINAL_S
 
 
 def _provisioner(fleet: Fleet) -> Provisioner:
     return Provisioner(cast(Cloud, None), fleet, FencingToken(3), 2.0, *recorded_at_once())
 
 
-def test_nothing_is_late_in_a_zone_that_is_not_heard() -> None:
+def test_boot_does_not_time_out_in_partitioned_zone() -> None:
     fleet = Fleet(JobStore(8.0), FencingToken(3), Monotonic(0.0), 8.0)
     provisioner = _provisioner(fleet)
     kind = wire.MachineType(name="m8", cpus=8.0, gpus=0.0, memory_gb=32.0, price=1.0,
@@ -90,12 +94,12 @@
     assert late.releasing
 
 
-def test_machines_of_a_former_term_say_nothing_about_boots() -> None:
+def test_machines_of_earlier_terms_are_not_boot_samples() -> None:
     fleet = Fleet(JobStore(8.0), FencingToken(3), Monotonic(0.0), 8.0)
     provisioner = _provisioner(fleet)
     for number in range(9):
-        known = Machine(MachineId(f"m-{number}"), "m8", "north", False, Monotonic(-500.0))
-        provisioner.registered(known, Monotonic(5.0))
+        machine = Machine(MachineId(f"m-{number}"), "m8", "north", False, Monotonic(-500.0))
+        provisioner.registered(machine, Monotonic(5.0))
     assert (
         provisioner.boot_times.boot_timeout_s(_KIND, _NOMINAL_S, Monotonic(5.0)) == 4 * _NOMINAL_S
     )
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -48,39 +48,39 @@
 _KIND = ("big", "north", False)
 
 
-class Broken(AssertionError):
+class SafetyViolation(AssertionError):
     """A safety property is violated."""
 
 
 class _Store(Store):
     def __init__(self, rng: random.Random) -> None:
         super().__init__(rng, guarded=True)
-        self.ever: set[str] = set()
+        self.written_keys: set[str] = set()
 
     def execute(self, guards: list[Any], changes: list[Any]) -> Any:
         result = super().execute(guards, changes)
         if not isinstance(result, GuardsFailed):
-            self.ever |= {change["set"] for change in changes if "set" in change}
+            self.written_keys |= {change["set"] for change in changes if "set" in change}
         return result
 
 
-class _CloudWorld:
+class _CloudModel:
     """The cloud: rents once per request name and terminates machines with all tasks at once.
 
     Requests may be executed late.
     """
 
-    def __init__(self, world: World) -> None:
-        self.world = world
+    def __init__(self, cluster: Cluster) -> None:
+        self.cluster = cluster
         self.answers: dict[str, list[str]] = {}
         self.alive: dict[str, bool] = {}
-        self.held: list[tuple[float, Any]] = []
+        self.delayed_requests: list[tuple[float, Any]] = []
         self.terminated: set[str] = set()
         self.count = 0
 
-    def hire(self, term: int, name: str, count: int) -> list[str]:
-        if CLOUD_PREFIX + "rent/" + name not in self.world.store.ever:
-            raise Broken(f"rental {name} was requested without a record")
+    def execute_rental(self, term: int, name: str, count: int) -> list[str]:
+        if CLOUD_PREFIX + "rent/" + name not in self.cluster.store.written_keys:
+            raise SafetyViolation(f"rental {name} was requested without a record")
         if name not in self.answers:
             names = [f"m-{self.count + n:06d}" for n in range(count)]
             self.count += count
@@ -94,71 +94,75 @@
             for name in self.alive
         ]
 
-    def delete(self, term: int, names: list[str]) -> None:
+    def execute_release(self, term: int, names: list[str]) -> None:
         for name in names:
             if self.alive.pop(name, None) is None:
                 continue
             self.terminated.add(name)
-            worked = self.world.work.pop(name, 0)
-            if worked > term:
-                raise Broken(f"term {term} ended work of term {worked} on {name}")
+            work_term = self.cluster.work.pop(name, 0)
+            if work_term > term:
+                raise SafetyViolation(f"term {term} ended work of term {work_term} on {name}")
 
 
 class _Cloud:
     """One term's client of the cloud, over a faulty network."""
 
-    def __init__(self, world: World, term: int) -> None:
-        self.world, self.term = world, term
+    def __init__(self, cluster: Cluster, term: int) -> None:
+        self.cluster, self.term = cluster, term
 
-    async def _fate(self, request: Any, check: Any) -> Any:
-        world = self.world
-        await asyncio.sleep(world.rng.uniform(0.0, 0.4))
+    async def _send(self, request: Any, check: Any) -> Any:
+        cluster = self.cluster
+        await asyncio.sleep(cluster.rng.uniform(0.0, 0.4))
         check()
-        fate = (
-            "good" if world.reliable else world.rng.choice(["good"] * 4 + ["lost", "held", "busy"])
+        outcome = (
+            "good"
+            if cluster.reliable
+            else cluster.rng.choice(["good"] * 4 + ["lost", "held", "busy"])
         )
-        if fate == "busy":
+        if outcome == "busy":
             raise CloudError("status 429")
-        if fate == "held":
-            world.cloud.held.append((world.now + world.rng.uniform(0, 60), request))
+        if outcome == "held":
+            cluster.cloud.delayed_requests.append(
+                (cluster.now + cluster.rng.uniform(0, 60), request)
+            )
             await asyncio.sleep(5.0)
             raise CloudError("no answer")
-        found = request()
-        if fate == "lost":
+        result = request()
+        if outcome == "lost":
             raise CloudError("no answer")
-        return found
+        return result
 
     async def rent(
         self, name: str, type_name: str, zone: str, spot: bool, count: int, check: Any
     ) -> list[str]:
-        if not self.world.reliable and self.world.rng.random() < 0.1:
+        if not self.cluster.reliable and self.cluster.rng.random() < 0.1:
             raise NoCapacityError
-        cloud = self.world.cloud
-        found = await self._fate(lambda: cloud.hire(self.term, name, count), check)
-        return list(found)
+        cloud = self.cluster.cloud
+        names = await self._send(lambda: cloud.execute_rental(self.term, name, count), check)
+        return list(names)
 
     async def release(self, machines: list[MachineId], check: Any) -> None:
-        cloud, names = self.world.cloud, list(map(str, machines))
-        await self._fate(lambda: cloud.delete(self.term, names), check)
+        cloud, names = self.cluster.cloud, list(map(str, machines))
+        await self._send(lambda: cloud.execute_release(self.term, names), check)
 
 
 class _Term:
     """A leader's components that rent and release; they are never told that the term has ended."""
 
-    def __init__(self, world: World, number: int) -> None:
-        self.world, self.number = world, number
-        mod_revision = world.store.keys[LEADER_KEY][1]
+    def __init__(self, cluster: Cluster, number: int) -> None:
+        self.cluster, self.number = cluster, number
+        mod_revision = cluster.store.keys[LEADER_KEY][1]
         leadership = Leadership(
             FencingToken(number),
             Revision(mod_revision),
             LeaseId(1),
-            Monotonic(world.now),
+            Monotonic(cluster.now),
             Monotonic(1e9),
         )
         job_store = JobStore(8.0)
-        self.fleet = Fleet(job_store, FencingToken(number), Monotonic(world.now), 8.0)
+        self.fleet = Fleet(job_store, FencingToken(number), Monotonic(cluster.now), 8.0)
         self.write_batcher = WriteBatcher(
-            cast(StateClient, world.store),
+            cast(StateClient, cluster.store),
             job_store,
             leadership,
             12,
@@ -167,70 +171,70 @@
         )
         self.intent_log = IntentLog(self.write_batcher.join, FencingToken(number), 8.0)
         duties = [
-            Duty(n, FencingToken(number), Monotonic(world.now), self.valid)
+            Duty(n, FencingToken(number), Monotonic(cluster.now), self.valid)
             for n in ("rent", "return")
         ]
-        cloud = cast(Cloud, _Cloud(world, number))
+        cloud = cast(Cloud, _Cloud(cluster, number))
         self.provisioner = Provisioner(
             cloud, self.fleet, FencingToken(number), 2.0, self.intent_log, *duties
         )
         self.tasks: list[asyncio.Task[None]] = []
 
     def valid(self) -> bool:
-        return self.world.term is self or not self.world.checked
+        return self.cluster.term is self or not self.cluster.checks_duty
 
     async def start(self) -> None:
-        entries, _ = await self.world.store.scan(CLOUD_PREFIX)
-        self.fleet.inherit([], Monotonic(self.world.now))
-        self.provisioner.inherit(entries, Monotonic(self.world.now), Wall(self.world.now))
+        entries, _ = await self.cluster.store.scan(CLOUD_PREFIX)
+        self.fleet.inherit([], Monotonic(self.cluster.now))
+        self.provisioner.inherit(entries, Monotonic(self.cluster.now), Wall(self.cluster.now))
         loops = (
             self.write_batcher.run,
             self.provisioner.run_release_recording,
             self.provisioner.run_release_requests,
         )
-        self.tasks = [asyncio.create_task(self._ends(loop)) for loop in loops]
+        self.tasks = [asyncio.create_task(self._run_until_deposed(loop)) for loop in loops]
 
-    async def _ends(self, loop: Any) -> None:
+    async def _run_until_deposed(self, loop: Any) -> None:
         try:
             await loop()
         except LeadershipLostError:
             pass
-        except Broken as error:
-            self.world.broken.append(error)
+        except SafetyViolation as error:
+            self.cluster.violations.append(error)
 
-    def act(self) -> None:
+    def process_heartbeats(self) -> None:
         """Process a heartbeat of every machine; those that may take tasks run work of this term."""
-        for name in self.world.cloud.alive:
-            self.world.sequence += 1
+        for name in self.cluster.cloud.alive:
+            self.cluster.sequence += 1
             machine_id = MachineId(name)
-            heard = report(name, 1, self.world.sequence, self.number)
-            at = Monotonic(self.world.now)
-            self.fleet.heartbeats.process(heard, machine_id, at, Wall(at))
+            heartbeat = report(name, 1, self.cluster.sequence, self.number)
+            now = Monotonic(self.cluster.now)
+            self.fleet.heartbeats.process(heartbeat, machine_id, now, Wall(now))
             machine = self.fleet.machines.get(machine_id)
-            if machine is not None and machine.is_placeable(at, 8.0):
-                self.world.work[name] = self.number
+            if machine is not None and machine.is_placeable(now, 8.0):
+                self.cluster.work[name] = self.number
 
-    def wish(self) -> None:
-        rng = self.world.rng
+    def rent_and_release(self) -> None:
+        rng = self.cluster.rng
         if rng.random() < 0.5:
-            self.provisioner.rent(Rental(*_KIND, rng.randrange(1, 60)), Monotonic(self.world.now))
+            self.provisioner.rent(Rental(*_KIND, rng.randrange(1, 60)), Monotonic(self.cluster.now))
         known = [m for m in self.fleet.machines.values() if m.last_contact_at and not m.releasing]
         for machine in rng.sample(known, min(len(known), rng.randrange(30))):
             machine.releasing = True
-            self.world.work.pop(machine.id, None)
+            self.cluster.work.pop(machine.id, None)
 
 
-class World:
+class Cluster:
     def __init__(self, seed: int, loop: JumpingLoop) -> None:
         self.rng = random.Random(seed)
         self.loop = loop
         self.store = _Store(self.rng)
-        self.cloud = _CloudWorld(self)
+        self.cloud = _CloudModel(self)
         self.work: dict[str, int] = {}
         """The machines that run tasks, with the term of these tasks."""
-        self.broken: list[Broken] = []
+        self.violations: list[SafetyViolation] = []
         self.reliable = False
-        self.checked = True
+        self.checks_duty = True
         self.sequence = 0
         self.term: _Term | None = None
         self.terms: list[_Term] = []
@@ -247,55 +251,55 @@
         await self.term.start()
         return self.term
 
-    async def deliver(self, everything: bool = False) -> None:
+    async def deliver_delayed(self, everything: bool = False) -> None:
         """Execute delayed cloud requests that are due, or all, and sometimes a delayed write."""
-        due = [held for held in self.cloud.held if everything or held[0] <= self.now]
-        for held in due:
-            self.cloud.held.remove(held)
+        due = [entry for entry in self.cloud.delayed_requests if everything or entry[0] <= self.now]
+        for entry in due:
+            self.cloud.delayed_requests.remove(entry)
             try:
-                held[1]()
-            except Broken as error:
-                self.broken.append(error)
+                entry[1]()
+            except SafetyViolation as error:
+                self.violations.append(error)
         if self.store.late and self.rng.random() < 0.5:
             self.store.execute(*self.store.late.pop(self.rng.randrange(len(self.store.late))))
 
-    async def play(self, steps: int) -> None:
+    async def run(self, steps: int) -> None:
         await self.elect()
         for _ in range(steps):
             await asyncio.sleep(self.rng.uniform(0.1, 3.0))
-            await self.deliver()
+            await self.deliver_delayed()
             assert self.term is not None
             if self.rng.random() < 0.15:
                 for _ in range(self.rng.choice([1, 1, 1, 5])):  # up to five leaders in a row
                     await self.elect()
             for term in self.terms[-3:]:
                 if term is self.term or self.rng.random() < 0.3:
-                    term.wish()  # a deposed leader that does not know it rents and releases too
-            self.term.act()
-            if self.broken:
-                raise self.broken[0]
-        await self.end()
+                    term.rent_and_release()  # deposed leaders act too, unaware of it
+            self.term.process_heartbeats()
+            if self.violations:
+                raise self.violations[0]
+        await self.finish()
 
-    async def end(self) -> None:
+    async def finish(self) -> None:
         """Execute all delayed requests, end the faults, and let one last term clean up."""
         self.reliable = self.store.reliable = True
         while self.store.late:
             self.store.execute(*self.store.late.pop())
-        await self.deliver(everything=True)
+        await self.deliver_delayed(everything=True)
         last = await self.elect()
         for _ in range(60):
             await asyncio.sleep(2.0)
-            last.act()
+            last.process_heartbeats()
             last.provisioner.apply_list(self.cloud.listed(), Monotonic(self.now))
-        if self.broken:
-            raise self.broken[0]
+        if self.violations:
+            raise self.violations[0]
         alive = set(self.cloud.alive)
-        lost = alive - set(last.fleet.machines)
-        assert not lost, f"rented machines unknown to the last leader: {lost}"
-        idle = {m.id for m in last.fleet.machines.values() if m.releasing} & alive
-        assert not idle, f"machines marked for release but not released: {idle}"
-        left = [k for k in self.store.keys if k.startswith(CLOUD_PREFIX)]
-        assert not left, f"obsolete records not deleted: {left}"
+        unknown = alive - set(last.fleet.machines)
+        assert not unknown, f"rented machines unknown to the last leader: {unknown}"
+        unreleased = {m.id for m in last.fleet.machines.values() if m.releasing} & alive
+        assert not unreleased, f"machines marked for release but not released: {unreleased}"
+        leftover = [k for k in self.store.keys if k.startswith(CLOUD_PREFIX)]
+        assert not leftover, f"obsolete records not deleted: {leftover}"
         assert last.intent_log.open_count == 0 and not last.intent_log._records
 
     def close(self) -> None:
@@ -305,20 +309,20 @@
                 task.cancel()
 
 
-def _play(seed: int, steps: int = 40, checked: bool = True) -> World:
+def _run_scenario(seed: int, steps: int = 40, checks_duty: bool = True) -> Cluster:
     loop = JumpingLoop()
     with pytest.MonkeyPatch.context() as patch:
         for module in (provisioning, intent_log, write_batcher, rate_limiter):
             patch.setattr(module, "monotonic_now", lambda: Monotonic(loop.time()))
         patch.setattr(intent_log, "wall_now", lambda: Wall(loop.time()))
-        world = World(seed, loop)
-        world.checked = checked
+        cluster = Cluster(seed, loop)
+        cluster.checks_duty = checks_duty
 
         async def run() -> None:
             try:
-                await world.play(steps)
+                await cluster.run(steps)
             finally:
-                world.close()
+                cluster.close()
                 others = asyncio.all_tasks() - {asyncio.current_task()}
                 for task in others:
                     task.cancel()
@@ -328,51 +332,51 @@
             loop.run_until_complete(run())
         finally:
             loop.close()
-    return world
+    return cluster
 
 
 @settings(max_examples=30)
 @given(st.integers(0, 2**32))
-def test_who_was_replaced_does_no_harm(seed: int) -> None:
-    _play(seed)
+def test_deposed_leader_does_not_harm_later_terms(seed: int) -> None:
+    _run_scenario(seed)
 
 
 @settings(max_examples=10)
 @given(st.integers(0, 2**32))
-def test_even_one_that_never_looks_whether_it_still_holds_the_duty(seed: int) -> None:
+def test_deposed_leader_without_duty_check_does_not_harm_later_terms(seed: int) -> None:
     """The check before sending only saves calls; the safety properties rest on the records."""
-    _play(seed, checked=False)
+    _run_scenario(seed, checks_duty=False)
 
 
-def _found(seeds: int = 80, checked: bool = True) -> str:
+def _first_violation(seeds: int = 80, checks_duty: bool = True) -> str:
     """Return the first violation that any of the seeds brings, or an empty string."""
     for seed in range(seeds):
         try:
-            _play(seed, checked=checked)
-        except Broken as error:
+            _run_scenario(seed, checks_duty=checks_duty)
+        except SafetyViolation as error:
             return str(error)
         except AssertionError:
             continue  # leftover records or machines are not a safety violation
     return ""
 
 
-def _not_waiting(monkeypatch: pytest.MonkeyPatch) -> None:
+def _without_commit_wait(monkeypatch: pytest.MonkeyPatch) -> None:
     """Request rentals and releases without waiting for the commit of their records."""
-    want = IntentLog._create
+    create = IntentLog._create
 
-    async def at_once(self: IntentLog, key: str, value: dict[str, Any]) -> None:
-        task = asyncio.ensure_future(want(self, key, value))
+    async def create_without_wait(self: IntentLog, key: str, value: dict[str, Any]) -> None:
+        task = asyncio.ensure_future(create(self, key, value))
         task.add_done_callback(lambda done: done.cancelled() or done.exception())
         await asyncio.sleep(0)
 
-    monkeypatch.setattr(IntentLog, "_create", at_once)
+    monkeypatch.setattr(IntentLog, "_create", create_without_wait)
 
 
-def _not_fenced(monkeypatch: pytest.MonkeyPatch) -> None:
+def _without_fencing(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Fence, "guards", lambda self, others: dict(others))
 
 
-def _returns_not_taken_over(monkeypatch: pytest.MonkeyPatch) -> None:
+def _without_release_takeover(monkeypatch: pytest.MonkeyPatch) -> None:
     read = IntentLog.read
 
     def without(self: IntentLog, entries: Any) -> list[str]:
@@ -381,27 +385,27 @@
     monkeypatch.setattr(IntentLog, "read", without)
 
 
-def _rentals_not_taken_over(monkeypatch: pytest.MonkeyPatch) -> None:
+def _without_rental_takeover(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Provisioner, "inherit", lambda self, entries, now, wall: None)
 
 
 @pytest.mark.parametrize(
     "without",
-    [_not_waiting, _not_fenced, _returns_not_taken_over, _rentals_not_taken_over],
+    [_without_commit_wait, _without_fencing, _without_release_takeover, _without_rental_takeover],
 )
-def test_each_clause_is_needed(monkeypatch: pytest.MonkeyPatch, without: Any) -> None:
+def test_safety_depends_on_each_mechanism(monkeypatch: pytest.MonkeyPatch, without: Any) -> None:
     without(monkeypatch)
-    assert "ended work of term" in _found(checked=False)
+    assert "ended work of term" in _first_violation(checks_duty=False)
 
 
 # -- single cases ---------------------------------------------------------------------------------
 
 
-def test_nothing_leaves_once_the_duty_may_be_over() -> None:
+def test_no_request_is_sent_when_duty_check_fails() -> None:
     """The check runs after the last wait, when `Cloud` is about to send the request."""
-    held = Duty("renting", FencingToken(3), Monotonic(0.0), lambda: False)
+    duty = Duty("renting", FencingToken(3), Monotonic(0.0), lambda: False)
     with pytest.raises(NotHolderError):
-        held.check()
+        duty.check()
 
     async def scenario() -> None:
         cloud = Cloud("127.0.0.1:9", 100.0, 1)
@@ -415,39 +419,39 @@
 
         cloud._http.request = request  # type: ignore[method-assign, assignment]
         with pytest.raises(NotHolderError):
-            await cloud.rent("tr-3-1", *_KIND, 5, held.check)
+            await cloud.rent("tr-3-1", *_KIND, 5, duty.check)
         with pytest.raises(NotHolderError):
-            await cloud.release([MachineId("m-1")], held.check)
+            await cloud.release([MachineId("m-1")], duty.check)
         assert not sent
 
     asyncio.run(scenario())
 
 
-def _open(value_kb: float = 8.0) -> tuple[IntentLog, list[JoinedWrite]]:
+def _build_intent_log(value_kb: float = 8.0) -> tuple[IntentLog, list[JoinedWrite]]:
     joined: list[JoinedWrite] = []
     return IntentLog(
         joined.append, FencingToken(3), value_kb, lambda: Wall(5.0), lambda: Monotonic(0.0)
     ), joined
 
 
-def test_a_successor_goes_on_with_what_is_open() -> None:
+def test_next_leader_resumes_open_rentals_and_releases() -> None:
     async def scenario() -> None:
-        first, joined = _open()
-        renting = asyncio.create_task(first.rent("tr-3-1", Rental(*_KIND, 2)))
-        waiting = asyncio.create_task(first.rent("tr-3-2", Rental(*_KIND, 9)))
-        back = asyncio.create_task(first.record_release([MachineId("m-7"), MachineId("m-8")]))
+        first, joined = _build_intent_log()
+        first_rental = asyncio.create_task(first.rent("tr-3-1", Rental(*_KIND, 2)))
+        second_rental = asyncio.create_task(first.rent("tr-3-2", Rental(*_KIND, 9)))
+        release = asyncio.create_task(first.record_release([MachineId("m-7"), MachineId("m-8")]))
         await asyncio.sleep(0)
-        assert not renting.done() and not back.done() and not first.open_releases
+        assert not first_rental.done() and not release.done() and not first.open_releases
         records = {}
         for number, change in enumerate(list(joined)):
             assert change.guards == {change.changes[0]["set"]: ABSENT}
             records[change.changes[0]["set"]] = (change.changes[0]["value"], number + 1)
             change.applied(Revision(number + 1))
-        await asyncio.gather(renting, waiting, back)
+        await asyncio.gather(first_rental, second_rental, release)
         first.granted("tr-3-1", ["m-1", "m-2"])
         last = joined[-1]
         records[last.changes[0]["set"]] = (last.changes[0]["value"], 9)
-        second, _ = _open()
+        second, _ = _build_intent_log()
         entries = [wire.Entry(key=k, value=v, version=n) for k, (v, n) in records.items()]
         assert second.read(entries) == ["tr-3-1", "tr-3-2"]
         assert second.open_rentals["tr-3-1"].names == ["m-1", "m-2"]
@@ -457,8 +461,8 @@
         assert list(second.open_releases.values()) == [("m-7", "m-8")]
         fleet = Fleet(JobStore(8.0), FencingToken(4), monotonic_now(), 8.0)
         cloud = cast(Cloud, None)
-        holds = [Duty(n, FencingToken(4), Monotonic(0.0), lambda: True) for n in ("a", "b")]
-        provisioner = Provisioner(cloud, fleet, FencingToken(4), 2.0, second, *holds)
+        duties = [Duty(n, FencingToken(4), Monotonic(0.0), lambda: True) for n in ("a", "b")]
+        provisioner = Provisioner(cloud, fleet, FencingToken(4), 2.0, second, *duties)
         provisioner._request_until_answered = lambda request: asyncio.sleep(0, 0)  # type: ignore[method-assign]
         provisioner.inherit([], monotonic_now(), Wall(5.0))
         assert set(fleet.machines) == {"m-7", "m-8"}
@@ -467,48 +471,48 @@
     asyncio.run(scenario())
 
 
-def test_records_fit_their_values_and_their_number_is_bounded() -> None:
+def test_record_size_and_count_are_bounded() -> None:
     """A mass failure of 300 machines with long names is recorded in values of at most 4 KiB."""
 
     async def scenario() -> None:
-        found, joined = _open(4.0)
+        cloud_log, joined = _build_intent_log(4.0)
         names = [MachineId(f"m-{'x' * 56}{n:06d}") for n in range(300)]
-        left = list(names)
-        while left:
-            task = asyncio.create_task(found.record_release(left))
+        remaining = list(names)
+        while remaining:
+            task = asyncio.create_task(cloud_log.record_release(remaining))
             await asyncio.sleep(0)
             assert len(wire.encode(joined[-1].changes[0]["value"])) <= 4096
             joined[-1].applied(Revision(1))
             _, part = await task
-            left = left[len(part) :]
-        assert [name for part in found.open_releases.values() for name in part] == names
-        assert len(found.open_releases) <= 6
-        rent = asyncio.create_task(found.rent("tr-3-1", Rental(*_KIND, 50)))
+            remaining = remaining[len(part) :]
+        assert [name for part in cloud_log.open_releases.values() for name in part] == names
+        assert len(cloud_log.open_releases) <= 6
+        rent = asyncio.create_task(cloud_log.rent("tr-3-1", Rental(*_KIND, 50)))
         await asyncio.sleep(0)
         joined[-1].applied(Revision(1))
         await rent
-        found.granted("tr-3-1", list(map(str, names[:80])))
+        cloud_log.granted("tr-3-1", list(map(str, names[:80])))
         assert len(wire.encode(joined[-1].changes[0]["value"])) <= 4096
-        assert not found.full
-        found._records.update(
+        assert not cloud_log.full
+        cloud_log._records.update(
             {f"k{n}": cast(Any, None) for n in range(intent_log.MAX_OPEN_RECORDS)}
         )
-        assert found.full
+        assert cloud_log.full
 
     asyncio.run(scenario())
 
 
-def test_a_record_of_a_later_version_is_left_alone() -> None:
-    found, _ = _open()
-    later = {"v": 2, "names": ["m-1"], "at": 0.0, "more": True}
-    good = wire.plain(ReleaseRecord(["m-2"], 1.0))
+def test_record_of_unsupported_version_is_ignored() -> None:
+    cloud_log, _ = _build_intent_log()
+    unsupported = {"v": 2, "names": ["m-1"], "at": 0.0, "more": True}
+    supported = wire.plain(ReleaseRecord(["m-2"], 1.0))
     entries = [
-        wire.Entry(key=CLOUD_PREFIX + "return/1.1", value=later, version=1),
-        wire.Entry(key=CLOUD_PREFIX + "return/1.2", value=good, version=2),
+        wire.Entry(key=CLOUD_PREFIX + "return/1.1", value=unsupported, version=1),
+        wire.Entry(key=CLOUD_PREFIX + "return/1.2", value=supported, version=2),
         wire.Entry(key=CLOUD_PREFIX + "other", value={"v": 1}, version=3),
     ]
-    assert found.read(entries) == []
-    assert list(found.open_releases) == [CLOUD_PREFIX + "return/1.2"]
+    assert cloud_log.read(entries) == []
+    assert list(cloud_log.open_releases) == [CLOUD_PREFIX + "return/1.2"]
 
 
 @given(
@@ -523,12 +527,12 @@
     )
     | st.builds(ReleaseRecord, names=st.lists(st.text(max_size=64)), at=st.floats(0, 1e10))
 )
-def test_records_come_back_as_they_were(record: RentalRecord | ReleaseRecord) -> None:
-    again = wire.decode(wire.encode(wire.plain(record)), dict[str, Any])
-    assert msgspec.convert(again, type(record)) == record
+def test_records_round_trip(record: RentalRecord | ReleaseRecord) -> None:
+    decoded = wire.decode(wire.encode(wire.plain(record)), dict[str, Any])
+    assert msgspec.convert(decoded, type(record)) == record
 
 
-def test_rentals_go_before_bindings_once_they_have_waited() -> None:
+def test_rental_precedes_bindings_after_priority_time() -> None:
     """After a mass failure bindings fill all transactions for seconds.
 
     A rental that waited behind them would delay the boot of the replacements.
@@ -538,7 +542,7 @@
     leadership = Leadership(
         FencingToken(1), Revision(1), LeaseId(1), Monotonic(0.0), Monotonic(9.0)
     )
-    found = WriteBatcher(
+    batcher = WriteBatcher(
         cast(StateClient, store), job_store, leadership, 3, lambda _: None, lambda _: None
     )
     for number in range(5):
@@ -550,37 +554,39 @@
     rent = JoinedWrite(
         {"cloud/rent/tr-1-1": ABSENT}, [put], lambda _: None, lambda _: None, Monotonic(1.0)
     )
-    found.join(rent)
-    early = [c.get("set", "") for c in found._gather(Monotonic(0.5)).changes]
-    late = [c.get("set", "") for c in found._gather(Monotonic(1.0)).changes]
+    batcher.join(rent)
+    early = [c.get("set", "") for c in batcher._gather(Monotonic(0.5)).changes]
+    late = [c.get("set", "") for c in batcher._gather(Monotonic(1.0)).changes]
     assert all(key.startswith("run/") for key in early) and len(early) == 3
     assert late[0] == "cloud/rent/tr-1-1" and len(late) == 3
-    assert fencing.LEADER_KEY in found._fence.guards({})
+    assert fencing.LEADER_KEY in batcher._fence.guards({})
 
 
 @pytest.mark.parametrize("alone", [False, True])
-def test_with_the_state_service_away_only_one_who_is_alone_rents(alone: bool) -> None:
+def test_rental_during_state_service_outage_requires_sole_leader(alone: bool) -> None:
     """Replacements of machines lost just before an outage must not wait for its end.
 
     Only a leader that cannot be replaced during the outage may rent without a committed record.
     """
 
-    class _Granting:
-        asked = 0
+    class _GrantingCloud:
+        request_count = 0
 
         async def rent(self, name: str, *_: Any) -> list[str]:
-            self.asked += 1
+            self.request_count += 1
             return ["m-1", "m-2"]
 
     async def scenario() -> tuple[int, list[JoinedWrite], IntentLog]:
-        found, joined = _open()
+        cloud_log, joined = _build_intent_log()
         fleet = Fleet(JobStore(8.0), FencingToken(3), monotonic_now(), 8.0)
-        holds = [
+        duties = [
             Duty(n, FencingToken(3), Monotonic(0.0), lambda: True, lambda: alone)
             for n in ("a", "b")
         ]
-        cloud = _Granting()
-        provisioner = Provisioner(cast(Cloud, cloud), fleet, FencingToken(3), 2.0, found, *holds)
+        cloud = _GrantingCloud()
+        provisioner = Provisioner(
+            cast(Cloud, cloud), fleet, FencingToken(3), 2.0, cloud_log, *duties
+        )
         provisioner.rent(Rental(*_KIND, 2), monotonic_now())
         await asyncio.sleep(5.0)
         assert (
@@ -593,11 +599,11 @@
         assert not provisioner.has_pending_request(_KIND) and set(fleet.machines) == {"m-1", "m-2"}
         assert joined[1].changes[0]["value"]["names"] == ["m-1", "m-2"]
         provisioner.close()
-        return cloud.asked, joined, found
+        return cloud.request_count, joined, cloud_log
 
     loop = JumpingLoop()
     try:
-        asked, joined, _ = loop.run_until_complete(scenario())
+        request_count, joined, _ = loop.run_until_complete(scenario())
     finally:
         loop.close()
-    assert asked == 1 and len(joined) == 2
+    assert request_count == 1 and len(joined) == 2
--- a/tests/test_falls.py
+++ b/tests/test_falls.py
@@ -31,7 +31,7 @@
 from tests.samples import SETTINGS, recorded_at_once, spec
 
 _BOOT_S, _LEASE_S, _RUN_S = 12, 8.0, 15
-_PLACES = 20
+_SPOT_CAPACITY = 20
 """Spot capacity of the cloud in each of two zones, in machines."""
 _CATALOGUE = {"builds": [{
     "label": "big", "vcpus": 8, "gpus": 0, "memoryGb": 64, "localGb": 50, "fetchGbPerS": 1.0,
@@ -47,8 +47,8 @@
     zone: str
     spot: bool
     up_at: float
-    dead: bool = False
-    taken: bool = False
+    failed: bool = False
+    reclaimed: bool = False
     hung_until: float = 0.0
     renewed_at: float | None = None
     incarnation: int = 1
@@ -59,18 +59,18 @@
     done: set[tuple[str, int]] = field(default_factory=set)
 
 
-class _Cloud(Provisioner):
+class _FakeProvisioner(Provisioner):
     """Grants rentals at once within its capacity; failed machines occupy theirs until released."""
 
-    def __init__(self, world: _World) -> None:
+    def __init__(self, cluster: _Cluster) -> None:
         super().__init__(
-            cast(Cloud, None), world.fleet, FencingToken(world.term), 1.0, *recorded_at_once()
+            cast(Cloud, None), cluster.fleet, FencingToken(cluster.term), 1.0, *recorded_at_once()
         )
-        self._world = world
+        self._cluster = cluster
 
     def rent(self, rental: Rental, now: Monotonic) -> None:
         kind = (rental.type, rental.zone, rental.spot)
-        names = self._world.rent(rental, now)
+        names = self._cluster.rent(rental, now)
         self.capacity_backoff.record_response(kind, rental.count, len(names), now)
         for name in names:
             self._add_rented_machine(name, rental, now)
@@ -78,19 +78,19 @@
             self.granted(Rental(*kind, len(names)))
 
 
-class _World:
+class _Cluster:
     def __init__(self, jobs: int = 5) -> None:
         self.now = 0.0
         self.term = 0
         self.workers: dict[MachineId, _Worker] = {}
-        self.cut: set[str] = set()
+        self.partitioned_zones: set[str] = set()
         self.inbound_partitioned = False
-        self.refuses = False
-        self.one_at_a_time = False
-        self.state_away = False
-        self.made = 0
-        self.submitted = 0
-        self.lists: list[list[wire.ListedMachine]] = [[]]
+        self.cloud_refuses = False
+        self.cloud_grants_one = False
+        self.state_unavailable = False
+        self.rented_count = 0
+        self.submitted_count = 0
+        self.machine_lists: list[list[wire.ListedMachine]] = [[]]
         self.job_store = JobStore(8.0)
         self.elect()
         for _ in range(jobs):
@@ -102,18 +102,18 @@
         """Replace the leader by a new one that has only the jobs and the committed bindings."""
         params = daemon_settings.parse(orjson.dumps(SETTINGS)).params
         self.term += 1
-        former, self.job_store = self.job_store, JobStore(8.0)
+        previous, self.job_store = self.job_store, JobStore(8.0)
         now = Monotonic(self.now)
         self.fleet = Fleet(self.job_store, FencingToken(self.term), now, _LEASE_S)
         bindings = []
-        for job in former.jobs.values():
-            taken = self.job_store.add(job.spec, Wall(self.now), Revision(1))
+        for job in previous.jobs.values():
+            job_copy = self.job_store.add(job.spec, Wall(self.now), Revision(1))
             for chunk in job.chunks.values():
                 if chunk.committed:
-                    value = orjson.loads(orjson.dumps(former.value(chunk)))
-                    bindings += self.job_store.load(taken, chunk.number, value, Revision(1))
+                    value = orjson.loads(orjson.dumps(previous.value(chunk)))
+                    bindings += self.job_store.load(job_copy, chunk.number, value, Revision(1))
         self.fleet.inherit(bindings, now)
-        self.provisioner = _Cloud(self)
+        self.provisioner = _FakeProvisioner(self)
         self.provisioner.set_catalogue(wire.decode(orjson.dumps(_CATALOGUE), wire.Catalogue))
         self.scheduling_loop = SchedulingLoop(
             self.job_store, self.fleet, self.provisioner, Estimates(), params, lambda _: None
@@ -123,8 +123,12 @@
         self.scheduling_loop.diagnosis = lambda: prober.diagnosis
 
     def submit(self) -> None:
-        self.submitted += 1
-        changes: dict[str, Any] = {"id": f"wk-{self.submitted:06d}", "pieces": 20, "vcpus": 4.0}
+        self.submitted_count += 1
+        changes: dict[str, Any] = {
+            "id": f"wk-{self.submitted_count:06d}",
+            "pieces": 20,
+            "vcpus": 4.0,
+        }
         # Without a deadline only waiting tasks and lost capacity demand machines.
         changes.update(guessS=float(_RUN_S), dueS=None, lineup="train", crew="blue")
         self.job_store.add(spec(**changes), Wall(self.now), Revision(1))
@@ -132,35 +136,37 @@
     # -- the cloud ------------------------------------------------------------------------------
 
     def rent(self, rental: Rental, now: Monotonic) -> list[str]:
-        held = [w for w in self.workers.values() if w.zone == rental.zone and not w.taken]
-        places = 0 if self.refuses or not rental.spot else _PLACES - len(held)
-        if self.one_at_a_time:
-            places = min(1, places)
+        occupying = [w for w in self.workers.values() if w.zone == rental.zone and not w.reclaimed]
+        free_capacity = (
+            0 if self.cloud_refuses or not rental.spot else _SPOT_CAPACITY - len(occupying)
+        )
+        if self.cloud_grants_one:
+            free_capacity = min(1, free_capacity)
         names = []
-        for _ in range(min(rental.count, max(0, places))):
-            self.made += 1
-            name = MachineId(f"m-{self.made:06d}")
+        for _ in range(min(rental.count, max(0, free_capacity))):
+            self.rented_count += 1
+            name = MachineId(f"m-{self.rented_count:06d}")
             self.workers[name] = _Worker(name, rental.zone, rental.spot, now + _BOOT_S)
             names.append(str(name))
         return names
 
-    def _list(self) -> None:
-        self.lists.append(
+    def _list_machines(self) -> None:
+        self.machine_lists.append(
             [
                 wire.ListedMachine(
                     id=str(w.name), addr="127.0.0.1:9000", type="big", zone=w.zone,
                     spot=w.spot,
                     state="starting" if self.now < w.up_at else "running",
                 )
-                for w in self.workers.values() if not w.taken
+                for w in self.workers.values() if not w.reclaimed
             ]
         )  # fmt: skip
         if int(self.now) % 3 == 0:
             self.provisioner.apply_list(
-                self.lists[max(0, len(self.lists) - 3)], Monotonic(self.now)
+                self.machine_lists[max(0, len(self.machine_lists) - 3)], Monotonic(self.now)
             )
 
-    def _releases(self) -> None:
+    def _release_machines(self) -> None:
         for machine in [m for m in self.fleet.machines.values() if m.releasing]:
             self.workers.pop(machine.id, None)
             self.provisioner._on_machine_terminated(machine)
@@ -168,12 +174,12 @@
 
     # -- workers --------------------------------------------------------------------------------
 
-    def _runs(self, worker: _Worker) -> None:
+    def _finish_tasks(self, worker: _Worker) -> None:
         for key in [k for k, end in worker.tasks.items() if end <= self.now]:
             del worker.tasks[key]
             worker.done.add(key)
 
-    def _lapses(self, worker: _Worker) -> None:
+    def _expire_lease(self, worker: _Worker) -> None:
         since = worker.renewed_at if worker.renewed_at is not None else worker.up_at
         if self.now - since > _LEASE_S:
             worker.tasks.clear()
@@ -184,7 +190,7 @@
                 self.now,
             )
 
-    def _reports(self, worker: _Worker) -> None:
+    def _send_heartbeat(self, worker: _Worker) -> None:
         worker.sequence += 1
         lines = [
             wire.TaskStatus(task=task, attempt=attempt, state=state, why=why)  # type: ignore[arg-type]
@@ -194,35 +200,36 @@
             )
             for task, attempt in keys
         ]
-        heard = wire.Heartbeat(
+        heartbeat = wire.Heartbeat(
             machine=str(worker.name), addr="127.0.0.1:9000", type="big", zone=worker.zone,
             spot=worker.spot, incarnation=worker.incarnation, sequence=worker.sequence,
             token=worker.token, tasks=lines,
         )  # fmt: skip
         now = Monotonic(self.now)
-        commands = self.fleet.heartbeats.process(heard, worker.name, now, Wall(self.now))
+        commands = self.fleet.heartbeats.process(heartbeat, worker.name, now, Wall(self.now))
         if commands is None:
             return
         worker.renewed_at, worker.token = self.now, self.term
         for command in commands:
             key = (str(command["piece"]), int(cast(int, command["try"])))
             if command["verb"] == "run" and key not in worker.tasks and key not in worker.done:
-                self._starts(worker, key)
+                self._start_task(worker, key)
             elif command["verb"] == "halt":
                 worker.tasks.pop(key, None)
             elif command["verb"] == "clear":
                 worker.done.discard(key)
 
-    def _starts(self, worker: _Worker, key: tuple[str, int]) -> None:
+    def _start_task(self, worker: _Worker, key: tuple[str, int]) -> None:
         for other in self.workers.values():
-            if other is not worker and not other.dead and not other.taken:
+            if other is not worker and not other.failed and not other.reclaimed:
                 assert all(task != key[0] for task, _ in other.tasks), f"{key[0]} runs twice"
         worker.tasks[key] = self.now + _RUN_S
 
-    def heard(self, worker: _Worker) -> bool:
+    def is_reachable(self, worker: _Worker) -> bool:
         return not (
-            worker.dead or worker.taken or self.now < worker.up_at or self.now < worker.hung_until
-            or worker.zone in self.cut or self.inbound_partitioned
+            worker.failed or worker.reclaimed
+            or self.now < worker.up_at or self.now < worker.hung_until
+            or worker.zone in self.partitioned_zones or self.inbound_partitioned
         )  # fmt: skip
 
     # -- time -----------------------------------------------------------------------------------
@@ -230,31 +237,32 @@
     def step(self) -> None:
         self.now += 1.0
         for worker in list(self.workers.values()):
-            if worker.dead or worker.taken or self.now < worker.up_at:
+            if worker.failed or worker.reclaimed or self.now < worker.up_at:
                 continue
             # A machine that hangs past its lease does not resume its tasks.
-            self._lapses(worker)
+            self._expire_lease(worker)
             if self.now >= worker.hung_until:
-                self._runs(worker)
-            if self.heard(worker):
-                self._reports(worker)
+                self._finish_tasks(worker)
+            if self.is_reachable(worker):
+                self._send_heartbeat(worker)
         now = Monotonic(self.now)
         self.fleet.leases.expire_leases(now)
         for machine in self.prober.evaluate(now):
-            there = self.workers.get(machine.id)
-            reached = there is not None and not (
-                there.dead or there.taken or self.inbound_partitioned
+            target = self.workers.get(machine.id)
+            reached = target is not None and not (
+                target.failed or target.reclaimed or self.inbound_partitioned
             )
             self.prober.record_probe(
-                machine, reached and there is not None and there.zone not in self.cut
+                machine,
+                reached and target is not None and target.zone not in self.partitioned_zones,
             )
-        self._list()
+        self._list_machines()
         self.scheduling_loop.run(now, Wall(self.now))
-        self._commits()
-        self._releases()
+        self._commit()
+        self._release_machines()
 
-    def _commits(self) -> None:
-        if self.state_away:
+    def _commit(self) -> None:
+        if self.state_unavailable:
             return
         for chunk in [*self.job_store.urgent_chunks, *self.job_store.deferred_chunks]:
             chunk.committed, chunk.new_bindings = chunk.version, 0
@@ -265,261 +273,265 @@
                 self.job_store.ended(job)
                 self.submit()
 
-    def play(self, seconds: int) -> int:
-        """Run for some seconds and return the maximum of `used` in the last 20 s.
+    def run(self, seconds: int) -> int:
+        """Run for some seconds and return the maximum of `running_tasks` in the last 20 s.
 
         The maximum, because jobs come and go in waves.
         """
-        used = [0]
+        running_tasks = [0]
         for _ in range(seconds):
             self.step()
-            used.append(self.used())
-        return max(used[-20:])
+            running_tasks.append(self.running_tasks())
+        return max(running_tasks[-20:])
 
     # -- observation ----------------------------------------------------------------------------
 
-    def standing(self) -> list[_Worker]:
+    def surviving(self) -> list[_Worker]:
         """Return the machines that run or boot, including hung and partitioned ones."""
-        return [w for w in self.workers.values() if not w.dead and not w.taken]
+        return [w for w in self.workers.values() if not w.failed and not w.reclaimed]
 
-    def used(self) -> int:
+    def running_tasks(self) -> int:
         """Return the number of tasks on machines whose heartbeats arrive."""
-        return sum(len(w.tasks) for w in self.workers.values() if self.heard(w))
+        return sum(len(w.tasks) for w in self.workers.values() if self.is_reachable(w))
 
-    def up(self) -> list[_Worker]:
-        return sorted((w for w in self.workers.values() if self.heard(w)), key=lambda w: w.name)
+    def reachable_workers(self) -> list[_Worker]:
+        return sorted(
+            (w for w in self.workers.values() if self.is_reachable(w)), key=lambda w: w.name
+        )
 
 
-def _settled() -> _World:
-    world = _World()
-    assert world.play(60) >= 50
-    return world
+def _steady_cluster() -> _Cluster:
+    cluster = _Cluster()
+    assert cluster.run(60) >= 50
+    return cluster
 
 
-def test_deaths_are_replaced_a_lease_and_a_boot_later() -> None:
+def test_failed_machines_are_replaced_within_lease_and_boot() -> None:
     """The release must come before the rental: failed machines occupy capacity until released."""
-    world = _settled()
-    used, most = world.used(), len(world.standing())
-    for worker in world.up()[::2]:
-        worker.dead = True
-    world.play(int(_LEASE_S) + _BOOT_S + 6)
-    assert len(world.standing()) >= 0.9 * most
-    assert world.play(10) >= 0.9 * used
-
-
-def test_machines_taken_without_notice_are_replaced_before_their_leases_end() -> None:
-    world = _settled()
-    most = len(world.standing())
-    for worker in world.up()[::2]:
-        worker.taken = True
-    world.play(6)
+    cluster = _steady_cluster()
+    running_tasks, machine_count = cluster.running_tasks(), len(cluster.surviving())
+    for worker in cluster.reachable_workers()[::2]:
+        worker.failed = True
+    cluster.run(int(_LEASE_S) + _BOOT_S + 6)
+    assert len(cluster.surviving()) >= 0.9 * machine_count
+    assert cluster.run(10) >= 0.9 * running_tasks
+
+
+def test_reclaimed_machines_are_replaced_before_lease_expiry() -> None:
+    cluster = _steady_cluster()
+    machine_count = len(cluster.surviving())
+    for worker in cluster.reachable_workers()[::2]:
+        worker.reclaimed = True
+    cluster.run(6)
     # Diagnosed after missed heartbeats and two failed connection attempts, before leases expire.
-    assert not any(m.lease_expired for m in world.fleet.machines.values())
-    assert len(world.standing()) >= 0.9 * most
+    assert not any(m.lease_expired for m in cluster.fleet.machines.values())
+    assert len(cluster.surviving()) >= 0.9 * machine_count
 
 
 @pytest.mark.parametrize("hang_s", [_LEASE_S - 1, _LEASE_S + 1, _LEASE_S + 3])
-def test_replacements_for_machines_that_hang_are_not_rented(hang_s: float) -> None:
-    world = _settled()
-    made = world.made
-    for worker in world.up()[::2]:
-        worker.hung_until = world.now + hang_s
-    world.play(int(hang_s) + 10)
-    assert world.made - made <= 2
-    assert not any(m.releasing for m in world.fleet.machines.values())
-
-
-def test_nothing_is_rented_in_a_zone_that_is_cut_off_nor_returned_from_it() -> None:
-    world = _settled()
-    names = {w.name for w in world.workers.values() if w.zone == "south"}
+def test_hung_machines_are_not_replaced(hang_s: float) -> None:
+    cluster = _steady_cluster()
+    rented_count = cluster.rented_count
+    for worker in cluster.reachable_workers()[::2]:
+        worker.hung_until = cluster.now + hang_s
+    cluster.run(int(hang_s) + 10)
+    assert cluster.rented_count - rented_count <= 2
+    assert not any(m.releasing for m in cluster.fleet.machines.values())
+
+
+def test_no_rental_or_release_in_partitioned_zone() -> None:
+    cluster = _steady_cluster()
+    names = {w.name for w in cluster.workers.values() if w.zone == "south"}
     assert len(names) >= 5
-    world.cut = {"south"}
-    world.play(40)
-    now_there = {w.name for w in world.workers.values() if w.zone == "south"}
+    cluster.partitioned_zones = {"south"}
+    cluster.run(40)
+    current_names = {w.name for w in cluster.workers.values() if w.zone == "south"}
     # Machines requested before the partition was detected may still come.
-    assert names <= now_there and len(now_there) <= len(names) + 2
-    world.cut = set()
-    assert world.play(10) >= 50
+    assert names <= current_names and len(current_names) <= len(names) + 2
+    cluster.partitioned_zones = set()
+    assert cluster.run(10) >= 50
 
 
-def test_a_leader_elected_in_a_cut_does_not_return_the_machines_behind_it() -> None:
+def test_new_leader_does_not_release_machines_behind_partition() -> None:
     """It has had no heartbeat from them, so they look like machines that never booted."""
-    world = _settled()
-    names = {w.name for w in world.workers.values() if w.zone == "south"}
-    world.cut = {"south"}
-    world.play(3)
-    world.elect()
-    world.play(5 * _BOOT_S)
-    assert names <= set(world.workers)
-
-
-def test_a_leader_that_hears_nobody_rents_and_returns_nothing() -> None:
-    world = _settled()
-    made, names = world.made, set(world.workers)
-    world.inbound_partitioned = True
-    world.play(20)
-    assert world.made - made <= 2 and names <= set(world.workers)
-    assert world.prober.diagnosis.inbound_partitioned
-
-
-def test_a_fall_of_all_kinds_at_once_with_a_takeover_in_its_middle() -> None:
-    world = _settled()
-    used = world.used()
-    up = world.up()
-    for number, worker in enumerate(up):
+    cluster = _steady_cluster()
+    names = {w.name for w in cluster.workers.values() if w.zone == "south"}
+    cluster.partitioned_zones = {"south"}
+    cluster.run(3)
+    cluster.elect()
+    cluster.run(5 * _BOOT_S)
+    assert names <= set(cluster.workers)
+
+
+def test_leader_without_heartbeats_rents_and_releases_nothing() -> None:
+    cluster = _steady_cluster()
+    rented_count, names = cluster.rented_count, set(cluster.workers)
+    cluster.inbound_partitioned = True
+    cluster.run(20)
+    assert cluster.rented_count - rented_count <= 2 and names <= set(cluster.workers)
+    assert cluster.prober.diagnosis.inbound_partitioned
+
+
+def test_failover_during_mixed_mass_failure() -> None:
+    cluster = _steady_cluster()
+    running_tasks = cluster.running_tasks()
+    reachable_workers = cluster.reachable_workers()
+    for number, worker in enumerate(reachable_workers):
         if number % 4 == 0:
-            worker.dead = True
+            worker.failed = True
         elif number % 4 == 1:
-            worker.hung_until = world.now + _LEASE_S + 2
+            worker.hung_until = cluster.now + _LEASE_S + 2
         elif number % 4 == 2:
-            worker.taken = True
-    world.play(4)
-    world.elect()
-    assert world.play(int(2 * _LEASE_S) + 2 * _BOOT_S + 15) >= 0.9 * used
-
-
-def test_places_that_the_cloud_gives_again_are_taken_soon() -> None:
-    world = _settled()
-    used, most = world.used(), len(world.standing())
-    world.refuses = True
-    for worker in world.up()[::2]:
-        worker.taken = True
-    world.play(30)
-    assert len(world.standing()) <= most // 2 + 1
-    world.refuses = False
+            worker.reclaimed = True
+    cluster.run(4)
+    cluster.elect()
+    assert cluster.run(int(2 * _LEASE_S) + 2 * _BOOT_S + 15) >= 0.9 * running_tasks
+
+
+def test_capacity_is_restored_after_refusals_end() -> None:
+    cluster = _steady_cluster()
+    running_tasks, machine_count = cluster.running_tasks(), len(cluster.surviving())
+    cluster.cloud_refuses = True
+    for worker in cluster.reachable_workers()[::2]:
+        worker.reclaimed = True
+    cluster.run(30)
+    assert len(cluster.surviving()) <= machine_count // 2 + 1
+    cluster.cloud_refuses = False
     # The maximum back-off between two rental requests, and a boot.
-    assert world.play(40 + _BOOT_S + 5) >= 0.9 * used
+    assert cluster.run(40 + _BOOT_S + 5) >= 0.9 * running_tasks
 
 
-def test_without_a_verdict_deaths_are_not_replaced(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_failed_machines_are_not_replaced_without_diagnosis(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     """Shows that the tests above depend on the diagnosis: without it the fleet stays small."""
     monkeypatch.setattr(failure_detector, "_suspect", lambda *_: Suspicion.UNDETERMINED)
-    world = _World(jobs=8)
-    world.play(60)
-    most = len(world.standing())
-    for worker in world.up()[::2]:
-        worker.dead = True
-    world.play(int(_LEASE_S) + _BOOT_S + 6)
-    assert len(world.standing()) < 0.9 * most
+    cluster = _Cluster(jobs=8)
+    cluster.run(60)
+    machine_count = len(cluster.surviving())
+    for worker in cluster.reachable_workers()[::2]:
+        worker.failed = True
+    cluster.run(int(_LEASE_S) + _BOOT_S + 6)
+    assert len(cluster.surviving()) < 0.9 * machine_count
 
 
-def test_a_new_leader_hears_its_machines_before_it_rents() -> None:
+def test_new_leader_awaits_heartbeats_before_renting() -> None:
     """Machines without a heartbeat in the new term seem to have no free capacity.
 
     A leader that rents before their first heartbeats rents machines that are not needed: it rented
     116 in the first second of a term.
     """
-    world = _settled()
-    made = world.made
-    world.refuses = False
-    for worker in world.up():
+    cluster = _steady_cluster()
+    rented_count = cluster.rented_count
+    cluster.cloud_refuses = False
+    for worker in cluster.reachable_workers():
         # The workers still wait for a response of the former leader.
-        worker.hung_until = world.now + 2.5
-    world.elect()
+        worker.hung_until = cluster.now + 2.5
+    cluster.elect()
     for _ in range(3):
-        world.submit()
-    world.play(2)
-    assert world.made == made
-    world.play(4)
-    assert world.scheduling_loop.autoscaler._fleet_contacted
+        cluster.submit()
+    cluster.run(2)
+    assert cluster.rented_count == rented_count
+    cluster.run(4)
+    assert cluster.scheduling_loop.autoscaler._fleet_contacted
 
 
-def _fall(world: _World, kind: str) -> None:
+def _inject_failure(cluster: _Cluster, kind: str) -> None:
     """Fail or hang half of the machines, or partition a zone or the leader."""
-    for worker in world.up()[::2]:
+    for worker in cluster.reachable_workers()[::2]:
         if kind == "dead":
-            worker.dead = True
+            worker.failed = True
         elif kind == "taken":
-            worker.taken = True
+            worker.reclaimed = True
         elif kind == "hung":
-            worker.hung_until = world.now + _LEASE_S + 2
+            worker.hung_until = cluster.now + _LEASE_S + 2
     if kind == "cut":
-        world.cut = {"south"}
+        cluster.partitioned_zones = {"south"}
     elif kind == "deaf":
-        world.inbound_partitioned = True
+        cluster.inbound_partitioned = True
 
 
-def _heal(world: _World) -> None:
-    world.cut, world.inbound_partitioned = set(), False
+def _end_partitions(cluster: _Cluster) -> None:
+    cluster.partitioned_zones, cluster.inbound_partitioned = set(), False
 
 
-_KINDS = ["dead", "taken", "hung", "cut", "deaf"]
+_FAILURES = ["dead", "taken", "hung", "cut", "deaf"]
 
 
-@pytest.mark.parametrize("kind", _KINDS)
-def test_a_takeover_in_the_middle_of_a_fall(kind: str) -> None:
-    world = _settled()
-    used, names = world.used(), {w.name for w in world.workers.values()}
-    _fall(world, kind)
-    world.play(5)
-    world.elect()
-    world.play(12)
+@pytest.mark.parametrize("kind", _FAILURES)
+def test_failover_during_mass_failure(kind: str) -> None:
+    cluster = _steady_cluster()
+    running_tasks, names = cluster.running_tasks(), {w.name for w in cluster.workers.values()}
+    _inject_failure(cluster, kind)
+    cluster.run(5)
+    cluster.elect()
+    cluster.run(12)
     if kind not in ("dead", "taken"):
-        assert names <= set(world.workers), "machines that will recover must not be released"
-    _heal(world)
-    assert world.play(2 * int(_LEASE_S) + 2 * _BOOT_S + 20) >= 0.9 * used
+        assert names <= set(cluster.workers), "machines that will recover must not be released"
+    _end_partitions(cluster)
+    assert cluster.run(2 * int(_LEASE_S) + 2 * _BOOT_S + 20) >= 0.9 * running_tasks
 
 
-@pytest.mark.parametrize("kind", _KINDS)
-def test_a_fall_in_the_middle_of_a_takeover(kind: str) -> None:
-    world = _settled()
-    used = world.used()
-    world.elect()
-    world.play(1)
-    _fall(world, kind)
-    world.play(12)
-    _heal(world)
-    assert world.play(2 * int(_LEASE_S) + 2 * _BOOT_S + 20) >= 0.9 * used
+@pytest.mark.parametrize("kind", _FAILURES)
+def test_mass_failure_during_failover(kind: str) -> None:
+    cluster = _steady_cluster()
+    running_tasks = cluster.running_tasks()
+    cluster.elect()
+    cluster.run(1)
+    _inject_failure(cluster, kind)
+    cluster.run(12)
+    _end_partitions(cluster)
+    assert cluster.run(2 * int(_LEASE_S) + 2 * _BOOT_S + 20) >= 0.9 * running_tasks
 
 
-@pytest.mark.parametrize("kind", _KINDS)
-def test_a_fall_while_the_state_service_is_away(kind: str) -> None:
+@pytest.mark.parametrize("kind", _FAILURES)
+def test_mass_failure_during_state_service_outage(kind: str) -> None:
     """Bindings can't be committed, but replacements are rented, and no task runs twice."""
-    world = _settled()
-    used = world.used()
-    world.state_away = True
-    _fall(world, kind)
-    world.play(14)
+    cluster = _steady_cluster()
+    running_tasks = cluster.running_tasks()
+    cluster.state_unavailable = True
+    _inject_failure(cluster, kind)
+    cluster.run(14)
     if kind == "taken":
-        assert len(world.standing()) >= 0.9 * 2 * _PLACES
-    world.state_away = False
-    _heal(world)
-    assert world.play(2 * int(_LEASE_S) + 2 * _BOOT_S + 20) >= 0.9 * used
+        assert len(cluster.surviving()) >= 0.9 * 2 * _SPOT_CAPACITY
+    cluster.state_unavailable = False
+    _end_partitions(cluster)
+    assert cluster.run(2 * int(_LEASE_S) + 2 * _BOOT_S + 20) >= 0.9 * running_tasks
 
 
-def test_machines_that_come_back_again_and_again_are_not_replaced() -> None:
-    world = _settled()
-    made = world.made
-    chosen = world.up()[::2]
+def test_repeatedly_recovering_machines_are_not_replaced() -> None:
+    cluster = _steady_cluster()
+    rented_count = cluster.rented_count
+    chosen = cluster.reachable_workers()[::2]
     for _ in range(4):
         for worker in chosen:
-            worker.hung_until = world.now + _LEASE_S + 2
-        world.play(int(_LEASE_S) + 8)
-    assert world.made - made <= 4
-    assert {w.name for w in chosen} <= set(world.workers)
-
-
-def test_a_cloud_that_gives_one_machine_at_a_time_is_asked_on() -> None:
-    world = _settled()
-    most = len(world.standing())
-    world.one_at_a_time = True
-    for worker in world.up()[: most // 4]:
-        worker.taken = True
+            worker.hung_until = cluster.now + _LEASE_S + 2
+        cluster.run(int(_LEASE_S) + 8)
+    assert cluster.rented_count - rented_count <= 4
+    assert {w.name for w in chosen} <= set(cluster.workers)
+
+
+def test_rental_continues_after_partial_grants() -> None:
+    cluster = _steady_cluster()
+    machine_count = len(cluster.surviving())
+    cluster.cloud_grants_one = True
+    for worker in cluster.reachable_workers()[: machine_count // 4]:
+        worker.reclaimed = True
     # After a partial grant the next request follows 5 s later, in each of two zones.
-    world.play(8 + 5 * (most // 8) + 5)
-    assert len(world.standing()) >= 0.9 * most
+    cluster.run(8 + 5 * (machine_count // 8) + 5)
+    assert len(cluster.surviving()) >= 0.9 * machine_count
 
 
-def test_a_machine_that_runs_and_is_never_heard_goes_back() -> None:
+def test_machine_without_first_heartbeat_is_released() -> None:
     """It accepts connections, so only the missing first heartbeat reveals the fault."""
-    world = _settled()
-    worker = world.up()[0]
+    cluster = _steady_cluster()
+    worker = cluster.reachable_workers()[0]
     worker.hung_until = 1e9
-    world.elect()
-    world.play(3 * _BOOT_S)
-    assert worker.name in world.workers
-    world.play(_BOOT_S + 4)
-    assert worker.name not in world.workers
+    cluster.elect()
+    cluster.run(3 * _BOOT_S)
+    assert worker.name in cluster.workers
+    cluster.run(_BOOT_S + 4)
+    assert worker.name not in cluster.workers
 
 
 _EVENT = st.tuples(
@@ -531,65 +543,69 @@
 
 @settings(max_examples=12)
 @given(st.lists(_EVENT, min_size=1, max_size=6))
-def test_generated_falls(events: list[tuple[str, int, int]]) -> None:
+def test_generated_mass_failures(events: list[tuple[str, int, int]]) -> None:
     """No task runs twice, the fleet size is bounded, and capacity recovers after the last fault."""
-    world = _settled()
-    used, most = world.used(), len(world.standing())
-    back: list[tuple[float, Callable[[], None]]] = []
+    cluster = _steady_cluster()
+    running_tasks, machine_count = cluster.running_tasks(), len(cluster.surviving())
+    recoveries: list[tuple[float, Callable[[], None]]] = []
 
-    def later(seconds: float, undo: Callable[[], None]) -> None:
-        back.append((world.now + seconds, undo))
+    def schedule_recovery(seconds: float, recover: Callable[[], None]) -> None:
+        recoveries.append((cluster.now + seconds, recover))
 
-    def steps(seconds: int) -> None:
+    def run_checked(seconds: int) -> None:
         for _ in range(seconds):
-            for due in [entry for entry in back if entry[0] <= world.now]:
-                back.remove(due)
+            for due in [entry for entry in recoveries if entry[0] <= cluster.now]:
+                recoveries.remove(due)
                 due[1]()
-            world.step()
+            cluster.step()
             # The fleet without failed machines may be as large as before, plus a replacement for
             # each silent machine that may still recover.
-            silent = sum(not world.heard(w) and w.up_at <= world.now for w in world.standing())
-            assert len(world.standing()) <= 1.25 * most + silent + 4
+            silent = sum(
+                not cluster.is_reachable(w) and w.up_at <= cluster.now for w in cluster.surviving()
+            )
+            assert len(cluster.surviving()) <= 1.25 * machine_count + silent + 4
 
     for kind, count, seconds in events:
-        chosen = world.up()[:count]
+        chosen = cluster.reachable_workers()[:count]
         for worker in chosen:
             if kind == "dead":
-                worker.dead = True
+                worker.failed = True
             elif kind == "taken":
-                worker.taken = True
+                worker.reclaimed = True
             elif kind == "hung":
-                worker.hung_until = world.now + seconds
+                worker.hung_until = cluster.now + seconds
         if kind == "cut":
-            world.cut.add("south")
-            later(seconds, world.cut.clear)
+            cluster.partitioned_zones.add("south")
+            schedule_recovery(seconds, cluster.partitioned_zones.clear)
         elif kind == "deaf":
-            world.inbound_partitioned = True
-            later(min(seconds, 15), lambda: setattr(world, "inbound_partitioned", False))
+            cluster.inbound_partitioned = True
+            schedule_recovery(
+                min(seconds, 15), lambda: setattr(cluster, "inbound_partitioned", False)
+            )
         elif kind == "refuses":
-            world.refuses = True
-            later(seconds, lambda: setattr(world, "refuses", False))
+            cluster.cloud_refuses = True
+            schedule_recovery(seconds, lambda: setattr(cluster, "cloud_refuses", False))
         elif kind == "elect":
-            world.elect()
-        steps(seconds // 2)
-    steps(25)
-    assert world.play(2 * _BOOT_S + 60) >= 0.8 * used
+            cluster.elect()
+        run_checked(seconds // 2)
+    run_checked(25)
+    assert cluster.run(2 * _BOOT_S + 60) >= 0.8 * running_tasks
 
 
-def test_machines_are_not_returned_in_the_moment_in_which_a_cut_ends() -> None:
+def test_end_of_partition_releases_no_machines() -> None:
     """The end of a partition must not make its silent machines look gone.
 
     Connection attempts failed during the partition. Once the first machines of the zone are heard
     again, the others seem to be the only unreachable ones.
     """
-    world = _settled()
-    names = {w.name for w in world.workers.values() if w.zone == "south"}
-    world.cut = {"south"}
-    world.play(int(_LEASE_S) + 6)
-    silent = [w for w in world.workers.values() if w.zone == "south"][2:]
-    world.cut = set()
+    cluster = _steady_cluster()
+    names = {w.name for w in cluster.workers.values() if w.zone == "south"}
+    cluster.partitioned_zones = {"south"}
+    cluster.run(int(_LEASE_S) + 6)
+    silent = [w for w in cluster.workers.values() if w.zone == "south"][2:]
+    cluster.partitioned_zones = set()
     for worker in silent:
-        worker.hung_until = world.now + 1.5
-    world.play(4)
-    assert names <= set(world.workers)
-    assert not any(m.releasing for m in world.fleet.machines.values())
+        worker.hung_until = cluster.now + 1.5
+    cluster.run(4)
+    assert names <= set(cluster.workers)
+    assert not any(m.releasing for m in cluster.fleet.machines.values())
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -40,8 +40,8 @@
 from tests.test_records import Store
 
 _SOCKETS = 300
-_WAVE = 50
-_JOBS = 4
+_WAVE_SIZE = 50
+_JOBS_PER_MACHINE = 4
 """Jobs per machine, of one task each."""
 
 
@@ -55,29 +55,29 @@
         return self.leadership
 
 
-class _Orders(web.RequestHandler):
-    def initialize(self, world: _World) -> None:
-        self.world = world
+class _OrdersHandler(web.RequestHandler):
+    def initialize(self, cluster: _Cluster) -> None:
+        self.cluster = cluster
 
     def post(self) -> None:
         message = orjson.loads(self.request.body)
         name = f"m-{self.request.host.split(':')[0]}"
-        tasks = self.world.tasks[name]
+        tasks = self.cluster.tasks[name]
         tasks.update({(o["piece"], o["try"]): "running" for o in message["orders"]})
-        self.finish(orjson.dumps(self.world.report(name)))
+        self.finish(orjson.dumps(self.cluster.report(name)))
 
 
 class _Server(httpserver.HTTPServer):
     def __init__(self, application: web.Application) -> None:
         super().__init__(application)
-        self.open = self.most_open = 0
+        self.open = self.max_open = 0
 
     def start_request(self, server_conn: object, request_conn: Any) -> Any:
         return super().start_request(server_conn, request_conn)
 
     def handle_stream(self, stream: Any, address: Any) -> None:
         self.open += 1
-        self.most_open = max(self.most_open, self.open)
+        self.max_open = max(self.max_open, self.open)
         super().handle_stream(stream, address)
 
     def on_close(self, server_conn: object) -> None:
@@ -85,7 +85,7 @@
         self.open -= 1
 
 
-class _World:
+class _Cluster:
     def __init__(self) -> None:
         values = {**SETTINGS, "params": {**SETTINGS["params"], "quota": {"fd_limit": _SOCKETS}}}
         self.settings = settings.parse(orjson.dumps(values))
@@ -109,25 +109,25 @@
         self.leader.provisioner.set_catalogue(catalogue)
         self.leader.provisioner.rent = lambda *_: None  # type: ignore[method-assign]
         self.tasks: dict[str, dict[tuple[str, int], str]] = {}
-        self.seqs: dict[str, int] = {}
+        self.sequences: dict[str, int] = {}
         self.machines = self.jobs = 0
-        self.server = _Server(web.Application([("/orders", _Orders, {"world": self})]))
+        self.server = _Server(web.Application([("/orders", _OrdersHandler, {"cluster": self})]))
         sockets = netutil.bind_sockets(0, "0.0.0.0")
         self.port = sockets[0].getsockname()[1]
         self.server.add_sockets(sockets)
 
     def report(self, name: str) -> dict[str, Any]:
-        self.seqs[name] += 1
+        self.sequences[name] += 1
         lines = [
             (task, attempt, state, "done" if state == "ended" else None)
             for (task, attempt), state in self.tasks[name].items()
         ]
-        said = report(name, 1, self.seqs[name], 1, lines)
-        return {**wire.plain(said), "addr": f"{name[2:]}:{self.port}"}
+        heartbeat = report(name, 1, self.sequences[name], 1, lines)
+        return {**wire.plain(heartbeat), "addr": f"{name[2:]}:{self.port}"}
 
-    def beat(self, name: str) -> None:
-        heard = wire.decode(orjson.dumps(self.report(name)), wire.Heartbeat)
-        for order in self.leader.report(heard, MachineId(name), monotonic_now()) or []:
+    def send_heartbeat(self, name: str) -> None:
+        heartbeat = wire.decode(orjson.dumps(self.report(name)), wire.Heartbeat)
+        for order in self.leader.report(heartbeat, MachineId(name), monotonic_now()) or []:
             if order["verb"] == wire.FORGET:
                 self.tasks[name].pop((str(order["piece"]), cast(int, order["try"])))
 
@@ -137,20 +137,20 @@
         ).changes:
             await self.leader.write_batcher._commit(batch)
 
-    async def wave(self) -> None:
+    async def run_wave(self) -> None:
         """Rent machines, run jobs on them, and release them."""
         names = []
-        for _ in range(_WAVE):
+        for _ in range(_WAVE_SIZE):
             self.machines += 1
             number = self.machines
             name = f"m-127.{1 + number // 62500}.{number // 250 % 250}.{1 + number % 250}"
             names.append(name)
-            self.tasks[name], self.seqs[name] = {}, 0
+            self.tasks[name], self.sequences[name] = {}, 0
             self.leader.provisioner._add_rented_machine(
                 name, Rental("big", "north", False, 1), monotonic_now()
             )
-            self.beat(name)
-        for _ in range(_WAVE * _JOBS):
+            self.send_heartbeat(name)
+        for _ in range(_WAVE_SIZE * _JOBS_PER_MACHINE):
             self.jobs += 1
             job = spec(id=f"wk-{self.jobs}", pieces=1, dueS=None)
             self.store.execute([], [wire.put(job_key(job.id), {"spec": wire.plain(job), "at": 0})])  # type: ignore[arg-type]
@@ -165,79 +165,79 @@
         while self.leader.direct_commands._tasks:
             await asyncio.gather(*self.leader.direct_commands._tasks.values())
         for name in names:
-            assert len(self.tasks[name]) == _JOBS
+            assert len(self.tasks[name]) == _JOBS_PER_MACHINE
             self.tasks[name] = dict.fromkeys(self.tasks[name], "ended")
-            self.beat(name)
+            self.send_heartbeat(name)
         await self.commit_all()
         for name in names:
-            self.beat(name)
+            self.send_heartbeat(name)
             assert not self.tasks[name]
             self.leader.fleet.released(MachineId(name), monotonic_now())
-            del self.tasks[name], self.seqs[name]
+            del self.tasks[name], self.sequences[name]
         self.store.keys = {LEADER_KEY: ({}, 1)}
         self.leader.fleet.prune_terminated(Monotonic(monotonic_now() + 1000.0))
 
 
-def test_a_long_term_keeps_nothing_of_machines_and_jobs_that_are_gone() -> None:
+def test_long_term_retains_nothing_of_past_machines_and_jobs() -> None:
     async def scenario() -> None:
-        world = _World()
+        cluster = _Cluster()
         for _ in range(4):
-            await world.wave()
+            await cluster.run_wave()
         gc.collect()
         before = len(gc.get_objects())
-        while world.machines < 5000:
-            await world.wave()
-            assert len(world.leader._connections) == 0
-        assert world.jobs == 20_000
+        while cluster.machines < 5000:
+            await cluster.run_wave()
+            assert len(cluster.leader._connections) == 0
+        assert cluster.jobs == 20_000
         await asyncio.sleep(0.2)
         gc.collect()
-        assert not world.leader.job_store.jobs and not world.leader.fleet.machines
+        assert not cluster.leader.job_store.jobs and not cluster.leader.fleet.machines
         assert len(gc.get_objects()) < before + 1000
         assert len(asyncio.all_tasks()) <= 2
         # Connections are closed with their machines; the server notices this a moment later.
-        assert world.server.most_open <= 3 * _WAVE
+        assert cluster.server.max_open <= 3 * _WAVE_SIZE
 
     asyncio.run(scenario())
 
 
-def test_connections_for_commands_leave_room_for_reports() -> None:
+def test_command_connections_stay_within_limit() -> None:
     """With more machines than spare sockets, all commands are delivered within the limit."""
 
     async def scenario() -> None:
-        open_now = most = served = 0
+        open_now = max_open = served = 0
 
-        class Count(web.RequestHandler):
+        class CountingHandler(web.RequestHandler):
             async def post(self) -> None:
                 nonlocal served
                 served += 1
                 await asyncio.sleep(0.01)
 
-        server = _Server(web.Application([("/orders", Count)]))
+        server = _Server(web.Application([("/orders", CountingHandler)]))
         sockets = netutil.bind_sockets(0, "127.0.0.1")
         server.add_sockets(sockets)
         port = sockets[0].getsockname()[1]
-        lines = ConnectionPool(200, lambda: 90)
+        pool = ConnectionPool(200, lambda: 90)
 
         async def command(number: int) -> None:
-            nonlocal open_now, most
-            async with lines:
+            nonlocal open_now, max_open
+            async with pool:
                 open_now += 1
-                most = max(most, open_now)
+                max_open = max(max_open, open_now)
                 machine = MachineId(f"m-{number}")
-                await lines.request(machine, f"127.0.0.1:{port}", "/orders", b"{}", 30.0)
+                await pool.request(machine, f"127.0.0.1:{port}", "/orders", b"{}", 30.0)
                 open_now -= 1
 
         await asyncio.gather(*(command(number) for number in range(90)))
-        assert served == 90 and most == lines.max_connections == 30
-        assert len(lines) <= lines.max_connections
-        lines.close()
-        assert len(lines) == 0
+        assert served == 90 and max_open == pool.max_connections == 30
+        assert len(pool) <= pool.max_connections
+        pool.close()
+        assert len(pool) == 0
 
     asyncio.run(scenario())
 
 
 @pytest.mark.parametrize(("sockets", "machines", "most"), [(500, 158, 200), (1000, 338, 400)])
-def test_ordinary_fleets_keep_a_connection_to_every_machine(
+def test_connection_limit_covers_every_machine_of_ordinary_fleets(
     sockets: int, machines: int, most: int
 ) -> None:
     assert ConnectionPool(sockets, lambda: machines).max_connections == most >= machines
