--- a/tealrill/fleet/catalogue.py
+++ b/tealrill/fleet/catalogue.py
@@ -74,8 +74,8 @@
 
     async def _fetch_from_cloud_after(self, peers: _FetchTask) -> wire.Catalogue | None:
         await asyncio.wait({peers}, timeout=_PEERS_HEAD_START_S)
-        known = peers.done() and peers.result() is not None
-        return None if known else await self._fetch_from_cloud()
+        peer_has_catalogue = peers.done() and peers.result() is not None
+        return None if peer_has_catalogue else await self._fetch_from_cloud()
 
     async def _fetch_from_cloud(self) -> wire.Catalogue | None:
         try:
--- a/tealrill/fleet/machine_list.py
+++ b/tealrill/fleet/machine_list.py
@@ -81,8 +81,8 @@
         if machine is None:
             # Rented by an earlier leader, or by a request that took effect late.
             log.info("unknown machine listed: machine=%s", machine_id)
-            since = Monotonic(now - line.age_s)
-            machine = Machine(machine_id, line.type, line.zone, line.spot, since)
+            rented_at = Monotonic(now - line.age_s)
+            machine = Machine(machine_id, line.type, line.zone, line.spot, rented_at)
             self._fleet.machines[machine_id] = machine
             self._on_machine_found()
         elif machine.listed_at is None:
--- a/tealrill/fleet/provisioning.py
+++ b/tealrill/fleet/provisioning.py
@@ -52,7 +52,7 @@
 
     name: str
     rental: Rental
-    since: Monotonic
+    requested_at: Monotonic
 
 
 class Provisioner:
@@ -258,7 +258,7 @@
             ", spot" if rental.spot else "",
         )
         for name in names:
-            self._add_rented_machine(name, rental, request.since, rented_this_term=True)
+            self._add_rented_machine(name, rental, request.requested_at, rented_this_term=True)
         if names:
             self.granted(Rental(*kind, len(names)))
         self.changed()
@@ -304,19 +304,19 @@
             self.boot_times.registered((machine.type, machine.zone), now - machine.rented_at, now)
 
     def _add_rented_machine(
-        self, name: str, rental: Rental, since: Monotonic, rented_this_term: bool = False
+        self, name: str, rental: Rental, rented_at: Monotonic, rented_this_term: bool = False
     ) -> None:
         machine_id = parse_machine_id(name)
         if machine_id is None or machine_id in self._fleet.terminated:
             return
         machine = self._fleet.machines.get(machine_id)
         if machine is None:
-            machine = Machine(machine_id, rental.type, rental.zone, rental.spot, since)
+            machine = Machine(machine_id, rental.type, rental.zone, rental.spot, rented_at)
             self._fleet.machines[machine_id] = machine
         elif not machine.type:
             # Known only from the bindings of an earlier term, which have no type.
             self._fleet.set_kind(machine, rental.type, rental.zone, rental.spot)
-        machine.rented_at = since
+        machine.rented_at = rented_at
         machine.rented_this_term = rented_this_term
 
     # -- takeover from earlier terms ------------------------------------------------------------
@@ -331,12 +331,12 @@
         for name in self.intent_log.read(entries):
             record = self.intent_log.open_rentals[name]
             rental = Rental(record.type, record.zone, record.spot, record.count)
-            since = Monotonic(now - max(0.0, wall - record.at))
+            requested_at = Monotonic(now - max(0.0, wall - record.at))
             if record.names is not None:
                 for machine in record.names:
-                    self._add_rented_machine(machine, rental, since)
+                    self._add_rented_machine(machine, rental, requested_at)
                 continue
-            request = self.requests[name] = RentalRequest(name, rental, since)
+            request = self.requests[name] = RentalRequest(name, rental, requested_at)
             self._start_task(self._request_until_answered(request))
         for names in self.intent_log.open_releases.values():
             for machine_id in names:
