--- a/tealrill/fleet/autoscaling.py
+++ b/tealrill/fleet/autoscaling.py
@@ -28,8 +28,8 @@
 _SILENT_RELEASE_S: Final = 45.0
 _CONTACTED_SHARE: Final = 0.8
 _MAX_WAIT_INTERVALS: Final = 2.5
-"""Heartbeat intervals that a new leader waits at most for heartbeats of `_CONTACTED_SHARE` of the
-machines."""
+"""Maximum number of heartbeat intervals that a new leader waits for heartbeats of
+`_CONTACTED_SHARE` of the machines."""
 _FIRST_HEARTBEAT_BOOTS: Final = 3.0
 """Boot times, beyond its boot, within which a machine that is up must send its first heartbeat."""
 RENT_INTERVAL_S: Final = 0.5
@@ -286,10 +286,10 @@
     def _may_be_released(self, machine: Machine, now: Monotonic) -> bool:
         """Return whether a machine that is suspected failed may be released.
 
-        It may be released once it was silent for a lease, or at once if the cloud no longer lists
-        it. The confirmed release proves that its tasks have ended. This is the only such proof
-        while a delegate, or a delegation that was not read, prevents leases from expiring: without
-        it the tasks of 109 machines waited 35 s for a partition elsewhere to end.
+        It may be released once it was silent for the length of a lease, or at once if the cloud no
+        longer lists it. The confirmed release proves that its tasks have ended. This is the only
+        such proof while a delegate, or a delegation that was not read, prevents leases from
+        expiring: without it the tasks of 109 machines waited 35 s for a partition elsewhere to end.
         """
         silent_s = self._fleet.leases.contact_age_s(machine, now)
         return (
--- a/tealrill/fleet/placement.py
+++ b/tealrill/fleet/placement.py
@@ -69,7 +69,7 @@
         self._send_commands(to_notify)
 
     def save_before_preemption(self, now: Monotonic) -> None:
-        """Stop tasks that can save their state and won't finish before their machine is taken.
+        """Stop tasks that can save their state and won't finish before their machine is reclaimed.
 
         Applies to machines with a preemption notice.
         """
@@ -77,7 +77,7 @@
             if machine.preemption_notice_until is None or not machine.bindings:
                 continue
             needs_command = False
-            # A machine may be taken after as little as half of the announced notice period.
+            # A machine may be reclaimed after as little as half of the announced notice period.
             min_notice_s = 0.5 * (machine.preemption_notice_until - now)
             for binding in list(machine.bindings.values()):
                 spec = binding.chunk.job.spec
