--- a/tealrill/fleet/capacity_backoff.py
+++ b/tealrill/fleet/capacity_backoff.py
@@ -1,10 +1,10 @@
-"""Kinds of machine that the cloud has just refused, and when to ask again.
+"""Back-off for kinds of machine that the cloud has refused.
 
-A refusal says that there was none of a kind at one moment. More of it comes when somebody gives
-some back: often ourselves. So the time until the next try doubles while nothing is given, begins
-anew when a part is given, and ends when machines of that kind have gone. (Dead machines hold their
-places at the cloud until they are released. Asked for while they did, their kinds were refused for
-40 s, of which most passed after the places had come free.)
+A refusal means that the cloud had no capacity of a kind at that moment. Capacity comes back when a
+customer releases machines, and often that customer is this cluster. So the delay until the next
+request doubles while nothing is granted, is reset when a part is granted, and ends when machines of
+that kind have gone. (Failed machines occupy their capacity until they are released: a request made
+before that is refused, and without this reset its back-off of 40 s would outlast the release.)
 Pure state, without I/O and clock.
 """
 
@@ -16,9 +16,9 @@
 from tealrill.scheduler.model import Kind
 from tealrill.types import Monotonic
 
-_FIRST_S: Final = 10.0
-_PARTLY_S: Final = 5.0
-_MOST_S: Final = 40.0
+_INITIAL_S: Final = 10.0
+_AFTER_PARTIAL_GRANT_S: Final = 5.0
+_MAX_S: Final = 40.0
 
 
 @dataclass(slots=True)
@@ -28,41 +28,45 @@
 
 
 class CapacityBackoff:
-    """What is not worth asking for at this moment."""
+    """The kinds of machine that are backed off, and until when."""
 
     def __init__(self) -> None:
-        self._kinds: dict[Kind, _Refusal] = {}
+        self._refusals: dict[Kind, _Refusal] = {}
 
     def is_refused(self, kind: Kind, now: Monotonic) -> bool:
-        """Return whether the cloud has just refused machines of this kind."""
-        known = self._kinds.get(kind)
-        return known is not None and now < known.until
+        """Return whether this kind is backed off after a refusal."""
+        refusal = self._refusals.get(kind)
+        return refusal is not None and now < refusal.until
 
-    def record_response(self, kind: Kind, asked: int, given: int, now: Monotonic) -> None:
-        """The cloud gave `given` of `asked` machines."""
-        if given >= asked:
-            self._kinds.pop(kind, None)
+    def record_response(self, kind: Kind, requested: int, granted: int, now: Monotonic) -> None:
+        """Record that the cloud granted `granted` of `requested` machines."""
+        if granted >= requested:
+            self._refusals.pop(kind, None)
             return
-        last = self._kinds.get(kind)
-        if given:
-            back_off_s = _PARTLY_S
-        elif last is None:
-            back_off_s = _FIRST_S
+        previous = self._refusals.get(kind)
+        if granted:
+            back_off_s = _AFTER_PARTIAL_GRANT_S
+        elif previous is None:
+            back_off_s = _INITIAL_S
         else:
-            back_off_s = min(_MOST_S, 2 * last.back_off_s)
-        self._kinds[kind] = _Refusal(Monotonic(now + back_off_s), back_off_s)
+            back_off_s = min(_MAX_S, 2 * previous.back_off_s)
+        self._refusals[kind] = _Refusal(Monotonic(now + back_off_s), back_off_s)
 
     def shorten(self, kind: Kind) -> None:
-        """Machines of this kind seem to be lost: the cloud has places again if they were taken.
+        """Shorten the back-off of a kind of which a machine was lost or released.
 
-        If they are dead it has none until they are released, so this does not end a refusal but
-        shortens it, however many machines are lost.
+        If the cloud has taken a lost machine back, the capacity is available again. If the machine
+        has failed, it is not before its release. So the back-off is shortened to that of a partial
+        grant instead of ended, however many machines are lost.
         """
-        known = self._kinds.get(kind)
-        if known is not None:
-            known.until = min(known.until, Monotonic(known.until - known.back_off_s + _PARTLY_S))
-            known.back_off_s = min(known.back_off_s, _PARTLY_S)
+        refusal = self._refusals.get(kind)
+        if refusal is not None:
+            refusal.until = min(
+                refusal.until,
+                Monotonic(refusal.until - refusal.back_off_s + _AFTER_PARTIAL_GRANT_S),
+            )
+            refusal.back_off_s = min(refusal.back_off_s, _AFTER_PARTIAL_GRANT_S)
 
     def clear(self, kind: Kind) -> None:
-        """Machines of this kind have gone: the cloud may have places again."""
-        self._kinds.pop(kind, None)
+        """End the back-off of a kind of which a machine has gone."""
+        self._refusals.pop(kind, None)
--- a/tealrill/fleet/dispatch.py
+++ b/tealrill/fleet/dispatch.py
@@ -1,4 +1,4 @@
-"""A placement pass: snapshot, plan, bindings and stops, machines rented and returned."""
+"""A scheduling pass: snapshot, plan, bindings and stops, machines rented and released."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 from tealrill.state.job_store import JobStore
 from tealrill.types import Monotonic, Wall
 
-_ALL_HEARD: Final = Diagnosis({}, frozenset())
+_NO_SUSPICIONS: Final = Diagnosis({}, frozenset())
 
 
 class SchedulingLoop:
-    """One term's placement passes."""
+    """Runs the scheduling passes of one term."""
 
     def __init__(
         self,
@@ -34,8 +34,8 @@
         params: Params,
         command_now: Callable[[Machine], None],
     ) -> None:
-        self.diagnosis: Callable[[], Diagnosis] = lambda: _ALL_HEARD
-        """What the silence of machines means, as it was judged last."""
+        self.diagnosis: Callable[[], Diagnosis] = lambda: _NO_SUSPICIONS
+        """Return the latest diagnosis of silent machines."""
         self.last_plan: Plan = Plan()
         self._policy = Policy()
 
@@ -49,7 +49,7 @@
         self.autoscaler = Autoscaler(fleet, provisioner, params, self._policy, diagnosis)
 
     def run(self, now: Monotonic, wall: Wall) -> None:
-        """Carry out one pass."""
+        """Run one pass."""
         self.autoscaler.replace_losses(now)
         view = self.snapshots.view(now, wall)
         result = plan(view, now, self._policy)
@@ -57,6 +57,6 @@
         self.placement.start(result, now, wall)
         self.placement.stop(result, now)
         self.autoscaler.rent(result, view, now)
-        self.placement.drain_noticed(now)
+        self.placement.save_before_preemption(now)
         self.autoscaler.release_unneeded(result, view, now)
         result.release_view()
--- a/tealrill/fleet/intent_log.py
+++ b/tealrill/fleet/intent_log.py
@@ -1,14 +1,16 @@
-"""What the cloud is to be asked for, recorded before it is asked.
-
-The cloud knows no terms: it rents and deletes for whoever asks, at any later time. So a leader
-writes down what it is about to ask for, fenced by its right to lead, and asks only once that is
-committed. Whoever leads next reads what is open and goes on with it: a rental under its own name,
-which rents nothing twice, and a return, which is final and may be repeated. Between the two a
-machine under a recorded return is no room for anybody.
-
-Wanted: per record a value, or none. What is: what the state service holds. One change of a record
-is on its way at a time; the difference is worked off when it is answered. No I/O here: changes are
-joined to the leader's transactions (`state/write_batcher.py`).
+"""Write-ahead log of rental and release requests to the cloud.
+
+The cloud has no fencing: it executes a request of any sender, however late the request arrives. So
+a leader first writes the intended request to the state service, guarded by its fencing token, and
+sends it only once the record is committed. The next leader reads the open records and resumes the
+requests. Both kinds may be repeated: a rental keeps its request name, under which machines are
+rented only once, and a release is final. No leader places tasks on a machine with a recorded
+release, because a release request may still arrive at the cloud.
+
+For each record the log keeps the desired value, or None to delete it, and the value in the state
+service. Only one write of a record is in flight at a time; if the values still differ when it is
+answered, the next one follows. This module does no I/O: writes join the leader's transactions
+(`state/write_batcher.py`).
 """
 
 from __future__ import annotations
@@ -22,7 +24,7 @@
 import msgspec
 
 from tealrill import wire
-from tealrill.fleet.cloud import MOST_RELEASED
+from tealrill.fleet.cloud import MAX_RELEASED_PER_REQUEST
 from tealrill.scheduler.capacity import Rental
 from tealrill.state.transaction_batch import JoinedWrite
 from tealrill.types import (
@@ -42,58 +44,59 @@
 CLOUD_PREFIX: Final = "cloud/"
 _RENTAL_PREFIX: Final = CLOUD_PREFIX + "rent/"
 _RELEASE_PREFIX: Final = CLOUD_PREFIX + "return/"
-MOST_OPEN: Final = 256
-"""Records at a time. A rental's is at most some 3.5 KiB, a return's at most a value."""
-_AHEAD_S: Final = 1.0
-"""Behind bindings for so long, then before them: a fall's bindings take seconds to write, and the
-machines that replace it are to boot meanwhile."""
-_NAME_BYTES: Final = 68
-"""Most that a machine's name takes in a record."""
+MAX_OPEN_RECORDS: Final = 256
+"""Limit of open records. A rental record takes up to about 3.5 KiB, a release record up to the
+maximum size of a value."""
+_PRIORITY_DELAY_S: Final = 1.0
+"""Seconds that a new record waits behind bindings before it is written ahead of them. After a mass
+failure the bindings take seconds to write, and replacements should boot in the meantime."""
+_MAX_NAME_BYTES: Final = 68
+"""Maximum size of a machine name in a record."""
 
 
 class RentalRecord(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A rental asked for, or about to be. Removed once its machines are seen."""
+    """A rental that is or will be requested. Deleted once its machines are listed or contacted."""
 
     type: str
     zone: str
     spot: bool
     count: int
     at: float
-    """Time of day, in seconds."""
+    """Wall clock time of the record, in seconds."""
     names: list[str] | None = None
-    """What the cloud answered; None as long as it has not."""
+    """The machines that the cloud granted; None until it has answered."""
     v: Literal[1] = 1
 
 
 class ReleaseRecord(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Machines on their way back. Removed once the cloud has confirmed that they are gone."""
+    """Machines to release. Deleted once the cloud has confirmed that they are terminated."""
 
     names: list[str]
     at: float
     v: Literal[1] = 1
 
 
-class Record(msgspec.Struct):
-    """The least that every record has."""
+class VersionedRecord(msgspec.Struct):
+    """The version field that all records have."""
 
     v: int = 0
 
 
 @dataclass(slots=True, eq=False)
-class _Kept:
-    """One record: what it is to hold, and what it holds."""
+class _RecordState:
+    """One record with its desired value and its value in the state service."""
 
     key: str
-    wanted: dict[str, Any] | None
-    written: dict[str, Any] | None = None
+    desired: dict[str, Any] | None
+    stored: dict[str, Any] | None = None
     mod_revision: Revision = ABSENT
-    under_way: bool = False
-    recorded: list[asyncio.Future[None]] = field(default_factory=list)
-    """Those who wait until what is wanted is written."""
+    in_flight: bool = False
+    waiters: list[asyncio.Future[None]] = field(default_factory=list)
+    """Resolved when the desired value is committed."""
 
 
 class IntentLog:
-    """The open requests to the cloud of one term, with those taken over."""
+    """The open cloud requests of one term, including those taken over from earlier terms."""
 
     def __init__(
         self,
@@ -105,40 +108,40 @@
     ) -> None:
         self._join = join
         self._term = term
-        self._most_names = max(1, int((value_kb * 1024 - 100) // _NAME_BYTES))
+        self._max_names = max(1, int((value_kb * 1024 - 100) // _MAX_NAME_BYTES))
         self._wall = wall
         self._now = now
-        self._kept: dict[str, _Kept] = {}
-        self._returns = 0
+        self._records: dict[str, _RecordState] = {}
+        self._release_count = 0
         self.closed = False
-        """Nothing new is taken up: the duties are being handed over."""
+        """No new requests are accepted, because leadership is being handed over."""
         self.open_rentals: dict[str, RentalRecord] = {}
         """Open rentals by their request names."""
         self.open_releases: dict[str, tuple[MachineId, ...]] = {}
-        """Machines on their way back, by the key of their record; committed ones only."""
+        """Machines to release by the key of their record; committed records only."""
 
     @property
     def full(self) -> bool:
-        """No more is taken up until something is over."""
-        return self.closed or len(self._kept) >= MOST_OPEN
+        """Whether no new request is accepted, because the log is closed or at its limit."""
+        return self.closed or len(self._records) >= MAX_OPEN_RECORDS
 
     @property
-    def open(self) -> int:
-        """The number of open requests."""
+    def open_count(self) -> int:
+        """Number of open requests."""
         return len(self.open_rentals) + len(self.open_releases)
 
     # -- records --------------------------------------------------------------------------------
 
     def read(self, entries: Iterable[wire.Entry]) -> list[str]:
-        """Takes over what former leaders left open; the names of the rentals among it."""
-        found: list[str] = []
+        """Load the open records of earlier leaders and return the names of the rentals."""
+        rental_names: list[str] = []
         for entry in entries:
             try:
                 if entry.key.startswith(_RENTAL_PREFIX):
                     record = _convert(entry, RentalRecord)
                     name = entry.key.removeprefix(_RENTAL_PREFIX)
                     self.open_rentals[name] = record
-                    found.append(name)
+                    rental_names.append(name)
                 elif entry.key.startswith(_RELEASE_PREFIX):
                     names = _convert(entry, ReleaseRecord).names
                     self.open_releases[entry.key] = tuple(
@@ -147,108 +150,110 @@
                 else:
                     raise msgspec.ValidationError("unknown record")
             except msgspec.ValidationError as error:
-                # What it asks for is not known to this version: it stays for one that knows it.
-                log.error("record %s is left alone: %s", entry.key, error)
+                # This version can't interpret the record; it is kept for one that can.
+                log.error("cloud record ignored: key=%s error=%s", entry.key, error)
                 continue
-            self._kept[entry.key] = _Kept(
+            self._records[entry.key] = _RecordState(
                 entry.key, entry.value, entry.value, Revision(entry.version)
             )
-        return found
+        return rental_names
 
     async def rent(self, name: str, rental: Rental) -> None:
-        """Records a rental; returns when it is committed."""
+        """Record a rental; return once the record is committed."""
         record = RentalRecord(rental.type, rental.zone, rental.spot, rental.count, self._wall())
         self.open_rentals[name] = record
-        await self._want(_RENTAL_PREFIX + name, wire.plain(record))
+        await self._create(_RENTAL_PREFIX + name, wire.plain(record))
 
     def granted(self, name: str, names: Sequence[str]) -> None:
-        """The cloud's answer; a successor knows these machines at once."""
-        # More than were asked for are listed before long; what a value holds is bounded.
-        kept = list(names[: self._most_names])
+        """Record the machines granted for a rental, so that the next leader knows them at once."""
+        # The size of a value is limited; surplus machines show up in the cloud's list.
+        kept = list(names[: self._max_names])
         record = self.open_rentals[name] = msgspec.structs.replace(
             self.open_rentals[name], names=kept
         )
-        self._set(_RENTAL_PREFIX + name, wire.plain(record))
+        self._update(_RENTAL_PREFIX + name, wire.plain(record))
 
-    def rent_over(self, name: str) -> None:
-        """Nothing was rented, or every machine of it has been seen."""
+    def close_rental(self, name: str) -> None:
+        """Delete the record of a rental that got no machines, or whose machines are all known."""
         if self.open_rentals.pop(name, None) is not None:
-            self._set(_RENTAL_PREFIX + name, None)
+            self._update(_RENTAL_PREFIX + name, None)
 
     async def record_release(
         self, machines: Sequence[MachineId]
     ) -> tuple[str, tuple[MachineId, ...]]:
-        """Records a return of as many as fit one record; key and machines, once committed.
+        """Record the release of as many of the machines as fit into one record.
 
-        From then on they go back, whoever leads: it is never taken back.
+        Return the record's key and machines once it is committed. From then on every leader
+        releases these machines; a recorded release is never revoked.
         """
-        part = tuple(machines[: min(self._most_names, MOST_RELEASED)])
-        self._returns += 1
-        key = f"{_RELEASE_PREFIX}{self._term:08d}.{self._returns:06d}"
-        await self._want(key, wire.plain(ReleaseRecord(list(part), self._wall())))
+        part = tuple(machines[: min(self._max_names, MAX_RELEASED_PER_REQUEST)])
+        self._release_count += 1
+        key = f"{_RELEASE_PREFIX}{self._term:08d}.{self._release_count:06d}"
+        await self._create(key, wire.plain(ReleaseRecord(list(part), self._wall())))
         self.open_releases[key] = part
         return key, part
 
-    def terminated(self, key: str) -> None:
-        """The cloud has confirmed the return."""
+    def confirm_release(self, key: str) -> None:
+        """Delete the record of a release that the cloud has confirmed."""
         if self.open_releases.pop(key, None) is not None:
-            self._set(key, None)
+            self._update(key, None)
 
-    # -- the difference -------------------------------------------------------------------------
+    # -- writing --------------------------------------------------------------------------------
 
-    async def _want(self, key: str, value: dict[str, Any]) -> None:
-        kept = self._kept[key] = _Kept(key, value)
+    async def _create(self, key: str, value: dict[str, Any]) -> None:
+        state = self._records[key] = _RecordState(key, value)
         done: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        kept.recorded.append(done)
-        self._work_off(kept)
+        state.waiters.append(done)
+        self._write_pending(state)
         await done
 
-    def _set(self, key: str, value: dict[str, Any] | None) -> None:
-        kept = self._kept.get(key)
-        if kept is not None:
-            kept.wanted = value
-            self._work_off(kept)
+    def _update(self, key: str, value: dict[str, Any] | None) -> None:
+        state = self._records.get(key)
+        if state is not None:
+            state.desired = value
+            self._write_pending(state)
 
-    def _work_off(self, kept: _Kept) -> None:
-        if kept.under_way:
+    def _write_pending(self, state: _RecordState) -> None:
+        if state.in_flight:
             return
-        if kept.wanted == kept.written:
-            for waiting in kept.recorded:
-                if not waiting.done():
-                    waiting.set_result(None)
-            kept.recorded.clear()
-            if kept.wanted is None:
-                self._kept.pop(kept.key, None)
+        if state.desired == state.stored:
+            for waiter in state.waiters:
+                if not waiter.done():
+                    waiter.set_result(None)
+            state.waiters.clear()
+            if state.desired is None:
+                self._records.pop(state.key, None)
             return
-        kept.under_way = True
-        value = kept.wanted
-
-        def answered(mod_revision: Revision, written: dict[str, Any] | None) -> None:
-            kept.under_way = False
-            kept.mod_revision, kept.written = mod_revision, written
-            self._work_off(kept)
-
-        def refused(found: dict[str, wire.KeyValue | None]) -> None:
-            # Only this leader writes this key: it is its own change, whose answer was lost.
-            entry = found.get(kept.key)
-            answered(*((Revision(entry.version), entry.value) if entry else (ABSENT, None)))
-
-        change = wire.delete(kept.key) if value is None else wire.put(kept.key, value)
-        # Nobody waits for what only tidies up.
-        priority_at = Monotonic(self._now() + _AHEAD_S) if kept.recorded else None
+        state.in_flight = True
+        value = state.desired
+
+        def on_result(mod_revision: Revision, stored: dict[str, Any] | None) -> None:
+            state.in_flight = False
+            state.mod_revision, state.stored = mod_revision, stored
+            self._write_pending(state)
+
+        def on_refused(current: dict[str, wire.KeyValue | None]) -> None:
+            # Only this leader writes this key, so an earlier write of its own was executed although
+            # its response was lost.
+            entry = current.get(state.key)
+            on_result(*((Revision(entry.version), entry.value) if entry else (ABSENT, None)))
+
+        change = wire.delete(state.key) if value is None else wire.put(state.key, value)
+        # Only a new record is awaited; updates and deletions can wait behind bindings.
+        priority_at = Monotonic(self._now() + _PRIORITY_DELAY_S) if state.waiters else None
         self._join(
             JoinedWrite(
-                {kept.key: kept.mod_revision},
+                {state.key: state.mod_revision},
                 [change],
-                lambda revision: answered(ABSENT if value is None else revision, value),
-                refused,
+                lambda revision: on_result(ABSENT if value is None else revision, value),
+                on_refused,
                 priority_at,
             )
         )
 
 
 def _convert(entry: wire.Entry, kind: type[wire.T]) -> wire.T:
-    version = msgspec.convert(entry.value, Record).v
+    version = msgspec.convert(entry.value, VersionedRecord).v
     if version != 1:
-        raise msgspec.ValidationError(f"version {version} is not known")
+        raise msgspec.ValidationError(f"unsupported record version {version}")
     return msgspec.convert(entry.value, kind)
