--- a/tealrill/api/relay.py
+++ b/tealrill/api/relay.py
@@ -51,7 +51,7 @@
     def __init__(self, local: JobRequests, settings: Settings, failing: Callable[[], bool]) -> None:
         self._local = local
         self._failing = failing
-        self._peers = list(peer_clients(settings, most=2).values())
+        self._peers = list(peer_clients(settings, max_idle=2).values())
         self._in_vain = 0
         """So many requests in a row, handed on, were settled by nobody."""
         self._in_vain_at = Monotonic(-math.inf)
@@ -59,19 +59,19 @@
     async def submit(self, body: bytes) -> Reply:
         """Submit the job described by the request body."""
         there = (wire.JOBS_PATH, "POST", body)
-        return await self.either(self._local.submit(body), there, _SLOW_S)
+        return await self.first_conclusive(self._local.submit(body), there, _SLOW_S)
 
     async def status(self, text: str) -> Reply:
         """Return the status of the job with the id in `text`."""
         there = (f"{wire.JOBS_PATH}/{text}", "GET", None)
-        return await self.either(self._local.status(text), there, _SLOW_POLL_S)
+        return await self.first_conclusive(self._local.status(text), there, _SLOW_POLL_S)
 
     async def cancel(self, text: str) -> Reply:
         """Cancel the job with the id in `text`."""
         there = (f"{wire.JOBS_PATH}/{text}/{wire.CANCEL_PATH}", "POST", b"")
-        return await self.either(self._local.cancel(text), there, _SLOW_POLL_S)
+        return await self.first_conclusive(self._local.cancel(text), there, _SLOW_POLL_S)
 
-    async def either(
+    async def first_conclusive(
         self,
         local: Coroutine[Any, Any, Reply],
         there: tuple[str, str, bytes | None],
--- a/tealrill/change_log.py
+++ b/tealrill/change_log.py
@@ -25,6 +25,6 @@
             self._said = text
             self._log.log(level, "%s", text)
 
-    def forget(self) -> None:
+    def reset(self) -> None:
         """The next text is logged in any case."""
         self._said = ""
--- a/tealrill/cli/draw.py
+++ b/tealrill/cli/draw.py
@@ -17,8 +17,8 @@
 from grandalf.graphs import Vertex
 from grandalf.layouts import SugiyamaLayout
 
-from tealrill.graphs.model import EACH, FAILED, Shape
-from tealrill.graphs.model import ENDED as AFTER_EITHER
+from tealrill.graphs.model import ON_ENDED as AFTER_EITHER
+from tealrill.graphs.model import ON_FAILED, PER_TASK, Shape
 
 MOST_BOXES: Final = 200
 _HEIGHT: Final = 28
@@ -32,8 +32,8 @@
     "released": "#cfe0f5",
 }
 _STYLES: Final = {
-    EACH: ("each", "bold"),
-    FAILED: ("failed", "dashed"),
+    PER_TASK: ("each", "bold"),
+    ON_FAILED: ("failed", "dashed"),
     AFTER_EITHER: ("ended", "dotted"),
 }
 
@@ -73,7 +73,7 @@
         boxes.append(Box(label, sum(shape.tasks[i] for i in inside), colour))
     arrows: dict[tuple[int, int, int], None] = {}
     for index in range(shape.nodes):
-        for other, kind in shape.awaited(index):
+        for other, kind in shape.dependencies(index):
             if group[other] != group[index]:
                 arrows[(group[other], group[index], kind)] = None
     return Picture(boxes, list(arrows))
@@ -81,8 +81,8 @@
 
 def _grouped(shape: Shape) -> tuple[list[int], list[str]]:
     layer = [0] * shape.nodes
-    for index in shape.order:
-        layer[index] = 1 + max((layer[up] for up, _ in shape.awaited(index)), default=-1)
+    for index in shape.topological_order:
+        layer[index] = 1 + max((layer[up] for up, _ in shape.dependencies(index)), default=-1)
     numbers: dict[tuple[int, str], int] = {}
     group = []
     for index, key in enumerate(shape.keys):
@@ -143,7 +143,7 @@
     for start, end, kind in drawn.arrows:
         (x1, y1), (x2, y2) = vertices[start].view.xy, vertices[end].view.xy
         dash = {"failed": "6,3", "ended": "2,3"}.get(_STYLES.get(kind, ("", ""))[0], "none")
-        width = 2.2 if kind == EACH else 1.0
+        width = 2.2 if kind == PER_TASK else 1.0
         line = page.line(
             (x1, y1 + _HEIGHT / 2),
             (x2, y2 - _HEIGHT / 2),
--- a/tealrill/client/files.py
+++ b/tealrill/client/files.py
@@ -17,7 +17,7 @@
 
 from tealrill import wire
 from tealrill.errors import TealrillError
-from tealrill.graphs.model import MOST_RETRIES, InvalidGraphError, Node, Shape, resolve
+from tealrill.graphs.model import MAX_RETRIES, InvalidGraphError, Node, Shape, resolve
 
 _JOB_FIELDS: Final = [f for f in msgspec.structs.fields(wire.JobSpec) if f.name != "id"]
 
@@ -31,7 +31,7 @@
 """Any of a job's fields, without its id."""
 
 _Key = Annotated[str, Meta(min_length=1, max_length=100)]
-_Retries = Annotated[int, Meta(ge=0, le=MOST_RETRIES)]
+_Retries = Annotated[int, Meta(ge=0, le=MAX_RETRIES)]
 
 
 class EdgeFields(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
--- a/tealrill/extensions.py
+++ b/tealrill/extensions.py
@@ -62,13 +62,13 @@
     def on_cancelled(self, name: str) -> None:
         """Another node says that it has acknowledged the cancellation of something by this name."""
 
-    def owner_changed(self, owner: Owner) -> None:
+    def on_owner_changed(self, owner: Owner) -> None:
         """A transaction failed because an owner's record is not as it was."""
 
-    def tasks_done(self, job: Job, tasks: list[int]) -> None:
+    def on_tasks_done(self, job: Job, tasks: list[int]) -> None:
         """Tasks of a job that others follow are written down as done."""
 
-    def upcoming(self, now: Monotonic, within_s: float) -> Iterable[tuple[JobView, int]]:
+    def upcoming_tasks(self, now: Monotonic, within_s: float) -> Iterable[tuple[JobView, int]]:
         """Tasks that will wait for machines within so many seconds."""
 
     def describe(self) -> dict[str, Any]:
@@ -89,6 +89,6 @@
     """Served on `cluster_listen`."""
     loops: Sequence[Callable[[], Coroutine[Any, Any, None]]] = field(default=())
     """Run on every node."""
-    names: ImplicitJobs | None = None
+    implicit_jobs: ImplicitJobs | None = None
     """Job ids that belong to it though they have no record of their own."""
-    term: Callable[[LeadershipContext], LeaderExtension] | None = None
+    create_leader_extension: Callable[[LeadershipContext], LeaderExtension] | None = None
--- a/tealrill/fleet/autoscaling.py
+++ b/tealrill/fleet/autoscaling.py
@@ -55,7 +55,7 @@
     ) -> None:
         self.rental_deferred = False
         """The last call of `rent` came too early to calculate rentals; a pass must follow soon."""
-        self.upcoming: _UpcomingTasks = lambda _, __: ()
+        self.upcoming_tasks: _UpcomingTasks = lambda _, __: ()
         self._fleet = fleet
         self._provisioner = provisioner
         self._params = params
@@ -94,7 +94,7 @@
         machines = view.machines + view.pending_machines
         # Tasks whose predecessors still run come behind those that wait already: machines for them
         # boot in the meantime.
-        upcoming_tasks = self.upcoming(now, max(o.boot_s for o in offers))
+        upcoming_tasks = self.upcoming_tasks(now, max(o.boot_s for o in offers))
         unplaced = [*result.unplaced, *upcoming_tasks]
         rentals = capacity.rentals(
             unplaced, machines, offers, available, now, self._policy, result.affordable
--- a/tealrill/fleet/catalogue.py
+++ b/tealrill/fleet/catalogue.py
@@ -52,13 +52,15 @@
     def __init__(self, settings: Settings, cloud: Cloud) -> None:
         self._cloud = cloud
         self._peers = list(peer_clients(settings).values())
-        self.known: wire.Catalogue | None = None
+        self.catalogue: wire.Catalogue | None = None
 
     async def run(self) -> None:
         """Fetch the catalogue and refresh it periodically; never returns."""
         while True:
-            catalogue = await (self._first() if self.known is None else self._fetch_from_cloud())
-            self.known = catalogue or self.known
+            catalogue = await (
+                self._first() if self.catalogue is None else self._fetch_from_cloud()
+            )
+            self.catalogue = catalogue or self.catalogue
             await asyncio.sleep(_REFRESH_INTERVAL_S if catalogue is not None else _RETRY_INTERVAL_S)
 
     async def _first(self) -> wire.Catalogue | None:
--- a/tealrill/fleet/cloud.py
+++ b/tealrill/fleet/cloud.py
@@ -33,7 +33,7 @@
     """Client of the cloud's API. Only the leader rents and releases machines."""
 
     def __init__(self, address: str, rate: float, nodes: int) -> None:
-        self._http = Client(parse_address(address), most=3)
+        self._http = Client(parse_address(address), max_idle=3)
         self._rate = rate
         self._node_count = nodes
         self.budget = RateLimiter(rate * self._rate_share(False))
--- a/tealrill/fleet/commands.py
+++ b/tealrill/fleet/commands.py
@@ -27,14 +27,18 @@
         commands = self.stops(machine, now)
         for task, attempt, status in machine.exited_or_unbound:
             if status.state != wire.EXITED:
-                commands.append(wire.stop(status.task, attempt, 0.0))
+                commands.append(wire.stop_command(status.task, attempt, 0.0))
             elif machine.exited.get((task, attempt), UNKNOWN_EXIT).is_forgettable:
-                commands.append(wire.forget(status.task, attempt))
+                commands.append(wire.forget_command(status.task, attempt))
         if not machine.releasing:
             for binding in machine.bindings.values():
-                if binding.sent is None and not binding.start_confirmed and self._to_send(binding):
+                if (
+                    binding.sent is None
+                    and not binding.start_confirmed
+                    and self._may_send_in_response(binding)
+                ):
                     binding.sent = HeartbeatSequence(heartbeat.sequence)
-                    commands.append(wire.start(str(binding.task), binding.attempt))
+                    commands.append(wire.start_command(str(binding.task), binding.attempt))
         return commands
 
     def stops_for_old_list(
@@ -51,7 +55,7 @@
             binding = machine.bindings_by_name.get(status.task)
             is_bound = binding is not None and binding.attempt == status.attempt
             if status.state != wire.EXITED and not is_bound and not self._is_open(status.task):
-                commands.append(wire.stop(status.task, status.attempt, 0.0))
+                commands.append(wire.stop_command(status.task, status.attempt, 0.0))
         return commands
 
     def _is_open(self, task_name: str) -> bool:
@@ -60,7 +64,7 @@
         job = self._fleet.job_store.jobs.get(task.job) if task is not None else None
         return task is None or (job is not None and not job.cancelled)
 
-    def _to_send(self, binding: Binding) -> bool:
+    def _may_send_in_response(self, binding: Binding) -> bool:
         """Return whether a heartbeat's response may carry the start.
 
         While a direct start is in flight, the start is sent even for a task that is to be stopped:
@@ -73,7 +77,7 @@
 
     def direct_starts(self, machine: Machine) -> list[Binding]:
         """Return the bindings whose start may be sent directly to the worker now."""
-        if not machine.current or machine.releasing or machine.lease_expired:
+        if not machine.has_current_token or machine.releasing or machine.lease_expired:
             return []
         return [b for b in machine.bindings.values() if b.never_sent and self._may_start(b)]
 
@@ -123,7 +127,7 @@
             if binding.state == wire.SAVING and not overdue:
                 continue
             grace_s = 0.0 if overdue else stop.grace_s
-            commands.append(wire.stop(str(binding.task), binding.attempt, grace_s))
+            commands.append(wire.stop_command(str(binding.task), binding.attempt, grace_s))
         return commands
 
     def stop(self, binding: Binding, reason: str, grace_s: float, now: Monotonic) -> bool:
--- a/tealrill/fleet/connections.py
+++ b/tealrill/fleet/connections.py
@@ -104,7 +104,7 @@
             return entry[1]
         address = parse_address(addr)
         self.drop(machine)
-        client = Client(address, most=1)
+        client = Client(address, max_idle=1)
         self._clients[machine] = (addr, client)
         self._close_excess()
         return client
--- a/tealrill/fleet/heartbeats.py
+++ b/tealrill/fleet/heartbeats.py
@@ -67,12 +67,12 @@
         machine = self._find_or_add_machine(heartbeat, machine_id, now)
         if self._must_fence(machine, heartbeat, now):
             return None
-        if self._out_of_date(machine, heartbeat):
+        if self._is_out_of_date(machine, heartbeat):
             if not self._may_await_response(machine, heartbeat):
                 return None
             return self._renew(machine, heartbeat, now, wall, list_is_current=False)
         self._detect_inbound_partition(machine, heartbeat, now)
-        list_is_current = self._process(machine, heartbeat, now, wall, direct=False)
+        list_is_current = self._update_machine(machine, heartbeat, now, wall, direct=False)
         return self._renew(machine, heartbeat, now, wall, list_is_current)
 
     def _may_acknowledge(self, heartbeat: wire.Heartbeat, machine_id: MachineId) -> bool:
@@ -133,9 +133,13 @@
     ) -> None:
         """Process the heartbeat in the reply to a direct command; it does not renew the lease."""
         machine = self._fleet.machines.get(machine_id)
-        if machine is None or heartbeat.token > self._term or self._out_of_date(machine, heartbeat):
+        if (
+            machine is None
+            or heartbeat.token > self._term
+            or self._is_out_of_date(machine, heartbeat)
+        ):
             return
-        self._process(machine, heartbeat, now, wall, direct=True)
+        self._update_machine(machine, heartbeat, now, wall, direct=True)
 
     def has_overdue_stop(self, now: Monotonic) -> bool:
         """Return whether another node may be keeping a cancelled job's task running.
@@ -234,7 +238,7 @@
         return machine
 
     @staticmethod
-    def _out_of_date(machine: Machine, heartbeat: wire.Heartbeat) -> bool:
+    def _is_out_of_date(machine: Machine, heartbeat: wire.Heartbeat) -> bool:
         """Return whether a newer message was processed or the incarnation's lease has expired."""
         if machine.incarnation is None:
             return False
@@ -245,7 +249,7 @@
             machine.sequence,
         )
 
-    def _process(
+    def _update_machine(
         self, machine: Machine, heartbeat: wire.Heartbeat, now: Monotonic, wall: Wall, direct: bool
     ) -> bool:
         """Update the machine's record; return whether the heartbeat carries this term's token.
@@ -276,9 +280,9 @@
                 )
                 self._fleet.changed()
             machine.preemption_notice_until = Monotonic(now + heartbeat.notice_s)
-        was_current = machine.current
-        machine.current = heartbeat.token == self._term
-        if not machine.current:
+        was_current = machine.has_current_token
+        machine.has_current_token = heartbeat.token == self._term
+        if not machine.has_current_token:
             # The list may be older than this term, so it proves nothing.
             return False
         if is_first_contact or not was_current:
--- a/tealrill/fleet/intent_log.py
+++ b/tealrill/fleet/intent_log.py
@@ -158,20 +158,20 @@
             )
         return rental_names
 
-    async def rent(self, name: str, rental: Rental) -> None:
+    async def record_rental(self, name: str, rental: Rental) -> None:
         """Record a rental; return once the record is committed."""
         record = RentalRecord(rental.type, rental.zone, rental.spot, rental.count, self._wall())
         self.open_rentals[name] = record
-        await self._create(_RENTAL_PREFIX + name, wire.plain(record))
+        await self._create(_RENTAL_PREFIX + name, wire.to_builtins(record))
 
-    def granted(self, name: str, names: Sequence[str]) -> None:
+    def record_grant(self, name: str, names: Sequence[str]) -> None:
         """Record the machines granted for a rental, so that the next leader knows them at once."""
         # The size of a value is limited; surplus machines show up in the cloud's list.
         kept = list(names[: self._max_names])
         record = self.open_rentals[name] = msgspec.structs.replace(
             self.open_rentals[name], names=kept
         )
-        self._update(_RENTAL_PREFIX + name, wire.plain(record))
+        self._update(_RENTAL_PREFIX + name, wire.to_builtins(record))
 
     def close_rental(self, name: str) -> None:
         """Delete the record of a rental that got no machines, or whose machines are all known."""
@@ -189,7 +189,7 @@
         part = tuple(machines[: min(self._max_names, MAX_RELEASED_PER_REQUEST)])
         self._release_count += 1
         key = f"{_RELEASE_PREFIX}{self._term:08d}.{self._release_count:06d}"
-        await self._create(key, wire.plain(ReleaseRecord(list(part), self._wall())))
+        await self._create(key, wire.to_builtins(ReleaseRecord(list(part), self._wall())))
         self.open_releases[key] = part
         return key, part
 
--- a/tealrill/fleet/leases.py
+++ b/tealrill/fleet/leases.py
@@ -104,7 +104,7 @@
                 len(machine.bindings),
             )
             machine.lease_expired = True
-            machine.current = False
+            machine.has_current_token = False
             machine.expired_cpus = machine.cpus
             for binding in list(machine.bindings.values()):
                 self._fleet.unbind(machine, binding, now, "lease expired")
--- a/tealrill/fleet/machine.py
+++ b/tealrill/fleet/machine.py
@@ -60,7 +60,7 @@
     addr: str = ""
     incarnation: Incarnation | None = None
     sequence: HeartbeatSequence = HeartbeatSequence(-1)
-    current: bool = False
+    has_current_token: bool = False
     """Its last heartbeat carried this term's token: its worker refuses earlier terms' commands."""
     incarnation_seen_at: Monotonic | None = None
     """When this leader first saw its incarnation; the incarnation's lease began before that."""
@@ -149,7 +149,7 @@
     def is_schedulable(self) -> bool:
         """Return whether tasks may be bound to it, apart from missed heartbeats and refusals."""
         return (
-            self.current
+            self.has_current_token
             and not self.lease_expired
             and not self.releasing
             and not self.drain_reason
--- a/tealrill/fleet/placement.py
+++ b/tealrill/fleet/placement.py
@@ -29,7 +29,7 @@
         self._job_store = job_store
         self._fleet = fleet
         self._run_s = run_s
-        self._command_now = command_now
+        self._send_commands_now = command_now
 
     def start(self, result: Plan, now: Monotonic, wall: Wall) -> None:
         """Bind the tasks that the plan starts."""
@@ -86,7 +86,7 @@
                 if remaining_s(self._run_s(spec), now - binding.running_since) > min_notice_s:
                     needs_command |= self._fleet.commands.stop(binding, "notice", spec.save_s, now)
             if needs_command:
-                self._command_now(machine)
+                self._send_commands_now(machine)
 
     def _request_stop(
         self,
@@ -103,4 +103,4 @@
 
     def _send_commands(self, machines: dict[Machine, None]) -> None:
         for machine in machines:
-            self._command_now(machine)
+            self._send_commands_now(machine)
--- a/tealrill/fleet/provisioning.py
+++ b/tealrill/fleet/provisioning.py
@@ -241,7 +241,7 @@
         now = monotonic_now()
         names = self._valid_names(names, rental.count)
         if names:
-            self.intent_log.granted(request.name, names)
+            self.intent_log.record_grant(request.name, names)
         else:
             self.intent_log.close_rental(request.name)
         self.rent_duty.record_action(
@@ -274,7 +274,7 @@
         If this leader fails before the record is written, the next leader finds the machines in
         the cloud's list.
         """
-        recording = self._start_task(self.intent_log.rent(request.name, request.rental))
+        recording = self._start_task(self.intent_log.record_rental(request.name, request.rental))
         while not recording.done():
             await asyncio.wait({recording}, timeout=_RECORD_POLL_S)
             if self.rent_duty.state_service_unreachable() and self.rent_duty.valid():
--- a/tealrill/fleet/reconciliation.py
+++ b/tealrill/fleet/reconciliation.py
@@ -48,7 +48,7 @@
             elif binding.start_confirmed and binding.state == status.state:
                 # This state has been applied before.
                 continue
-            self._progress(machine, binding, status, now, wall)
+            self._apply_status(machine, binding, status, now, wall)
         unbound_tasks = sum(status.state != wire.EXITED for _, _, status in exited_or_unbound)
         if machine.unbound_tasks and not unbound_tasks:
             self._fleet.changed()
@@ -86,7 +86,7 @@
             self._record_unbound_exit(machine, task, attempt, status, now)
         return None
 
-    def _progress(
+    def _apply_status(
         self,
         machine: Machine,
         binding: Binding,
--- a/tealrill/fleet/snapshot.py
+++ b/tealrill/fleet/snapshot.py
@@ -119,7 +119,7 @@
                 continue
             if last_contact_at is None or last_contact_at < contact_since:
                 unreachable.append(machine)
-            available_view = self._machine(machine, now)
+            available_view = self._available_view(machine, now)
             if available_view is not None:
                 views.append(available_view)
         return views, unreachable
@@ -146,7 +146,7 @@
     def _machines(self) -> list[Machine]:
         return list(self._fleet.machines.values())
 
-    def _machine(self, machine: Machine, now: Monotonic) -> MachineView | None:
+    def _available_view(self, machine: Machine, now: Monotonic) -> MachineView | None:
         """Return the view of a machine that takes tasks now or after its boot; None otherwise."""
         kind = self._provisioner.type_of(machine.type)
         if kind is None or machine.releasing or machine.drain_reason or machine.lease_expired:
@@ -172,7 +172,7 @@
         """Return the machine's view, rebuilt if its state or a planner has changed it."""
         view = machine.view
         if view is None or view.is_modified:
-            view = machine.view = self._fresh(machine, kind)
+            view = machine.view = self._build_view(machine, kind)
         view.ready_at = ready_at
         return view
 
@@ -202,7 +202,7 @@
                 views.append(self._cached_view(machine, kind, Monotonic(now + recovery_s)))
         return views
 
-    def _fresh(self, machine: Machine, kind: wire.MachineType) -> MachineView:
+    def _build_view(self, machine: Machine, kind: wire.MachineType) -> MachineView:
         """Build the view of a machine from its present state."""
         return MachineView(
             machine.id,
@@ -254,10 +254,14 @@
 
     def _queue(self, now: Monotonic, wall: Wall) -> list[JobView]:
         """Return the views of all jobs with tasks that may be placed now."""
-        waiting_jobs = ((job, self._waiting(job, now)) for job in self._job_store.jobs.values())
-        return [self._job(job, waiting, now, wall) for job, waiting in waiting_jobs if waiting > 0]
+        waiting_jobs = (
+            (job, self._startable_tasks(job, now)) for job in self._job_store.jobs.values()
+        )
+        return [
+            self._job_view(job, waiting, now, wall) for job, waiting in waiting_jobs if waiting > 0
+        ]
 
-    def _waiting(self, job: Job, now: Monotonic) -> int:
+    def _startable_tasks(self, job: Job, now: Monotonic) -> int:
         """Return the number of the job's waiting tasks that may be placed now."""
         if job.waiting <= 0:
             return 0
@@ -271,7 +275,7 @@
             return 0
         return job.waiting if limit is None or spec.is_gang else min(job.waiting, limit)
 
-    def _job(self, job: Job, waiting: int, now: Monotonic, wall: Wall) -> JobView:
+    def _job_view(self, job: Job, waiting: int, now: Monotonic, wall: Wall) -> JobView:
         spec = job.spec
         waited_s = max(0.0, wall - job.submitted)
         run_s = self.run_s(spec)
@@ -306,7 +310,7 @@
         """Return the view of a job that is not queued, as if it had just been submitted."""
         job = Job(JobId(spec.id), spec, Wall(0.0), Revision(0), 1, bytearray())
         job.due_s = spec.deadline_s
-        return self._job(job, waiting, Monotonic(0.0), Wall(0.0))
+        return self._job_view(job, waiting, Monotonic(0.0), Wall(0.0))
 
     def remaining_s(self, job: Job, now: Monotonic) -> float:
         """Return the expected remaining run time of the job's tasks, in seconds.
--- a/tealrill/graphs/admission.py
+++ b/tealrill/graphs/admission.py
@@ -33,8 +33,8 @@
     parse_node_id,
     resolve,
 )
-from tealrill.graphs.records import GraphRecordError, Head, Over, Packed
-from tealrill.graphs.tracker import STATES
+from tealrill.graphs.records import GraphEnd, GraphRecord, GraphRecordError, Packed
+from tealrill.graphs.tracker import NODE_STATES
 from tealrill.settings import Settings
 from tealrill.state.admission import Admission, ImplicitJob, Reply
 from tealrill.state.client import (
@@ -87,7 +87,11 @@
     """What is kept under a graph's name."""
 
     def __init__(
-        self, head: Head | None, mod_revision: Revision, over: Over | None, over_stamp: Revision
+        self,
+        head: GraphRecord | None,
+        mod_revision: Revision,
+        over: GraphEnd | None,
+        over_stamp: Revision,
     ) -> None:
         self.head = head
         self.mod_revision = mod_revision
@@ -123,7 +127,7 @@
         graph = graph_prefix(job_id)
         if graph is None:
             return []
-        return [records.graph_key(graph), records.graph_over_key(graph)]
+        return [records.graph_key(graph), records.graph_end_key(graph)]
 
     async def status(self, job_id: JobId) -> ImplicitJob | None:
         """Return the status of a node that has no record of its own."""
@@ -167,7 +171,7 @@
             wire.put(
                 ended_key(job_id), {"status": wire.JOB_CANCELLED, "outcome": OUTCOME_CANCELLED}
             ),
-            wire.put(records.word_key(node[0]), {"cancelled": node[1]}),
+            wire.put(records.cancelled_node_key(node[0]), {"cancelled": node[1]}),
         ]
         try:
             result = await self._client.commit(guards, changes)
@@ -181,11 +185,11 @@
         """Head and end, read in the order in which a graph moves."""
         entry = await self._client.get(records.graph_key(graph))
         try:
-            head = None if entry is None else records.read_head(entry.value)
+            head = None if entry is None else records.read_graph(entry.value)
             if entry is not None and head is not None and head.status != records.EXPIRED:
                 return Found(head, Revision(entry.version), None, ABSENT)
-            over = await self._client.get(records.graph_over_key(graph))
-            end = None if over is None else records.read_over(over.value)
+            over = await self._client.get(records.graph_end_key(graph))
+            end = None if over is None else records.read_graph_end(over.value)
             if over is not None and end is not None and end.status == wire.JOB_CANCELLED:
                 # Whatever is answered from it tells a user, perhaps before the node that cancelled
                 # it could; and that one may have ended since.
@@ -202,11 +206,11 @@
 
     async def _read_parts(self, graph: str) -> dict[int, Packed]:
         entries, _ = await self._client.scan(records.parts_prefix(graph))
-        return records.gather(entries)
+        return records.assemble_parts(entries)
 
     async def _plain_job(self, graph: str) -> str | None:
         """A job that has an id of the graph's nodes without being one."""
-        for prefix in (records.graph_key(graph), records.graph_over_key(graph)):
+        for prefix in (records.graph_key(graph), records.graph_end_key(graph)):
             page = await self._client.page(prefix + "-", None, 1)
             if page.items:
                 return page.items[0].key.rpartition("/")[2]
@@ -277,11 +281,11 @@
         if head.digest != whole:
             return _conflict("another graph has this id")
         if head.status == records.ACCEPTED:
-            return Reply(200, self._accepted(graph, head))
+            return Reply(200, self._accepted_body(graph, head))
         return None
 
     @staticmethod
-    def _accepted(graph: str, head: Head) -> dict[str, Any]:
+    def _accepted_body(graph: str, head: GraphRecord) -> dict[str, Any]:
         return {"id": graph, "status": records.ACCEPTED, "nodes": head.nodes, "edges": head.edges}
 
     async def _begin(self, graph: str, submission: Submission, whole: str) -> bool:
@@ -293,7 +297,7 @@
         plain = await self._plain_job(graph)
         if plain is not None:
             raise InvalidGraphError(f"job {plain} has an id of its nodes", field="id", status=409)
-        head = Head(
+        head = GraphRecord(
             v=records.VERSION,
             status="open",
             at=wall_now(),
@@ -308,7 +312,7 @@
             raise InvalidGraphError("they are too long", field="defaults")
         guards = [
             wire.guard(records.graph_key(graph), ABSENT),
-            wire.guard(records.graph_over_key(graph), ABSENT),
+            wire.guard(records.graph_end_key(graph), ABSENT),
         ]
         changes = [wire.put(records.graph_key(graph), value)]
         if submission.nodes:
@@ -340,7 +344,7 @@
         changes: list[dict[str, Any]],
     ) -> None:
         """Adds a whole part to a transaction; raises `InvalidGraphError` if it does not fit one."""
-        for fragment, value in enumerate(records.pack(nodes, self._value_bytes)):
+        for fragment, value in enumerate(records.pack_part(nodes, self._value_bytes)):
             key = records.fragment_key(graph, number, fragment)
             guards.append(wire.guard(key, ABSENT))
             changes.append(wire.put(key, value))
@@ -411,7 +415,7 @@
             if head.status == records.ACCEPTED:
                 if head.parts != parts:
                     return _conflict(f"the graph was sealed with {head.parts} parts")
-                return Reply(200, self._accepted(graph, head))
+                return Reply(200, self._accepted_body(graph, head))
             sealed = await self._whole(graph, head, parts)
             if isinstance(sealed, Reply):
                 return sealed
@@ -419,10 +423,10 @@
             changes = [wire.put(records.graph_key(graph), msgspec.to_builtins(sealed))]
             if isinstance(await self._commit(guards, changes), Committed):
                 log.info("graph %s accepted: %d nodes", graph, sealed.nodes)
-                return Reply(201, self._accepted(graph, sealed))
+                return Reply(201, self._accepted_body(graph, sealed))
         return _later("not decided")
 
-    async def _whole(self, graph: str, head: Head, parts: int) -> Head | Reply:
+    async def _whole(self, graph: str, head: GraphRecord, parts: int) -> GraphRecord | Reply:
         """The head as it is once accepted, after a look at all that is kept."""
         try:
             kept = await self._read_parts(graph)
@@ -436,7 +440,7 @@
             return _conflict(f"{len(kept)} parts are kept, {parts} are named")
 
         def shape() -> Shape:
-            unpacked = (records.unpack(kept[number]) for number in range(parts))
+            unpacked = (records.unpack_part(kept[number]) for number in range(parts))
             return self._resolve(head.defaults, head.retries, unpacked)
 
         # Beside the loop: a large graph takes a second on a share of a core.
@@ -482,14 +486,14 @@
             left_s = max(0.0, head.at + self._features.open_s - wall_now())
             return Reply(200, {"id": graph, "status": records.OPEN, "openS": round(left_s)})
         counts = await self._counts(graph)
-        return Reply(200, {**self._accepted(graph, head), "counts": counts})
+        return Reply(200, {**self._accepted_body(graph, head), "counts": counts})
 
     async def _ended(self, graph: str) -> dict[str, int]:
         """How many nodes ended in which way, by their own records."""
-        counts = dict.fromkeys(STATES[3:], 0)
-        entries, _ = await self._client.scan(records.graph_over_key(graph) + "-")
+        counts = dict.fromkeys(NODE_STATES[3:], 0)
+        entries, _ = await self._client.scan(records.graph_end_key(graph) + "-")
         for entry in entries:
-            counts[records.outcome_of(entry.value)] += 1
+            counts[records.node_outcome(entry.value)] += 1
         return counts
 
     async def nodes(self, graph: str, state: str | None, start: int, most: int) -> Reply:
@@ -497,12 +501,12 @@
         return await self._guarded(self._nodes, graph, state, start, most)
 
     async def _nodes(self, graph: str, state: str | None, start: int, most: int) -> Reply:
-        if state is not None and state not in STATES:
-            return Reply(400, {"error": f"one of {', '.join(STATES)}", "field": "state"})
+        if state is not None and state not in NODE_STATES:
+            return Reply(400, {"error": f"one of {', '.join(NODE_STATES)}", "field": "state"})
         if parse_graph_id(graph) is None:
             return _NO_GRAPH
         found = await self._find(graph)
-        head: Head | Over | None = found.over or found.head
+        head: GraphRecord | GraphEnd | None = found.over or found.head
         if head is None or (found.over is None and head.status != records.ACCEPTED):
             return _NO_GRAPH
         keys = await self._keys_of(graph, head.parts)
@@ -537,14 +541,14 @@
             for entry in page.items:
                 node = parse_node_id(parse_job_id(entry.key.removeprefix(own)) or "")
                 if node is not None:
-                    found[node[1]] = records.outcome_of(entry.value) if over else "released"
+                    found[node[1]] = records.node_outcome(entry.value) if over else "released"
         return found
 
     async def _keys_of(self, graph: str, parts: int) -> list[str]:
         keys = self._keys.get(graph)
         if keys is None:
             kept = await self._read_parts(graph)
-            keys = [node.key for part in range(parts) for node in records.unpack(kept[part])]
+            keys = [node.key for part in range(parts) for node in records.unpack_part(kept[part])]
             self._keys[graph] = keys
             while len(self._keys) > _NAMES_KEPT:
                 self._keys.popitem(last=False)
@@ -567,8 +571,8 @@
             head = found.head
             if head is None or head.status == records.EXPIRED:
                 return _NO_GRAPH
-            key, end = records.graph_key(graph), records.graph_over_key(graph)
-            over = records.end_of(head, "aborted", wall_now(), "cancelled")
+            key, end = records.graph_key(graph), records.graph_end_key(graph)
+            over = records.graph_end_value(head, "aborted", wall_now(), "cancelled")
             if head.status == records.ACCEPTED:
                 first = wire.delete(key)
             else:
--- a/tealrill/graphs/api.py
+++ b/tealrill/graphs/api.py
@@ -32,7 +32,7 @@
             reply = await local
         else:
             there = (request.uri or "", request.method or "", request.body or None)
-            reply = await self._relay.either(local, there, _SLOW_S, _PATIENCE_S)
+            reply = await self._relay.first_conclusive(local, there, _SLOW_S, _PATIENCE_S)
         self.reply(reply.status, reply.body, reply.retry_after_s)
 
 
--- a/tealrill/graphs/extension.py
+++ b/tealrill/graphs/extension.py
@@ -67,6 +67,6 @@
         name="graphs",
         user_routes=user_routes(asked, relay),
         peer_routes=peer_routes(asked, counts.here),
-        names=asked,
-        term=term,
+        implicit_jobs=asked,
+        create_leader_extension=term,
     )
--- a/tealrill/graphs/leader_extension.py
+++ b/tealrill/graphs/leader_extension.py
@@ -35,10 +35,10 @@
     parse_node_id,
     resolve,
 )
-from tealrill.graphs.records import GraphRecordError, Head, Packed
+from tealrill.graphs.records import GraphRecord, GraphRecordError, Packed
 from tealrill.graphs.tracker import (
-    OVER_CANCELLED,
-    OVER_FAILED,
+    CANCELLED,
+    FAILED,
     RELEASED,
     Progress,
     outcome_state,
@@ -77,15 +77,15 @@
 
 
 @dataclass(eq=False)
-class Live:
+class LoadedGraph:
     """An accepted graph that is not over, as its leader knows it."""
 
     name: str
-    head: Head
+    record: GraphRecord
     owner: Owner
     parts: list[Packed]
     progress: Progress
-    first: list[int] = field(default_factory=list)
+    part_starts: list[int] = field(default_factory=list)
     """The number of each part's first node."""
     jobs: dict[int, Job] = field(default_factory=dict)
     """Released nodes that are not over."""
@@ -99,18 +99,18 @@
 
     def node(self, index: int) -> Node:
         """Return a node as its user wrote it."""
-        part = bisect_right(self.first, index) - 1
+        part = bisect_right(self.part_starts, index) - 1
         nodes = self.unpacked.get(part)
         if nodes is None:
-            nodes = self.unpacked[part] = records.unpack(self.parts[part])
+            nodes = self.unpacked[part] = records.unpack_part(self.parts[part])
             while len(self.unpacked) > _PARTS_KEPT:
                 self.unpacked.popitem(last=False)
         self.unpacked.move_to_end(part)
-        return nodes[index - self.first[part]]
+        return nodes[index - self.part_starts[part]]
 
     def spec(self, index: int) -> wire.JobSpec:
         """Return a node as the job that it is."""
-        return node_spec(self.name, index, self.head.defaults, self.node(index))
+        return node_spec(self.name, index, self.record.defaults, self.node(index))
 
     def due_s(self, index: int, spec: wire.JobSpec, now: float) -> float | None:
         """Return the seconds until the node is due.
@@ -118,8 +118,8 @@
         Its own deadline counts, or what the graph's leaves before the path behind the node.
         """
         due = [] if spec.deadline_s is None else [spec.deadline_s]
-        if self.head.due_s is not None:
-            left_s = self.head.at + self.head.due_s - self.progress.tail_s[index] - now
+        if self.record.due_s is not None:
+            left_s = self.record.at + self.record.due_s - self.progress.tail_s[index] - now
             due.append(max(0.0, left_s))
         return min(due, default=None)
 
@@ -128,8 +128,8 @@
         return self.in_flight + sum(job.waiting > 0 for job in self.jobs.values())
 
 
-def _shape(head: Head, parts: Sequence[Packed]) -> Shape:
-    shape = resolve(head.defaults, head.retries, (records.unpack(part) for part in parts))
+def _build_shape(head: GraphRecord, parts: Sequence[Packed]) -> Shape:
+    shape = resolve(head.defaults, head.retries, (records.unpack_part(part) for part in parts))
     # Half of what a node would take here; a key is needed for a message at most.
     shape.keys.clear()
     return shape
@@ -142,17 +142,17 @@
         self._term = term
         self._features = features
         self._wake = asyncio.Event()
-        self._heads: dict[str, tuple[Head, Owner]] = {}
+        self._accepted: dict[str, tuple[GraphRecord, Owner]] = {}
         """Accepted graphs that are not over."""
-        self._drafts: dict[str, tuple[Head, Revision]] = {}
+        self._drafts: dict[str, tuple[GraphRecord, Revision]] = {}
         """Graphs that are open or expired."""
         self._expiring: set[str] = set()
-        self._live: dict[str, Live] = {}
+        self._loaded: dict[str, LoadedGraph] = {}
         self._heard: dict[str, list[tuple[int, int]]] = {}
         """Ends that were heard of while a graph was being read."""
         self._orphans: dict[JobId, tuple[Revision, wire.JobSpec]] = {}
         """Records of jobs whose graph is over."""
-        self._burials: set[JobId] = set()
+        self._ending_orphans: set[JobId] = set()
         self._words: dict[str, Revision] = {}
         self._aside: dict[str, Owner] = {}
         """Graphs that this program can't read: nothing more of them starts until one can."""
@@ -163,9 +163,9 @@
         """Take all records under `job/` that are no jobs."""
         present = {entry.key: entry for entry in entries}
         # What was missed of the nodes' ends is read again with the graph.
-        self._live.clear()
+        self._loaded.clear()
         self._words.clear()
-        for name in [*self._heads, *self._drafts, *self._aside]:
+        for name in [*self._accepted, *self._drafts, *self._aside]:
             if records.graph_key(name) not in present:
                 self.on_record_changed(records.graph_key(name), None, ABSENT)
         for entry in entries:
@@ -174,7 +174,7 @@
 
     def on_record_changed(self, key: str, value: Any, version: Revision) -> None:
         """Take one such record, None as its value if it was removed."""
-        about = records.graph_of_word(key)
+        about = records.parse_cancelled_node_key(key)
         if about is not None:
             self._take_word(about, value, version)
         elif value is None:
@@ -190,28 +190,28 @@
         self._words[name] = version
         index = value.get("cancelled") if isinstance(value, dict) else None
         if isinstance(index, int):
-            self._settle(name, index, OVER_CANCELLED)
+            self._settle(name, index, CANCELLED)
 
     def _take_head(self, name: str, value: Any, version: Revision) -> None:
-        if name in self._heads and self._heads[name][1].mod_revision == version:
+        if name in self._accepted and self._accepted[name][1].mod_revision == version:
             return
         try:
-            head = records.read_head(value)
+            head = records.read_graph(value)
         except GraphRecordError as error:
             self._set_aside(name, version, error)
             return
         if head.status == records.ACCEPTED:
             self._drafts.pop(name, None)
-            self._heads[name] = (head, Owner(records.graph_key(name), version, name))
-            self._live.pop(name, None)
+            self._accepted[name] = (head, Owner(records.graph_key(name), version, name))
+            self._loaded.pop(name, None)
         else:
             self._drafts[name] = (head, version)
 
     def _set_aside(self, name: str, version: Revision, error: Exception) -> None:
         """What can't be read must not end the term, and with it everybody's service."""
         log.error("graph %s can't be read, nothing more of it starts: %s", name, error)
-        known = self._heads.pop(name, None)
-        self._live.pop(name, None)
+        known = self._accepted.pop(name, None)
+        self._loaded.pop(name, None)
         self._heard.pop(name, None)
         owner = known[1] if known is not None else None
         self._aside[name] = owner or Owner(records.graph_key(name), version, name)
@@ -225,7 +225,7 @@
             job.owner = self._aside[name]
             self._term.job_store.block_tasks(job)
             return True
-        known = self._heads.get(name)
+        known = self._accepted.get(name)
         if known is None:
             # The graph ended before this: its record goes where its graph's went.
             job.cancelled = True
@@ -244,7 +244,7 @@
         job.tail_s = kept.tail_s
         if kept.each:
             self._term.job_store.block_tasks(job)
-        live = self._live.get(name)
+        live = self._loaded.get(name)
         if live is not None:
             self._attach(live, node[1], job)
         return True
@@ -258,30 +258,30 @@
 
     def on_cancelled(self, name: str) -> None:
         """Stop a graph that another member has called cancelled."""
-        if name in self._heads or name in self._aside:
+        if name in self._accepted or name in self._aside:
             self._gone(name, "another node acknowledged its cancellation")
 
-    def tasks_done(self, job: Job, tasks: list[int]) -> None:
+    def on_tasks_done(self, job: Job, tasks: list[int]) -> None:
         """Tasks of a followed node are written down as done."""
         node = parse_node_id(job.id)
-        live = self._live.get(job.owner.name) if job.owner is not None else None
+        live = self._loaded.get(job.owner.name) if job.owner is not None else None
         if live is None or node is None:
             return
         self._opened(live, live.progress.tasks_done(node[1], tasks))
         self._wake.set()
 
-    def owner_changed(self, owner: Owner) -> None:
+    def on_owner_changed(self, owner: Owner) -> None:
         """A guard on a graph's head failed."""
-        known = self._heads.get(owner.name)
+        known = self._accepted.get(owner.name)
         if owner in (known[1] if known is not None else None, self._aside.get(owner.name)):
             self._gone(owner.name, "its record was found changed")
 
     # -- nodes ----------------------------------------------------------------------------------
 
-    def _attach(self, live: Live, index: int, job: Job) -> None:
+    def _attach(self, live: LoadedGraph, index: int, job: Job) -> None:
         """A node's job is in the book."""
         progress = live.progress
-        progress.released(index)
+        progress.mark_released(index)
         live.views.pop(index, None)
         if progress.state[index] != RELEASED:
             # While its release was on its way, what it waits for became impossible.
@@ -293,31 +293,31 @@
         if job.unblocked is not None:
             self._open(live, index, job)
 
-    def _open(self, live: Live, index: int, job: Job) -> None:
+    def _open(self, live: LoadedGraph, index: int, job: Job) -> None:
         """Lets all tasks go whose wait is over."""
         for task in live.progress.open_elements(index):
             self._term.job_store.unblock_task(job, task)
 
-    def _opened(self, live: Live, freed: list[tuple[int, int]]) -> None:
+    def _opened(self, live: LoadedGraph, freed: list[tuple[int, int]]) -> None:
         for follower, task in freed:
             if follower in live.jobs:
                 self._term.job_store.unblock_task(live.jobs[follower], task)
 
     def _settle(self, name: str, index: int, state: int) -> None:
-        live = self._live.get(name)
+        live = self._loaded.get(name)
         if live is None:
-            if name in self._heads:
+            if name in self._accepted:
                 self._heard.setdefault(name, []).append((index, state))
             return
         if not 0 <= index < live.progress.shape.nodes:
             return
         live.jobs.pop(index, None)
         live.views.pop(index, None)
-        for follower in live.progress.settle(index, state):
+        for follower in live.progress.record_end(index, state):
             job = live.jobs.get(follower)
             if job is not None:
                 self._open(live, follower, job)
-        if state == OVER_FAILED and live.head.on_failure == "stop" and not live.stopped_by:
+        if state == FAILED and live.record.on_failure == "stop" and not live.stopped_by:
             live.stopped_by = live.node(index).key
         for stuck in live.progress.stuck:
             if stuck in live.jobs:
@@ -334,8 +334,8 @@
         self._drafts.pop(name, None)
         aside = self._aside.pop(name, None)
         self._heard.pop(name, None)
-        known = self._heads.pop(name, None)
-        self._live.pop(name, None)
+        known = self._accepted.pop(name, None)
+        self._loaded.pop(name, None)
         owner = known[1] if known is not None else aside
         if owner is None:
             return
@@ -356,7 +356,7 @@
             self._wake.clear()
             pause_s: float | None = None
             try:
-                for name in [n for n in self._heads if n not in self._live]:
+                for name in [n for n in self._accepted if n not in self._loaded]:
                     await self._load(name)
                 for name in [
                     n for n, (h, _) in self._drafts.items() if h.status == records.EXPIRED
@@ -376,12 +376,12 @@
 
     def _pause_s(self) -> float | None:
         """Until when nothing needs a look if nothing is heard; None: for ever."""
-        if any(live.progress.has_ready for live in self._live.values()):
+        if any(live.progress.has_ready for live in self._loaded.values()):
             return _BACKLOG_EVERY_S
         return _EXPIRY_EVERY_S if self._drafts else None
 
     def _advance(self) -> None:
-        for live in list(self._live.values()):
+        for live in list(self._loaded.values()):
             if live.stopped_by and not live.ending:
                 self._end(live, "failed", f"node {live.stopped_by!r} failed", None)
             elif not live.ending:
@@ -390,21 +390,23 @@
                 except (GraphRecordError, wire.MalformedMessageError) as error:
                     self._set_aside(live.name, live.owner.mod_revision, error)
                     continue
-                if live.progress.over and not live.jobs and not live.in_flight:
+                if live.progress.all_ended and not live.jobs and not live.in_flight:
                     counts = live.progress.counted()
                     self._end(live, _final_status(counts), "", counts)
-        for job_id in islice((j for j in self._orphans if j not in self._burials), _IN_FLIGHT):
-            if len(self._burials) >= _IN_FLIGHT:
+        for job_id in islice(
+            (j for j in self._orphans if j not in self._ending_orphans), _IN_FLIGHT
+        ):
+            if len(self._ending_orphans) >= _IN_FLIGHT:
                 break
-            self._bury(job_id)
+            self._enqueue_orphan_end(job_id)
         self._expire()
         for name, version in list(self._words.items()):
-            if name not in self._heads:
+            if name not in self._accepted:
                 self._forget_word(name, version)
 
     # -- releases -------------------------------------------------------------------------------
 
-    def _release(self, live: Live) -> None:
+    def _release(self, live: LoadedGraph) -> None:
         if not live.progress.has_ready:
             return
         room = min(_IN_FLIGHT - live.in_flight, _BACKLOG - live.backlog())
@@ -412,13 +414,13 @@
             index = live.progress.next_ready()
             if index is None:
                 return
-            self._join_release(live, index)
+            self._enqueue_release(live, index)
 
-    def _join_release(self, live: Live, index: int) -> None:
+    def _enqueue_release(self, live: LoadedGraph, index: int) -> None:
         now = wall_now()
         spec = live.spec(index)
         job = JobId(spec.id)
-        each = [node_id(live.name, up) for up in live.progress.waits_each(index)]
+        each = [node_id(live.name, up) for up in live.progress.task_dependencies(index)]
         kept = records.NodeJob(
             owner=live.name,
             each=each,
@@ -426,11 +428,11 @@
             due_s=live.due_s(index, spec, now),
             tail_s=round(live.progress.tail_s[index], 1),
         )
-        value = {"spec": wire.plain(spec), "at": now, **msgspec.to_builtins(kept)}
+        value = {"spec": wire.to_builtins(spec), "at": now, **msgspec.to_builtins(kept)}
 
         def applied(_: Revision) -> None:
             live.in_flight -= 1
-            live.progress.released(index)
+            live.progress.mark_released(index)
             self._wake.set()
 
         def refused(found: dict[str, wire.KeyValue | None]) -> None:
@@ -440,7 +442,7 @@
                 # Cancelled while it was gated, or released and ended by a late transaction.
                 self._settle(live.name, index, _state_of(over.value))
             elif found.get(job_key(job)) is not None:
-                live.progress.released(index)
+                live.progress.mark_released(index)
             else:
                 live.progress.put_back(index)
             self._wake.set()
@@ -461,9 +463,9 @@
 
     # -- ends -----------------------------------------------------------------------------------
 
-    def _end(self, live: Live, status: Any, why: str, counts: dict[str, int] | None) -> None:
-        over = records.end_of(live.head, status, wall_now(), why, counts)
-        key = records.graph_over_key(live.name)
+    def _end(self, live: LoadedGraph, status: Any, why: str, counts: dict[str, int] | None) -> None:
+        over = records.graph_end_value(live.record, status, wall_now(), why, counts)
+        key = records.graph_end_key(live.name)
 
         def applied(_: Revision) -> None:
             log.info("graph %s is %s %s", live.name, status, why)
@@ -486,17 +488,17 @@
             )
         )
 
-    def _bury(self, job: JobId) -> None:
+    def _enqueue_orphan_end(self, job: JobId) -> None:
         """Moves the record of a job whose graph is over to where its graph's is."""
         mod_revision, spec = self._orphans[job]
         value = {
             "status": wire.JOB_CANCELLED,
             "outcome": OUTCOME_CANCELLED,
-            "spec": wire.plain(spec),
+            "spec": wire.to_builtins(spec),
         }
 
         def applied(_: Revision) -> None:
-            self._burials.discard(job)
+            self._ending_orphans.discard(job)
             self._orphans.pop(job, None)
             self._wake.set()
 
@@ -504,7 +506,7 @@
             # Its record is gone already: cancelled by itself, or done before its graph ended.
             applied(ABSENT)
 
-        self._burials.add(job)
+        self._ending_orphans.add(job)
         self._term.write_batcher.join(
             JoinedWrite(
                 {job_key(job): mod_revision, ended_key(job): ABSENT},
@@ -515,7 +517,7 @@
         )
 
     def _forget_word(self, name: str, version: Revision) -> None:
-        key = records.word_key(name)
+        key = records.cancelled_node_key(name)
         del self._words[name]
         # A word that comes meanwhile is seen, and forgotten in its turn.
         terminated = JoinedWrite({key: version}, [wire.delete(key)], lambda _: None, lambda _: None)
@@ -530,7 +532,7 @@
             if late and name not in self._expiring:
                 self._join_expiry(name, head, version)
 
-    def _join_expiry(self, name: str, head: Head, version: Revision) -> None:
+    def _join_expiry(self, name: str, head: GraphRecord, version: Revision) -> None:
         """From here on no part can be added to it, so that its parts can be removed."""
         log.info("graph %s was not sealed for %.0f s: removed", name, self._features.open_s)
         expired = msgspec.structs.replace(head, status="expired")
@@ -570,35 +572,35 @@
 
     async def _load(self, name: str) -> None:
         """Reads a graph and how its nodes ended; the book has those that are released."""
-        known = self._heads.get(name)
+        known = self._accepted.get(name)
         if known is None:
             # Cancelled while another graph was being read; an error here ended the whole term.
             return
         head, owner = known
         self._heard[name] = []
         entries, _ = await self._term.client.scan(records.parts_prefix(name))
-        ended, _ = await self._term.client.scan(records.graph_over_key(name) + "-")
+        ended, _ = await self._term.client.scan(records.graph_end_key(name) + "-")
         try:
-            found = records.gather(entries)
+            found = records.assemble_parts(entries)
             parts = [found[number] for number in range(head.parts)]
             # Beside the loop: a large graph takes a second on a share of a core.
-            shape = await asyncio.to_thread(_shape, head, parts)
+            shape = await asyncio.to_thread(_build_shape, head, parts)
         except (GraphRecordError, InvalidGraphError, KeyError) as error:
             # Accepted graphs were read back whole; what is wrong here is not mended by waiting.
             self._set_aside(name, owner.mod_revision, error)
             return
-        if self._heads.get(name) is not known:
+        if self._accepted.get(name) is not known:
             return
-        live = Live(name, head, owner, parts, Progress(shape))
-        live.first = [0, *accumulate(part.nodes for part in parts[:-1])]
-        self._live[name] = live
+        live = LoadedGraph(name, head, owner, parts, Progress(shape))
+        live.part_starts = [0, *accumulate(part.nodes for part in parts[:-1])]
+        self._loaded[name] = live
         for job in [j for j in self._term.job_store.jobs.values() if j.owner is owner]:
             node = parse_node_id(job.id)
             if node is not None and not job.cancelled:
                 self._attach(live, node[1], job)
         for index, state in (*_ends(ended), *self._heard.pop(name, [])):
             self._settle(name, index, state)
-        live.progress.begin()
+        live.progress.evaluate_all()
         log.info(
             "graph %s: %d nodes, %d edges read: %s",
             name,
@@ -609,13 +611,13 @@
 
     # -- what others ask ------------------------------------------------------------------------
 
-    def upcoming(self, now: Monotonic, within_s: float) -> Iterator[tuple[JobView, int]]:
+    def upcoming_tasks(self, now: Monotonic, within_s: float) -> Iterator[tuple[JobView, int]]:
         """Nodes that wait for released ones only, all of which end within `within_s`.
 
         Nodes that need the same are one wish: looked at one by one, the nodes behind a wide layer
         made a pass cost more than twice as much.
         """
-        for live in self._live.values():
+        for live in self._loaded.values():
             found: dict[JobView, int] = {}
             left_s: dict[int, float] = {}
             for index in list(islice(live.progress.near, _NEAR)):
@@ -624,17 +626,19 @@
                     found[view] = found.get(view, 0) + live.progress.shape.tasks[index]
             yield from found.items()
 
-    def _awaited_s(self, live: Live, index: int, left_s: dict[int, float], now: Monotonic) -> float:
+    def _awaited_s(
+        self, live: LoadedGraph, index: int, left_s: dict[int, float], now: Monotonic
+    ) -> float:
         """Until all that a node waits for is expected to have ended; `left_s` remembers."""
         longest = 0.0
-        for up, _ in live.progress.shape.awaited(index):
+        for up, _ in live.progress.shape.dependencies(index):
             if up not in left_s:
                 job = live.jobs.get(up)
                 left_s[up] = 0.0 if job is None else self._term.remaining_s(job, now)
             longest = max(longest, left_s[up])
         return longest
 
-    def _wish(self, live: Live, index: int) -> JobView:
+    def _wish(self, live: LoadedGraph, index: int) -> JobView:
         """The node as the planner would see it, one and the same for all that need the same."""
         view = live.views.get(index)
         if view is None:
@@ -651,13 +655,13 @@
 
     def counts(self, name: str) -> dict[str, int] | None:
         """A live graph's nodes by state; None if this leader has not read it."""
-        live = self._live.get(name)
+        live = self._loaded.get(name)
         return None if live is None else live.progress.counted()
 
     def describe(self) -> dict[str, Any]:
         """Return the graphs' counts, for operators."""
         return {
-            "graphs": {name: live.progress.counted() for name, live in self._live.items()},
+            "graphs": {name: live.progress.counted() for name, live in self._loaded.items()},
             "open": len(self._drafts),
         }
 
@@ -671,7 +675,7 @@
 
 
 def _state_of(over: dict[str, Any]) -> int:
-    return outcome_state(records.outcome_of(over))
+    return outcome_state(records.node_outcome(over))
 
 
 def _final_status(counts: dict[str, int]) -> str:
--- a/tealrill/graphs/model.py
+++ b/tealrill/graphs/model.py
@@ -24,19 +24,19 @@
 """Node ids have so many digits, so that the order of their keys is that of their numbers."""
 MOST_PARTS: Final = 10_000
 DEFAULT_RETRIES: Final = 3
-MOST_RETRIES: Final = 100
+MAX_RETRIES: Final = 100
 
 _GRAPH_ID: Final = re.compile(r"[a-z][a-z0-9]{0,30}[0-9]")
 _NODE_ID: Final = re.compile(r"([a-z][a-z0-9]{0,30}[0-9])-([0-9]{5})")
 _YIELD_EVERY: Final = 250
 
-DONE: Final = 0
-FAILED: Final = 1
-ENDED: Final = 2
-EACH: Final = 3
-_WHEN: Final = {"done": DONE, "failed": FAILED, "ended": ENDED}
+ON_DONE: Final = 0
+ON_FAILED: Final = 1
+ON_ENDED: Final = 2
+PER_TASK: Final = 3
+_WHEN: Final = {"done": ON_DONE, "failed": ON_FAILED, "ended": ON_ENDED}
 
-Retries = Annotated[int, Meta(ge=0, le=MOST_RETRIES)]
+Retries = Annotated[int, Meta(ge=0, le=MAX_RETRIES)]
 Key = Annotated[str, Meta(min_length=1, max_length=100)]
 
 
@@ -231,7 +231,7 @@
     in_first: array[int]
     in_node: array[int]
     in_kind: bytearray
-    order: array[int]
+    topological_order: array[int]
     """All nodes, each after what it waits for."""
 
     @property
@@ -244,12 +244,12 @@
         """Return the edges of the graph, those of a node in its order."""
         return len(self.out_node)
 
-    def followers(self, index: int) -> Iterator[tuple[int, int]]:
+    def dependents(self, index: int) -> Iterator[tuple[int, int]]:
         """Yield the nodes that wait for this one, with the kind of edge."""
         for at in range(self.out_first[index], self.out_first[index + 1]):
             yield self.out_node[at], self.out_kind[at]
 
-    def awaited(self, index: int) -> Iterator[tuple[int, int]]:
+    def dependencies(self, index: int) -> Iterator[tuple[int, int]]:
         """Yield the nodes that this one waits for, with the kind of edge."""
         for at in range(self.in_first[index], self.in_first[index + 1]):
             yield self.in_node[at], self.in_kind[at]
@@ -257,9 +257,9 @@
     def tails(self) -> array[float]:
         """Per node the estimated time of the longest path that begins after it, in seconds."""
         found = array("f", bytes(4 * self.nodes))
-        for index in reversed(self.order):
+        for index in reversed(self.topological_order):
             longest = 0.0
-            for follower, _ in self.followers(index):
+            for follower, _ in self.dependents(index):
                 longest = max(longest, self.estimate_s[follower] + found[follower])
             found[index] = longest
         return found
@@ -309,7 +309,7 @@
                     "after",
                 )
             in_node.append(other)
-            in_kind.append(EACH if edge.each else _WHEN[edge.when])
+            in_kind.append(PER_TASK if edge.each else _WHEN[edge.when])
         in_first.append(len(in_node))
     out_first, out_node, out_kind = _reverse(len(keys), in_first, in_node, in_kind)
     shape = Shape(
@@ -346,15 +346,15 @@
 def _sort(shape: Shape) -> None:
     """Fills `order`; raises `InvalidGraphError` with the path of a cycle if there is one."""
     left = array("I", (shape.in_first[i + 1] - shape.in_first[i] for i in range(shape.nodes)))
-    shape.order.extend(i for i in range(shape.nodes) if not left[i])
+    shape.topological_order.extend(i for i in range(shape.nodes) if not left[i])
     at = 0
-    while at < len(shape.order):
-        for follower, _ in shape.followers(shape.order[at]):
+    while at < len(shape.topological_order):
+        for follower, _ in shape.dependents(shape.topological_order[at]):
             left[follower] -= 1
             if not left[follower]:
-                shape.order.append(follower)
+                shape.topological_order.append(follower)
         at += 1
-    if len(shape.order) < shape.nodes:
+    if len(shape.topological_order) < shape.nodes:
         path = _cycle(shape, left)
         named = [shape.keys[i] for i in path]
         if len(named) > 12:
@@ -373,6 +373,6 @@
         seen[number] = len(path)
         path.append(number)
         # Some node that it waits for has not become free either.
-        number = next(other for other, _ in shape.awaited(number) if left[other])
+        number = next(other for other, _ in shape.dependencies(number) if left[other])
     cycle = path[seen[number] :]
     return [number, *reversed(cycle)]
--- a/tealrill/graphs/records.py
+++ b/tealrill/graphs/records.py
@@ -48,7 +48,7 @@
 EXPIRED: Final = "expired"
 
 
-class Head(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
+class GraphRecord(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
     """`job/GRAPH`."""
 
     v: int
@@ -66,7 +66,7 @@
     parts: int = 0
 
 
-class Over(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
+class GraphEnd(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
     """`over/GRAPH`. A node without a record of its own never ran and never will."""
 
     v: int
@@ -96,17 +96,17 @@
     return JOB_PREFIX + graph
 
 
-def graph_over_key(graph: str) -> str:
+def graph_end_key(graph: str) -> str:
     """Return the key that tells how a graph ended."""
     return ENDED_PREFIX + graph
 
 
-def word_key(graph: str) -> str:
+def cancelled_node_key(graph: str) -> str:
     """Return the key by which a member tells the leader of a cancelled gated node."""
     return JOB_PREFIX + graph + _WORD
 
 
-def graph_of_word(key: str) -> str | None:
+def parse_cancelled_node_key(key: str) -> str | None:
     """The graph that a word is about; None for any other key under `job/`."""
     name = key.removeprefix(JOB_PREFIX)
     return name.removesuffix(_WORD) if name.endswith(_WORD) else None
@@ -122,7 +122,7 @@
     return f"{PART_PREFIX}{graph}/{part:05d}.{fragment:02d}"
 
 
-def part_of_key(key: str) -> tuple[int, int]:
+def parse_fragment_key(key: str) -> tuple[int, int]:
     """The part's and the fragment's number; raises `GraphRecordError`."""
     part, dot, fragment = key.rpartition("/")[2].partition(".")
     if not dot or not part.isdigit() or not fragment.isdigit():
@@ -130,25 +130,25 @@
     return int(part), int(fragment)
 
 
-def read_head(value: Any) -> Head:
+def read_graph(value: Any) -> GraphRecord:
     """Raises `GraphRecordError`, also for a version that this program does not know."""
-    return _read(value, Head)
+    return _read(value, GraphRecord)
 
 
-def read_over(value: Any) -> Over:
+def read_graph_end(value: Any) -> GraphEnd:
     """Read how a graph ended; raises `GraphRecordError`."""
-    return _read(value, Over)
+    return _read(value, GraphEnd)
 
 
-def end_of(
-    head: Head,
+def graph_end_value(
+    head: GraphRecord,
     status: Literal["done", "failed", "aborted"],
     at: float,
     why: str = "",
     counts: dict[str, int] | None = None,
 ) -> dict[str, Any]:
     """The value of `over/GRAPH` for a graph with this head."""
-    over = Over(
+    over = GraphEnd(
         v=VERSION,
         status=status,
         at=at,
@@ -162,7 +162,7 @@
     return cast(dict[str, Any], msgspec.to_builtins(over))
 
 
-def outcome_of(over: dict[str, Any]) -> str:
+def node_outcome(over: dict[str, Any]) -> str:
     """How a node ended, by its record; one that its user cancelled as a job does not say so."""
     if over.get("status") == wire.JOB_DONE:
         return OUTCOME_DONE
@@ -187,7 +187,7 @@
     return hashlib.blake2b(content, digest_size=16).hexdigest()
 
 
-def pack(nodes: Sequence[Node], value_bytes: int) -> list[dict[str, Any]]:
+def pack_part(nodes: Sequence[Node], value_bytes: int) -> list[dict[str, Any]]:
     """A part as the values of its fragments, each at most `value_bytes` of JSON."""
     plain = msgspec.to_builtins(list(nodes))
     packed = base64.b64encode(zlib.compress(orjson.dumps(plain), 6)).decode()
@@ -210,7 +210,7 @@
     content: bytes
 
 
-def unpack(packed: Packed) -> list[Node]:
+def unpack_part(packed: Packed) -> list[Node]:
     """The nodes of a part; raises `GraphRecordError`."""
     try:
         inflater = zlib.decompressobj()
@@ -220,11 +220,11 @@
         raise GraphRecordError(f"a part can't be read: {error}") from None
 
 
-def gather(entries: Iterable[wire.Entry]) -> dict[int, Packed]:
+def assemble_parts(entries: Iterable[wire.Entry]) -> dict[int, Packed]:
     """Whole parts by number, from a reading of all fragments; raises `GraphRecordError`."""
     pieces: dict[int, dict[int, Fragment]] = {}
     for entry in entries:
-        part, number = part_of_key(entry.key)
+        part, number = parse_fragment_key(entry.key)
         pieces.setdefault(part, {})[number] = _read(entry.value, Fragment)
     found: dict[int, Packed] = {}
     for part, fragments in pieces.items():
--- a/tealrill/graphs/tracker.py
+++ b/tealrill/graphs/tracker.py
@@ -12,7 +12,7 @@
 from collections.abc import Iterator
 from typing import Final
 
-from tealrill.graphs.model import DONE, EACH, ENDED, FAILED, Shape
+from tealrill.graphs.model import ON_DONE, ON_ENDED, ON_FAILED, PER_TASK, Shape
 from tealrill.state.records import OUTCOME_CANCELLED, OUTCOME_DONE, OUTCOME_FAILED, OUTCOME_SKIPPED
 
 GATED: Final = 0
@@ -20,32 +20,32 @@
 """All it waits for has come; its release is under way."""
 RELEASED: Final = 2
 """An ordinary job."""
-OVER_DONE: Final = 3
-OVER_FAILED: Final = 4
-OVER_CANCELLED: Final = 5
-OVER_SKIPPED: Final = 6
+DONE: Final = 3
+FAILED: Final = 4
+CANCELLED: Final = 5
+SKIPPED: Final = 6
 
-STATES: Final = ("gated", "ready", "released", "done", "failed", "cancelled", "skipped")
+NODE_STATES: Final = ("gated", "ready", "released", "done", "failed", "cancelled", "skipped")
 _OUTCOMES: Final = {
-    OUTCOME_DONE: OVER_DONE,
-    OUTCOME_FAILED: OVER_FAILED,
-    OUTCOME_CANCELLED: OVER_CANCELLED,
-    OUTCOME_SKIPPED: OVER_SKIPPED,
+    OUTCOME_DONE: DONE,
+    OUTCOME_FAILED: FAILED,
+    OUTCOME_CANCELLED: CANCELLED,
+    OUTCOME_SKIPPED: SKIPPED,
 }
 
 
 def outcome_state(outcome: str) -> int:
     """Return the state of a node whose job ended with `outcome`."""
-    return _OUTCOMES.get(outcome, OVER_CANCELLED)
+    return _OUTCOMES.get(outcome, CANCELLED)
 
 
 def _fires(kind: int, state: int) -> bool:
     """Whether an edge lets its node go when what it waits for has ended like this."""
-    if kind in (DONE, EACH):
-        return state == OVER_DONE
-    if kind == FAILED:
-        return state == OVER_FAILED
-    assert kind == ENDED
+    if kind in (ON_DONE, PER_TASK):
+        return state == DONE
+    if kind == ON_FAILED:
+        return state == FAILED
+    assert kind == ON_ENDED
     return True
 
 
@@ -55,7 +55,7 @@
     def __init__(self, shape: Shape) -> None:
         self.shape = shape
         self.state = bytearray(shape.nodes)
-        self.counts = [shape.nodes, *([0] * (len(STATES) - 1))]
+        self.counts = [shape.nodes, *([0] * (len(NODE_STATES) - 1))]
         self.tail_s = shape.tails()
         self._unfired = array("I", bytes(4 * shape.nodes))
         """Edges to whole nodes that have not fired."""
@@ -73,10 +73,10 @@
         self.near: set[int] = set()
         """Gated nodes that wait for released ones only."""
         for index in range(shape.nodes):
-            each = tuple(other for other, kind in shape.awaited(index) if kind == EACH)
+            each = tuple(other for other, kind in shape.dependencies(index) if kind == PER_TASK)
             if each:
                 self._each[index] = each
-            followed = tuple(other for other, kind in shape.followers(index) if kind == EACH)
+            followed = tuple(other for other, kind in shape.dependents(index) if kind == PER_TASK)
             if followed:
                 self._followed[index] = followed
             waits = shape.in_first[index + 1] - shape.in_first[index]
@@ -84,15 +84,15 @@
             self._unreleased[index] = waits
 
     @property
-    def over(self) -> bool:
+    def all_ended(self) -> bool:
         """Whether every node has ended or never will begin."""
-        return not any(self.counts[:OVER_DONE])
+        return not any(self.counts[:DONE])
 
     def counted(self) -> dict[str, int]:
         """Return the number of nodes by state."""
-        return dict(zip(STATES, self.counts, strict=True))
+        return dict(zip(NODE_STATES, self.counts, strict=True))
 
-    def waits_each(self, index: int) -> tuple[int, ...]:
+    def task_dependencies(self, index: int) -> tuple[int, ...]:
         """Return the nodes that this one waits for task by task."""
         return self._each.get(index, ())
 
@@ -109,7 +109,7 @@
 
     # -- the beginning --------------------------------------------------------------------------
 
-    def begin(self) -> None:
+    def evaluate_all(self) -> None:
         """Looks at every node once, after what was known at the start has been told."""
         for index in range(self.shape.nodes):
             self._look(index)
@@ -149,7 +149,7 @@
         if self.state[index] == READY:
             heapq.heappush(self._ready, (-self.tail_s[index], index))
 
-    def released(self, index: int) -> None:
+    def mark_released(self, index: int) -> None:
         """It is an ordinary job now."""
         if self.state[index] > READY:
             return
@@ -159,7 +159,7 @@
         self._told_followers(index)
 
     def _told_followers(self, index: int) -> None:
-        for follower, _ in self.shape.followers(index):
+        for follower, _ in self.shape.dependents(index):
             self._unreleased[follower] -= 1
             if not self._unreleased[follower] and self.state[follower] == GATED:
                 self.near.add(follower)
@@ -183,7 +183,7 @@
 
     def _element_open(self, each: tuple[int, ...], task: int) -> bool:
         for up in each:
-            if self.state[up] == OVER_DONE:
+            if self.state[up] == DONE:
                 continue
             elements = self.elements.get(up)
             if elements is None or not elements[task]:
@@ -199,7 +199,7 @@
 
     # -- ends -----------------------------------------------------------------------------------
 
-    def settle(self, index: int, state: int) -> list[int]:
+    def record_end(self, index: int, state: int) -> list[int]:
         """A node has ended; returns released nodes all of whose tasks may run now.
 
         Nodes that become ready are handed out by `next_ready`, those that can't end are in `stuck`.
@@ -209,9 +209,9 @@
         while told:
             node, how = told.pop()
             before = self.state[node]
-            if before >= OVER_DONE:
+            if before >= DONE:
                 continue
-            if before == RELEASED and how == OVER_SKIPPED and node != index:
+            if before == RELEASED and how == SKIPPED and node != index:
                 # Its job exists, and ends by a record of its own.
                 self.stuck.append(node)
                 continue
@@ -219,11 +219,11 @@
             self.elements.pop(node, None)
             if before < RELEASED:
                 self._told_followers(node)
-            for follower, kind in self.shape.followers(node):
+            for follower, kind in self.shape.dependents(node):
                 if not _fires(kind, how):
-                    told.append((follower, OVER_SKIPPED))
+                    told.append((follower, SKIPPED))
                     continue
-                if kind != EACH:
+                if kind != PER_TASK:
                     self._unfired[follower] -= 1
                 elif self.state[follower] == RELEASED:
                     freed.append(follower)
--- a/tealrill/http.py
+++ b/tealrill/http.py
@@ -27,12 +27,14 @@
 class NoAnswerError(TealrillError):
     """No answer came. `sent` is False only if the request certainly never left."""
 
-    def __init__(self, why: str, sent: bool, refused: bool = False, silent: bool = False) -> None:
+    def __init__(
+        self, why: str, sent: bool, refused: bool = False, timed_out: bool = False
+    ) -> None:
         super().__init__(why)
         self.sent = sent
         self.refused = refused
         """The connection was refused at once."""
-        self.silent = silent
+        self.timed_out = timed_out
         """Nothing at all came within the time."""
 
 
@@ -109,12 +111,12 @@
 
 
 class Client:
-    """Requests to one address. At most `most` connections are kept idle."""
+    """Requests to one address. At most `max_idle` connections are kept idle."""
 
-    def __init__(self, address: Address, most: int = 4) -> None:
+    def __init__(self, address: Address, max_idle: int = 4) -> None:
         self._address = address
         self._idle: list[iostream.IOStream] = []
-        self._most = most
+        self._max_idle = max_idle
 
     async def request(
         self,
@@ -145,12 +147,12 @@
             self._close(stream)
             cause = getattr(err, "real_error", None) or err
             refused = isinstance(cause, ConnectionRefusedError)
-            silent = isinstance(err, TimeoutError)
-            raise NoAnswerError(f"{type(err).__name__}: {err}", sent, refused, silent) from None
+            timed_out = isinstance(err, TimeoutError)
+            raise NoAnswerError(f"{type(err).__name__}: {err}", sent, refused, timed_out) from None
         except BaseException:
             self._close(stream)
             raise
-        if answer.keep and len(self._idle) < self._most and not stream.closed():
+        if answer.keep and len(self._idle) < self._max_idle and not stream.closed():
             self._idle.append(stream)
         else:
             stream.close()
@@ -195,6 +197,6 @@
         self._idle.clear()
 
 
-def peer_clients(settings: Settings, most: int = 1) -> dict[str, Client]:
+def peer_clients(settings: Settings, max_idle: int = 1) -> dict[str, Client]:
     """Return a client of each other member, by host name."""
-    return {m.host_name: Client(parse_address(m.peer_addr), most) for m in settings.members}
+    return {m.host_name: Client(parse_address(m.peer_addr), max_idle) for m in settings.members}
--- a/tealrill/leader/direct_commands.py
+++ b/tealrill/leader/direct_commands.py
@@ -77,7 +77,7 @@
         stops = self._fleet.commands.stops(machine, monotonic_now())
         while self._is_valid() and machine.incarnation is not None:
             starts = self._fleet.commands.direct_starts(machine)
-            commands = stops + [wire.start(str(b.task), b.attempt) for b in starts]
+            commands = stops + [wire.start_command(str(b.task), b.attempt) for b in starts]
             if not commands:
                 return
             body = wire.encode(wire.direct_commands(self._term, machine.incarnation, commands))
@@ -103,7 +103,7 @@
         except (NoAnswerError, SettingsError, wire.MalformedMessageError) as error:
             log.info("direct commands failed: machine=%s error=%s", machine.id, error)
             delayed = monotonic_now() - began > _DIRECT_TIMEOUT_S + _MAX_TIMEOUT_DELAY_S
-            if isinstance(error, NoAnswerError) and error.silent and not delayed:
+            if isinstance(error, NoAnswerError) and error.timed_out and not delayed:
                 # Two consecutive heartbeats have shown that the machine is running, so the request
                 # did not arrive. If this node was delayed, an answer may only be unread.
                 machine.mark_inbound_partitioned(True)
--- a/tealrill/leader/job_lifecycle.py
+++ b/tealrill/leader/job_lifecycle.py
@@ -101,7 +101,7 @@
         for extension in self.extensions:
             extension.on_job_ended(job)
 
-    def upcoming(self, now: Monotonic, within_s: float) -> list[tuple[JobView, int]]:
+    def upcoming_tasks(self, now: Monotonic, within_s: float) -> list[tuple[JobView, int]]:
         """Return the tasks that extensions expect to wait for machines within `within_s` seconds.
 
         Each entry is a job and its number of tasks.
@@ -109,19 +109,19 @@
         return [
             upcoming_job
             for extension in self.extensions
-            for upcoming_job in extension.upcoming(now, within_s)
+            for upcoming_job in extension.upcoming_tasks(now, within_s)
         ]
 
     def on_tasks_done(self, job: Job, tasks: list[int]) -> None:
         """Notify extensions that tasks of a job are recorded as done."""
         for extension in self.extensions:
-            extension.tasks_done(job, tasks)
+            extension.on_tasks_done(job, tasks)
         self._wake()
 
     def on_owner_changed(self, owner: Owner) -> None:
         """Notify extensions that a transaction failed because an owner's record has changed."""
         for extension in self.extensions:
-            extension.owner_changed(owner)
+            extension.on_owner_changed(owner)
 
     def on_cancelled(self, name: str, source: str) -> None:
         """Stop a job whose record was deleted or whose cancellation another node acknowledged.
--- a/tealrill/leader/leader.py
+++ b/tealrill/leader/leader.py
@@ -205,10 +205,10 @@
             self.scheduling_loop.snapshots.remaining_s,
             self.scheduling_loop.snapshots.view_of,
         )
-        self.parts = [part(context) for part in parts]
-        self.lifecycle.extensions = self.parts
-        if self.parts:
-            self.scheduling_loop.autoscaler.upcoming = self.lifecycle.upcoming
+        self.extensions = [part(context) for part in parts]
+        self.lifecycle.extensions = self.extensions
+        if self.extensions:
+            self.scheduling_loop.autoscaler.upcoming_tasks = self.lifecycle.upcoming_tasks
             self.write_batcher.tasks_done = self.lifecycle.on_tasks_done
             self.write_batcher.owner_changed = self.lifecycle.on_owner_changed
 
@@ -226,7 +226,7 @@
                 group.create_task(self.provisioner.run_release_recording())
                 group.create_task(self.provisioner.run_release_requests())
                 group.create_task(self.provisioner.run_reconciliation())
-                for part in self.parts:
+                for part in self.extensions:
                     group.create_task(part.run())
         except* LeadershipLostError:
             self._election.step_down("the leader's key is gone")
@@ -346,7 +346,7 @@
         spec = finished.job.spec
         self._estimates.completed(spec.team, spec.estimate_s, finished.ran_s)
 
-    def report(
+    def handle_heartbeat(
         self, report: wire.Heartbeat, machine_id: MachineId, now: Monotonic
     ) -> list[dict[str, object]] | None:
         """Process a heartbeat; return the commands, None if the worker must try another node."""
--- a/tealrill/leadership/election.py
+++ b/tealrill/leadership/election.py
@@ -498,7 +498,7 @@
     def _begin_term(self, leadership: Leadership) -> None:
         """Begin a term."""
         log.info("elected: term=%d key_revision=%d", leadership.term, leadership.mod_revision)
-        self._status_log.forget()
+        self._status_log.reset()
         self._others_excluded = False
         self.leadership = leadership
         self.known_leader = KnownLeader(self._host, leadership.term, leadership.mod_revision)
--- a/tealrill/leadership/exclusion.py
+++ b/tealrill/leadership/exclusion.py
@@ -167,7 +167,7 @@
         A deletion in flight is guarded by the previous revision, so it can't delete the new record.
         """
         log.info("unreachable member excluded from elections: term=%d host=%s", self._term, host)
-        record = wire.plain(ExclusionRecord(self._term))
+        record = wire.to_builtins(ExclusionRecord(self._term))
         if await self._change(host, wire.put(exclusion_key(host), record)):
             self._certainly_excluded.add(host)
 
--- a/tealrill/leadership/lease_extension.py
+++ b/tealrill/leadership/lease_extension.py
@@ -144,15 +144,15 @@
         while True:
             leadership = self._election.leadership
             if leadership is not None and leadership.renewal_failed and self.is_possible:
-                await self._seek(leadership)
+                await self._request_grants(leadership)
             else:
                 if leadership is not None and self._is_extended:
                     log.info("lease renewed again, no extension needed: term=%d", leadership.term)
                 self._is_extended = False
-                self._refusals.forget()
+                self._refusals.reset()
             await asyncio.sleep(_REQUEST_INTERVAL_S)
 
-    async def _seek(self, leadership: Leadership) -> None:
+    async def _request_grants(self, leadership: Leadership) -> None:
         sent = self._now()
         if not leadership.valid(sent):
             return
--- a/tealrill/leadership/lease_revocation.py
+++ b/tealrill/leadership/lease_revocation.py
@@ -188,7 +188,7 @@
         # Set before the transaction is sent: a grant after it could extend the leader's term.
         self._election.revoking_term = leader.term
         mark = self._mark_for(leader)
-        record = wire.plain(ExclusionRecord(leader.term, ends_term=leader.term, mark=mark))
+        record = wire.to_builtins(ExclusionRecord(leader.term, ends_term=leader.term, mark=mark))
         guards = [
             wire.guard(LEADER_KEY, leader.mod_revision),
             wire.guard(TERM_KEY, term.version),
--- a/tealrill/leadership/renewal_delegation.py
+++ b/tealrill/leadership/renewal_delegation.py
@@ -216,7 +216,7 @@
                 wire.guard(LEADER_KEY, leader.mod_revision),
                 wire.guard(self._key, entry.version if entry is not None else ABSENT),
             ],
-            [wire.put(self._key, wire.plain(Delegation(leader.term, beat=self._beat)))],
+            [wire.put(self._key, wire.to_builtins(Delegation(leader.term, beat=self._beat)))],
         )
         if not isinstance(result, Committed):
             return
@@ -339,7 +339,7 @@
             if delegation is None or self._is_outdated(entry, now) or revoke:
                 log.info("delegation revoked: key=%s", entry.key)
                 await self._change(
-                    entry, wire.put(entry.key, wire.plain(Delegation(self._term, True)))
+                    entry, wire.put(entry.key, wire.to_builtins(Delegation(self._term, True)))
                 )
         return active
 
--- a/tealrill/scheduler/model.py
+++ b/tealrill/scheduler/model.py
@@ -112,9 +112,9 @@
     def has_capacity(self, cpus: float, gpus: float, memory_gb: float) -> bool:
         """Return True if at least this capacity is free."""
         return (
-            self.cpus + SLACK >= cpus
-            and self.memory_gb + SLACK >= memory_gb
-            and self.gpus + SLACK >= gpus
+            self.cpus + TOLERANCE >= cpus
+            and self.memory_gb + TOLERANCE >= memory_gb
+            and self.gpus + TOLERANCE >= gpus
         )
 
     def allows(self, job: JobView) -> bool:
@@ -137,7 +137,7 @@
         self.memory_gb += task.memory_gb
 
 
-SLACK = 1e-6
+TOLERANCE = 1e-6
 """Tolerance of comparisons, because capacities are sums of decimal numbers."""
 
 
@@ -215,9 +215,9 @@
         """Return how many of the job's waiting tasks the team's limit still allows."""
         count = job.waiting
         if self.cpus_max > 0 and job.cpus > 0:
-            count = min(count, int((self.cpus_max - self.cpus + SLACK) // job.cpus))
+            count = min(count, int((self.cpus_max - self.cpus + TOLERANCE) // job.cpus))
         if self.gpus_max > 0 and job.gpus > 0:
-            count = min(count, int((self.gpus_max - self.gpus + SLACK) // job.gpus))
+            count = min(count, int((self.gpus_max - self.gpus + TOLERANCE) // job.gpus))
         return max(0, count)
 
     def is_within_quota(self, job: JobView) -> bool:
@@ -225,14 +225,17 @@
         if self.cpus_guaranteed <= 0 and self.gpus_guaranteed <= 0:
             return False
         return (
-            self.cpus + job.cpus <= self.cpus_guaranteed + SLACK
-            and self.gpus + job.gpus <= self.gpus_guaranteed + SLACK
+            self.cpus + job.cpus <= self.cpus_guaranteed + TOLERANCE
+            and self.gpus + job.gpus <= self.gpus_guaranteed + TOLERANCE
         )
 
     @property
     def exceeds_quota(self) -> bool:
         """True if the team uses more than its guaranteed quota."""
-        return self.cpus > self.cpus_guaranteed + SLACK or self.gpus > self.gpus_guaranteed + SLACK
+        return (
+            self.cpus > self.cpus_guaranteed + TOLERANCE
+            or self.gpus > self.gpus_guaranteed + TOLERANCE
+        )
 
 
 @dataclass(slots=True)
--- a/tealrill/scheduler/plan.py
+++ b/tealrill/scheduler/plan.py
@@ -11,7 +11,7 @@
 
 from tealrill.scheduler import preemption
 from tealrill.scheduler.model import (
-    SLACK,
+    TOLERANCE,
     JobView,
     MachineView,
     Plan,
@@ -148,7 +148,11 @@
         if self._has_full_machines:
             self._has_full_machines = False
             self.with_room = [m for m in self.with_room if self._has_room(m)]
-        cpus, gpus, memory_gb = job.cpus - SLACK, job.gpus - SLACK, job.memory_gb - SLACK
+        cpus, gpus, memory_gb = (
+            job.cpus - TOLERANCE,
+            job.gpus - TOLERANCE,
+            job.memory_gb - TOLERANCE,
+        )
         fitting = [
             m
             for m in self._usable(job, self.with_room)
@@ -302,7 +306,7 @@
         already_preempted: set[RunningTask] = set()
         machines = self._usable(reserved_job, self.ready)
         while still_needed > 0:
-            preempted = preemption.choose(
+            preempted = preemption.choose_preemption(
                 reserved_job,
                 machines,
                 self.view.teams,
--- a/tealrill/scheduler/preemption.py
+++ b/tealrill/scheduler/preemption.py
@@ -8,7 +8,7 @@
 
 from dataclasses import dataclass
 
-from tealrill.scheduler.model import SLACK, JobView, MachineView, RunningTask, TeamView
+from tealrill.scheduler.model import TOLERANCE, JobView, MachineView, RunningTask, TeamView
 from tealrill.types import Monotonic
 
 
@@ -45,9 +45,9 @@
 
 def _makes_room(machine: MachineView, tasks: list[RunningTask], job: JobView) -> bool:
     return (
-        machine.cpus + sum(t.cpus for t in tasks) + SLACK >= job.cpus
-        and machine.memory_gb + sum(t.memory_gb for t in tasks) + SLACK >= job.memory_gb
-        and machine.gpus + sum(t.gpus for t in tasks) + SLACK >= job.gpus
+        machine.cpus + sum(t.cpus for t in tasks) + TOLERANCE >= job.cpus
+        and machine.memory_gb + sum(t.memory_gb for t in tasks) + TOLERANCE >= job.memory_gb
+        and machine.gpus + sum(t.gpus for t in tasks) + TOLERANCE >= job.gpus
     )
 
 
@@ -74,7 +74,7 @@
     return PreemptedTasks(machine, chosen, lost_cpu_s)
 
 
-def choose(
+def choose_preemption(
     job: JobView,
     machines: list[MachineView],
     teams: dict[str, TeamView],
--- a/tealrill/scheduler/reservation.py
+++ b/tealrill/scheduler/reservation.py
@@ -10,7 +10,7 @@
 import math
 from dataclasses import dataclass
 
-from tealrill.scheduler.model import SLACK, JobView, MachineView, expected_ends
+from tealrill.scheduler.model import TOLERANCE, JobView, MachineView, expected_ends
 from tealrill.types import Monotonic
 
 
@@ -63,9 +63,9 @@
         task = machine.running[number]
         cpus, gpus, memory = cpus + task.cpus, gpus + task.gpus, memory + task.memory_gb
         if (
-            cpus + SLACK >= job.cpus
-            and memory + SLACK >= job.memory_gb
-            and gpus + SLACK >= job.gpus
+            cpus + TOLERANCE >= job.cpus
+            and memory + TOLERANCE >= job.memory_gb
+            and gpus + TOLERANCE >= job.gpus
         ):
             return max(at, end), cpus, gpus, memory
     return None
@@ -80,7 +80,7 @@
     count = job.tasks
     for need, have in ((job.cpus, cpus), (job.gpus, gpus), (job.memory_gb, memory)):
         if need > 0:
-            count = min(count, int((have + SLACK) // need))
+            count = min(count, int((have + TOLERANCE) // need))
     return max(0, count)
 
 
--- a/tealrill/simulation/__main__.py
+++ b/tealrill/simulation/__main__.py
@@ -17,8 +17,8 @@
 import click
 
 from tealrill.simulation.day_digests import differing_days, read_days, write_days
-from tealrill.simulation.process import Shape
-from tealrill.simulation.scenario import play
+from tealrill.simulation.process import ClusterConfig
+from tealrill.simulation.scenario import run_scenario
 
 
 class _Format(logging.Formatter):
@@ -47,16 +47,16 @@
         logging.getLogger("tealrill").setLevel(logging.DEBUG)
     bad = 0
     for day in range(seed, seed + days):
-        world = play(day, Shape(nodes=nodes, machines=machines), for_s)
-        done = sum(job.done for job in world.jobs.values())
-        terminated = sum(job.cancelled_at is not None for job in world.jobs.values())
+        cluster = run_scenario(day, ClusterConfig(nodes=nodes, machines=machines), for_s)
+        done = sum(job.done for job in cluster.jobs.values())
+        terminated = sum(job.cancelled_at is not None for job in cluster.jobs.values())
         click.echo(
-            f"seed {day}: {len(world.jobs)} jobs, {done} done, {terminated} cancelled, "
-            f"{world.starts} starts, {len(world.broken)} rules broken"
+            f"seed {day}: {len(cluster.jobs)} jobs, {done} done, {terminated} cancelled, "
+            f"{cluster.starts} starts, {len(cluster.violations)} rules broken"
         )
-        if world.broken:
+        if cluster.violations:
             bad += 1
-            for line in [*world.events, *(f"BROKEN {text}" for text in world.broken[:10])]:
+            for line in [*cluster.events, *(f"BROKEN {text}" for text in cluster.violations[:10])]:
                 click.echo(f"  {line}")
     if bad:
         sys.exit(1)
--- a/tealrill/simulation/clock.py
+++ b/tealrill/simulation/clock.py
@@ -17,7 +17,7 @@
 
 from tealrill import types
 
-STEADY_AT = 1_000.0
+MONOTONIC_START_S = 1_000.0
 """The monotonic clock at the beginning, in seconds."""
 _WALL_AT = 1_700_000_000.0
 
@@ -110,7 +110,7 @@
     rng = random.Random(seed)
     own = random.Random(f"program/{seed}")
     clocks = SimpleNamespace(
-        monotonic=lambda: STEADY_AT + loop.passed, time=lambda: _WALL_AT + loop.passed
+        monotonic=lambda: MONOTONIC_START_S + loop.passed, time=lambda: _WALL_AT + loop.passed
     )
     before = random.getstate()
     random.seed(f"module/{seed}")
--- a/tealrill/simulation/cluster.py
+++ b/tealrill/simulation/cluster.py
@@ -22,9 +22,9 @@
 from tealrill.simulation.network import STATE, Network
 from tealrill.simulation.process import (
     PROCESS,
+    ClusterConfig,
     Host,
     Process,
-    Shape,
     SocketlessController,
     create_process_task,
 )
@@ -36,19 +36,19 @@
 
 
 class SimulatedCluster:
-    """All parts of one simulated day, and its faults; violated invariants are in `broken`."""
+    """All parts of one simulated day, and its faults; violated invariants are in `violations`."""
 
-    def __init__(self, loop: Loop, rng: random.Random, shape: Shape) -> None:
-        self.loop, self.rng, self.shape = loop, rng, shape
+    def __init__(self, loop: Loop, rng: random.Random, config: ClusterConfig) -> None:
+        self.loop, self.rng, self.config = loop, rng, config
         self.digest = TrafficDigest()
         """Over all that crosses the network and all that is written to the state service."""
         self.state = StateService(rng, self.now)
         self.state.written = lambda changes: self.digest.add(self.now(), STATE, changes)
         self.network, self.worker_fleet = Network(self), WorkerFleet(self)
         self.users, self.invariants = Users(self), Invariants(self)
-        self.cloud = CloudService(rng, self.now, shape.machines)
+        self.cloud = CloudService(rng, self.now, config.machines)
         self.cloud.booted, self.cloud.taken = self.worker_fleet.boot, self.worker_fleet.clear
-        self.hosts = {f"host-{n}": Host(f"host-{n}") for n in range(shape.nodes)}
+        self.hosts = {f"host-{n}": Host(f"host-{n}") for n in range(config.nodes)}
         self.workers: dict[str, Worker] = {}
         self.by_address: dict[str, str] = {}
         self.active_faults = ActiveFaults()
@@ -56,8 +56,8 @@
         self.results: set[str] = set()
         self.checkpoints: dict[str, float] = {}
         self.jobs: dict[str, UserJob] = {}
-        self.broken: list[str] = []
-        self.rules: set[str] = set()
+        self.violations: list[str] = []
+        self.violated_invariants: set[str] = set()
         """Those that are broken, by name."""
         self.breached: Callable[[str], object] = lambda _: None
         self.events: list[str] = []
@@ -79,11 +79,11 @@
 
     def breach(self, rule: str, text: str) -> None:
         """Record the violation of an invariant."""
-        self.broken.append(f"{self.now():.3f} {rule}: {text}")
-        self.rules.add(rule)
+        self.violations.append(f"{self.now():.3f} {rule}: {text}")
+        self.violated_invariants.add(rule)
         self.breached(rule)
 
-    def begin(self, work: Coroutine[Any, Any, Any], context: Any = None) -> asyncio.Task[Any]:
+    def spawn(self, work: Coroutine[Any, Any, Any], context: Any = None) -> asyncio.Task[Any]:
         """Begin a task, without a context one that belongs to no process."""
         task = self.loop.create_task(work, context=context or self._context)
         self._tasks.add(task)
@@ -99,9 +99,9 @@
         host.context.run(PROCESS.set, host.process)
         number = int(host.name.removeprefix("host-"))
         host.node = host.context.run(
-            SocketlessController, self.shape.settings(number), self.shape.features()
+            SocketlessController, self.config.settings(number), self.config.features()
         )
-        task = self.begin(host.node.run(), host.context)
+        task = self.spawn(host.node.run(), host.context)
         task.add_done_callback(lambda task: self._check_end(host, task))
 
     def _check_end(self, host: Host, task: asyncio.Task[None]) -> None:
@@ -137,10 +137,10 @@
 
 
 @contextlib.contextmanager
-def connected(seed: int, shape: Shape) -> Iterator[SimulatedCluster]:
+def connected(seed: int, config: ClusterConfig) -> Iterator[SimulatedCluster]:
     """Return a cluster whose network carries the requests of the controllers' HTTP clients."""
     with simulated(seed) as (loop, rng):
-        world = SimulatedCluster(loop, rng, shape)
+        cluster = SimulatedCluster(loop, rng, config)
 
         async def request(
             client: Any,
@@ -152,17 +152,17 @@
         ) -> Answer:
             # What a paused process sends, and the answers to it, wait.
             name = PROCESS.get().name
-            await world.network.wait_until_resumed(name)
+            await cluster.network.wait_until_resumed(name)
             try:
-                return await world.network.call(
+                return await cluster.network.call(
                     client._address, method, path, body, timeout_s, check
                 )
             finally:
-                await world.network.wait_until_resumed(name)
+                await cluster.network.wait_until_resumed(name)
 
         async def accepts(address: Address, timeout_s: float) -> bool | None:
-            place = world.network.endpoint_of(address)
-            if world.cloud.machines[place].terminated or world.network.partitioned(
+            place = cluster.network.endpoint_of(address)
+            if cluster.cloud.machines[place].terminated or cluster.network.partitioned(
                 PROCESS.get().name, place
             ):
                 await asyncio.sleep(timeout_s)
@@ -173,4 +173,4 @@
             mock.patch.object(http.Client, "request", request),
             mock.patch.object(prober, "accepts", accepts),
         ):
-            yield world
+            yield cluster
--- a/tealrill/simulation/day_digests.py
+++ b/tealrill/simulation/day_digests.py
@@ -9,8 +9,8 @@
 
 import msgspec
 
-from tealrill.simulation.process import Shape
-from tealrill.simulation.scenario import play
+from tealrill.simulation.process import ClusterConfig
+from tealrill.simulation.scenario import run_scenario
 
 _TROUBLE_S: Final = 90.0
 _SEEDS_PER_KIND: Final = 10
@@ -33,8 +33,8 @@
 
 def digest_of(day: RecordedDay) -> str:
     """Play the day and return the digest of its traffic."""
-    shape = Shape(nodes=day.controllers, graphs=day.graphs)
-    return play(day.seed, shape, _TROUBLE_S).digest.hexdigest()
+    config = ClusterConfig(nodes=day.controllers, graphs=day.graphs)
+    return run_scenario(day.seed, config, _TROUBLE_S).digest.hexdigest()
 
 
 def differing_days(days: Sequence[RecordedDay], processes: int) -> list[RecordedDay]:
--- a/tealrill/simulation/graph_users.py
+++ b/tealrill/simulation/graph_users.py
@@ -27,29 +27,29 @@
 }  # fmt: skip
 
 
-async def submit_graphs(world: SimulatedCluster, teams: tuple[str, ...], until_s: float) -> None:
+async def submit_graphs(cluster: SimulatedCluster, teams: tuple[str, ...], until_s: float) -> None:
     """Submit a graph of two nodes every few seconds, each to a node drawn by chance."""
     number = 0
-    while world.now() < until_s:
-        await asyncio.sleep(world.rng.uniform(*_PAUSE_S))
+    while cluster.now() < until_s:
+        await asyncio.sleep(cluster.rng.uniform(*_PAUSE_S))
         number += 1
         graph = f"graph{number}"
-        job = {**_JOB, "crew": world.rng.choice(teams)}
+        job = {**_JOB, "crew": cluster.rng.choice(teams)}
         for index in range(len(_NODES)):
             name = node_id(graph, index)
-            world.descriptions[name] = Description(1, _RUN_S, _VCPUS)
-            world.add_foreign_job(name, {**job, "id": name})
-        await _submit(world, orjson.dumps({"id": graph, "defaults": job, "nodes": list(_NODES)}))
+            cluster.descriptions[name] = Description(1, _RUN_S, _VCPUS)
+            cluster.add_foreign_job(name, {**job, "id": name})
+        await _submit(cluster, orjson.dumps({"id": graph, "defaults": job, "nodes": list(_NODES)}))
 
 
-async def _submit(world: SimulatedCluster, body: bytes) -> None:
-    host = world.rng.choice(list(world.hosts.values()))
-    if host.node is None or host.name in world.active_faults.paused:
+async def _submit(cluster: SimulatedCluster, body: bytes) -> None:
+    host = cluster.rng.choice(list(cluster.hosts.values()))
+    if host.node is None or host.name in cluster.active_faults.paused:
         return
     for extension in host.node.extensions:
-        if isinstance(extension.names, GraphAdmission):
-            task = world.begin(extension.names.submit(body), host.context)
+        if isinstance(extension.implicit_jobs, GraphAdmission):
+            task = cluster.spawn(extension.implicit_jobs.submit(body), host.context)
             await asyncio.wait({task}, timeout=5.0)
             if task.done() and not task.cancelled() and task.exception() is None:
                 reply = task.result()
-                world.digest.add(world.now(), host.name, body, reply.status, reply.body)
+                cluster.digest.add(cluster.now(), host.name, body, reply.status, reply.body)
--- a/tealrill/simulation/invariants.py
+++ b/tealrill/simulation/invariants.py
@@ -23,70 +23,70 @@
 class Invariants:
     """Checks the invariants; violations are recorded by the cluster."""
 
-    def __init__(self, world: SimulatedCluster) -> None:
-        self.world = world
+    def __init__(self, cluster: SimulatedCluster) -> None:
+        self.cluster = cluster
 
     def check_start(self, worker: Worker, name: str) -> None:
         """Check a task that starts to run: exclusion, constraints, cancellation and quota."""
-        self.world.starts += 1
+        self.cluster.starts += 1
         own = worker.machine
-        for other in self.world.up():
+        for other in self.cluster.up():
             if other is not worker and name in other.on():
                 other.tick()
                 if name in other.on():
-                    self.world.breach("ran_twice", f"{name} runs on {other.machine.id}, {own.id}")
-        job = self.world.jobs[job_of(name)]
+                    self.cluster.breach("ran_twice", f"{name} runs on {other.machine.id}, {own.id}")
+        job = self.cluster.jobs[job_of(name)]
         if job.body["hall"] not in (None, own.zone) or (own.spot and not job.body["loaners"]):
-            self.world.breach("wrong_place", f"{name} on {own.id}")
-        on = [(job_of(n), w.machine.zone) for w in self.world.up() for n in w.on()]
+            self.cluster.breach("wrong_place", f"{name} on {own.id}")
+        on = [(job_of(n), w.machine.zone) for w in self.cluster.up() for n in w.on()]
         zones = [zone for number, zone in on if number == job.id]
         most = (job.body["pieces"] + 1) // 2 if job.body["scatter"] else len(zones)
         if (job.body["samePlace"] and len(set(zones)) > 1) or zones.count(own.zone) > most:
-            self.world.breach("wrong_place", f"{name} in {own.zone}, beside {zones}")
-        if own.id in self.world.active_faults.must_stay_idle:
-            self.world.breach("given_work", f"{name} on {own.id}")
+            self.cluster.breach("wrong_place", f"{name} in {own.zone}, beside {zones}")
+        if own.id in self.cluster.active_faults.must_stay_idle:
+            self.cluster.breach("given_work", f"{name} on {own.id}")
         if (
             job.cancelled_at is not None
-            and self.world.now() > job.cancelled_at + self.world.shape.cancel_s
+            and self.cluster.now() > job.cancelled_at + self.cluster.config.cancel_s
         ):
-            self.world.breach("ran_cancelled", f"{name} starts")
+            self.cluster.breach("ran_cancelled", f"{name} starts")
         used = sum(
-            self.world.descriptions[number].vcpus
+            self.cluster.descriptions[number].vcpus
             for number, _ in on
-            if self.world.jobs[number].body["crew"] == job.body["crew"]
+            if self.cluster.jobs[number].body["crew"] == job.body["crew"]
         )
-        if used > self.world.shape.limit_vcpus:
-            self.world.breach("quota", f"{used} vcpus of {job.body['crew']} in use")
+        if used > self.cluster.config.limit_vcpus:
+            self.cluster.breach("quota", f"{used} vcpus of {job.body['crew']} in use")
 
     async def watch(self) -> None:
         """Check the invariants that are violated when something lasts for too long."""
         said: set[str] = set()
         while True:
             await asyncio.sleep(0.5)
-            now = self.world.now()
-            on = {job_of(n) for w in self.world.up() for n in w.on()}
-            for job in self.world.jobs.values():
+            now = self.cluster.now()
+            on = {job_of(n) for w in self.cluster.up() for n in w.on()}
+            for job in self.cluster.jobs.values():
                 if job.id in said:
                     continue
                 late = job.cancelled_at is not None and (
-                    now > job.cancelled_at + self.world.shape.cancel_s
+                    now > job.cancelled_at + self.cluster.config.cancel_s
                 )
                 if late and job.id in on:
                     said.add(job.id)
-                    self.world.breach("ran_cancelled", job.id)
+                    self.cluster.breach("ran_cancelled", job.id)
                 open_ = job.accepted and not job.over
                 if self._waits_beside_room(job, open_, now):
                     said.add(job.id)
-                    self.world.breach("waited", f"{job.id}: {PLACE_WITHIN_S:.0f} s beside room")
-                if open_ and now - max(job.answered_at, self.world.calm_since) > ANSWER_WITHIN_S:
+                    self.cluster.breach("waited", f"{job.id}: {PLACE_WITHIN_S:.0f} s beside room")
+                if open_ and now - max(job.answered_at, self.cluster.calm_since) > ANSWER_WITHIN_S:
                     said.add(job.id)
-                    self.world.breach(
+                    self.cluster.breach(
                         "forgotten", f"{job.id}: no answer for {ANSWER_WITHIN_S:.0f} s"
                     )
 
     def _waits_beside_room(self, job: UserJob, open_: bool, now: float) -> bool:
         """Return whether a task has waited too long although a machine has room for it."""
-        if not open_ or now < self.world.calm_since or not self._has_room(job):
+        if not open_ or now < self.cluster.calm_since or not self._has_room(job):
             job.beside_since = None
             return False
         if job.beside_since is None:
@@ -96,22 +96,22 @@
     def _has_room(self, job: UserJob) -> bool:
         body = job.body
         need = body["vcpus"]
-        placed = set(self.world.results)
+        placed = set(self.cluster.results)
         team = 0.0
         rooms: list[tuple[str, bool, float]] = []
-        for worker in self.world.up():
+        for worker in self.cluster.up():
             used = 0.0
             for (name, _), task in worker.tasks.items():
                 number = job_of(name)
                 if task.state != wire.EXITED:
                     placed.add(name)
-                    used += self.world.descriptions[number].vcpus
-                    if self.world.jobs[number].body["crew"] == body["crew"]:
-                        team += self.world.descriptions[number].vcpus
+                    used += self.cluster.descriptions[number].vcpus
+                    if self.cluster.jobs[number].body["crew"] == body["crew"]:
+                        team += self.cluster.descriptions[number].vcpus
             rooms.append((worker.machine.zone, worker.machine.spot, CloudService.VCPUS - used))
         if job.tasks <= placed:
             return False
-        if body["samePlace"] or body["scatter"] or team + need > self.world.shape.limit_vcpus:
+        if body["samePlace"] or body["scatter"] or team + need > self.cluster.config.limit_vcpus:
             return False
         return any(
             room >= need and body["hall"] in (None, zone) and (body["loaners"] or not spot)
@@ -124,7 +124,7 @@
             if command["verb"] == wire.START and self._is_known_to_have_ended(
                 name, command["piece"]
             ):
-                self.world.breach("started_late", f"{command['piece']} by {name}")
+                self.cluster.breach("started_late", f"{command['piece']} by {name}")
 
     def check_renewal(
         self, name: str, heartbeat: dict[str, Any], commands: list[dict[str, Any]]
@@ -137,11 +137,11 @@
                 and (line["piece"], line["try"]) not in stopped
                 and self._is_known_to_have_ended(name, line["piece"])
             ):
-                self.world.breach("renewed_unstopped", f"{line['piece']} by {name}")
+                self.cluster.breach("renewed_unstopped", f"{line['piece']} by {name}")
 
     def _is_known_to_have_ended(self, name: str, task: str) -> bool:
         """Return whether the leader on that host, if there is one, knows that the job has ended."""
-        node = self.world.hosts[name].node
+        node = self.cluster.hosts[name].node
         if node is None or node.leader is None:
             return False
         job = node.leader.job_store.jobs.get(JobId(job_of(task)))
--- a/tealrill/simulation/network.py
+++ b/tealrill/simulation/network.py
@@ -28,8 +28,8 @@
 class Network:
     """Carries requests between controllers, services and machines; the cluster has its faults."""
 
-    def __init__(self, world: SimulatedCluster) -> None:
-        self.world = world
+    def __init__(self, cluster: SimulatedCluster) -> None:
+        self.cluster = cluster
 
     def endpoint_of(self, address: Address) -> str:
         """Return the name of the service, controller or machine that listens there."""
@@ -39,11 +39,11 @@
             return _CLOUD
         if address.host.startswith("10.0.0."):
             return f"host-{int(address.host.rpartition('.')[2]) - 1}"
-        return self.world.by_address[f"{address.host}:{address.port}"]
+        return self.cluster.by_address[f"{address.host}:{address.port}"]
 
     def _zone_of(self, name: str) -> str | None:
         if name.startswith("m-"):
-            return self.world.cloud.machines[name].zone
+            return self.cluster.cloud.machines[name].zone
         return (
             zone_of_controller(int(name.removeprefix("host-")))
             if name.startswith("host-")
@@ -52,26 +52,29 @@
 
     def partitioned(self, one: str, other: str) -> bool:
         """Return whether the link between two endpoints is cut."""
-        if self.world.active_faults.isolated_zones or self.world.active_faults.zones_partitioned:
+        if (
+            self.cluster.active_faults.isolated_zones
+            or self.cluster.active_faults.zones_partitioned
+        ):
             zones = self._zone_of(one), self._zone_of(other)
             if zones[0] != zones[1] and (
-                not self.world.active_faults.isolated_zones.isdisjoint(zones)
-                or (self.world.active_faults.zones_partitioned and None not in zones)
+                not self.cluster.active_faults.isolated_zones.isdisjoint(zones)
+                or (self.cluster.active_faults.zones_partitioned and None not in zones)
             ):
                 return True
         pair = frozenset("workers" if name.startswith("m-") else name for name in (one, other))
-        return pair in self.world.active_faults.cut_links
+        return pair in self.cluster.active_faults.cut_links
 
     async def wait_until_resumed(self, name: str) -> None:
         """Return once that controller's process is not paused."""
-        while name in self.world.active_faults.paused:
+        while name in self.cluster.active_faults.paused:
             await asyncio.sleep(0.05)
 
     async def delay(self) -> None:
         """Wait for the latency of one way."""
         await asyncio.sleep(
-            self.world.rng.uniform(0.0003, 0.002)
-            + self.world.rng.uniform(0.0, self.world.active_faults.link_delay_s)
+            self.cluster.rng.uniform(0.0003, 0.002)
+            + self.cluster.rng.uniform(0.0, self.cluster.active_faults.link_delay_s)
         )
 
     async def call(
@@ -91,35 +94,35 @@
         source, place = PROCESS.get().name, self.endpoint_of(address)
         if place.startswith("m-"):
             # Checked as they leave: what the controller learns later comes too late.
-            self.world.invariants.check_commands(
+            self.cluster.invariants.check_commands(
                 source, orjson.loads(body or b"{}").get("orders", [])
             )
-        self.world.digest.add(self.world.now(), source, place, method, path, body or b"")
+        self.cluster.digest.add(self.cluster.now(), source, place, method, path, body or b"")
         await self.delay()
-        host = self.world.hosts.get(place)
+        host = self.cluster.hosts.get(place)
         if self.partitioned(source, place) or (
-            place in self.world.active_faults.inbound_partitioned and place.startswith("m-")
+            place in self.cluster.active_faults.inbound_partitioned and place.startswith("m-")
         ):
             await asyncio.sleep(timeout_s)
-            raise NoAnswerError("TimeoutError", self.world.rng.random() < 0.5, silent=True)
+            raise NoAnswerError("TimeoutError", self.cluster.rng.random() < 0.5, timed_out=True)
         if host is not None and host.node is None:
             raise NoAnswerError("refused", False, refused=True)
         if check is not None:
             check()
-        answered: asyncio.Future[Reply] = self.world.loop.create_future()
+        answered: asyncio.Future[Reply] = self.cluster.loop.create_future()
         work = self._deliver(answered, source, place, method, path, body)
-        self.world.begin(work, host.context if host is not None else None)
+        self.cluster.spawn(work, host.context if host is not None else None)
         try:
             async with asyncio.timeout(timeout_s):
                 status, value = await asyncio.shield(answered)
                 await self.delay()
         except TimeoutError:
-            raise NoAnswerError("TimeoutError", True, silent=True) from None
+            raise NoAnswerError("TimeoutError", True, timed_out=True) from None
         if self.partitioned(source, place):
             raise NoAnswerError("StreamClosedError", True)
         answer = Answer()
         answer.status, answer.body, answer.complete = status, orjson.dumps(value), True
-        self.world.digest.add(self.world.now(), place, source, status, answer.body)
+        self.cluster.digest.add(self.cluster.now(), place, source, status, answer.body)
         return answer
 
     async def _deliver(
@@ -131,28 +134,28 @@
         path: str,
         body: bytes | None,
     ) -> None:
-        held = place.startswith("m-") and self.world.active_faults.command_delay_s > 0
-        if held and self.world.rng.random() < 0.5:
-            if self.world.active_faults.cancel_in_flight:
-                self.world.users.cancel_started(body)
+        held = place.startswith("m-") and self.cluster.active_faults.command_delay_s > 0
+        if held and self.cluster.rng.random() < 0.5:
+            if self.cluster.active_faults.cancel_in_flight:
+                self.cluster.users.cancel_started(body)
             await asyncio.sleep(
-                self.world.rng.uniform(0.0, self.world.active_faults.command_delay_s)
+                self.cluster.rng.uniform(0.0, self.cluster.active_faults.command_delay_s)
             )
         try:
             if place == STATE:
-                reply = await self.world.state(source, method, path, body)
+                reply = await self.cluster.state(source, method, path, body)
             elif place == _CLOUD:
-                reply = await self.world.cloud(source, method, path, body)
-            elif place in self.world.hosts:
+                reply = await self.cluster.cloud(source, method, path, body)
+            elif place in self.cluster.hosts:
                 await self.wait_until_resumed(place)
-                reply = await self._peer(self.world.hosts[place], method, path, body)
+                reply = await self._peer(self.cluster.hosts[place], method, path, body)
             else:
                 reply = await self._call_worker(source, place, method, path, body)
         except NoReplyError:
             return
-        if held and self.world.rng.random() < 0.5:
+        if held and self.cluster.rng.random() < 0.5:
             await asyncio.sleep(
-                self.world.rng.uniform(0.0, self.world.active_faults.command_delay_s)
+                self.cluster.rng.uniform(0.0, self.cluster.active_faults.command_delay_s)
             )
         if not answered.done():
             answered.set_result(reply)
@@ -161,7 +164,7 @@
         self, source: str, place: str, method: str, path: str, body: bytes | None
     ) -> Reply:
         """Pass a request to a machine's worker, once the machine is not paused."""
-        worker = self.world.workers.get(place)
+        worker = self.cluster.workers.get(place)
         while worker is not None and worker.hung_at is not None:
             await asyncio.sleep(0.05)
         if worker is None or worker.machine.terminated:
@@ -180,7 +183,7 @@
         if path == PING_PATH:
             return 200, orjson.loads(wire.encode(node._lease_extension.presence()))
         if path == CATALOGUE_PATH:
-            known = node._catalogues.known
+            known = node._catalogue_cache.catalogue
             return (503, {}) if known is None else (200, orjson.loads(wire.encode(known)))
         answer = await call_user_api(node.admission, method, path.removeprefix(PEER_PREFIX), body)
         return answer.status, answer.body
--- a/tealrill/simulation/process.py
+++ b/tealrill/simulation/process.py
@@ -45,7 +45,7 @@
 
 
 @dataclass(frozen=True)
-class Shape:
+class ClusterConfig:
     """The size and settings of a deployment, and the load on it."""
 
     nodes: int = 3
@@ -57,11 +57,11 @@
     """Quota of each team."""
     every_s: float = 4.0
     """Mean time between two jobs."""
-    jobs: tuple[tuple[int, float], ...] = ((1, 4.0), (2, 9.0), (3, 15.0), (6, 8.0), (2, 60.0))
+    job_kinds: tuple[tuple[int, float], ...] = ((1, 4.0), (2, 9.0), (3, 15.0), (6, 8.0), (2, 60.0))
     """Numbers of tasks and run times in seconds that jobs are drawn from."""
-    cancelled: float = 0.4
+    cancelled_share: float = 0.4
     """Share of jobs that are cancelled by their users."""
-    saving: float = 0.3
+    checkpoint_share: float = 0.3
     """Share of jobs whose tasks have checkpoints."""
     zoned: float = 1 / 3
     """Share of jobs with several tasks that have a constraint on zones."""
--- a/tealrill/simulation/users.py
+++ b/tealrill/simulation/users.py
@@ -88,50 +88,50 @@
 class Users:
     """The users of all jobs."""
 
-    def __init__(self, world: SimulatedCluster) -> None:
-        self.world = world
+    def __init__(self, cluster: SimulatedCluster) -> None:
+        self.cluster = cluster
 
     async def ask(
         self, method: str, path: str, body: Any, patience_s: float, at: Host | None = None
     ) -> Reply | None:
         """Send a request to a controller, drawn without `at`; return None without an answer."""
-        host = at or self.world.rng.choice(list(self.world.hosts.values()))
+        host = at or self.cluster.rng.choice(list(self.cluster.hosts.values()))
         node = host.node
         if node is None:
             return None
-        if host.name in self.world.active_faults.paused:
+        if host.name in self.cluster.active_faults.paused:
             await asyncio.sleep(patience_s)
             return None
         raw = orjson.dumps(body) if body is not None else None
-        task = self.world.begin(call_user_api(node._relay, method, path, raw), host.context)
+        task = self.cluster.spawn(call_user_api(node._relay, method, path, raw), host.context)
         done, _ = await asyncio.wait({task}, timeout=patience_s)
         if not done or host.node is not node or task.cancelled() or task.exception() is not None:
             return None
         answer = task.result()
         reply = answer.status, answer.body
-        self.world.digest.add(self.world.now(), host.name, method, path, raw or b"", *reply)
+        self.cluster.digest.add(self.cluster.now(), host.name, method, path, raw or b"", *reply)
         return reply
 
     async def run_job(self, job: UserJob) -> None:
         """Submit, poll and perhaps cancel one job, as the protocol has users do."""
-        until = self.world.now() + 60.0
+        until = self.cluster.now() + 60.0
         while not job.accepted:
             reply = await self.ask("POST", wire.JOBS_PATH, job.body, _PATIENCE_S)
             if reply is not None and reply[0] in (200, 201):
-                job.accepted, job.answered_at = True, self.world.now()
+                job.accepted, job.answered_at = True, self.cluster.now()
                 self._poll_closely(job)
                 break
-            if self.world.now() > until:
+            if self.cluster.now() > until:
                 return
-            await asyncio.sleep(self.world.rng.uniform(1.0, 2.0))
+            await asyncio.sleep(self.cluster.rng.uniform(1.0, 2.0))
         while not job.over:
-            await asyncio.sleep(self.world.rng.uniform(4.0, 6.0))
-            if job.cancel_at is not None and self.world.now() >= job.cancel_at:
+            await asyncio.sleep(self.cluster.rng.uniform(4.0, 6.0))
+            if job.cancel_at is not None and self.cluster.now() >= job.cancel_at:
                 await self._cancel(job)
             else:
                 await self._poll(job)
         for _ in range(3):
-            await asyncio.sleep(self.world.rng.uniform(5.0, 25.0))
+            await asyncio.sleep(self.cluster.rng.uniform(5.0, 25.0))
             await self._poll(job)
             await self._poll(job, again=True)
 
@@ -158,25 +158,25 @@
 
         Unless `begun` is false, only jobs that run are chosen.
         """
-        on = {job_of(n): w for w in self.world.workers.values() for n in w.on()}
+        on = {job_of(n): w for w in self.cluster.workers.values() for n in w.on()}
         found = [
-            job for job in self.world.jobs.values() if job.accepted and not job.asked_to_cancel
+            job for job in self.cluster.jobs.values() if job.accepted and not job.asked_to_cancel
         ]
         found = [job for job in found if not job.done and (not begun or job.id in on)][:count]
         if hang_s:
             for name in {on[job.id].machine.id: None for job in found if job.id in on}:
-                self.world.begin(self.pause(self.world.workers[name], hang_s))
+                self.cluster.spawn(self.pause(self.cluster.workers[name], hang_s))
         for job in found:
-            self.world.begin(
-                self._cancel_until_acknowledged(job, self.world.rng.uniform(0.0, within_s))
+            self.cluster.spawn(
+                self._cancel_until_acknowledged(job, self.cluster.rng.uniform(0.0, within_s))
             )
 
     def cancel_started(self, body: bytes | None) -> None:
         """Cancel the jobs whose tasks these commands start."""
         for command in orjson.loads(body or b"{}").get("orders", []):
-            job = self.world.jobs.get(job_of(command["piece"]))
+            job = self.cluster.jobs.get(job_of(command["piece"]))
             if command["verb"] == wire.START and job is not None:
-                self.world.begin(self._cancel_until_acknowledged(job, 0.05))
+                self.cluster.spawn(self._cancel_until_acknowledged(job, 0.05))
 
     async def pause(self, worker: Worker, for_s: float) -> None:
         """Pause a machine for a while."""
@@ -192,26 +192,29 @@
 
     def task_completed(self, worker: Worker, name: str) -> None:
         """Perhaps cancel a job at the moment when its last task has completed."""
-        job = self.world.jobs[job_of(name)]
-        if not job.tasks <= self.world.results:
+        job = self.cluster.jobs[job_of(name)]
+        if not job.tasks <= self.cluster.results:
             return
-        if self.world.active_faults.close_polling:
-            self.world.begin(self._watch_end(job))
-        if not job.done and self.world.rng.random() < self.world.active_faults.cancel_at_end_share:
+        if self.cluster.active_faults.close_polling:
+            self.cluster.spawn(self._watch_end(job))
+        if (
+            not job.done
+            and self.cluster.rng.random() < self.cluster.active_faults.cancel_at_end_share
+        ):
             # The leader learns of the end within a heartbeat interval.
-            after_s = self.world.rng.uniform(0.0, 1.6 * self.world.shape.heartbeat_interval_s)
-            self.world.begin(self._cancel_until_acknowledged(job, after_s))
+            after_s = self.cluster.rng.uniform(0.0, 1.6 * self.cluster.config.heartbeat_interval_s)
+            self.cluster.spawn(self._cancel_until_acknowledged(job, after_s))
 
     def _poll_closely(self, job: UserJob) -> None:
         """Poll all controllers at once, also by repeated submissions."""
-        if self.world.active_faults.close_polling and not job.looked_at:
+        if self.cluster.active_faults.close_polling and not job.looked_at:
             job.looked_at = True
-            self.world.begin(self._poll_all(job))
+            self.cluster.spawn(self._poll_all(job))
 
     async def _poll_all(self, job: UserJob) -> None:
         looks = [
-            self.world.begin(self._poll_once(job, host, number))
-            for host in self.world.hosts.values()
+            self.cluster.spawn(self._poll_once(job, host, number))
+            for host in self.cluster.hosts.values()
             for number in range(4)
         ]
         await asyncio.wait(looks)
@@ -219,13 +222,13 @@
 
     async def _watch_end(self, job: UserJob) -> None:
         """Poll until the end is acknowledged, at most for 1.6 heartbeat intervals."""
-        until = self.world.now() + 1.6 * self.world.shape.heartbeat_interval_s
-        while self.world.now() < until and not job.over:
-            self.world.begin(self._poll(job))
-            await asyncio.sleep(self.world.rng.uniform(0.02, 0.06))
+        until = self.cluster.now() + 1.6 * self.cluster.config.heartbeat_interval_s
+        while self.cluster.now() < until and not job.over:
+            self.cluster.spawn(self._poll(job))
+            await asyncio.sleep(self.cluster.rng.uniform(0.02, 0.06))
 
     async def _poll_once(self, job: UserJob, host: Host, number: int) -> None:
-        await asyncio.sleep(number * self.world.rng.uniform(0.0, 0.005))
+        await asyncio.sleep(number * self.cluster.rng.uniform(0.0, 0.005))
         await self._poll(job, again=number == 3, at=host)
 
     def _process_answer(
@@ -238,19 +241,19 @@
         accepted, cancelled, done = before
         if status not in (200, 201):
             if accepted:
-                self.world.breach("forgotten", f"{job.id}: status {status}")
+                self.cluster.breach("forgotten", f"{job.id}: status {status}")
             return
-        job.answered_at = self.world.now()
+        job.answered_at = self.cluster.now()
         said = answer["status"]
         known = job.told
         if done and said != wire.JOB_DONE:
-            self.world.breach("went_back", f"{job.id} was done and is {said}")
+            self.cluster.breach("went_back", f"{job.id} was done and is {said}")
         elif cancelled and said != wire.JOB_CANCELLED:
-            self.world.breach("went_back", f"{job.id} was cancelled and is {said}")
+            self.cluster.breach("went_back", f"{job.id} was cancelled and is {said}")
         elif (job.done and said == wire.JOB_CANCELLED) or (
             job.cancelled_at is not None and said == wire.JOB_DONE
         ):
-            self.world.breach("went_back", f"{job.id} is called done, and cancelled")
+            self.cluster.breach("went_back", f"{job.id} is called done, and cancelled")
         else:
             self._note_status(job, said)
         if job.told != known:
@@ -258,48 +261,48 @@
 
     def _note_status(self, job: UserJob, said: str) -> None:
         if said == wire.JOB_DONE:
-            if not job.tasks <= self.world.results:
-                self.world.breach("not_done", job.id)
+            if not job.tasks <= self.cluster.results:
+                self.cluster.breach("not_done", job.id)
             job.done = True
         elif said == wire.JOB_CANCELLED:
             if not job.asked_to_cancel:
-                self.world.breach("went_back", f"{job.id} is called cancelled")
+                self.cluster.breach("went_back", f"{job.id} is called cancelled")
             if job.cancelled_at is None:
-                job.cancelled_at = self.world.now()
+                job.cancelled_at = self.cluster.now()
 
     async def send_invalid_requests(self) -> None:
         """Send requests to be rejected, and cancellations of ended jobs; check the answers."""
         number = 0
         while True:
-            await asyncio.sleep(self.world.rng.uniform(0.3, 1.0))
-            if not self.world.active_faults.invalid_requests or not self.world.jobs:
+            await asyncio.sleep(self.cluster.rng.uniform(0.3, 1.0))
+            if not self.cluster.active_faults.invalid_requests or not self.cluster.jobs:
                 continue
             number += 1
-            job = self.world.rng.choice(list(self.world.jobs.values()))
+            job = self.cluster.rng.choice(list(self.cluster.jobs.values()))
             if job.over:
                 before = job.told
                 path = f"{job.path}/{wire.CANCEL_PATH}"
                 self._process_answer(job, await self.ask("POST", path, {}, _PATIENCE_S), before)
             elif job.accepted:
                 before = job.told
-                spoiled = {**job.body, **self.world.rng.choice(_SPOILED)}
+                spoiled = {**job.body, **self.cluster.rng.choice(_SPOILED)}
                 reply = await self.ask("POST", wire.JOBS_PATH, spoiled, _PATIENCE_S)
                 self._process_answer(job, reply, before)
             odd = {**job.body, "id": f"odd-{number:06d}"}
-            lacks = self.world.rng.choice([None, *_NEEDED])
+            lacks = self.cluster.rng.choice([None, *_NEEDED])
             if lacks is None:
-                odd.update(self.world.rng.choice(_IMPOSSIBLE))
+                odd.update(self.cluster.rng.choice(_IMPOSSIBLE))
             else:
                 del odd[lacks]
             reply = await self.ask("POST", wire.JOBS_PATH, odd, _PATIENCE_S)
             if reply is not None and reply[0] < 400:
-                self.world.breach("accepted", f"{odd} with status {reply[0]}")
+                self.cluster.breach("accepted", f"{odd} with status {reply[0]}")
 
     async def ask_for_unknown_jobs(self) -> None:
         """Ask for jobs that nobody has submitted."""
         while True:
-            await asyncio.sleep(self.world.rng.uniform(5.0, 15.0))
-            path = f"{wire.JOBS_PATH}/no-{self.world.rng.randrange(10**6):06d}"
+            await asyncio.sleep(self.cluster.rng.uniform(5.0, 15.0))
+            path = f"{wire.JOBS_PATH}/no-{self.cluster.rng.randrange(10**6):06d}"
             reply = await self.ask("GET", path, None, 2.0)
             if reply is not None and reply[0] == 200:
-                self.world.breach("invented", path)
+                self.cluster.breach("invented", path)
--- a/tealrill/state/acknowledged_cancellations.py
+++ b/tealrill/state/acknowledged_cancellations.py
@@ -13,7 +13,7 @@
 
 from tealrill.types import Revision
 
-_KEPT: Final = 500
+_MAX_KEPT: Final = 500
 
 
 class AcknowledgedCancellations:
@@ -30,7 +30,7 @@
     def add(self, name: str, revision: Revision) -> None:
         """Add a cancellation committed at `revision`, before a user is told of it."""
         self._revisions[name] = max(revision, self._revisions.get(name, revision))
-        if len(self._revisions) > _KEPT:
+        if len(self._revisions) > _MAX_KEPT:
             # A poll may add an old cancellation, so the oldest is not the one added first.
             oldest = min(self._revisions, key=lambda job: self._revisions[job])
             self._latest_evicted = max(self._latest_evicted, self._revisions.pop(oldest))
--- a/tealrill/state/admission.py
+++ b/tealrill/state/admission.py
@@ -113,7 +113,7 @@
     ) -> None:
         self._client = client
         self._validator = JobValidator(settings, catalogue)
-        self._over: OrderedDict[JobId, wire.KeyValue] = OrderedDict()
+        self._ended_jobs: OrderedDict[JobId, wire.KeyValue] = OrderedDict()
         """Cached records of ended jobs, without their specifications."""
         self.acknowledged = AcknowledgedCancellations(lambda: client.first_seen)
         self.implicit_jobs: ImplicitJobs | None = None
@@ -182,9 +182,9 @@
             guards += [
                 wire.guard(key, ABSENT) for key in self.implicit_jobs.conflicting_keys(job_id)
             ]
-        record = {"spec": wire.plain(spec), "at": wall_now()}
+        record = {"spec": wire.to_builtins(spec), "at": wall_now()}
         try:
-            result = await self._commit_accepted(guards, [wire.put(job_key(job_id), record)])
+            result = await self._commit_with_retries(guards, [wire.put(job_key(job_id), record)])
         except TransactionRejectedError as error:
             return Reply(400, {"error": f"the state service can't keep it: {error}"})
         except StateUnavailableError as error:
@@ -202,7 +202,7 @@
             existing = await self.implicit_jobs.refusal(job_id)
         return existing or _unavailable("not decided")
 
-    async def _commit_accepted(
+    async def _commit_with_retries(
         self, guards: list[Any], changes: list[Any]
     ) -> Committed | GuardsFailed:
         """Commit a transaction; retry after short pauses while the state service answers 429."""
@@ -245,9 +245,9 @@
             return _unavailable("the state service can't be reached")
 
     async def _status(self, job_id: JobId) -> Reply:
-        ended = self._over.get(job_id)
+        ended = self._ended_jobs.get(job_id)
         if ended is not None:
-            return self._final(job_id, ended)
+            return self._final_reply(job_id, ended)
         self._require_state_service()
         # The counts may be stale, the status must not be: if the record were read first, another
         # node could report the job as done while the counts are read.
@@ -262,19 +262,19 @@
         if entry is not None:
             status = wire.JOB_RUNNING if running else wire.JOB_PENDING
             return Reply(200, wire.job_status(job_id, status, done, running))
-        ended = await self._read_over(job_id)
+        ended = await self._read_ended(job_id)
         if ended is None:
             return await self._implicit_status(job_id)
-        return self._final(job_id, ended)
+        return self._final_reply(job_id, ended)
 
     async def _status_after_owner(self, job_id: JobId, owner: str) -> Reply:
         """Return the status of a job whose owner has ended and whose record has not moved yet.
 
         The end of the owner is the end of the job.
         """
-        ended = await self._read_over(job_id)
+        ended = await self._read_ended(job_id)
         if ended is not None:
-            return self._final(job_id, ended)
+            return self._final_reply(job_id, ended)
         end = await self._client.get(ENDED_PREFIX + owner, RequestPriority.NORMAL)
         if end is None:
             return _unavailable("its owner's record is being moved")
@@ -292,15 +292,15 @@
             return _NOT_FOUND
         if implicit_job.status == wire.JOB_CANCELLED:
             # The job may have run and ended between the two reads.
-            ended = await self._read_over(job_id)
+            ended = await self._read_ended(job_id)
             if ended is not None:
-                return self._final(job_id, ended)
+                return self._final_reply(job_id, ended)
         body = wire.job_status(job_id, implicit_job.status)
         if implicit_job.outcome:
             body["outcome"] = implicit_job.outcome
         return Reply(200, body)
 
-    def _final(self, job_id: JobId, ended: wire.KeyValue) -> Reply:
+    def _final_reply(self, job_id: JobId, ended: wire.KeyValue) -> Reply:
         status = ended.value["status"]
         done = ended.value.get("tasks", 0) if status == wire.JOB_DONE else 0
         body = wire.job_status(job_id, status, done, 0)
@@ -308,7 +308,7 @@
             body["outcome"] = ended.value["outcome"]
         return Reply(200, body)
 
-    async def _read_over(
+    async def _read_ended(
         self, job_id: JobId, priority: RequestPriority = RequestPriority.NORMAL
     ) -> wire.KeyValue | None:
         ended = await self._client.get(ended_key(job_id), priority)
@@ -316,12 +316,12 @@
             # The specification is most of the record, and only a new leader needs it.
             value = {k: v for k, v in ended.value.items() if k != "spec"}
             ended = wire.KeyValue(value=value, version=ended.version)
-            self._over[job_id] = ended
+            self._ended_jobs[job_id] = ended
             if value["status"] == wire.JOB_CANCELLED:
                 # This poll may be the first acknowledgement of the cancellation.
                 self.acknowledge(job_id, Revision(ended.version))
-            while len(self._over) > _MAX_CACHED_JOBS:
-                self._over.popitem(last=False)
+            while len(self._ended_jobs) > _MAX_CACHED_JOBS:
+                self._ended_jobs.popitem(last=False)
         return ended
 
     async def _counts(self, job_id: JobId) -> tuple[int, int]:
@@ -359,7 +359,7 @@
         self._require_state_service()
         entry = await self._client.get(job_key(job_id))
         if entry is None:
-            ended = await self._read_over(job_id, RequestPriority.HIGH)
+            ended = await self._read_ended(job_id, RequestPriority.HIGH)
             if ended is None:
                 return await self._cancel_implicit(job_id)
             return Reply(200, wire.accepted(job_id, ended.value["status"]))
@@ -393,7 +393,7 @@
         if self.implicit_jobs is None or implicit_job is None:
             return _NOT_FOUND
         if implicit_job.status == wire.JOB_CANCELLED:
-            ended = await self._read_over(job_id, RequestPriority.HIGH)
+            ended = await self._read_ended(job_id, RequestPriority.HIGH)
             status = ended.value["status"] if ended is not None else implicit_job.status
             return Reply(200, wire.accepted(job_id, status))
         revision = await self.implicit_jobs.cancel(job_id)
--- a/tealrill/state/client.py
+++ b/tealrill/state/client.py
@@ -72,7 +72,7 @@
     """Sends all requests of one node to the state service, within the node's rate limit share."""
 
     def __init__(self, address: str, limits: StateLimits, nodes: int) -> None:
-        self._http = Client(parse_address(address), most=8)
+        self._http = Client(parse_address(address), max_idle=8)
         self._limits = limits
         self._nodes = nodes
         self._is_leader = False
--- a/tealrill/state/revision_clock.py
+++ b/tealrill/state/revision_clock.py
@@ -22,13 +22,13 @@
     """Derives lower bounds for the times of revisions from answered requests."""
 
     def __init__(self) -> None:
-        self._seen: deque[tuple[Monotonic, Revision]] = deque(maxlen=_MAX_OBSERVATIONS)
+        self._observations: deque[tuple[Monotonic, Revision]] = deque(maxlen=_MAX_OBSERVATIONS)
 
     def observe(self, sent: Monotonic, revision: Revision) -> None:
         """Record that a request sent at time `sent` was answered at `revision`."""
-        if not self._seen or sent - self._seen[-1][0] >= _MIN_INTERVAL_S:
-            self._seen.append((sent, revision))
+        if not self._observations or sent - self._observations[-1][0] >= _MIN_INTERVAL_S:
+            self._observations.append((sent, revision))
 
     def not_before(self, revision: Revision) -> Monotonic:
         """Return a time before which `revision` did not exist; minus infinity if unknown."""
-        return max((sent for sent, seen in self._seen if seen < revision), default=_UNKNOWN)
+        return max((sent for sent, seen in self._observations if seen < revision), default=_UNKNOWN)
--- a/tealrill/state/transaction_batch.py
+++ b/tealrill/state/transaction_batch.py
@@ -30,9 +30,9 @@
 
     guards: dict[str, Revision]
     changes: list[dict[str, Any]]
-    applied: Callable[[Revision], None]
+    on_committed: Callable[[Revision], None]
     """Called with the revision in which the changes were committed."""
-    refused: Callable[[dict[str, wire.KeyValue | None]], None]
+    on_refused: Callable[[dict[str, wire.KeyValue | None]], None]
     """Called if a guard no longer holds, so that the changes can't be executed any more, with the
     guarded keys that were read back; None stands for an absent key."""
     priority_at: Monotonic | None = None
@@ -74,10 +74,14 @@
         if job.bound_count:
             # A task reported done by one machine may still run on another: without the
             # specification a new leader would treat its binding as orphaned.
-            value["spec"] = wire.plain(job.spec)
+            value["spec"] = wire.to_builtins(job.spec)
         return value
     # The specification is kept: a new leader needs it until the job's tasks have stopped.
-    return {"status": wire.JOB_CANCELLED, "outcome": job.outcome, "spec": wire.plain(job.spec)}
+    return {
+        "status": wire.JOB_CANCELLED,
+        "outcome": job.outcome,
+        "spec": wire.to_builtins(job.spec),
+    }
 
 
 @dataclass(slots=True)
--- a/tealrill/state/write_batcher.py
+++ b/tealrill/state/write_batcher.py
@@ -226,7 +226,7 @@
             self._job_ended(job)
         for joined in batch.joined:
             self.joined.pop(joined, None)
-            joined.applied(revision)
+            joined.on_committed(revision)
         self._committed([chunk for chunk, _, new_bindings in batch.chunks if new_bindings])
 
     async def _read_back(self, batch: TransactionBatch, keys: list[str]) -> None:
@@ -273,7 +273,7 @@
                 for key, mod_revision in joined.guards.items()
             ):
                 self.joined.pop(joined, None)
-                joined.refused({key: entries[key] for key in joined.guards if key in entries})
+                joined.on_refused({key: entries[key] for key in joined.guards if key in entries})
 
     async def _job_changed(self, job: Job, mod_revision: Revision) -> None:
         """Determine why a job's record was deleted: its end by this leader, or a cancellation."""
--- a/tealrill/status.py
+++ b/tealrill/status.py
@@ -58,6 +58,6 @@
         shown["renewals_with_stops"] = cancelled.renewals_with_stops
         shown["cancelled_bound"] = [asdict(row) for row in cancelled.rows(wall_now())]
         shown["waiting"] = {job.id: left for job, left in plan.unplaced}
-        for extension in leader.parts:
+        for extension in leader.extensions:
             shown.update(extension.describe())
     return shown
--- a/tests/plain.py
+++ b/tests/plain.py
@@ -11,7 +11,7 @@
 
 from tealrill.scheduler.capacity import Kind, Offer, Rental, _cpu_share
 from tealrill.scheduler.model import (
-    SLACK,
+    TOLERANCE,
     JobView,
     MachineView,
     Plan,
@@ -78,7 +78,7 @@
         taken: set[RunningTask] = set()
         machines = self._usable(reserved_job, self.ready)
         while wanted > 0:
-            preempted = choose(
+            preempted = choose_preemption(
                 reserved_job, machines, self.view.teams, taken, is_within_quota, self.now
             )
             if preempted is None or len(taken) + len(preempted.tasks) > max(
@@ -121,15 +121,15 @@
     for end, _, task in sorted((end_at(t, now), n, t) for n, t in enumerate(machine.running)):
         cpus, gpus, memory = cpus + task.cpus, gpus + task.gpus, memory + task.memory_gb
         if (
-            cpus + SLACK >= job.cpus
-            and memory + SLACK >= job.memory_gb
-            and gpus + SLACK >= job.gpus
+            cpus + TOLERANCE >= job.cpus
+            and memory + TOLERANCE >= job.memory_gb
+            and gpus + TOLERANCE >= job.gpus
         ):
             return max(at, end), cpus, gpus, memory
     return None
 
 
-def choose(
+def choose_preemption(
     job: JobView,
     machines: list[MachineView],
     teams: dict[str, TeamView],
--- a/tests/test_acknowledged_cancellations.py
+++ b/tests/test_acknowledged_cancellations.py
@@ -158,7 +158,7 @@
                 self.members[0].extension._acknowledged = AcknowledgedCancellations(
                     lambda: Revision(0)
                 )
-            asyncio.run(self.members[0].extension._seek(self.leadership))
+            asyncio.run(self.members[0].extension._request_grants(self.leadership))
 
     def pass_time(self, seconds: float) -> None:
         self.now = Monotonic(self.now + seconds)
@@ -197,14 +197,14 @@
 def test_cancelled_tasks_end_in_time_if_cancellations_are_dropped(seed: int) -> None:
     """Each member keeps only its latest acknowledged cancellation, so older ones are dropped."""
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(acknowledged_module, "_KEPT", 1)
+        patch.setattr(acknowledged_module, "_MAX_KEPT", 1)
         _Simulation(seed).run(80)
 
 
 def test_vouching_for_dropped_cancellations_lets_tasks_run_on(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(acknowledged_module, "_KEPT", 1)
+    monkeypatch.setattr(acknowledged_module, "_MAX_KEPT", 1)
 
     def is_complete_since(self: AcknowledgedCancellations, revision: Revision) -> bool:
         first_revision = self._first_seen()
@@ -226,7 +226,7 @@
 
 
 def test_cancellations_are_incomplete_after_dropping(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(acknowledged_module, "_KEPT", 3)
+    monkeypatch.setattr(acknowledged_module, "_MAX_KEPT", 3)
     known = AcknowledgedCancellations(lambda: Revision(0))
     for at in (7, 9, 8, 10):
         known.add(f"wk-{at}", Revision(at))
--- a/tests/test_bindings.py
+++ b/tests/test_bindings.py
@@ -73,9 +73,9 @@
     renewed_at: float = 0.0
     tasks: dict[str, tuple[int, str, str | None]] = field(default_factory=dict)
     waiting_for: int | None = None
-    beats: int = 0
+    heartbeat_count: int = 0
 
-    def lapse(self, now: float) -> None:
+    def expire_lease(self, now: float) -> None:
         if now - self.renewed_at > LEASE_S:
             self.tasks.clear()
             self.incarnation += 1
@@ -180,10 +180,12 @@
         The worker no longer waits for the response to an earlier one, which may still arrive.
         """
         worker = self.random.choice(list(self.workers.values()))
-        worker.lapse(self.now)
-        worker.beats += 1
-        worker.waiting_for = worker.beats
-        self.heartbeats_in_flight.append(HeartbeatInFlight(worker.beats, self.now, worker.report()))
+        worker.expire_lease(self.now)
+        worker.heartbeat_count += 1
+        worker.waiting_for = worker.heartbeat_count
+        self.heartbeats_in_flight.append(
+            HeartbeatInFlight(worker.heartbeat_count, self.now, worker.report())
+        )
 
     def heartbeat_arrives(self) -> None:
         message = self._pop_random(self.heartbeats_in_flight)
@@ -202,7 +204,7 @@
             return
         message, token, commands = response
         worker = self.workers[message.heartbeat.machine]
-        worker.lapse(self.now)
+        worker.expire_lease(self.now)
         stale = (
             worker.waiting_for != message.number
             or worker.incarnation != message.heartbeat.incarnation
@@ -273,7 +275,7 @@
             return
         starts = self.fleet.commands.direct_starts(machine)
         commands = self.fleet.commands.stops(machine, Monotonic(self.now))
-        commands += [wire.start(str(b.task), b.attempt) for b in starts]
+        commands += [wire.start_command(str(b.task), b.attempt) for b in starts]
         if commands:
             self.fleet.commands.direct_sent(starts)
             self.direct_commands.append(
@@ -296,7 +298,7 @@
 
     def _deliver_direct(self, direct: DirectCommandsInFlight, lost: bool) -> None:
         worker = self.workers[direct.machine]
-        worker.lapse(self.now)
+        worker.expire_lease(self.now)
         refused = direct.token < worker.token or direct.incarnation != worker.incarnation
         if not refused:
             worker.token = max(worker.token, direct.token)
@@ -317,7 +319,7 @@
     def time_passes(self) -> None:
         self.now += self.random.choice([0.5, 1.5, 3.0, 5.0])
         for worker in self.workers.values():
-            worker.lapse(self.now)
+            worker.expire_lease(self.now)
         if self.delegation != (self.term, False):
             self.fleet.leases.expire_leases(Monotonic(self.now))
         elif self.random.random() < 0.5:
@@ -372,7 +374,7 @@
         """Let leases expire; afterwards the leader first sends the commands it had pending."""
         self.now += self.random.choice([1.5, 5.0, LEASE_S + 1.0])
         for worker in self.workers.values():
-            worker.lapse(self.now)
+            worker.expire_lease(self.now)
         self.stop()
         for action in (self.direct_round_trip, self.bind, self.commit, self.direct_round_trip):
             action()
@@ -477,7 +479,7 @@
 
     class _Heartbeats(HeartbeatProcessor):
         @staticmethod
-        def _out_of_date(machine: Machine, heartbeat: wire.Heartbeat) -> bool:
+        def _is_out_of_date(machine: Machine, heartbeat: wire.Heartbeat) -> bool:
             return machine.incarnation is not None and heartbeat.incarnation < machine.incarnation
 
     def __init__(self, *args: Any) -> None:
@@ -692,7 +694,7 @@
             heartbeat, MachineId("m-1"), Monotonic(cluster.now), Wall(0.0)
         )
     cluster.now += LEASE_S + DELEGATION_S + 2.0
-    worker.lapse(cluster.now)
+    worker.expire_lease(cluster.now)
     worker.sequence, worker.token = 3, cluster.term
     reply = report("m-1", worker.incarnation, worker.sequence, cluster.term)
     cluster.fleet.heartbeats.handle_direct_reply(
@@ -730,7 +732,7 @@
     commands = cluster.fleet.heartbeats.process(
         report(machine, 1, 2, cluster.term), machine, Monotonic(100.0), Wall(0.0)
     )
-    assert commands == [wire.start("wk-000412/0", 1)]
+    assert commands == [wire.start_command("wk-000412/0", 1)]
     cluster.fleet.commands.stop(binding, "test", 0.0, Monotonic(100.0))
     reply = report(machine, 1, 3, cluster.term)
     cluster.fleet.heartbeats.handle_direct_reply(reply, machine, Monotonic(100.0), Wall(0.0))
--- a/tests/test_boot_times.py
+++ b/tests/test_boot_times.py
@@ -16,7 +16,7 @@
 from tealrill.scheduler.capacity import Rental
 from tealrill.state.job_store import JobStore
 from tealrill.types import FencingToken, MachineId, Monotonic
-from tests.samples import recorded_at_once
+from tests.samples import provisioner_dependencies
 
 _KIND = ("m8", "north")
 _NOMINAL_S = 30.0
@@ -66,7 +66,7 @@
 
 
 def _provisioner(fleet: Fleet) -> Provisioner:
-    return Provisioner(cast(Cloud, None), fleet, FencingToken(3), 2.0, *recorded_at_once())
+    return Provisioner(cast(Cloud, None), fleet, FencingToken(3), 2.0, *provisioner_dependencies())
 
 
 def test_boot_does_not_time_out_in_partitioned_zone() -> None:
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -35,7 +35,7 @@
     changes = ChangeLog(logging.getLogger("tealrill.test"))
     for text in ("a", "a", "b", "a", "a"):
         changes.info(text)
-    changes.forget()
+    changes.reset()
     changes.info("a")
     assert [record.getMessage() for record in caplog.records] == ["a", "b", "a", "a"]
 
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -29,9 +29,9 @@
 from tealrill.client.files import GraphFileError, check, schema
 from tealrill.client.protocol import Clock, Pause, Request, Response
 from tealrill.graphs.model import Submission
-from tests.standins import Worker
-from tests.test_graphs_node import in_a_world
-from tests.test_node import _PATIENCE_S, World
+from tests.fakes import FakeWorker
+from tests.test_graphs_node import run_with_controller
+from tests.test_node import _TIMEOUT_S, NodeHarness
 
 _ROOT = Path(__file__).resolve().parent.parent
 
@@ -167,11 +167,11 @@
 
 
 def test_a_graph_goes_from_a_program_to_its_end_over_a_network_that_cuts() -> None:
-    async def scenario(world: World) -> None:
-        worker = Worker("m-000001")
+    async def scenario(harness: NodeHarness) -> None:
+        worker = FakeWorker("m-000001")
         answers = asyncio.Event()
         cut = random.Random(3)
-        port = world.client._address.port
+        port = harness.client._address.port
 
         async def pipe(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             """Requests get there; of every three answers one is lost with its connection."""
@@ -191,7 +191,7 @@
 
         async def work() -> None:
             while True:
-                await world.beat(worker)
+                await harness.send_heartbeat(worker)
                 for name, task in list(worker.tasks.items()):
                     held = not first_is_seen.is_set() and not name.startswith(f"{first.id}/")
                     if task["status"] == "running" and not held:
@@ -211,10 +211,10 @@
             async with AsyncClient([address], Retry(first_s=0.02, timeout_s=2.0)) as client:
                 run = await client.submit(graph)
                 ready, rest = await run.wait([first, graph["clean-small"]], num_returns=1,
-                                             timeout_s=_PATIENCE_S, poll_s=0.05)  # fmt: skip
+                                             timeout_s=_TIMEOUT_S, poll_s=0.05)  # fmt: skip
                 assert ready == [first] and rest == [graph["clean-small"]]
                 first_is_seen.set()
-                ready, rest = await run.wait(timeout_s=_PATIENCE_S, poll_s=0.05)
+                ready, rest = await run.wait(timeout_s=_TIMEOUT_S, poll_s=0.05)
                 assert len(ready) == 6 and not rest
                 assert (await run.progress())["status"] == "done"
                 assert (await run.status(graph["clean-small"]))["status"] == "aborted"
@@ -229,7 +229,7 @@
         assert len(started) == len(set(started)) == 9
         answers.set()
 
-    in_a_world(scenario)
+    run_with_controller(scenario)
 
 
 # -- files and the command line -------------------------------------------------------------------
@@ -317,18 +317,18 @@
     path = tmp_path / "graph.toml"
     path.write_text(_FILE)
 
-    async def scenario(world: World) -> None:
-        address = str(world.client._address)
+    async def scenario(harness: NodeHarness) -> None:
+        address = str(harness.client._address)
 
         async def run(*arguments: str) -> Result:
             given = ["graph", *arguments, "--address", address]
             return await asyncio.to_thread(CliRunner().invoke, main, given)
 
-        worker = Worker("m-000001")
+        worker = FakeWorker("m-000001")
 
         async def work() -> None:
             while True:
-                await world.beat(worker)
+                await harness.send_heartbeat(worker)
                 for name, task in list(worker.tasks.items()):
                     if task["status"] == "running":
                         worker.end(name, "done")
@@ -355,7 +355,7 @@
         assert "aborted" in (await run("cancel", "fam10")).output
         assert (await run("watch", "fam10")).exit_code == 1
 
-    in_a_world(scenario)
+    run_with_controller(scenario)
 
 
 def test_the_daemon_does_not_load_the_libraries_of_tools() -> None:
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -37,7 +37,7 @@
     Wall,
     parse_task_id,
 )
-from tests.samples import SETTINGS, recorded_at_once, report, spec
+from tests.samples import SETTINGS, provisioner_dependencies, report, spec
 
 _MACHINE_TYPE = {
     "label": "big", "vcpus": 8, "gpus": 0, "memoryGb": 64, "localGb": 50, "fetchGbPerS": 1.0,
@@ -67,7 +67,9 @@
         heartbeat_interval_s,
     )
     fleet.inherit([], Monotonic(0.0))
-    provisioner = _NoRentals(cast(Cloud, None), fleet, FencingToken(1), 2.0, *recorded_at_once())
+    provisioner = _NoRentals(
+        cast(Cloud, None), fleet, FencingToken(1), 2.0, *provisioner_dependencies()
+    )
     provisioner.set_catalogue(wire.decode(orjson.dumps({"builds": list(types)}), wire.Catalogue))
     scheduling_loop = SchedulingLoop(
         job_store, fleet, provisioner, Estimates(), params, lambda _: None
@@ -234,14 +236,14 @@
     model = _EventModel()
     model.run([5, 16, 27, 0, 1, 2])
     rebuilt: list[MachineId] = []
-    build_view = model.scheduling_loop.snapshots._fresh
+    build_view = model.scheduling_loop.snapshots._build_view
 
     def counted(machine: Machine, kind: wire.MachineType) -> MachineView:
         rebuilt.append(machine.id)
         return build_view(machine, kind)
 
     model.scheduling_loop.snapshots.view(Monotonic(model.now), Wall(model.now))
-    monkeypatch.setattr(model.scheduling_loop.snapshots, "_fresh", counted)
+    monkeypatch.setattr(model.scheduling_loop.snapshots, "_build_view", counted)
     model.send_heartbeat("m-1", "running")
     model.scheduling_loop.snapshots.view(Monotonic(model.now), Wall(model.now))
     assert rebuilt == ["m-1"]
@@ -259,7 +261,7 @@
     machine = model.fleet.machines[MachineId("m-2")]
     reconciled: list[str] = []
     applied: list[str] = []
-    reconcile, progress = Reconciler.reconcile, Reconciler._progress
+    reconcile, progress = Reconciler.reconcile, Reconciler._apply_status
 
     def counted(self: Reconciler, reported: Machine, *args: Any, **kwargs: Any) -> None:
         reconciled.append(reported.id)
@@ -270,7 +272,7 @@
         progress(self, reported, *args)
 
     monkeypatch.setattr(Reconciler, "reconcile", counted)
-    monkeypatch.setattr(Reconciler, "_progress", counted_progress)
+    monkeypatch.setattr(Reconciler, "_apply_status", counted_progress)
     assert machine.bindings
     model.send_heartbeat("m-2", "running")
     reconciled.clear()
@@ -293,7 +295,7 @@
     model.send_heartbeat("m-1", "running")
     parsed: list[str] = []
     applied: list[TaskId] = []
-    progress = Reconciler._progress
+    progress = Reconciler._apply_status
 
     def counted(text: str) -> TaskId | None:
         parsed.append(text)
@@ -304,7 +306,7 @@
         progress(self, machine, binding, *args)
 
     monkeypatch.setattr(reconciliation, "parse_task_id", counted)
-    monkeypatch.setattr(Reconciler, "_progress", counted_progress)
+    monkeypatch.setattr(Reconciler, "_apply_status", counted_progress)
     ended = next(iter(machine.bindings))
     model.sequence += 1
     statuses = [
@@ -335,7 +337,7 @@
     assert statuses and send_heartbeat(1) == [] and send_heartbeat(2) == []
     binding = next(iter(machine.bindings.values()))
     model.fleet.commands.stop(binding, "preemption", 0.0, Monotonic(model.now))
-    stop = wire.stop(str(binding.task), binding.attempt, 0.0)
+    stop = wire.stop_command(str(binding.task), binding.attempt, 0.0)
     # The stop is repeated until the list shows that it was carried out.
     assert (send_heartbeat(3), send_heartbeat(4)) == ([stop], [stop])
 
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -41,8 +41,8 @@
     Wall,
     monotonic_now,
 )
+from tests.fakes import VirtualTimeLoop
 from tests.samples import report, spec
-from tests.standins import JumpingLoop
 from tests.test_records import Store
 
 _KIND = ("big", "north", False)
@@ -225,7 +225,7 @@
 
 
 class Cluster:
-    def __init__(self, seed: int, loop: JumpingLoop) -> None:
+    def __init__(self, seed: int, loop: VirtualTimeLoop) -> None:
         self.rng = random.Random(seed)
         self.loop = loop
         self.store = _Store(self.rng)
@@ -310,7 +310,7 @@
 
 
 def _run_scenario(seed: int, steps: int = 40, checks_duty: bool = True) -> Cluster:
-    loop = JumpingLoop()
+    loop = VirtualTimeLoop()
     with pytest.MonkeyPatch.context() as patch:
         for module in (provisioning, intent_log, write_batcher, rate_limiter):
             patch.setattr(module, "monotonic_now", lambda: Monotonic(loop.time()))
@@ -437,8 +437,8 @@
 def test_next_leader_resumes_open_rentals_and_releases() -> None:
     async def scenario() -> None:
         first, joined = _build_intent_log()
-        first_rental = asyncio.create_task(first.rent("tr-3-1", Rental(*_KIND, 2)))
-        second_rental = asyncio.create_task(first.rent("tr-3-2", Rental(*_KIND, 9)))
+        first_rental = asyncio.create_task(first.record_rental("tr-3-1", Rental(*_KIND, 2)))
+        second_rental = asyncio.create_task(first.record_rental("tr-3-2", Rental(*_KIND, 9)))
         release = asyncio.create_task(first.record_release([MachineId("m-7"), MachineId("m-8")]))
         await asyncio.sleep(0)
         assert not first_rental.done() and not release.done() and not first.open_releases
@@ -446,9 +446,9 @@
         for number, change in enumerate(list(joined)):
             assert change.guards == {change.changes[0]["set"]: ABSENT}
             records[change.changes[0]["set"]] = (change.changes[0]["value"], number + 1)
-            change.applied(Revision(number + 1))
+            change.on_committed(Revision(number + 1))
         await asyncio.gather(first_rental, second_rental, release)
-        first.granted("tr-3-1", ["m-1", "m-2"])
+        first.record_grant("tr-3-1", ["m-1", "m-2"])
         last = joined[-1]
         records[last.changes[0]["set"]] = (last.changes[0]["value"], 9)
         second, _ = _build_intent_log()
@@ -482,16 +482,16 @@
             task = asyncio.create_task(cloud_log.record_release(remaining))
             await asyncio.sleep(0)
             assert len(wire.encode(joined[-1].changes[0]["value"])) <= 4096
-            joined[-1].applied(Revision(1))
+            joined[-1].on_committed(Revision(1))
             _, part = await task
             remaining = remaining[len(part) :]
         assert [name for part in cloud_log.open_releases.values() for name in part] == names
         assert len(cloud_log.open_releases) <= 6
-        rent = asyncio.create_task(cloud_log.rent("tr-3-1", Rental(*_KIND, 50)))
+        rent = asyncio.create_task(cloud_log.record_rental("tr-3-1", Rental(*_KIND, 50)))
         await asyncio.sleep(0)
-        joined[-1].applied(Revision(1))
+        joined[-1].on_committed(Revision(1))
         await rent
-        cloud_log.granted("tr-3-1", list(map(str, names[:80])))
+        cloud_log.record_grant("tr-3-1", list(map(str, names[:80])))
         assert len(wire.encode(joined[-1].changes[0]["value"])) <= 4096
         assert not cloud_log.full
         cloud_log._records.update(
@@ -505,7 +505,7 @@
 def test_record_of_unsupported_version_is_ignored() -> None:
     cloud_log, _ = _build_intent_log()
     unsupported = {"v": 2, "names": ["m-1"], "at": 0.0, "more": True}
-    supported = wire.plain(ReleaseRecord(["m-2"], 1.0))
+    supported = wire.to_builtins(ReleaseRecord(["m-2"], 1.0))
     entries = [
         wire.Entry(key=CLOUD_PREFIX + "return/1.1", value=unsupported, version=1),
         wire.Entry(key=CLOUD_PREFIX + "return/1.2", value=supported, version=2),
@@ -528,7 +528,7 @@
     | st.builds(ReleaseRecord, names=st.lists(st.text(max_size=64)), at=st.floats(0, 1e10))
 )
 def test_records_round_trip(record: RentalRecord | ReleaseRecord) -> None:
-    decoded = wire.decode(wire.encode(wire.plain(record)), dict[str, Any])
+    decoded = wire.decode(wire.encode(wire.to_builtins(record)), dict[str, Any])
     assert msgspec.convert(decoded, type(record)) == record
 
 
@@ -594,14 +594,14 @@
             and len(fleet.machines) == 2 * alone
         )
         # The state service is back: the record is committed, then the cloud's response.
-        joined[0].applied(Revision(1))
+        joined[0].on_committed(Revision(1))
         await asyncio.sleep(1.0)
         assert not provisioner.has_pending_request(_KIND) and set(fleet.machines) == {"m-1", "m-2"}
         assert joined[1].changes[0]["value"]["names"] == ["m-1", "m-2"]
         provisioner.close()
         return cloud.request_count, joined, cloud_log
 
-    loop = JumpingLoop()
+    loop = VirtualTimeLoop()
     try:
         request_count, joined, _ = loop.run_until_complete(scenario())
     finally:
--- a/tests/test_exclusion.py
+++ b/tests/test_exclusion.py
@@ -233,7 +233,7 @@
                 await self._exclusions(leadership).step()
             elif action == "extend" and leadership is not None:
                 if leadership.renewal_failed:
-                    await self.extension._seek(leadership)
+                    await self.extension._request_grants(leadership)
             elif leadership is None:
                 await self.election._follow()
             else:
--- a/tests/test_falls.py
+++ b/tests/test_falls.py
@@ -28,7 +28,7 @@
 from tealrill.scheduler.failure_detector import Suspicion
 from tealrill.state.job_store import JobStore
 from tealrill.types import FencingToken, MachineId, Monotonic, Revision, Wall
-from tests.samples import SETTINGS, recorded_at_once, spec
+from tests.samples import SETTINGS, provisioner_dependencies, spec
 
 _BOOT_S, _LEASE_S, _RUN_S = 12, 8.0, 15
 _SPOT_CAPACITY = 20
@@ -64,7 +64,11 @@
 
     def __init__(self, cluster: _Cluster) -> None:
         super().__init__(
-            cast(Cloud, None), cluster.fleet, FencingToken(cluster.term), 1.0, *recorded_at_once()
+            cast(Cloud, None),
+            cluster.fleet,
+            FencingToken(cluster.term),
+            1.0,
+            *provisioner_dependencies(),
         )
         self._cluster = cluster
 
--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -29,8 +29,8 @@
 from tealrill.leadership.lease_extension import CancellationKnowledge
 from tealrill.simulation.cluster import SimulatedCluster
 from tealrill.simulation.faults import FaultInjector
-from tealrill.simulation.process import Shape
-from tealrill.simulation.scenario import Script, play
+from tealrill.simulation.process import ClusterConfig
+from tealrill.simulation.scenario import Scenario, run_scenario
 from tealrill.state.acknowledged_cancellations import AcknowledgedCancellations
 from tealrill.state.admission import Admission, Reply
 from tealrill.state.bindings import Job
@@ -51,271 +51,271 @@
 # -- the meetings ---------------------------------------------------------------------------------
 
 
-def _end_leader(world: SimulatedCluster, back_s: float = 3.0) -> None:
-    host = world.leader()
+def _end_leader(cluster: SimulatedCluster, back_s: float = 3.0) -> None:
+    host = cluster.leader()
     if host is not None:
-        world.end(host, back_s)
+        cluster.end(host, back_s)
 
 
-async def _looked_at_closely(world: SimulatedCluster) -> None:
+async def _looked_at_closely(cluster: SimulatedCluster) -> None:
     """All nodes are asked at once whenever something was told, while records move: jobs end, are
     called off and are sent anew, and nodes are refused, cut off and begin."""
     (
-        world.active_faults.close_polling,
-        world.active_faults.cancel_at_end_share,
-        world.active_faults.invalid_requests,
-        world.state.slow_s,
+        cluster.active_faults.close_polling,
+        cluster.active_faults.cancel_at_end_share,
+        cluster.active_faults.invalid_requests,
+        cluster.state.slow_s,
     ) = True, 0.5, True, 0.05
     for number in range(8):
         await asyncio.sleep(3.0)
-        await world.users.cancel_now(2)
-        host = world.rng.choice(list(world.hosts.values()))
+        await cluster.users.cancel_now(2)
+        host = cluster.rng.choice(list(cluster.hosts.values()))
         pair = frozenset((host.name, "state"))
         if number % 4 == 0:
-            world.state.refused.add(host.name)
+            cluster.state.refused.add(host.name)
         elif number % 4 == 1:
-            world.active_faults.cut_links.add(pair)
+            cluster.active_faults.cut_links.add(pair)
         elif number % 4 == 2:
-            world.end(host, 0.3)
+            cluster.end(host, 0.3)
         else:
-            world.state.late = 0.7
+            cluster.state.late = 0.7
         await asyncio.sleep(2.5)
-        world.state.refused.discard(host.name)
-        world.active_faults.cut_links.discard(pair)
-        world.state.late = 0.0
+        cluster.state.refused.discard(host.name)
+        cluster.active_faults.cut_links.discard(pair)
+        cluster.state.late = 0.0
     (
-        world.active_faults.close_polling,
-        world.active_faults.cancel_at_end_share,
-        world.active_faults.invalid_requests,
-        world.state.slow_s,
+        cluster.active_faults.close_polling,
+        cluster.active_faults.cancel_at_end_share,
+        cluster.active_faults.invalid_requests,
+        cluster.state.slow_s,
     ) = False, 0.0, False, 0.0
 
 
-async def _answers_lost(world: SimulatedCluster) -> None:
+async def _answers_lost(cluster: SimulatedCluster) -> None:
     """Every second change is carried out and its writer does not know, while leaders end."""
-    world.state.lost, world.active_faults.close_polling = 0.5, True
+    cluster.state.lost, cluster.active_faults.close_polling = 0.5, True
     for _ in range(4):
         await asyncio.sleep(8.0)
-        _end_leader(world, 0.3)
-    world.state.lost = 0.0
+        _end_leader(cluster, 0.3)
+    cluster.state.lost = 0.0
 
 
-async def _transactions_late(world: SimulatedCluster) -> None:
+async def _transactions_late(cluster: SimulatedCluster) -> None:
     """The same with changes that are carried out seconds later, after newer ones."""
-    world.state.late = 0.5
+    cluster.state.late = 0.5
     for _ in range(5):
         await asyncio.sleep(6.0)
-        _end_leader(world, 0.3)
-    world.state.late = 0.0
+        _end_leader(cluster, 0.3)
+    cluster.state.late = 0.0
 
 
-async def _at_the_limit(world: SimulatedCluster) -> None:
+async def _at_the_limit(cluster: SimulatedCluster) -> None:
     """Each team uses what it may; jobs on machines that hang are called off, and leaders follow."""
     for _ in range(3):
         await asyncio.sleep(6.0)
-        await world.users.cancel_now(3, hang_s=0.8 * world.shape.lease_s, within_s=0.1)
+        await cluster.users.cancel_now(3, hang_s=0.8 * cluster.config.lease_s, within_s=0.1)
         await asyncio.sleep(0.3)
-        _end_leader(world)
+        _end_leader(cluster)
         await asyncio.sleep(8.0)
 
 
-async def _hands_change(world: SimulatedCluster) -> None:
+async def _hands_change(cluster: SimulatedCluster) -> None:
     """Jobs are called off before, in and after each change of the leader, planned or not."""
     for planned in (True, False):
-        world.begin(_called_off_again_and_again(world))
+        cluster.spawn(_called_off_again_and_again(cluster))
         await asyncio.sleep(1.0)
-        host = world.leader()
+        host = cluster.leader()
         if planned and host is not None and host.node is not None:
-            world.begin(host.node.hand_over("a test"), host.context)
+            cluster.spawn(host.node.hand_over("a test"), host.context)
         else:
-            _end_leader(world)
-        await asyncio.sleep(world.shape.cancel_s + 6.0)
+            _end_leader(cluster)
+        await asyncio.sleep(cluster.config.cancel_s + 6.0)
 
 
-async def _called_off_again_and_again(world: SimulatedCluster) -> None:
+async def _called_off_again_and_again(cluster: SimulatedCluster) -> None:
     for _ in range(50):
-        await world.users.cancel_now(1, within_s=0.02)
+        await cluster.users.cancel_now(1, within_s=0.02)
         await asyncio.sleep(0.1)
 
 
-async def _up_at_once(world: SimulatedCluster) -> None:
+async def _up_at_once(cluster: SimulatedCluster) -> None:
     """New machines work before their rental is answered or written down, and leaders end."""
-    world.cloud.at_once, world.cloud.answers_s = True, 2.0
+    cluster.cloud.at_once, cluster.cloud.answers_s = True, 2.0
     for number in range(6):
-        for machine in world.cloud.alive()[:3]:
-            world.cloud.take(machine)
+        for machine in cluster.cloud.alive()[:3]:
+            cluster.cloud.take(machine)
         if number < 4:
-            world.state.late = 0.2
+            cluster.state.late = 0.2
             await asyncio.sleep(7.0)
-            _end_leader(world, 0.5)
-            world.state.late = 0.0
+            _end_leader(cluster, 0.5)
+            cluster.state.late = 0.0
         else:
             # What a leader takes for new machines the next one knows better.
             await asyncio.sleep(10.0)
-    world.cloud.at_once, world.cloud.answers_s = False, 0.0
+    cluster.cloud.at_once, cluster.cloud.answers_s = False, 0.0
 
 
-async def _kept_reports(world: SimulatedCluster) -> None:
+async def _kept_reports(cluster: SimulatedCluster) -> None:
     """Copies of old reports reach every controller as each leader begins, and some later."""
-    world.active_faults.replay_share, world.active_faults.duplicate_share = 0.9, 0.9
+    cluster.active_faults.replay_share, cluster.active_faults.duplicate_share = 0.9, 0.9
     for _ in range(6):
         await asyncio.sleep(6.0)
-        _end_leader(world, 0.5)
-    world.active_faults.replay_share = world.active_faults.duplicate_share = 0.0
+        _end_leader(cluster, 0.5)
+    cluster.active_faults.replay_share = cluster.active_faults.duplicate_share = 0.0
 
 
-async def _flood(world: SimulatedCluster) -> None:
+async def _flood(cluster: SimulatedCluster) -> None:
     """One-task jobs, four a second, a quarter called off; in its middle an outage and an end."""
     await asyncio.sleep(10.0)
-    world.state.outage(True)
+    cluster.state.outage(True)
     await asyncio.sleep(8.0)
-    world.state.outage(False)
+    cluster.state.outage(False)
     await asyncio.sleep(6.0)
-    _end_leader(world)
+    _end_leader(cluster)
     await asyncio.sleep(10.0)
 
 
-async def _more_than_room(world: SimulatedCluster) -> None:
+async def _more_than_room(cluster: SimulatedCluster) -> None:
     """More work than room, urgent and not, over links that take up to half a second each way."""
-    world.active_faults.link_delay_s = 0.5
+    cluster.active_faults.link_delay_s = 0.5
     for _ in range(3):
         await asyncio.sleep(8.0)
-        await world.users.cancel_now(2)
-    _end_leader(world)
+        await cluster.users.cancel_now(2)
+    _end_leader(cluster)
     await asyncio.sleep(8.0)
-    world.active_faults.link_delay_s = 0.0
+    cluster.active_faults.link_delay_s = 0.0
 
 
-async def _off_at_the_end(world: SimulatedCluster) -> None:
+async def _off_at_the_end(cluster: SimulatedCluster) -> None:
     """Jobs are called off, asked about and sent again in the moment of their end."""
     (
-        world.active_faults.cancel_at_end_share,
-        world.active_faults.close_polling,
-        world.active_faults.invalid_requests,
+        cluster.active_faults.cancel_at_end_share,
+        cluster.active_faults.close_polling,
+        cluster.active_faults.invalid_requests,
     ) = 1.0, True, True
-    world.state.slow_s = 0.3
+    cluster.state.slow_s = 0.3
     await asyncio.sleep(40.0)
     (
-        world.active_faults.cancel_at_end_share,
-        world.active_faults.close_polling,
-        world.active_faults.invalid_requests,
+        cluster.active_faults.cancel_at_end_share,
+        cluster.active_faults.close_polling,
+        cluster.active_faults.invalid_requests,
     ) = 0.0, False, False
-    world.state.slow_s = 0.0
+    cluster.state.slow_s = 0.0
 
 
-async def _refused_and_off(world: SimulatedCluster) -> None:
+async def _refused_and_off(cluster: SimulatedCluster) -> None:
     """Called off as the leader alone is refused; a second later an outage beyond `cancel_s`."""
     await asyncio.sleep(4.0)
-    await FaultInjector(world).cancel_while_refused()
+    await FaultInjector(cluster).cancel_while_refused()
 
 
-async def _mute(world: SimulatedCluster) -> None:
+async def _mute(cluster: SimulatedCluster) -> None:
     """Half of the machines reach no controller; what they do is called off, and leaders end."""
-    names = sorted(world.workers)[::2]
-    world.active_faults.outbound_partitioned.update(names)
+    names = sorted(cluster.workers)[::2]
+    cluster.active_faults.outbound_partitioned.update(names)
     await asyncio.sleep(2.0)
-    await world.users.cancel_now(2)
+    await cluster.users.cancel_now(2)
     # From when the leader must have noticed; they answer direct commands all the time.
-    await asyncio.sleep(4.0 * world.shape.heartbeat_interval_s)
-    world.active_faults.must_stay_idle.update(names)
+    await asyncio.sleep(4.0 * cluster.config.heartbeat_interval_s)
+    cluster.active_faults.must_stay_idle.update(names)
     for _ in range(5):
-        await world.users.cancel_now(1)
+        await cluster.users.cancel_now(1)
         await asyncio.sleep(4.0)
     for _ in range(2):
-        _end_leader(world)
+        _end_leader(cluster)
         await asyncio.sleep(5.0)
-    world.active_faults.must_stay_idle.clear()
-    world.active_faults.outbound_partitioned.clear()
-    terminated = [name for name in names if world.cloud.machines[name].terminated]
+    cluster.active_faults.must_stay_idle.clear()
+    cluster.active_faults.outbound_partitioned.clear()
+    terminated = [name for name in names if cluster.cloud.machines[name].terminated]
     if terminated:
-        world.breach("returned", f"{terminated} were mute for a short spell")
+        cluster.breach("returned", f"{terminated} were mute for a short spell")
 
 
-async def _zones_lose_machines(world: SimulatedCluster) -> None:
+async def _zones_lose_machines(cluster: SimulatedCluster) -> None:
     """Jobs with a rule about zones lose machines; the next leader does not hear where the others
     run."""
     for number in range(4):
         await asyncio.sleep(5.0)
-        for machine in world.cloud.alive()[number % 2 :: 3]:
-            world.cloud.take(machine)
-        world.active_faults.zones_partitioned = True
-        missing_from_lists = [frozenset((name, "cloud")) for name in world.hosts]
-        world.active_faults.cut_links.update(missing_from_lists)
-        _end_leader(world, 0.5)
+        for machine in cluster.cloud.alive()[number % 2 :: 3]:
+            cluster.cloud.take(machine)
+        cluster.active_faults.zones_partitioned = True
+        missing_from_lists = [frozenset((name, "cloud")) for name in cluster.hosts]
+        cluster.active_faults.cut_links.update(missing_from_lists)
+        _end_leader(cluster, 0.5)
         await asyncio.sleep(6.0)
-        world.active_faults.zones_partitioned = False
-        world.active_faults.cut_links.difference_update(missing_from_lists)
+        cluster.active_faults.zones_partitioned = False
+        cluster.active_faults.cut_links.difference_update(missing_from_lists)
 
 
-async def _zones_parted(world: SimulatedCluster) -> None:
+async def _zones_parted(cluster: SimulatedCluster) -> None:
     """A zone with workers and controllers is kept apart for longer than the workers' lease."""
     await asyncio.sleep(4.0)
-    world.active_faults.zones_partitioned = True
-    await asyncio.sleep(2.5 * world.shape.lease_s)
-    world.active_faults.zones_partitioned = False
+    cluster.active_faults.zones_partitioned = True
+    await asyncio.sleep(2.5 * cluster.config.lease_s)
+    cluster.active_faults.zones_partitioned = False
     await asyncio.sleep(5.0)
-    world.active_faults.isolated_zones.add("south")
-    await asyncio.sleep(1.5 * world.shape.lease_s)
-    world.active_faults.isolated_zones.clear()
+    cluster.active_faults.isolated_zones.add("south")
+    await asyncio.sleep(1.5 * cluster.config.lease_s)
+    cluster.active_faults.isolated_zones.clear()
 
 
-async def _nobody_leads(world: SimulatedCluster) -> None:
+async def _nobody_leads(cluster: SimulatedCluster) -> None:
     """All controllers are away, for less and for longer than the workers' lease."""
     for part in (0.5, 1.6):
         await asyncio.sleep(8.0)
-        for host in world.hosts.values():
-            world.end(host, part * world.shape.lease_s)
-        await asyncio.sleep(part * world.shape.lease_s + 4.0)
+        for host in cluster.hosts.values():
+            cluster.end(host, part * cluster.config.lease_s)
+        await asyncio.sleep(part * cluster.config.lease_s + 4.0)
 
 
-async def _ten_leaders(world: SimulatedCluster) -> None:
+async def _ten_leaders(cluster: SimulatedCluster) -> None:
     """Leaders end before they have read the records; between them jobs are called off."""
     await asyncio.sleep(4.0)
-    world.state.scan_s = 2.0
-    _end_leader(world, 0.1)
-    await world.users.cancel_now(6)
-    until = world.now() + world.shape.cancel_s + 10.0
-    while world.now() < until:
+    cluster.state.scan_s = 2.0
+    _end_leader(cluster, 0.1)
+    await cluster.users.cancel_now(6)
+    until = cluster.now() + cluster.config.cancel_s + 10.0
+    while cluster.now() < until:
         await asyncio.sleep(0.05)
-        host = world.leader()
+        host = cluster.leader()
         if host is not None:
             await asyncio.sleep(1.5)
-            world.end(host, 0.1)
-    world.state.scan_s = 0.0
+            cluster.end(host, 0.1)
+    cluster.state.scan_s = 0.0
 
 
-async def _leader_apart(world: SimulatedCluster) -> None:
+async def _leader_apart(cluster: SimulatedCluster) -> None:
     """It loses the state service and the controllers; workers and users still reach it."""
     await asyncio.sleep(4.0)
-    host = world.leader()
+    host = cluster.leader()
     if host is None:
         return
-    pairs = [frozenset((host.name, other)) for other in ("state", *world.hosts)]
-    world.active_faults.cut_links.update(pairs)
+    pairs = [frozenset((host.name, other)) for other in ("state", *cluster.hosts)]
+    cluster.active_faults.cut_links.update(pairs)
     await asyncio.sleep(5.0)
-    await world.users.cancel_now(4)
-    await asyncio.sleep(world.shape.cancel_s + 4.0)
-    world.active_faults.cut_links.difference_update(pairs)
+    await cluster.users.cancel_now(4)
+    await asyncio.sleep(cluster.config.cancel_s + 4.0)
+    cluster.active_faults.cut_links.difference_update(pairs)
 
 
-async def _held(world: SimulatedCluster) -> None:
+async def _held(cluster: SimulatedCluster) -> None:
     """Commands and answers are held for longer than `cancel_s`; jobs are called off while a start
     of theirs is on its way."""
-    world.active_faults.command_delay_s, world.active_faults.cancel_in_flight = (
-        2.0 * world.shape.cancel_s,
+    cluster.active_faults.command_delay_s, cluster.active_faults.cancel_in_flight = (
+        2.0 * cluster.config.cancel_s,
         True,
     )
     await asyncio.sleep(25.0)
-    world.active_faults.command_delay_s, world.active_faults.cancel_in_flight = 0.0, False
-    await asyncio.sleep(2.0 * world.shape.cancel_s)
+    cluster.active_faults.command_delay_s, cluster.active_faults.cancel_in_flight = 0.0, False
+    await asyncio.sleep(2.0 * cluster.config.cancel_s)
 
 
-async def _hung_for_long(world: SimulatedCluster) -> None:
+async def _hung_for_long(cluster: SimulatedCluster) -> None:
     """Jobs are called off as their machines begin to hang, for less and for more than a lease."""
-    shape = world.shape
-    for hang_s in (0.9 * shape.lease_s, 1.4 * shape.lease_s, shape.cancel_s + 4.0):
+    config = cluster.config
+    for hang_s in (0.9 * config.lease_s, 1.4 * config.lease_s, config.cancel_s + 4.0):
         await asyncio.sleep(5.0)
-        await world.users.cancel_now(4, hang_s)
+        await cluster.users.cancel_now(4, hang_s)
         await asyncio.sleep(hang_s)
 
 
@@ -326,9 +326,9 @@
     """A job's end is looked for before the job, which moves in between."""
 
     async def status(self: Admission, job_id: JobId) -> Reply:
-        over = self._over.get(job_id) or await self._read_over(job_id)
+        over = self._ended_jobs.get(job_id) or await self._read_ended(job_id)
         if over is not None:
-            return self._final(job_id, over)
+            return self._final_reply(job_id, over)
         if await self._client.get(job_key(job_id)) is None:
             return Reply(404, {"error": "no such job"})
         return Reply(200, wire.job_status(job_id, wire.JOB_PENDING))
@@ -353,7 +353,7 @@
 
 def _accepted_without_an_answer(patch: Patch) -> None:
     """An acceptance of which nothing was heard is told as one."""
-    whole = Admission._commit_accepted
+    whole = Admission._commit_with_retries
 
     async def commit(self: Admission, *given: Any) -> Any:
         try:
@@ -361,17 +361,17 @@
         except OutcomeUnknownError:
             return Committed(Revision(1))
 
-    patch.setattr(Admission, "_commit_accepted", commit)
+    patch.setattr(Admission, "_commit_with_retries", commit)
 
 
 def _accepted_again(patch: Patch) -> None:
     """An acceptance that does not require that the job is new."""
-    whole = Admission._commit_accepted
+    whole = Admission._commit_with_retries
 
     async def commit(self: Admission, guards: list[Any], changes: list[Any]) -> Any:
         return await whole(self, [], changes)
 
-    patch.setattr(Admission, "_commit_accepted", commit)
+    patch.setattr(Admission, "_commit_with_retries", commit)
 
 
 def _silence_is_success(patch: Patch) -> None:
@@ -439,7 +439,7 @@
 
 def _any_order(patch: Patch) -> None:
     """Reports count whichever is the newer one."""
-    patch.setattr(HeartbeatProcessor, "_out_of_date", staticmethod(lambda *_: False))
+    patch.setattr(HeartbeatProcessor, "_is_out_of_date", staticmethod(lambda *_: False))
 
 
 def _any_token(patch: Patch) -> None:
@@ -529,17 +529,17 @@
 
 @dataclass(frozen=True)
 class Meeting:
-    script: Script
-    shape: Shape = field(default_factory=lambda: Shape(machines=6))
+    scenario: Scenario
+    config: ClusterConfig = field(default_factory=lambda: ClusterConfig(machines=6))
     faults: tuple[tuple[str, Fault], ...] = ()
-    calm_s: float = 30.0
+    quiet_s: float = 30.0
     seed: int = 1
 
 
 _MEETINGS: dict[str, Meeting] = {
     "close looks": Meeting(
         _looked_at_closely,
-        Shape(machines=6, every_s=1.0, jobs=((1, 2.0), (2, 4.0), (1, 30.0))),
+        ClusterConfig(machines=6, every_s=1.0, job_kinds=((1, 2.0), (2, 4.0), (1, 30.0))),
         (
             ("forgotten", _over_first),
             ("went_back", _remembers_for_a_moment),
@@ -548,86 +548,106 @@
         10.0,
     ),
     "only answers are lost": Meeting(
-        _answers_lost, Shape(machines=6, every_s=1.5), (("went_back", _accepted_again),)
+        _answers_lost, ClusterConfig(machines=6, every_s=1.5), (("went_back", _accepted_again),)
     ),
     "transactions are late": Meeting(
         _transactions_late,
-        Shape(machines=12, every_s=1.5, jobs=_LONG, limit_vcpus=99.0, cancelled=0.0),
+        ClusterConfig(
+            machines=12, every_s=1.5, job_kinds=_LONG, limit_vcpus=99.0, cancelled_share=0.0
+        ),
         (("ran_twice", _silence_is_success),),
     ),
     "teams at their limits": Meeting(
         _at_the_limit,
-        Shape(machines=8, limit_vcpus=16.0, every_s=1.5, jobs=_LONG, cancelled=0.1),
+        ClusterConfig(
+            machines=8, limit_vcpus=16.0, every_s=1.5, job_kinds=_LONG, cancelled_share=0.1
+        ),
         (("quota", _cancelled_are_leftovers), ("quota", _limits_forget)),
     ),
     "hands change": Meeting(
         _hands_change,
-        Shape(machines=12, every_s=0.4, jobs=((1, 90.0),), cancelled=0.0, limit_vcpus=99.0),
+        ClusterConfig(
+            machines=12, every_s=0.4, job_kinds=((1, 90.0),), cancelled_share=0.0, limit_vcpus=99.0
+        ),
         (("ran_cancelled", _watch_begins_late),),
         5.0,
     ),
     "machines up at once": Meeting(
-        _up_at_once, Shape(machines=16, every_s=1.5), (("left", _rented_anew),), 170.0
+        _up_at_once, ClusterConfig(machines=16, every_s=1.5), (("left", _rented_anew),), 170.0
     ),
     "reports kept for the next leader": Meeting(
         _kept_reports,
-        Shape(machines=10, every_s=0.8, limit_vcpus=99.0),
+        ClusterConfig(machines=10, every_s=0.8, limit_vcpus=99.0),
         (("ran_twice", _any_order), ("ran_twice", _any_token)),
     ),
     "one-task jobs by the hundred": Meeting(
-        _flood, Shape(machines=8, every_s=0.25, jobs=((1, 3.0),), cancelled=0.25), ()
+        _flood,
+        ClusterConfig(machines=8, every_s=0.25, job_kinds=((1, 3.0),), cancelled_share=0.25),
+        (),
     ),
     "more work than room": Meeting(
-        _more_than_room, Shape(machines=4, every_s=0.5, jobs=_LONG, limit_vcpus=99.0), ()
+        _more_than_room,
+        ClusterConfig(machines=4, every_s=0.5, job_kinds=_LONG, limit_vcpus=99.0),
+        (),
     ),
     "called off at the end": Meeting(
-        _off_at_the_end, Shape(machines=6, every_s=1.0), (("went_back", _end_unguarded),)
+        _off_at_the_end, ClusterConfig(machines=6, every_s=1.0), (("went_back", _end_unguarded),)
     ),
     "refused as jobs are called off": Meeting(
         _refused_and_off,
-        Shape(machines=6, every_s=1.5, jobs=((2, 90.0),), cancelled=0.0),
+        ClusterConfig(machines=6, every_s=1.5, job_kinds=((2, 90.0),), cancelled_share=0.0),
         (("ran_cancelled", _acknowledges_nothing),),
         10.0,
     ),
     "mute machines": Meeting(
         _mute,
-        Shape(machines=6, every_s=1.5, jobs=_LONG),
+        ClusterConfig(machines=6, every_s=1.5, job_kinds=_LONG),
         (("ran_twice", _silence_from_nothing), ("given_work", place_on_contacted_machines)),
     ),
     "zones lose machines": Meeting(
         _zones_lose_machines,
-        Shape(machines=9, every_s=1.5, jobs=((6, 20.0), (3, 30.0)), cancelled=0.0, zoned=1.0),
+        ClusterConfig(
+            machines=9,
+            every_s=1.5,
+            job_kinds=((6, 20.0), (3, 30.0)),
+            cancelled_share=0.0,
+            zoned=1.0,
+        ),
     ),
     "zones apart": Meeting(
         _zones_parted,
-        Shape(machines=6, every_s=1.5, jobs=_LONG),
+        ClusterConfig(machines=6, every_s=1.5, job_kinds=_LONG),
         (("ran_twice", _delegates_ignored),),
     ),
     "no controller": Meeting(
-        _nobody_leads, Shape(machines=6, every_s=1.5), (("ran_twice", _silence_from_nothing),)
+        _nobody_leads,
+        ClusterConfig(machines=6, every_s=1.5),
+        (("ran_twice", _silence_from_nothing),),
     ),
     "ten leaders": Meeting(
         _ten_leaders,
-        Shape(machines=6, every_s=1.5, jobs=((2, 90.0),), cancelled=0.0),
+        ClusterConfig(machines=6, every_s=1.5, job_kinds=((2, 90.0),), cancelled_share=0.0),
         (("ran_cancelled", _unread_renews),),
         10.0,
     ),
     "a leader apart": Meeting(
         _leader_apart,
         # Room for the next leader to start again what the one before goes on with.
-        Shape(machines=18, every_s=1.0, jobs=((2, 90.0),), cancelled=0.0),
+        ClusterConfig(machines=18, every_s=1.0, job_kinds=((2, 90.0),), cancelled_share=0.0),
         (("ran_twice", _for_ever),),
         10.0,
     ),
     "commands are held": Meeting(
         _held,
-        Shape(machines=8, every_s=0.7, jobs=((1, 20.0),), cancelled=0.0, limit_vcpus=99.0),
+        ClusterConfig(
+            machines=8, every_s=0.7, job_kinds=((1, 20.0),), cancelled_share=0.0, limit_vcpus=99.0
+        ),
         (("ran_cancelled", _out_for_ever),),
         5.0,
     ),
     "machines hang": Meeting(
         _hung_for_long,
-        Shape(machines=6, every_s=1.5, jobs=((2, 90.0),), cancelled=0.0),
+        ClusterConfig(machines=6, every_s=1.5, job_kinds=((2, 90.0),), cancelled_share=0.0),
         (("ran_cancelled", _no_stops),),
         10.0,
     ),
@@ -635,7 +655,7 @@
 
 
 def _play(meeting: Meeting, seed: int, until: str = "") -> SimulatedCluster:
-    return play(seed, meeting.shape, 60.0, meeting.script, meeting.calm_s, until)
+    return run_scenario(seed, meeting.config, 60.0, meeting.scenario, meeting.quiet_s, until)
 
 
 @functools.cache
@@ -646,9 +666,9 @@
 
 @pytest.mark.parametrize("name", _MEETINGS)
 def test_no_rule_breaks(name: str) -> None:
-    world = _sound(name)
-    assert not world.broken, [*world.events, *world.broken]
-    assert world.starts > 5
+    cluster = _sound(name)
+    assert not cluster.violations, [*cluster.events, *cluster.violations]
+    assert cluster.starts > 5
 
 
 @pytest.mark.parametrize(
@@ -661,7 +681,7 @@
     fault(monkeypatch)
     found: set[str] = set()
     for seed in range(1, 7):
-        found |= _play(_MEETINGS[name], seed, rule).rules
+        found |= _play(_MEETINGS[name], seed, rule).violated_invariants
         if rule in found:
             return
     raise AssertionError(f"{rule} is not among {found}")
@@ -669,8 +689,8 @@
 
 def test_a_one_task_job_costs_five_changes_and_other_jobs_are_served() -> None:
     """Accepted, bound, ended (two records), its chunk removed; called off it costs no more."""
-    world = _sound("one-task jobs by the hundred")
-    assert not world.broken and len(world.jobs) > 200
-    assert len(world.state.log) <= 5 * len(world.jobs) + 150
-    open_ = [job for job in world.jobs.values() if job.accepted and not job.over]
-    assert len(open_) < 0.05 * len(world.jobs)
+    cluster = _sound("one-task jobs by the hundred")
+    assert not cluster.violations and len(cluster.jobs) > 200
+    assert len(cluster.state.log) <= 5 * len(cluster.jobs) + 150
+    open_ = [job for job in cluster.jobs.values() if job.accepted and not job.over]
+    assert len(open_) < 0.05 * len(cluster.jobs)
