--- a/tests/test_flapping.py
+++ b/tests/test_flapping.py
@@ -13,11 +13,11 @@
 
 import pytest
 
-from tealrill.simulation.clock import STEADY_AT
+from tealrill.simulation.clock import MONOTONIC_START_S
 from tealrill.simulation.cluster import SimulatedCluster
-from tealrill.simulation.faults import CUT, FROZEN, GONE, REFUSED, FaultInjector
-from tealrill.simulation.process import Shape
-from tealrill.simulation.scenario import play
+from tealrill.simulation.faults import HOST_LOST, PARTITIONED, PAUSED, REFUSED, FaultInjector
+from tealrill.simulation.process import ClusterConfig
+from tealrill.simulation.scenario import run_scenario
 from tealrill.types import Monotonic
 
 LONG_JOBS = ((2, 70.0), (3, 90.0), (1, 120.0))
@@ -25,15 +25,17 @@
 FLAPPING_S = 52.0
 
 
-@pytest.mark.parametrize("way", [FROZEN, GONE, CUT, REFUSED])
+@pytest.mark.parametrize("way", [PAUSED, HOST_LOST, PARTITIONED, REFUSED])
 def test_cancelled_tasks_end_in_time_while_the_state_service_flaps(way: str) -> None:
-    async def script(cluster: SimulatedCluster) -> None:
+    async def scenario(cluster: SimulatedCluster) -> None:
         await FaultInjector(cluster).flapping(way, FLAPPING_S)
 
     for seed, nodes in ((1, 3), (2, 5)):
-        shape = Shape(nodes=nodes, jobs=LONG_JOBS, cancelled=0.0, saving=0.0)
-        cluster = play(seed, shape, FLAPPING_S, script=script, calm_s=5.0)
-        assert not cluster.broken, [*cluster.events, *cluster.broken]
+        config = ClusterConfig(
+            nodes=nodes, job_kinds=LONG_JOBS, cancelled_share=0.0, checkpoint_share=0.0
+        )
+        cluster = run_scenario(seed, config, FLAPPING_S, scenario=scenario, quiet_s=5.0)
+        assert not cluster.violations, [*cluster.events, *cluster.violations]
         assert sum(job.cancelled_at is not None for job in cluster.jobs.values()) >= 2
 
 
@@ -42,7 +44,7 @@
 invalid, and an election, each with its retries while the state service is down."""
 
 
-@pytest.mark.parametrize("way", [FROZEN, GONE, CUT])
+@pytest.mark.parametrize("way", [PAUSED, HOST_LOST, PARTITIONED])
 @pytest.mark.parametrize("nodes", [3, 5])
 @pytest.mark.parametrize("seed", [2, 3, 7, 24, 40])
 def test_successor_is_elected_while_the_state_service_flaps(
@@ -60,10 +62,10 @@
     """
     failover_s: list[float] = []
 
-    async def script(cluster: SimulatedCluster) -> None:
+    async def scenario(cluster: SimulatedCluster) -> None:
         failed_host, began = cluster.leader(), cluster.now()
         assert failed_host is not None
-        flapping = cluster.begin(FaultInjector(cluster).flapping(way, FLAPPING_S))
+        flapping = cluster.spawn(FaultInjector(cluster).flapping(way, FLAPPING_S))
         while not flapping.done():
             for host in cluster.hosts.values():
                 node = host.node
@@ -75,13 +77,17 @@
                     failover_s.append(cluster.now() - began)
             await asyncio.sleep(0.1)
 
-    cluster = play(
-        seed, Shape(nodes=nodes, jobs=LONG_JOBS, saving=0.0), FLAPPING_S, script=script, calm_s=5.0
+    cluster = run_scenario(
+        seed,
+        ClusterConfig(nodes=nodes, job_kinds=LONG_JOBS, checkpoint_share=0.0),
+        FLAPPING_S,
+        scenario=scenario,
+        quiet_s=5.0,
     )
-    assert not cluster.broken, [*cluster.events, *cluster.broken]
+    assert not cluster.violations, [*cluster.events, *cluster.violations]
     assert failover_s and failover_s[0] < MAX_FAILOVER_S
 
 
 def _steady_now(cluster: SimulatedCluster) -> Monotonic:
     """Return the current time of the processes' steady clock."""
-    return Monotonic(STEADY_AT + cluster.now())
+    return Monotonic(MONOTONIC_START_S + cluster.now())
--- a/tests/test_formats.py
+++ b/tests/test_formats.py
@@ -28,7 +28,7 @@
 
 
 def test_submission_round_trip_keeps_every_field() -> None:
-    assert wire.plain(spec()) == SUBMISSION
+    assert wire.to_builtins(spec()) == SUBMISSION
 
 
 @pytest.mark.parametrize("field", [k for k, v in SUBMISSION.items() if v is not None])
--- a/tests/test_golden_records.py
+++ b/tests/test_golden_records.py
@@ -35,7 +35,7 @@
 from tealrill.graphs.admission import GraphAdmission
 from tealrill.graphs.leader_extension import GraphLeaderExtension
 from tealrill.graphs.model import Node, PartBody, SealBody, Submission
-from tealrill.graphs.records import GraphRecordError, Head
+from tealrill.graphs.records import GraphRecord, GraphRecordError
 from tealrill.leader import job_lifecycle, record_loader
 from tealrill.leadership import election, renewal_delegation
 from tealrill.leadership.election import Election
@@ -186,13 +186,13 @@
         due_s=lambda *_: node.due_s,
         in_flight=0,
         progress=SimpleNamespace(
-            waits_each=lambda _: [int(name.rpartition("-")[2]) for name in node.each],
+            task_dependencies=lambda _: [int(name.rpartition("-")[2]) for name in node.each],
             shape=SimpleNamespace(retries=[node.retries]),
             tail_s=[node.tail_s],
         ),
     )
     term = SimpleNamespace(_term=SimpleNamespace(write_batcher=SimpleNamespace(join=joined.append)))
-    GraphLeaderExtension._join_release(cast(Any, term), cast(Any, live), 0)
+    GraphLeaderExtension._enqueue_release(cast(Any, term), cast(Any, live), 0)
     return joined[0].changes[0]["value"]
 
 
@@ -217,13 +217,13 @@
 
 def read_over(value: Any) -> Any:
     """Decode `over/ID` for users' requests, for a graph and for a new leader."""
-    final = Admission._final(
+    final = Admission._final_reply(
         cast(Any, None), JobId("wk-000412"), wire.KeyValue(value=value, version=3)
     )
     record = msgspec.convert(value, job_lifecycle.JobRecord) if "spec" in value else None
     return SimpleNamespace(
         told=final.body,
-        outcome=records.outcome_of(value),
+        outcome=records.node_outcome(value),
         spec=record.spec if record is not None else None,
         ended_at=record.ended_at if record is not None else None,
     )
@@ -244,7 +244,7 @@
 def write_cancellation(read: Any) -> Any:
     """Return `over/ID` as written by the node that cancels the job."""
     job = JobId(read.spec.id)
-    client = _Client({state_records.job_key(job): {"spec": wire.plain(read.spec), "at": 0.0}})
+    client = _Client({state_records.job_key(job): {"spec": wire.to_builtins(read.spec), "at": 0.0}})
     with mock.patch.object(admission, "wall_now", lambda: Wall(read.ended_at or 0.0)):
         asyncio.run(_admission(client).cancel(job))
     return client.put(state_records.ended_key(job))
@@ -256,15 +256,17 @@
     job = JobId(read.spec.id)
     term = SimpleNamespace(
         _orphans={job: (Revision(3), read.spec)},
-        _burials=set(),
+        _ending_orphans=set(),
         _term=SimpleNamespace(write_batcher=SimpleNamespace(join=joined.append)),
     )
-    GraphLeaderExtension._bury(cast(Any, term), job)
+    GraphLeaderExtension._enqueue_orphan_end(cast(Any, term), job)
     return joined[0].changes[1]["value"]
 
 
 def _cancel_gated(index: int) -> _Client:
-    head = Head(v=records.VERSION, status="accepted", at=0.0, digest="", nodes=9, edges=0, parts=1)
+    head = GraphRecord(
+        v=records.VERSION, status="accepted", at=0.0, digest="", nodes=9, edges=0, parts=1
+    )
     client = _Client({records.graph_key("fam1"): msgspec.to_builtins(head)})
     graphs = _graph_intake(client, _admission(client))
     asyncio.run(graphs.cancel(model.node_id("fam1", index)))
@@ -278,7 +280,7 @@
 
 def write_word(value: Any) -> Any:
     """Return `job/GRAPH.word` as written by the controller that cancels a gated node."""
-    return _cancel_gated(value["cancelled"]).put(records.word_key("fam1"))
+    return _cancel_gated(value["cancelled"]).put(records.cancelled_node_key("fam1"))
 
 
 # -- leadership -----------------------------------------------------------------------------------
@@ -352,12 +354,14 @@
 
     def join(change: JoinedWrite) -> None:
         joined.append(change)
-        change.applied(Revision(3))
+        change.on_committed(Revision(3))
 
     kept = IntentLog(join, FencingToken(3), _VALUE_KB, wall=lambda: Wall(record.at))
-    asyncio.run(kept.rent("r1", Rental(record.type, record.zone, record.spot, record.count)))
+    asyncio.run(
+        kept.record_rental("r1", Rental(record.type, record.zone, record.spot, record.count))
+    )
     if record.names is not None:
-        kept.granted("r1", record.names)
+        kept.record_grant("r1", record.names)
     return joined[-1].changes[0]["value"]
 
 
@@ -375,7 +379,7 @@
 
     def join(change: JoinedWrite) -> None:
         joined.append(change)
-        change.applied(Revision(3))
+        change.on_committed(Revision(3))
 
     kept = IntentLog(join, FencingToken(3), _VALUE_KB, wall=lambda: Wall(read[1].at))
     asyncio.run(kept.record_release(read[0]))
@@ -387,7 +391,7 @@
 
 def write_graph_end(over: Any) -> Any:
     """Return `over/GRAPH`."""
-    head = Head(
+    head = GraphRecord(
         v=records.VERSION,
         status="accepted",
         at=0.0,
@@ -396,19 +400,19 @@
         edges=over.edges,
         parts=over.parts,
     )
-    return records.end_of(head, over.status, over.at, over.why, over.counts)
+    return records.graph_end_value(head, over.status, over.at, over.why, over.counts)
 
 
 def read_part(value: Any) -> Any:
     """Decode `part/GRAPH/PPPPP.CC`, a part with one fragment; return it with its nodes."""
     entry = wire.Entry(key=records.fragment_key("fam1", 0, 0), value=value, version=3)
-    packed = records.gather([entry])[0]
-    return packed, records.unpack(packed)
+    packed = records.assemble_parts([entry])[0]
+    return packed, records.unpack_part(packed)
 
 
 def write_part(read: Any) -> Any:
     """Return `part/GRAPH/PPPPP.CC`; its compressed bytes also depend on the zlib library."""
-    (value,) = records.pack(read[1], 4096)
+    (value,) = records.pack_part(read[1], 4096)
     return value
 
 
@@ -418,13 +422,13 @@
         wire.Entry(key=records.fragment_key("fam1", 0, number), value=fragment, version=3)
         for number, fragment in enumerate(value)
     ]
-    packed = records.gather(entries)[0]
-    return packed, records.unpack(packed)
+    packed = records.assemble_parts(entries)[0]
+    return packed, records.unpack_part(packed)
 
 
 def write_parts(read: Any) -> Any:
     """Return the values of a part's fragments; the size limit is low enough for several."""
-    return records.pack(read[1], 400)
+    return records.pack_part(read[1], 400)
 
 
 # -- answers to users -----------------------------------------------------------------------------
@@ -659,7 +663,7 @@
     "deputy": _record(
         read_delegation,
         {"term": lambda r: r.term, "closed": lambda r: r.revoked, "beat": lambda r: r.beat},
-        wire.plain,
+        wire.to_builtins,
         ValueError,
     ),
     "out": _record(
@@ -670,7 +674,7 @@
             "ends_term": lambda r: r.ends_term,
             "mark": lambda r: r.mark,
         },
-        wire.plain,
+        wire.to_builtins,
         _INVALID,
     ),
     "rent": _record(
@@ -693,8 +697,8 @@
         write_return,
         ValueError,
     ),
-    "graph": _record(records.read_head, _HEAD, msgspec.to_builtins, GraphRecordError),
-    "graph over": _record(records.read_over, _GRAPH_OVER, write_graph_end, GraphRecordError),
+    "graph": _record(records.read_graph, _HEAD, msgspec.to_builtins, GraphRecordError),
+    "graph over": _record(records.read_graph_end, _GRAPH_OVER, write_graph_end, GraphRecordError),
     "part": _record(
         read_part,
         {
@@ -759,10 +763,10 @@
 BUILDERS: Final[dict[str, Callable[..., Any]]] = {
     "job status": wire.job_status,
     "accepted": wire.accepted,
-    "start": wire.start,
-    "stop": wire.stop,
-    "forget": wire.forget,
-    "report answer": wire.report_answer,
+    "start": wire.start_command,
+    "stop": wire.stop_command,
+    "forget": wire.forget_command,
+    "report answer": wire.heartbeat_response,
     "direct commands": wire.direct_commands,
     "redirect": wire.redirect,
     "rent request": wire.rent_request,
@@ -774,7 +778,9 @@
     "lease request": wire.lease_request,
     "answer": answer,
     "graph refused": lambda *given: model.InvalidGraphError(*given).body(),
-    "graph accepted": lambda name, head: GraphAdmission._accepted(name, records.read_head(head)),
+    "graph accepted": lambda name, head: GraphAdmission._accepted_body(
+        name, records.read_graph(head)
+    ),
 }
 
 KEYS: Final[dict[str, Callable[..., Any]]] = {
@@ -796,12 +802,12 @@
     "rent": lambda name: intent_log._RENTAL_PREFIX + name,
     "return": lambda rest: intent_log._RELEASE_PREFIX + rest,
     "graph": records.graph_key,
-    "graph over": records.graph_over_key,
-    "word": records.word_key,
-    "word read": records.graph_of_word,
+    "graph over": records.graph_end_key,
+    "word": records.cancelled_node_key,
+    "word read": records.parse_cancelled_node_key,
     "parts": records.parts_prefix,
     "part": records.fragment_key,
-    "part read": lambda key: list(records.part_of_key(key)),
+    "part read": lambda key: list(records.parse_fragment_key(key)),
     "node": model.node_id,
     "node read": lambda name: list(model.parse_node_id(name) or ()),
 }
@@ -827,7 +833,7 @@
     "service": wire.SERVICE,
     "ranks": wire.RANKS,
     "paths": [
-        wire.JOBS_PATH, wire.CANCEL_PATH, wire.HEALTH_PATH, wire.REPORT_PATH, wire.COMMANDS_PATH
+        wire.JOBS_PATH, wire.CANCEL_PATH, wire.HEALTH_PATH, wire.HEARTBEAT_PATH, wire.COMMANDS_PATH
     ],
     "outcomes": [
         state_records.OUTCOME_DONE, state_records.OUTCOME_FAILED, state_records.OUTCOME_SKIPPED,
--- a/tests/test_graphs.py
+++ b/tests/test_graphs.py
@@ -19,8 +19,8 @@
 from tealrill.graphs import records
 from tealrill.graphs.leader_extension import GraphLeaderExtension
 from tealrill.graphs.model import Edge, InvalidGraphError, Node, Shape, resolve
-from tealrill.graphs.records import GraphRecordError, Head, Over
-from tealrill.graphs.tracker import OVER_DONE, OVER_FAILED, RELEASED, Progress
+from tealrill.graphs.records import GraphEnd, GraphRecord, GraphRecordError
+from tealrill.graphs.tracker import DONE, FAILED, RELEASED, Progress
 from tealrill.leader.leader import Leader
 from tealrill.leadership.election import Election
 from tealrill.scheduler.estimates import Estimates
@@ -61,23 +61,23 @@
 
 def test_ten_thousand_nodes_in_a_chain_side_by_side_or_all_awaited_by_one() -> None:
     chain = _shape([_node(f"n{i}", *([f"n{i - 1}"] if i else [])) for i in range(10_000)])
-    assert chain.tails()[0] == 9_999 and list(chain.order) == list(range(10_000))
+    assert chain.tails()[0] == 9_999 and list(chain.topological_order) == list(range(10_000))
     wide = Progress(_shape([_node(f"n{i}") for i in range(10_000)]))
-    wide.begin()
+    wide.evaluate_all()
     assert sum(wide.next_ready() is not None for _ in range(10_001)) == 10_000
     nodes = [_node(f"n{i}") for i in range(10_000)]
     nodes.append(_node("last", *[f"n{i}" for i in range(10_000)]))
     fan_in = Progress(_shape(nodes))
-    fan_in.begin()
+    fan_in.evaluate_all()
     for index in range(10_000):
         assert fan_in.state[10_000] == 0
-        fan_in.settle(index, OVER_DONE)
+        fan_in.record_end(index, DONE)
     assert fan_in.next_ready() is not None
     # A failure at the chain's head reaches its end without recursion.
     failing = Progress(chain)
-    failing.begin()
-    failing.settle(0, OVER_FAILED)
-    assert failing.over and failing.counted()["skipped"] == 9_999
+    failing.evaluate_all()
+    failing.record_end(0, FAILED)
+    assert failing.all_ended and failing.counted()["skipped"] == 9_999
 
 
 def test_a_cycle_is_shown_by_its_path_however_long() -> None:
@@ -108,14 +108,14 @@
     mixed = list(nodes)
     luck.shuffle(mixed)
     shape = _shape(mixed)
-    place = {index: at for at, index in enumerate(shape.order)}
+    place = {index: at for at, index in enumerate(shape.topological_order)}
     assert sorted(place) == list(range(len(nodes)))
     tails = shape.tails()
     for index in range(shape.nodes):
         longest = 0.0
-        for follower, _ in shape.followers(index):
+        for follower, _ in shape.dependents(index):
             assert place[index] < place[follower]
-            assert (index, _) in list(shape.awaited(follower))
+            assert (index, _) in list(shape.dependencies(follower))
             longest = max(longest, shape.estimate_s[follower] + tails[follower])
         assert tails[index] == pytest.approx(longest, rel=1e-5)
 
@@ -127,25 +127,25 @@
     """Ends as they happen, or after a take-over in any order and twice: one and the same state."""
     shape = _shape(nodes)
     first = Progress(shape)
-    first.begin()
+    first.evaluate_all()
     ends: list[tuple[int, int]] = []
     released: list[int] = []
     while (index := first.next_ready()) is not None:
-        first.released(index)
+        first.mark_released(index)
         released.append(index)
         if luck.random() < 0.8:
-            ends.append((index, luck.choice([OVER_DONE, OVER_DONE, OVER_FAILED])))
-            first.settle(*ends[-1])
+            ends.append((index, luck.choice([DONE, DONE, FAILED])))
+            first.record_end(*ends[-1])
     second = Progress(shape)
     for index in luck.sample(released, len(released)):
-        second.released(index)
+        second.mark_released(index)
     for end in luck.sample(ends, len(ends)) + ends:
-        second.settle(*end)
-    second.begin()
+        second.record_end(*end)
+    second.evaluate_all()
     while (index := second.next_ready()) is not None:
-        second.released(index)
+        second.mark_released(index)
     assert bytes(first.state) == bytes(second.state)
-    assert first.counts == second.counts and first.over == second.over
+    assert first.counts == second.counts and first.all_ended == second.all_ended
     assert first.counts[RELEASED] == len(released) - len(ends)
 
 
@@ -154,24 +154,24 @@
 
 @given(_graphs(), st.integers(400, 5000))
 def test_parts_come_back_as_they_were_written(nodes: list[Node], value_bytes: int) -> None:
-    values = records.pack(nodes, value_bytes)
+    values = records.pack_part(nodes, value_bytes)
     assert all(len(wire.encode(value)) <= value_bytes for value in values)
     entries = [
         wire.Entry(key=records.fragment_key("fam1", 7, i), value=v, version=1)
         for i, v in enumerate(orjson.loads(orjson.dumps(values)))
     ]
-    (part,) = records.gather(entries).items()
+    (part,) = records.assemble_parts(entries).items()
     assert part[0] == 7 and part[1].nodes == len(nodes)
-    assert records.unpack(part[1]) == nodes
+    assert records.unpack_part(part[1]) == nodes
     if len(entries) > 1:
         with pytest.raises(GraphRecordError):
-            records.gather(entries[:-1])
+            records.assemble_parts(entries[:-1])
 
 
 @given(st.binary(max_size=200))
 def test_what_is_no_part_is_called_so(content: bytes) -> None:
     with pytest.raises(GraphRecordError):
-        records.unpack(records.Packed(1, "", content))
+        records.unpack_part(records.Packed(1, "", content))
 
 
 def test_a_bomb_is_not_unpacked() -> None:
@@ -180,7 +180,7 @@
     bomb = zlib.compress(b"[" + b" " * 200_000_000 + b"]")
     tracemalloc.start()
     with pytest.raises(GraphRecordError):
-        records.unpack(records.Packed(1, "", bomb))
+        records.unpack_part(records.Packed(1, "", bomb))
     peak = tracemalloc.get_traced_memory()[1]
     tracemalloc.stop()
     assert peak < 20_000_000
@@ -191,7 +191,7 @@
 
 @given(
     st.builds(
-        Head,
+        GraphRecord,
         v=st.just(1),
         status=st.sampled_from(["open", "accepted", "expired"]),
         at=st.floats(0, 1e10),
@@ -202,7 +202,7 @@
         nodes=st.integers(0, 10_000),
     ),
     st.builds(
-        Over,
+        GraphEnd,
         v=st.just(1),
         status=st.sampled_from(["done", "failed", "aborted"]),
         at=st.floats(0, 1e10),
@@ -210,14 +210,16 @@
         counts=st.none() | st.dictionaries(_TEXT, st.integers(0, 9), max_size=2),
     ),
 )
-def test_heads_and_ends_come_back_and_later_versions_are_refused(head: Head, over: Over) -> None:
+def test_heads_and_ends_come_back_and_later_versions_are_refused(
+    head: GraphRecord, over: GraphEnd
+) -> None:
     kept = orjson.loads(wire.encode(head))
-    assert records.read_head(kept) == head
-    assert records.read_over(orjson.loads(wire.encode(over))) == over
+    assert records.read_graph(kept) == head
+    assert records.read_graph_end(orjson.loads(wire.encode(over))) == over
     others: list[Any] = [{**kept, "v": 2}, {**kept, "status": "odd"}, [], None]
     for other in others:
         with pytest.raises(GraphRecordError):
-            records.read_head(other)
+            records.read_graph(other)
 
 
 def test_failures_are_counted_across_a_take_over() -> None:
@@ -274,15 +276,15 @@
         Estimates(),
         [lambda term: GraphLeaderExtension(term, GraphFeatures(on=True))],
     )
-    return leader, cast(GraphLeaderExtension, leader.parts[0])
+    return leader, cast(GraphLeaderExtension, leader.extensions[0])
 
 
 def _accepted(store: CheckedStore, nodes: list[Node], **head: Any) -> None:
     """A graph as it is kept once it is accepted."""
-    kept = Head(v=1, status="accepted", at=wall_now(), digest="d", defaults=_DEFAULTS,
+    kept = GraphRecord(v=1, status="accepted", at=wall_now(), digest="d", defaults=_DEFAULTS,
                 nodes=len(nodes), edges=1, parts=1, **head)  # fmt: skip
-    changes = [wire.put("job/fam1", wire.plain(kept))]
-    for number, value in enumerate(records.pack(nodes, 4096)):
+    changes = [wire.put("job/fam1", wire.to_builtins(kept))]
+    for number, value in enumerate(records.pack_part(nodes, 4096)):
         changes.append(wire.put(records.fragment_key("fam1", 0, number), value))
     store.execute([], changes)
 
@@ -318,9 +320,9 @@
         leader.scheduling_loop.autoscaler._next_rental_at = Monotonic(0.0)
         leader.scheduling_loop.run(monotonic_now(), wall_now())
         assert sum(rental.count for rental in asked) == 2
-        (wish,) = leader.lifecycle.upcoming(monotonic_now(), 20.0)
+        (wish,) = leader.lifecycle.upcoming_tasks(monotonic_now(), 20.0)
         assert wish[1] == 3
-        assert not leader.lifecycle.upcoming(monotonic_now(), 10.0)
+        assert not leader.lifecycle.upcoming_tasks(monotonic_now(), 10.0)
 
     asyncio.run(scenario())
 
@@ -330,11 +332,11 @@
         store = CheckedStore(random.Random(0))
         store.reliable = True
         _accepted(store, [_node("a"), _node("b")])
-        value = {"spec": {**wire.plain(spec(id="fam1-00000", pieces=1))}, "at": 0.0}
+        value = {"spec": {**wire.to_builtins(spec(id="fam1-00000", pieces=1))}, "at": 0.0}
         store.execute([], [
             wire.put("job/fam1-00000", {**value, "owner": "fam1"}),
             wire.put("job/fam1", {**store.keys["job/fam1"][0], "v": 2}),
-            wire.put("job/wk-1", {"spec": wire.plain(spec(id="wk-1")), "at": 0.0}),
+            wire.put("job/wk-1", {"spec": wire.to_builtins(spec(id="wk-1")), "at": 0.0}),
         ])  # fmt: skip
         leader, part = _leader(store)
         await leader.record_loader.load()
@@ -370,11 +372,15 @@
     async def scenario() -> None:
         store = CheckedStore(random.Random(0))
         store.reliable = True
-        head = Head(v=1, status="open", at=wall_now() - 3590.0, digest="d", defaults=_DEFAULTS)
-        store.execute([], [wire.put("job/fam1", wire.plain(head))])
-        store.execute([], [wire.put("job/wk-1", {"spec": wire.plain(spec(id="wk-1")), "at": 0.0})])
+        head = GraphRecord(
+            v=1, status="open", at=wall_now() - 3590.0, digest="d", defaults=_DEFAULTS
+        )
+        store.execute([], [wire.put("job/fam1", wire.to_builtins(head))])
+        store.execute(
+            [], [wire.put("job/wk-1", {"spec": wire.to_builtins(spec(id="wk-1")), "at": 0.0})]
+        )
         for part_number in range(40):
-            for number, value in enumerate(records.pack([_node(f"n{part_number}")], 4096)):
+            for number, value in enumerate(records.pack_part([_node(f"n{part_number}")], 4096)):
                 key = records.fragment_key("fam1", part_number, number)
                 store.execute([], [wire.put(key, value)])
         leader, part = _leader(store)
--- a/tests/test_graphs_records.py
+++ b/tests/test_graphs_records.py
@@ -242,7 +242,7 @@
 
     @property
     def part(self) -> GraphLeaderExtension:
-        return cast(GraphLeaderExtension, self.leader.parts[0])
+        return cast(GraphLeaderExtension, self.leader.extensions[0])
 
     def hear(self, until: int) -> None:
         """What the watch brings, whole revisions up to this one."""
@@ -253,7 +253,7 @@
         self.seen = max(self.seen, until)
 
     async def look(self) -> None:
-        for name in [n for n in self.part._heads if n not in self.part._live]:
+        for name in [n for n in self.part._accepted if n not in self.part._loaded]:
             self.service.store.meanwhile = self.meanwhile
             await self.part._load(name)
             self.service.store.meanwhile = None
@@ -636,14 +636,14 @@
 
 def _stuck_nodes(patch: pytest.MonkeyPatch) -> None:
     """Nodes some of whose tasks can't be let go any more are waited for."""
-    whole = Progress.settle
+    whole = Progress.record_end
 
-    def settle(self: Progress, index: int, state: int) -> list[int]:
+    def record_end(self: Progress, index: int, state: int) -> list[int]:
         freed = whole(self, index, state)
         self.stuck.clear()
         return freed
 
-    patch.setattr(Progress, "settle", settle)
+    patch.setattr(Progress, "record_end", record_end)
 
 
 # An end that a take-over forgot is no clause: the release of such a node is refused by its record
--- a/tests/test_growth.py
+++ b/tests/test_growth.py
@@ -123,11 +123,13 @@
             for (task, attempt), state in self.tasks[name].items()
         ]
         heartbeat = report(name, 1, self.sequences[name], 1, lines)
-        return {**wire.plain(heartbeat), "addr": f"{name[2:]}:{self.port}"}
+        return {**wire.to_builtins(heartbeat), "addr": f"{name[2:]}:{self.port}"}
 
     def send_heartbeat(self, name: str) -> None:
         heartbeat = wire.decode(orjson.dumps(self.report(name)), wire.Heartbeat)
-        for order in self.leader.report(heartbeat, MachineId(name), monotonic_now()) or []:
+        for order in (
+            self.leader.handle_heartbeat(heartbeat, MachineId(name), monotonic_now()) or []
+        ):
             if order["verb"] == wire.FORGET:
                 self.tasks[name].pop((str(order["piece"]), cast(int, order["try"])))
 
@@ -153,11 +155,14 @@
         for _ in range(_WAVE_SIZE * _JOBS_PER_MACHINE):
             self.jobs += 1
             job = spec(id=f"wk-{self.jobs}", pieces=1, dueS=None)
-            self.store.execute([], [wire.put(job_key(job.id), {"spec": wire.plain(job), "at": 0})])  # type: ignore[arg-type]
+            self.store.execute(
+                [],
+                [wire.put(job_key(job.id), {"spec": wire.to_builtins(job), "at": 0})],  # type: ignore[arg-type]
+            )
             mod_revision = Revision(self.store.epoch)
             self.leader.lifecycle.add(
                 job_key(job.id),  # type: ignore[arg-type]
-                {"spec": wire.plain(job), "at": wall_now()},
+                {"spec": wire.to_builtins(job), "at": wall_now()},
                 mod_revision,
             )
         self.leader.scheduling_loop.run(monotonic_now(), wall_now())
--- a/tests/test_http_frontend.py
+++ b/tests/test_http_frontend.py
@@ -17,7 +17,7 @@
 from tealrill.http import Answer, Client
 from tealrill.settings import Address
 from tealrill.types import MachineId, Monotonic, monotonic_now
-from tests.standins import Worker
+from tests.fakes import FakeWorker
 
 _MOST = 200_000
 
@@ -50,7 +50,7 @@
         self, report: wire.Heartbeat, machine: MachineId
     ) -> http_frontend.HeartbeatReply:
         self.reports.append(machine)
-        return 200, wire.report_answer(4, [])
+        return 200, wire.heartbeat_response(4, [])
 
     def send(self, path: str, body: bytes) -> asyncio.Task[Answer]:
         return asyncio.create_task(Client(self.address).request("POST", path, body, 20.0))
@@ -69,12 +69,12 @@
     async def scenario() -> None:
         async with _running() as world:
             monkeypatch.setattr(world.front.application, "start_request", None)
-            body = orjson.dumps(Worker("m-000001").report())
+            body = orjson.dumps(FakeWorker("m-000001").report())
             client = Client(world.address)
             calls: list[bool] = []
             monkeypatch.setattr(iostream.IOStream, "set_nodelay", lambda _, on: calls.append(on))
             for _ in range(3):
-                answer = await client.request("POST", wire.REPORT_PATH, body)
+                answer = await client.request("POST", wire.HEARTBEAT_PATH, body)
                 assert (answer.status, orjson.loads(answer.body)["baton"]) == (200, 4)
             assert world.reports == ["m-000001"] * 3
             assert calls == [True, True]  # once for each end
@@ -89,7 +89,7 @@
 def test_what_is_no_report_gets_400(body: bytes) -> None:
     async def scenario() -> None:
         async with _running() as world:
-            answer = await world.send(wire.REPORT_PATH, body)
+            answer = await world.send(wire.HEARTBEAT_PATH, body)
             assert answer.status == 400
             assert orjson.loads(answer.body)["error"]
             assert not world.reports
@@ -108,8 +108,8 @@
             assert [r.result().status for r in requests if r.done()] == [503] * 3
             assert world.sizes == [60_000] * 3
             # A worker's report is taken all the same.
-            body = orjson.dumps(Worker("m-000001").report())
-            assert (await world.send(wire.REPORT_PATH, body)).status == 200
+            body = orjson.dumps(FakeWorker("m-000001").report())
+            assert (await world.send(wire.HEARTBEAT_PATH, body)).status == 200
             world.go.set()
             answers = await asyncio.gather(*requests)
             assert sorted(a.status for a in answers) == [200] * 3 + [503] * 3
@@ -144,12 +144,12 @@
 def test_one_who_sends_many_in_one_go_does_not_keep_others_waiting() -> None:
     async def scenario() -> None:
         async with _running() as world:
-            body = orjson.dumps(Worker("m-000001").report())
-            other = orjson.dumps(Worker("m-000002").report())
+            body = orjson.dumps(FakeWorker("m-000001").report())
+            other = orjson.dumps(FakeWorker("m-000002").report())
             greedy = await asyncio.open_connection(*world.address)
             patient = await asyncio.open_connection(*world.address)
-            greedy[1].write(_raw(wire.REPORT_PATH, body) * 400)
-            patient[1].write(_raw(wire.REPORT_PATH, other))
+            greedy[1].write(_raw(wire.HEARTBEAT_PATH, body) * 400)
+            patient[1].write(_raw(wire.HEARTBEAT_PATH, other))
             await patient[0].readuntil(b"\r\n\r\n")
             assert world.reports.index(MachineId("m-000002")) < 400
             while len(world.reports) < 401:
@@ -173,10 +173,10 @@
     async def scenario() -> None:
         async with _running() as world:
             monkeypatch.setattr(asyncio, "sleep", counted)
-            body = orjson.dumps(Worker("m-000001").report())
+            body = orjson.dumps(FakeWorker("m-000001").report())
             client = Client(world.address)
             for _ in range(16):
-                assert (await client.request("POST", wire.REPORT_PATH, body)).status == 200
+                assert (await client.request("POST", wire.HEARTBEAT_PATH, body)).status == 200
 
     asyncio.run(scenario())
     assert len(yields) == 2
@@ -193,23 +193,25 @@
 
     async def scenario() -> None:
         async with _running() as world:
-            body = orjson.dumps(Worker("m-000001").report())
+            body = orjson.dumps(FakeWorker("m-000001").report())
             client = Client(world.address)
             for _ in range(5):
-                answer = await client.request("POST", wire.REPORT_PATH, body)
+                answer = await client.request("POST", wire.HEARTBEAT_PATH, body)
                 assert (answer.status, orjson.loads(answer.body)["baton"]) == (200, 4)
             assert len(parsed) == 1
             for size in range(1, 12):
-                assert (await client.request("POST", wire.REPORT_PATH, b"x" * size)).status == 400
+                assert (
+                    await client.request("POST", wire.HEARTBEAT_PATH, b"x" * size)
+                ).status == 400
             assert len(http_frontend._Message._heads) <= 8
             long = {"X-Long": "y" * 1000}
             reader, writer = await asyncio.open_connection(*world.address)
             for _ in range(2):
                 lines = "".join(f"{name}: {value}\r\n" for name, value in long.items())
-                head = f"POST {wire.REPORT_PATH} HTTP/1.1\r\n{lines}Content-Length: {len(body)}"
+                head = f"POST {wire.HEARTBEAT_PATH} HTTP/1.1\r\n{lines}Content-Length: {len(body)}"
                 writer.write(head.encode() + b"\r\n\r\n" + body)
                 assert (await reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 200")
-                await reader.readexactly(len(orjson.dumps(wire.report_answer(4, []))))
+                await reader.readexactly(len(orjson.dumps(wire.heartbeat_response(4, []))))
             assert all(len(head) <= 256 for head in http_frontend._Message._heads)
             writer.close()
 
--- a/tests/test_leader_churn.py
+++ b/tests/test_leader_churn.py
@@ -23,8 +23,8 @@
 from tealrill.fleet.inventory import Fleet
 from tealrill.simulation.cluster import SimulatedCluster
 from tealrill.simulation.faults import FaultInjector
-from tealrill.simulation.process import Shape
-from tealrill.simulation.scenario import play
+from tealrill.simulation.process import ClusterConfig
+from tealrill.simulation.scenario import run_scenario
 from tealrill.state.job_store import JobStore
 from tealrill.state.records import BoundEntry, encode_chunk
 from tealrill.types import (
@@ -43,18 +43,18 @@
 CHURN_S = 55.0
 
 
-def _shape(nodes: int) -> Shape:
+def _shape(nodes: int) -> ClusterConfig:
     """Return a cluster whose heartbeat interval is longer than most terms."""
-    return Shape(
+    return ClusterConfig(
         nodes=nodes,
         machines=14,
         heartbeat_interval_s=2.5,
         lease_s=15.25,
         cancel_s=35.25,
         limit_vcpus=80.0,
-        jobs=LONG_JOBS,
-        cancelled=0.0,
-        saving=0.0,
+        job_kinds=LONG_JOBS,
+        cancelled_share=0.0,
+        checkpoint_share=0.0,
     )
 
 
@@ -63,24 +63,24 @@
 
 
 def _play(nodes: int, every_s: float, seed: int) -> SimulatedCluster:
-    async def script(cluster: SimulatedCluster) -> None:
+    async def scenario(cluster: SimulatedCluster) -> None:
         await FaultInjector(cluster).change_leaders(every_s, CHURN_S)
 
-    return play(seed, _shape(nodes), CHURN_S, script=script, calm_s=5.0)
+    return run_scenario(seed, _shape(nodes), CHURN_S, scenario=scenario, quiet_s=5.0)
 
 
 def test_cancelled_tasks_end_in_time_while_leaders_change() -> None:
     broken: list[str] = []
     for nodes, every_s, seed in RUNS:
         cluster = _play(nodes, every_s, seed)
-        broken += [f"{nodes} controllers, every {every_s} s: {text}" for text in cluster.broken]
+        broken += [f"{nodes} controllers, every {every_s} s: {text}" for text in cluster.violations]
         assert sum(job.cancelled_at is not None for job in cluster.jobs.values()) >= 4
     assert not broken
 
 
 def test_missing_stop_in_first_answer_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Commands, "stops_for_old_list", lambda *_: [])
-    assert {"ran_cancelled", "renewed_unstopped"} <= _play(5, 1.5, 1).rules
+    assert {"ran_cancelled", "renewed_unstopped"} <= _play(5, 1.5, 1).violated_invariants
 
 
 # -- one answer at a time --------------------------------------------------------------------------
@@ -90,7 +90,7 @@
 ELECTED_AT = Monotonic(100.0)
 TASK = "wk-000412/0"
 RUNNING: Final[list[tuple[str, int, str, str | None]]] = [(TASK, 1, wire.RUNNING, None)]
-STOP = wire.stop(TASK, 1, 0.0)
+STOP = wire.stop_command(TASK, 1, 0.0)
 
 
 class Term:
--- a/tests/test_lease_extension.py
+++ b/tests/test_lease_extension.py
@@ -240,7 +240,7 @@
         leadership = Leadership(
             FencingToken(4), Revision(1), LeaseId(1), Monotonic(90.0), Monotonic(101.0)
         )
-        asyncio.run(extension._seek(leadership))
+        asyncio.run(extension._request_grants(leadership))
         return leadership.valid_until > 101.0
 
     assert is_extended(ExtensionAnswer(True))
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -96,7 +96,7 @@
     )
     client = cast(StateClient, _Client(None, 0))
     found = Leader(parsed, client, cast(Cloud, None), cast(Election, None), leadership, Estimates())
-    found.scheduling_loop.placement._command_now = lambda _: None
+    found.scheduling_loop.placement._send_commands_now = lambda _: None
     return found
 
 
@@ -162,7 +162,7 @@
         for host in self.hosts:
             host.waits_until = self.now
         self.worker = Worker(_MACHINE, renewed_at=self.now)
-        self.worker.beats = 1
+        self.worker.heartbeat_count = 1
         self.records: dict[str, Any] = {}
         self.term = 0
         self.leads: int | None = None
@@ -260,7 +260,7 @@
                 )
         else:
             leadership.renewal_failed = True
-            asyncio.run(self.hosts[self.leads].extension._seek(leadership))
+            asyncio.run(self.hosts[self.leads].extension._request_grants(leadership))
 
     def stand(self) -> None:
         if self.down or self.now < self.key_until:
@@ -273,7 +273,7 @@
 
     def beat(self) -> None:
         worker = self.worker
-        worker.lapse(self.now)
+        worker.expire_lease(self.now)
         leader = self._leading()
         if leader is None:
             return
@@ -367,7 +367,7 @@
         self.told[name] = self.now
 
     def check(self) -> None:
-        self.worker.lapse(self.now)
+        self.worker.expire_lease(self.now)
         for name, told in self.told.items():
             held = self.worker.tasks.get(f"{name}/0")
             on = held is not None and held[1] != "ended"
@@ -454,9 +454,12 @@
     fleet.commands.stop(binding, "preemption", 0.0, Monotonic(101.0))
     commands = _beat(fleet, 3, 101.5)
     # The stop does nothing yet; started, the task is listed and stopped then.
-    assert commands == [wire.stop("wk-000412/0", 1, 0.0), wire.start("wk-000412/0", 1)]
+    assert commands == [
+        wire.stop_command("wk-000412/0", 1, 0.0),
+        wire.start_command("wk-000412/0", 1),
+    ]
     assert _beat(fleet, 4, 102.5, ("wk-000412/0", 1, "running", None)) == [
-        wire.stop("wk-000412/0", 1, 0.0)
+        wire.stop_command("wk-000412/0", 1, 0.0)
     ]
     _beat(fleet, 5, 103.5, ("wk-000412/0", 1, "ended", "stopped"))
     assert binding not in list(job.bindings())
@@ -470,7 +473,7 @@
     assert since is not None
     patience_s = fleet.stop_timeout_s
     assert patience_s + 8.0 < 20.0
-    in_vain = [wire.stop("wk-000412/0", 1, 0.0)]
+    in_vain = [wire.stop_command("wk-000412/0", 1, 0.0)]
     assert _beat(fleet, 3, since.since + patience_s - 0.1) == in_vain
     assert _beat(fleet, 4, since.since + patience_s + 0.1) is None
     assert _beat(fleet, 5, since.since + patience_s + 0.2, incarnation=2) is not None
@@ -487,7 +490,9 @@
     async def scan(self, prefix: str) -> tuple[list[wire.Entry], Revision]:
         bound = BoundEntry(_MACHINE, Incarnation(1), Attempt(1), False, False, Wall(0.0))
         chunk = encode_chunk(1, [bound.encode(Attempt(2))], {})
-        jobs = [(job_key(JobId("wk-000412")), {"spec": wire.plain(spec(pieces=1)), "at": 0.0})]
+        jobs = [
+            (job_key(JobId("wk-000412")), {"spec": wire.to_builtins(spec(pieces=1)), "at": 0.0})
+        ]
         chunks = [(chunk_key(JobId(name), 0), chunk) for name in ("wk-000412", "wk-000001")]
         found = {JOB_PREFIX: jobs, RUN_PREFIX: chunks}.get(prefix, [])
         return [wire.Entry(key=key, value=value, version=3) for key, value in found], Revision(5)
@@ -557,11 +562,11 @@
 # -- machines that hear nothing -------------------------------------------------------------------
 
 
-def _heard(*beats: tuple[int, int, float]) -> Fleet:
+def _heard(*heartbeat_count: tuple[int, int, float]) -> Fleet:
     """A machine's reports: session, sequence number, time."""
     fleet = Fleet(JobStore(8.0), FencingToken(1), Monotonic(0.0), 8.0)
     fleet.inherit([], Monotonic(0.0))
-    for incarnation, sequence, at in beats:
+    for incarnation, sequence, at in heartbeat_count:
         _beat(fleet, sequence, at, incarnation=incarnation)
     return fleet
 
@@ -609,7 +614,7 @@
     class ConnectionPool:
         async def request(self, *_: object) -> HttpAnswer:
             at[0] += took_s
-            raise NoAnswerError("TimeoutError", True, silent=True)
+            raise NoAnswerError("TimeoutError", True, timed_out=True)
 
     leader.direct_commands._connections = cast(Any, ConnectionPool())
     with pytest.MonkeyPatch.context() as patch:
@@ -666,7 +671,7 @@
 
 
 _GRAPH_OVER = {"v": 1, "status": "aborted", "at": 1.0, "digest": "d", "nodes": 2, "counts": {}}
-_NODE = {"spec": wire.plain(spec(id="lab1-0")), "at": 1.0, "owner": "lab1"}
+_NODE = {"spec": wire.to_builtins(spec(id="lab1-0")), "at": 1.0, "owner": "lab1"}
 
 
 def _admission(records: _Records) -> Admission:
@@ -707,8 +712,8 @@
     """A job and a chunk of a later version: nothing of them starts, nothing of them is removed."""
     good, odd, later = JobId("wk-000001"), JobId("wk-000002"), JobId("wk-000003")
     entries = {
-        f"job/{good}": {"spec": wire.plain(spec(id=good)), "at": 1.0},
-        f"job/{odd}": {"spec": wire.plain(spec(id=odd)), "at": 1.0},
+        f"job/{good}": {"spec": wire.to_builtins(spec(id=good)), "at": 1.0},
+        f"job/{odd}": {"spec": wire.to_builtins(spec(id=odd)), "at": 1.0},
         f"job/{later}": {"described": "otherwise"},
         f"run/{odd}/00000": {"n": 6, "tasks": [[]]},
         f"run/{later}/00000": {"n": 6, "tasks": [[2, "m-1", 1, 1, 0, 5]]},
--- a/tests/test_open_jobs.py
+++ b/tests/test_open_jobs.py
@@ -303,7 +303,7 @@
     """A revision is dated by the first answer that shows it, not by the last one that does not."""
 
     def not_before(self: RevisionClock, revision: Revision) -> Monotonic:
-        later = [sent for sent, seen in self._seen if seen >= revision]
+        later = [sent for sent, seen in self._observations if seen >= revision]
         return later[-1] if later else Monotonic(-1e9)
 
     patch.setattr(RevisionClock, "not_before", not_before)
--- a/tests/test_prober.py
+++ b/tests/test_prober.py
@@ -28,9 +28,9 @@
 from tealrill.settings import Address
 from tealrill.state.job_store import JobStore
 from tealrill.types import FencingToken, MachineId, Monotonic, Wall
-from tests.samples import SETTINGS, recorded_at_once, report
-from tests.standins import Worker
-from tests.test_node import World
+from tests.fakes import FakeWorker
+from tests.samples import SETTINGS, provisioner_dependencies, report
+from tests.test_node import NodeHarness
 
 _HEARTBEAT_INTERVAL_S = 1.0
 
@@ -225,7 +225,7 @@
     peer_receives: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scenario() -> None:
-        world = World()
+        world = NodeHarness()
         world.start()
         peers_asked = asyncio.Event()
         resigned: list[str] = []
@@ -238,16 +238,16 @@
             resigned.append(why)
 
         try:
-            await world.until_it_leads()
+            await world.wait_until_leader()
             node: Controller = world.node
             monkeypatch.setattr(
                 node._transfer, "peer_receives_heartbeats", peer_receives_heartbeats
             )
             monkeypatch.setattr(node.election, "resign", resign)
             for n in range(3):
-                worker = Worker(f"m-00000{n}")
-                await world.beat(worker)
-                await world.beat(worker)
+                worker = FakeWorker(f"m-00000{n}")
+                await world.send_heartbeat(worker)
+                await world.send_heartbeat(worker)
             async with asyncio.timeout(30.0):
                 await peers_asked.wait()
                 while peer_receives and not resigned:
@@ -290,7 +290,9 @@
     fleet = Fleet(JobStore(8.0), FencingToken(1), Monotonic(0.0), 8.0)
     fleet.inherit([], Monotonic(0.0))
     cloud = _Cloud(answers)
-    provisioner = Provisioner(cast(Cloud, cloud), fleet, FencingToken(1), 2.0, *recorded_at_once())
+    provisioner = Provisioner(
+        cast(Cloud, cloud), fleet, FencingToken(1), 2.0, *provisioner_dependencies()
+    )
     return provisioner, cloud, fleet
 
 
--- a/tests/test_rate_limiter.py
+++ b/tests/test_rate_limiter.py
@@ -17,15 +17,17 @@
 from tealrill.state.client import RateLimitedError, StateClient
 from tealrill.state.rate_limiter import RateLimiter, RequestPriority
 from tealrill.types import Monotonic
-from tests.standins import JumpingLoop
+from tests.fakes import VirtualTimeLoop
 
 T = TypeVar("T")
 RATES = (271.2, 145.6, 278.7, 140.0, 35.0)
 """For the first three, `0.6 * rate` and `rate - 0.4 * rate` are rounded differently."""
 
 
-def _run(monkeypatch: pytest.MonkeyPatch, work: Coroutine[Any, Any, T]) -> tuple[T, JumpingLoop]:
-    loop = JumpingLoop()
+def _run(
+    monkeypatch: pytest.MonkeyPatch, work: Coroutine[Any, Any, T]
+) -> tuple[T, VirtualTimeLoop]:
+    loop = VirtualTimeLoop()
     monkeypatch.setattr(rate_limiter, "monotonic_now", lambda: Monotonic(loop.at))
     try:
         return loop.run_until_complete(work), loop
@@ -51,7 +53,7 @@
     assert served == sorted(served)
     # A full bucket of 100 at once, the others at 100 per second.
     assert served[99] == 0.0 and served[-1] == pytest.approx(19.0, abs=0.2)
-    assert loop.turns < 5 * 2000 + 10_000
+    assert loop.callbacks_run < 5 * 2000 + 10_000
 
 
 def test_lease_request_overtakes_queued_polls(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -107,7 +109,7 @@
 
     at, loop = _run(monkeypatch, wait())
     assert at <= 1.0 / rate + 0.01
-    assert loop.turns < 50
+    assert loop.callbacks_run < 50
 
 
 @given(
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -196,7 +196,7 @@
         running.cancel()
 
     asyncio.run(run())
-    return cache.known
+    return cache.catalogue
 
 
 def test_restarted_node_gets_catalogue_from_peer() -> None:
--- a/tests/test_simulated_worker.py
+++ b/tests/test_simulated_worker.py
@@ -29,11 +29,11 @@
 
 
 def _start(attempt: int) -> dict[str, Any]:
-    return wire.start(f"{JOB}/0", attempt)
+    return wire.start_command(f"{JOB}/0", attempt)
 
 
 def _stop(attempt: int, grace_s: float) -> dict[str, Any]:
-    return wire.stop(f"{JOB}/0", attempt, grace_s)
+    return wire.stop_command(f"{JOB}/0", attempt, grace_s)
 
 
 def _run(worker: Worker, clock: _Clock) -> None:
@@ -88,9 +88,9 @@
     worker.execute([_start(1), _start(2), _stop(3, 0.0)])
     refused = (2, wire.EXITED, "in_use")
     assert _listed(worker) == [(1, wire.RUNNING, None), refused]
-    worker.execute([wire.forget(f"{JOB}/0", 1), wire.forget(f"{JOB}/0", 2)])
+    worker.execute([wire.forget_command(f"{JOB}/0", 1), wire.forget_command(f"{JOB}/0", 2)])
     assert _listed(worker) == [(1, wire.RUNNING, None)]
-    worker.execute([_stop(1, 0.0), wire.forget(f"{JOB}/0", 1), _start(1)])
+    worker.execute([_stop(1, 0.0), wire.forget_command(f"{JOB}/0", 1), _start(1)])
     assert _listed(worker) == [(1, wire.FETCHING, None)]
 
 
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -24,8 +24,8 @@
 from tealrill.leader.job_lifecycle import JobLifecycle
 from tealrill.simulation.__main__ import main
 from tealrill.simulation.cluster import SimulatedCluster
-from tealrill.simulation.process import Shape
-from tealrill.simulation.scenario import play
+from tealrill.simulation.process import ClusterConfig
+from tealrill.simulation.scenario import run_scenario
 from tealrill.state.admission import Admission
 from tealrill.state.admission import Reply as UserReply
 from tealrill.state.bindings import Job
@@ -39,17 +39,17 @@
 
 @pytest.mark.parametrize(("seed", "nodes"), [(1, 3), (2, 3), (3, 3), (4, 5)])
 def test_no_rule_breaks_where_troubles_meet(seed: int, nodes: int) -> None:
-    world = play(seed, Shape(nodes=nodes))
-    assert not world.broken, [*world.events, *world.broken]
-    assert world.starts > 30 and sum(job.done for job in world.jobs.values()) > 10
+    cluster = run_scenario(seed, ClusterConfig(nodes=nodes))
+    assert not cluster.violations, [*cluster.events, *cluster.violations]
+    assert cluster.starts > 30 and sum(job.done for job in cluster.jobs.values()) > 10
 
 
 def test_the_same_seed_gives_the_same_day() -> None:
-    def told(world: SimulatedCluster) -> object:
-        return world.events, world.starts, [job.answered_at for job in world.jobs.values()]
+    def told(cluster: SimulatedCluster) -> object:
+        return cluster.events, cluster.starts, [job.answered_at for job in cluster.jobs.values()]
 
-    assert told(play(7, trouble_s=_SHORT_S)) == told(play(7, trouble_s=_SHORT_S))
-    assert told(play(8, trouble_s=_SHORT_S)) != told(play(7, trouble_s=_SHORT_S))
+    assert told(run_scenario(7, trouble_s=_SHORT_S)) == told(run_scenario(7, trouble_s=_SHORT_S))
+    assert told(run_scenario(8, trouble_s=_SHORT_S)) != told(run_scenario(7, trouble_s=_SHORT_S))
 
 
 def test_no_real_connection_is_tried(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -61,8 +61,8 @@
         raise OSError("no real network here")
 
     monkeypatch.setattr(IOStream, "connect", connect)
-    world = play(7, trouble_s=_SHORT_S)
-    assert world.starts and not tried
+    cluster = run_scenario(7, trouble_s=_SHORT_S)
+    assert cluster.starts and not tried
 
 
 # -- planted faults -------------------------------------------------------------------------------
@@ -88,7 +88,7 @@
 
 
 def _anywhere(patch: pytest.MonkeyPatch) -> None:
-    whole = SnapshotBuilder._job
+    whole = SnapshotBuilder._job_view
 
     def job(self: SnapshotBuilder, *given: Any) -> Any:
         found = whole(self, *given)
@@ -96,7 +96,7 @@
         found.spot = True
         return found
 
-    patch.setattr(SnapshotBuilder, "_job", job)
+    patch.setattr(SnapshotBuilder, "_job_view", job)
 
 
 def _soon_done(patch: pytest.MonkeyPatch) -> None:
@@ -134,12 +134,12 @@
 
 def _passes_over(patch: pytest.MonkeyPatch) -> None:
     """Every third job is never placed, and the machines that it could use stay."""
-    whole = SnapshotBuilder._waiting
+    whole = SnapshotBuilder._startable_tasks
 
     def waiting(self: SnapshotBuilder, job: Job, now: Monotonic) -> int:
         return 0 if job.id.endswith(("3", "6", "9")) else whole(self, job, now)
 
-    patch.setattr(SnapshotBuilder, "_waiting", waiting)
+    patch.setattr(SnapshotBuilder, "_startable_tasks", waiting)
     patch.setattr(Autoscaler, "release_unneeded", lambda *_: None)
 
 
@@ -177,28 +177,28 @@
     # Other rules may break first; this one breaks on some short day.
     found: set[str] = set()
     for seed in range(1, 5):
-        shape = Shape(limit_vcpus=16.0 if rule == "quota" else 64.0)
+        config = ClusterConfig(limit_vcpus=16.0 if rule == "quota" else 64.0)
         if rule == "ran_cancelled":
             # Of the usual jobs hardly any runs for longer than a cancelled one may.
-            shape = Shape(limit_vcpus=64.0, jobs=LONG_JOBS)
-        found |= play(seed, shape, _SHORT_S, until=rule).rules
+            config = ClusterConfig(limit_vcpus=64.0, job_kinds=LONG_JOBS)
+        found |= run_scenario(seed, config, _SHORT_S, until=rule).violated_invariants
         if rule in found:
             return
     raise AssertionError(f"{rule} is not among {found}")
 
 
-async def _odd_requests(world: SimulatedCluster) -> None:
-    world.active_faults.invalid_requests = world.active_faults.cancel_in_flight = True
-    world.active_faults.command_delay_s = 2.0
+async def _odd_requests(cluster: SimulatedCluster) -> None:
+    cluster.active_faults.invalid_requests = cluster.active_faults.cancel_in_flight = True
+    cluster.active_faults.command_delay_s = 2.0
     await asyncio.sleep(20.0)
-    world.active_faults.invalid_requests = world.active_faults.cancel_in_flight = False
-    world.active_faults.command_delay_s = 0.0
+    cluster.active_faults.invalid_requests = cluster.active_faults.cancel_in_flight = False
+    cluster.active_faults.command_delay_s = 0.0
 
 
 def _starts_whatever_is_bound(patch: pytest.MonkeyPatch) -> None:
     """A task whose job was called off is started all the same, and never told to stop."""
     patch.setattr(Commands, "_may_start", staticmethod(lambda b: b.committed and not b.inherited))
-    patch.setattr(Commands, "_to_send", lambda _, b: b.committed and not b.inherited)
+    patch.setattr(Commands, "_may_send_in_response", lambda _, b: b.committed and not b.inherited)
     patch.setattr(Commands, "stop", lambda *_: True)
 
 
@@ -213,17 +213,17 @@
 def test_what_is_newly_counted_is_watched(
     rule: str,
     fault: Callable[[pytest.MonkeyPatch], None],
-    calm_s: float,
+    quiet_s: float,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    sound = play(1, Shape(), _SHORT_S, script=_odd_requests, calm_s=calm_s)
-    assert not sound.broken
+    sound = run_scenario(1, ClusterConfig(), _SHORT_S, scenario=_odd_requests, quiet_s=quiet_s)
+    assert not sound.violations
     fault(monkeypatch)
     found: set[str] = set()
     for seed in range(1, 5):
-        found |= play(
-            seed, Shape(), _SHORT_S, script=_odd_requests, calm_s=calm_s, until=rule
-        ).rules
+        found |= run_scenario(
+            seed, ClusterConfig(), _SHORT_S, scenario=_odd_requests, quiet_s=quiet_s, until=rule
+        ).violated_invariants
     assert rule in found
 
 
--- a/tests/test_write_batcher.py
+++ b/tests/test_write_batcher.py
@@ -59,7 +59,7 @@
         changes = {**SUBMISSION, "id": f"wk-{number}", "urgency": urgency, "pieces": pieces}
         spec = wire.decode(orjson.dumps(changes), wire.JobSpec)
         self.store.epoch += 1
-        self.store.keys[job_key(spec.id)] = ({"spec": wire.plain(spec)}, self.store.epoch)  # type: ignore[arg-type]
+        self.store.keys[job_key(spec.id)] = ({"spec": wire.to_builtins(spec)}, self.store.epoch)  # type: ignore[arg-type]
         return self.job_store.add(spec, Wall(0.0), Revision(self.store.epoch))
 
     def bind(self, job: Job) -> None:
--- a/tools/graph_cost.py
+++ b/tools/graph_cost.py
@@ -32,9 +32,9 @@
 from tealrill.features import GraphFeatures
 from tealrill.fleet.cloud import Cloud
 from tealrill.graphs import records
-from tealrill.graphs.leader_extension import GraphLeaderExtension, Live, _shape
+from tealrill.graphs.leader_extension import GraphLeaderExtension, LoadedGraph, _build_shape
 from tealrill.graphs.model import Node
-from tealrill.graphs.tracker import OVER_DONE, Progress
+from tealrill.graphs.tracker import DONE, Progress
 from tealrill.http import Client, NoAnswerError
 from tealrill.leader.leader import Leader
 from tealrill.leadership.election import Election
@@ -52,7 +52,7 @@
     monotonic_now,
     wall_now,
 )
-from tests import standins
+from tests import fakes
 from tests.samples import SETTINGS, report, spec
 from tools.load import Machines, sample_job, settings_for
 
@@ -92,24 +92,24 @@
 # -- memory ---------------------------------------------------------------------------------------
 
 
-def _live(graph: Graph) -> Live:
+def _live(graph: Graph) -> LoadedGraph:
     nodes = [wire.decode(orjson.dumps(node), Node) for node in graph.nodes]
     parts = [
-        records.gather(
+        records.assemble_parts(
             wire.Entry(key=records.fragment_key(graph.id, 0, i), value=value, version=1)
-            for i, value in enumerate(records.pack(nodes[at : at + 400], 4096))
+            for i, value in enumerate(records.pack_part(nodes[at : at + 400], 4096))
         )[0]
         for at in range(0, len(nodes), 400)
     ]
-    head = records.Head(
+    head = records.GraphRecord(
         v=1, status="accepted", at=wall_now(), digest="", defaults=graph.head["defaults"],
         nodes=len(nodes), parts=len(parts),
     )  # fmt: skip
-    shape = _shape(head, parts)
+    shape = _build_shape(head, parts)
     owner = Owner(records.graph_key(graph.id), Revision(1), graph.id)
-    live = Live(graph.id, head, owner, parts, Progress(shape))
-    live.first = list(range(0, len(nodes), 400))
-    live.progress.begin()
+    live = LoadedGraph(graph.id, head, owner, parts, Progress(shape))
+    live.part_starts = list(range(0, len(nodes), 400))
+    live.progress.evaluate_all()
     return live
 
 
@@ -124,11 +124,11 @@
     gc.collect()
     gated = tracemalloc.get_traced_memory()[0]
     while (index := live.progress.next_ready()) is not None:
-        live.progress.released(index)
-        live.progress.settle(index, OVER_DONE)
+        live.progress.mark_released(index)
+        live.progress.record_end(index, DONE)
     gc.collect()
     finished = tracemalloc.get_traced_memory()[0]
-    assert live.progress.over
+    assert live.progress.all_ended
     packed = sum(len(part.content) for part in live.parts)
     plain = sum(len(orjson.dumps(node)) for node in graph.nodes)
     click.echo(
@@ -179,11 +179,11 @@
         leader.job_store.add(job, wall_now(), Revision(1))
     live = _live(families("fam1", nodes))
     if gated:
-        part = cast(GraphLeaderExtension, leader.parts[0])
-        part._heads["fam1"] = (live.head, live.owner)
-        part._live["fam1"] = live
+        part = cast(GraphLeaderExtension, leader.extensions[0])
+        part._accepted["fam1"] = (live.record, live.owner)
+        part._loaded["fam1"] = live
     while (index := live.progress.next_ready()) is not None:
-        live.progress.released(index)
+        live.progress.mark_released(index)
         record = leader.job_store.add(live.spec(index), wall_now(), Revision(1))
         if gated:
             record.owner = live.owner
@@ -275,7 +275,7 @@
     """Plain submissions and polls beside the graph, and how long their answers take."""
 
     def __init__(self, node: Address, rate: float, luck: random.Random) -> None:
-        self._client = Client(node, most=8)
+        self._client = Client(node, max_idle=8)
         self._rate = rate
         self._luck = luck
         self.submitted = HdrHistogram(1, _LONGEST_MS * 1000, 3)
@@ -322,7 +322,7 @@
 
 async def _serve(nodes: int, machines: int, writes: float, rate: float, for_s: float) -> None:
     luck = random.Random(2)
-    state, cloud = standins.State(), standins.Cloud()
+    state, cloud = fakes.FakeStateService(), fakes.FakeCloud()
     config = settings_for(state, cloud)
     config["params"]["state"].update(rps=5 * writes, write_rps=writes, value_kb=4.0, txn_ops=8)
     path = Path("/tmp/graph-cost.json")
@@ -349,7 +349,7 @@
 
 
 async def _one_graph(
-    nodes: int, state: standins.State, daemon: _Daemon, operator: Client, machines: int
+    nodes: int, state: fakes.FakeStateService, daemon: _Daemon, operator: Client, machines: int
 ) -> None:
     graph = families("fam1", nodes)
     memory, changes, began = daemon.memory_mb, state.changes, time.perf_counter()
--- a/tools/graph_study.py
+++ b/tools/graph_study.py
@@ -20,7 +20,7 @@
 import click
 
 from tealrill.graphs.model import Edge, Node, Shape, resolve
-from tealrill.graphs.tracker import OVER_DONE, Progress
+from tealrill.graphs.tracker import DONE, Progress
 from tealrill.scheduler.model import JobView, MachineView, Policy, View
 from tealrill.scheduler.plan import plan
 from tealrill.types import JobId, MachineId, Monotonic
@@ -103,8 +103,8 @@
 
 def _lower_bound(shape: Shape, took: list[float], cpus: list[float], capacity: float) -> float:
     ends = [0.0] * shape.nodes
-    for index in shape.order:
-        begins = max((ends[up] for up, _ in shape.awaited(index)), default=0.0)
+    for index in shape.topological_order:
+        begins = max((ends[up] for up, _ in shape.dependencies(index)), default=0.0)
         ends[index] = begins + took[index]
     work = sum(t * c for t, c in zip(took, cpus, strict=True))
     return max(*ends, work / capacity)
@@ -115,14 +115,14 @@
 ) -> float:
     """When the last node has ended, on machines of `_CPUS` processors."""
     progress = Progress(shape)
-    progress.begin()
+    progress.evaluate_all()
     free = [_CPUS] * machines
     waiting: dict[int, float] = {}
     running: list[tuple[float, int, int]] = []
     now = 0.0
-    while not progress.over:
+    while not progress.all_ended:
         while (index := progress.next_ready()) is not None:
-            progress.released(index)
+            progress.mark_released(index)
             waiting[index] = now
         views = [
             MachineView(
@@ -147,7 +147,7 @@
             heapq.heappush(running, (now + took[index], index, machine))
         now, index, machine = heapq.heappop(running)
         free[machine] += cpus[index]
-        progress.settle(index, OVER_DONE)
+        progress.record_end(index, DONE)
     return now
 
 
--- a/tools/load.py
+++ b/tools/load.py
@@ -17,7 +17,7 @@
 from tealrill import wire
 from tealrill.http import Client, NoAnswerError
 from tealrill.settings import Address
-from tests import standins
+from tests import fakes
 from tests.samples import SUBMISSION
 
 _REPORT_S = 1.0
@@ -25,7 +25,7 @@
 _BOOT_S = 3.0
 
 
-class _Worker(standins.Worker):
+class _Worker(fakes.FakeWorker):
     """A machine whose tasks end by themselves and that reports over a kept connection."""
 
     def __init__(self, name: str, luck: random.Random, task_s: tuple[float, float]) -> None:
@@ -51,13 +51,13 @@
 
     async def run(self, node: Address, within_s: float = 10.0) -> None:
         """Reports for ever, from a moment within `within_s` on."""
-        client = Client(node, most=1)
+        client = Client(node, max_idle=1)
         await asyncio.sleep(self._luck.uniform(0, within_s))
         while True:
             self._changed.clear()
             body = orjson.dumps(self.report())
             try:
-                answer = await client.request("POST", wire.REPORT_PATH, body, 4.0)
+                answer = await client.request("POST", wire.HEARTBEAT_PATH, body, 4.0)
             except NoAnswerError:
                 await asyncio.sleep(1.0)
                 continue
@@ -77,7 +77,7 @@
             self.execute(message["orders"])
 
 
-def settings_for(state: standins.State, cloud: standins.Cloud) -> dict[str, Any]:
+def settings_for(state: fakes.FakeStateService, cloud: fakes.FakeCloud) -> dict[str, Any]:
     """Return the node's settings, with the stand-ins' addresses."""
     return {
         "host_name": "node-0",
@@ -119,7 +119,7 @@
 
 
 async def _submit(node: Address, rate: float, first: int, luck: random.Random) -> None:
-    client = Client(node, most=4)
+    client = Client(node, max_idle=4)
     number = 0
 
     async def send(body: bytes) -> None:
@@ -145,7 +145,11 @@
     """Workers of the machines that are rented."""
 
     def __init__(
-        self, cloud: standins.Cloud, node: Address, luck: random.Random, task_s: tuple[float, float]
+        self,
+        cloud: fakes.FakeCloud,
+        node: Address,
+        luck: random.Random,
+        task_s: tuple[float, float],
     ) -> None:
         self._cloud = cloud
         self._node = node
@@ -161,8 +165,8 @@
                 "id": worker.name, "addr": worker.address, "build": "big", "hall": "north",
                 "loaners": True, "status": "running", "ageS": 0.0,
             }  # fmt: skip
-        self._cloud.rented = self._cloud.most = count
-        self._cloud.hired, self._cloud.returned = self.hired, self.returned
+        self._cloud.rented = self._cloud.max_rented = count
+        self._cloud.on_rented, self._cloud.on_released = self.hired, self.returned
 
     def up(self, name: str, within_s: float) -> _Worker:
         """Begin a machine's worker, which sends its first heartbeat within `within_s` seconds."""
@@ -180,7 +184,7 @@
         known = self.workers.pop(name, None)
         if known is not None:
             known[1].cancel()
-            self._cloud.most += 1
+            self._cloud.max_rented += 1
 
     def running(self) -> int:
         """The number of machines whose worker runs."""
@@ -200,7 +204,7 @@
     task_s: tuple[float, float],
 ) -> None:
     luck = random.Random(1)
-    state, cloud = standins.State(), standins.Cloud()
+    state, cloud = fakes.FakeStateService(), fakes.FakeCloud()
     settings.write_bytes(orjson.dumps(settings_for(state, cloud)))
     node = Address("127.0.0.1", 18080)
     fleet = Machines(cloud, node, luck, task_s)
