--- a/tests/test_cost.py
+++ b/tests/test_cost.py
@@ -421,7 +421,7 @@
     """1,200 machines, 30,000 running tasks."""
     cluster = _LargeFleet(25)
     reconciliations = _record_calls(monkeypatch, Reconciler, "reconcile", lambda *_, **__: 1)
-    rebuilt = _record_calls(monkeypatch, SnapshotBuilder, "_fresh", lambda *_: 1)
+    rebuilt = _record_calls(monkeypatch, SnapshotBuilder, "_build_view", lambda *_: 1)
     examined = _record_calls(monkeypatch, SnapshotBuilder, "_available_view", lambda *_: 1)
     cluster.heartbeat(cluster.names[7])
     assert len(cluster.survey()) == 1200
@@ -432,7 +432,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     cluster = _LargeFleet(4)
-    rebuilt = _record_calls(monkeypatch, SnapshotBuilder, "_fresh", lambda *_: 1)
+    rebuilt = _record_calls(monkeypatch, SnapshotBuilder, "_build_view", lambda *_: 1)
     progressed = _record_calls(monkeypatch, Reconciler, "_apply_status", lambda *_: 1)
     for name in cluster.names[:200]:
         ended = next(iter(cluster.fleet.machines[name].bindings_by_name))
@@ -451,7 +451,7 @@
     for name in cluster.names[:600]:
         cluster.heartbeat(name)
     examined = _record_calls(monkeypatch, SnapshotBuilder, "_available_view", lambda *_: 1)
-    rebuilt = _record_calls(monkeypatch, SnapshotBuilder, "_fresh", lambda *_: 1)
+    rebuilt = _record_calls(monkeypatch, SnapshotBuilder, "_build_view", lambda *_: 1)
     assert len(cluster.survey()) == 600
     assert len(examined) == 600 and not rebuilt
     for name in cluster.names[600:]:
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -203,7 +203,7 @@
 
 
 @pytest.mark.parametrize(
-    ("rule", "fault", "calm_s"),
+    ("rule", "fault", "quiet_s"),
     [
         ("waited", _passes_over, 105.0),
         ("accepted", _takes_anything, 1.0),
