--- a/tests/test_waits.py
+++ b/tests/test_waits.py
@@ -210,7 +210,9 @@
     "hold",
     [
         lambda cluster: cluster.fleet.machines[MachineId("m-1")].mark_inbound_partitioned(True),
-        lambda cluster: setattr(cluster.fleet.machines[MachineId("m-1")], "has_current_token", False),
+        lambda cluster: setattr(
+            cluster.fleet.machines[MachineId("m-1")], "has_current_token", False
+        ),
     ],
 )
 def test_heartbeat_ends_exclusion_of_machine(hold: Callable[[_Cluster], None]) -> None:
