--- a/docs/examples/family.py
+++ b/docs/examples/family.py
@@ -1,4 +1,4 @@
-"""The same family as family.toml, drawn by a program, for several scripts at once."""
+"""The graph of family.toml built by a program, for several scripts at once."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 def main() -> None:
-    """Submit the graph and wait for its end."""
+    """Submit the graph, wait for its end and exit with status 0 if it is done."""
     graph = draw("family2", ["latin", "greek", "cyrillic"])
     with Client("127.0.0.1:18080") as client:
         run = client.submit(graph)
--- a/tealrill/client/__init__.py
+++ b/tealrill/client/__init__.py
@@ -1,7 +1,7 @@
-"""What users import: submit, watch and cancel jobs and task graphs, blocking or with asyncio.
+"""Client library: submit, watch and cancel jobs and task graphs, blocking or with asyncio.
 
-Values are not passed between tasks: a task is an image that runs on a machine, and data moves by
-images and the users' own storage. What a reference stands for is that a task has ended.
+Values are not passed between tasks: a task is an image that runs on a machine, and data is passed
+in images and in the users' own storage. An `ObjectRef` only expresses that a node has ended.
 
     from tealrill.client import Client, Graph
 
--- a/tealrill/client/connection.py
+++ b/tealrill/client/connection.py
@@ -1,4 +1,4 @@
-"""The blocking client and the asyncio one: two loops over the same calls, on httpx."""
+"""The blocking and the asyncio client: each drives the calls of `protocol.py` with httpx."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 def _urls(addresses: str | Sequence[str]) -> list[str]:
     given = [addresses] if isinstance(addresses, str) else list(addresses)
     if not given:
-        raise ValueError("no address")
+        raise ValueError("no controller address given")
     return [a if a.startswith(("http://", "https://")) else f"http://{a}" for a in given]
 
 
@@ -31,14 +31,14 @@
 
 
 class _Turns:
-    """Several addresses: after a failed connection the next one is asked."""
+    """The base URLs in rotation: after a transport error the next one is used."""
 
     def __init__(self, addresses: str | Sequence[str]) -> None:
         self._urls = _urls(addresses)
         self._at = 0
 
     def arguments(self, request: Request) -> dict[str, Any]:
-        """A request as httpx takes it."""
+        """Return a request as keyword arguments of httpx's `request`."""
         return {
             "method": request.method,
             "url": self._urls[self._at] + request.path,
@@ -48,7 +48,7 @@
         }
 
     def next(self) -> None:
-        """Go on to the next address."""
+        """Use the next address for the following requests."""
         self._at = (self._at + 1) % len(self._urls)
 
 
@@ -78,15 +78,15 @@
         self._refs = list(refs)
 
     def progress(self) -> dict[str, Any]:
-        """Status and counts of nodes by state, as the service has them."""
+        """Return the graph's status and its node counts by state, as the service reports them."""
         return self._client.show_graph(self.graph)
 
     def status(self, ref: ObjectRef) -> dict[str, Any]:
-        """Return the status of one node."""
+        """Return the status of a node's job and its task counts."""
         return self._client.job_status(ref.id)
 
     def cancel(self) -> str:
-        """How the graph ended: `aborted`, unless it was over already."""
+        """Cancel the graph and return its status: `aborted`, unless it had ended before."""
         return str(self._client.cancel_graph(self.graph)["status"])
 
     def wait(
@@ -97,10 +97,10 @@
         timeout_s: float | None = None,
         poll_s: float = _POLL_S,
     ) -> tuple[list[ObjectRef], list[ObjectRef]]:
-        """Wait until `num_returns` of the nodes (default: all) have ended in any way.
+        """Wait until `num_returns` of the nodes (default: all) have ended, whatever the outcome.
 
-        Returns those that have and those that have not, in the order given, after `timeout_s` at
-        the latest.
+        Returns the ended and the remaining nodes, each in the order given. Polls every `poll_s`
+        seconds and returns once `timeout_s` has passed, even if fewer nodes have ended.
         """
         chosen = self._refs if refs is None else list(refs)
         call = _wait(self._client, self.graph, chosen, num_returns, timeout_s, poll_s)
@@ -108,7 +108,7 @@
 
 
 class Client:
-    """A blocking client. `addresses` are those of the load balancer, or of the nodes."""
+    """A blocking client. `addresses` are those of the load balancer or of the controllers."""
 
     def __init__(self, addresses: str | Sequence[str], retry: Retry | None = None) -> None:
         self._turns = _Turns(addresses)
@@ -132,7 +132,7 @@
         self._http.close()
 
     def do(self, call: Call[T]) -> T:
-        """Run one call to its end."""
+        """Run a call and return its result; raises `ClientError`."""
         answer: Response | None = None
         try:
             while True:
@@ -154,43 +154,43 @@
             return Response(0, {})
 
     def submit(self, graph: Graph) -> Run:
-        """Submit a graph; under the same id it is the same graph, however often."""
+        """Submit a graph. Repeating it is safe: the id identifies the graph."""
         self.submit_graph(graph.head, graph.nodes)
         return Run(self, graph.id, graph.refs)
 
     def submit_graph(self, head: dict[str, Any], nodes: Sequence[dict[str, Any]]) -> dict[str, Any]:
-        """Submit a graph in the words of the protocol."""
+        """Submit a graph that is given in the fields of the protocol."""
         return self.do(protocol.submit_graph(self.clock, self.retry, head, nodes))
 
     def show_graph(self, graph: str) -> dict[str, Any]:
-        """Return a graph's status and counts."""
+        """Return a graph's status and its node counts by state."""
         return self.do(protocol.show_graph(self.clock, self.retry, graph))
 
     def list_nodes(
         self, graph: str, state: str | None = None, most: int | None = None
     ) -> list[dict[str, Any]]:
-        """Return the nodes of a graph, those in `state` only if one is given."""
+        """Return at most `most` nodes of a graph, only those in `state` if it is given."""
         return self.do(protocol.list_nodes(self.clock, self.retry, graph, state, most))
 
     def cancel_graph(self, graph: str) -> dict[str, Any]:
-        """Cancel a graph; all its unfinished nodes are cancelled."""
+        """Cancel a graph with all its nodes that have not ended."""
         return self.do(protocol.cancel_graph(self.clock, self.retry, graph))
 
     def submit_job(self, job: dict[str, Any]) -> dict[str, Any]:
-        """Submit a plain job, in the words of the protocol."""
+        """Submit a single job that is given in the fields of the protocol."""
         return self.do(protocol.submit_job(self.clock, self.retry, job))
 
     def job_status(self, job_id: str) -> dict[str, Any]:
-        """Return a job's status and its counts of tasks."""
+        """Return a job's status and its task counts."""
         return self.do(protocol.job_status(self.clock, self.retry, job_id))
 
     def cancel_job(self, job_id: str) -> dict[str, Any]:
-        """Cancel a job; repeating it gives the same answer."""
+        """Cancel a job. Repeating it gives the same response."""
         return self.do(protocol.cancel_job(self.clock, self.retry, job_id))
 
 
 class AsyncRun:
-    """A submitted graph, for asyncio; `Run` says what each call does."""
+    """A submitted graph, for asyncio; the methods are those of `Run`."""
 
     def __init__(self, client: AsyncClient, graph: str, refs: Sequence[ObjectRef]) -> None:
         self._client = client
@@ -198,15 +198,15 @@
         self._refs = list(refs)
 
     async def progress(self) -> dict[str, Any]:
-        """Return status and counts of nodes by state, as the service has them."""
+        """Return the graph's status and its node counts by state, as the service reports them."""
         return await self._client.show_graph(self.graph)
 
     async def status(self, ref: ObjectRef) -> dict[str, Any]:
-        """Return the status of one node."""
+        """Return the status of a node's job and its task counts."""
         return await self._client.job_status(ref.id)
 
     async def cancel(self) -> str:
-        """Cancel the graph and return how it ended: `aborted`, unless it had ended before."""
+        """Cancel the graph and return its status: `aborted`, unless it had ended before."""
         return str((await self._client.cancel_graph(self.graph))["status"])
 
     async def wait(
@@ -217,14 +217,14 @@
         timeout_s: float | None = None,
         poll_s: float = _POLL_S,
     ) -> tuple[list[ObjectRef], list[ObjectRef]]:
-        """Wait until `num_returns` of the nodes (default: all) have ended, as `Run.wait` does."""
+        """Wait until `num_returns` of the nodes (default: all) have ended; see `Run.wait`."""
         chosen = self._refs if refs is None else list(refs)
         call = _wait(self._client, self.graph, chosen, num_returns, timeout_s, poll_s)
         return _parted(chosen, await self._client.do(call))
 
 
 class AsyncClient:
-    """The client for asyncio; `Client` says what each call does."""
+    """The client for asyncio; the methods are those of `Client`."""
 
     def __init__(self, addresses: str | Sequence[str], retry: Retry | None = None) -> None:
         self._turns = _Turns(addresses)
@@ -248,7 +248,7 @@
         await self._http.aclose()
 
     async def do(self, call: Call[T]) -> T:
-        """Run one call to its end."""
+        """Run a call and return its result; raises `ClientError`."""
         answer: Response | None = None
         try:
             while True:
@@ -270,38 +270,38 @@
             return Response(0, {})
 
     async def submit(self, graph: Graph) -> AsyncRun:
-        """Submit a graph; under the same id it is the same graph, however often."""
+        """Submit a graph. Repeating it is safe: the id identifies the graph."""
         await self.submit_graph(graph.head, graph.nodes)
         return AsyncRun(self, graph.id, graph.refs)
 
     async def submit_graph(
         self, head: dict[str, Any], nodes: Sequence[dict[str, Any]]
     ) -> dict[str, Any]:
-        """Submit a graph in the words of the protocol."""
+        """Submit a graph that is given in the fields of the protocol."""
         return await self.do(protocol.submit_graph(self.clock, self.retry, head, nodes))
 
     async def show_graph(self, graph: str) -> dict[str, Any]:
-        """Return a graph's status and counts."""
+        """Return a graph's status and its node counts by state."""
         return await self.do(protocol.show_graph(self.clock, self.retry, graph))
 
     async def list_nodes(
         self, graph: str, state: str | None = None, most: int | None = None
     ) -> list[dict[str, Any]]:
-        """Return the nodes of a graph, those in `state` only if one is given."""
+        """Return at most `most` nodes of a graph, only those in `state` if it is given."""
         return await self.do(protocol.list_nodes(self.clock, self.retry, graph, state, most))
 
     async def cancel_graph(self, graph: str) -> dict[str, Any]:
-        """Cancel a graph; all its unfinished nodes are cancelled."""
+        """Cancel a graph with all its nodes that have not ended."""
         return await self.do(protocol.cancel_graph(self.clock, self.retry, graph))
 
     async def submit_job(self, job: dict[str, Any]) -> dict[str, Any]:
-        """Submit a plain job, in the words of the protocol."""
+        """Submit a single job that is given in the fields of the protocol."""
         return await self.do(protocol.submit_job(self.clock, self.retry, job))
 
     async def job_status(self, job_id: str) -> dict[str, Any]:
-        """Return a job's status and its counts of tasks."""
+        """Return a job's status and its task counts."""
         return await self.do(protocol.job_status(self.clock, self.retry, job_id))
 
     async def cancel_job(self, job_id: str) -> dict[str, Any]:
-        """Cancel a job; repeating it gives the same answer."""
+        """Cancel a job. Repeating it gives the same response."""
         return await self.do(protocol.cancel_job(self.clock, self.retry, job_id))
--- a/tealrill/client/files.py
+++ b/tealrill/client/files.py
@@ -1,8 +1,8 @@
-"""Graph files: a graph in TOML, checked against a JSON Schema made from the daemon's own structs.
+"""Graph files: graphs in TOML, validated by a JSON Schema derived from the daemon's structs.
 
-A file says what a submission says (docs/graphs.md), in the same words. The daemon ignores fields
-that it does not know, as its protocol demands; in a file a misspelt `after` would silently run a
-node too early, so here unknown fields are errors.
+A file has the fields of a submission (docs/graphs.md). The daemon ignores unknown fields, as its
+protocol requires. In a file they are errors: with a misspelt `after` a node would silently run too
+early.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
     forbid_unknown_fields=True,
     kw_only=True,
 )
-"""Any of a job's fields, without its id."""
+"""A job's fields without its id, all optional."""
 
 _Key = Annotated[str, Meta(min_length=1, max_length=100)]
 _Retries = Annotated[int, Meta(ge=0, le=MAX_RETRIES)]
@@ -63,11 +63,11 @@
 
 
 class GraphFileError(TealrillError):
-    """A graph file that can't be used; each line of the text names a place in it."""
+    """An invalid graph file; each line of the text begins with the location of an error in it."""
 
 
 def schema() -> dict[str, Any]:
-    """The JSON Schema of graph files (draft 2020-12)."""
+    """Return the JSON Schema of graph files (draft 2020-12)."""
     found = msgspec.json.schema(GraphFields)
     return {
         "$schema": "https://json-schema.org/draft/2020-12/schema",
@@ -77,21 +77,22 @@
 
 
 def load(path: Path) -> dict[str, Any]:
-    """A graph file as a submission; raises `GraphFileError`."""
+    """Read and check a graph file and return it as a submission; raises `GraphFileError`."""
     try:
         content = tomllib.loads(path.read_text(encoding="utf-8"))
     except OSError as error:
         raise GraphFileError(f"{path}: {error.strerror}") from None
     except (UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
-        raise GraphFileError(f"{path}: not TOML: {error}") from None
+        raise GraphFileError(f"{path}: invalid TOML: {error}") from None
     check(content)
     return content
 
 
 def check(content: dict[str, Any], most_errors: int = 10) -> Shape:
-    """What the daemon would find wrong, and what it would ignore; raises `GraphFileError`.
+    """Check a graph and return its shape; raises `GraphFileError`.
 
-    Whether a job can ever run (teams, machine types) only the daemon knows.
+    Errors are what the daemon would reject and the unknown fields that it would ignore. Whether a
+    job can run at all depends on teams and machine types, which only the daemon knows.
     """
     validator = jsonschema.Draft202012Validator(schema())
     errors = sorted(validator.iter_errors(content), key=lambda e: list(map(str, e.absolute_path)))
@@ -107,7 +108,7 @@
         missing = sorted(needed - defaults.keys() - node.job.keys())
         if missing:
             raise GraphFileError(
-                f"node {node.key!r}: {', '.join(missing)} missing, in its job and in defaults"
+                f"node {node.key!r}: {', '.join(missing)} missing in its job and the defaults"
             )
     try:
         return resolve(defaults, content.get("maxRetries", 3), [nodes])
@@ -117,13 +118,13 @@
 
 
 def _reason(error: jsonschema.ValidationError) -> str:
-    """Of alternatives, what stands against the one that fits best."""
+    """Return the message of an error; of alternatives, that of the one which matches best."""
     best = jsonschema.exceptions.best_match([error])
     return str((best or error).message)
 
 
 def _place(error: jsonschema.ValidationError, content: dict[str, Any]) -> str:
-    """Where in the file, with the node's key instead of its number."""
+    """Return the location of an error in the file, with a node's key instead of its index."""
     parts: list[str] = []
     at: Any = content
     for step in error.absolute_path:
--- a/tealrill/client/graph.py
+++ b/tealrill/client/graph.py
@@ -1,9 +1,9 @@
-"""Draws a graph in Ray's words: functions with declared resources become nodes when called.
+"""Builds graphs with an API like Ray's: calling a function with declared resources adds a node.
 
-A function's call returns a reference; references among the arguments of another call become edges.
-The function's body runs at once, where the graph is drawn, and never on a machine: what it returns
-(if anything) replaces fields of the node's job, so that for instance the image can follow from the
-arguments. Plain arguments are part of the node's key and nothing else.
+The call returns a reference; references among the arguments of another call become edges. The
+function's body runs immediately, in the program that builds the graph, and never on a machine. The
+fields that it returns, if any, replace those of the node's job, so that for example the image can
+depend on the arguments. Strings and numbers among the arguments become part of the node's key.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
     for field in msgspec.structs.fields(wire.JobSpec)
     if field.name != "id"
 }
-"""The field's words for a job, and the protocol's."""
+"""A job's fields: their names in Python and in the protocol."""
 
 _DEFAULTS: Final[dict[str, Any]] = {
     "shape": "sweep",
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ObjectRef:
-    """Stands for a node of a graph: that it ended, not what it made."""
+    """A reference to a node of a graph. It expresses that the node has ended, not its result."""
 
     graph: str
     index: int
@@ -51,42 +51,42 @@
 
     @property
     def id(self) -> str:
-        """The node's job id."""
+        """Id of the node's job."""
         return f"{self.graph}-{self.index:05d}"
 
 
 @dataclass(frozen=True, slots=True)
 class Awaited:
-    """A reference, and what of it is waited for."""
+    """A dependency on a node: per task or as a whole, and the outcome that it requires."""
 
     ref: ObjectRef
     each: bool = False
     when: str = "done"
 
     def edge(self) -> str | dict[str, Any]:
-        """Return the reference as an edge in the words of the protocol."""
+        """Return the dependency as an edge of the protocol."""
         if not self.each and self.when == "done":
             return self.ref.key
         return {"node": self.ref.key, "each": self.each, "when": self.when}
 
 
 def each(ref: ObjectRef) -> Awaited:
-    """Task i of the node that is given this waits for task i of `ref` only."""
+    """Return a dependency per task: task i of the dependent node waits only for task i of `ref`."""
     return Awaited(ref, each=True)
 
 
 def failed(ref: ObjectRef) -> Awaited:
-    """The node that is given this runs if `ref` fails, and is skipped if it does not."""
+    """Return a dependency on failure: the node runs if `ref` fails and is skipped otherwise."""
     return Awaited(ref, when="failed")
 
 
 def ended(ref: ObjectRef) -> Awaited:
-    """The node that is given this runs once `ref` is over, however it ended."""
+    """Return a dependency on the end: the node runs once `ref` has ended, whatever the outcome."""
     return Awaited(ref, when="ended")
 
 
 def fields(declared: dict[str, Any]) -> dict[str, Any]:
-    """Fields in the protocol's words; raises TypeError for one that a job does not have."""
+    """Return job fields under their names in the protocol; raises TypeError for unknown ones."""
     unknown = sorted(set(declared) - _WORDS.keys())
     if unknown:
         raise TypeError(f"a job has no {', '.join(unknown)}; it has {', '.join(sorted(_WORDS))}")
@@ -94,7 +94,7 @@
 
 
 class Task:
-    """A function whose calls become nodes."""
+    """A function; each call of `remote` adds a node to its graph."""
 
     def __init__(
         self,
@@ -111,7 +111,7 @@
         self.__doc__ = function.__doc__
 
     def options(self, *, max_retries: int | None = None, **declared: Any) -> Task:
-        """The same with other resources."""
+        """Return a copy of this task with the given fields replaced."""
         found = Task(self._graph, self._function, {}, self._retries)
         found._fields = {**self._fields, **fields(declared)}
         if max_retries is not None:
@@ -119,10 +119,10 @@
         return found
 
     def remote(self, *arguments: Any, **named: Any) -> ObjectRef:
-        """Adds a node; it waits for every reference among the arguments, lists included."""
+        """Add a node that depends on all references in the arguments, also inside collections."""
         changed = self._function(*arguments, **named)
         if changed is not None and not isinstance(changed, dict):
-            raise TypeError(f"{self.__name__} returns fields of its job or nothing")
+            raise TypeError(f"{self.__name__} must return a dict of job fields or None")
         given = [*arguments, *named.values()]
         return self._graph.add(
             _label(self.__name__, given),
@@ -132,16 +132,16 @@
         )
 
     def map(self, values: Iterable[Any]) -> list[ObjectRef]:
-        """A node for each value."""
+        """Add a node for each value and return their references."""
         return [self.remote(value) for value in values]
 
     def __call__(self, *_: Any, **__: Any) -> Any:
-        """Refuse: the function's body runs on a machine."""
-        raise TypeError(f"{self.__name__} runs as a task: use {self.__name__}.remote(...)")
+        """Raise TypeError: nodes are added by `remote`."""
+        raise TypeError(f"{self.__name__} is a task: call {self.__name__}.remote(...) instead")
 
 
 class Graph:
-    """A graph that is being drawn. The same calls in the same order draw the same graph."""
+    """A graph under construction. The same calls in the same order build the same graph."""
 
     def __init__(
         self,
@@ -152,7 +152,10 @@
         max_retries: int | None = None,
         **defaults: Any,
     ) -> None:
-        """`defaults` are fields of every node's job. `deadline_s` is for the whole graph."""
+        """Create an empty graph.
+
+        `defaults` are job fields for all nodes; `deadline_s` applies to the graph as a whole.
+        """
         self.id = id
         self._head: dict[str, Any] = {
             "id": id,
@@ -169,7 +172,7 @@
     def remote(
         self, *, max_retries: int | None = None, **declared: Any
     ) -> Callable[[Callable[..., Any]], Task]:
-        """Makes a function's calls into nodes with these resources."""
+        """Return a decorator that makes a function a `Task` with these job fields."""
 
         def make(function: Callable[..., Any]) -> Task:
             return Task(self, function, declared, max_retries)
@@ -183,7 +186,7 @@
         after: Iterable[Awaited] = (),
         retries: int | None = None,
     ) -> ObjectRef:
-        """Adds a node by hand; `job` in the protocol's words."""
+        """Add a node; `job` has the protocol's fields. A key in use gets a numeric suffix."""
         number = 2
         unique = key
         while unique in self._refs:
@@ -191,9 +194,9 @@
         edges: dict[str, Awaited] = {}
         for awaited in after:
             if self._refs.get(awaited.ref.key) != awaited.ref:
-                raise ValueError(f"{awaited.ref.key!r} is no node of graph {self.id}")
+                raise ValueError(f"dependency {awaited.ref.key!r} is no node of graph {self.id!r}")
             if edges.setdefault(awaited.ref.key, awaited) != awaited:
-                raise ValueError(f"{unique} waits for {awaited.ref.key!r} in two ways")
+                raise ValueError(f"node {unique!r} waits for {awaited.ref.key!r} in two ways")
         node: dict[str, Any] = {"key": unique, "job": job}
         if edges:
             node["after"] = [awaited.edge() for awaited in edges.values()]
@@ -212,21 +215,21 @@
 
     @property
     def refs(self) -> list[ObjectRef]:
-        """References to all nodes, in the order in which they were added."""
+        """References to all nodes in the order of their addition."""
         return list(self._refs.values())
 
     @property
     def head(self) -> dict[str, Any]:
-        """What is submitted beside the nodes."""
+        """The fields of the submission apart from its nodes."""
         return self._head
 
     @property
     def nodes(self) -> list[dict[str, Any]]:
-        """The nodes in the words of the protocol."""
+        """The nodes in the fields of the protocol."""
         return self._nodes
 
     def message(self) -> dict[str, Any]:
-        """The whole graph as one submission."""
+        """Return the whole graph as one submission."""
         return {**self._head, "nodes": self._nodes}
 
 
@@ -243,7 +246,10 @@
 
 
 def _label(name: str, given: Iterable[Any]) -> str:
-    """A key that says which call it was, as far as plain arguments say it."""
+    """Return a node key from the function's name and the call's arguments.
+
+    A reference contributes what its key has after the first hyphen, a collection nothing.
+    """
     parts = [name]
     for value in given:
         if isinstance(value, (str, int, float)):
--- a/tealrill/client/protocol.py
+++ b/tealrill/client/protocol.py
@@ -1,10 +1,10 @@
-"""What a client does, without saying how it is sent: requests, pauses, and what answers mean.
+"""The client's calls without I/O: requests, pauses and the interpretation of responses.
 
 Each call is a generator that yields requests and pauses and is sent responses, so that the blocking
-client and the asyncio one are the same code (`connection.py` has their two loops). The rules for
-trying again are the protocol's: anything but a final status is repeated after `Retry-After`, or
-after a second that grows, under the same id, until a time is up. Every call here can be repeated
-without doing anything twice, since its user chose the id.
+and the asyncio client share this code (`connection.py` has their loops). Retries follow the
+protocol: until a final status or the time limit, a request is repeated with the same id, after an
+exponentially growing pause that is at least as long as `Retry-After`. All calls are idempotent,
+since the user chooses the id.
 """
 
 from __future__ import annotations
@@ -26,31 +26,34 @@
 
 
 class ClientError(TealrillError):
-    """A call that did not do what was asked."""
+    """Base of the errors of a call."""
 
 
 class RequestRejectedError(ClientError):
-    """The service will never take this; its answer says why."""
+    """The service rejected the request, and a retry would not help; `body` states the reason."""
 
     def __init__(self, status: int, body: dict[str, Any]) -> None:
         where = [f"{name} {body[name]!r}" for name in ("node", "field") if name in body]
-        text = str(body.get("error", "refused"))
+        text = str(body.get("error", "rejected"))
         super().__init__(f"{status}: {text}" + (f" ({', '.join(where)})" if where else ""))
         self.status = status
         self.body = body
 
 
 class NotFoundError(RequestRejectedError):
-    """There is no such job or graph."""
+    """The job or graph does not exist."""
 
 
 class RetriesExhaustedError(ClientError):
-    """No final answer within the time. Whether it was done is not known; asking again is safe."""
+    """No final response within the time limit.
+
+    The request may or may not have been carried out; repeating the call is safe.
+    """
 
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """To be sent; `timeout_s` bounds the wait for its response."""
+    """An HTTP request to send; `timeout_s` limits the wait for its response."""
 
     method: str
     path: str
@@ -60,14 +63,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Pause:
-    """To be waited for before the next request."""
+    """A pause before the next request, in seconds."""
 
     s: float
 
 
 @dataclass(frozen=True, slots=True)
 class Response:
-    """What came back; status 0 if nothing did."""
+    """A response; status 0 if there was none, or if a successful one had no valid body."""
 
     status: int
     body: dict[str, Any]
@@ -76,21 +79,25 @@
 
 Step = Request | Pause
 Call = Generator[Step, Response | None, T]
-"""A call: yields what to do next; a request is answered with a response, a pause with None."""
+"""A call: yields its next step and is sent the response to a request, or None after a pause."""
 
 
 @dataclass(frozen=True, slots=True)
 class Retry:
-    """How long a call goes on."""
+    """Time limit of a call, pauses between its requests and time-out of each."""
 
     total_s: float = 60.0
     first_s: float = 1.0
-    """The first pause; each is half as long again as the one before, give or take a quarter."""
+    """The first pause. Pauses grow by a factor of 1.5 up to 30 s, plus up to 25 % jitter."""
     timeout_s: float = 5.0
 
 
 def read(status: int, content: bytes, retry_after: str | None) -> Response:
-    """A response from what came over the wire; a body that is no JSON object counts as none."""
+    """Parse a response.
+
+    A success status whose body is no JSON object counts as no response (status 0), so that the
+    request is repeated. `Retry-After` is limited to 30 s.
+    """
     try:
         body = orjson.loads(content)
     except orjson.JSONDecodeError:
@@ -104,7 +111,7 @@
 
 
 class Clock:
-    """Asked for the time, and for luck; tests bring their own."""
+    """Source of the time and of the jitter; tests substitute their own."""
 
     def __init__(self, now: Any, luck: random.Random | None = None) -> None:
         self.now = now
@@ -119,14 +126,14 @@
     message: Any = None,
     good: frozenset[int] = SUBMIT,
 ) -> Call[Response]:
-    """Repeat one request until its answer is final.
+    """Repeat a request until its response is final, and return that.
 
-    Raises `RequestRejectedError` or `RetriesExhaustedError`.
+    Raises `NotFoundError`, `RequestRejectedError` or `RetriesExhaustedError`.
     """
     body = None if message is None else orjson.dumps(message)
     until = clock.now() + retry.total_s
     pause_s = retry.first_s
-    last = "no answer"
+    last = "no response"
     while True:
         response = yield Request(method, path, body, retry.timeout_s)
         assert response is not None
@@ -140,7 +147,7 @@
             last = f"status {response.status}: {response.body.get('error', '')}"
         wait_s = max(pause_s, response.retry_after_s or 0.0)
         if clock.now() + wait_s > until:
-            raise RetriesExhaustedError(f"{method} {path}: {last}")
+            raise RetriesExhaustedError(f"{method} {path}: retries exhausted: {last}")
         yield Pause(wait_s * clock.luck.uniform(1.0, 1.25))
         pause_s = min(_MOST_PAUSE_S, 1.5 * pause_s)
 
@@ -149,13 +156,13 @@
 
 
 def submit_job(clock: Clock, retry: Retry, job: dict[str, Any]) -> Call[dict[str, Any]]:
-    """`job` in the protocol's words, its `id` included."""
+    """Submit a job that is given in the fields of the protocol, its `id` included."""
     response = yield from call(clock, retry, "POST", "/v2/runs", job)
     return response.body
 
 
 def job_status(clock: Clock, retry: Retry, job_id: str) -> Call[dict[str, Any]]:
-    """Ask for the status of a job."""
+    """Return a job's status and its task counts."""
     response = yield from call(clock, retry, "GET", f"/v2/runs/{job_id}")
     return response.body
 
@@ -169,11 +176,15 @@
 # -- graphs ---------------------------------------------------------------------------------------
 
 _PART_BYTES: Final = 48 * 1024
-"""Of a part's nodes; a body may have 64 KiB."""
+"""Limit for the nodes of a part, below the 64 KiB that the service accepts as a body."""
 
 
 def split(nodes: Sequence[dict[str, Any]], most_bytes: int = _PART_BYTES) -> list[list[Any]]:
-    """The nodes in parts, each within a body; always the same parts for the same nodes."""
+    """Split nodes into parts that fit into a request body each.
+
+    The same nodes always give the same parts, so that a repeated submission repeats the same
+    requests. A node that is larger than the limit gets a part of its own.
+    """
     parts: list[list[Any]] = []
     size = most_bytes
     for node in nodes:
@@ -189,7 +200,7 @@
 def submit_graph(
     clock: Clock, retry: Retry, head: dict[str, Any], nodes: Sequence[dict[str, Any]]
 ) -> Call[dict[str, Any]]:
-    """A whole graph, in one request if it fits one, otherwise begun, filled and sealed."""
+    """Submit a graph: in one request if it fits, otherwise opened, sent in parts and sealed."""
     parts = split(nodes)
     if len(parts) <= 1:
         message = {**head, "nodes": list(nodes), "seal": True}
@@ -197,19 +208,19 @@
         return response.body
     response = yield from call(clock, retry, "POST", "/v2/graphs", {**head, "seal": False})
     if response.body.get("status") != "open":
-        # Accepted before: the answer to its last request was lost.
+        # It was sealed by an earlier submission whose response was lost.
         return response.body
     path = f"/v2/graphs/{head['id']}"
     for number, part in enumerate(parts):
         yield from call(clock, retry, "PUT", f"{path}/parts/{number}", {"nodes": part})
-    # A large graph is read back whole before it is accepted.
+    # The service reads the whole graph back before it accepts it, which takes longer.
     patient = Retry(retry.total_s, retry.first_s, max(retry.timeout_s, 30.0))
     response = yield from call(clock, patient, "POST", f"{path}/seal", {"parts": len(parts)})
     return response.body
 
 
 def show_graph(clock: Clock, retry: Retry, graph: str) -> Call[dict[str, Any]]:
-    """Ask for the status of a graph and the counts of its nodes."""
+    """Return a graph's status and its node counts by state."""
     response = yield from call(clock, retry, "GET", f"/v2/graphs/{graph}")
     return response.body
 
@@ -223,7 +234,7 @@
 def list_nodes(
     clock: Clock, retry: Retry, graph: str, state: str | None = None, most: int | None = None
 ) -> Call[list[dict[str, Any]]]:
-    """Nodes in their order, page after page."""
+    """Return the nodes in their order, fetched page by page; at most `most` of them."""
     found: list[dict[str, Any]] = []
     start: int | None = 0
     chosen = "" if state is None else f"&state={state}"
@@ -237,11 +248,11 @@
 
 OVER_STATES: Final = frozenset({"done", "failed", "cancelled", "skipped"})
 _FEW: Final = 8
-"""So many nodes are asked for one by one; more by the graph's listing."""
+"""Up to so many nodes are queried one by one; for more, the graph's nodes are listed."""
 
 
 def ended(clock: Clock, retry: Retry, graph: str, ids: Sequence[str]) -> Call[set[str]]:
-    """Those of the nodes that have ended."""
+    """Return the ids of those nodes that have ended."""
     if len(ids) > _FEW:
         nodes = yield from list_nodes(clock, retry, graph)
         over = {node["id"] for node in nodes if node["state"] in OVER_STATES}
@@ -263,7 +274,7 @@
     timeout_s: float | None,
     poll_s: float,
 ) -> Call[set[str]]:
-    """Until `count` of the nodes have ended or the time is up; those that have."""
+    """Poll until `count` nodes have ended or the time is up; return the ids of the ended nodes."""
     until = None if timeout_s is None else clock.now() + timeout_s
     over: set[str] = set()
     while True:
--- a/tealrill/webhooks/__init__.py
+++ b/tealrill/webhooks/__init__.py
@@ -1,8 +1,9 @@
-"""The receiver's half of notifications: takes each event once, whatever is lost on the way.
+"""Receiver library for notifications: applies each event exactly once, also after retransmissions.
 
-Over a network that loses acknowledgements a sender alone can't deliver once: when none comes, it
-must send again. What is repeated is told from what is new here, by one number a subscription that
-is kept in the same SQLite transaction as the event's effect (docs/notes/002-notifications.md).
+A sender alone can't deliver exactly once: if an acknowledgement is lost, it has to send the event
+again. The receiver detects duplicates by the highest sequence number applied per subscription,
+which it stores in the same SQLite transaction as the event's effect
+(docs/notes/002-notifications.md).
 
     inbox = Inbox("billing.db")
 
@@ -10,7 +11,7 @@
         db.execute("INSERT INTO charges VALUES (?, ?)", (event.subject, event.id))
 
     receiver = Receiver(inbox, charge, secrets=["whsec_..."])
-    answer = receiver.take(headers, body)      # a status and a body for the HTTP response
+    answer = receiver.take(headers, body)      # status and body of the HTTP response
 """
 
 from tealrill.webhooks.inbox import DeliveryResult, Inbox
--- a/tealrill/webhooks/inbox.py
+++ b/tealrill/webhooks/inbox.py
@@ -1,9 +1,10 @@
-"""Which events of a subscription were applied, kept with their effects in SQLite.
+"""Record of the applied events of each subscription, stored with their effects in SQLite.
 
-A subscription's events are numbered from 1 and sent one after the other. Each says after which one
-it comes: the one before it, unless the sender has given that one up. Kept are the highest number
-applied and the numbers below it that were passed over; so a repetition is known however late it
-comes, and a dead letter that an operator sends once more is applied if, and only if, it never was.
+The events of a subscription are numbered from 1 and sent one at a time. Each names its predecessor:
+the latest earlier event that the sender has not given up. The inbox stores the highest number
+applied and the lower numbers that were passed over. So a duplicate is recognised however late it
+arrives, and a dead letter that an operator sends again is applied if and only if it was not applied
+before.
 """
 
 from __future__ import annotations
@@ -34,7 +35,7 @@
 _VERSION: Final = 1
 _BUSY_S: Final = 5.0
 HIGHEST: Final = 2**63 - 1
-"""The highest number that SQLite keeps."""
+"""Largest integer that SQLite can store."""
 
 
 class DeliveryResult(enum.Enum):
@@ -42,22 +43,23 @@
 
     APPLIED = "applied"
     REPEATED = "repeated"
-    """It was applied before; nothing was done."""
+    """A duplicate: the event was applied before. The inbox is unchanged."""
     EARLY = "early"
-    """One that it comes after was neither applied nor given up; nothing was done."""
+    """The event's predecessor has not been applied yet. The inbox is unchanged."""
 
 
 class InboxError(TealrillError):
-    """The file is of a later version, or damaged."""
+    """The file is damaged, or its schema has a version that this program can't read."""
 
 
 class Inbox:
-    """One SQLite file, shared by any number of threads and processes."""
+    """An inbox in an SQLite file, which any number of threads and processes can share."""
 
     def __init__(self, path: str | Path) -> None:
-        """Open the file or create it; raises `InboxError`.
+        """Open the file, or create it; raises `InboxError`.
 
-        The effects of events may be tables in the same file; `connection` is for making them.
+        The file may also hold the tables to which events are applied; create these through
+        `connection`.
         """
         self._path = str(path)
         self._lock = threading.Lock()
@@ -66,7 +68,7 @@
         )
         try:
             self.connection.execute("PRAGMA journal_mode = WAL")
-            # An acknowledgement promises that the effect outlives a power cut.
+            # An acknowledged event's effect must survive a power failure.
             self.connection.execute("PRAGMA synchronous = FULL")
             self._prepare()
         except sqlite3.DatabaseError as error:
@@ -84,7 +86,7 @@
             if row is None:
                 self.connection.execute("INSERT INTO tealrill_version VALUES (?)", (_VERSION,))
             elif row[0] != _VERSION:
-                raise InboxError(f"{self._path}: version {row[0]}; this program reads {_VERSION}")
+                raise InboxError(f"{self._path}: schema version {row[0]}, expected {_VERSION}")
 
     def close(self) -> None:
         """Close the connection to the file."""
@@ -92,7 +94,7 @@
 
     @contextlib.contextmanager
     def _transaction(self) -> Iterator[None]:
-        """All or nothing, with every other writer kept out from the beginning."""
+        """Run the block in a transaction that locks out other writers from its start."""
         with self._lock:
             self.connection.execute("BEGIN IMMEDIATE")
             try:
@@ -109,13 +111,13 @@
         after: int,
         apply: Callable[[sqlite3.Connection], object],
     ) -> DeliveryResult:
-        """Apply event `number` unless it was before; `after` is the event that it comes after.
+        """Apply event `number` if it is due; `after` is the number of its predecessor.
 
-        `apply` works on the connection that it is given and neither commits nor rolls back. What it
-        raises is raised here, and nothing of the event has happened.
+        `apply` must use the connection that it is given and neither commit nor roll back. If it
+        raises, the transaction is rolled back and the exception propagates.
         """
         if not 0 <= after < number <= HIGHEST:
-            raise ValueError(f"event {number} can't come after {after}")
+            raise ValueError(f"event {number}: invalid number or predecessor ({after})")
         with self._transaction():
             last = self._last(subscription)
             if number <= last:
@@ -144,7 +146,7 @@
         return 0 if row is None else int(row[0])
 
     def _fill(self, subscription: str, number: int) -> bool:
-        """Takes a number out of those passed over; False if it is not among them."""
+        """Remove a number from those passed over; return False if it is not among them."""
         row = self.connection.execute(
             "SELECT first, last FROM tealrill_passed_over"
             " WHERE subscription = ? AND first <= ? ORDER BY first DESC LIMIT 1",
@@ -165,12 +167,12 @@
         return True
 
     def last(self, subscription: str) -> int:
-        """The highest number applied; 0 if none was."""
+        """Return the highest number applied, or 0."""
         with self._lock:
             return self._last(subscription)
 
     def applied(self, subscription: str, number: int) -> bool:
-        """Whether an event was applied: the answer to a sender that asks before it repeats."""
+        """Return True if the event was applied; lets a sender ask before it sends again."""
         with self._lock:
             if not 0 < number <= self._last(subscription):
                 return False
@@ -182,7 +184,7 @@
             return row is None
 
     def passed_over(self, subscription: str) -> list[tuple[int, int]]:
-        """Ranges of numbers that the sender gave up and that were not applied since."""
+        """Return the ranges (first, last) of numbers that were given up and not applied since."""
         with self._lock:
             rows = self.connection.execute(
                 "SELECT first, last FROM tealrill_passed_over WHERE subscription = ?"
--- a/tealrill/webhooks/verifier.py
+++ b/tealrill/webhooks/verifier.py
@@ -1,8 +1,8 @@
-"""A web hook as it comes over HTTP: its signature, its form, and what to answer.
+"""Webhook requests over HTTP: verification of the signature, parsing, and the response.
 
-Events are CloudEvents 1.0 in structured mode, signed after Standard Webhooks 1.0. That signature
-covers the id, the time and the body. In binary mode the event's attributes travel in headers and
-would not be covered, so with a secret only structured mode is taken.
+Events are CloudEvents 1.0 in structured mode, signed according to Standard Webhooks 1.0. The
+signature covers the id, the timestamp and the body. In binary mode the event's attributes are sent
+in headers, which it does not cover, so with a secret only structured mode is accepted.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 
 
 class RetryLaterError(TealrillError):
-    """Raised by a handler: nothing of the event is kept, and the sender is to come again."""
+    """Raised by a handler to roll the event back and have the sender deliver it again later."""
 
     def __init__(self, why: str, retry_after_s: int = 5) -> None:
         super().__init__(why)
@@ -40,7 +40,7 @@
 
 
 class WebhookError(TealrillError):
-    """What came is no event of ours; repeating it would not help."""
+    """The request is invalid, and sending it again would not help."""
 
     def __init__(self, status: int, why: str) -> None:
         super().__init__(why)
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """One event. (`subscription`, `number`) is unique for ever."""
+    """One event; (`subscription`, `number`) identifies it and is never reused."""
 
     id: str
     type: str
@@ -73,24 +73,24 @@
 
 
 Handler = Callable[[Event, sqlite3.Connection], object]
-"""Applies an event on the connection of the inbox; see `Inbox.take`."""
+"""Applies an event through the connection of the inbox; see `Inbox.take`."""
 
 
 class Receiver:
-    """Takes web hooks for an inbox."""
+    """Receives webhook requests for an inbox."""
 
     def __init__(self, inbox: Inbox, handler: Handler, secrets: Sequence[str] = ()) -> None:
-        """Take deliveries for `inbox`, each event's effect applied by `handler`.
+        """Create a receiver that applies each event for `inbox` by `handler`.
 
-        `secrets` are those shared with the sender (`whsec_...`); any of them may have signed, so
-        that keys can be rotated. Without one, signatures are not verified.
+        `secrets` are shared with the sender (`whsec_...`). A signature by any of them is accepted,
+        so that keys can be rotated. Without secrets, signatures are not verified.
         """
         self._inbox = inbox
         self._handler = handler
         self._keys = [Webhook(secret) for secret in secrets]
 
     def take(self, headers: Mapping[str, str], body: bytes) -> Answer:
-        """Verify, apply and answer one request. Thread-safe."""
+        """Verify and apply one request and return the HTTP response. Thread-safe."""
         names = {name.lower(): value for name, value in headers.items()}
         try:
             self._check(names, body)
@@ -109,18 +109,21 @@
             after = {"Retry-After": str(error.retry_after_s)}
             return _answer(503, {"error": str(error)}, after)
         except sqlite3.OperationalError as error:
-            # Locked, or the disk is full: nothing was kept.
+            # The database is locked or the disk full. The transaction was rolled back.
             return _answer(503, {"error": str(error)}, {"Retry-After": "5"})
         found = {"verdict": verdict.value, "last": self._inbox.last(event.subscription)}
         return _answer(_STATUSES[verdict], found, verdict=verdict)
 
     def _check_id(self, names: Mapping[str, str], event: Event) -> None:
-        """Only the header's id is signed; the event's must be the same."""
+        """Check that the event has the id of the header, which is the one that is signed."""
         if self._keys and names["webhook-id"] != event.id:
             raise WebhookError(400, "webhook-id is not the event's id")
 
     def _check(self, names: Mapping[str, str], body: bytes) -> None:
-        """The signature, by any of the keys. Comparison in constant time is the library's."""
+        """Check the size and the signature, which may be by any key.
+
+        The library compares signatures in constant time.
+        """
         if len(body) > MOST_BODY:
             raise WebhookError(413, "the body is larger than 64 KiB")
         if not self._keys:
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -1,4 +1,7 @@
-"""The client library: what it asks and when, and against a whole node behind a cutting network."""
+"""Client library: its requests and pauses, and whole runs against a controller.
+
+One of these is over a network that drops responses.
+"""
 
 from __future__ import annotations
 
@@ -42,7 +45,7 @@
 
 
 def _drive(call: protocol.Call[Any], answers: list[Response], time: _Time) -> tuple[Any, list[Any]]:
-    """Runs a call on simulated time; its result or exception, and its steps."""
+    """Run a call on simulated time; return its result or exception, and its steps."""
     steps: list[Any] = []
     answer: Response | None = None
     try:
@@ -85,7 +88,7 @@
     assert len({(s.method, s.path, s.body) for s in sent}) == 1
     pauses = [step.s for step in steps if isinstance(step, Pause)]
     assert sum(pauses) <= 60.0 * 1.25
-    # No request sooner than a second, or than the service asked for.
+    # No pause is shorter than one second or than `Retry-After`.
     for answer, pause in zip(answers, pauses, strict=False):
         assert pause >= max(1.0, answer.retry_after_s or 0.0)
     if isinstance(result, RetriesExhaustedError):
@@ -174,7 +177,7 @@
         port = harness.client._address.port
 
         async def pipe(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            """Requests get there; of every three answers one is lost with its connection."""
+            """Forward all requests; drop about a third of the responses with their connection."""
             to, back = None, None
             try:
                 back, to = await asyncio.open_connection("127.0.0.1", port)
@@ -203,7 +206,7 @@
         graph = _family()
         first = graph["subset-latin"]
         first_is_seen = asyncio.Event()
-        """Until then no other node ends, however slowly the answers come."""
+        """Until it is set no other node ends, even if the client is slow to observe the first."""
         server = await asyncio.start_server(pipe, "127.0.0.1", 0)
         address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
         working = asyncio.create_task(work())
@@ -219,7 +222,7 @@
                 assert (await run.progress())["status"] == "done"
                 assert (await run.status(graph["clean-small"]))["status"] == "aborted"
                 assert await run.cancel() == "done"
-                # Submitted once more, it is the same graph.
+                # A repeated submission is recognised as the same graph.
                 assert (await (await client.submit(graph)).progress())["counts"]["done"] == 5
                 with pytest.raises(RequestRejectedError, match="409"):
                     await client.submit(Graph("fam1"))
--- a/tests/test_webhooks.py
+++ b/tests/test_webhooks.py
@@ -1,4 +1,4 @@
-"""The receiver's half of notifications: each event once, in order, through losses and crashes."""
+"""Webhook receiver: events are applied once and in order despite lost messages and crashes."""
 
 from __future__ import annotations
 
@@ -62,12 +62,12 @@
 
 
 class _Sender:
-    """A sender that sends one event at a time, and gives some up."""
+    """State of a sender that delivers one event at a time and may give an event up."""
 
     def __init__(self) -> None:
         self.next = 1
         self.settled = 0
-        """The last event that was acknowledged, or given up and passed over."""
+        """The last acknowledged event, the predecessor of the next one."""
         self.dead: list[int] = []
         self.acknowledged: list[int] = []
         self.sent: list[tuple[int, int]] = []
@@ -101,7 +101,7 @@
 
     for act in acts:
         if act == "late" and sender.sent:
-            # A request held back on its way arrives after later ones: taken, or harmless.
+            # A delayed request arrives after later ones. It may be applied or have no effect.
             send(*luck.choice(sender.sent))
             continue
         if act.startswith("resend"):
@@ -127,7 +127,7 @@
             sender.settled = sender.next
             sender.next += 1
         elif act == "give up":
-            # Whether it was applied the sender does not know; the next comes after the last known.
+            # The sender does not know whether it was applied; the predecessor stays the same.
             sender.dead.append(sender.next)
             ever_dead.add(sender.next)
             sender.next += 1
@@ -147,7 +147,7 @@
     body = _body(3)
     answer = receiver.take(_headers(body, None, 3), body)
     assert (answer.status, orjson.loads(answer.body)["last"]) == (409, 0)
-    # Given up by the sender, the first two are passed over; one of them comes after all.
+    # The sender has given the first two up, so they are passed over; one arrives later.
     body = _body(3, after=0)
     assert receiver.take(_headers(body, None, 3), body).verdict is DeliveryResult.APPLIED
     for _ in range(2):
