--- a/tealrill/client/connection.py
+++ b/tealrill/client/connection.py
@@ -16,43 +16,45 @@
 
 T = TypeVar("T")
 
-_POLL_S = 2.0
+_POLL_INTERVAL_S = 2.0
 
 
 def _urls(addresses: str | Sequence[str]) -> list[str]:
-    given = [addresses] if isinstance(addresses, str) else list(addresses)
-    if not given:
+    address_list = [addresses] if isinstance(addresses, str) else list(addresses)
+    if not address_list:
         raise ValueError("no controller address given")
-    return [a if a.startswith(("http://", "https://")) else f"http://{a}" for a in given]
+    return [a if a.startswith(("http://", "https://")) else f"http://{a}" for a in address_list]
 
 
-def _response(answer: httpx.Response) -> Response:
-    return protocol.read(answer.status_code, answer.content, answer.headers.get("Retry-After"))
+def _parse_response(http_response: httpx.Response) -> Response:
+    return protocol.parse_response(
+        http_response.status_code, http_response.content, http_response.headers.get("Retry-After")
+    )
 
 
-class _Turns:
+class _AddressRotation:
     """The base URLs in rotation: after a transport error the next one is used."""
 
     def __init__(self, addresses: str | Sequence[str]) -> None:
         self._urls = _urls(addresses)
-        self._at = 0
+        self._current = 0
 
-    def arguments(self, request: Request) -> dict[str, Any]:
+    def request_arguments(self, request: Request) -> dict[str, Any]:
         """Return a request as keyword arguments of httpx's `request`."""
         return {
             "method": request.method,
-            "url": self._urls[self._at] + request.path,
+            "url": self._urls[self._current] + request.path,
             "content": request.body,
             "headers": {"Content-Type": "application/json"},
             "timeout": request.timeout_s,
         }
 
-    def next(self) -> None:
+    def advance(self) -> None:
         """Use the next address for the following requests."""
-        self._at = (self._at + 1) % len(self._urls)
+        self._current = (self._current + 1) % len(self._urls)
 
 
-def _wait(
+def _wait_call(
     client: Client | AsyncClient,
     graph: str,
     refs: Sequence[ObjectRef],
@@ -61,12 +63,16 @@
     poll_s: float,
 ) -> Call[set[str]]:
     ids = [ref.id for ref in refs]
-    wanted = len(ids) if count is None else count
-    return protocol.wait(client.clock, client.retry, graph, ids, wanted, timeout_s, poll_s)
+    required_count = len(ids) if count is None else count
+    return protocol.wait(client.clock, client.retry, graph, ids, required_count, timeout_s, poll_s)
 
 
-def _parted(refs: Sequence[ObjectRef], over: set[str]) -> tuple[list[ObjectRef], list[ObjectRef]]:
-    return [ref for ref in refs if ref.id in over], [ref for ref in refs if ref.id not in over]
+def _partition(
+    refs: Sequence[ObjectRef], ended_ids: set[str]
+) -> tuple[list[ObjectRef], list[ObjectRef]]:
+    return [ref for ref in refs if ref.id in ended_ids], [
+        ref for ref in refs if ref.id not in ended_ids
+    ]
 
 
 class Run:
@@ -95,23 +101,23 @@
         *,
         num_returns: int | None = None,
         timeout_s: float | None = None,
-        poll_s: float = _POLL_S,
+        poll_s: float = _POLL_INTERVAL_S,
     ) -> tuple[list[ObjectRef], list[ObjectRef]]:
         """Wait until `num_returns` of the nodes (default: all) have ended, whatever the outcome.
 
         Returns the ended and the remaining nodes, each in the order given. Polls every `poll_s`
         seconds and returns once `timeout_s` has passed, even if fewer nodes have ended.
         """
-        chosen = self._refs if refs is None else list(refs)
-        call = _wait(self._client, self.graph, chosen, num_returns, timeout_s, poll_s)
-        return _parted(chosen, self._client.do(call))
+        selected = self._refs if refs is None else list(refs)
+        call = _wait_call(self._client, self.graph, selected, num_returns, timeout_s, poll_s)
+        return _partition(selected, self._client.do(call))
 
 
 class Client:
     """A blocking client. `addresses` are those of the load balancer or of the controllers."""
 
     def __init__(self, addresses: str | Sequence[str], retry: Retry | None = None) -> None:
-        self._turns = _Turns(addresses)
+        self._addresses = _AddressRotation(addresses)
         self._http = httpx.Client(trust_env=False)
         self.retry = retry or Retry()
         self.clock = Clock(time.monotonic)
@@ -133,24 +139,24 @@
 
     def do(self, call: Call[T]) -> T:
         """Run a call and return its result; raises `ClientError`."""
-        answer: Response | None = None
+        response: Response | None = None
         try:
             while True:
-                step = call.send(answer)
-                answer = None
+                step = call.send(response)
+                response = None
                 if isinstance(step, Pause):
-                    time.sleep(step.s)
+                    time.sleep(step.duration_s)
                 else:
-                    answer = self._send(step)
-        except StopIteration as end:
-            result: T = end.value
+                    response = self._send(step)
+        except StopIteration as stop:
+            result: T = stop.value
             return result
 
     def _send(self, request: Request) -> Response:
         try:
-            return _response(self._http.request(**self._turns.arguments(request)))
+            return _parse_response(self._http.request(**self._addresses.request_arguments(request)))
         except httpx.TransportError:
-            self._turns.next()
+            self._addresses.advance()
             return Response(0, {})
 
     def submit(self, graph: Graph) -> Run:
@@ -215,19 +221,19 @@
         *,
         num_returns: int | None = None,
         timeout_s: float | None = None,
-        poll_s: float = _POLL_S,
+        poll_s: float = _POLL_INTERVAL_S,
     ) -> tuple[list[ObjectRef], list[ObjectRef]]:
         """Wait until `num_returns` of the nodes (default: all) have ended; see `Run.wait`."""
-        chosen = self._refs if refs is None else list(refs)
-        call = _wait(self._client, self.graph, chosen, num_returns, timeout_s, poll_s)
-        return _parted(chosen, await self._client.do(call))
+        selected = self._refs if refs is None else list(refs)
+        call = _wait_call(self._client, self.graph, selected, num_returns, timeout_s, poll_s)
+        return _partition(selected, await self._client.do(call))
 
 
 class AsyncClient:
     """The client for asyncio; the methods are those of `Client`."""
 
     def __init__(self, addresses: str | Sequence[str], retry: Retry | None = None) -> None:
-        self._turns = _Turns(addresses)
+        self._addresses = _AddressRotation(addresses)
         self._http = httpx.AsyncClient(trust_env=False)
         self.retry = retry or Retry()
         self.clock = Clock(time.monotonic)
@@ -249,24 +255,26 @@
 
     async def do(self, call: Call[T]) -> T:
         """Run a call and return its result; raises `ClientError`."""
-        answer: Response | None = None
+        response: Response | None = None
         try:
             while True:
-                step = call.send(answer)
-                answer = None
+                step = call.send(response)
+                response = None
                 if isinstance(step, Pause):
-                    await asyncio.sleep(step.s)
+                    await asyncio.sleep(step.duration_s)
                 else:
-                    answer = await self._send(step)
-        except StopIteration as end:
-            result: T = end.value
+                    response = await self._send(step)
+        except StopIteration as stop:
+            result: T = stop.value
             return result
 
     async def _send(self, request: Request) -> Response:
         try:
-            return _response(await self._http.request(**self._turns.arguments(request)))
+            return _parse_response(
+                await self._http.request(**self._addresses.request_arguments(request))
+            )
         except httpx.TransportError:
-            self._turns.next()
+            self._addresses.advance()
             return Response(0, {})
 
     async def submit(self, graph: Graph) -> AsyncRun:
--- a/tealrill/client/files.py
+++ b/tealrill/client/files.py
@@ -31,7 +31,7 @@
 """A job's fields without its id, all optional."""
 
 _Key = Annotated[str, Meta(min_length=1, max_length=100)]
-_Retries = Annotated[int, Meta(ge=0, le=MAX_RETRIES)]
+_MaxRetries = Annotated[int, Meta(ge=0, le=MAX_RETRIES)]
 
 
 class EdgeFields(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
@@ -48,7 +48,7 @@
     key: _Key
     job: JobFields | UnsetType = UNSET  # type: ignore[valid-type]
     after: list[_Key | EdgeFields] = []
-    maxRetries: _Retries | UnsetType = UNSET
+    maxRetries: _MaxRetries | UnsetType = UNSET
 
 
 class GraphFields(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
@@ -59,7 +59,7 @@
     defaults: JobFields | UnsetType = UNSET  # type: ignore[valid-type]
     onFailure: Literal["finish", "stop"] = "finish"
     dueS: wire.Amount | UnsetType = UNSET
-    maxRetries: _Retries | UnsetType = UNSET
+    maxRetries: _MaxRetries | UnsetType = UNSET
 
 
 class GraphFileError(TealrillError):
@@ -68,11 +68,11 @@
 
 def schema() -> dict[str, Any]:
     """Return the JSON Schema of graph files (draft 2020-12)."""
-    found = msgspec.json.schema(GraphFields)
+    generated = msgspec.json.schema(GraphFields)
     return {
         "$schema": "https://json-schema.org/draft/2020-12/schema",
         "title": "A tealrill task graph",
-        **found,
+        **generated,
     }
 
 
@@ -88,7 +88,7 @@
     return content
 
 
-def check(content: dict[str, Any], most_errors: int = 10) -> Shape:
+def check(content: dict[str, Any], max_errors: int = 10) -> Shape:
     """Check a graph and return its shape; raises `GraphFileError`.
 
     Errors are what the daemon would reject and the unknown fields that it would ignore. Whether a
@@ -97,15 +97,17 @@
     validator = jsonschema.Draft202012Validator(schema())
     errors = sorted(validator.iter_errors(content), key=lambda e: list(map(str, e.absolute_path)))
     if errors:
-        lines = [f"{_place(error, content)}: {_reason(error)}" for error in errors[:most_errors]]
-        if len(errors) > most_errors:
-            lines.append(f"and {len(errors) - most_errors} more")
+        lines = [
+            f"{_location(error, content)}: {_best_message(error)}" for error in errors[:max_errors]
+        ]
+        if len(errors) > max_errors:
+            lines.append(f"and {len(errors) - max_errors} more")
         raise GraphFileError("\n".join(lines))
     nodes = [msgspec.convert(node, Node) for node in content["nodes"]]
     defaults = content.get("defaults", {})
-    needed = {f.encode_name for f in _JOB_FIELDS if f.required}
+    required = {f.encode_name for f in _JOB_FIELDS if f.required}
     for node in nodes:
-        missing = sorted(needed - defaults.keys() - node.job.keys())
+        missing = sorted(required - defaults.keys() - node.job.keys())
         if missing:
             raise GraphFileError(
                 f"node {node.key!r}: {', '.join(missing)} missing in its job and the defaults"
@@ -113,26 +115,30 @@
     try:
         return resolve(defaults, content.get("maxRetries", 3), [nodes])
     except InvalidGraphError as error:
-        where = f"node {error.node!r}, {error.field}" if error.node is not None else error.field
-        raise GraphFileError(f"{where}: {error}") from None
+        location = f"node {error.node!r}, {error.field}" if error.node is not None else error.field
+        raise GraphFileError(f"{location}: {error}") from None
 
 
-def _reason(error: jsonschema.ValidationError) -> str:
+def _best_message(error: jsonschema.ValidationError) -> str:
     """Return the message of an error; of alternatives, that of the one which matches best."""
-    best = jsonschema.exceptions.best_match([error])
-    return str((best or error).message)
+    best_match = jsonschema.exceptions.best_match([error])
+    return str((best_match or error).message)
 
 
-def _place(error: jsonschema.ValidationError, content: dict[str, Any]) -> str:
+def _location(error: jsonschema.ValidationError, content: dict[str, Any]) -> str:
     """Return the location of an error in the file, with a node's key instead of its index."""
     parts: list[str] = []
-    at: Any = content
-    for step in error.absolute_path:
-        at = at[step]
-        if isinstance(step, int) and isinstance(at, dict) and isinstance(at.get("key"), str):
-            parts[-1:] = [f"node {at['key']!r}"]
-        elif isinstance(step, int):
-            parts.append(f"[{step}]")
+    value: Any = content
+    for component in error.absolute_path:
+        value = value[component]
+        if (
+            isinstance(component, int)
+            and isinstance(value, dict)
+            and isinstance(value.get("key"), str)
+        ):
+            parts[-1:] = [f"node {value['key']!r}"]
+        elif isinstance(component, int):
+            parts.append(f"[{component}]")
         else:
-            parts.append(str(step))
+            parts.append(str(component))
     return ", ".join(parts) or "file"
--- a/tealrill/client/graph.py
+++ b/tealrill/client/graph.py
@@ -17,7 +17,7 @@
 
 from tealrill import wire
 
-_WORDS: Final = {
+_WIRE_NAMES: Final = {
     field.name: field.encode_name
     for field in msgspec.structs.fields(wire.JobSpec)
     if field.name != "id"
@@ -37,8 +37,8 @@
     "snapshotS": 0.0,
     "flushS": 0.0,
 }
-_KEY: Final = re.compile(r"[^A-Za-z0-9._-]+")
-_MOST_KEY: Final = 90
+_NOT_IN_KEY: Final = re.compile(r"[^A-Za-z0-9._-]+")
+_MAX_GENERATED_KEY_LENGTH: Final = 90
 
 
 @dataclass(frozen=True, slots=True)
@@ -85,12 +85,14 @@
     return Awaited(ref, when="ended")
 
 
-def fields(declared: dict[str, Any]) -> dict[str, Any]:
+def wire_fields(declared: dict[str, Any]) -> dict[str, Any]:
     """Return job fields under their names in the protocol; raises TypeError for unknown ones."""
-    unknown = sorted(set(declared) - _WORDS.keys())
+    unknown = sorted(set(declared) - _WIRE_NAMES.keys())
     if unknown:
-        raise TypeError(f"a job has no {', '.join(unknown)}; it has {', '.join(sorted(_WORDS))}")
-    return {_WORDS[name]: value for name, value in declared.items()}
+        raise TypeError(
+            f"a job has no {', '.join(unknown)}; it has {', '.join(sorted(_WIRE_NAMES))}"
+        )
+    return {_WIRE_NAMES[name]: value for name, value in declared.items()}
 
 
 class Task:
@@ -105,30 +107,30 @@
     ) -> None:
         self._graph = graph
         self._function = function
-        self._fields = fields(declared)
-        self._retries = retries
+        self._fields = wire_fields(declared)
+        self._max_retries = retries
         self.__name__ = function.__name__
         self.__doc__ = function.__doc__
 
     def options(self, *, max_retries: int | None = None, **declared: Any) -> Task:
         """Return a copy of this task with the given fields replaced."""
-        found = Task(self._graph, self._function, {}, self._retries)
-        found._fields = {**self._fields, **fields(declared)}
+        task = Task(self._graph, self._function, {}, self._max_retries)
+        task._fields = {**self._fields, **wire_fields(declared)}
         if max_retries is not None:
-            found._retries = max_retries
-        return found
+            task._max_retries = max_retries
+        return task
 
-    def remote(self, *arguments: Any, **named: Any) -> ObjectRef:
+    def remote(self, *arguments: Any, **keywords: Any) -> ObjectRef:
         """Add a node that depends on all references in the arguments, also inside collections."""
-        changed = self._function(*arguments, **named)
-        if changed is not None and not isinstance(changed, dict):
+        overrides = self._function(*arguments, **keywords)
+        if overrides is not None and not isinstance(overrides, dict):
             raise TypeError(f"{self.__name__} must return a dict of job fields or None")
-        given = [*arguments, *named.values()]
+        inputs = [*arguments, *keywords.values()]
         return self._graph.add(
-            _label(self.__name__, given),
-            {**self._fields, **fields(changed or {})},
-            list(_awaited(given)),
-            self._retries,
+            _node_key(self.__name__, inputs),
+            {**self._fields, **wire_fields(overrides or {})},
+            list(_dependencies_in(inputs)),
+            self._max_retries,
         )
 
     def map(self, values: Iterable[Any]) -> list[ObjectRef]:
@@ -159,7 +161,7 @@
         self.id = id
         self._head: dict[str, Any] = {
             "id": id,
-            "defaults": {**_DEFAULTS, **fields(defaults)},
+            "defaults": {**_DEFAULTS, **wire_fields(defaults)},
             "onFailure": on_failure,
         }
         if deadline_s is not None:
@@ -174,10 +176,10 @@
     ) -> Callable[[Callable[..., Any]], Task]:
         """Return a decorator that makes a function a `Task` with these job fields."""
 
-        def make(function: Callable[..., Any]) -> Task:
+        def decorate(function: Callable[..., Any]) -> Task:
             return Task(self, function, declared, max_retries)
 
-        return make
+        return decorate
 
     def add(
         self,
@@ -187,24 +189,28 @@
         retries: int | None = None,
     ) -> ObjectRef:
         """Add a node; `job` has the protocol's fields. A key in use gets a numeric suffix."""
-        number = 2
-        unique = key
-        while unique in self._refs:
-            unique, number = f"{key}.{number}", number + 1
+        suffix = 2
+        unique_key = key
+        while unique_key in self._refs:
+            unique_key, suffix = f"{key}.{suffix}", suffix + 1
         edges: dict[str, Awaited] = {}
-        for awaited in after:
-            if self._refs.get(awaited.ref.key) != awaited.ref:
-                raise ValueError(f"dependency {awaited.ref.key!r} is no node of graph {self.id!r}")
-            if edges.setdefault(awaited.ref.key, awaited) != awaited:
-                raise ValueError(f"node {unique!r} waits for {awaited.ref.key!r} in two ways")
-        node: dict[str, Any] = {"key": unique, "job": job}
+        for dependency in after:
+            if self._refs.get(dependency.ref.key) != dependency.ref:
+                raise ValueError(
+                    f"dependency {dependency.ref.key!r} is no node of graph {self.id!r}"
+                )
+            if edges.setdefault(dependency.ref.key, dependency) != dependency:
+                raise ValueError(
+                    f"node {unique_key!r} waits for {dependency.ref.key!r} in two ways"
+                )
+        node: dict[str, Any] = {"key": unique_key, "job": job}
         if edges:
-            node["after"] = [awaited.edge() for awaited in edges.values()]
+            node["after"] = [dependency.edge() for dependency in edges.values()]
         if retries is not None:
             node["maxRetries"] = retries
-        ref = ObjectRef(self.id, len(self._nodes), unique)
+        ref = ObjectRef(self.id, len(self._nodes), unique_key)
         self._nodes.append(node)
-        self._refs[unique] = ref
+        self._refs[unique_key] = ref
         return ref
 
     def __len__(self) -> int:
@@ -233,30 +239,30 @@
         return {**self._head, "nodes": self._nodes}
 
 
-def _awaited(given: Iterable[Any]) -> Iterator[Awaited]:
-    for value in given:
+def _dependencies_in(inputs: Iterable[Any]) -> Iterator[Awaited]:
+    for value in inputs:
         if isinstance(value, Awaited):
             yield value
         elif isinstance(value, ObjectRef):
             yield Awaited(value)
         elif isinstance(value, (list, tuple, set, frozenset)):
-            yield from _awaited(value)
+            yield from _dependencies_in(value)
         elif isinstance(value, dict):
-            yield from _awaited(value.values())
+            yield from _dependencies_in(value.values())
 
 
-def _label(name: str, given: Iterable[Any]) -> str:
+def _node_key(name: str, inputs: Iterable[Any]) -> str:
     """Return a node key from the function's name and the call's arguments.
 
     A reference contributes what its key has after the first hyphen, a collection nothing.
     """
     parts = [name]
-    for value in given:
+    for value in inputs:
         if isinstance(value, (str, int, float)):
-            parts.append(_KEY.sub("_", str(value)))
+            parts.append(_NOT_IN_KEY.sub("_", str(value)))
         elif isinstance(value, (ObjectRef, Awaited)):
             ref = value.ref if isinstance(value, Awaited) else value
-            rest = ref.key.partition("-")[2]
-            if rest:
-                parts.append(rest)
-    return "-".join(parts)[:_MOST_KEY]
+            suffix = ref.key.partition("-")[2]
+            if suffix:
+                parts.append(suffix)
+    return "-".join(parts)[:_MAX_GENERATED_KEY_LENGTH]
--- a/tealrill/client/protocol.py
+++ b/tealrill/client/protocol.py
@@ -20,9 +20,9 @@
 
 T = TypeVar("T")
 
-SUBMIT: Final = frozenset({200, 201})
-_FINAL_ERRORS: Final = frozenset({400, 404, 405, 409, 422})
-_MOST_PAUSE_S: Final = 30.0
+SUCCESS_STATUSES: Final = frozenset({200, 201})
+_FINAL_ERROR_STATUSES: Final = frozenset({400, 404, 405, 409, 422})
+_MAX_PAUSE_S: Final = 30.0
 
 
 class ClientError(TealrillError):
@@ -33,9 +33,9 @@
     """The service rejected the request, and a retry would not help; `body` states the reason."""
 
     def __init__(self, status: int, body: dict[str, Any]) -> None:
-        where = [f"{name} {body[name]!r}" for name in ("node", "field") if name in body]
-        text = str(body.get("error", "rejected"))
-        super().__init__(f"{status}: {text}" + (f" ({', '.join(where)})" if where else ""))
+        location = [f"{name} {body[name]!r}" for name in ("node", "field") if name in body]
+        reason = str(body.get("error", "rejected"))
+        super().__init__(f"{status}: {reason}" + (f" ({', '.join(location)})" if location else ""))
         self.status = status
         self.body = body
 
@@ -65,7 +65,7 @@
 class Pause:
     """A pause before the next request, in seconds."""
 
-    s: float
+    duration_s: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -92,64 +92,64 @@
     timeout_s: float = 5.0
 
 
-def read(status: int, content: bytes, retry_after: str | None) -> Response:
+def parse_response(status: int, content: bytes, retry_after: str | None) -> Response:
     """Parse a response.
 
     A success status whose body is no JSON object counts as no response (status 0), so that the
     request is repeated. `Retry-After` is limited to 30 s.
     """
     try:
-        body = orjson.loads(content)
+        parsed_body = orjson.loads(content)
     except orjson.JSONDecodeError:
-        body = None
-    if not isinstance(body, dict):
-        return Response(0 if status in SUBMIT else status, {})
-    after = None
+        parsed_body = None
+    if not isinstance(parsed_body, dict):
+        return Response(0 if status in SUCCESS_STATUSES else status, {})
+    retry_after_s = None
     if retry_after is not None and retry_after.isascii() and retry_after.isdigit():
-        after = min(float(retry_after), _MOST_PAUSE_S)
-    return Response(status, body, after)
+        retry_after_s = min(float(retry_after), _MAX_PAUSE_S)
+    return Response(status, parsed_body, retry_after_s)
 
 
 class Clock:
     """Source of the time and of the jitter; tests substitute their own."""
 
-    def __init__(self, now: Any, luck: random.Random | None = None) -> None:
+    def __init__(self, now: Any, rng: random.Random | None = None) -> None:
         self.now = now
-        self.luck = luck or random.Random()
+        self.rng = rng or random.Random()
 
 
-def call(
+def repeat_until_final(
     clock: Clock,
     retry: Retry,
     method: str,
     path: str,
     message: Any = None,
-    good: frozenset[int] = SUBMIT,
+    success_statuses: frozenset[int] = SUCCESS_STATUSES,
 ) -> Call[Response]:
     """Repeat a request until its response is final, and return that.
 
     Raises `NotFoundError`, `RequestRejectedError` or `RetriesExhaustedError`.
     """
     body = None if message is None else orjson.dumps(message)
-    until = clock.now() + retry.total_s
+    deadline = clock.now() + retry.total_s
     pause_s = retry.first_s
-    last = "no response"
+    last_failure = "no response"
     while True:
         response = yield Request(method, path, body, retry.timeout_s)
         assert response is not None
-        if response.status in good:
+        if response.status in success_statuses:
             return response
         if response.status == 404:
             raise NotFoundError(404, response.body)
-        if response.status in _FINAL_ERRORS:
+        if response.status in _FINAL_ERROR_STATUSES:
             raise RequestRejectedError(response.status, response.body)
         if response.status:
-            last = f"status {response.status}: {response.body.get('error', '')}"
+            last_failure = f"status {response.status}: {response.body.get('error', '')}"
         wait_s = max(pause_s, response.retry_after_s or 0.0)
-        if clock.now() + wait_s > until:
-            raise RetriesExhaustedError(f"{method} {path}: retries exhausted: {last}")
-        yield Pause(wait_s * clock.luck.uniform(1.0, 1.25))
-        pause_s = min(_MOST_PAUSE_S, 1.5 * pause_s)
+        if clock.now() + wait_s > deadline:
+            raise RetriesExhaustedError(f"{method} {path}: retries exhausted: {last_failure}")
+        yield Pause(wait_s * clock.rng.uniform(1.0, 1.25))
+        pause_s = min(_MAX_PAUSE_S, 1.5 * pause_s)
 
 
 # -- jobs -----------------------------------------------------------------------------------------
@@ -157,43 +157,43 @@
 
 def submit_job(clock: Clock, retry: Retry, job: dict[str, Any]) -> Call[dict[str, Any]]:
     """Submit a job that is given in the fields of the protocol, its `id` included."""
-    response = yield from call(clock, retry, "POST", "/v2/runs", job)
+    response = yield from repeat_until_final(clock, retry, "POST", "/v2/runs", job)
     return response.body
 
 
 def job_status(clock: Clock, retry: Retry, job_id: str) -> Call[dict[str, Any]]:
     """Return a job's status and its task counts."""
-    response = yield from call(clock, retry, "GET", f"/v2/runs/{job_id}")
+    response = yield from repeat_until_final(clock, retry, "GET", f"/v2/runs/{job_id}")
     return response.body
 
 
 def cancel_job(clock: Clock, retry: Retry, job_id: str) -> Call[dict[str, Any]]:
     """Cancel a job."""
-    response = yield from call(clock, retry, "POST", f"/v2/runs/{job_id}/cancel", {})
+    response = yield from repeat_until_final(clock, retry, "POST", f"/v2/runs/{job_id}/cancel", {})
     return response.body
 
 
 # -- graphs ---------------------------------------------------------------------------------------
 
-_PART_BYTES: Final = 48 * 1024
+_MAX_PART_BYTES: Final = 48 * 1024
 """Limit for the nodes of a part, below the 64 KiB that the service accepts as a body."""
 
 
-def split(nodes: Sequence[dict[str, Any]], most_bytes: int = _PART_BYTES) -> list[list[Any]]:
+def split(nodes: Sequence[dict[str, Any]], max_bytes: int = _MAX_PART_BYTES) -> list[list[Any]]:
     """Split nodes into parts that fit into a request body each.
 
     The same nodes always give the same parts, so that a repeated submission repeats the same
     requests. A node that is larger than the limit gets a part of its own.
     """
     parts: list[list[Any]] = []
-    size = most_bytes
+    part_bytes = max_bytes
     for node in nodes:
-        length = len(orjson.dumps(node)) + 1
-        if size + length > most_bytes:
+        node_bytes = len(orjson.dumps(node)) + 1
+        if part_bytes + node_bytes > max_bytes:
             parts.append([])
-            size = 0
+            part_bytes = 0
         parts[-1].append(node)
-        size += length
+        part_bytes += node_bytes
     return parts
 
 
@@ -204,65 +204,71 @@
     parts = split(nodes)
     if len(parts) <= 1:
         message = {**head, "nodes": list(nodes), "seal": True}
-        response = yield from call(clock, retry, "POST", "/v2/graphs", message)
+        response = yield from repeat_until_final(clock, retry, "POST", "/v2/graphs", message)
         return response.body
-    response = yield from call(clock, retry, "POST", "/v2/graphs", {**head, "seal": False})
+    response = yield from repeat_until_final(
+        clock, retry, "POST", "/v2/graphs", {**head, "seal": False}
+    )
     if response.body.get("status") != "open":
         # It was sealed by an earlier submission whose response was lost.
         return response.body
     path = f"/v2/graphs/{head['id']}"
     for number, part in enumerate(parts):
-        yield from call(clock, retry, "PUT", f"{path}/parts/{number}", {"nodes": part})
+        yield from repeat_until_final(
+            clock, retry, "PUT", f"{path}/parts/{number}", {"nodes": part}
+        )
     # The service reads the whole graph back before it accepts it, which takes longer.
-    patient = Retry(retry.total_s, retry.first_s, max(retry.timeout_s, 30.0))
-    response = yield from call(clock, patient, "POST", f"{path}/seal", {"parts": len(parts)})
+    seal_retry = Retry(retry.total_s, retry.first_s, max(retry.timeout_s, 30.0))
+    response = yield from repeat_until_final(
+        clock, seal_retry, "POST", f"{path}/seal", {"parts": len(parts)}
+    )
     return response.body
 
 
 def show_graph(clock: Clock, retry: Retry, graph: str) -> Call[dict[str, Any]]:
     """Return a graph's status and its node counts by state."""
-    response = yield from call(clock, retry, "GET", f"/v2/graphs/{graph}")
+    response = yield from repeat_until_final(clock, retry, "GET", f"/v2/graphs/{graph}")
     return response.body
 
 
 def cancel_graph(clock: Clock, retry: Retry, graph: str) -> Call[dict[str, Any]]:
     """Cancel a graph."""
-    response = yield from call(clock, retry, "POST", f"/v2/graphs/{graph}/cancel", {})
+    response = yield from repeat_until_final(clock, retry, "POST", f"/v2/graphs/{graph}/cancel", {})
     return response.body
 
 
 def list_nodes(
-    clock: Clock, retry: Retry, graph: str, state: str | None = None, most: int | None = None
+    clock: Clock, retry: Retry, graph: str, state: str | None = None, limit: int | None = None
 ) -> Call[list[dict[str, Any]]]:
-    """Return the nodes in their order, fetched page by page; at most `most` of them."""
-    found: list[dict[str, Any]] = []
-    start: int | None = 0
-    chosen = "" if state is None else f"&state={state}"
-    while start is not None and (most is None or len(found) < most):
-        path = f"/v2/graphs/{graph}/nodes?from={start}&most=500{chosen}"
-        response = yield from call(clock, retry, "GET", path)
-        found += response.body["nodes"]
-        start = response.body["next"]
-    return found[:most]
-
-
-OVER_STATES: Final = frozenset({"done", "failed", "cancelled", "skipped"})
-_FEW: Final = 8
+    """Return the nodes in their order, fetched page by page; at most `limit` of them."""
+    nodes: list[dict[str, Any]] = []
+    next_index: int | None = 0
+    state_parameter = "" if state is None else f"&state={state}"
+    while next_index is not None and (limit is None or len(nodes) < limit):
+        path = f"/v2/graphs/{graph}/nodes?from={next_index}&most=500{state_parameter}"
+        response = yield from repeat_until_final(clock, retry, "GET", path)
+        nodes += response.body["nodes"]
+        next_index = response.body["next"]
+    return nodes[:limit]
+
+
+ENDED_STATES: Final = frozenset({"done", "failed", "cancelled", "skipped"})
+_MAX_SINGLE_QUERIES: Final = 8
 """Up to so many nodes are queried one by one; for more, the graph's nodes are listed."""
 
 
-def ended(clock: Clock, retry: Retry, graph: str, ids: Sequence[str]) -> Call[set[str]]:
+def find_ended(clock: Clock, retry: Retry, graph: str, ids: Sequence[str]) -> Call[set[str]]:
     """Return the ids of those nodes that have ended."""
-    if len(ids) > _FEW:
+    if len(ids) > _MAX_SINGLE_QUERIES:
         nodes = yield from list_nodes(clock, retry, graph)
-        over = {node["id"] for node in nodes if node["state"] in OVER_STATES}
-        return over & set(ids)
-    found: set[str] = set()
+        ended_nodes = {node["id"] for node in nodes if node["state"] in ENDED_STATES}
+        return ended_nodes & set(ids)
+    ended_ids: set[str] = set()
     for job_id in ids:
         body = yield from job_status(clock, retry, job_id)
         if body["status"] in ("done", "aborted"):
-            found.add(job_id)
-    return found
+            ended_ids.add(job_id)
+    return ended_ids
 
 
 def wait(
@@ -275,14 +281,14 @@
     poll_s: float,
 ) -> Call[set[str]]:
     """Poll until `count` nodes have ended or the time is up; return the ids of the ended nodes."""
-    until = None if timeout_s is None else clock.now() + timeout_s
-    over: set[str] = set()
+    deadline = None if timeout_s is None else clock.now() + timeout_s
+    ended_ids: set[str] = set()
     while True:
-        left = [job_id for job_id in ids if job_id not in over]
-        over |= yield from ended(clock, retry, graph, left)
-        if len(over) >= count:
-            return over
-        if until is not None and clock.now() >= until:
-            return over
-        pause_s = poll_s if until is None else min(poll_s, max(0.01, until - clock.now()))
+        remaining_ids = [job_id for job_id in ids if job_id not in ended_ids]
+        ended_ids |= yield from find_ended(clock, retry, graph, remaining_ids)
+        if len(ended_ids) >= count:
+            return ended_ids
+        if deadline is not None and clock.now() >= deadline:
+            return ended_ids
+        pause_s = poll_s if deadline is None else min(poll_s, max(0.01, deadline - clock.now()))
         yield Pause(pause_s)
--- a/tealrill/webhooks/inbox.py
+++ b/tealrill/webhooks/inbox.py
@@ -32,9 +32,9 @@
 ) WITHOUT ROWID;
 CREATE TABLE IF NOT EXISTS tealrill_version (version INTEGER NOT NULL);
 """
-_VERSION: Final = 1
-_BUSY_S: Final = 5.0
-HIGHEST: Final = 2**63 - 1
+_SCHEMA_VERSION: Final = 1
+_BUSY_TIMEOUT_S: Final = 5.0
+MAX_EVENT_NUMBER: Final = 2**63 - 1
 """Largest integer that SQLite can store."""
 
 
@@ -64,13 +64,13 @@
         self._path = str(path)
         self._lock = threading.Lock()
         self.connection = sqlite3.connect(
-            self._path, timeout=_BUSY_S, isolation_level=None, check_same_thread=False
+            self._path, timeout=_BUSY_TIMEOUT_S, isolation_level=None, check_same_thread=False
         )
         try:
             self.connection.execute("PRAGMA journal_mode = WAL")
             # An acknowledged event's effect must survive a power failure.
             self.connection.execute("PRAGMA synchronous = FULL")
-            self._prepare()
+            self._create_schema()
         except sqlite3.DatabaseError as error:
             self.connection.close()
             raise InboxError(f"{self._path}: {error}") from None
@@ -78,15 +78,19 @@
             self.connection.close()
             raise
 
-    def _prepare(self) -> None:
+    def _create_schema(self) -> None:
         with self._transaction():
             for statement in _SCHEMA.split(";"):
                 self.connection.execute(statement)
             row = self.connection.execute("SELECT version FROM tealrill_version").fetchone()
             if row is None:
-                self.connection.execute("INSERT INTO tealrill_version VALUES (?)", (_VERSION,))
-            elif row[0] != _VERSION:
-                raise InboxError(f"{self._path}: schema version {row[0]}, expected {_VERSION}")
+                self.connection.execute(
+                    "INSERT INTO tealrill_version VALUES (?)", (_SCHEMA_VERSION,)
+                )
+            elif row[0] != _SCHEMA_VERSION:
+                raise InboxError(
+                    f"{self._path}: schema version {row[0]}, expected {_SCHEMA_VERSION}"
+                )
 
     def close(self) -> None:
         """Close the connection to the file."""
@@ -116,12 +120,12 @@
         `apply` must use the connection that it is given and neither commit nor roll back. If it
         raises, the transaction is rolled back and the exception propagates.
         """
-        if not 0 <= after < number <= HIGHEST:
+        if not 0 <= after < number <= MAX_EVENT_NUMBER:
             raise ValueError(f"event {number}: invalid number or predecessor ({after})")
         with self._transaction():
-            last = self._last(subscription)
+            last = self._last_applied(subscription)
             if number <= last:
-                if not self._fill(subscription, number):
+                if not self._remove_passed_over(subscription, number):
                     return DeliveryResult.REPEATED
             elif after > last:
                 return DeliveryResult.EARLY
@@ -139,13 +143,13 @@
             apply(self.connection)
             return DeliveryResult.APPLIED
 
-    def _last(self, subscription: str) -> int:
+    def _last_applied(self, subscription: str) -> int:
         row = self.connection.execute(
             "SELECT last FROM tealrill_position WHERE subscription = ?", (subscription,)
         ).fetchone()
         return 0 if row is None else int(row[0])
 
-    def _fill(self, subscription: str, number: int) -> bool:
+    def _remove_passed_over(self, subscription: str, number: int) -> bool:
         """Remove a number from those passed over; return False if it is not among them."""
         row = self.connection.execute(
             "SELECT first, last FROM tealrill_passed_over"
@@ -169,12 +173,12 @@
     def last(self, subscription: str) -> int:
         """Return the highest number applied, or 0."""
         with self._lock:
-            return self._last(subscription)
+            return self._last_applied(subscription)
 
     def applied(self, subscription: str, number: int) -> bool:
         """Return True if the event was applied; lets a sender ask before it sends again."""
         with self._lock:
-            if not 0 < number <= self._last(subscription):
+            if not 0 < number <= self._last_applied(subscription):
                 return False
             row = self.connection.execute(
                 "SELECT 1 FROM tealrill_passed_over"
--- a/tealrill/webhooks/verifier.py
+++ b/tealrill/webhooks/verifier.py
@@ -22,9 +22,9 @@
 from tealrill.errors import TealrillError
 from tealrill.webhooks.inbox import DeliveryResult, Inbox
 
-STRUCTURED: Final = "application/cloudevents+json"
-MOST_BODY: Final = 64 * 1024
-_STATUSES: Final = {
+STRUCTURED_CONTENT_TYPE: Final = "application/cloudevents+json"
+MAX_BODY_BYTES: Final = 64 * 1024
+_HTTP_STATUSES: Final = {
     DeliveryResult.APPLIED: 200,
     DeliveryResult.REPEATED: 200,
     DeliveryResult.EARLY: 409,
@@ -42,8 +42,8 @@
 class WebhookError(TealrillError):
     """The request is invalid, and sending it again would not help."""
 
-    def __init__(self, status: int, why: str) -> None:
-        super().__init__(why)
+    def __init__(self, status: int, reason: str) -> None:
+        super().__init__(reason)
         self.status = status
 
 
@@ -87,17 +87,17 @@
         """
         self._inbox = inbox
         self._handler = handler
-        self._keys = [Webhook(secret) for secret in secrets]
+        self._verifiers = [Webhook(secret) for secret in secrets]
 
     def take(self, headers: Mapping[str, str], body: bytes) -> Answer:
         """Verify and apply one request and return the HTTP response. Thread-safe."""
-        names = {name.lower(): value for name, value in headers.items()}
+        lower_headers = {name.lower(): value for name, value in headers.items()}
         try:
-            self._check(names, body)
-            event = read(names, body)
-            self._check_id(names, event)
+            self._verify(lower_headers, body)
+            event = parse_event(lower_headers, body)
+            self._verify_id(lower_headers, event)
         except WebhookError as error:
-            return _answer(error.status, {"error": str(error)})
+            return _json_answer(error.status, {"error": str(error)})
         try:
             verdict = self._inbox.take(
                 event.subscription,
@@ -106,79 +106,79 @@
                 lambda connection: self._handler(event, connection),
             )
         except RetryLaterError as error:
-            after = {"Retry-After": str(error.retry_after_s)}
-            return _answer(503, {"error": str(error)}, after)
+            retry_headers = {"Retry-After": str(error.retry_after_s)}
+            return _json_answer(503, {"error": str(error)}, retry_headers)
         except sqlite3.OperationalError as error:
             # The database is locked or the disk full. The transaction was rolled back.
-            return _answer(503, {"error": str(error)}, {"Retry-After": "5"})
-        found = {"verdict": verdict.value, "last": self._inbox.last(event.subscription)}
-        return _answer(_STATUSES[verdict], found, verdict=verdict)
+            return _json_answer(503, {"error": str(error)}, {"Retry-After": "5"})
+        body_fields = {"verdict": verdict.value, "last": self._inbox.last(event.subscription)}
+        return _json_answer(_HTTP_STATUSES[verdict], body_fields, verdict=verdict)
 
-    def _check_id(self, names: Mapping[str, str], event: Event) -> None:
+    def _verify_id(self, headers: Mapping[str, str], event: Event) -> None:
         """Check that the event has the id of the header, which is the one that is signed."""
-        if self._keys and names["webhook-id"] != event.id:
+        if self._verifiers and headers["webhook-id"] != event.id:
             raise WebhookError(400, "webhook-id is not the event's id")
 
-    def _check(self, names: Mapping[str, str], body: bytes) -> None:
+    def _verify(self, headers: Mapping[str, str], body: bytes) -> None:
         """Check the size and the signature, which may be by any key.
 
         The library compares signatures in constant time.
         """
-        if len(body) > MOST_BODY:
+        if len(body) > MAX_BODY_BYTES:
             raise WebhookError(413, "the body is larger than 64 KiB")
-        if not self._keys:
+        if not self._verifiers:
             return
-        if not names.get("content-type", "").lower().startswith(STRUCTURED):
-            raise WebhookError(415, f"signed events come as {STRUCTURED}")
-        if not any(_is_signed_by(key, names, body) for key in self._keys):
+        if not headers.get("content-type", "").lower().startswith(STRUCTURED_CONTENT_TYPE):
+            raise WebhookError(415, f"signed events come as {STRUCTURED_CONTENT_TYPE}")
+        if not any(_is_signed_by(verifier, headers, body) for verifier in self._verifiers):
             raise WebhookError(401, "no key has signed this, or its time is off")
 
 
-def _is_signed_by(key: Webhook, names: Mapping[str, str], body: bytes) -> bool:
+def _is_signed_by(verifier: Webhook, headers: Mapping[str, str], body: bytes) -> bool:
     try:
-        key.verify(body, dict(names), json_parse=False)
+        verifier.verify(body, dict(headers), json_parse=False)
     except (WebhookVerificationError, ValueError, binascii.Error, OverflowError):
         return False
     return True
 
 
-def _answer(
+def _json_answer(
     status: int,
     body: dict[str, Any],
     headers: dict[str, str] | None = None,
     verdict: DeliveryResult | None = None,
 ) -> Answer:
-    given = {"Content-Type": "application/json", **(headers or {})}
-    return Answer(status, orjson.dumps(body), given, verdict)
+    all_headers = {"Content-Type": "application/json", **(headers or {})}
+    return Answer(status, orjson.dumps(body), all_headers, verdict)
 
 
-def read(names: Mapping[str, str], body: bytes) -> Event:
+def parse_event(headers: Mapping[str, str], body: bytes) -> Event:
     """Parse an event from a request, in structured or binary mode; raises `WebhookError`."""
     try:
-        found = from_http_event(HTTPMessage(dict(names), body))
-        event = _event(found)
+        cloud_event = from_http_event(HTTPMessage(dict(headers), body))
+        event = _to_event(cloud_event)
     except (BaseCloudEventException, ValueError, KeyError, TypeError, AttributeError) as error:
         raise WebhookError(400, f"no event: {error}") from None
     return event
 
 
-def _event(found: BaseCloudEvent) -> Event:
-    attributes = found.get_attributes()
+def _to_event(cloud_event: BaseCloudEvent) -> Event:
+    attributes = cloud_event.get_attributes()
     subscription, number = attributes["subscription"], int(attributes["sequence"])
     after = int(attributes["after"])
     if not isinstance(subscription, str) or not 0 < len(subscription) <= 200:
         raise WebhookError(400, "subscription: missing or too long")
     if not 0 <= after < number < 2**63:
         raise WebhookError(400, f"sequence {number} can't come after {after}")
-    time = found.get_time()
+    time = cloud_event.get_time()
     return Event(
-        id=found.get_id(),
-        type=found.get_type(),
-        source=found.get_source(),
-        subject=found.get_subject(),
+        id=cloud_event.get_id(),
+        type=cloud_event.get_type(),
+        source=cloud_event.get_source(),
+        subject=cloud_event.get_subject(),
         time=time.isoformat() if time is not None else None,
         subscription=subscription,
         number=number,
         after=after,
-        data=found.get_data(),
+        data=cloud_event.get_data(),
     )
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -54,7 +54,7 @@
             steps.append(step)
             answer = None
             if isinstance(step, Pause):
-                time.now += step.s
+                time.now += step.duration_s
             else:
                 answer = answers.pop(0) if answers else Response(0, {})
     except StopIteration as end:
@@ -86,7 +86,7 @@
     result, steps = _drive(call, [*answers, final], time)
     sent = [step for step in steps if isinstance(step, Request)]
     assert len({(s.method, s.path, s.body) for s in sent}) == 1
-    pauses = [step.s for step in steps if isinstance(step, Pause)]
+    pauses = [step.duration_s for step in steps if isinstance(step, Pause)]
     assert sum(pauses) <= 60.0 * 1.25
     # No pause is shorter than one second or than `Retry-After`.
     for answer, pause in zip(answers, pauses, strict=False):
