--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -39,31 +39,33 @@
 _ROOT = Path(__file__).resolve().parent.parent
 
 
-class _Time:
+class _SimulatedTime:
     def __init__(self) -> None:
         self.now = 100.0
 
 
-def _drive(call: protocol.Call[Any], answers: list[Response], time: _Time) -> tuple[Any, list[Any]]:
+def _drive(
+    call: protocol.Call[Any], responses: list[Response], time: _SimulatedTime
+) -> tuple[Any, list[Any]]:
     """Run a call on simulated time; return its result or exception, and its steps."""
     steps: list[Any] = []
-    answer: Response | None = None
+    response: Response | None = None
     try:
         while True:
-            step = call.send(answer)
+            step = call.send(response)
             steps.append(step)
-            answer = None
+            response = None
             if isinstance(step, Pause):
                 time.now += step.duration_s
             else:
-                answer = answers.pop(0) if answers else Response(0, {})
-    except StopIteration as end:
-        return end.value, steps
+                response = responses.pop(0) if responses else Response(0, {})
+    except StopIteration as stop:
+        return stop.value, steps
     except protocol.ClientError as error:
         return error, steps
 
 
-_ANSWERS = st.lists(
+_RETRIED_RESPONSES = st.lists(
     st.builds(
         Response,
         st.sampled_from([0, 429, 500, 503, 504]),
@@ -74,33 +76,33 @@
 )
 
 
-@given(_ANSWERS, st.sampled_from([200, 201, 400, 404, 409, 422]), st.integers(0, 9))
-def test_a_call_goes_on_until_a_final_answer_or_its_time_is_up(
-    answers: list[Response], last: int, seed: int
+@given(_RETRIED_RESPONSES, st.sampled_from([200, 201, 400, 404, 409, 422]), st.integers(0, 9))
+def test_call_retries_until_final_response_or_time_limit(
+    responses: list[Response], final_status: int, seed: int
 ) -> None:
-    time = _Time()
+    time = _SimulatedTime()
     clock = Clock(lambda: time.now, random.Random(seed))
-    given_up = len(answers)
-    final = Response(last, {"error": "so"})
+    retries = len(responses)
+    final = Response(final_status, {"error": "so"})
     call = protocol.submit_job(clock, Retry(total_s=60.0), {"id": "wk-1"})
-    result, steps = _drive(call, [*answers, final], time)
-    sent = [step for step in steps if isinstance(step, Request)]
-    assert len({(s.method, s.path, s.body) for s in sent}) == 1
+    result, steps = _drive(call, [*responses, final], time)
+    requests = [step for step in steps if isinstance(step, Request)]
+    assert len({(s.method, s.path, s.body) for s in requests}) == 1
     pauses = [step.duration_s for step in steps if isinstance(step, Pause)]
     assert sum(pauses) <= 60.0 * 1.25
     # No pause is shorter than one second or than `Retry-After`.
-    for answer, pause in zip(answers, pauses, strict=False):
-        assert pause >= max(1.0, answer.retry_after_s or 0.0)
+    for response, pause in zip(responses, pauses, strict=False):
+        assert pause >= max(1.0, response.retry_after_s or 0.0)
     if isinstance(result, RetriesExhaustedError):
-        assert len(sent) <= given_up
-    elif last in (200, 201):
-        assert result == final.body and len(sent) == given_up + 1
+        assert len(requests) <= retries
+    elif final_status in (200, 201):
+        assert result == final.body and len(requests) == retries + 1
     else:
-        assert isinstance(result, RequestRejectedError) and result.status == last
+        assert isinstance(result, RequestRejectedError) and result.status == final_status
 
 
 @given(st.lists(st.integers(1, 3000), max_size=60))
-def test_parts_hold_every_node_once_and_fit_a_body(sizes: list[int]) -> None:
+def test_split_keeps_every_node_in_order_within_size_limit(sizes: list[int]) -> None:
     nodes = [{"key": f"n{i}", "job": {"x": "y" * size}} for i, size in enumerate(sizes)]
     parts = protocol.split(nodes, 5000)
     assert [node for part in parts for node in part] == nodes
@@ -108,7 +110,7 @@
     assert parts == protocol.split(list(nodes), 5000)
 
 
-def _family() -> Graph:
+def _build_family_graph() -> Graph:
     graph = Graph("fam1", team="blue", job_class="train", memory_gb=1, cpus=1, image_gb=0.1)
 
     @graph.remote(image="cut", estimate_s=5, tasks=2)
@@ -130,8 +132,8 @@
     return graph
 
 
-def test_calls_become_nodes_and_references_edges() -> None:
-    message = _family().message()
+def test_remote_calls_add_nodes_and_reference_arguments_add_edges() -> None:
+    message = _build_family_graph().message()
     nodes = {node["key"]: node for node in message["nodes"]}
     assert list(nodes) == [
         "subset-latin", "subset-greek", "hint-latin", "hint-greek", "pack-small", "clean-small",
@@ -142,13 +144,13 @@
     assert nodes["pack-small"]["job"]["bundle"] == "pack-small"
     assert nodes["pack-small"]["job"]["vcpus"] == 2
     assert nodes["clean-small"]["after"][0]["when"] == "failed"
-    assert message == _family().message()
+    assert message == _build_family_graph().message()
     wire.decode(orjson.dumps(message), Submission)
     shape = check(message)
     assert shape.nodes == 6 and shape.edges == 5
 
 
-def test_what_can_not_be_drawn_is_refused_where_it_is_written() -> None:
+def test_graph_builder_rejects_invalid_calls() -> None:
     graph, other = Graph("fam1"), Graph("fam2")
 
     @graph.remote(image="a")
@@ -169,54 +171,56 @@
     assert first.remote().key == "first.2"
 
 
-def test_a_graph_goes_from_a_program_to_its_end_over_a_network_that_cuts() -> None:
+def test_async_client_runs_graph_to_its_end_despite_lost_responses() -> None:
     async def scenario(harness: NodeHarness) -> None:
         worker = FakeWorker("m-000001")
-        answers = asyncio.Event()
-        cut = random.Random(3)
+        finished = asyncio.Event()
+        rng = random.Random(3)
         port = harness.client._address.port
 
-        async def pipe(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def forward(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             """Forward all requests; drop about a third of the responses with their connection."""
-            to, back = None, None
+            upstream_writer, upstream_reader = None, None
             try:
-                back, to = await asyncio.open_connection("127.0.0.1", port)
+                upstream_reader, upstream_writer = await asyncio.open_connection("127.0.0.1", port)
                 while data := await reader.read(65536):
-                    to.write(data)
-                    answer = await back.read(65536)
-                    if cut.random() < 0.33:
+                    upstream_writer.write(data)
+                    response = await upstream_reader.read(65536)
+                    if rng.random() < 0.33:
                         break
-                    writer.write(answer)
+                    writer.write(response)
             finally:
                 writer.close()
-                if to is not None:
-                    to.close()
+                if upstream_writer is not None:
+                    upstream_writer.close()
 
-        async def work() -> None:
+        async def run_worker() -> None:
             while True:
                 await harness.send_heartbeat(worker)
                 for name, task in list(worker.tasks.items()):
-                    held = not first_is_seen.is_set() and not name.startswith(f"{first.id}/")
-                    if task["status"] == "running" and not held:
+                    is_held = not first_end_observed.is_set() and not name.startswith(
+                        f"{first.id}/"
+                    )
+                    if task["status"] == "running" and not is_held:
                         started.append(name)
                         worker.end(name, "done")
                 await asyncio.sleep(0.02)
 
         started: list[str] = []
-        graph = _family()
+        graph = _build_family_graph()
         first = graph["subset-latin"]
-        first_is_seen = asyncio.Event()
+        first_end_observed = asyncio.Event()
         """Until it is set no other node ends, even if the client is slow to observe the first."""
-        server = await asyncio.start_server(pipe, "127.0.0.1", 0)
+        server = await asyncio.start_server(forward, "127.0.0.1", 0)
         address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
-        working = asyncio.create_task(work())
+        worker_task = asyncio.create_task(run_worker())
         try:
             async with AsyncClient([address], Retry(first_s=0.02, timeout_s=2.0)) as client:
                 run = await client.submit(graph)
                 ready, rest = await run.wait([first, graph["clean-small"]], num_returns=1,
                                              timeout_s=_TIMEOUT_S, poll_s=0.05)  # fmt: skip
                 assert ready == [first] and rest == [graph["clean-small"]]
-                first_is_seen.set()
+                first_end_observed.set()
                 ready, rest = await run.wait(timeout_s=_TIMEOUT_S, poll_s=0.05)
                 assert len(ready) == 6 and not rest
                 assert (await run.progress())["status"] == "done"
@@ -227,17 +231,17 @@
                 with pytest.raises(RequestRejectedError, match="409"):
                     await client.submit(Graph("fam1"))
         finally:
-            working.cancel()
+            worker_task.cancel()
             server.close()
         assert len(started) == len(set(started)) == 9
-        answers.set()
+        finished.set()
 
     run_with_controller(scenario)
 
 
 # -- files and the command line -------------------------------------------------------------------
 
-_FILE = """
+_GRAPH_FILE = """
 id = "fam9"
 
 [defaults]
@@ -274,7 +278,7 @@
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "named"),
+    ("old", "new", "expected"),
     [
         ('after = ["hint"]', 'aftr = ["hint"]', "node 'pack': .*aftr"),
         ('after = ["hint"]', 'after = ["hnt"]', "node 'pack', after: no node 'hnt'"),
@@ -288,23 +292,25 @@
         ("[defaults]", "[defalts]", "defalts"),
     ],
 )  # fmt: skip
-def test_what_is_wrong_with_a_file_is_named(tmp_path: Path, old: str, new: str, named: str) -> None:
+def test_graph_file_errors_name_their_location(
+    tmp_path: Path, old: str, new: str, expected: str
+) -> None:
     path = tmp_path / "graph.toml"
-    path.write_text(_FILE.replace(old, new, 1))
+    path.write_text(_GRAPH_FILE.replace(old, new, 1))
     result = CliRunner().invoke(main, ["graph", "check", str(path)])
     assert result.exit_code == 2
-    with pytest.raises(GraphFileError, match=named):
+    with pytest.raises(GraphFileError, match=expected):
         check(tomllib.loads(path.read_text()))
 
 
-def test_the_published_schema_is_the_one_in_use() -> None:
+def test_published_schema_equals_generated_schema() -> None:
     published = (_ROOT / "docs" / "graph.schema.json").read_bytes()
     assert orjson.loads(published) == schema()
 
 
-def test_graphs_are_drawn(tmp_path: Path) -> None:
+def test_draw_command_writes_dot_and_svg(tmp_path: Path) -> None:
     path = tmp_path / "graph.toml"
-    path.write_text(_FILE)
+    path.write_text(_GRAPH_FILE)
     result = CliRunner().invoke(main, ["graph", "draw", str(path)])
     assert result.exit_code == 0 and result.output.count("->") == 2 and "cut" in result.output
     target = tmp_path / "graph.svg"
@@ -316,20 +322,20 @@
     assert result.output.count("->") == 2
 
 
-def test_the_command_line_takes_a_file_to_its_end(tmp_path: Path) -> None:
+def test_graph_commands_submit_watch_show_and_cancel(tmp_path: Path) -> None:
     path = tmp_path / "graph.toml"
-    path.write_text(_FILE)
+    path.write_text(_GRAPH_FILE)
 
     async def scenario(harness: NodeHarness) -> None:
         address = str(harness.client._address)
 
         async def run(*arguments: str) -> Result:
-            given = ["graph", *arguments, "--address", address]
-            return await asyncio.to_thread(CliRunner().invoke, main, given)
+            command = ["graph", *arguments, "--address", address]
+            return await asyncio.to_thread(CliRunner().invoke, main, command)
 
         worker = FakeWorker("m-000001")
 
-        async def work() -> None:
+        async def run_worker() -> None:
             while True:
                 await harness.send_heartbeat(worker)
                 for name, task in list(worker.tasks.items()):
@@ -341,27 +347,27 @@
         submitted = await run("submit", str(path))
         assert submitted.exit_code == 0, submitted.output
         assert "fam9  accepted  3 nodes" in submitted.output
-        working = asyncio.create_task(work())
+        worker_task = asyncio.create_task(run_worker())
         try:
             watched = await run("watch", "fam9", "--json")
         finally:
-            working.cancel()
+            worker_task.cancel()
         assert watched.exit_code == 0, watched.output
-        last = orjson.loads(watched.output.strip().splitlines()[-1])
-        assert (last["status"], last["counts"]["done"]) == ("done", 3)
+        last_line = orjson.loads(watched.output.strip().splitlines()[-1])
+        assert (last_line["status"], last_line["counts"]["done"]) == ("done", 3)
         shown = await run("show", "fam9", "--nodes")
         assert "fam9-00001  done" in shown.output and "hint" in shown.output
         cancelled = await run("cancel", "fam9")
         assert (cancelled.exit_code, cancelled.output.split()[1]) == (0, "done")
-        again = await run("submit", str(path), "--id", "fam10")
-        assert "fam10  accepted" in again.output
+        second_submission = await run("submit", str(path), "--id", "fam10")
+        assert "fam10  accepted" in second_submission.output
         assert "aborted" in (await run("cancel", "fam10")).output
         assert (await run("watch", "fam10")).exit_code == 1
 
     run_with_controller(scenario)
 
 
-def test_the_daemon_does_not_load_the_libraries_of_tools() -> None:
+def test_daemon_does_not_import_client_and_tool_libraries() -> None:
     import subprocess
     import sys
 
@@ -370,7 +376,7 @@
         "print([m for m in ('httpx', 'rich', 'jsonschema', 'pydot', 'grandalf', 'svgwrite') "
         "if m in sys.modules])"
     )
-    found = subprocess.run(
+    result = subprocess.run(
         [sys.executable, "-c", code], capture_output=True, check=True, cwd=_ROOT, text=True
     )
-    assert found.stdout.strip() == "[]"
+    assert result.stdout.strip() == "[]"
