--- a/tealrill/client/connection.py
+++ b/tealrill/client/connection.py
@@ -68,11 +68,9 @@
 
 
 def _partition(
-    refs: Sequence[ObjectRef], ended_ids: set[str]
+    refs: Sequence[ObjectRef], ended: set[str]
 ) -> tuple[list[ObjectRef], list[ObjectRef]]:
-    return [ref for ref in refs if ref.id in ended_ids], [
-        ref for ref in refs if ref.id not in ended_ids
-    ]
+    return [ref for ref in refs if ref.id in ended], [ref for ref in refs if ref.id not in ended]
 
 
 class Run:
--- a/tealrill/client/protocol.py
+++ b/tealrill/client/protocol.py
@@ -34,7 +34,7 @@
 
     def __init__(self, status: int, body: dict[str, Any]) -> None:
         location = [f"{name} {body[name]!r}" for name in ("node", "field") if name in body]
-        reason = str(body.get("error", "rejected"))
+        reason = str(body.get("error", "refused"))
         super().__init__(f"{status}: {reason}" + (f" ({', '.join(location)})" if location else ""))
         self.status = status
         self.body = body
@@ -156,7 +156,7 @@
 
 
 def submit_job(clock: Clock, retry: Retry, job: dict[str, Any]) -> Call[dict[str, Any]]:
-    """Submit a job that is given in the fields of the protocol, its `id` included."""
+    """Submit a job that is given in the fields of the protocol, including its `id`."""
     response = yield from repeat_until_final(clock, retry, "POST", "/v2/runs", job)
     return response.body
 
@@ -210,7 +210,7 @@
         clock, retry, "POST", "/v2/graphs", {**head, "seal": False}
     )
     if response.body.get("status") != "open":
-        # It was sealed by an earlier submission whose response was lost.
+        # Already accepted: the response to an earlier submission's seal request was lost.
         return response.body
     path = f"/v2/graphs/{head['id']}"
     for number, part in enumerate(parts):
@@ -254,15 +254,15 @@
 
 ENDED_STATES: Final = frozenset({"done", "failed", "cancelled", "skipped"})
 _MAX_SINGLE_QUERIES: Final = 8
-"""Up to so many nodes are queried one by one; for more, the graph's nodes are listed."""
+"""Up to this many nodes are queried one by one; for more, the graph's nodes are listed."""
 
 
 def find_ended(clock: Clock, retry: Retry, graph: str, ids: Sequence[str]) -> Call[set[str]]:
     """Return the ids of those nodes that have ended."""
     if len(ids) > _MAX_SINGLE_QUERIES:
         nodes = yield from list_nodes(clock, retry, graph)
-        ended_nodes = {node["id"] for node in nodes if node["state"] in ENDED_STATES}
-        return ended_nodes & set(ids)
+        listed_ended_ids = {node["id"] for node in nodes if node["state"] in ENDED_STATES}
+        return listed_ended_ids & set(ids)
     ended_ids: set[str] = set()
     for job_id in ids:
         body = yield from job_status(clock, retry, job_id)
--- a/tealrill/webhooks/inbox.py
+++ b/tealrill/webhooks/inbox.py
@@ -49,7 +49,7 @@
 
 
 class InboxError(TealrillError):
-    """The file is damaged, or its schema has a version that this program can't read."""
+    """The file can't be used as an inbox, or it has another schema version."""
 
 
 class Inbox:
@@ -115,7 +115,7 @@
         after: int,
         apply: Callable[[sqlite3.Connection], object],
     ) -> DeliveryResult:
-        """Apply event `number` if it is due; `after` is the number of its predecessor.
+        """Apply event `number` unless it is a duplicate or early; `after` is its predecessor.
 
         `apply` must use the connection that it is given and neither commit nor roll back. If it
         raises, the transaction is rolled back and the exception propagates.
--- a/tealrill/webhooks/verifier.py
+++ b/tealrill/webhooks/verifier.py
@@ -120,7 +120,7 @@
             raise WebhookError(400, "webhook-id is not the event's id")
 
     def _verify(self, headers: Mapping[str, str], body: bytes) -> None:
-        """Check the size and the signature, which may be by any key.
+        """Check the size and the signature, which may be by any of the secrets.
 
         The library compares signatures in constant time.
         """
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -278,7 +278,7 @@
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "expected"),
+    ("old", "new", "pattern"),
     [
         ('after = ["hint"]', 'aftr = ["hint"]', "node 'pack': .*aftr"),
         ('after = ["hint"]', 'after = ["hnt"]', "node 'pack', after: no node 'hnt'"),
@@ -293,13 +293,13 @@
     ],
 )  # fmt: skip
 def test_graph_file_errors_name_their_location(
-    tmp_path: Path, old: str, new: str, expected: str
+    tmp_path: Path, old: str, new: str, pattern: str
 ) -> None:
     path = tmp_path / "graph.toml"
     path.write_text(_GRAPH_FILE.replace(old, new, 1))
     result = CliRunner().invoke(main, ["graph", "check", str(path)])
     assert result.exit_code == 2
-    with pytest.raises(GraphFileError, match=expected):
+    with pytest.raises(GraphFileError, match=pattern):
         check(tomllib.loads(path.read_text()))
 
 
--- a/tests/test_webhooks.py
+++ b/tests/test_webhooks.py
@@ -214,7 +214,7 @@
         Inbox(tmp_path / "later.db")
 
 
-# -- hooks ----------------------------------------------------------------------------------------
+# -- the receiver ---------------------------------------------------------------------------------
 
 
 def test_signature_by_any_secret_accepted_during_rotation() -> None:
