--- a/tealrill/client/graph.py
+++ b/tealrill/client/graph.py
@@ -120,12 +120,12 @@
             task._max_retries = max_retries
         return task
 
-    def remote(self, *arguments: Any, **keywords: Any) -> ObjectRef:
+    def remote(self, *arguments: Any, **named: Any) -> ObjectRef:
         """Add a node that depends on all references in the arguments, also inside collections."""
-        overrides = self._function(*arguments, **keywords)
+        overrides = self._function(*arguments, **named)
         if overrides is not None and not isinstance(overrides, dict):
             raise TypeError(f"{self.__name__} must return a dict of job fields or None")
-        inputs = [*arguments, *keywords.values()]
+        inputs = [*arguments, *named.values()]
         return self._graph.add(
             _node_key(self.__name__, inputs),
             {**self._fields, **wire_fields(overrides or {})},
