--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -10,8 +10,9 @@
 
 
 def test_parse_returns_entries_and_ignores_comments_and_blank_lines() -> None:
-    entry = KnownRed("tests/test_a.py::test_b", "pytest test_a.py, seed 7", "late by 2 s", "41")
-    assert parse(f"# nothing\n\n{LINE}\n") == [entry]
+    assert parse(f"# nothing\n\n{LINE}\n") == [
+        KnownRed("tests/test_a.py::test_b", "pytest test_a.py, seed 7", "late by 2 s", "41")
+    ]
     assert parse("") == []
 
 
--- a/tests/test_variants_tool.py
+++ b/tests/test_variants_tool.py
@@ -98,10 +98,10 @@
 @given(st.sampled_from(sorted(variants.THEMES)), st.integers(0, 10_000))
 def test_a_drawn_day_repeats_and_holds_what_its_site_has(theme: str, seed: int) -> None:
     site = variants.Site(tomllib.loads(_SITE))
-    faults = variants.draw(site, theme, seed)
-    assert faults == variants.draw(site, theme, seed)
+    faults = variants.draw_faults(site, theme, seed)
+    assert faults == variants.draw_faults(site, theme, seed)
     assert faults and faults == sorted(faults, key=lambda fault: fault["at_s"])
-    (day,) = tomllib.loads(variants.day("a", seed, faults, site.classes))["day"]
+    (day,) = tomllib.loads(variants.render_day("a", seed, faults, site.classes))["day"]
     assert day["faults"] == faults and len(day["jobs"]) == 2
     for fault in faults:
         assert fault["at_s"] >= 100.0
--- a/tools/falls.py
+++ b/tools/falls.py
@@ -23,7 +23,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from tools.variants import day
+from tools.variants import render_day
 
 _AT_S: Final = 200.0
 _BEFORE_S: Final = 30.0
@@ -131,11 +131,11 @@
 def days() -> Iterator[tuple[str, str]]:
     """Name and file of every day: each kind alone, then the pairs."""
     for number, (name, fall) in enumerate(_FALLS.items()):
-        yield name, day(name, 301 + number, [{"at_s": _AT_S, **fall}])
+        yield name, render_day(name, 301 + number, [{"at_s": _AT_S, **fall}])
     for number, (first, second, after_s) in enumerate(_PAIRS):
         name = f"{first}+{second}"
         falls = [{"at_s": _AT_S, **_FALLS[first]}, {"at_s": _AT_S + after_s, **_FALLS[second]}]
-        yield name, day(name, 331 + number, falls)
+        yield name, render_day(name, 331 + number, falls)
 
 
 # -- one day --------------------------------------------------------------------------------------
