--- a/tests/test_falls_tool.py
+++ b/tests/test_falls_tool.py
@@ -30,23 +30,23 @@
     requests = falls.Requests(10)
     targets = [falls.Target(0.9, True), falls.Target(0.1, False)]
     event = [falls.Event(200.0, "machines die")]
-    rules = falls.Rules(0)
+    rules = falls.Violations(0)
     return falls.DayReport("deaths", windows, event, cost, targets, requests, requests, rules)
 
 
-def test_a_fall_is_followed_through_a_day() -> None:
-    found = falls.course(_report(), _LOG, 200.0)
-    assert (found.known_s, found.lease_expired_s, found.asked_s) == (6.5, 16.0, 17.0)
-    assert (found.lowest, found.back_s) == (0.3, 50.0)
-    assert (found.granted, found.asked, found.cost) == (40, 100, 1.2)
+def test_measure_recovery_of_one_mass_failure() -> None:
+    result = falls.measure_recovery(_report(), _LOG, 200.0)
+    assert (result.detected_s, result.lease_expired_s, result.first_granted_s) == (6.5, 16.0, 17.0)
+    assert (result.lowest_cpu_share, result.recovered_s) == (0.3, 50.0)
+    assert (result.granted, result.requested, result.cost_ratio) == (40, 100, 1.2)
 
 
-def test_the_least_possible_comes_from_the_sites_own_figures() -> None:
+def test_min_recovery_is_report_delay_plus_longest_boot() -> None:
     site = {"machine_types": [{"boot_s": 35.0}, {"boot_s": 20.0}], "workers": {"report_s": 2.0}}
-    assert falls.least_s(site) == 37.5
+    assert falls.min_recovery_s(site) == 37.5
 
 
-def test_every_day_is_a_file_that_can_be_read(tmp_path: Path) -> None:
+def test_days_command_writes_parsable_day_files(tmp_path: Path) -> None:
     assert CliRunner().invoke(falls.main, ["days", str(tmp_path)]).exit_code == 0
     files = sorted(tmp_path.glob("*.toml"))
     days = [tomllib.loads(file.read_text())["day"][0] for file in files]
@@ -55,14 +55,14 @@
     assert all(fault["at_s"] >= 200.0 for day in days for fault in day["faults"])
 
 
-def test_a_table_and_a_plot_are_made(tmp_path: Path) -> None:
+def test_table_and_plot_commands(tmp_path: Path) -> None:
     report = tmp_path / "deaths.json"
     report.write_bytes(msgspec.json.encode(_report()))
     report.with_suffix(".txt").write_text(_LOG)
     site = tmp_path / "site.toml"
     site.write_text("[workers]\nreport_s = 2.0\n[[machine_types]]\nboot_s = 35.0\n")
-    shown = CliRunner().invoke(falls.main, ["table", str(site), f"deaths={report}"])
-    assert shown.exit_code == 0 and "1.33" in shown.output
-    out = tmp_path / "out.png"
-    drawn = CliRunner().invoke(falls.main, ["plot", str(out), f"deaths={report}"])
-    assert drawn.exit_code == 0 and out.read_bytes().startswith(b"\x89PNG")
+    table_result = CliRunner().invoke(falls.main, ["table", str(site), f"deaths={report}"])
+    assert table_result.exit_code == 0 and "1.33" in table_result.output
+    image = tmp_path / "out.png"
+    plot_result = CliRunner().invoke(falls.main, ["plot", str(image), f"deaths={report}"])
+    assert plot_result.exit_code == 0 and image.read_bytes().startswith(b"\x89PNG")
--- a/tests/test_variants_tool.py
+++ b/tests/test_variants_tool.py
@@ -52,51 +52,51 @@
     return path
 
 
-def test_a_variant_has_other_numbers_and_no_kind_of_machine_less(tmp_path: Path) -> None:
+def test_site_command_scales_counts_and_keeps_all_machine_types(tmp_path: Path) -> None:
     out = tmp_path / "there" / "big.toml"
     args = ["site", str(_site(tmp_path)), str(out)]
     args += ["--machines", "1.5", "--traffic", "2", "--restart-s", "0.2", "--seed", "7"]
     result = CliRunner().invoke(variants.main, args)
     assert result.exit_code == 0, result.output
-    found = tomllib.loads(out.read_text())
-    assert [(p["count"], p["spot"]) for p in found["capacity"]] == [(8, 14), (6, 0)]
-    assert found["nodes"] == {"count": 3, "restart_delay_s": 0.2}
-    assert found["jobs"][0]["arrivals"] == {"rate": 1.0} and found["jobs"][0]["initial"] == 6
-    assert found["seed"] == 7
+    variant = tomllib.loads(out.read_text())
+    assert [(p["count"], p["spot"]) for p in variant["capacity"]] == [(8, 14), (6, 0)]
+    assert variant["nodes"] == {"count": 3, "restart_delay_s": 0.2}
+    assert variant["jobs"][0]["arrivals"] == {"rate": 1.0} and variant["jobs"][0]["initial"] == 6
+    assert variant["seed"] == 7
     assert (out.parent / "wire.json").exists()
 
 
-def test_a_limit_is_every_teams(tmp_path: Path) -> None:
+def test_site_command_sets_cpu_limit_of_every_team(tmp_path: Path) -> None:
     out = tmp_path / "limited.toml"
     args = ["site", str(_site(tmp_path)), str(out), "--limit", "40"]
     assert CliRunner().invoke(variants.main, args).exit_code == 0
-    found = tomllib.loads(out.read_text())
-    assert found["teams"] == [{"name": "red", "weight": 1.0, "cpus_max": 40.0}]
+    variant = tomllib.loads(out.read_text())
+    assert variant["teams"] == [{"name": "red", "weight": 1.0, "cpus_max": 40.0}]
 
 
-def test_a_flood_is_of_the_urgent_class(tmp_path: Path) -> None:
+def test_days_command_sets_rate_of_high_priority_class_only(tmp_path: Path) -> None:
     args = ["days", str(_site(tmp_path)), str(tmp_path / "days"), "--theme", "shown", "--seed", "3"]
     args += ["--tasks", "1", "--rate", "4", "--cancelled", "0.25"]
     result = CliRunner().invoke(variants.main, args)
     assert result.exit_code == 0, result.output
     (day,) = tomllib.loads((tmp_path / "days" / "shown-3.toml").read_text())["day"]
-    one = {"median": 1.0, "p95": 1.0, "max": 1.0}
+    single_task = {"median": 1.0, "p95": 1.0, "max": 1.0}
     assert day["jobs"] == [
-        {"name": "quick", "tasks": one, "arrivals": {"rate": 4.0}, "cancelled": 0.25},
-        {"name": "large", "tasks": one, "cancelled": 0.25},
+        {"name": "quick", "tasks": single_task, "arrivals": {"rate": 4.0}, "cancelled": 0.25},
+        {"name": "large", "tasks": single_task, "cancelled": 0.25},
     ]
 
 
-def test_machines_are_spread_over_other_zones(tmp_path: Path) -> None:
+def test_site_command_spreads_machines_over_zones(tmp_path: Path) -> None:
     out = tmp_path / "zones.toml"
     args = ["site", str(_site(tmp_path)), str(out), "--zone", "east=3", "--zone", "west=1"]
     assert CliRunner().invoke(variants.main, args).exit_code == 0
-    found = tomllib.loads(out.read_text())["capacity"]
-    assert {p["zone"]: (p["count"], p["spot"]) for p in found} == {"east": (7, 7), "west": (3, 3)}
+    parts = tomllib.loads(out.read_text())["capacity"]
+    assert {p["zone"]: (p["count"], p["spot"]) for p in parts} == {"east": (7, 7), "west": (3, 3)}
 
 
 @given(st.sampled_from(sorted(variants.THEMES)), st.integers(0, 10_000))
-def test_a_drawn_day_repeats_and_holds_what_its_site_has(theme: str, seed: int) -> None:
+def test_draw_faults_is_deterministic_and_within_the_site(theme: str, seed: int) -> None:
     site = variants.Site(tomllib.loads(_SITE))
     faults = variants.draw_faults(site, theme, seed)
     assert faults == variants.draw_faults(site, theme, seed)
@@ -112,7 +112,7 @@
 
 
 @pytest.mark.parametrize(
-    ("args", "named"),
+    ("args", "expected"),
     [
         (["site", "missing.toml", "out.toml"], "missing.toml"),
         (["site", "bad.toml", "out.toml"], "bad.toml"),
@@ -125,57 +125,61 @@
         (["days", "small.toml", "out", "--rate", "none"], "--rate"),
     ],
 )
-def test_bad_input_is_named_in_a_line_and_nothing_is_written(
-    args: list[str], named: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+def test_commands_name_invalid_input_and_write_nothing(
+    args: list[str], expected: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.chdir(tmp_path)
     _site(tmp_path)
     (tmp_path / "bad.toml").write_text("name =")
     (tmp_path / "empty.toml").write_text("")
     result = CliRunner().invoke(variants.main, args)
-    assert result.exit_code == 2 and named in result.output
+    assert result.exit_code == 2 and expected in result.output
     assert not (tmp_path / "out.toml").exists() and not (tmp_path / "out").exists()
 
 
 def _entry(folder: Path, **day: object) -> Path:
-    whole = {
+    result = {
         "name": "rough", "score": 0.7,
         "served": [["quick", 0.8, 1.0], ["large", 0.2, 0.61], ["team red", 1.0, 0.9]],
         "aims": [["deadline quick 1x: 0.95 (aim 0.9)", 0.8], ["useful: 0.7 (aim 0.8)", 0.5]],
         "spent": {"world": [10.0, 1.0], "processes": [80.0, 2.0]},
     }  # fmt: skip
     path = folder / "entry.json"
-    entry = {"id": "ab12", "cmd": "score", "site": "small", "days": [{**whole, **day}]}
+    entry = {"id": "ab12", "cmd": "score", "site": "small", "days": [{**result, **day}]}
     path.write_bytes(orjson.dumps(entry))
     return path
 
 
-def test_the_least_share_of_a_day_is_found(tmp_path: Path) -> None:
+def test_served_reports_least_share_of_a_day(tmp_path: Path) -> None:
     (row,) = served.rows(served.read(_entry(tmp_path)))
-    assert row.served == (0.61, "large") and row.in_time == (0.95, "quick")
-    assert (row.least, row.spent_s, row.trouble) == (0.61, 93.0, "")
+    assert row.least_served == (0.61, "large") and row.least_in_time == (0.95, "quick")
+    assert (row.least_share, row.cpu_s, row.invalid_reason) == (0.61, 93.0, "")
     result = CliRunner().invoke(served.main, [str(_entry(tmp_path))])
     assert result.exit_code == 0 and "0.610 on rough" in result.output
 
 
 @pytest.mark.parametrize(
-    ("day", "called"),
+    ("day", "reason"),
     [
         ({"fault": "no time left"}, "not played to its end"),
         ({"rules": {"ran_twice": 1}}, "rule broken: ran_twice"),
         ({"spent": {"world": [300.0], "processes": [101.0]}}, "took more than 400 s"),
     ],
 )
-def test_a_day_that_failed_is_called_that(
-    day: dict[str, object], called: str, tmp_path: Path
+def test_served_gives_reason_instead_of_shares_for_invalid_day(
+    day: dict[str, object], reason: str, tmp_path: Path
 ) -> None:
     (row,) = served.rows(served.read(_entry(tmp_path, **day)))
-    assert row.trouble.startswith(called) and row.served is None and row.in_time is None
+    assert (
+        row.invalid_reason.startswith(reason)
+        and row.least_served is None
+        and row.least_in_time is None
+    )
     result = CliRunner().invoke(served.main, [str(_entry(tmp_path, **day))])
-    assert called in result.output and "the least of" not in result.output
+    assert reason in result.output and "the least of" not in result.output
 
 
-def test_an_entry_that_can_not_be_read_ends_the_command_in_one_line(tmp_path: Path) -> None:
+def test_served_names_unreadable_entry(tmp_path: Path) -> None:
     path = tmp_path / "entry.json"
     path.write_text("{")
     result = CliRunner().invoke(served.main, [str(path)])
--- a/tools/falls.py
+++ b/tools/falls.py
@@ -25,14 +25,14 @@
 
 from tools.variants import render_day
 
-_AT_S: Final = 200.0
+_FAULT_AT_S: Final = 200.0
 _BEFORE_S: Final = 30.0
 _AFTER_S: Final = 150.0
-_BACK: Final = 0.9
-_PERIODS: Final = 1.25
+_RECOVERED_SHARE: Final = 0.9
+_MAX_REPORT_PERIODS: Final = 1.25
 """A worker reports at the latest after so many report periods."""
 
-_FALLS: Final[dict[str, dict[str, Any]]] = {
+_FAULTS: Final[dict[str, dict[str, Any]]] = {
     "deaths": {"kind": "machine_die", "count": 220},
     "deaths-50": {"kind": "machine_die", "count": 50},
     "hang-under": {"kind": "machine_hang", "count": 250, "for_s": 14.0},
@@ -47,7 +47,7 @@
     "frozen": {"kind": "node_freeze", "count": 1, "busiest": True, "for_s": 21.0},
     "restart-all": {"kind": "node_crash", "count": 9, "busiest": True},
 }  # fmt: skip
-_PAIRS: Final = (
+_FAULT_PAIRS: Final = (
     ("deaths", "restart-all", 3.0),
     ("deaths", "hang-past", 5.0),
     ("spot-silent", "frozen", 2.0),
@@ -101,7 +101,7 @@
     writes: int = 0
 
 
-class Rules(msgspec.Struct):
+class Violations(msgspec.Struct):
     """Rules of the protocol that were broken."""
 
     total: int
@@ -117,7 +117,7 @@
     targets: list[Target]
     state: Requests
     cloud: Requests
-    rules_broken: Rules
+    rules_broken: Violations
 
 
 def read(path: Path) -> DayReport:
@@ -128,95 +128,105 @@
 # -- days -----------------------------------------------------------------------------------------
 
 
-def days() -> Iterator[tuple[str, str]]:
+def day_files() -> Iterator[tuple[str, str]]:
     """Name and file of every day: each kind alone, then the pairs."""
-    for number, (name, fall) in enumerate(_FALLS.items()):
-        yield name, render_day(name, 301 + number, [{"at_s": _AT_S, **fall}])
-    for number, (first, second, after_s) in enumerate(_PAIRS):
+    for number, (name, fault) in enumerate(_FAULTS.items()):
+        yield name, render_day(name, 301 + number, [{"at_s": _FAULT_AT_S, **fault}])
+    for number, (first, second, after_s) in enumerate(_FAULT_PAIRS):
         name = f"{first}+{second}"
-        falls = [{"at_s": _AT_S, **_FALLS[first]}, {"at_s": _AT_S + after_s, **_FALLS[second]}]
-        yield name, render_day(name, 331 + number, falls)
+        faults = [
+            {"at_s": _FAULT_AT_S, **_FAULTS[first]},
+            {"at_s": _FAULT_AT_S + after_s, **_FAULTS[second]},
+        ]
+        yield name, render_day(name, 331 + number, faults)
 
 
 # -- one day --------------------------------------------------------------------------------------
 
 
 @dataclass(frozen=True, slots=True)
-class Course:
+class Recovery:
     """What a fall did, in seconds from its moment; None where it did not happen."""
 
-    known_s: float | None
+    detected_s: float | None
     """Five machines were judged or had lost their lease, or the leader gave way."""
     lease_expired_s: float | None
     """The last lapse: from then on all that was lost waits again."""
-    asked_s: float | None
+    first_granted_s: float | None
     """The first machine that the cloud granted."""
-    lowest: float
+    lowest_cpu_share: float
     """Processors in use at the worst moment, as a part of those before."""
-    back_s: float | None
+    recovered_s: float | None
     """Nine tenths of the processors in use before are in use again."""
     granted: int
-    asked: int
-    cost: float
+    requested: int
+    cost_ratio: float
     """The most that the fleet cost an hour, as a part of what it cost before."""
 
 
 _LINE: Final = re.compile(r"\s*([\d.]+) \S+ \w [\w.]+: (.*)")
-_JUDGED: Final = re.compile(r"machines suspected: count=\d+ suspicion=\w+ new=(\d+)")
-_KNOWN: Final = 5
+_SUSPECTED: Final = re.compile(r"machines suspected: count=\d+ suspicion=\w+ new=(\d+)")
+_DETECTED_MACHINES: Final = 5
 """Single machines are lost at any time; a fall is known with so many."""
-_GIVES_WAY: Final = "no longer leader: "
+_STEPS_DOWN: Final = "no longer leader: "
 _LEASE_EXPIRED: Final = "lease expired: machine="
 _RENTAL: Final = re.compile(r"rental \S+: (\d+) of (\d+) ")
 
 
-def course(report: DayReport, log: str, at_s: float) -> Course:
+def measure_recovery(report: DayReport, log: str, at_s: float) -> Recovery:
     """Follows one fall through a day."""
-    known = lease_expired = granted_at = None
-    granted = asked = noticed = 0
+    detected_at = lease_expired_at = first_granted_at = None
+    granted = requested = detected = 0
     for match in map(_LINE.match, log.splitlines()):
         if match is None or not at_s <= float(match[1]) <= at_s + _AFTER_S:
             continue
-        after, text = float(match[1]) - at_s, match[2]
-        noticed += _noticed(text)
-        if known is None and noticed >= _KNOWN:
-            known = after
-        if text.startswith(_LEASE_EXPIRED) and after < 60.0:
-            lease_expired = after
+        after_s, text = float(match[1]) - at_s, match[2]
+        detected += _newly_detected(text)
+        if detected_at is None and detected >= _DETECTED_MACHINES:
+            detected_at = after_s
+        if text.startswith(_LEASE_EXPIRED) and after_s < 60.0:
+            lease_expired_at = after_s
         rental = _RENTAL.match(text)
         if rental is not None:
-            granted, asked = granted + int(rental[1]), asked + int(rental[2])
-            if granted_at is None and int(rental[1]):
-                granted_at = after
-    before, after_fall = _around(report.windows, at_s)
-    used = sum(w.cpus for w in before) / len(before)
-    spent = sum(w.cost_per_hour for w in before) / len(before)
-    lowest = min(after_fall, key=lambda w: w.cpus)
-    back = next(
-        (w.at_s for w in after_fall if w.at_s > lowest.at_s and w.cpus >= _BACK * used), None
+            granted, requested = granted + int(rental[1]), requested + int(rental[2])
+            if first_granted_at is None and int(rental[1]):
+                first_granted_at = after_s
+    windows_before, windows_after = _windows_around(report.windows, at_s)
+    cpus_before = sum(w.cpus for w in windows_before) / len(windows_before)
+    cost_before = sum(w.cost_per_hour for w in windows_before) / len(windows_before)
+    lowest = min(windows_after, key=lambda w: w.cpus)
+    recovered_at = next(
+        (
+            w.at_s
+            for w in windows_after
+            if w.at_s > lowest.at_s and w.cpus >= _RECOVERED_SHARE * cpus_before
+        ),
+        None,
     )
-    fell = lowest.cpus < _BACK * used
-    return Course(
-        known,
-        lease_expired,
-        granted_at,
-        lowest.cpus / used,
-        back - at_s if back is not None and fell else (0.0 if not fell else None),
+    dropped = lowest.cpus < _RECOVERED_SHARE * cpus_before
+    return Recovery(
+        detected_at,
+        lease_expired_at,
+        first_granted_at,
+        lowest.cpus / cpus_before,
+        recovered_at - at_s
+        if recovered_at is not None and dropped
+        else (0.0 if not dropped else None),
         granted,
-        asked,
-        max(w.cost_per_hour for w in after_fall) / spent,
+        requested,
+        max(w.cost_per_hour for w in windows_after) / cost_before,
     )
 
 
-def _noticed(text: str) -> int:
+def _newly_detected(text: str) -> int:
     """How many machines a line of the log says are silent."""
-    if _GIVES_WAY in text:
-        return _KNOWN
-    judged = _JUDGED.match(text)
-    return int(judged[1]) if judged is not None else int(text.startswith(_LEASE_EXPIRED))
+    if _STEPS_DOWN in text:
+        return _DETECTED_MACHINES
+    suspected = _SUSPECTED.match(text)
+    return int(suspected[1]) if suspected is not None else int(text.startswith(_LEASE_EXPIRED))
 
 
-def _around(windows: list[Window], at_s: float) -> tuple[list[Window], list[Window]]:
+def _windows_around(windows: list[Window], at_s: float) -> tuple[list[Window], list[Window]]:
     split = bisect_right(windows, at_s, key=lambda w: w.at_s)
     before = [w for w in windows[:split] if w.at_s > at_s - _BEFORE_S]
     after = [w for w in windows[split:] if w.at_s <= at_s + _AFTER_S]
@@ -225,13 +235,13 @@
     return before, after
 
 
-def least_s(site: dict[str, Any]) -> float:
+def min_recovery_s(site: dict[str, Any]) -> float:
     """The least time until machines lost without a word are replaced, by the published figures.
 
     A worker is missed when its next report is due, and a machine boots for what the catalogue says.
     """
-    boots = [float(kind["boot_s"]) for kind in site["machine_types"]]
-    return _PERIODS * float(site["workers"]["report_s"]) + max(boots)
+    boot_times_s = [float(kind["boot_s"]) for kind in site["machine_types"]]
+    return _MAX_REPORT_PERIODS * float(site["workers"]["report_s"]) + max(boot_times_s)
 
 
 # -- commands -------------------------------------------------------------------------------------
@@ -248,11 +258,11 @@
 def write_days(where: Path) -> None:
     """Writes one file a day."""
     where.mkdir(parents=True, exist_ok=True)
-    for name, text in days():
+    for name, text in day_files():
         (where / f"{name}.toml").write_text(text)
 
 
-def _named(pair: str) -> tuple[str, Path]:
+def _parse_named_path(pair: str) -> tuple[str, Path]:
     name, _, path = pair.partition("=")
     return name, Path(path or name)
 
@@ -262,27 +272,32 @@
 @click.argument("reports", nargs=-1, required=True)
 def table(site: Path, reports: tuple[str, ...]) -> None:
     """A row a report."""
-    least = least_s(tomllib.loads(site.read_text()))
-    shown = Table(title=f"least possible until replaced: {least:.0f} s; simulated machines")
+    minimum_s = min_recovery_s(tomllib.loads(site.read_text()))
+    rows = Table(title=f"least possible until replaced: {minimum_s:.0f} s; simulated machines")
     for column in (
         "day", "known", "lease expired", "first granted", "lowest", "back at 0.9", "of least",
         "granted",
         "asked", "cost", "killed by lease", "lost", "useful", "price", "aims", "rules",
     ):  # fmt: skip
-        shown.add_column(column, justify="left" if column == "day" else "right")
-    for name, path in map(_named, reports):
+        rows.add_column(column, justify="left" if column == "day" else "right")
+    for name, path in map(_parse_named_path, reports):
         report = read(path)
-        at_s = report.events[0].at_s if report.events else _AT_S
-        found = course(report, path.with_suffix(".txt").read_text(errors="replace"), at_s)
-        shown.add_row(
+        at_s = report.events[0].at_s if report.events else _FAULT_AT_S
+        recovery = measure_recovery(
+            report, path.with_suffix(".txt").read_text(errors="replace"), at_s
+        )
+        rows.add_row(
             name,
-            *map(_seconds, (found.known_s, found.lease_expired_s, found.asked_s)),
-            f"{found.lowest:.2f}",
-            _seconds(found.back_s),
-            f"{found.back_s / least:.2f}" if found.back_s is not None else "-",
-            str(found.granted),
-            str(found.asked),
-            f"{found.cost:.2f}",
+            *map(
+                _format_seconds,
+                (recovery.detected_s, recovery.lease_expired_s, recovery.first_granted_s),
+            ),
+            f"{recovery.lowest_cpu_share:.2f}",
+            _format_seconds(recovery.recovered_s),
+            f"{recovery.recovered_s / minimum_s:.2f}" if recovery.recovered_s is not None else "-",
+            str(recovery.granted),
+            str(recovery.requested),
+            f"{recovery.cost_ratio:.2f}",
             str(report.fleet.tasks_killed_by_lease),
             str(report.fleet.tasks_lost),
             f"{report.fleet.useful:.3f}",
@@ -290,10 +305,10 @@
             f"{sum(t.met for t in report.targets)}/{len(report.targets)}",
             str(report.rules_broken.total),
         )
-    Console(width=170).print(shown)
+    Console(width=170).print(rows)
 
 
-def _seconds(value: float | None) -> str:
+def _format_seconds(value: float | None) -> str:
     return "-" if value is None else f"{value:.0f} s"
 
 
@@ -305,14 +320,18 @@
     from matplotlib import pyplot
 
     figure, axes = pyplot.subplots(3, 1, sharex=True, figsize=(9.0, 9.0))
-    for name, path in map(_named, reports):
+    for name, path in map(_parse_named_path, reports):
         report = read(path)
-        at_s = report.events[0].at_s if report.events else _AT_S
-        near = [w for w in report.windows if -_BEFORE_S <= w.at_s - at_s <= _AFTER_S]
-        times = [w.at_s - at_s for w in near]
+        at_s = report.events[0].at_s if report.events else _FAULT_AT_S
+        windows = [w for w in report.windows if -_BEFORE_S <= w.at_s - at_s <= _AFTER_S]
+        times = [w.at_s - at_s for w in windows]
         for axis, values in zip(
             axes,
-            ([w.cpus for w in near], [w.booting for w in near], [w.cost_per_hour for w in near]),
+            (
+                [w.cpus for w in windows],
+                [w.booting for w in windows],
+                [w.cost_per_hour for w in windows],
+            ),
             strict=True,
         ):
             axis.plot(times, values, label=name)
--- a/tools/graph_cost.py
+++ b/tools/graph_cost.py
@@ -54,12 +54,12 @@
 )
 from tests import fakes
 from tests.samples import SETTINGS, report, spec
-from tools.load import Machines, sample_job, settings_for
+from tools.load import WorkerFleet, sample_job, settings_for
 
 _ROOT: Final = Path(__file__).resolve().parent.parent
-_FAMILY: Final = 100
+_FAMILY_NODES: Final = 100
 """Nodes of a family: one, 98 that wait for it, one that waits for them."""
-_LONGEST_MS: Final = 60_000
+_MAX_LATENCY_MS: Final = 60_000
 
 
 def families(graph_id: str, nodes: int, **fields: Any) -> Graph:
@@ -77,9 +77,9 @@
     @graph.remote(image="pack-03", estimate_s=4)
     def pack(parts: Any, family: int) -> None: ...
 
-    for family in range(nodes // _FAMILY):
+    for family in range(nodes // _FAMILY_NODES):
         first = cut.remote(family)
-        parts = [subset.remote(first, family, script) for script in range(_FAMILY - 2)]
+        parts = [subset.remote(first, family, script) for script in range(_FAMILY_NODES - 2)]
         pack.remote(parts, family)
     return graph
 
@@ -92,25 +92,25 @@
 # -- memory ---------------------------------------------------------------------------------------
 
 
-def _live(graph: Graph) -> LoadedGraph:
+def _load_graph(graph: Graph) -> LoadedGraph:
     nodes = [wire.decode(orjson.dumps(node), Node) for node in graph.nodes]
-    parts = [
+    chunks = [
         records.assemble_parts(
             wire.Entry(key=records.fragment_key(graph.id, 0, i), value=value, version=1)
             for i, value in enumerate(records.pack_part(nodes[at : at + 400], 4096))
         )[0]
         for at in range(0, len(nodes), 400)
     ]
-    head = records.GraphRecord(
+    record = records.GraphRecord(
         v=1, status="accepted", at=wall_now(), digest="", defaults=graph.head["defaults"],
-        nodes=len(nodes), parts=len(parts),
+        nodes=len(nodes), parts=len(chunks),
     )  # fmt: skip
-    shape = _build_shape(head, parts)
+    shape = _build_shape(record, chunks)
     owner = Owner(records.graph_key(graph.id), Revision(1), graph.id)
-    live = LoadedGraph(graph.id, head, owner, parts, Progress(shape))
-    live.part_starts = list(range(0, len(nodes), 400))
-    live.progress.evaluate_all()
-    return live
+    loaded = LoadedGraph(graph.id, record, owner, chunks, Progress(shape))
+    loaded.part_starts = list(range(0, len(nodes), 400))
+    loaded.progress.evaluate_all()
+    return loaded
 
 
 @main.command()
@@ -120,27 +120,27 @@
     graph = families("fam1", nodes)
     gc.collect()
     tracemalloc.start()
-    live = _live(graph)
+    loaded = _load_graph(graph)
     gc.collect()
     gated = tracemalloc.get_traced_memory()[0]
-    while (index := live.progress.next_ready()) is not None:
-        live.progress.mark_released(index)
-        live.progress.record_end(index, DONE)
+    while (index := loaded.progress.next_ready()) is not None:
+        loaded.progress.mark_released(index)
+        loaded.progress.record_end(index, DONE)
     gc.collect()
     finished = tracemalloc.get_traced_memory()[0]
-    assert live.progress.all_ended
-    packed = sum(len(part.content) for part in live.parts)
-    plain = sum(len(orjson.dumps(node)) for node in graph.nodes)
+    assert loaded.progress.all_ended
+    packed = sum(len(part.content) for part in loaded.parts)
+    described = sum(len(orjson.dumps(node)) for node in graph.nodes)
     click.echo(
         f"{nodes} nodes: {gated / nodes:.0f} bytes a gated node, {finished / nodes:.0f} a finished "
-        f"one; descriptions {plain / nodes:.0f} bytes a node, packed {packed / nodes:.1f}"
+        f"one; descriptions {described / nodes:.0f} bytes a node, packed {packed / nodes:.1f}"
     )
 
 
 # -- passes ---------------------------------------------------------------------------------------
 
 
-class _Elected:
+class _FakeElection:
     def __init__(self, leadership: Leadership) -> None:
         self.leadership = leadership
 
@@ -153,12 +153,12 @@
     leadership = Leadership(
         FencingToken(1), Revision(1), LeaseId(1), monotonic_now(), Monotonic(1e12)
     )
-    given = settings.parse(orjson.dumps(SETTINGS))
+    parsed_settings = settings.parse(orjson.dumps(SETTINGS))
     leader = Leader(
-        given,
-        StateClient("127.0.0.1:9", given.params.state, 1),
+        parsed_settings,
+        StateClient("127.0.0.1:9", parsed_settings.params.state, 1),
         cast(Cloud, None),
-        cast(Election, _Elected(leadership)),
+        cast(Election, _FakeElection(leadership)),
         leadership,
         Estimates(),
         [lambda term: GraphLeaderExtension(term, GraphFeatures(on=True))],
@@ -172,33 +172,33 @@
     leader.provisioner.rent = lambda *_: None  # type: ignore[method-assign]
     for number in range(machines):
         name = f"m-{number}"
-        heard = report(name, 1, 1, 1)
-        leader.fleet.heartbeats.process(heard, MachineId(name), monotonic_now(), wall_now())
+        heartbeat = report(name, 1, 1, 1)
+        leader.fleet.heartbeats.process(heartbeat, MachineId(name), monotonic_now(), wall_now())
     for number in range(jobs):
         job = spec(id=f"wk-{number}", vcpus=2.0, pieces=20)
         leader.job_store.add(job, wall_now(), Revision(1))
-    live = _live(families("fam1", nodes))
+    loaded = _load_graph(families("fam1", nodes))
     if gated:
-        part = cast(GraphLeaderExtension, leader.extensions[0])
-        part._accepted["fam1"] = (live.record, live.owner)
-        part._loaded["fam1"] = live
-    while (index := live.progress.next_ready()) is not None:
-        live.progress.mark_released(index)
-        record = leader.job_store.add(live.spec(index), wall_now(), Revision(1))
+        extension = cast(GraphLeaderExtension, leader.extensions[0])
+        extension._accepted["fam1"] = (loaded.record, loaded.owner)
+        extension._loaded["fam1"] = loaded
+    while (index := loaded.progress.next_ready()) is not None:
+        loaded.progress.mark_released(index)
+        record = leader.job_store.add(loaded.spec(index), wall_now(), Revision(1))
         if gated:
-            record.owner = live.owner
-            live.jobs[index] = record
+            record.owner = loaded.owner
+            loaded.jobs[index] = record
     return leader
 
 
-def _passes(leader: Leader, count: int) -> float:
+def _pass_cpu_s(leader: Leader, count: int) -> float:
     """Seconds of processor time a pass."""
     leader.scheduling_loop.run(monotonic_now(), wall_now())
-    began = time.process_time()
+    began_cpu_s = time.process_time()
     for _ in range(count):
         leader.scheduling_loop.autoscaler._next_rental_at = Monotonic(0.0)
         leader.scheduling_loop.run(monotonic_now(), wall_now())
-    return (time.process_time() - began) / count
+    return (time.process_time() - began_cpu_s) / count
 
 
 @main.command()
@@ -208,19 +208,19 @@
     """A pass with and without gated nodes, side by side, with the same jobs in the queue."""
 
     async def measure() -> None:
-        released = nodes // _FAMILY
-        plain = _leader(nodes, 150, 60, False)
+        released = nodes // _FAMILY_NODES
+        ungated = _leader(nodes, 150, 60, False)
         gated = _leader(nodes, 150, 60, True)
         ratios, costs = [], []
         for _ in range(rounds):
-            without, with_graph = _passes(plain, 30), _passes(gated, 30)
+            without, with_graph = _pass_cpu_s(ungated, 30), _pass_cpu_s(gated, 30)
             ratios.append(with_graph / without)
             costs.append(without)
         ratios.sort()
-        middle = ratios[len(ratios) // 2]
+        median = ratios[len(ratios) // 2]
         click.echo(
             f"150 machines, {60 + released} jobs: {1e3 * sorted(costs)[rounds // 2]:.2f} ms a "
-            f"pass; with {nodes - released} gated nodes beside them {middle:.2f} times that "
+            f"pass; with {nodes - released} gated nodes beside them {median:.2f} times that "
             f"({ratios[0]:.2f} to {ratios[-1]:.2f})"
         )
 
@@ -262,11 +262,11 @@
         return float(times.user + times.system)
 
 
-async def _state(operator: Client) -> dict[str, Any]:
+async def _read_state(operator: Client) -> dict[str, Any]:
     while True:
         try:
-            answer = await operator.request("GET", "/admin/state", None, 5.0)
-            return cast(dict[str, Any], orjson.loads(answer.body))
+            response = await operator.request("GET", "/admin/state", None, 5.0)
+            return cast(dict[str, Any], orjson.loads(response.body))
         except (NoAnswerError, orjson.JSONDecodeError):
             await asyncio.sleep(0.02)
 
@@ -274,14 +274,14 @@
 class _Users:
     """Plain submissions and polls beside the graph, and how long their answers take."""
 
-    def __init__(self, node: Address, rate: float, luck: random.Random) -> None:
+    def __init__(self, node: Address, rate: float, rng: random.Random) -> None:
         self._client = Client(node, max_idle=8)
         self._rate = rate
-        self._luck = luck
-        self.submitted = HdrHistogram(1, _LONGEST_MS * 1000, 3)
-        self.polled = HdrHistogram(1, _LONGEST_MS * 1000, 3)
+        self._rng = rng
+        self.submitted = HdrHistogram(1, _MAX_LATENCY_MS * 1000, 3)
+        self.polled = HdrHistogram(1, _MAX_LATENCY_MS * 1000, 3)
         self.refused = 0
-        self._known: list[str] = []
+        self._accepted_jobs: list[str] = []
 
     async def run(self) -> None:
         number = 0
@@ -289,15 +289,15 @@
             while True:
                 number += 1
                 group.create_task(self._submit(number))
-                if self._known:
-                    group.create_task(self._poll(self._luck.choice(self._known)))
-                await asyncio.sleep(self._luck.expovariate(self._rate))
+                if self._accepted_jobs:
+                    group.create_task(self._poll(self._rng.choice(self._accepted_jobs)))
+                await asyncio.sleep(self._rng.expovariate(self._rate))
 
     async def _submit(self, number: int) -> None:
-        job = {**sample_job(number, self._luck), "pieces": 2}
+        job = {**sample_job(number, self._rng), "pieces": 2}
         status = await self._timed("POST", "/v2/runs", orjson.dumps(job), self.submitted)
         if status in (200, 201):
-            self._known.append(job["id"])
+            self._accepted_jobs.append(job["id"])
         else:
             self.refused += 1
 
@@ -315,73 +315,80 @@
         histogram.record_value(round(1e6 * (time.perf_counter() - began)))
         return status
 
-    def shown(self, name: str, histogram: HdrHistogram) -> str:
+    def format_latency(self, name: str, histogram: HdrHistogram) -> str:
         parts = [f"{p}% {histogram.get_value_at_percentile(p) / 1000:.1f} ms" for p in (50, 99)]
         return f"{name}: {histogram.total_count}, {', '.join(parts)}"
 
 
-async def _serve(nodes: int, machines: int, writes: float, rate: float, for_s: float) -> None:
-    luck = random.Random(2)
+async def _serve(nodes: int, machines: int, writes: float, rate_per_s: float, for_s: float) -> None:
+    rng = random.Random(2)
     state, cloud = fakes.FakeStateService(), fakes.FakeCloud()
     config = settings_for(state, cloud)
     config["params"]["state"].update(rps=5 * writes, write_rps=writes, value_kb=4.0, txn_ops=8)
     path = Path("/tmp/graph-cost.json")
     path.write_bytes(orjson.dumps(config))
     node, operator = Address("127.0.0.1", 18080), Client(Address("127.0.0.1", 18081))
-    Machines(cloud, node, luck, (3.0, 5.0)).begin(machines, 1.0)
+    WorkerFleet(cloud, node, rng, (3.0, 5.0)).start(machines, 1.0)
     daemon = _Daemon(path)
     daemon.start()
     try:
-        while "machines" not in await _state(operator):
+        while "machines" not in await _read_state(operator):
             await asyncio.sleep(0.02)
         await asyncio.sleep(3.0)
-        users = _Users(node, rate, luck)
-        beside = asyncio.create_task(users.run())
+        users = _Users(node, rate_per_s, rng)
+        user_load = asyncio.create_task(users.run())
         if nodes:
-            await _one_graph(nodes, state, daemon, operator, machines)
+            await _measure_graph(nodes, state, daemon, operator, machines)
         else:
             await asyncio.sleep(for_s)
-        beside.cancel()
-        click.echo(users.shown("submissions", users.submitted) + f", {users.refused} refused")
-        click.echo(users.shown("polls", users.polled))
+        user_load.cancel()
+        click.echo(
+            users.format_latency("submissions", users.submitted) + f", {users.refused} refused"
+        )
+        click.echo(users.format_latency("polls", users.polled))
     finally:
         daemon.stop()
 
 
-async def _one_graph(
+async def _measure_graph(
     nodes: int, state: fakes.FakeStateService, daemon: _Daemon, operator: Client, machines: int
 ) -> None:
     graph = families("fam1", nodes)
-    memory, changes, began = daemon.memory_mb, state.changes, time.perf_counter()
+    memory_before_mb, changes_before, began = daemon.memory_mb, state.changes, time.perf_counter()
     async with AsyncClient("127.0.0.1:18080", Retry(total_s=600.0)) as client:
         await client.submit(graph)
-        took, used = time.perf_counter() - began, state.changes - changes
-        click.echo(f"accepted after {took:.1f} s, {used} changes beside those of the users")
-        while (await _state(operator)).get("graphs", {}).get("fam1") is None:
+        took_s, change_count = time.perf_counter() - began, state.changes - changes_before
+        click.echo(
+            f"accepted after {took_s:.1f} s, {change_count} changes beside those of the users"
+        )
+        while (await _read_state(operator)).get("graphs", {}).get("fam1") is None:
             await asyncio.sleep(0.05)
-        click.echo(f"memory {memory:.1f} to {daemon.memory_mb:.1f} MB once read by the leader")
+        click.echo(
+            f"memory {memory_before_mb:.1f} to {daemon.memory_mb:.1f} MB once read by the leader"
+        )
         began = time.perf_counter()
         daemon.stop()
         daemon.start()
-        while "machines" not in await _state(operator):
+        while "machines" not in await _read_state(operator):
             await asyncio.sleep(0.01)
-        leads = time.perf_counter() - began
-        while (await _state(operator)).get("graphs", {}).get("fam1") is None:
+        leader_after_s = time.perf_counter() - began
+        while (await _read_state(operator)).get("graphs", {}).get("fam1") is None:
             await asyncio.sleep(0.01)
         click.echo(
-            f"killed and started again: leads after {leads:.2f} s, has read the graph after "
-            f"{time.perf_counter() - began:.2f} s"
+            f"killed and started again: leads after {leader_after_s:.2f} s, "
+            f"has read the graph after {time.perf_counter() - began:.2f} s"
         )
-        began, changes, cpu_s = time.perf_counter(), state.changes, daemon.cpu_s
-        while (shown := await client.show_graph("fam1"))["status"] == "accepted":
+        began, changes_before, cpu_before_s = time.perf_counter(), state.changes, daemon.cpu_s
+        while (graph_view := await client.show_graph("fam1"))["status"] == "accepted":
             await asyncio.sleep(1.0)
-        took = time.perf_counter() - began
+        took_s = time.perf_counter() - began
     # Estimates of 4 s, tasks of 3 to 5 s: three in a row, or all of them on the machines there are.
-    bound = max(12.0, 4.0 * nodes / (8 * machines))
+    bound_s = max(12.0, 4.0 * nodes / (8 * machines))
     click.echo(
-        f"{shown['status']} after {took:.1f} s, {took / bound:.2f} of the lower bound; "
-        f"{(state.changes - changes) / nodes:.2f} changes a node (users' included), "
-        f"{daemon.cpu_s - cpu_s:.1f} s of processor time, {daemon.memory_mb:.1f} MB at the end"
+        f"{graph_view['status']} after {took_s:.1f} s, {took_s / bound_s:.2f} of the lower bound; "
+        f"{(state.changes - changes_before) / nodes:.2f} changes a node (users' included), "
+        f"{daemon.cpu_s - cpu_before_s:.1f} s of processor time, "
+        f"{daemon.memory_mb:.1f} MB at the end"
     )
 
 
--- a/tools/graph_study.py
+++ b/tools/graph_study.py
@@ -26,71 +26,71 @@
 from tealrill.types import JobId, MachineId, Monotonic
 
 _CPUS: Final = 8.0
-_ERROR: Final = 0.4
+_RUN_TIME_SIGMA: Final = 0.4
 """Spread of a task's real time around its estimate (log-normal)."""
 
 
-def _shape(waits: list[list[int]], times: list[float]) -> Shape:
+def _build_shape(predecessors: list[list[int]], estimates_s: list[float]) -> Shape:
     nodes = [
         Node(
             key=f"n{i}",
-            job={"pieces": 1, "guessS": times[i]},
-            after=[Edge(node=f"n{up}") for up in sorted(set(ups))],
+            job={"pieces": 1, "guessS": estimates_s[i]},
+            after=[Edge(node=f"n{predecessor}") for predecessor in sorted(set(indices))],
         )
-        for i, ups in enumerate(waits)
+        for i, indices in enumerate(predecessors)
     ]
     return resolve({}, 3, [nodes])
 
 
-def _times(luck: random.Random, count: int) -> list[float]:
-    return [luck.uniform(5.0, 60.0) for _ in range(count)]
+def _draw_estimates(rng: random.Random, count: int) -> list[float]:
+    return [rng.uniform(5.0, 60.0) for _ in range(count)]
 
 
-def chains(luck: random.Random) -> Shape:
+def chains(rng: random.Random) -> Shape:
     """Chains of different lengths side by side."""
-    waits: list[list[int]] = []
-    for _ in range(luck.randint(12, 30)):
-        for place in range(luck.randint(1, 12)):
-            waits.append([len(waits) - 1] if place else [])
-    return _shape(waits, _times(luck, len(waits)))
+    predecessors: list[list[int]] = []
+    for _ in range(rng.randint(12, 30)):
+        for place in range(rng.randint(1, 12)):
+            predecessors.append([len(predecessors) - 1] if place else [])
+    return _build_shape(predecessors, _draw_estimates(rng, len(predecessors)))
 
 
-def fan_outs(luck: random.Random) -> Shape:
+def fan_outs(rng: random.Random) -> Shape:
     """Families: one node, many behind it, one that waits for all of them."""
-    waits: list[list[int]] = []
-    for _ in range(luck.randint(3, 8)):
-        first = len(waits)
-        waits.append([])
-        width = luck.randint(5, 40)
-        waits += [[first] for _ in range(width)]
-        waits.append(list(range(first + 1, first + 1 + width)))
-    return _shape(waits, _times(luck, len(waits)))
+    predecessors: list[list[int]] = []
+    for _ in range(rng.randint(3, 8)):
+        root = len(predecessors)
+        predecessors.append([])
+        width = rng.randint(5, 40)
+        predecessors += [[root] for _ in range(width)]
+        predecessors.append(list(range(root + 1, root + 1 + width)))
+    return _build_shape(predecessors, _draw_estimates(rng, len(predecessors)))
 
 
-def diamonds(luck: random.Random) -> Shape:
+def diamonds(rng: random.Random) -> Shape:
     """Diamonds one behind the other, several strings of them."""
-    waits: list[list[int]] = []
-    for _ in range(luck.randint(6, 14)):
-        last: int | None = None
-        for _ in range(luck.randint(1, 6)):
-            first = len(waits)
-            waits.append([] if last is None else [last])
-            arms = luck.randint(2, 5)
-            waits += [[first] for _ in range(arms)]
-            last = len(waits)
-            waits.append(list(range(first + 1, first + 1 + arms)))
-    return _shape(waits, _times(luck, len(waits)))
-
-
-def layered(luck: random.Random) -> Shape:
+    predecessors: list[list[int]] = []
+    for _ in range(rng.randint(6, 14)):
+        join: int | None = None
+        for _ in range(rng.randint(1, 6)):
+            split = len(predecessors)
+            predecessors.append([] if join is None else [join])
+            arms = rng.randint(2, 5)
+            predecessors += [[split] for _ in range(arms)]
+            join = len(predecessors)
+            predecessors.append(list(range(split + 1, split + 1 + arms)))
+    return _build_shape(predecessors, _draw_estimates(rng, len(predecessors)))
+
+
+def layered(rng: random.Random) -> Shape:
     """Random layers; each node waits for a few of earlier layers."""
-    waits: list[list[int]] = []
-    for layer in range(luck.randint(4, 9)):
-        before = len(waits)
-        for _ in range(luck.randint(8, 30)):
-            ups = luck.sample(range(before), min(before, luck.randint(1, 4))) if layer else []
-            waits.append(ups)
-    return _shape(waits, _times(luck, len(waits)))
+    predecessors: list[list[int]] = []
+    for layer in range(rng.randint(4, 9)):
+        earlier = len(predecessors)
+        for _ in range(rng.randint(8, 30)):
+            indices = rng.sample(range(earlier), min(earlier, rng.randint(1, 4))) if layer else []
+            predecessors.append(indices)
+    return _build_shape(predecessors, _draw_estimates(rng, len(predecessors)))
 
 
 KINDS: Final[dict[str, Callable[[random.Random], Shape]]] = {
@@ -101,22 +101,24 @@
 }
 
 
-def _lower_bound(shape: Shape, took: list[float], cpus: list[float], capacity: float) -> float:
+def _lower_bound(shape: Shape, run_s: list[float], cpus: list[float], capacity: float) -> float:
     ends = [0.0] * shape.nodes
     for index in shape.topological_order:
-        begins = max((ends[up] for up, _ in shape.dependencies(index)), default=0.0)
-        ends[index] = begins + took[index]
-    work = sum(t * c for t, c in zip(took, cpus, strict=True))
-    return max(*ends, work / capacity)
+        begins_s = max(
+            (ends[predecessor] for predecessor, _ in shape.dependencies(index)), default=0.0
+        )
+        ends[index] = begins_s + run_s[index]
+    work_cpu_s = sum(t * c for t, c in zip(run_s, cpus, strict=True))
+    return max(*ends, work_cpu_s / capacity)
 
 
-def finishing_time(
-    shape: Shape, took: list[float], cpus: list[float], machines: int, by_path: bool
+def makespan(
+    shape: Shape, run_s: list[float], cpus: list[float], machines: int, by_path: bool
 ) -> float:
     """When the last node has ended, on machines of `_CPUS` processors."""
     progress = Progress(shape)
     progress.evaluate_all()
-    free = [_CPUS] * machines
+    free_cpus = [_CPUS] * machines
     waiting: dict[int, float] = {}
     running: list[tuple[float, int, int]] = []
     now = 0.0
@@ -126,7 +128,7 @@
             waiting[index] = now
         views = [
             MachineView(
-                MachineId(f"m{m:03d}"), "big", "north", False, free[m], 0.0, 64.0, _CPUS,
+                MachineId(f"m{m:03d}"), "big", "north", False, free_cpus[m], 0.0, 64.0, _CPUS,
                 Monotonic(now), 1.0, set(), False, (),
             )
             for m in range(machines)
@@ -143,25 +145,25 @@
         for start in result.starts:
             index, machine = int(start.job[-5:]), int(start.machine[1:])
             del waiting[index]
-            free[machine] -= cpus[index]
-            heapq.heappush(running, (now + took[index], index, machine))
+            free_cpus[machine] -= cpus[index]
+            heapq.heappush(running, (now + run_s[index], index, machine))
         now, index, machine = heapq.heappop(running)
-        free[machine] += cpus[index]
+        free_cpus[machine] += cpus[index]
         progress.record_end(index, DONE)
     return now
 
 
-def study(kind: str, seed: int, machines: int) -> tuple[float, float]:
+def makespan_ratios(kind: str, seed: int, machines: int) -> tuple[float, float]:
     """Finishing time over the lower bound: in the order of becoming free, and by path."""
-    luck = random.Random(seed)
-    shape = KINDS[kind](luck)
-    took = [t * luck.lognormvariate(0.0, _ERROR) for t in shape.estimate_s]
-    cpus = [luck.choice([1.0, 1.0, 2.0, 4.0]) for _ in took]
-    bound = _lower_bound(shape, took, cpus, machines * _CPUS)
-    first, path = (
-        finishing_time(shape, took, cpus, machines, by_path) for by_path in (False, True)
+    rng = random.Random(seed)
+    shape = KINDS[kind](rng)
+    run_s = [t * rng.lognormvariate(0.0, _RUN_TIME_SIGMA) for t in shape.estimate_s]
+    cpus = [rng.choice([1.0, 1.0, 2.0, 4.0]) for _ in run_s]
+    bound_s = _lower_bound(shape, run_s, cpus, machines * _CPUS)
+    arrival_s, path_s = (
+        makespan(shape, run_s, cpus, machines, by_path) for by_path in (False, True)
     )
-    return first / bound, path / bound
+    return arrival_s / bound_s, path_s / bound_s
 
 
 @click.command()
@@ -172,13 +174,14 @@
     click.echo("graphs    machines  first come  by path  ratio   9th decile: first come  by path")
     for kind in KINDS:
         for count in machines:
-            pairs = [study(kind, seed, count) for seed in range(graphs)]
-            first, path = ([pair[side] for pair in pairs] for side in (0, 1))
+            pairs = [makespan_ratios(kind, seed, count) for seed in range(graphs)]
+            arrival_ratios, path_ratios = ([pair[side] for pair in pairs] for side in (0, 1))
             ratio = median(p / f for f, p in pairs)
-            tails = [quantiles(side, n=10)[-1] for side in (first, path)]
+            ninth_deciles = [quantiles(side, n=10)[-1] for side in (arrival_ratios, path_ratios)]
             click.echo(
-                f"{kind:<9} {count:>8}  {median(first):>10.3f}  {median(path):>7.3f}"
-                f"  {ratio:.3f}  {tails[0]:>22.3f}  {tails[1]:>7.3f}"
+                f"{kind:<9} {count:>8}  {median(arrival_ratios):>10.3f}"
+                f"  {median(path_ratios):>7.3f}  {ratio:.3f}"
+                f"  {ninth_deciles[0]:>22.3f}  {ninth_deciles[1]:>7.3f}"
             )
 
 
--- a/tools/load.py
+++ b/tools/load.py
@@ -28,20 +28,20 @@
 class _Worker(fakes.FakeWorker):
     """A machine whose tasks end by themselves and that reports over a kept connection."""
 
-    def __init__(self, name: str, luck: random.Random, task_s: tuple[float, float]) -> None:
+    def __init__(self, name: str, rng: random.Random, task_s: tuple[float, float]) -> None:
         super().__init__(name)
         self._task_s = task_s
-        self._luck = luck
+        self._rng = rng
         self._changed = asyncio.Event()
         self._running: set[str] = set()
 
     def execute(self, orders: list[dict[str, Any]]) -> None:
         super().execute(orders)
-        for name, line in self.tasks.items():
-            if line["status"] == "running" and name not in self._running:
+        for name, task in self.tasks.items():
+            if task["status"] == "running" and name not in self._running:
                 self._running.add(name)
                 asyncio.get_running_loop().call_later(
-                    self._luck.uniform(*self._task_s), self._finish, name
+                    self._rng.uniform(*self._task_s), self._finish, name
                 )
 
     def _finish(self, name: str) -> None:
@@ -52,24 +52,24 @@
     async def run(self, node: Address, within_s: float = 10.0) -> None:
         """Reports for ever, from a moment within `within_s` on."""
         client = Client(node, max_idle=1)
-        await asyncio.sleep(self._luck.uniform(0, within_s))
+        await asyncio.sleep(self._rng.uniform(0, within_s))
         while True:
             self._changed.clear()
             body = orjson.dumps(self.report())
             try:
-                answer = await client.request("POST", wire.HEARTBEAT_PATH, body, 4.0)
+                response = await client.request("POST", wire.HEARTBEAT_PATH, body, 4.0)
             except NoAnswerError:
                 await asyncio.sleep(1.0)
                 continue
-            if answer.status == 200:
-                self._take(orjson.loads(answer.body))
+            if response.status == 200:
+                self._handle_response(orjson.loads(response.body))
             try:
                 async with asyncio.timeout(_REPORT_S):
                     await self._changed.wait()
             except TimeoutError:
                 pass
 
-    def _take(self, message: dict[str, Any]) -> None:
+    def _handle_response(self, message: dict[str, Any]) -> None:
         if message["baton"] > self.token:
             self.token = message["baton"]
             self._changed.set()
@@ -100,25 +100,25 @@
     }
 
 
-def sample_job(number: int, luck: random.Random) -> dict[str, Any]:
+def sample_job(number: int, rng: random.Random) -> dict[str, Any]:
     """Return one job as a user submits it."""
-    quick = luck.random() < 0.6
+    is_quick = rng.random() < 0.6
     return {
         **SUBMISSION,
         "id": f"wk-{number:06d}",
-        "lineup": "quick" if quick else "long",
-        "crew": luck.choice(["red", "blue"]),
-        "urgency": "urgent" if quick else "standard",
-        "pieces": luck.randint(10, 80),
-        "vcpus": 1.0 if quick else 2.0,
+        "lineup": "quick" if is_quick else "long",
+        "crew": rng.choice(["red", "blue"]),
+        "urgency": "urgent" if is_quick else "standard",
+        "pieces": rng.randint(10, 80),
+        "vcpus": 1.0 if is_quick else 2.0,
         "memoryGb": 1.0,
-        "bundle": f"img-{luck.randint(0, 7):02d}",
+        "bundle": f"img-{rng.randint(0, 7):02d}",
         "guessS": 25.0,
-        "dueS": None if quick else 120.0,
+        "dueS": None if is_quick else 120.0,
     }
 
 
-async def _submit(node: Address, rate: float, first: int, luck: random.Random) -> None:
+async def _submit(node: Address, rate_per_s: float, initial_jobs: int, rng: random.Random) -> None:
     client = Client(node, max_idle=4)
     number = 0
 
@@ -131,62 +131,62 @@
                 pass
             await asyncio.sleep(1.0)
 
-    under_way: set[asyncio.Task[None]] = set()
+    pending: set[asyncio.Task[None]] = set()
     while True:
         number += 1
-        task = asyncio.create_task(send(orjson.dumps(sample_job(number, luck))))
-        under_way.add(task)
-        task.add_done_callback(under_way.discard)
-        if number > first:
-            await asyncio.sleep(luck.expovariate(rate))
+        task = asyncio.create_task(send(orjson.dumps(sample_job(number, rng))))
+        pending.add(task)
+        task.add_done_callback(pending.discard)
+        if number > initial_jobs:
+            await asyncio.sleep(rng.expovariate(rate_per_s))
 
 
-class Machines:
+class WorkerFleet:
     """Workers of the machines that are rented."""
 
     def __init__(
         self,
         cloud: fakes.FakeCloud,
         node: Address,
-        luck: random.Random,
+        rng: random.Random,
         task_s: tuple[float, float],
     ) -> None:
         self._cloud = cloud
         self._node = node
-        self._luck = luck
+        self._rng = rng
         self._task_s = task_s
         self.workers: dict[str, tuple[_Worker, asyncio.Task[None]]] = {}
 
-    def begin(self, count: int, within_s: float) -> None:
+    def start(self, count: int, within_s: float) -> None:
         """So many machines are up, and no more are to be had at a time."""
         for number in range(1, count + 1):
-            worker = self.up(f"m-{number:06d}", within_s)
+            worker = self.start_worker(f"m-{number:06d}", within_s)
             self._cloud.machines[worker.name] = {
                 "id": worker.name, "addr": worker.address, "build": "big", "hall": "north",
                 "loaners": True, "status": "running", "ageS": 0.0,
             }  # fmt: skip
         self._cloud.rented = self._cloud.max_rented = count
-        self._cloud.on_rented, self._cloud.on_released = self.hired, self.returned
+        self._cloud.on_rented, self._cloud.on_released = self.on_rented, self.on_released
 
-    def up(self, name: str, within_s: float) -> _Worker:
+    def start_worker(self, name: str, within_s: float) -> _Worker:
         """Begin a machine's worker, which sends its first heartbeat within `within_s` seconds."""
-        worker = _Worker(name, self._luck, self._task_s)
+        worker = _Worker(name, self._rng, self._task_s)
         self.workers[name] = (worker, asyncio.create_task(worker.run(self._node, within_s)))
         return worker
 
-    def hired(self, name: str) -> None:
+    def on_rented(self, name: str) -> None:
         """Begin the worker of a machine that was rented."""
         self._cloud.machines[name]["status"] = "running"
-        self.up(name, _BOOT_S)
+        self.start_worker(name, _BOOT_S)
 
-    def returned(self, name: str) -> None:
+    def on_released(self, name: str) -> None:
         """Another may be rented in its place."""
-        known = self.workers.pop(name, None)
-        if known is not None:
-            known[1].cancel()
+        entry = self.workers.pop(name, None)
+        if entry is not None:
+            entry[1].cancel()
             self._cloud.max_rented += 1
 
-    def running(self) -> int:
+    def running_tasks(self) -> int:
         """The number of machines whose worker runs."""
         return sum(
             task["status"] == "running"
@@ -197,26 +197,32 @@
 
 async def _run(
     machines: int,
-    rate: float,
-    first: int,
-    settings: Path,
+    rate_per_s: float,
+    initial_jobs: int,
+    settings_path: Path,
     for_s: float,
     task_s: tuple[float, float],
 ) -> None:
-    luck = random.Random(1)
+    rng = random.Random(1)
     state, cloud = fakes.FakeStateService(), fakes.FakeCloud()
-    settings.write_bytes(orjson.dumps(settings_for(state, cloud)))
+    settings_path.write_bytes(orjson.dumps(settings_for(state, cloud)))
     node = Address("127.0.0.1", 18080)
-    fleet = Machines(cloud, node, luck, task_s)
-    fleet.begin(machines, 10.0)
-    users = asyncio.create_task(_submit(node, rate, first, luck)) if rate > 0 else None
+    workers = WorkerFleet(cloud, node, rng, task_s)
+    workers.start(machines, 10.0)
+    users = (
+        asyncio.create_task(_submit(node, rate_per_s, initial_jobs, rng))
+        if rate_per_s > 0
+        else None
+    )
     for second in range(round(for_s)):
         await asyncio.sleep(1.0)
         if second % 10 == 9:
-            click.echo(f"{second + 1} s: {fleet.running()} tasks run, {state.epoch} transactions")
+            click.echo(
+                f"{second + 1} s: {workers.running_tasks()} tasks run, {state.epoch} transactions"
+            )
     if users is not None:
         users.cancel()
-    for _, task in fleet.workers.values():
+    for _, task in workers.workers.values():
         task.cancel()
 
 
--- a/tools/margins.py
+++ b/tools/margins.py
@@ -21,71 +21,78 @@
 import click
 
 _LINE: Final = re.compile(
-    r"^\s*(?P<at>\d+\.\d+)\s+(?P<host>\S+)\s+[DIWE] (?P<room>\S+): (?P<text>.*)$"
+    r"^\s*(?P<at>\d+\.\d+)\s+(?P<host>\S+)\s+[DIWE] (?P<module>\S+): (?P<text>.*)$"
 )
 _CONFIRMED: Final = re.compile(r"^job (\S+) cancelled")
 _RELEASED: Final = re.compile(r"^task (\S+)/\d+ released from \S+: (.*)$")
-_LEARNT: Final = re.compile(r"^job (\S+) was cancelled; (\d+) of its tasks are bound")
+_LEADER_INFORMED: Final = re.compile(r"^job (\S+) was cancelled; (\d+) of its tasks are bound")
 
 
 @dataclass
-class Cancelled:
+class CancelledJob:
     """One job: when its user could be told, who knew when, and when its tasks were gone."""
 
-    at: float
-    by: str
-    learnt_at: float | None = None
-    bound: int = 0
-    gone_at: float | None = None
+    confirmed_at: float
+    confirmed_by: str
+    leader_informed_at: float | None = None
+    bound_tasks: int = 0
+    ended_at: float | None = None
     proofs: dict[str, int] = field(default_factory=dict)
 
 
-def read(lines: Iterable[str]) -> dict[str, Cancelled]:
+def read(lines: Iterable[str]) -> dict[str, CancelledJob]:
     """Jobs that a controller has confirmed as cancelled, in the order of the confirmations."""
-    found: dict[str, Cancelled] = {}
+    jobs: dict[str, CancelledJob] = {}
     for line in lines:
-        parts = _LINE.match(line)
-        if parts is None:
+        fields = _LINE.match(line)
+        if fields is None:
             continue
-        at, text = float(parts["at"]), parts["text"]
-        if parts["room"].endswith("intake") and (match := _CONFIRMED.match(text)):
-            found.setdefault(match[1], Cancelled(at, parts["host"]))
-        elif match := _LEARNT.match(text):
-            job = found.get(match[1])
-            if job is not None and job.learnt_at is None:
-                job.learnt_at, job.bound = at, int(match[2])
-        elif (match := _RELEASED.match(text)) and match[1] in found:
-            job, proof = found[match[1]], match[2].partition(",")[0]
-            job.gone_at = at
+        at, text = float(fields["at"]), fields["text"]
+        if fields["module"].endswith("intake") and (match := _CONFIRMED.match(text)):
+            jobs.setdefault(match[1], CancelledJob(at, fields["host"]))
+        elif match := _LEADER_INFORMED.match(text):
+            job = jobs.get(match[1])
+            if job is not None and job.leader_informed_at is None:
+                job.leader_informed_at, job.bound_tasks = at, int(match[2])
+        elif (match := _RELEASED.match(text)) and match[1] in jobs:
+            job, proof = jobs[match[1]], match[2].partition(",")[0]
+            job.ended_at = at
             job.proofs[proof] = job.proofs.get(proof, 0) + 1
-    return found
+    return jobs
 
 
-def told(jobs: dict[str, Cancelled], cancel_s: float, most: int) -> str:
+def summarize(jobs: dict[str, CancelledJob], cancel_s: float, limit: int) -> str:
     """The jobs of which tasks were on machines, those with the least margin first."""
     lines = [f"{len(jobs)} jobs were confirmed as cancelled"]
-    ran = [(cancel_s - (job.gone_at - job.at), name) for name, job in jobs.items() if job.gone_at]
-    open_ended = [name for name, job in jobs.items() if job.bound and job.gone_at is None]
-    if open_ended:
-        lines.append(f"  of {len(open_ended)} bound ones the log shows no end (--log debug does)")
-    if not ran:
+    margins_by_job = [
+        (cancel_s - (job.ended_at - job.confirmed_at), name)
+        for name, job in jobs.items()
+        if job.ended_at
+    ]
+    unended = [name for name, job in jobs.items() if job.bound_tasks and job.ended_at is None]
+    if unended:
+        lines.append(f"  of {len(unended)} bound ones the log shows no end (--log debug does)")
+    if not margins_by_job:
         lines[0] += "; of none does it show tasks that went"
         return "\n".join(lines)
-    margins = [margin for margin, _ in ran]
-    least, middle = min(margins), statistics.median(margins)
+    margins = [margin for margin, _ in margins_by_job]
+    smallest, median = min(margins), statistics.median(margins)
     lines[0] += (
-        f"; of {len(ran)} tasks were on machines: margin to cancel_s {least:.1f} s at least, "
-        f"{middle:.1f} s in the middle"
+        f"; of {len(margins_by_job)} tasks were on machines: margin to cancel_s "
+        f"{smallest:.1f} s at least, {median:.1f} s in the middle"
     )
-    for margin, name in sorted(ran)[:most]:
+    for margin, name in sorted(margins_by_job)[:limit]:
         job = jobs[name]
-        learnt = (
-            f"{job.learnt_at - job.at:+.2f} s" if job.learnt_at is not None else "from the records"
+        informed = (
+            f"{job.leader_informed_at - job.confirmed_at:+.2f} s"
+            if job.leader_informed_at is not None
+            else "from the records"
         )
         proofs = ", ".join(f"{count} {proof}" for proof, count in job.proofs.items())
         lines.append(
-            f"  {name}: confirmed by {job.by} at {job.at:.2f} s, known to the leader {learnt}, "
-            f"{job.bound} bound, margin {margin:.1f} s ({proofs})"
+            f"  {name}: confirmed by {job.confirmed_by} at {job.confirmed_at:.2f} s, "
+            f"known to the leader {informed}, {job.bound_tasks} bound, "
+            f"margin {margin:.1f} s ({proofs})"
         )
     return "\n".join(lines)
 
@@ -102,7 +109,7 @@
                 jobs = read(lines)
         except OSError as error:
             raise click.UsageError(f"{log}: {error.strerror}") from None
-        click.echo(f"{log.name}: {told(jobs, cancel_s, most)}")
+        click.echo(f"{log.name}: {summarize(jobs, cancel_s, most)}")
 
 
 if __name__ == "__main__":
--- a/tools/profiles.py
+++ b/tools/profiles.py
@@ -23,7 +23,7 @@
 
 from tealrill.profiling import LINE, Cost, Profile, Size
 
-_LEAST: Final = 0.005
+_MIN_SHARE: Final = 0.005
 """Causes below this part of the whole are not shown one by one."""
 
 
@@ -33,7 +33,7 @@
 
     costs: dict[str, Cost] = field(default_factory=dict)
     sizes: list[Size] = field(default_factory=list)
-    lasted_s: float = 0.0
+    duration_s: float = 0.0
 
     @property
     def cpu_s(self) -> float:
@@ -48,27 +48,29 @@
 
 def read(text: str) -> Day:
     """The last line of every process counts: each holds all that its process did."""
-    last: dict[int, Profile] = {}
+    last_profiles: dict[int, Profile] = {}
     day = Day()
     for line in text.splitlines():
-        _, found, body = line.partition(LINE)
-        if found:
+        _, separator, body = line.partition(LINE)
+        if separator:
             profile = msgspec.json.decode(body, type=Profile)
-            last[profile.pid] = profile
+            last_profiles[profile.pid] = profile
             if profile.size is not None:
                 day.sizes.append(profile.size)
-    if not last:
+    if not last_profiles:
         raise click.ClickException("the log has no profile; was `[profile]` on?")
-    for profile in last.values():
+    for profile in last_profiles.values():
         for cause, cost in profile.costs.items():
-            known = day.costs.setdefault(cause, Cost())
-            known.calls += cost.calls
-            known.cpu_s += cost.cpu_s
+            total = day.costs.setdefault(cause, Cost())
+            total.calls += cost.calls
+            total.cpu_s += cost.cpu_s
     # Clocks of two processes need not have begun together, not even on one host.
-    lived: dict[str, float] = {}
-    for profile in last.values():
-        lived[profile.host] = lived.get(profile.host, 0.0) + profile.until_s - profile.began_s
-    day.lasted_s = max(lived.values())
+    host_durations_s: dict[str, float] = {}
+    for profile in last_profiles.values():
+        host_durations_s[profile.host] = (
+            host_durations_s.get(profile.host, 0.0) + profile.until_s - profile.began_s
+        )
+    day.duration_s = max(host_durations_s.values())
     return day
 
 
@@ -79,18 +81,18 @@
         return None
     mean_x = sum(x for x, _ in points) / len(points)
     mean_y = sum(y for _, y in points) / len(points)
-    above = sum((x - mean_x) * (y - mean_y) for x, y in points)
-    return above / sum((x - mean_x) ** 2 for x, _ in points)
+    covariance = sum((x - mean_x) * (y - mean_y) for x, y in points)
+    return covariance / sum((x - mean_x) ** 2 for x, _ in points)
 
 
-def _shown(days: Sequence[Day]) -> list[str]:
+def _main_causes(days: Sequence[Day]) -> list[str]:
     """Causes that matter on one of the days, the dearest first."""
     causes = {cause for day in days for cause in day.costs}
-    parts = {
+    shares = {
         cause: max(d.costs[cause].cpu_s / d.cpu_s if cause in d.costs else 0.0 for d in days)
         for cause in causes
     }
-    return sorted((c for c in causes if parts[c] >= _LEAST), key=lambda c: -parts[c])
+    return sorted((c for c in causes if shares[c] >= _MIN_SHARE), key=lambda c: -shares[c])
 
 
 @click.group(help=__doc__)
@@ -105,31 +107,31 @@
     """One row a cause, for each log."""
     for path in logs:
         day = read(path.read_text(errors="replace"))
-        shown = Table(
-            title=f"{path.name}: {day.cpu_s:.1f} s of processor time in {day.lasted_s:.0f} s, "
+        rows = Table(
+            title=f"{path.name}: {day.cpu_s:.1f} s of processor time in {day.duration_s:.0f} s, "
             f"{day.mean('machines'):.0f} machines, {day.mean('running'):.0f} tasks running, "
             f"{day.mean('waiting'):.0f} of {day.mean('waiting_jobs'):.0f} jobs waiting"
         )
         for column in ("cause", "calls", "seconds", "microseconds a call", "part"):
-            shown.add_column(column, justify="left" if column == "cause" else "right")
-        for cause in _shown([day]):
+            rows.add_column(column, justify="left" if column == "cause" else "right")
+        for cause in _main_causes([day]):
             cost = day.costs[cause]
-            shown.add_row(
+            rows.add_row(
                 cause,
                 str(cost.calls),
                 f"{cost.cpu_s:.2f}",
                 f"{1e6 * cost.cpu_s / cost.calls:.0f}",
                 f"{cost.cpu_s / day.cpu_s:.3f}",
             )
-        Console(width=120).print(shown)
+        Console(width=120).print(rows)
 
 
-def _named(pairs: tuple[str, ...]) -> dict[str, Day]:
-    found: dict[str, Day] = {}
+def _read_days(pairs: tuple[str, ...]) -> dict[str, Day]:
+    days: dict[str, Day] = {}
     for pair in pairs:
         name, _, path = pair.partition("=")
-        found[name] = read(Path(path or name).read_text(errors="replace"))
-    return found
+        days[name] = read(Path(path or name).read_text(errors="replace"))
+    return days
 
 
 @main.command()
@@ -137,24 +139,26 @@
 @click.argument("pairs", nargs=-1, required=True)
 def growth(over: str, pairs: tuple[str, ...]) -> None:
     """Milliseconds of processor time a second by cause, and how they grow over a size."""
-    days = _named(pairs)
+    days = _read_days(pairs)
     sizes = [day.mean(over) for day in days.values()]
-    shown = Table(title=f"milliseconds a second, and the exponent over {over}")
-    shown.add_column("cause")
+    rows = Table(title=f"milliseconds a second, and the exponent over {over}")
+    rows.add_column("cause")
     for name, size in zip(days, sizes, strict=True):
-        shown.add_column(f"{name} ({size:.0f})", justify="right")
-    shown.add_column("exponent", justify="right")
-    rows = {"all": [day.cpu_s / day.lasted_s for day in days.values()]}
-    for cause in _shown(list(days.values())):
-        rows[cause] = [d.costs.get(cause, Cost()).cpu_s / d.lasted_s for d in days.values()]
-    for cause, costs in rows.items():
-        slope = exponent(sizes, costs)
-        shown.add_row(
+        rows.add_column(f"{name} ({size:.0f})", justify="right")
+    rows.add_column("exponent", justify="right")
+    rates_by_cause = {"all": [day.cpu_s / day.duration_s for day in days.values()]}
+    for cause in _main_causes(list(days.values())):
+        rates_by_cause[cause] = [
+            d.costs.get(cause, Cost()).cpu_s / d.duration_s for d in days.values()
+        ]
+    for cause, costs in rates_by_cause.items():
+        fitted = exponent(sizes, costs)
+        rows.add_row(
             cause,
             *(f"{1000 * cost:.1f}" for cost in costs),
-            "-" if slope is None else f"{slope:.2f}",
+            "-" if fitted is None else f"{fitted:.2f}",
         )
-    Console(width=160).print(shown)
+    Console(width=160).print(rows)
 
 
 @main.command()
@@ -165,12 +169,12 @@
     """The dearest causes as lines on logarithmic axes."""
     from matplotlib import pyplot
 
-    days = sorted(_named(pairs).values(), key=lambda day: day.mean(over))
+    days = sorted(_read_days(pairs).values(), key=lambda day: day.mean(over))
     sizes = [day.mean(over) for day in days]
     figure, axis = pyplot.subplots(figsize=(11.0, 6.5))
-    axis.plot(sizes, [d.cpu_s / d.lasted_s for d in days], "k-o", linewidth=2.5, label="all")
-    for number, cause in enumerate(_shown(days)[:12]):
-        costs = [d.costs.get(cause, Cost()).cpu_s / d.lasted_s for d in days]
+    axis.plot(sizes, [d.cpu_s / d.duration_s for d in days], "k-o", linewidth=2.5, label="all")
+    for number, cause in enumerate(_main_causes(days)[:12]):
+        costs = [d.costs.get(cause, Cost()).cpu_s / d.duration_s for d in days]
         axis.plot(sizes, costs, "-o" if number < 10 else "--s", label=cause)
     axis.set(
         xscale="log", yscale="log", xlabel=over, ylabel="processor seconds a second (simulated day)"
--- a/tools/served.py
+++ b/tools/served.py
@@ -22,18 +22,18 @@
 from rich.console import Console
 from rich.table import Table
 
-_MOST_S: Final = 400.0
+_MAX_CPU_S: Final = 400.0
 _DEADLINE: Final = re.compile(r"deadline (\S+) 1x: ([\d.]+) ")
 
 
-class Spent(msgspec.Struct):
+class CpuSeconds(msgspec.Struct):
     """Seconds in own code and in the kernel."""
 
     world: list[float] = []
     processes: list[float] = []
 
 
-class Played(msgspec.Struct):
+class DayResult(msgspec.Struct):
     """The parts of a day in an entry that are used here."""
 
     name: str
@@ -44,7 +44,7 @@
     rules: dict[str, int] = {}
     fault: str | None = None
     restarts: float = 0.0
-    spent: Spent | None = None
+    spent: CpuSeconds | None = None
 
 
 class Entry(msgspec.Struct):
@@ -53,7 +53,7 @@
     id: str
     cmd: str
     site: str = ""
-    days: list[Played] = []
+    days: list[DayResult] = []
 
 
 @dataclass(frozen=True, slots=True)
@@ -63,16 +63,18 @@
     entry: str
     site: str
     day: str
-    trouble: str
+    invalid_reason: str
     """Why its shares say nothing; empty if they do."""
-    served: tuple[float, str] | None
-    in_time: tuple[float, str] | None
-    spent_s: float
+    least_served: tuple[float, str] | None
+    least_in_time: tuple[float, str] | None
+    cpu_s: float
 
     @property
-    def least(self) -> float:
+    def least_share(self) -> float:
         """The least share of the row."""
-        return min(found[0] for found in (self.served, self.in_time) if found is not None)
+        return min(
+            share[0] for share in (self.least_served, self.least_in_time) if share is not None
+        )
 
 
 def read(path: Path) -> Entry:
@@ -88,35 +90,35 @@
 def rows(entry: Entry) -> Iterator[Row]:
     """Yield one row a day of an entry."""
     for day in entry.days:
-        spent = day.spent or Spent()
-        spent_s = sum(spent.world) + sum(spent.processes)
-        trouble = _trouble(day, spent_s)
+        cpu = day.spent or CpuSeconds()
+        cpu_s = sum(cpu.world) + sum(cpu.processes)
+        invalid_reason = _invalid_reason(day, cpu_s)
         served = [(part, name) for name, _, part in day.served]
-        found = (_DEADLINE.match(text) for text, _ in day.aims)
-        in_time = [(float(match[2]), match[1]) for match in found if match is not None]
+        deadlines = (_DEADLINE.match(text) for text, _ in day.aims)
+        in_time = [(float(match[2]), match[1]) for match in deadlines if match is not None]
         yield Row(
             entry.id,
             entry.site,
             day.name,
-            trouble,
-            min(served, default=None) if not trouble else None,
-            min(in_time, default=None) if not trouble else None,
-            spent_s,
+            invalid_reason,
+            min(served, default=None) if not invalid_reason else None,
+            min(in_time, default=None) if not invalid_reason else None,
+            cpu_s,
         )
 
 
-def _trouble(day: Played, spent_s: float) -> str:
+def _invalid_reason(day: DayResult, cpu_s: float) -> str:
     if day.rules:
         return "rule broken: " + ", ".join(sorted(day.rules))
     if day.fault:
         return f"not played to its end: {day.fault}"
-    if spent_s > _MOST_S:
-        return f"took more than {_MOST_S:.0f} s"
+    if cpu_s > _MAX_CPU_S:
+        return f"took more than {_MAX_CPU_S:.0f} s"
     return "" if day.served else "no shares in it"
 
 
-def _share(found: tuple[float, str] | None) -> str:
-    return f"{found[0]:.3f} {found[1]}" if found is not None else "-"
+def _format_share(share: tuple[float, str] | None) -> str:
+    return f"{share[0]:.3f} {share[1]}" if share is not None else "-"
 
 
 @click.command(help=__doc__)
@@ -124,27 +126,27 @@
 @click.option("--under", type=click.FloatRange(0.0, 1.0), default=1.0)
 def main(entries: tuple[Path, ...], under: float) -> None:
     """Print a row for each day of the entries."""
-    shown = Table(title="least shares; simulated machines")
+    table = Table(title="least shares; simulated machines")
     for column in ("entry", "site", "day", "least served", "least in time", "processor s"):
-        shown.add_column(column)
-    days = [row for path in entries for row in rows(read(path))]
-    for row in days:
-        if row.trouble:
-            shown.add_row(row.entry, row.site, row.day, row.trouble, "", f"{row.spent_s:.0f}")
-        elif row.least <= under:
-            shown.add_row(
+        table.add_column(column)
+    all_rows = [row for path in entries for row in rows(read(path))]
+    for row in all_rows:
+        if row.invalid_reason:
+            table.add_row(row.entry, row.site, row.day, row.invalid_reason, "", f"{row.cpu_s:.0f}")
+        elif row.least_share <= under:
+            table.add_row(
                 row.entry,
                 row.site,
                 row.day,
-                _share(row.served),
-                _share(row.in_time),
-                f"{row.spent_s:.0f}",
+                _format_share(row.least_served),
+                _format_share(row.least_in_time),
+                f"{row.cpu_s:.0f}",
             )
-    Console(width=150).print(shown)
-    whole = [row for row in days if not row.trouble]
-    if whole:
-        least = min(whole, key=lambda row: row.least)
-        click.echo(f"the least of {len(whole)} days: {least.least:.3f} on {least.day}")
+    Console(width=150).print(table)
+    valid_rows = [row for row in all_rows if not row.invalid_reason]
+    if valid_rows:
+        worst = min(valid_rows, key=lambda row: row.least_share)
+        click.echo(f"the least of {len(valid_rows)} days: {worst.least_share:.3f} on {worst.day}")
 
 
 if __name__ == "__main__":
