--- a/tools/margins.py
+++ b/tools/margins.py
@@ -69,7 +69,7 @@
 def summarize(jobs: dict[str, CancelledJob], cancel_s: float, limit: int) -> str:
     """Return the text of the result, with the `limit` jobs that had the smallest margins.
 
-    The margin of a job is what was left of `cancel_s` when its last task had ended. Jobs that had no
+    The margin of a job is what was left of `cancel_s` when its last task had ended. Jobs without
     tasks on machines have no margin.
     """
     lines = [f"{len(jobs)} jobs were confirmed as cancelled"]
--- a/tools/variants.py
+++ b/tools/variants.py
@@ -176,6 +176,7 @@
 
 
 def _crashes_in_outage(rng: random.Random, site: Site) -> list[Fault]:
+    """Return an outage of the state service, and crashes of controllers soon after it began."""
     count = rng.randint(1, site.nodes)
     times = sorted(rng.uniform(0.5, 9.0) for _ in range(3))
     return [
@@ -216,6 +217,7 @@
 
 
 def _controllers_down(rng: random.Random, site: Site) -> list[Fault]:
+    """Return the loss of a minority of controllers, perhaps with an outage of the state service."""
     # At most a minority per group: with all controllers down there is no service to test. Groups
     # may overlap.
     count = rng.randint(1, max(1, (site.nodes - 1) // 2))
@@ -230,6 +232,7 @@
 
 
 def _boot_trouble(rng: random.Random, site: Site) -> list[Fault]:
+    """Return faster, slower or failing boots, and machine losses that cause boots."""
     fail_share, factor = rng.choice([(0.0, 0.05), (0.3, 1.0), (0.1, 4.0), (0.0, 4.0)])
     fault = {
         "kind": "boot_trouble",
@@ -278,6 +281,7 @@
 
 
 def _paused_controller(rng: random.Random, site: Site) -> list[Fault]:
+    """Return the pause of a controller, normally the leader, and a crash during the pause."""
     for_s = round(rng.uniform(2.0, 25.0), 1)
     fault = {"kind": "node_freeze", "count": 1, "busiest": True, "for_s": for_s, "at_s": 0.0}
     return [fault, {**_crash_controllers(rng, site), "at_s": round(rng.uniform(0.0, for_s), 1)}]
