--- a/tests/test_variants_tool.py
+++ b/tests/test_variants_tool.py
@@ -112,7 +112,7 @@
 
 
 @pytest.mark.parametrize(
-    ("args", "expected"),
+    ("args", "mention"),
     [
         (["site", "missing.toml", "out.toml"], "missing.toml"),
         (["site", "bad.toml", "out.toml"], "bad.toml"),
@@ -126,14 +126,14 @@
     ],
 )
 def test_commands_name_invalid_input_and_write_nothing(
-    args: list[str], expected: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+    args: list[str], mention: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.chdir(tmp_path)
     _site(tmp_path)
     (tmp_path / "bad.toml").write_text("name =")
     (tmp_path / "empty.toml").write_text("")
     result = CliRunner().invoke(variants.main, args)
-    assert result.exit_code == 2 and expected in result.output
+    assert result.exit_code == 2 and mention in result.output
     assert not (tmp_path / "out.toml").exists() and not (tmp_path / "out").exists()
 
 
