--- a/tealrill/extensions.py
+++ b/tealrill/extensions.py
@@ -1,7 +1,8 @@
-"""What a subsystem may bring, and what it gets: the only kinds that the wiring knows.
+"""Interfaces between the controller and its optional extensions.
 
-A subsystem is a package that the core does not import. `daemon.py` makes those that are switched
-on, serves their routes and runs their loops; `leader/leader.py` gives each a part in its term.
+An extension is a package that the core does not import. `daemon.py` creates the enabled ones,
+serves their routes and runs their loops; `leader/leader.py` creates a `LeaderExtension` of each for
+its term.
 """
 
 from __future__ import annotations
@@ -24,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeadershipContext:
-    """What a subsystem may use of a term of leadership."""
+    """What the leader gives to an extension for one term."""
 
     settings: Settings
     client: StateClient
@@ -32,55 +33,60 @@
     job_store: JobStore
     write_batcher: WriteBatcher
     valid: Callable[[], bool]
-    """Whether the leader may act at this moment."""
+    """Return True while the leader may act."""
     stop: Callable[[Job], None]
-    """A job's record is over, or is certain to be: nothing of it starts, what runs is stopped."""
+    """Start no more tasks of a job and stop the running ones, because its record is deleted or will
+    certainly be."""
     remaining_s: Callable[[Job, Monotonic], float]
-    """How long a job's tasks are expected to take from now on."""
+    """Return the expected time until a job's tasks have ended, in seconds."""
     job_view: Callable[[wire.JobSpec, int], JobView]
-    """A job that is not in the queue as the planner would see it, with so many waiting tasks."""
+    """Return the planner's view of a job outside the queue with so many waiting tasks."""
 
 
 class LeaderExtension(Protocol):
-    """An extension's part of a term. Every call but `run` returns at once."""
+    """An extension's part of a term. No method but `run` blocks."""
 
     def load_records(self, entries: Sequence[wire.Entry]) -> None:
-        """Take all records under `job/` that are no jobs.
+        """Load all records under `job/` that are not jobs.
 
-        Called at the term's start and after a watch that began too late, before the jobs are added.
+        Called at the term's start, and again when the watch has missed changes; each time before
+        the jobs are added.
         """
 
     def on_record_changed(self, key: str, value: Any, version: Revision) -> None:
-        """Such a record was written; None as its value if it was removed."""
+        """Process a change of such a record; `value` is None if it was deleted."""
 
     def claim_job(self, job: Job, value: dict[str, Any]) -> bool:
-        """A job whose record names an owner; False if the owner is none of this subsystem's."""
+        """Take charge of a job whose record names an owner.
+
+        Return False if the owner is not one of this extension's.
+        """
 
     def on_job_ended(self, job: Job) -> None:
-        """The end of a job's record is known; `job.outcome` says how it ended."""
+        """Process the end of a job; `job.outcome` says how it ended."""
 
     def on_cancelled(self, name: str) -> None:
-        """Another node says that it has acknowledged the cancellation of something by this name."""
+        """Process that another member has acknowledged the cancellation of `name`."""
 
     def owner_changed(self, owner: Owner) -> None:
-        """A transaction failed because an owner's record is not as it was."""
+        """Process that a transaction failed because an owner's record has changed."""
 
     def tasks_done(self, job: Job, tasks: list[int]) -> None:
-        """Tasks of a job that others follow are written down as done."""
+        """Process that tasks are committed as done, of a job that reports its completions."""
 
     def upcoming(self, now: Monotonic, within_s: float) -> Iterable[tuple[JobView, int]]:
-        """Tasks that will wait for machines within so many seconds."""
+        """Return the tasks expected to wait for machines within `within_s` seconds, with counts."""
 
     def describe(self) -> dict[str, Any]:
-        """Return what operators are shown."""
+        """Return the fields that this extension adds to the status shown to operators."""
 
     async def run(self) -> None:
-        """Run the extension's loop; ends with the term."""
+        """Run the extension's loop until the term ends."""
 
 
 @dataclass(frozen=True, slots=True)
 class Extension:
-    """One subsystem on one node."""
+    """One extension on one controller."""
 
     name: str
     user_routes: Sequence[Any] = ()
@@ -88,7 +94,7 @@
     peer_routes: Sequence[Any] = ()
     """Served on `cluster_listen`."""
     loops: Sequence[Callable[[], Coroutine[Any, Any, None]]] = field(default=())
-    """Run on every node."""
+    """Run on every controller, leader or not."""
     names: ImplicitJobs | None = None
-    """Job ids that belong to it though they have no record of their own."""
+    """Job ids that belong to the extension although they have no record of their own."""
     term: Callable[[LeadershipContext], LeaderExtension] | None = None
--- a/tealrill/graphs/__init__.py
+++ b/tealrill/graphs/__init__.py
@@ -1,1 +1,1 @@
-"""Task graphs: jobs that wait for other jobs. docs/graphs.md shows them to users."""
+"""Task graphs: jobs that depend on other jobs. docs/graphs.md describes them for users."""
--- a/tealrill/graphs/admission.py
+++ b/tealrill/graphs/admission.py
@@ -1,9 +1,10 @@
-"""What users ask of graphs: the same on every node, answered from the state service.
+"""Submitting, showing and cancelling graphs, the same on every member: answered from the records.
 
-A graph is claimed first (its head, open), filled with parts, and accepted by one transaction that
-requires the head to be as it was. Between claim and acceptance no plain job gets an id of its
-nodes, so what was looked for and not found under its name stays absent. A part, once written, never
-changes, and none can be added after the acceptance, since each requires the open head.
+A submission first writes the graph's record with status open, which reserves the id, then the
+parts. One transaction accepts the graph, guarded by the revision of the open record. While that
+record exists, no plain job with an id of the graph's nodes is accepted, so a check for such jobs
+remains valid until the acceptance. A part never changes once written, and none can be added after
+the acceptance, since its write is guarded by the open record too.
 """
 
 from __future__ import annotations
@@ -63,10 +64,11 @@
 _TRIES: Final = 4
 _TXN_BYTES: Final = 60 * 1024
 _NAMES_KEPT: Final = 4
-"""Graphs whose nodes' keys are remembered for listings."""
+"""Most graphs whose nodes' keys are cached for listings."""
 _PAGE: Final = 200
+"""Nodes per page of records."""
 _PAGES: Final = 10
-"""Pages looked through for one listing by state."""
+"""Most pages of records read for one request of a listing."""
 
 _NO_GRAPH: Final = Reply(404, {"error": "no such graph"})
 
@@ -84,7 +86,7 @@
 
 
 class Found:
-    """What is kept under a graph's name."""
+    """The records of a graph, with the revisions at which they were last changed."""
 
     def __init__(
         self, head: Head | None, mod_revision: Revision, over: Over | None, over_stamp: Revision
@@ -96,7 +98,7 @@
 
 
 class GraphAdmission:
-    """Submit, show and cancel graphs; answer for the ids of their nodes as `ImplicitJobs`."""
+    """Submit, show and cancel graphs; implement `ImplicitJobs` for the ids of their nodes."""
 
     def __init__(
         self,
@@ -110,7 +112,7 @@
         self._features = features
         self._admission = admission
         self._counts = counts
-        """A live graph's nodes by state, as its leader has them; None if it can't be asked."""
+        """Return the number of a graph's nodes by state from its leader; None without an answer."""
         state = settings.params.state
         self._txn_ops = state.txn_ops
         self._value_bytes = int(state.value_kb * 1024)
@@ -119,7 +121,7 @@
     # -- ids of nodes ---------------------------------------------------------------------------
 
     def conflicting_keys(self, job_id: JobId) -> list[str]:
-        """Return the keys that must be absent where a plain job takes this id."""
+        """Return the keys that must be absent for a plain job of this id to be accepted."""
         graph = graph_prefix(job_id)
         if graph is None:
             return []
@@ -141,7 +143,7 @@
         return ImplicitJob(wire.JOB_PENDING) if node[1] < found.head.nodes else None
 
     async def refusal(self, job_id: JobId) -> Reply | None:
-        """Return the answer to a plain job whose id belongs to a graph."""
+        """Return the rejection of a plain job whose id belongs to an accepted or ended graph."""
         graph = graph_prefix(job_id)
         if graph is None:
             return None
@@ -152,7 +154,10 @@
         return None
 
     async def cancel(self, job_id: JobId) -> Revision | None:
-        """Cancel a gated node; the revision that made it true, or None."""
+        """Cancel a gated node.
+
+        Return the revision of the cancellation; None if it was not executed or that is unknown.
+        """
         node = parse_node_id(job_id)
         assert node is not None
         found = await self._find(node[0])
@@ -178,7 +183,10 @@
     # -- reading --------------------------------------------------------------------------------
 
     async def _find(self, graph: str) -> Found:
-        """Head and end, read in the order in which a graph moves."""
+        """Read the records of a graph: `job/GRAPH` first, then `over/GRAPH`.
+
+        An ended graph moves in this direction, so reading in the same order can't miss it.
+        """
         entry = await self._client.get(records.graph_key(graph))
         try:
             head = None if entry is None else records.read_head(entry.value)
@@ -187,8 +195,8 @@
             over = await self._client.get(records.graph_over_key(graph))
             end = None if over is None else records.read_over(over.value)
             if over is not None and end is not None and end.status == wire.JOB_CANCELLED:
-                # Whatever is answered from it tells a user, perhaps before the node that cancelled
-                # it could; and that one may have ended since.
+                # The answer tells a user of the cancellation, perhaps before the member that
+                # executed it has acknowledged it; that member may also have failed since.
                 self._admission.acknowledge(graph, Revision(over.version))
             return Found(
                 head,
@@ -197,7 +205,7 @@
                 ABSENT if over is None else Revision(over.version),
             )
         except GraphRecordError as error:
-            log.error("graph %s: %s", graph, error)
+            log.error("graph not read: graph=%s error=%s", graph, error)
             raise StateUnavailableError(f"graph {graph}: {error}") from None
 
     async def _read_parts(self, graph: str) -> dict[int, Packed]:
@@ -205,7 +213,10 @@
         return records.gather(entries)
 
     async def _plain_job(self, graph: str) -> str | None:
-        """A job that has an id of the graph's nodes without being one."""
+        """Return a plain job with an id of the graph's nodes; None if there is none.
+
+        Called before the graph is accepted, when it has no nodes that are jobs.
+        """
         for prefix in (records.graph_key(graph), records.graph_over_key(graph)):
             page = await self._client.page(prefix + "-", None, 1)
             if page.items:
@@ -215,7 +226,7 @@
     # -- submitting -----------------------------------------------------------------------------
 
     async def submit(self, body: bytes) -> Reply:
-        """Submit a graph, or begin one that comes in parts."""
+        """Submit a graph, or open one that is submitted in parts."""
         return await self._guarded(self._submit, body)
 
     async def put_part(self, graph: str, number: int, body: bytes) -> Reply:
@@ -223,7 +234,7 @@
         return await self._guarded(self._put_part, graph, number, body)
 
     async def seal(self, graph: str, body: bytes) -> Reply:
-        """Accept an open graph once all its parts are there."""
+        """Accept an open graph if all its parts are stored."""
         return await self._guarded(self._seal_request, graph, body)
 
     async def _guarded(self, call: Callable[..., Awaitable[Reply]], *arguments: Any) -> Reply:
@@ -236,7 +247,7 @@
         except TransactionRejectedError as error:
             return Reply(400, {"error": f"the state service can't keep it: {error}"})
         except StateError as error:
-            log.debug("graphs: %s", error)
+            log.debug("graph request failed: error=%s", error)
             if isinstance(error, RateLimitedError):
                 return _later("too many submissions")
             return _later("the state service can't be reached", retry_on_other_node=True)
@@ -264,7 +275,7 @@
         return _later("not decided")
 
     def _known(self, graph: str, found: Found, whole: str) -> Reply | None:
-        """The answer to a repetition; None if there is something to do."""
+        """Return the reply to a repeated or conflicting submission; None for any other."""
         if found.over is not None:
             if found.over.digest != whole:
                 return _conflict("another graph had this id")
@@ -285,10 +296,10 @@
         return {"id": graph, "status": records.ACCEPTED, "nodes": head.nodes, "edges": head.edges}
 
     async def _begin(self, graph: str, submission: Submission, whole: str) -> bool:
-        """Claims the id and keeps part 0; False if it has to be looked at again."""
+        """Write the open record and part 0; False if the records have to be read again."""
         await self._check(graph, submission.defaults, submission.nodes)
         if submission.seal:
-            # Whatever is wrong with it is said before anything of it is kept.
+            # Rejects an invalid graph before any of its records is written.
             self._resolve(submission.defaults, submission.retries, [submission.nodes])
         plain = await self._plain_job(graph)
         if plain is not None:
@@ -339,7 +350,7 @@
         guards: list[dict[str, Any]],
         changes: list[dict[str, Any]],
     ) -> None:
-        """Adds a whole part to a transaction; raises `InvalidGraphError` if it does not fit one."""
+        """Add a whole part to a transaction; raise `InvalidGraphError` if it does not fit."""
         for fragment, value in enumerate(records.pack(nodes, self._value_bytes)):
             key = records.fragment_key(graph, number, fragment)
             guards.append(wire.guard(key, ABSENT))
@@ -353,13 +364,16 @@
     async def _commit(
         self, guards: list[dict[str, Any]], changes: list[dict[str, Any]]
     ) -> Committed | GuardsFailed | None:
-        """None if it is not known whether it was executed. Plain submissions go first."""
+        """Commit at low priority, so that submissions of plain jobs take precedence.
+
+        Return None if it is unknown whether the transaction was executed.
+        """
         if not self._client.submissions.try_acquire(len(changes), RequestPriority.LOW):
             raise RateLimitedError("too many submissions")
         try:
             return await self._client.commit(guards, changes, tokens_acquired=True)
         except OutcomeUnknownError as error:
-            log.info("graph: commit without an answer (%s): reading back", error)
+            log.info("graph commit without an answer, records are read again: error=%s", error)
             return None
 
     async def _put_part(self, graph: str, number: int, body: bytes) -> Reply:
@@ -418,16 +432,16 @@
             guards = [wire.guard(records.graph_key(graph), found.mod_revision)]
             changes = [wire.put(records.graph_key(graph), msgspec.to_builtins(sealed))]
             if isinstance(await self._commit(guards, changes), Committed):
-                log.info("graph %s accepted: %d nodes", graph, sealed.nodes)
+                log.info("graph accepted: graph=%s nodes=%d", graph, sealed.nodes)
                 return Reply(201, self._accepted(graph, sealed))
         return _later("not decided")
 
     async def _whole(self, graph: str, head: Head, parts: int) -> Head | Reply:
-        """The head as it is once accepted, after a look at all that is kept."""
+        """Return the accepted record after checking all parts, or a reply that rejects the seal."""
         try:
             kept = await self._read_parts(graph)
         except GraphRecordError as error:
-            log.error("graph %s: %s", graph, error)
+            log.error("graph not sealed, its parts can't be read: graph=%s error=%s", graph, error)
             return _later("its parts can't be read")
         missing = [number for number in range(parts) if number not in kept]
         if missing:
@@ -439,7 +453,8 @@
             unpacked = (records.unpack(kept[number]) for number in range(parts))
             return self._resolve(head.defaults, head.retries, unpacked)
 
-        # Beside the loop: a large graph takes a second on a share of a core.
+        # In a thread: a large graph takes a second on a fraction of a core, which would block the
+        # event loop.
         found = await asyncio.to_thread(shape)
         plain = await self._plain_job(graph)
         if plain is not None:
@@ -456,7 +471,7 @@
     # -- showing --------------------------------------------------------------------------------
 
     async def show(self, graph: str) -> Reply:
-        """Answer with a graph's status and counts."""
+        """Return a graph's status and counts."""
         return await self._guarded(self._show, graph)
 
     async def _show(self, graph: str) -> Reply:
@@ -485,7 +500,7 @@
         return Reply(200, {**self._accepted(graph, head), "counts": counts})
 
     async def _ended(self, graph: str) -> dict[str, int]:
-        """How many nodes ended in which way, by their own records."""
+        """Return the number of ended nodes by state, from their own records."""
         counts = dict.fromkeys(STATES[3:], 0)
         entries, _ = await self._client.scan(records.graph_over_key(graph) + "-")
         for entry in entries:
@@ -493,7 +508,7 @@
         return counts
 
     async def nodes(self, graph: str, state: str | None, start: int, most: int) -> Reply:
-        """Answer with nodes in their order, `most` at a time."""
+        """Return at most `most` nodes in their order, from number `start`, in `state` if given."""
         return await self._guarded(self._nodes, graph, state, start, most)
 
     async def _nodes(self, graph: str, state: str | None, start: int, most: int) -> Reply:
@@ -526,9 +541,9 @@
         )
 
     async def _states(self, graph: str, start: int) -> dict[int, str]:
-        """Return the states of those of `_PAGE` nodes from `start` on that have a record.
+        """Return the states of the nodes with a record, of `_PAGE` nodes from `start`.
 
-        They are read in the order in which records move.
+        The records under `job/` are read first, since they move from there to `over/`.
         """
         found: dict[int, str] = {}
         for own, over in ((JOB_PREFIX, False), (ENDED_PREFIX, True)):
@@ -572,7 +587,7 @@
             if head.status == records.ACCEPTED:
                 first = wire.delete(key)
             else:
-                # Its parts are to be removed before its head is.
+                # Its parts are deleted before its record is (`GraphLeaderExtension`).
                 expired = msgspec.structs.replace(head, status="expired")
                 first = wire.put(key, msgspec.to_builtins(expired))
             guards = [wire.guard(key, found.mod_revision), wire.guard(end, ABSENT)]
@@ -582,7 +597,7 @@
             except OutcomeUnknownError:
                 continue
             if isinstance(result, Committed):
-                log.info("graph %s cancelled", graph)
+                log.info("graph cancelled: graph=%s", graph)
                 self._admission.acknowledge(graph, result.revision)
                 return Reply(200, {"id": graph, "status": wire.JOB_CANCELLED})
         return _later("not cancelled yet")
--- a/tealrill/graphs/api.py
+++ b/tealrill/graphs/api.py
@@ -1,4 +1,4 @@
-"""Graphs over HTTP: for users on `client_listen`, the leader's counts for other nodes."""
+"""HTTP handlers for graphs: users' requests, and the leader's node counts for other members."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 COUNTS_PATH: Final = "/peer/graphs"
 _MOST_LISTED: Final = 500
 _SLOW_S: Final = 2.0
-"""A request that takes longer than this is handed to another node as well."""
+"""A request that takes longer than this is relayed to another member as well."""
 _PATIENCE_S: Final = 4.0
-"""How long that node may take; users wait five seconds."""
+"""Timeout of the relayed request; users wait five seconds."""
 
 
 class _GraphHandler(JsonHandler):
@@ -26,7 +26,7 @@
         self._relay = relay
 
     async def settle(self, local: Coroutine[Any, Any, Reply]) -> None:
-        """Answers from here; by way of another node if this one can't reach the records."""
+        """Send the reply of this member, or another member's if this one can't read the records."""
         request = self.request
         if self._relay is None:
             reply = await local
@@ -37,10 +37,10 @@
 
 
 class GraphsHandler(_GraphHandler):
-    """Graphs as a collection."""
+    """The collection of graphs."""
 
     async def post(self) -> None:
-        """Submit a graph, or begin one."""
+        """Submit a graph, or open one that is submitted in parts."""
         await self.settle(self._graphs.submit(self.request.body))
 
 
@@ -48,7 +48,7 @@
     """One graph."""
 
     async def get(self, graph: str) -> None:
-        """Answer with a graph's status and counts."""
+        """Send a graph's status and counts."""
         await self.settle(self._graphs.show(graph))
 
 
@@ -64,15 +64,15 @@
 
 
 class SealHandler(_GraphHandler):
-    """The end of an open graph's submission."""
+    """The seal of an open graph."""
 
     async def post(self, graph: str) -> None:
-        """Seal the graph."""
+        """Accept the graph if all its parts are stored."""
         await self.settle(self._graphs.seal(graph, self.request.body))
 
 
 class CancelGraphHandler(_GraphHandler):
-    """A graph's cancellation."""
+    """The cancellation of a graph."""
 
     async def post(self, graph: str) -> None:
         """Cancel the graph."""
@@ -83,7 +83,7 @@
     """The nodes of a graph, page by page."""
 
     async def get(self, graph: str) -> None:
-        """Answer with nodes in their order."""
+        """Send nodes in their order."""
         numbers = {}
         for name, default, highest in (("from", 0, 10**9), ("most", 100, _MOST_LISTED)):
             text = self.get_argument(name, str(default))
@@ -97,14 +97,14 @@
 
 
 class CountsHandler(JsonHandler):
-    """What the leader knows of a live graph; 404 from a node that does not lead."""
+    """The number of an accepted graph's nodes by state; 404 from a member that does not lead."""
 
     def initialize(self, counts: Callable[[str], dict[str, int] | None]) -> None:
-        """Take the function that knows the counts."""
+        """Store the function that returns the counts."""
         self._counts = counts
 
     def get(self, graph: str) -> None:
-        """Answer with the counts of a live graph."""
+        """Send the counts of an accepted graph."""
         counts = self._counts(graph)
         if counts is None:
             self.reply(404, {"error": "not known here"})
@@ -133,7 +133,7 @@
 def peer_routes(
     graphs: GraphAdmission, counts: Callable[[str], dict[str, int] | None]
 ) -> list[Any]:
-    """What other nodes hand on, and what they ask the leader."""
+    """Return the routes for requests that other members relay, and for the leader's counts."""
     return [
         (COUNTS_PATH + r"/([^/]+)", CountsHandler, {"counts": counts}),
         *_routes(PEER_PREFIX, {"graphs": graphs}),
--- a/tealrill/graphs/extension.py
+++ b/tealrill/graphs/extension.py
@@ -1,4 +1,4 @@
-"""Graphs as the wiring takes them."""
+"""The extension for task graphs: creates its parts for one controller."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class Counts:
-    """A live graph's nodes by state: from the own term, or from the node that leads."""
+    """Number of an accepted graph's nodes by state, from this member's term or from the leader."""
 
     def __init__(self, settings: Settings, election: Election) -> None:
         self._election = election
@@ -28,13 +28,13 @@
         self.term: GraphLeaderExtension | None = None
 
     def here(self, graph: str) -> dict[str, int] | None:
-        """Return the counts of a graph's nodes if this member leads, else None."""
+        """Return the counts if this member leads and has loaded the graph, else None."""
         if self.term is None or self._election.valid_leadership(monotonic_now()) is None:
             return None
         return self.term.counts(graph)
 
     async def anywhere(self, graph: str) -> dict[str, int] | None:
-        """Return the counts from here or from the leader; None if neither answers."""
+        """Return the counts from this member or from the leader; None if neither has them."""
         counts = self.here(graph)
         known_leader = self._election.known_leader
         peer = self._peers.get(known_leader.host) if known_leader is not None else None
@@ -55,7 +55,7 @@
     election: Election,
     relay: Relay,
 ) -> Extension:
-    """The subsystem for one node."""
+    """Create the extension for one controller."""
     counts = Counts(settings, election)
     asked = GraphAdmission(client, settings, features, admission, counts.anywhere)
 
--- a/tealrill/graphs/leader_extension.py
+++ b/tealrill/graphs/leader_extension.py
@@ -1,11 +1,14 @@
-"""The leader's part in graphs: releases nodes, hears how they end, ends graphs, clears up.
-
-Wanted: every node whose wait is over is an ordinary job, every graph whose nodes are over is over,
-every job whose graph is over is stopped. What is known comes from the watch on `job/`, from the
-keeper's transactions and, once a graph, from its parts and its nodes' ends. Every write is guarded
-by the leader's key and by the head of its graph (`Owner`), which nobody changes between acceptance
-and end: so nothing is released, bound or done once somebody may have been told that the graph is
-cancelled. What a guard refuses is read back and taken for what it is.
+"""The leader's part of task graphs: release nodes, track their ends, end graphs, delete leftovers.
+
+Invariants that the leader works towards: a node whose dependencies are satisfied is an ordinary
+job; a graph whose nodes have all ended has ended; the jobs of an ended graph are stopped. The
+leader learns of changes from the watch on `job/` and from the write batcher's transactions, and
+reads a graph's parts and the ends of its nodes once, when it loads the graph.
+
+Every write is guarded by the leader's key and by the graph's record (`Owner`), which does not
+change between acceptance and end. So nothing is released, bound or recorded as done once a user may
+have been told that the graph is cancelled. When a guard fails, the records that it names are read,
+and the leader applies what they say.
 """
 
 from __future__ import annotations
@@ -60,25 +63,26 @@
 log = logging.getLogger(__name__)
 
 _BACKLOG: Final = 256
-"""Released nodes of a graph that still have tasks in the queue. More would change no start, while
-every pass looks at all that is in the queue."""
+"""Most nodes of a graph that are released and still have tasks in the queue. A longer queue would
+start no task earlier, but each scheduling pass examines all of it."""
 _IN_FLIGHT: Final = 32
-"""Releases of a graph that wait for their transaction; the rest stays in the order of its paths."""
+"""Most releases of a graph that wait for their transaction; the other ready nodes stay ordered by
+the path behind them. Also the most orphaned jobs ended, and fragments deleted, at a time."""
 _GAP_S: Final = 0.1
 _BACKLOG_EVERY_S: Final = 0.5
 _RETRY_S: Final = 1.0
 _EXPIRY_EVERY_S: Final = 30.0
 _PARTS_KEPT: Final = 8
-"""Unpacked parts that are kept for the next releases."""
+"""Unpacked parts that are cached for the next releases."""
 _NEAR: Final = 128
-"""Nodes about to be released for which machines are wished for ahead."""
+"""Most gated nodes of a graph whose demand is reported before they are released."""
 _KINDS: Final = 64
-"""Different needs of such nodes that are remembered."""
+"""Most distinct job views that are cached for such nodes."""
 
 
 @dataclass(eq=False)
 class Live:
-    """An accepted graph that is not over, as its leader knows it."""
+    """An accepted graph that has not ended, with the progress known to its leader."""
 
     name: str
     head: Head
@@ -86,19 +90,21 @@
     parts: list[Packed]
     progress: Progress
     first: list[int] = field(default_factory=list)
-    """The number of each part's first node."""
+    """Index of each part's first node."""
     jobs: dict[int, Job] = field(default_factory=dict)
-    """Released nodes that are not over."""
+    """Jobs of the released nodes that have not ended."""
     in_flight: int = 0
+    """Releases that wait for their transaction."""
     ending: bool = False
+    """The transaction that ends the graph is in flight."""
     stopped_by: str = ""
-    """The failed node for which all of it is to be stopped."""
+    """Key of the failed node because of which the whole graph is to be stopped."""
     unpacked: OrderedDict[int, list[Node]] = field(default_factory=OrderedDict)
     views: dict[int, JobView] = field(default_factory=dict)
     kinds: dict[bytes, JobView] = field(default_factory=dict)
 
     def node(self, index: int) -> Node:
-        """Return a node as its user wrote it."""
+        """Return a node as its user submitted it; raise `GraphRecordError`."""
         part = bisect_right(self.first, index) - 1
         nodes = self.unpacked.get(part)
         if nodes is None:
@@ -109,13 +115,14 @@
         return nodes[index - self.first[part]]
 
     def spec(self, index: int) -> wire.JobSpec:
-        """Return a node as the job that it is."""
+        """Return the job specification of a node."""
         return node_spec(self.name, index, self.head.defaults, self.node(index))
 
     def due_s(self, index: int, spec: wire.JobSpec, now: float) -> float | None:
-        """Return the seconds until the node is due.
+        """Return the seconds until the node is due; None if it has no deadline.
 
-        Its own deadline counts, or what the graph's leaves before the path behind the node.
+        This is the earlier of its own deadline and the graph's deadline less the estimated time of
+        the longest path behind the node.
         """
         due = [] if spec.deadline_s is None else [spec.deadline_s]
         if self.head.due_s is not None:
@@ -124,45 +131,50 @@
         return min(due, default=None)
 
     def backlog(self) -> int:
-        """Return how many of its jobs are released and not yet started."""
+        """Return how many nodes are being released or are released with unstarted tasks."""
         return self.in_flight + sum(job.waiting > 0 for job in self.jobs.values())
 
 
 def _shape(head: Head, parts: Sequence[Packed]) -> Shape:
     shape = resolve(head.defaults, head.retries, (records.unpack(part) for part in parts))
-    # Half of what a node would take here; a key is needed for a message at most.
+    # The keys would take half of the memory per node, and are needed for error messages only.
     shape.keys.clear()
     return shape
 
 
 class GraphLeaderExtension:
-    """All graphs, for one term."""
+    """All graphs during one term."""
 
     def __init__(self, term: LeadershipContext, features: GraphFeatures) -> None:
         self._term = term
         self._features = features
         self._wake = asyncio.Event()
         self._heads: dict[str, tuple[Head, Owner]] = {}
-        """Accepted graphs that are not over."""
+        """Accepted graphs that have not ended."""
         self._drafts: dict[str, tuple[Head, Revision]] = {}
         """Graphs that are open or expired."""
         self._expiring: set[str] = set()
+        """Drafts with a write in flight that expires them or deletes their records."""
         self._live: dict[str, Live] = {}
+        """The accepted graphs whose records have been read."""
         self._heard: dict[str, list[tuple[int, int]]] = {}
-        """Ends that were heard of while a graph was being read."""
+        """Ends of nodes that were reported while their graph was not loaded."""
         self._orphans: dict[JobId, tuple[Revision, wire.JobSpec]] = {}
-        """Records of jobs whose graph is over."""
+        """Jobs that still have a record although their graph has ended."""
         self._burials: set[JobId] = set()
+        """Orphans with a write in flight that ends them."""
         self._words: dict[str, Revision] = {}
+        """Revisions of the cancellation notices (`records.word_key`), by graph."""
         self._aside: dict[str, Owner] = {}
-        """Graphs that this program can't read: nothing more of them starts until one can."""
+        """Graphs whose records this version can't read: no node of them is released, and their jobs
+        are blocked when they are claimed."""
 
-    # -- what is heard --------------------------------------------------------------------------
+    # -- changes of records ---------------------------------------------------------------------
 
     def load_records(self, entries: Sequence[wire.Entry]) -> None:
-        """Take all records under `job/` that are no jobs."""
+        """Load all records under `job/` that are not jobs."""
         present = {entry.key: entry for entry in entries}
-        # What was missed of the nodes' ends is read again with the graph.
+        # Ends of nodes that the watch missed are read when the graph is loaded again.
         self._live.clear()
         self._words.clear()
         for name in [*self._heads, *self._drafts, *self._aside]:
@@ -173,12 +185,12 @@
         self._wake.set()
 
     def on_record_changed(self, key: str, value: Any, version: Revision) -> None:
-        """Take one such record, None as its value if it was removed."""
+        """Process a change of such a record; `value` is None if it was deleted."""
         about = records.graph_of_word(key)
         if about is not None:
             self._take_word(about, value, version)
         elif value is None:
-            self._gone(key.removeprefix(JOB_PREFIX), "its record is gone")
+            self._gone(key.removeprefix(JOB_PREFIX), "record deleted")
         else:
             self._take_head(key.removeprefix(JOB_PREFIX), value, version)
         self._wake.set()
@@ -208,8 +220,11 @@
             self._drafts[name] = (head, version)
 
     def _set_aside(self, name: str, version: Revision, error: Exception) -> None:
-        """What can't be read must not end the term, and with it everybody's service."""
-        log.error("graph %s can't be read, nothing more of it starts: %s", name, error)
+        """Hold a graph that can't be read.
+
+        Raising the error would end the term and interrupt the service for all jobs.
+        """
+        log.error("graph held, its records can't be read: graph=%s error=%s", name, error)
         known = self._heads.pop(name, None)
         self._live.pop(name, None)
         self._heard.pop(name, None)
@@ -217,7 +232,7 @@
         self._aside[name] = owner or Owner(records.graph_key(name), version, name)
 
     def claim_job(self, job: Job, value: dict[str, Any]) -> bool:
-        """Take a job that a graph owns; False if no graph known here does."""
+        """Take charge of a job that belongs to a graph; False if it belongs to none."""
         name, node = value["owner"], parse_node_id(job.id)
         if node is None or node[0] != name:
             return False
@@ -227,7 +242,7 @@
             return True
         known = self._heads.get(name)
         if known is None:
-            # The graph ended before this: its record goes where its graph's went.
+            # The graph has ended: the job's record is to be moved to `over/` as well.
             job.cancelled = True
             job.outcome = OUTCOME_CANCELLED
             self._orphan(job)
@@ -236,7 +251,7 @@
         try:
             kept = records.read_node_job(value)
         except GraphRecordError as error:
-            log.error("record of node %s: %s", job.id, error)
+            log.error("node held, its record can't be read: job=%s error=%s", job.id, error)
             self._term.job_store.block_tasks(job)
             return True
         job.max_task_errors = kept.retries
@@ -250,19 +265,19 @@
         return True
 
     def on_job_ended(self, job: Job) -> None:
-        """Settle the node whose job has ended."""
+        """Record the end of the node whose job has ended."""
         node = parse_node_id(job.id)
         if job.owner is None or node is None:
             return
         self._settle(job.owner.name, node[1], outcome_state(job.outcome))
 
     def on_cancelled(self, name: str) -> None:
-        """Stop a graph that another member has called cancelled."""
+        """Stop a graph whose cancellation another member has acknowledged."""
         if name in self._heads or name in self._aside:
-            self._gone(name, "another node acknowledged its cancellation")
+            self._gone(name, "cancellation acknowledged by another member")
 
     def tasks_done(self, job: Job, tasks: list[int]) -> None:
-        """Tasks of a followed node are written down as done."""
+        """Unblock the tasks that wait for single tasks of a node, now committed as done."""
         node = parse_node_id(job.id)
         live = self._live.get(job.owner.name) if job.owner is not None else None
         if live is None or node is None:
@@ -271,20 +286,20 @@
         self._wake.set()
 
     def owner_changed(self, owner: Owner) -> None:
-        """A guard on a graph's head failed."""
+        """Stop a graph whose record has changed or is deleted, as a failed guard has shown."""
         known = self._heads.get(owner.name)
         if owner in (known[1] if known is not None else None, self._aside.get(owner.name)):
-            self._gone(owner.name, "its record was found changed")
+            self._gone(owner.name, "record changed")
 
     # -- nodes ----------------------------------------------------------------------------------
 
     def _attach(self, live: Live, index: int, job: Job) -> None:
-        """A node's job is in the book."""
+        """Attach the job in the job store to its node."""
         progress = live.progress
         progress.released(index)
         live.views.pop(index, None)
         if progress.state[index] != RELEASED:
-            # While its release was on its way, what it waits for became impossible.
+            # While its release was in flight, a dependency ended so that the node is skipped.
             self._term.job_store.abort_job(job, OUTCOME_SKIPPED)
         live.jobs[index] = job
         if progress.is_followed(index):
@@ -294,7 +309,7 @@
             self._open(live, index, job)
 
     def _open(self, live: Live, index: int, job: Job) -> None:
-        """Lets all tasks go whose wait is over."""
+        """Unblock all tasks of a node whose dependencies are done."""
         for task in live.progress.open_elements(index):
             self._term.job_store.unblock_task(job, task)
 
@@ -330,7 +345,7 @@
         self._wake.set()
 
     def _gone(self, name: str, why: str) -> None:
-        """A graph's head is gone: nothing of it may run."""
+        """Drop a graph whose record is gone, and stop its jobs."""
         self._drafts.pop(name, None)
         aside = self._aside.pop(name, None)
         self._heard.pop(name, None)
@@ -341,7 +356,12 @@
             return
         jobs = [job for job in self._term.job_store.jobs.values() if job.owner is owner]
         if jobs:
-            log.info("graph %s is over (%s); %d of its jobs are stopped", name, why, len(jobs))
+            log.info(
+                "graph ended, its jobs are stopped: graph=%s reason=%s jobs=%d",
+                name,
+                why,
+                len(jobs),
+            )
         for job in jobs:
             if not job.cancelled:
                 job.outcome = OUTCOME_CANCELLED
@@ -351,7 +371,7 @@
     # -- the loop -------------------------------------------------------------------------------
 
     async def run(self) -> None:
-        """Release, end and remove what is due, until the term ends."""
+        """Load graphs, release and end nodes and delete leftovers until the term ends."""
         while True:
             self._wake.clear()
             pause_s: float | None = None
@@ -363,7 +383,7 @@
                 ]:
                     await self._clear_up(name)
             except StateError as error:
-                log.debug("reading graphs: %s", error)
+                log.debug("reading graphs failed: error=%s", error)
                 pause_s = _RETRY_S
             if self._term.valid():
                 self._advance()
@@ -375,7 +395,7 @@
                     await self._wake.wait()
 
     def _pause_s(self) -> float | None:
-        """Until when nothing needs a look if nothing is heard; None: for ever."""
+        """Return the seconds until the next pass unless the loop is woken; None: no limit."""
         if any(live.progress.has_ready for live in self._live.values()):
             return _BACKLOG_EVERY_S
         return _EXPIRY_EVERY_S if self._drafts else None
@@ -437,7 +457,8 @@
             live.in_flight -= 1
             over = found.get(ended_key(job))
             if over is not None:
-                # Cancelled while it was gated, or released and ended by a late transaction.
+                # The node was cancelled while gated, or a transaction whose outcome was unknown
+                # released it, and it has ended since.
                 self._settle(live.name, index, _state_of(over.value))
             elif found.get(job_key(job)) is not None:
                 live.progress.released(index)
@@ -466,14 +487,14 @@
         key = records.graph_over_key(live.name)
 
         def applied(_: Revision) -> None:
-            log.info("graph %s is %s %s", live.name, status, why)
-            self._gone(live.name, f"it is {status}")
+            log.info("graph ended: graph=%s status=%s reason=%s", live.name, status, why)
+            self._gone(live.name, f"status {status}")
             self._wake.set()
 
         def refused(found: dict[str, wire.KeyValue | None]) -> None:
             live.ending = False
             if key in found and found[key] is not None:
-                self._gone(live.name, "it was ended by another node")
+                self._gone(live.name, "ended by another member")
             self._wake.set()
 
         live.ending = True
@@ -487,7 +508,7 @@
         )
 
     def _bury(self, job: JobId) -> None:
-        """Moves the record of a job whose graph is over to where its graph's is."""
+        """Move the record of a job whose graph has ended from `job/` to `over/`, as cancelled."""
         mod_revision, spec = self._orphans[job]
         value = {
             "status": wire.JOB_CANCELLED,
@@ -501,7 +522,8 @@
             self._wake.set()
 
         def refused(_: dict[str, wire.KeyValue | None]) -> None:
-            # Its record is gone already: cancelled by itself, or done before its graph ended.
+            # Its record has gone already: it was cancelled by itself, or done before its graph
+            # ended.
             applied(ABSENT)
 
         self._burials.add(job)
@@ -517,11 +539,11 @@
     def _forget_word(self, name: str, version: Revision) -> None:
         key = records.word_key(name)
         del self._words[name]
-        # A word that comes meanwhile is seen, and forgotten in its turn.
+        # A notice that is written in the meantime arrives by the watch and is deleted later.
         terminated = JoinedWrite({key: version}, [wire.delete(key)], lambda _: None, lambda _: None)
         self._term.write_batcher.join(terminated)
 
-    # -- graphs that were never sealed ----------------------------------------------------------
+    # -- graphs that are not sealed in time -----------------------------------------------------
 
     def _expire(self) -> None:
         now = wall_now()
@@ -531,8 +553,10 @@
                 self._join_expiry(name, head, version)
 
     def _join_expiry(self, name: str, head: Head, version: Revision) -> None:
-        """From here on no part can be added to it, so that its parts can be removed."""
-        log.info("graph %s was not sealed for %.0f s: removed", name, self._features.open_s)
+        """Mark an open graph as expired, so that no part is added while its parts are deleted."""
+        log.info(
+            "graph expired, not sealed in time: graph=%s limit_s=%.0f", name, self._features.open_s
+        )
         expired = msgspec.structs.replace(head, status="expired")
         key = records.graph_key(name)
 
@@ -544,7 +568,7 @@
         self._term.write_batcher.join(JoinedWrite({key: version}, changes, done, done))
 
     async def _clear_up(self, name: str) -> None:
-        """Removes the parts of an expired graph, a few at a time, then its head."""
+        """Delete the parts of an expired graph, a few at a time, then its record."""
         if name in self._expiring or name not in self._drafts:
             return
         _, version = self._drafts[name]
@@ -561,18 +585,22 @@
                     self._expiring.discard(name)
                     self._wake.set()
 
-            # One by one: a set of many waits for a bucket that may never be so full.
+            # One write per part: a write of many changes needs as many tokens of the rate limiter
+            # at once, and its bucket may never hold that many.
             self._term.write_batcher.join(
                 JoinedWrite({key: mod_revision}, [wire.delete(key)], done, done)
             )
 
-    # -- reading a graph ------------------------------------------------------------------------
+    # -- loading a graph ------------------------------------------------------------------------
 
     async def _load(self, name: str) -> None:
-        """Reads a graph and how its nodes ended; the book has those that are released."""
+        """Read a graph's parts and the ends of its nodes.
+
+        Released nodes that have not ended are in the job store already.
+        """
         known = self._heads.get(name)
         if known is None:
-            # Cancelled while another graph was being read; an error here ended the whole term.
+            # Cancelled while another graph was being read. A KeyError here would end the term.
             return
         head, owner = known
         self._heard[name] = []
@@ -581,10 +609,11 @@
         try:
             found = records.gather(entries)
             parts = [found[number] for number in range(head.parts)]
-            # Beside the loop: a large graph takes a second on a share of a core.
+            # In a thread: a large graph takes a second on a fraction of a core, which would block
+            # the event loop.
             shape = await asyncio.to_thread(_shape, head, parts)
         except (GraphRecordError, InvalidGraphError, KeyError) as error:
-            # Accepted graphs were read back whole; what is wrong here is not mended by waiting.
+            # The graph was read completely before it was accepted, so reading it again won't help.
             self._set_aside(name, owner.mod_revision, error)
             return
         if self._heads.get(name) is not known:
@@ -600,20 +629,21 @@
             self._settle(name, index, state)
         live.progress.begin()
         log.info(
-            "graph %s: %d nodes, %d edges read: %s",
+            "graph loaded: graph=%s nodes=%d edges=%d states=%s",
             name,
             head.nodes,
             head.edges,
             live.progress.counted(),
         )
 
-    # -- what others ask ------------------------------------------------------------------------
+    # -- queries --------------------------------------------------------------------------------
 
     def upcoming(self, now: Monotonic, within_s: float) -> Iterator[tuple[JobView, int]]:
-        """Nodes that wait for released ones only, all of which end within `within_s`.
+        """Yield the demand of gated nodes that are expected to be ready within `within_s` seconds.
 
-        Nodes that need the same are one wish: looked at one by one, the nodes behind a wide layer
-        made a pass cost more than twice as much.
+        Only nodes are considered whose dependencies are all released. Nodes with the same
+        requirements share one view: one view per node behind a wide layer made a pass cost more
+        than twice as much.
         """
         for live in self._live.values():
             found: dict[JobView, int] = {}
@@ -625,7 +655,10 @@
             yield from found.items()
 
     def _awaited_s(self, live: Live, index: int, left_s: dict[int, float], now: Monotonic) -> float:
-        """Until all that a node waits for is expected to have ended; `left_s` remembers."""
+        """Return the expected seconds until all dependencies of a node have ended.
+
+        `left_s` caches the time of each dependency.
+        """
         longest = 0.0
         for up, _ in live.progress.shape.awaited(index):
             if up not in left_s:
@@ -635,7 +668,7 @@
         return longest
 
     def _wish(self, live: Live, index: int) -> JobView:
-        """The node as the planner would see it, one and the same for all that need the same."""
+        """Return the planner's view of a node; nodes with the same requirements share one."""
         view = live.views.get(index)
         if view is None:
             spec = live.spec(index)
@@ -650,12 +683,12 @@
         return view
 
     def counts(self, name: str) -> dict[str, int] | None:
-        """A live graph's nodes by state; None if this leader has not read it."""
+        """Return the number of a graph's nodes by state; None if the graph is not loaded."""
         live = self._live.get(name)
         return None if live is None else live.progress.counted()
 
     def describe(self) -> dict[str, Any]:
-        """Return the graphs' counts, for operators."""
+        """Return the counts of nodes and of unsealed graphs, for operators."""
         return {
             "graphs": {name: live.progress.counted() for name, live in self._live.items()},
             "open": len(self._drafts),
--- a/tealrill/graphs/model.py
+++ b/tealrill/graphs/model.py
@@ -1,7 +1,7 @@
-"""What a user submits, checked, and the shape of a graph: who waits for whom.
+"""Submissions of graphs, their validation, and the resolved dependencies between nodes.
 
-Pure: no I/O and no clock. A graph is submitted in parts, so a part is checked by itself when it
-comes (`check_part`) and the whole when it is sealed (`resolve`).
+Pure, without I/O or clock. A graph may be submitted in parts: each part is validated by itself when
+it is received (`check_part`), and the whole graph when it is sealed (`resolve`).
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 ID_DIGITS: Final = 5
 MOST_NODES: Final = 10**ID_DIGITS
-"""Node ids have so many digits, so that the order of their keys is that of their numbers."""
+"""Node ids have `ID_DIGITS` digits, so that their keys sort in the order of their numbers."""
 MOST_PARTS: Final = 10_000
 DEFAULT_RETRIES: Final = 3
 MOST_RETRIES: Final = 100
@@ -41,7 +41,7 @@
 
 
 class InvalidGraphError(TealrillError):
-    """A graph that can't be taken; `node` and `field` say where."""
+    """A graph that is rejected; `node` and `field` name the place of the error."""
 
     def __init__(
         self, why: str, node: str | None = None, field: str | None = None, status: int = 400
@@ -62,28 +62,30 @@
 
 
 class Edge(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """What a node waits for."""
+    """A dependency of a node on another node."""
 
     node: Key
+    """The other node."""
     each: bool = False
-    """Task i waits for task i of the other node, instead of for all of it."""
+    """Task i waits for task i of the other node only, not for all of its tasks."""
     when: Literal["done", "failed", "ended"] = "done"
+    """How the other node must have ended; `ended` is satisfied by any outcome."""
 
 
 class Node(
     msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True, rename={"retries": "maxRetries"}
 ):
-    """One node as its user writes it."""
+    """One node as submitted."""
 
     key: Key
     job: dict[str, Any] = {}
     """Fields of a submission (`wire.JobSpec`) beyond the graph's `defaults`, without `id`."""
     after: list[Key | Edge] = []
     retries: Retries | None = None
-    """How often one of its tasks is tried again after an error; None: as the graph says."""
+    """How often one of its tasks is retried after an error; None: the graph's value."""
 
     def edges(self) -> Iterator[Edge]:
-        """Return the edges of the graph, those of a node in its order."""
+        """Yield the node's dependencies in the order of `after`."""
         for edge in self.after:
             yield Edge(node=edge) if isinstance(edge, str) else edge
 
@@ -94,18 +96,18 @@
     kw_only=True,
     rename={"on_failure": "onFailure", "due_s": "dueS", "retries": "maxRetries"},
 ):
-    """A graph, or the beginning of one."""
+    """A whole graph, or the first request of one that is submitted in parts."""
 
     id: str
     defaults: dict[str, Any] = {}
     on_failure: Literal["finish", "stop"] = "finish"
     due_s: wire.Amount | None = None
-    """When all of it should be complete, from its acceptance."""
+    """Deadline of the whole graph, in seconds from its acceptance."""
     retries: Retries = DEFAULT_RETRIES
     nodes: list[Node] = []
     """Part 0."""
     seal: bool = True
-    """False: more parts follow."""
+    """False if more parts follow."""
 
 
 class PartBody(msgspec.Struct, frozen=True, kw_only=True):
@@ -121,10 +123,10 @@
 
 
 def parse_graph_id(text: str) -> str | None:
-    """The graph id in `text`: letters and digits, the last one a digit, at most 32 in all.
+    """Return `text` if it is a valid graph id, else None.
 
-    Ids of plain jobs seldom have a digit in front of their hyphen, and those that have not can't
-    belong to a graph.
+    An id has at most 32 lower-case letters and digits, a letter first and a digit last. Few ids of
+    plain jobs have a digit before their first hyphen, so few can conflict with a graph's nodes.
     """
     return text if _GRAPH_ID.fullmatch(text) else None
 
@@ -135,18 +137,18 @@
 
 
 def parse_node_id(text: str) -> tuple[str, int] | None:
-    """The graph's id and the node's number in a job id of that form."""
+    """Return the graph's id and the node's number in a node's job id; None for any other id."""
     match = _NODE_ID.fullmatch(text)
     return None if match is None else (match[1], int(match[2]))
 
 
 def graph_prefix(job_id: str) -> str | None:
-    """The graph that would own a job id, whatever its number looks like."""
+    """Return the graph id that a job id begins with, in whatever form its number is; else None."""
     return parse_graph_id(job_id.partition("-")[0])
 
 
 def node_spec(graph: str, index: int, defaults: dict[str, Any], node: Node) -> wire.JobSpec:
-    """The job that a node is; raises `wire.MalformedMessageError`."""
+    """Return the job specification of a node; raise `wire.MalformedMessageError`."""
     try:
         return msgspec.convert({**defaults, **node.job, "id": node_id(graph, index)}, wire.JobSpec)
     except msgspec.ValidationError as error:
@@ -154,7 +156,7 @@
 
 
 Check = Callable[[wire.JobSpec], tuple[int, str] | None]
-"""What stands against a job: a status and an error."""
+"""Validates a job; returns the status and message of its rejection, or None."""
 
 
 async def check_part(
@@ -164,9 +166,10 @@
     check: Check,
     pause: Callable[[], Any],
 ) -> None:
-    """Checks every node of a part by itself; raises `InvalidGraphError`.
+    """Validate every node of a part by itself; raise `InvalidGraphError`.
 
-    A machine with a share of a core has other things to do, so it pauses now and then.
+    `pause` is awaited regularly: on a fraction of a core the validation takes long enough to delay
+    other requests.
     """
     for number, node in enumerate(nodes):
         if number % _YIELD_EVERY == _YIELD_EVERY - 1:
@@ -174,7 +177,7 @@
         if "id" in node.job or "id" in defaults:
             raise InvalidGraphError("a node's id follows from its graph's", node.key, "job.id")
         try:
-            # Its number is not known before the graph is sealed; any has the same form.
+            # The node's number is unknown until the graph is sealed; any gives a valid id.
             spec = node_spec(graph, 0, defaults, node)
         except wire.MalformedMessageError as error:
             raise InvalidGraphError(str(error), node.key, _field_in(str(error))) from None
@@ -208,17 +211,17 @@
 
 
 def _field_in(error: str) -> str:
-    """The field that msgspec names at the end of its message."""
+    """Return the path of the field that msgspec names at the end of its message."""
     _, found, path = error.rpartition("`$.")
     return "job." + path.rstrip("`") if found else "job"
 
 
 @dataclass(slots=True, eq=False)
 class Shape:
-    """Who waits for whom, in arrays: 10,000 nodes are to take little room in a leader.
+    """Nodes and edges of a graph, in arrays to use little memory for 10,000 nodes.
 
-    The edges that leave node i are `out_node[out_first[i]:out_first[i + 1]]`, each with its kind;
-    the nodes it waits for are `in_node[in_first[i]:in_first[i + 1]]`.
+    The dependents of node i are `out_node[out_first[i]:out_first[i + 1]]`, its dependencies are
+    `in_node[in_first[i]:in_first[i + 1]]`; `out_kind` and `in_kind` hold the kinds of these edges.
     """
 
     keys: list[str]
@@ -232,16 +235,16 @@
     in_node: array[int]
     in_kind: bytearray
     order: array[int]
-    """All nodes, each after what it waits for."""
+    """All nodes, each after its dependencies."""
 
     @property
     def nodes(self) -> int:
-        """The number of nodes."""
+        """Number of nodes."""
         return len(self.tasks)
 
     @property
     def edges(self) -> int:
-        """Return the edges of the graph, those of a node in its order."""
+        """Number of edges."""
         return len(self.out_node)
 
     def followers(self, index: int) -> Iterator[tuple[int, int]]:
@@ -255,7 +258,10 @@
             yield self.in_node[at], self.in_kind[at]
 
     def tails(self) -> array[float]:
-        """Per node the estimated time of the longest path that begins after it, in seconds."""
+        """Return per node the estimated time of the longest path behind it, in seconds.
+
+        The node's own time is not part of it.
+        """
         found = array("f", bytes(4 * self.nodes))
         for index in reversed(self.order):
             longest = 0.0
@@ -272,7 +278,7 @@
     most_nodes: int = MOST_NODES,
     most_edges: int = 1_000_000,
 ) -> Shape:
-    """The shape of a whole graph; raises `InvalidGraphError` naming the node and the field."""
+    """Resolve the edges of a whole graph; raise `InvalidGraphError` with the node and the field."""
     keys: list[str] = []
     index: dict[str, int] = {}
     tasks, estimates, tried = array("I"), array("f"), bytearray()
@@ -327,7 +333,7 @@
 def _reverse(
     nodes: int, in_first: array[int], in_node: array[int], in_kind: bytearray
 ) -> tuple[array[int], array[int], bytearray]:
-    """The same edges by the node that they leave."""
+    """Return the same edges grouped by dependency: first positions, dependents and kinds."""
     first = array("I", bytes(4 * (nodes + 1)))
     for other in in_node:
         first[other + 1] += 1
@@ -344,7 +350,7 @@
 
 
 def _sort(shape: Shape) -> None:
-    """Fills `order`; raises `InvalidGraphError` with the path of a cycle if there is one."""
+    """Fill `order`; raise `InvalidGraphError` with the path of a cycle if there is one."""
     left = array("I", (shape.in_first[i + 1] - shape.in_first[i] for i in range(shape.nodes)))
     shape.order.extend(i for i in range(shape.nodes) if not left[i])
     at = 0
@@ -365,14 +371,14 @@
 
 
 def _cycle(shape: Shape, left: array[int]) -> list[int]:
-    """A cycle among the nodes that never became free, each before what waits for it."""
+    """Return a cycle among the unsorted nodes, each before its dependent, the first one twice."""
     number = next(i for i in range(shape.nodes) if left[i])
     seen: dict[int, int] = {}
     path: list[int] = []
     while number not in seen:
         seen[number] = len(path)
         path.append(number)
-        # Some node that it waits for has not become free either.
+        # An unsorted node has at least one unsorted dependency.
         number = next(other for other, _ in shape.awaited(number) if left[other])
     cycle = path[seen[number] :]
     return [number, *reversed(cycle)]
--- a/tealrill/graphs/records.py
+++ b/tealrill/graphs/records.py
@@ -1,15 +1,15 @@
-"""What of a graph is kept in the state service, and how it is read back.
+"""Records of graphs in the state service: keys, contents, encoding and decoding.
 
-| key | holds |
+| key | value |
 | --- | --- |
-| `job/GRAPH` | the head; moved to `over/GRAPH` once, as a job's record is |
-| `over/GRAPH` | how the graph ended; kept for ever |
+| `job/GRAPH` | the graph's record; moves to `over/GRAPH` when the graph ends, like a job's record |
+| `over/GRAPH` | how the graph ended; never deleted |
 | `part/GRAPH/PPPPP.CC` | fragment CC of part PPPPP: nodes, compressed; never changed |
-| `job/GRAPH.word` | a word to the leader: the last gated node that its user cancelled |
+| `job/GRAPH.word` | notice to the leader: the gated node that a user cancelled last |
 
-A graph's id has no hyphen, so neither key is a job's. Descriptions are alike within a graph and
-compress to a fifth or less; a state service that takes 20 changes of 4 KiB a second would otherwise
-need minutes for 10,000 nodes.
+A graph's id has no hyphen, so none of these keys is a job's. The nodes of a graph are similar and
+compress to a fifth or less: uncompressed, 10,000 nodes would take minutes to write at 20 changes of
+4 KiB a second.
 """
 
 from __future__ import annotations
@@ -34,13 +34,14 @@
 VERSION: Final = 1
 _WORD: Final = ".word"
 _FRAGMENT_REST: Final = 300
-"""Bytes of a fragment's value beside the fragment itself."""
+"""Bytes of a fragment's value besides its piece of the compressed part."""
 _MOST_INFLATED: Final = 256 * 1024
-"""A part is at most a body of 64 KiB; what claims to be more is no part of ours."""
+"""Most bytes of an uncompressed part. A part is submitted in a body of at most 64 KiB, so larger
+content is not a part."""
 
 
 class GraphRecordError(TealrillError):
-    """A record that this version did not write."""
+    """A record that this version can't read."""
 
 
 OPEN: Final = "open"
@@ -49,14 +50,14 @@
 
 
 class Head(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """`job/GRAPH`."""
+    """`job/GRAPH`: a graph that is open, accepted or expired."""
 
     v: int
     status: Literal["open", "accepted", "expired"]
     at: float
-    """When it was begun; when it was accepted, once it is."""
+    """Time at which it was opened or, once accepted, at which it was accepted."""
     digest: str
-    """Of the submission that began it."""
+    """Digest of the submission that opened it."""
     defaults: dict[str, Any] = {}
     on_failure: Literal["finish", "stop"] = "finish"
     due_s: float | None = None
@@ -67,7 +68,7 @@
 
 
 class Over(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """`over/GRAPH`. A node without a record of its own never ran and never will."""
+    """`over/GRAPH`: an ended graph. A node without a record of its own never ran and never will."""
 
     v: int
     status: Literal["done", "failed", "aborted"]
@@ -78,36 +79,39 @@
     parts: int = 0
     why: str = ""
     counts: dict[str, int] | None = None
-    """Nodes by how they ended; None if it ended before all of them had."""
+    """Number of nodes by how they ended; None if the graph ended before all of them."""
 
 
 class Fragment(msgspec.Struct, frozen=True, kw_only=True):
-    """`part/GRAPH/PPPPP.CC`."""
+    """`part/GRAPH/PPPPP.CC`: one of `of` fragments of a part."""
 
     v: int
     of: int
     nodes: int
+    """Number of nodes in the whole part."""
     digest: str
+    """Digest of the whole part."""
     z: str
+    """Piece of the compressed part, in base64."""
 
 
 def graph_key(graph: str) -> str:
-    """Return the key of a graph's head while it is open or accepted."""
+    """Return the key of a graph's record until it ends."""
     return JOB_PREFIX + graph
 
 
 def graph_over_key(graph: str) -> str:
-    """Return the key that tells how a graph ended."""
+    """Return the key of an ended graph's record."""
     return ENDED_PREFIX + graph
 
 
 def word_key(graph: str) -> str:
-    """Return the key by which a member tells the leader of a cancelled gated node."""
+    """Return the key of the notice by which a member tells the leader of a cancelled gated node."""
     return JOB_PREFIX + graph + _WORD
 
 
 def graph_of_word(key: str) -> str | None:
-    """The graph that a word is about; None for any other key under `job/`."""
+    """Return the graph whose notice has this key; None for any other key under `job/`."""
     name = key.removeprefix(JOB_PREFIX)
     return name.removesuffix(_WORD) if name.endswith(_WORD) else None
 
@@ -123,7 +127,7 @@
 
 
 def part_of_key(key: str) -> tuple[int, int]:
-    """The part's and the fragment's number; raises `GraphRecordError`."""
+    """Return the numbers of the part and the fragment in a key; raise `GraphRecordError`."""
     part, dot, fragment = key.rpartition("/")[2].partition(".")
     if not dot or not part.isdigit() or not fragment.isdigit():
         raise GraphRecordError(f"unknown key {key}")
@@ -131,12 +135,12 @@
 
 
 def read_head(value: Any) -> Head:
-    """Raises `GraphRecordError`, also for a version that this program does not know."""
+    """Decode `job/GRAPH`; raise `GraphRecordError`, also for an unknown version."""
     return _read(value, Head)
 
 
 def read_over(value: Any) -> Over:
-    """Read how a graph ended; raises `GraphRecordError`."""
+    """Decode `over/GRAPH`; raise `GraphRecordError`, also for an unknown version."""
     return _read(value, Over)
 
 
@@ -147,7 +151,7 @@
     why: str = "",
     counts: dict[str, int] | None = None,
 ) -> dict[str, Any]:
-    """The value of `over/GRAPH` for a graph with this head."""
+    """Return the value of `over/GRAPH` for a graph with the record `head`."""
     over = Over(
         v=VERSION,
         status=status,
@@ -163,7 +167,10 @@
 
 
 def outcome_of(over: dict[str, Any]) -> str:
-    """How a node ended, by its record; one that its user cancelled as a job does not say so."""
+    """Return how a node ended from its record under `over/`.
+
+    The record of a node that was cancelled as a job names no outcome.
+    """
     if over.get("status") == wire.JOB_DONE:
         return OUTCOME_DONE
     return str(over.get("outcome", OUTCOME_CANCELLED))
@@ -172,7 +179,7 @@
 def _read(value: Any, kind: type[wire.T]) -> wire.T:
     version = value.get("v") if isinstance(value, dict) else None
     if version != VERSION:
-        raise GraphRecordError(f"version {version!r}; this program reads {VERSION}")
+        raise GraphRecordError(f"record has version {version!r}, supported is {VERSION}")
     try:
         return msgspec.convert(value, kind)
     except msgspec.ValidationError as error:
@@ -180,7 +187,7 @@
 
 
 def digest(message: Any) -> str:
-    """Of a message's content, whatever order its fields came in."""
+    """Return a digest of a message's content that does not depend on the order of its fields."""
     if isinstance(message, msgspec.Struct):
         message = msgspec.to_builtins(message)
     content = orjson.dumps(message, option=orjson.OPT_SORT_KEYS)
@@ -188,7 +195,7 @@
 
 
 def pack(nodes: Sequence[Node], value_bytes: int) -> list[dict[str, Any]]:
-    """A part as the values of its fragments, each at most `value_bytes` of JSON."""
+    """Return the values of a part's fragments, each at most `value_bytes` of JSON."""
     plain = msgspec.to_builtins(list(nodes))
     packed = base64.b64encode(zlib.compress(orjson.dumps(plain), 6)).decode()
     size = value_bytes - _FRAGMENT_REST
@@ -203,7 +210,10 @@
 
 
 class Packed(msgspec.Struct, frozen=True):
-    """A part as the leader keeps it: what it needs of 10,000 descriptions at a time is few."""
+    """A whole part, still compressed.
+
+    The leader keeps it like this, since it needs few of a graph's up to 10,000 nodes at a time.
+    """
 
     nodes: int
     digest: str
@@ -211,17 +221,17 @@
 
 
 def unpack(packed: Packed) -> list[Node]:
-    """The nodes of a part; raises `GraphRecordError`."""
+    """Return the nodes of a part; raise `GraphRecordError`."""
     try:
         inflater = zlib.decompressobj()
         content = inflater.decompress(packed.content, _MOST_INFLATED)
         return msgspec.convert(orjson.loads(content), list[Node])
     except (zlib.error, orjson.JSONDecodeError, msgspec.ValidationError) as error:
-        raise GraphRecordError(f"a part can't be read: {error}") from None
+        raise GraphRecordError(f"part can't be decoded: {error}") from None
 
 
 def gather(entries: Iterable[wire.Entry]) -> dict[int, Packed]:
-    """Whole parts by number, from a reading of all fragments; raises `GraphRecordError`."""
+    """Assemble parts, by number, from all fragments of a graph; raise `GraphRecordError`."""
     pieces: dict[int, dict[int, Fragment]] = {}
     for entry in entries:
         part, number = part_of_key(entry.key)
@@ -230,7 +240,7 @@
     for part, fragments in pieces.items():
         first = fragments.get(0)
         if first is None or len(fragments) != first.of:
-            raise GraphRecordError(f"part {part} has {len(fragments)} fragments")
+            raise GraphRecordError(f"part {part} is incomplete: {len(fragments)} fragments found")
         try:
             content = base64.b64decode(
                 "".join(fragments[number].z for number in range(first.of)), validate=True
@@ -242,24 +252,27 @@
 
 
 class NodeJob(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """What `job/NODE` holds beyond a plain job's record."""
+    """The fields of `job/NODE` that a plain job's record does not have."""
 
     owner: str
+    """The graph's id."""
     each: list[JobId] = []
-    """The jobs for whose tasks it waits one by one."""
+    """The jobs that it waits for task by task."""
     retries: Retries = 3
     due_s: float | None = None
+    """Seconds from its release until it is due."""
     tail_s: float = 0.0
+    """Estimated time of the longest path behind it, in seconds."""
 
 
 NODE_JOB_BYTES: Final = 200
-"""Most of a node's record beyond a plain job's, without `each`."""
+"""Most bytes of these fields, without `each`."""
 EACH_BYTES: Final = 48
-"""Most that one name in `each` takes."""
+"""Most bytes of one entry of `each`."""
 
 
 def read_node_job(value: dict[str, Any]) -> NodeJob:
-    """Raises `GraphRecordError`."""
+    """Decode the fields of `job/NODE` that belong to its graph; raise `GraphRecordError`."""
     try:
         return msgspec.convert(value, NodeJob)
     except msgspec.ValidationError as error:
--- a/tealrill/graphs/tracker.py
+++ b/tealrill/graphs/tracker.py
@@ -1,8 +1,9 @@
-"""How far an accepted graph is: which nodes are gated, released, over; pure.
+"""Progress of an accepted graph: the state of each node. Pure, without I/O or clock.
 
-A node's outcome is told to its followers: each edge fires, or can never fire any more. A node all
-of whose edges fired is ready; one of whose edges can't fire is skipped, and that is its own outcome
-for the nodes behind it. Everything here can be told twice; the first word counts.
+When a node ends, each edge to a dependent is either satisfied or can never be satisfied any more. A
+node all of whose edges are satisfied is ready. A node with an edge that can't be satisfied is
+skipped, which is its outcome for its own dependents. All updates are idempotent: a node's first
+outcome is final.
 """
 
 from __future__ import annotations
@@ -16,10 +17,11 @@
 from tealrill.state.records import OUTCOME_CANCELLED, OUTCOME_DONE, OUTCOME_FAILED, OUTCOME_SKIPPED
 
 GATED: Final = 0
+"""It waits for dependencies."""
 READY: Final = 1
-"""All it waits for has come; its release is under way."""
+"""It may run; its release is pending."""
 RELEASED: Final = 2
-"""An ordinary job."""
+"""It is an ordinary job."""
 OVER_DONE: Final = 3
 OVER_FAILED: Final = 4
 OVER_CANCELLED: Final = 5
@@ -40,7 +42,7 @@
 
 
 def _fires(kind: int, state: int) -> bool:
-    """Whether an edge lets its node go when what it waits for has ended like this."""
+    """Return True if an edge is satisfied by a dependency that ended in `state`."""
     if kind in (DONE, EACH):
         return state == OVER_DONE
     if kind == FAILED:
@@ -50,7 +52,7 @@
 
 
 class Progress:
-    """One graph's progress."""
+    """Progress of one graph."""
 
     def __init__(self, shape: Shape) -> None:
         self.shape = shape
@@ -58,20 +60,22 @@
         self.counts = [shape.nodes, *([0] * (len(STATES) - 1))]
         self.tail_s = shape.tails()
         self._unfired = array("I", bytes(4 * shape.nodes))
-        """Edges to whole nodes that have not fired."""
+        """Per node: its unsatisfied edges, without those per task."""
         self._unreleased = array("I", bytes(4 * shape.nodes))
-        """Awaited nodes that are still gated themselves."""
+        """Per node: its dependencies that are neither released nor ended."""
         self._each: dict[int, tuple[int, ...]] = {}
-        """Per node that waits task by task: for whom."""
+        """Per node with edges per task: those dependencies."""
         self._followed: dict[int, tuple[int, ...]] = {}
-        """Per node whose tasks are waited for one by one: by whom."""
+        """Per node: the dependents that wait for it task by task."""
         self.elements: dict[int, bytearray] = {}
-        """Of released nodes with such followers: the tasks known to be done."""
+        """Per released node with such dependents: 1 for each task known to be done."""
         self._ready: list[tuple[float, int]] = []
+        """Heap of ready nodes, the one with the longest path behind it first."""
         self.stuck: list[int] = []
-        """Released nodes that can't end by themselves: some of their tasks will never be let go."""
+        """Released nodes that can't end by themselves, because some of their tasks will never be
+        unblocked."""
         self.near: set[int] = set()
-        """Gated nodes that wait for released ones only."""
+        """Gated nodes whose dependencies are all released or ended."""
         for index in range(shape.nodes):
             each = tuple(other for other, kind in shape.awaited(index) if kind == EACH)
             if each:
@@ -85,7 +89,7 @@
 
     @property
     def over(self) -> bool:
-        """Whether every node has ended or never will begin."""
+        """Return True if every node has ended; a skipped or cancelled node has, too."""
         return not any(self.counts[:OVER_DONE])
 
     def counted(self) -> dict[str, int]:
@@ -93,11 +97,11 @@
         return dict(zip(STATES, self.counts, strict=True))
 
     def waits_each(self, index: int) -> tuple[int, ...]:
-        """Return the nodes that this one waits for task by task."""
+        """Return the dependencies that a node waits for task by task."""
         return self._each.get(index, ())
 
     def is_followed(self, index: int) -> bool:
-        """Whether other nodes wait for its single tasks."""
+        """Return True if other nodes wait for single tasks of a node."""
         return index in self._followed
 
     def _set(self, index: int, state: int) -> None:
@@ -107,15 +111,19 @@
         if state != GATED:
             self.near.discard(index)
 
-    # -- the beginning --------------------------------------------------------------------------
+    # -- readiness ------------------------------------------------------------------------------
 
     def begin(self) -> None:
-        """Looks at every node once, after what was known at the start has been told."""
+        """Evaluate every node once, after the releases and ends known at the start are applied."""
         for index in range(self.shape.nodes):
             self._look(index)
 
     def _look(self, index: int) -> None:
-        """Makes a node ready when nothing holds it any more."""
+        """Make a gated node ready if its dependencies are satisfied.
+
+        With edges per task it is ready once all those dependencies are released or ended and one of
+        its tasks may run.
+        """
         if self.state[index] != GATED or self._unfired[index]:
             return
         each = self._each.get(index)
@@ -132,7 +140,7 @@
     # -- release --------------------------------------------------------------------------------
 
     def next_ready(self) -> int | None:
-        """The ready node with the longest path behind it; it is handed out once."""
+        """Remove and return the ready node with the longest path behind it; None without any."""
         while self._ready:
             _, index = heapq.heappop(self._ready)
             if self.state[index] == READY:
@@ -141,16 +149,16 @@
 
     @property
     def has_ready(self) -> bool:
-        """Whether a node may be released."""
+        """Return True if a node is to be released."""
         return self.counts[READY] > 0 and bool(self._ready)
 
     def put_back(self, index: int) -> None:
-        """Its release was not written."""
+        """Queue a ready node again after its release was not executed."""
         if self.state[index] == READY:
             heapq.heappush(self._ready, (-self.tail_s[index], index))
 
     def released(self, index: int) -> None:
-        """It is an ordinary job now."""
+        """Record that a node is an ordinary job now."""
         if self.state[index] > READY:
             return
         self._set(index, RELEASED)
@@ -167,7 +175,10 @@
     # -- single tasks ---------------------------------------------------------------------------
 
     def tasks_done(self, index: int, tasks: list[int]) -> list[tuple[int, int]]:
-        """Tasks of a node are known to be done for good; the (node, task) that this lets go."""
+        """Record that tasks of a node are done and committed.
+
+        Return the tasks of released nodes that may run now, as (node, task).
+        """
         elements = self.elements.get(index)
         if elements is None:
             return []
@@ -191,7 +202,7 @@
         return True
 
     def open_elements(self, index: int) -> Iterator[int]:
-        """The tasks of a node that waits task by task which may run."""
+        """Yield the tasks that may run, of a node with edges per task."""
         each = self._each.get(index, ())
         for task in range(self.shape.tasks[index]):
             if self._element_open(each, task):
@@ -200,9 +211,11 @@
     # -- ends -----------------------------------------------------------------------------------
 
     def settle(self, index: int, state: int) -> list[int]:
-        """A node has ended; returns released nodes all of whose tasks may run now.
+        """Record that a node has ended, and skip the nodes that can't run any more.
 
-        Nodes that become ready are handed out by `next_ready`, those that can't end are in `stuck`.
+        Return the released nodes that waited for its single tasks: more of their tasks may run now.
+        Nodes that become ready are returned by `next_ready`; released nodes that can't end any more
+        are added to `stuck`.
         """
         freed: list[int] = []
         told = [(index, state)]
@@ -212,7 +225,7 @@
             if before >= OVER_DONE:
                 continue
             if before == RELEASED and how == OVER_SKIPPED and node != index:
-                # Its job exists, and ends by a record of its own.
+                # Its job exists and is ended by its own record.
                 self.stuck.append(node)
                 continue
             self._set(node, how)
