--- a/tests/test_graphs.py
+++ b/tests/test_graphs.py
@@ -1,4 +1,4 @@
-"""Shapes, records and progress of graphs, without a service."""
+"""Unit tests of graphs: resolved dependencies, records, progress and the leader's decisions."""
 
 from __future__ import annotations
 
@@ -56,7 +56,7 @@
     return resolve({}, 3, [nodes])
 
 
-# -- shapes ---------------------------------------------------------------------------------------
+# -- resolved dependencies ------------------------------------------------------------------------
 
 
 def test_ten_thousand_nodes_in_a_chain_side_by_side_or_all_awaited_by_one() -> None:
@@ -73,7 +73,7 @@
         assert fan_in.state[10_000] == 0
         fan_in.settle(index, OVER_DONE)
     assert fan_in.next_ready() is not None
-    # A failure at the chain's head reaches its end without recursion.
+    # The failure of the first node skips the whole chain; recursion would overflow the stack.
     failing = Progress(chain)
     failing.begin()
     failing.settle(0, OVER_FAILED)
@@ -124,7 +124,7 @@
 def test_however_a_leader_hears_of_it_it_comes_to_the_same(
     nodes: list[Node], luck: random.Random
 ) -> None:
-    """Ends as they happen, or after a take-over in any order and twice: one and the same state."""
+    """Ends recorded as they happen give the same state as after a failover: unordered and twice."""
     shape = _shape(nodes)
     first = Progress(shape)
     first.begin()
@@ -237,7 +237,7 @@
         job_store.task_failed(job, 0)
         job_store.release(binding, "", Monotonic(0.0))
         value = orjson.loads(orjson.dumps(job_store.value(job.chunks[0])))
-    # The third failure of one task is one too many, whoever led at the first.
+    # Two failures are allowed; the third one counts the earlier ones from the records.
     assert job.outcome == "failed" and job.id in job_store.ending_jobs and job.waiting == 0
 
 
@@ -278,7 +278,7 @@
 
 
 def _accepted(store: CheckedStore, nodes: list[Node], **head: Any) -> None:
-    """A graph as it is kept once it is accepted."""
+    """Write the records of an accepted graph."""
     kept = Head(v=1, status="accepted", at=wall_now(), digest="d", defaults=_DEFAULTS,
                 nodes=len(nodes), edges=1, parts=1, **head)  # fmt: skip
     changes = [wire.put("job/fam1", wire.plain(kept))]
@@ -312,7 +312,8 @@
         leader.fleet.heartbeats.process(
             report("m-1", 1, 1, 1), MachineId("m-1"), monotonic_now(), wall_now()
         )
-        # The first node runs on the only machine and ends within a boot: what is behind it boots.
+        # The first node runs on the only machine and is expected to end within the boot time of a
+        # machine, so machines for its dependents are rented now.
         leader.scheduling_loop.run(monotonic_now(), wall_now())
         asked.clear()
         leader.scheduling_loop.autoscaler._next_rental_at = Monotonic(0.0)
@@ -342,7 +343,7 @@
         waiting = {job.id: job.waiting for job in leader.job_store.jobs.values()}
         assert waiting == {"fam1-00000": 0, "wk-1": 6}
         assert not leader.write_batcher.joined
-        # Cancelled by a node that can read it: what of it runs is stopped all the same.
+        # A member that can read the graph cancels it: this leader drops its jobs as well.
         store.execute([], [wire.delete("job/fam1")])
         leader.job_watch.job_changed(wire.WatchEvent(delete="job/fam1", version=store.epoch))
         assert "fam1-00000" not in leader.job_store.jobs and "wk-1" in leader.job_store.jobs
@@ -351,7 +352,7 @@
 
 
 async def _settle_down(leader: Leader, part: GraphLeaderExtension, store: CheckedStore) -> None:
-    """Lets the leader write until it has nothing left to write."""
+    """Let the leader process and write until it has nothing left to write."""
     seen = store.epoch
     for _ in range(60):
         for name in [n for n, (head, _) in part._drafts.items() if head.status == "expired"]:
@@ -381,7 +382,7 @@
         await leader.record_loader.load()
         await _settle_down(leader, part, store)
         assert "job/fam1" in store.keys and len(store.keys) == 43
-        # Ten seconds later its time is up. A part that is on its way requires the open head.
+        # Ten seconds later the graph expires. A part in flight is guarded by the open record.
         open_stamp = store.keys["job/fam1"][1]
         part._drafts["fam1"] = (
             msgspec.structs.replace(head, at=head.at - 20.0),
@@ -398,7 +399,7 @@
 
 
 def test_a_take_over_with_thousands_of_gated_nodes() -> None:
-    """Of 3,000 nodes in 30 families two thirds are over; the next leader releases the rest."""
+    """2,000 of 3,000 nodes in 30 groups are done; each new leader releases only the ready ones."""
 
     async def scenario() -> None:
         store = CheckedStore(random.Random(0))
@@ -424,7 +425,7 @@
             while (batch := leader.write_batcher._gather(monotonic_now())).changes:
                 batch_sizes.append(len(batch.changes))
                 await leader.write_batcher._commit(batch)
-            # Before the first of them is heard of, the next leader takes over.
+            # The next leader takes over before the watch has reported a release.
             assert sum(batch_sizes) in (10, 0)
         released = [key for key in store.keys if key.startswith("job/fam1-")]
         assert len(released) == 10
--- a/tests/test_graphs_node.py
+++ b/tests/test_graphs_node.py
@@ -1,4 +1,4 @@
-"""Graphs on a whole node on loopback, against stand-ins for everything around it."""
+"""Graphs on a whole controller on loopback, with stand-ins for the services around it."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 async def submit(world: World, **graph: Any) -> tuple[int, Any]:
-    """Submits until the node knows its machine types."""
+    """Submit a graph, repeated while the controller answers 503 because it has no catalogue yet."""
     body = {"defaults": DEFAULTS, **graph}
     while True:
         status, answer = await world.send("POST", "/v2/graphs", body)
@@ -78,7 +78,7 @@
     async def scenario(world: World) -> None:
         status, answer = await submit(world, id="fam1", nodes=[node("b", "a"), node("a")])
         assert status == 201 and answer["nodes"] == 2 and answer["edges"] == 1
-        # Accepted, gated and known from the first moment on.
+        # Gated nodes of an accepted graph have a status as soon as it is accepted.
         assert await world.status("fam1-00000") == "pending"
         assert (await world.send("GET", "/v2/runs/fam1-00002"))[0] == 404
         assert (await submit(world, id="fam1", nodes=[node("b", "a"), node("a")]))[0] == 200
@@ -95,7 +95,7 @@
         await until(world, worker, graph_is(world, "fam1", "done"))
         _, shown = await world.send("GET", "/v2/graphs/fam1")
         assert shown["counts"]["done"] == 2
-        # The ids stay the graph's, and the answers stay what they were.
+        # The ids still belong to the ended graph, and its status is final.
         assert await world.submit(id="fam1-00000") == 200
         assert await world.submit(id="fam1-00007") == 422
         assert await world.submit(id="fam1-7") == 422
@@ -184,7 +184,7 @@
         await until(world, worker, has(worker, "fam5-00000/0", "fam5-00002/0"))
         worker.end("fam5-00000/0", "done")
         await until(world, worker, has(worker, "fam5-00001/0", "fam5-00002/0"))
-        # A gated node by itself first: what waits for it is skipped, the rest goes on.
+        # A gated node is cancelled first; the nodes that don't depend on it continue.
         status, answer = await world.send("POST", "/v2/runs/fam5-00003/cancel")
         assert (status, answer["status"]) == (200, "aborted")
         assert await world.status("fam5-00003") == "aborted"
@@ -209,7 +209,7 @@
         assert (await world.send("PUT", f"{path}/parts/0", {"nodes": [node("b", "a")]}))[0] == 201
         assert (await world.send("PUT", f"{path}/parts/0", {"nodes": [node("b", "a")]}))[0] == 200
         assert (await world.send("PUT", f"{path}/parts/0", {"nodes": [node("b")]}))[0] == 409
-        # Not accepted: its nodes are nobody's jobs, and nobody else's either.
+        # Before the acceptance its nodes are not jobs, and plain jobs can't take their ids.
         assert (await world.send("GET", "/v2/runs/fam6-00000"))[0] == 404
         assert (await world.send("POST", "/v2/runs", {**SUBMISSION, "id": "fam6-1"}))[0] == 503
         status, answer = await world.send("POST", f"{path}/seal", {"parts": 2})
@@ -254,9 +254,9 @@
         assert (await bad(node("x" * 101)))[0] == 400
         assert (await world.send("POST", "/v2/graphs", b"["))[0] == 400
         assert (await world.send("POST", "/v2/graphs", b"x" * 70_000))[0] == 400
-        # Nothing of all that was kept.
+        # No record was written for any of them.
         assert not any("bad" in key for key in world.state.keys)
-        # A plain job that has an id of its nodes keeps it.
+        # A plain job with an id of the graph's nodes prevents the graph.
         assert await world.submit(id="bad1-3") == 201
         assert (await bad(node("a")))[0] == 409
         for path in ("/v2/graphs/bad1", "/v2/graphs/bad1/nodes", "/v2/graphs/wk-1"):
@@ -270,7 +270,7 @@
 
 
 async def _persist(world: World, body: dict[str, Any]) -> None:
-    """Submits as a client does: again and again under the same id until it is accepted."""
+    """Submit a graph as a client does: repeated under the same id until it is accepted."""
     while True:
         with contextlib.suppress(NoAnswerError):
             status, answer = await world.send("POST", "/v2/graphs", body)
@@ -285,7 +285,7 @@
 def test_a_node_that_dies_at_any_transaction_loses_and_doubles_nothing(
     commit: int, side: str
 ) -> None:
-    """Begin, seal, releases, bindings and ends: the process dies at each in turn."""
+    """The process crashes at one of the transactions that open, seal, release, bind and end."""
 
     async def scenario(world: World) -> None:
         died = asyncio.Event()
@@ -333,7 +333,7 @@
         finally:
             working.cancel()
         assert deaths == [commit]
-        # The results of tasks are kept by their machine, so none of them ran twice.
+        # Machines keep the results of tasks until they are acknowledged, so no task runs twice.
         order = [name.partition("/")[0][-1] for name in starts]
         assert sorted(order) == ["0", "1", "2", "3"]
         assert order[0] == "0" and order[-1] == "3"
@@ -343,7 +343,7 @@
 
 
 def test_a_graph_of_independent_nodes_counts_as_plain_jobs_do() -> None:
-    """A team at its limit of 64 processors, tasks of 8: plain, as a graph, and both mixed."""
+    """A team has a limit of 64 processors and tasks of 8, as plain jobs, as a graph and as both."""
 
     async def scenario(world: World) -> None:
         workers = [Worker(f"m-{number:06d}") for number in range(1, 13)]
@@ -370,7 +370,7 @@
                     most = max(most, len(running))
                     left = plain + nodes - starts
                     if len(running) == min(8, left):
-                        # All that the limit allows at once has started.
+                        # All tasks that the limit allows at a time are running.
                         starts += len(running)
                         for worker, task in running:
                             worker.end(task, "done")
@@ -384,7 +384,7 @@
 
 
 def test_a_node_cut_off_from_the_records_serves_graphs_by_another() -> None:
-    """Two nodes, one of them refused by the state service: its users notice nothing."""
+    """One of two controllers can't reach the state service; it relays its users' requests."""
 
     async def scenario(world: World) -> None:
         nodes = [node("a"), node("b", "a")]
@@ -392,7 +392,7 @@
         values = copy.deepcopy(world.values)
         values["host_name"] = "node-9"
         values["client_listen"], values["cluster_listen"] = free_address(), free_address()
-        values["services"]["state"] = free_address()  # nobody listens there
+        values["services"]["state"] = free_address()  # connections to it are refused
         values["members"] = [
             {"host_name": "node-0", "zone": "north", "peer_addr": world.values["cluster_listen"]}
         ]
--- a/tests/test_graphs_records.py
+++ b/tests/test_graphs_records.py
@@ -1,9 +1,10 @@
-"""Graphs under lost, late and refused transactions, take-overs and cancellations.
+"""Graphs under lost, late and failed transactions, failovers and cancellations.
 
-Three nodes take submissions, polls and cancellations of generated graphs while leaders follow each
-other, release nodes, and have their tasks done or failed. The store checks every transaction that
-it executes against a plain model of what a graph means; after each step no answer to a user may
-contradict an earlier one. `test_each_clause_is_needed` takes single clauses of the argument away.
+Three members process submissions, polls and cancellations of generated graphs while successive
+leaders release nodes, whose tasks are done or fail. The store checks every transaction that it
+executes against a simple reference model of a graph; after each step no reply to a user may
+contradict an earlier one. `test_each_clause_is_needed` removes single safety rules and expects a
+violation each time.
 """
 
 from __future__ import annotations
@@ -64,7 +65,7 @@
 
 
 class Model:
-    """What a graph means, by its text and the records alone; slow and plain."""
+    """Reference model of a graph, computed from its submission and the records alone."""
 
     def __init__(self, name: str, nodes: list[dict[str, Any]]) -> None:
         self.name = name
@@ -75,7 +76,7 @@
         return f"{self.name}-{index:05d}"
 
     def outcome(self, keys: dict[str, Any], index: int) -> str | None:
-        """How a node ended or must end; None while that is open."""
+        """Return how a node ended or must end; None while that is undecided."""
         over = keys.get(f"over/{self.job(index)}")
         if over is not None:
             if over[0]["status"] == "done":
@@ -121,7 +122,7 @@
 
 
 class CheckedStore(Store):
-    """Checks what is executed against the models."""
+    """A store that checks every executed change against the models."""
 
     def __init__(self, rng: random.Random) -> None:
         super().__init__(rng, True)
@@ -171,7 +172,7 @@
         head = before.get(f"job/{name}")
         if kind == "job":
             if head is None or head[0]["status"] != "accepted":
-                raise Contradiction(f"{job} released without its graph")
+                raise Contradiction(f"{job} released without an accepted graph")
             if f"over/{job}" in before or not model.may_release(before, index):
                 raise Contradiction(f"{job} released too early or after its end")
         elif kind == "over" and value["status"] == "done":
@@ -203,13 +204,13 @@
             if "failed" not in outcomes:
                 raise Contradiction(f"{model.name} stopped without a failure")
         elif None in outcomes:
-            raise Contradiction(f"{model.name} over before its nodes")
+            raise Contradiction(f"{model.name} ended before its nodes")
         elif value["counts"]["done"] != outcomes.count("done"):
-            raise Contradiction(f"{model.name} counts wrong")
+            raise Contradiction(f"{model.name} ended with a wrong count of done nodes")
 
 
 class Reign:
-    """One leader, driven by hand."""
+    """One leader whose steps the test calls."""
 
     def __init__(self, service: Service, mod_revision: Revision) -> None:
         self.service = service
@@ -233,7 +234,7 @@
         )
         self.seen = 0
         self.running: list[Binding] = []
-        """Started tasks."""
+        """Bindings of the tasks that were started."""
 
     async def begin(self) -> None:
         self.seen = int((await self.leader.record_loader.load()).revision)
@@ -245,7 +246,7 @@
         return cast(GraphLeaderExtension, self.leader.parts[0])
 
     def hear(self, until: int) -> None:
-        """What the watch brings, whole revisions up to this one."""
+        """Process the changes that the watch reports up to a revision."""
         for at, event in list(self.service.store.log):
             key = event.put or event.delete or ""
             if self.seen < at <= until and key.startswith("job/"):
@@ -262,7 +263,7 @@
         self.part._advance()
 
     async def meanwhile(self) -> None:
-        """While a graph's records are read, some of its nodes are cancelled."""
+        """Cancel nodes, or a graph, while the leader reads a graph's records."""
         self.service.store.meanwhile = None
         await self.service.cancel()
         self.hear(self.service.store.epoch)
@@ -290,7 +291,7 @@
             await self.leader.write_batcher._commit(batch)
 
     def work(self, fail: float, rest: float = 0.3) -> None:
-        """Tasks start once their record is committed, and end somehow."""
+        """Let tasks whose binding is committed end, done or failed."""
         for job in list(self.leader.job_store.jobs.values()):
             for binding in list(job.bindings()):
                 if not binding.committed or self.service.rng.random() < rest:
@@ -394,7 +395,7 @@
         reply = await admission.status(job)
         if index == len(self.models[name].nodes):
             if reply.status != 404:
-                raise Contradiction(f"{job} invented")
+                raise Contradiction(f"{job}: status of a node that does not exist")
             return
         self._told_job(name, index, reply)
 
@@ -428,7 +429,7 @@
         await self._act(self.reign)
 
     async def zombie(self) -> None:
-        """A leader that does not know yet that it is none."""
+        """Let a former leader act that does not know yet that its term has ended."""
         if self.former:
             await self._act(self.rng.choice(self.former))
 
@@ -449,7 +450,7 @@
             elif reign is self.reign:
                 self.reign = None
 
-    # -- what users are told --------------------------------------------------------------------
+    # -- replies to users -----------------------------------------------------------------------
 
     def _told_graph(self, name: str, reply: Reply) -> None:
         if reply.status in (503, 409):
@@ -457,19 +458,19 @@
         before = self.told.get(name)
         if reply.status == 404:
             if before is not None:
-                raise Contradiction(f"{name} forgotten after {before}")
+                raise Contradiction(f"{name}: not found after {before}")
             return
         if reply.status not in (200, 201):
-            raise Contradiction(f"{name}: {reply}")
+            raise Contradiction(f"{name}: unexpected reply {reply}")
         status = reply.body["status"]
         if status == "open":
             if before is not None:
-                raise Contradiction(f"{name} open again")
+                raise Contradiction(f"{name}: open after {before}")
             return
         if before not in (None, "accepted") and status != before:
             raise Contradiction(f"{name}: {status} after {before}")
         if status == "aborted" and not any(n.startswith(name) for n in self.cancelled):
-            raise Contradiction(f"{name} cancelled by nobody")
+            raise Contradiction(f"{name} aborted without a cancellation")
         self.told[name] = status
 
     def _told_job(self, name: str, index: int, reply: Reply) -> None:
@@ -479,7 +480,9 @@
             return
         if reply.status == 404:
             if before is not None or self.told.get(name) == "accepted":
-                raise Contradiction(f"{job} forgotten")
+                raise Contradiction(
+                    f"{job}: not found after it had a status or its graph was accepted"
+                )
             return
         status = reply.body["status"]
         if before in ("done", "aborted") and status != before:
@@ -489,27 +492,27 @@
         if status == "done" and self.store.completed.get(job, set()) != set(
             range(self.models[name].tasks(index))
         ):
-            raise Contradiction(f"{job} done too early")
+            raise Contradiction(f"{job} reported as done before all its tasks")
         if status == "aborted":
             self._check_aborted(name, index)
         self.told[job] = status
 
     def _check_aborted(self, name: str, index: int) -> None:
-        """Somebody cancelled it, or it failed, or what it waits for can't come."""
+        """Check that an aborted node was cancelled, failed or skipped."""
         model = self.models[name]
         over = self.store.keys.get(f"over/{name}")
         if over is not None and over[0]["status"] != "done":
             return
         outcome = model.outcome(self.store.keys, index)
         if outcome not in ("failed", "skipped", "cancelled"):
-            raise Contradiction(f"{model.job(index)} aborted, but {outcome}")
+            raise Contradiction(f"{model.job(index)} reported as aborted, expected {outcome}")
         if outcome == "cancelled" and model.job(index) not in self.cancelled:
-            raise Contradiction(f"{model.job(index)} cancelled by nobody")
+            raise Contradiction(f"{model.job(index)} cancelled without a request")
 
     # -- the end --------------------------------------------------------------------------------
 
     async def finish(self) -> None:
-        """Everything calms down; every graph that was accepted comes to its end."""
+        """Stop the faults and check that every accepted graph ends."""
         while self.store.late:
             await self.late()
         self.store.reliable = True
@@ -523,11 +526,11 @@
         left = [k for k in self.store.keys if k.startswith(("job/", "run/"))]
         drafts = {f"job/{n}" for n in _NAMES if n not in self.told}
         if set(left) - drafts:
-            raise Contradiction(f"left over: {left}")
+            raise Contradiction(f"records left at the end: {left}")
         for name, model in self.models.items():
             over = self.store.keys.get(f"over/{name}")
             if self.told.get(name) is not None and over is None:
-                raise Contradiction(f"{name} never came to its end")
+                raise Contradiction(f"{name} has not ended")
             admission, graphs = self._node()
             self._told_graph(name, await graphs.show(name))
             if over is None or not over[0].get("nodes"):
@@ -535,16 +538,18 @@
             for index in range(len(model.nodes)):
                 reply = await admission.status(model.job(index))
                 if reply.body.get("status") not in ("done", "aborted"):
-                    raise Contradiction(f"{model.job(index)} is {reply.body}")
+                    raise Contradiction(f"{model.job(index)} has not ended: {reply.body}")
                 self._told_job(name, index, reply)
                 outcome = model.outcome(self.store.keys, index)
-                # What would have been skipped may be cancelled by its user all the same.
+                # A node that would have been skipped may still be cancelled by its user.
                 if (
                     over[0]["status"] == "done"
                     and outcome not in ("done", "skipped")
                     and model.job(index) not in self.cancelled
                 ):
-                    raise Contradiction(f"{model.job(index)} did not run to its end")
+                    raise Contradiction(
+                        f"{model.job(index)} did not run although its graph is done"
+                    )
 
 
 @pytest.fixture(autouse=True)
@@ -591,7 +596,7 @@
 
 
 def _hasty_followers(patch: pytest.MonkeyPatch) -> None:
-    """Tells followers of tasks that are done before that is written down."""
+    """Unblock dependents' tasks before the completions that they wait for are committed."""
 
     def report_completions(self: JobStore, job: Any, now: Monotonic) -> list[int]:
         job.reports_completions = True
@@ -620,7 +625,7 @@
 
 
 def _unguarded_parts(patch: pytest.MonkeyPatch) -> None:
-    """Parts and seals whatever has become of the graph's head."""
+    """Commit parts and seals without the guard on the graph's record."""
     whole = GraphAdmission._commit
 
     async def commit(self: GraphAdmission, guards: list[Any], changes: list[Any]) -> Any:
@@ -635,7 +640,7 @@
 
 
 def _stuck_nodes(patch: pytest.MonkeyPatch) -> None:
-    """Nodes some of whose tasks can't be let go any more are waited for."""
+    """Wait for released nodes with tasks that can't be unblocked any more."""
     whole = Progress.settle
 
     def settle(self: Progress, index: int, state: int) -> list[int]:
@@ -646,8 +651,8 @@
     patch.setattr(Progress, "settle", settle)
 
 
-# An end that a take-over forgot is no clause: the release of such a node is refused by its record
-# in `over/`, which is then taken for what it says.
+# Losing a node's end at a failover is not among these: the node's record under `over/` makes its
+# release fail, and the leader then applies the outcome in that record.
 _CLAUSES = (
     _unguarded_releases, _unguarded_ends, _unguarded_bindings, _hasty_followers, _no_orphans,
     _unguarded_parts, _deaf_to_words, _stuck_nodes,
