--- a/tealrill/graphs/admission.py
+++ b/tealrill/graphs/admission.py
@@ -89,11 +89,11 @@
     """The records of a graph, with the revisions at which they were last changed."""
 
     def __init__(
-        self, head: Head | None, mod_revision: Revision, over: Over | None, end_revision: Revision
+        self, record: Head | None, mod_revision: Revision, end: Over | None, end_revision: Revision
     ) -> None:
-        self.head = head
+        self.record = record
         self.mod_revision = mod_revision
-        self.over = over
+        self.end = end
         self.end_revision = end_revision
 
 
@@ -132,24 +132,24 @@
         node = parse_node_id(job_id)
         if node is None:
             return None
-        found = await self._read_records(node[0])
-        if found.over is not None:
-            cancelled = found.over.status == wire.JOB_CANCELLED
+        stored = await self._read_records(node[0])
+        if stored.end is not None:
+            cancelled = stored.end.status == wire.JOB_CANCELLED
             outcome = OUTCOME_CANCELLED if cancelled else OUTCOME_SKIPPED
             never_released = ImplicitJob(wire.JOB_CANCELLED, outcome)
-            return never_released if node[1] < found.over.nodes else None
-        if found.head is None or found.head.status != records.ACCEPTED:
+            return never_released if node[1] < stored.end.nodes else None
+        if stored.record is None or stored.record.status != records.ACCEPTED:
             return None
-        return ImplicitJob(wire.JOB_PENDING) if node[1] < found.head.nodes else None
+        return ImplicitJob(wire.JOB_PENDING) if node[1] < stored.record.nodes else None
 
     async def refusal(self, job_id: JobId) -> Reply | None:
         """Return the rejection of a plain job whose id belongs to an accepted or ended graph."""
         graph = graph_prefix(job_id)
         if graph is None:
             return None
-        found = await self._read_records(graph)
-        accepted = found.head is not None and found.head.status == records.ACCEPTED
-        if accepted or found.over is not None:
+        stored = await self._read_records(graph)
+        accepted = stored.record is not None and stored.record.status == records.ACCEPTED
+        if accepted or stored.end is not None:
             return Reply(422, {"error": f"ids of this form belong to graph {graph!r}"})
         return None
 
@@ -160,11 +160,11 @@
         """
         node = parse_node_id(job_id)
         assert node is not None
-        found = await self._read_records(node[0])
-        if found.head is None or found.head.status != records.ACCEPTED:
+        stored = await self._read_records(node[0])
+        if stored.record is None or stored.record.status != records.ACCEPTED:
             return None
         guards = [
-            wire.guard(records.graph_key(node[0]), found.mod_revision),
+            wire.guard(records.graph_key(node[0]), stored.mod_revision),
             wire.guard(job_key(job_id), ABSENT),
             wire.guard(ended_key(job_id), ABSENT),
         ]
@@ -189,20 +189,20 @@
         """
         entry = await self._client.get(records.graph_key(graph))
         try:
-            head = None if entry is None else records.read_head(entry.value)
-            if entry is not None and head is not None and head.status != records.EXPIRED:
-                return StoredGraph(head, Revision(entry.version), None, ABSENT)
-            over = await self._client.get(records.graph_over_key(graph))
-            end = None if over is None else records.read_over(over.value)
-            if over is not None and end is not None and end.status == wire.JOB_CANCELLED:
+            record = None if entry is None else records.read_head(entry.value)
+            if entry is not None and record is not None and record.status != records.EXPIRED:
+                return StoredGraph(record, Revision(entry.version), None, ABSENT)
+            end_entry = await self._client.get(records.graph_over_key(graph))
+            end = None if end_entry is None else records.read_over(end_entry.value)
+            if end_entry is not None and end is not None and end.status == wire.JOB_CANCELLED:
                 # The answer tells a user of the cancellation, perhaps before the member that
                 # executed it has acknowledged it; that member may also have failed since.
-                self._admission.acknowledge(graph, Revision(over.version))
+                self._admission.acknowledge(graph, Revision(end_entry.version))
             return StoredGraph(
-                head,
+                record,
                 ABSENT if entry is None else Revision(entry.version),
                 end,
-                ABSENT if over is None else Revision(over.version),
+                ABSENT if end_entry is None else Revision(end_entry.version),
             )
         except GraphRecordError as error:
             log.error("graph not read: graph=%s error=%s", graph, error)
@@ -261,39 +261,44 @@
             )
         digest = records.digest(submission)
         for _ in range(_MAX_ATTEMPTS):
-            found = await self._read_records(graph)
-            known = self._repeated_reply(graph, found, digest)
-            if known is not None:
-                return known
-            if found.head is None and not await self._open_graph(graph, submission, digest):
+            stored = await self._read_records(graph)
+            reply = self._repeated_reply(graph, stored, digest)
+            if reply is not None:
+                return reply
+            if stored.record is None and not await self._open_graph(graph, submission, digest):
                 continue
             if not submission.seal:
                 return Reply(
-                    201 if found.head is None else 200, {"id": graph, "status": records.OPEN}
+                    201 if stored.record is None else 200, {"id": graph, "status": records.OPEN}
                 )
             return await self._seal(graph, 1)
         return _retry_later("not decided")
 
-    def _repeated_reply(self, graph: str, found: StoredGraph, digest: str) -> Reply | None:
+    def _repeated_reply(self, graph: str, stored: StoredGraph, digest: str) -> Reply | None:
         """Return the reply to a repeated or conflicting submission; None for any other."""
-        if found.over is not None:
-            if found.over.digest != digest:
+        if stored.end is not None:
+            if stored.end.digest != digest:
                 return _conflict("another graph had this id")
-            return Reply(200, {"id": graph, "status": found.over.status})
-        head = found.head
-        if head is None:
+            return Reply(200, {"id": graph, "status": stored.end.status})
+        record = stored.record
+        if record is None:
             return None
-        if head.status == records.EXPIRED:
+        if record.status == records.EXPIRED:
             return _retry_later("a graph of this id is being removed")
-        if head.digest != digest:
+        if record.digest != digest:
             return _conflict("another graph has this id")
-        if head.status == records.ACCEPTED:
-            return Reply(200, self._accepted(graph, head))
+        if record.status == records.ACCEPTED:
+            return Reply(200, self._accepted(graph, record))
         return None
 
     @staticmethod
-    def _accepted(graph: str, head: Head) -> dict[str, Any]:
-        return {"id": graph, "status": records.ACCEPTED, "nodes": head.nodes, "edges": head.edges}
+    def _accepted(graph: str, record: Head) -> dict[str, Any]:
+        return {
+            "id": graph,
+            "status": records.ACCEPTED,
+            "nodes": record.nodes,
+            "edges": record.edges,
+        }
 
     async def _open_graph(self, graph: str, submission: Submission, digest: str) -> bool:
         """Write the open record and part 0; False if the records have to be read again."""
@@ -306,7 +311,7 @@
             raise InvalidGraphError(
                 f"job {conflicting_job} has an id of its nodes", field="id", status=409
             )
-        head = Head(
+        record = Head(
             v=records.VERSION,
             status="open",
             at=wall_now(),
@@ -316,7 +321,7 @@
             due_s=submission.due_s,
             retries=submission.retries,
         )
-        value = msgspec.to_builtins(head)
+        value = msgspec.to_builtins(record)
         if len(wire.encode(value)) + 200 > self._value_bytes:
             raise InvalidGraphError("they are too long", field="defaults")
         guards = [
@@ -388,23 +393,23 @@
             raise InvalidGraphError("a part has at least one node", field="nodes")
         checked = False
         for _ in range(_MAX_ATTEMPTS):
-            found = await self._read_records(graph)
-            head = found.head
-            if found.over is not None:
-                return _conflict(f"the graph is {found.over.status}")
-            if head is None or head.status == records.EXPIRED:
+            stored = await self._read_records(graph)
+            record = stored.record
+            if stored.end is not None:
+                return _conflict(f"the graph is {stored.end.status}")
+            if record is None or record.status == records.EXPIRED:
                 return _NO_GRAPH
-            kept = await self._client.get(records.fragment_key(graph, number, 0))
-            if kept is not None:
-                if kept.value.get("digest") != records.digest(msgspec.to_builtins(nodes)):
+            fragment = await self._client.get(records.fragment_key(graph, number, 0))
+            if fragment is not None:
+                if fragment.value.get("digest") != records.digest(msgspec.to_builtins(nodes)):
                     return _conflict(f"part {number} is kept with other nodes")
                 return Reply(200, {"id": graph, "part": number, "nodes": len(nodes)})
-            if head.status == records.ACCEPTED:
+            if record.status == records.ACCEPTED:
                 return _conflict("the graph is sealed")
             if not checked:
-                await self._check(graph, head.defaults, nodes)
+                await self._check(graph, record.defaults, nodes)
                 checked = True
-            guards = [wire.guard(records.graph_key(graph), found.mod_revision)]
+            guards = [wire.guard(records.graph_key(graph), stored.mod_revision)]
             changes: list[dict[str, Any]] = []
             self._add_part(graph, number, nodes, guards, changes)
             if isinstance(await self._commit(guards, changes), Committed):
@@ -418,57 +423,57 @@
 
     async def _seal(self, graph: str, parts: int) -> Reply:
         for _ in range(_MAX_ATTEMPTS):
-            found = await self._read_records(graph)
-            if found.over is not None:
-                if found.over.parts != parts:
-                    return _conflict(f"the graph is {found.over.status}")
-                return Reply(200, {"id": graph, "status": found.over.status})
-            head = found.head
-            if head is None or head.status == records.EXPIRED:
+            stored = await self._read_records(graph)
+            if stored.end is not None:
+                if stored.end.parts != parts:
+                    return _conflict(f"the graph is {stored.end.status}")
+                return Reply(200, {"id": graph, "status": stored.end.status})
+            record = stored.record
+            if record is None or record.status == records.EXPIRED:
                 return _NO_GRAPH
-            if head.status == records.ACCEPTED:
-                if head.parts != parts:
-                    return _conflict(f"the graph was sealed with {head.parts} parts")
-                return Reply(200, self._accepted(graph, head))
-            sealed = await self._accepted_record(graph, head, parts)
+            if record.status == records.ACCEPTED:
+                if record.parts != parts:
+                    return _conflict(f"the graph was sealed with {record.parts} parts")
+                return Reply(200, self._accepted(graph, record))
+            sealed = await self._accepted_record(graph, record, parts)
             if isinstance(sealed, Reply):
                 return sealed
-            guards = [wire.guard(records.graph_key(graph), found.mod_revision)]
+            guards = [wire.guard(records.graph_key(graph), stored.mod_revision)]
             changes = [wire.put(records.graph_key(graph), msgspec.to_builtins(sealed))]
             if isinstance(await self._commit(guards, changes), Committed):
                 log.info("graph accepted: graph=%s nodes=%d", graph, sealed.nodes)
                 return Reply(201, self._accepted(graph, sealed))
         return _retry_later("not decided")
 
-    async def _accepted_record(self, graph: str, head: Head, parts: int) -> Head | Reply:
+    async def _accepted_record(self, graph: str, record: Head, parts: int) -> Head | Reply:
         """Return the accepted record after checking all parts, or a reply that rejects the seal."""
         try:
-            kept = await self._read_parts(graph)
+            parts_by_number = await self._read_parts(graph)
         except GraphRecordError as error:
             log.error("graph not sealed, its parts can't be read: graph=%s error=%s", graph, error)
             return _retry_later("its parts can't be read")
-        missing = [number for number in range(parts) if number not in kept]
+        missing = [number for number in range(parts) if number not in parts_by_number]
         if missing:
             return _conflict("parts are missing", missing=missing[:20])
-        if len(kept) > parts:
-            return _conflict(f"{len(kept)} parts are kept, {parts} are named")
+        if len(parts_by_number) > parts:
+            return _conflict(f"{len(parts_by_number)} parts are kept, {parts} are named")
 
         def shape() -> Shape:
-            unpacked = (records.unpack(kept[number]) for number in range(parts))
-            return self._resolve_within_limits(head.defaults, head.retries, unpacked)
+            unpacked = (records.unpack(parts_by_number[number]) for number in range(parts))
+            return self._resolve_within_limits(record.defaults, record.retries, unpacked)
 
         # In a thread: a large graph takes a second on a fraction of a core, which would block the
         # event loop.
-        found = await asyncio.to_thread(shape)
+        resolved = await asyncio.to_thread(shape)
         conflicting_job = await self._conflicting_job(graph)
         if conflicting_job is not None:
             return _conflict(f"job {conflicting_job} has an id of its nodes")
         return msgspec.structs.replace(
-            head,
+            record,
             status="accepted",
             at=wall_now(),
-            nodes=found.nodes,
-            edges=found.edges,
+            nodes=resolved.nodes,
+            edges=resolved.edges,
             parts=parts,
         )
 
@@ -481,27 +486,27 @@
     async def _show(self, graph: str) -> Reply:
         if parse_graph_id(graph) is None:
             return _NO_GRAPH
-        found = await self._read_records(graph)
-        if found.over is not None:
-            over = found.over
+        stored = await self._read_records(graph)
+        if stored.end is not None:
+            end = stored.end
             body = {
                 "id": graph,
-                "status": over.status,
-                "nodes": over.nodes,
-                "edges": over.edges,
-                "counts": over.counts if over.counts is not None else await self._count_ends(graph),
+                "status": end.status,
+                "nodes": end.nodes,
+                "edges": end.edges,
+                "counts": end.counts if end.counts is not None else await self._count_ends(graph),
             }
-            if over.why:
-                body["why"] = over.why
+            if end.why:
+                body["why"] = end.why
             return Reply(200, body)
-        if found.head is None or found.head.status == records.EXPIRED:
+        if stored.record is None or stored.record.status == records.EXPIRED:
             return _NO_GRAPH
-        head = found.head
-        if head.status == records.OPEN:
-            left_s = max(0.0, head.at + self._features.open_s - wall_now())
+        record = stored.record
+        if record.status == records.OPEN:
+            left_s = max(0.0, record.at + self._features.open_s - wall_now())
             return Reply(200, {"id": graph, "status": records.OPEN, "openS": round(left_s)})
         counts = await self._counts(graph)
-        return Reply(200, {**self._accepted(graph, head), "counts": counts})
+        return Reply(200, {**self._accepted(graph, record), "counts": counts})
 
     async def _count_ends(self, graph: str) -> dict[str, int]:
         """Return the number of ended nodes by state, from their own records."""
@@ -511,39 +516,39 @@
             counts[records.outcome_of(entry.value)] += 1
         return counts
 
-    async def nodes(self, graph: str, state: str | None, start: int, most: int) -> Reply:
-        """Return at most `most` nodes in their order, from number `start`, in `state` if given."""
-        return await self._handle_errors(self._nodes, graph, state, start, most)
+    async def nodes(self, graph: str, state: str | None, start: int, limit: int) -> Reply:
+        """Return at most `limit` nodes in their order, from number `start`, in `state` if given."""
+        return await self._handle_errors(self._nodes, graph, state, start, limit)
 
-    async def _nodes(self, graph: str, state: str | None, start: int, most: int) -> Reply:
+    async def _nodes(self, graph: str, state: str | None, start: int, limit: int) -> Reply:
         if state is not None and state not in STATES:
             return Reply(400, {"error": f"one of {', '.join(STATES)}", "field": "state"})
         if parse_graph_id(graph) is None:
             return _NO_GRAPH
-        found = await self._read_records(graph)
-        head: Head | Over | None = found.over or found.head
-        if head is None or (found.over is None and head.status != records.ACCEPTED):
+        stored = await self._read_records(graph)
+        record: Head | Over | None = stored.end or stored.record
+        if record is None or (stored.end is None and record.status != records.ACCEPTED):
             return _NO_GRAPH
-        keys = await self._node_keys(graph, head.parts)
-        default_state = "gated" if found.over is None else "skipped"
-        if found.over is not None and found.over.status == wire.JOB_CANCELLED:
+        keys = await self._node_keys(graph, record.parts)
+        default_state = "gated" if stored.end is None else "skipped"
+        if stored.end is not None and stored.end.status == wire.JOB_CANCELLED:
             default_state = "cancelled"
         listed: list[dict[str, Any]] = []
         for _ in range(_MAX_PAGES):
-            if start >= head.nodes or len(listed) >= most:
+            if start >= record.nodes or len(listed) >= limit:
                 break
             states = await self._states(graph, start)
-            for index in range(start, min(start + _PAGE_SIZE, head.nodes)):
+            for index in range(start, min(start + _PAGE_SIZE, record.nodes)):
                 node_state = states.get(index, default_state)
                 start = index + 1
                 if state is None or node_state == state:
                     listed.append(
                         {"id": node_id(graph, index), "key": keys[index], "state": node_state}
                     )
-                    if len(listed) >= most:
+                    if len(listed) >= limit:
                         break
         return Reply(
-            200, {"id": graph, "nodes": listed, "next": start if start < head.nodes else None}
+            200, {"id": graph, "nodes": listed, "next": start if start < record.nodes else None}
         )
 
     async def _states(self, graph: str, start: int) -> dict[int, str]:
@@ -551,21 +556,23 @@
 
         The records under `job/` are read first, since they move from there to `over/`.
         """
-        found: dict[int, str] = {}
-        for own, over in ((JOB_PREFIX, False), (ENDED_PREFIX, True)):
-            after = f"{own}{node_id(graph, start - 1)}" if start else None
-            page = await self._client.page(f"{own}{graph}-", after, _PAGE_SIZE)
+        states: dict[int, str] = {}
+        for prefix, is_ended in ((JOB_PREFIX, False), (ENDED_PREFIX, True)):
+            after = f"{prefix}{node_id(graph, start - 1)}" if start else None
+            page = await self._client.page(f"{prefix}{graph}-", after, _PAGE_SIZE)
             for entry in page.items:
-                node = parse_node_id(parse_job_id(entry.key.removeprefix(own)) or "")
+                node = parse_node_id(parse_job_id(entry.key.removeprefix(prefix)) or "")
                 if node is not None:
-                    found[node[1]] = records.outcome_of(entry.value) if over else "released"
-        return found
+                    states[node[1]] = records.outcome_of(entry.value) if is_ended else "released"
+        return states
 
     async def _node_keys(self, graph: str, parts: int) -> list[str]:
         keys = self._keys.get(graph)
         if keys is None:
-            kept = await self._read_parts(graph)
-            keys = [node.key for part in range(parts) for node in records.unpack(kept[part])]
+            parts_by_number = await self._read_parts(graph)
+            keys = [
+                node.key for part in range(parts) for node in records.unpack(parts_by_number[part])
+            ]
             self._keys[graph] = keys
             while len(self._keys) > _MAX_CACHED_GRAPHS:
                 self._keys.popitem(last=False)
@@ -582,22 +589,22 @@
         if parse_graph_id(graph) is None:
             return _NO_GRAPH
         for _ in range(_MAX_ATTEMPTS):
-            found = await self._read_records(graph)
-            if found.over is not None:
-                return Reply(200, {"id": graph, "status": found.over.status})
-            head = found.head
-            if head is None or head.status == records.EXPIRED:
+            stored = await self._read_records(graph)
+            if stored.end is not None:
+                return Reply(200, {"id": graph, "status": stored.end.status})
+            record = stored.record
+            if record is None or record.status == records.EXPIRED:
                 return _NO_GRAPH
-            key, end = records.graph_key(graph), records.graph_over_key(graph)
-            over = records.end_of(head, "aborted", wall_now(), "cancelled")
-            if head.status == records.ACCEPTED:
-                first = wire.delete(key)
+            key, end_key = records.graph_key(graph), records.graph_over_key(graph)
+            end_value = records.end_of(record, "aborted", wall_now(), "cancelled")
+            if record.status == records.ACCEPTED:
+                record_change = wire.delete(key)
             else:
                 # Its parts are deleted before its record is (`GraphLeaderExtension`).
-                expired = msgspec.structs.replace(head, status="expired")
-                first = wire.put(key, msgspec.to_builtins(expired))
-            guards = [wire.guard(key, found.mod_revision), wire.guard(end, ABSENT)]
-            changes = [first, wire.put(end, over)]
+                expired = msgspec.structs.replace(record, status="expired")
+                record_change = wire.put(key, msgspec.to_builtins(expired))
+            guards = [wire.guard(key, stored.mod_revision), wire.guard(end_key, ABSENT)]
+            changes = [record_change, wire.put(end_key, end_value)]
             try:
                 result = await self._client.commit(guards, changes)
             except OutcomeUnknownError:
--- a/tealrill/graphs/leader_extension.py
+++ b/tealrill/graphs/leader_extension.py
@@ -5,10 +5,11 @@
 leader learns of changes from the watch on `job/` and from the write batcher's transactions, and
 reads a graph's parts and the ends of its nodes once, when it loads the graph.
 
-Every write is guarded by the leader's key and by the graph's record (`Owner`), which does not
-change between acceptance and end. So nothing is released, bound or recorded as done once a user may
-have been told that the graph is cancelled. When a guard fails, the records that it names are read,
-and the leader applies what they say.
+Every write that releases a node, binds its tasks, records its end or ends the graph is guarded by
+the leader's key and by the graph's record (`Owner`), which does not change between acceptance and
+end. So nothing is released, bound or recorded as done once a user may have been told that the graph
+is cancelled. When a guard fails, the records that it names are read, and the leader applies what
+they say.
 """
 
 from __future__ import annotations
@@ -403,7 +404,7 @@
     def _advance(self) -> None:
         for live in list(self._live.values()):
             if live.stopped_by and not live.ending:
-                self._end(live, "failed", f"node {live.stopped_by!r} failed", None)
+                self._enqueue_end(live, "failed", f"node {live.stopped_by!r} failed", None)
             elif not live.ending:
                 try:
                     self._release(live)
@@ -412,7 +413,7 @@
                     continue
                 if live.progress.over and not live.jobs and not live.in_flight:
                     counts = live.progress.counts_by_state()
-                    self._end(live, _final_status(counts), "", counts)
+                    self._enqueue_end(live, _final_status(counts), "", counts)
         for job_id in islice((j for j in self._orphans if j not in self._burials), _MAX_IN_FLIGHT):
             if len(self._burials) >= _MAX_IN_FLIGHT:
                 break
@@ -482,7 +483,9 @@
 
     # -- ends -----------------------------------------------------------------------------------
 
-    def _end(self, live: Live, status: Any, why: str, counts: dict[str, int] | None) -> None:
+    def _enqueue_end(
+        self, live: Live, status: Any, why: str, counts: dict[str, int] | None
+    ) -> None:
         over = records.end_of(live.head, status, wall_now(), why, counts)
         key = records.graph_over_key(live.name)
 
--- a/tealrill/graphs/records.py
+++ b/tealrill/graphs/records.py
@@ -145,21 +145,21 @@
 
 
 def end_of(
-    head: Head,
+    record: Head,
     status: Literal["done", "failed", "aborted"],
     at: float,
     why: str = "",
     counts: dict[str, int] | None = None,
 ) -> dict[str, Any]:
-    """Return the value of `over/GRAPH` for a graph with the record `head`."""
+    """Return the value of `over/GRAPH` for a graph with this record."""
     over = Over(
         v=VERSION,
         status=status,
         at=at,
-        digest=head.digest,
-        nodes=head.nodes,
-        edges=head.edges,
-        parts=head.parts,
+        digest=record.digest,
+        nodes=record.nodes,
+        edges=record.edges,
+        parts=record.parts,
         why=why,
         counts=counts,
     )
