--- a/tealrill/graphs/leader_extension.py
+++ b/tealrill/graphs/leader_extension.py
@@ -610,8 +610,8 @@
         entries, _ = await self._term.client.scan(records.parts_prefix(name))
         ended, _ = await self._term.client.scan(records.graph_over_key(name) + "-")
         try:
-            found = records.gather(entries)
-            parts = [found[number] for number in range(head.parts)]
+            parts_by_number = records.gather(entries)
+            parts = [parts_by_number[number] for number in range(head.parts)]
             # In a thread: a large graph takes a second on a fraction of a core, which would block
             # the event loop.
             shape = await asyncio.to_thread(_shape, head, parts)
@@ -649,13 +649,13 @@
         than twice as much.
         """
         for live in self._live.values():
-            found: dict[JobView, int] = {}
+            task_counts: dict[JobView, int] = {}
             left_s: dict[int, float] = {}
             for index in list(islice(live.progress.nearly_ready, _MAX_UPCOMING_NODES)):
                 if self._time_until_ready_s(live, index, left_s, now) <= within_s:
                     view = self._view_of(live, index)
-                    found[view] = found.get(view, 0) + live.progress.shape.tasks[index]
-            yield from found.items()
+                    task_counts[view] = task_counts.get(view, 0) + live.progress.shape.tasks[index]
+            yield from task_counts.items()
 
     def _time_until_ready_s(
         self, live: Live, index: int, left_s: dict[int, float], now: Monotonic
--- a/tealrill/graphs/model.py
+++ b/tealrill/graphs/model.py
@@ -53,12 +53,12 @@
 
     def body(self) -> dict[str, Any]:
         """Return the error as the body of a response."""
-        found: dict[str, Any] = {"error": str(self)}
+        body: dict[str, Any] = {"error": str(self)}
         if self.node is not None:
-            found["node"] = self.node
+            body["node"] = self.node
         if self.field is not None:
-            found["field"] = self.field
-        return found
+            body["field"] = self.field
+        return body
 
 
 class Edge(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
@@ -212,8 +212,8 @@
 
 def _field_of_error(error: str) -> str:
     """Return the path of the field that msgspec names at the end of its message."""
-    _, found, path = error.rpartition("`$.")
-    return "job." + path.rstrip("`") if found else "job"
+    _, separator, path = error.rpartition("`$.")
+    return "job." + path.rstrip("`") if separator else "job"
 
 
 @dataclass(slots=True, eq=False)
@@ -249,26 +249,26 @@
 
     def followers(self, index: int) -> Iterator[tuple[int, int]]:
         """Yield the nodes that wait for this one, with the kind of edge."""
-        for at in range(self.out_first[index], self.out_first[index + 1]):
-            yield self.out_node[at], self.out_kind[at]
+        for position in range(self.out_first[index], self.out_first[index + 1]):
+            yield self.out_node[position], self.out_kind[position]
 
     def awaited(self, index: int) -> Iterator[tuple[int, int]]:
         """Yield the nodes that this one waits for, with the kind of edge."""
-        for at in range(self.in_first[index], self.in_first[index + 1]):
-            yield self.in_node[at], self.in_kind[at]
+        for position in range(self.in_first[index], self.in_first[index + 1]):
+            yield self.in_node[position], self.in_kind[position]
 
     def tails(self) -> array[float]:
         """Return per node the estimated time of the longest path behind it, in seconds.
 
         The node's own time is not part of it.
         """
-        found = array("f", bytes(4 * self.nodes))
+        tails = array("f", bytes(4 * self.nodes))
         for index in reversed(self.order):
             longest = 0.0
             for dependent, _ in self.followers(index):
-                longest = max(longest, self.estimate_s[dependent] + found[dependent])
-            found[index] = longest
-        return found
+                longest = max(longest, self.estimate_s[dependent] + tails[dependent])
+            tails[index] = longest
+        return tails
 
 
 def resolve(
@@ -280,41 +280,41 @@
 ) -> Shape:
     """Resolve the edges of a whole graph; raise `InvalidGraphError` with the node and the field."""
     keys: list[str] = []
-    index: dict[str, int] = {}
+    index_of_key: dict[str, int] = {}
     tasks, estimates, retry_limits = array("I"), array("f"), bytearray()
-    awaited: list[list[Edge]] = []
+    edges_of_nodes: list[list[Edge]] = []
     edges = 0
     for nodes in parts:
         for node in nodes:
-            if node.key in index:
+            if node.key in index_of_key:
                 raise InvalidGraphError("two nodes have this key", node.key, "key")
-            index[node.key] = len(keys)
+            index_of_key[node.key] = len(keys)
             keys.append(node.key)
             if len(keys) > max_nodes:
                 raise InvalidGraphError(f"more than {max_nodes} nodes", node.key, "nodes")
             tasks.append(int(_job_field(defaults, node, "pieces")))
             estimates.append(float(_job_field(defaults, node, "guessS")))
             retry_limits.append(node.retries if node.retries is not None else retries)
-            awaited.append(list(node.edges()))
+            edges_of_nodes.append(list(node.edges()))
             edges += len(node.after)
             if edges > max_edges:
                 raise InvalidGraphError(f"more than {max_edges} edges", node.key, "after")
     if not keys:
         raise InvalidGraphError("a graph has at least one node", field="nodes")
     in_first, in_node, in_kind = array("I", [0]), array("I"), bytearray()
-    for number, dependency_edges in enumerate(awaited):
+    for number, dependency_edges in enumerate(edges_of_nodes):
         for edge in dependency_edges:
-            other = index.get(edge.node)
-            if other is None:
+            dependency = index_of_key.get(edge.node)
+            if dependency is None:
                 raise InvalidGraphError(f"no node {edge.node!r}", keys[number], "after")
-            if edge.each and tasks[other] != tasks[number]:
+            if edge.each and tasks[dependency] != tasks[number]:
                 raise InvalidGraphError(
-                    f"{tasks[number]} tasks can't wait one by one for the {tasks[other]} of "
+                    f"{tasks[number]} tasks can't wait one by one for the {tasks[dependency]} of "
                     f"{edge.node!r}",
                     keys[number],
                     "after",
                 )
-            in_node.append(other)
+            in_node.append(dependency)
             in_kind.append(EACH if edge.each else _WHEN[edge.when])
         in_first.append(len(in_node))
     out_first, out_node, out_kind = _group_by_dependency(len(keys), in_first, in_node, in_kind)
@@ -335,33 +335,35 @@
 ) -> tuple[array[int], array[int], bytearray]:
     """Return the same edges grouped by dependency: first positions, dependents and kinds."""
     first = array("I", bytes(4 * (nodes + 1)))
-    for other in in_node:
-        first[other + 1] += 1
-    for number in range(nodes):
-        first[number + 1] += first[number]
-    at = array("I", first)
+    for dependency in in_node:
+        first[dependency + 1] += 1
+    for index in range(nodes):
+        first[index + 1] += first[index]
+    next_position = array("I", first)
     out_node, out_kind = array("I", bytes(4 * len(in_node))), bytearray(len(in_node))
-    for number in range(nodes):
-        for edge in range(in_first[number], in_first[number + 1]):
-            position = at[in_node[edge]]
-            at[in_node[edge]] += 1
-            out_node[position], out_kind[position] = number, in_kind[edge]
+    for index in range(nodes):
+        for edge in range(in_first[index], in_first[index + 1]):
+            position = next_position[in_node[edge]]
+            next_position[in_node[edge]] += 1
+            out_node[position], out_kind[position] = index, in_kind[edge]
     return first, out_node, out_kind
 
 
 def _sort_topologically(shape: Shape) -> None:
     """Fill `order`; raise `InvalidGraphError` with the path of a cycle if there is one."""
-    left = array("I", (shape.in_first[i + 1] - shape.in_first[i] for i in range(shape.nodes)))
-    shape.order.extend(i for i in range(shape.nodes) if not left[i])
-    at = 0
-    while at < len(shape.order):
-        for dependent, _ in shape.followers(shape.order[at]):
-            left[dependent] -= 1
-            if not left[dependent]:
+    unsorted_dependencies = array(
+        "I", (shape.in_first[i + 1] - shape.in_first[i] for i in range(shape.nodes))
+    )
+    shape.order.extend(i for i in range(shape.nodes) if not unsorted_dependencies[i])
+    position = 0
+    while position < len(shape.order):
+        for dependent, _ in shape.followers(shape.order[position]):
+            unsorted_dependencies[dependent] -= 1
+            if not unsorted_dependencies[dependent]:
                 shape.order.append(dependent)
-        at += 1
+        position += 1
     if len(shape.order) < shape.nodes:
-        path = _find_cycle(shape, left)
+        path = _find_cycle(shape, unsorted_dependencies)
         cycle_keys = [shape.keys[i] for i in path]
         if len(cycle_keys) > 12:
             cycle_keys = [*cycle_keys[:6], "...", *cycle_keys[-5:]]
@@ -370,15 +372,19 @@
         )
 
 
-def _find_cycle(shape: Shape, left: array[int]) -> list[int]:
+def _find_cycle(shape: Shape, unsorted_dependencies: array[int]) -> list[int]:
     """Return a cycle among the unsorted nodes, each before its dependent, the first one twice."""
-    number = next(i for i in range(shape.nodes) if left[i])
-    seen: dict[int, int] = {}
+    index = next(i for i in range(shape.nodes) if unsorted_dependencies[i])
+    position_on_path: dict[int, int] = {}
     path: list[int] = []
-    while number not in seen:
-        seen[number] = len(path)
-        path.append(number)
+    while index not in position_on_path:
+        position_on_path[index] = len(path)
+        path.append(index)
         # An unsorted node has at least one unsorted dependency.
-        number = next(other for other, _ in shape.awaited(number) if left[other])
-    cycle = path[seen[number] :]
-    return [number, *reversed(cycle)]
+        index = next(
+            dependency
+            for dependency, _ in shape.awaited(index)
+            if unsorted_dependencies[dependency]
+        )
+    cycle = path[position_on_path[index] :]
+    return [index, *reversed(cycle)]
--- a/tealrill/graphs/records.py
+++ b/tealrill/graphs/records.py
@@ -232,23 +232,23 @@
 
 def gather(entries: Iterable[wire.Entry]) -> dict[int, PackedPart]:
     """Assemble parts, by number, from all fragments of a graph; raise `GraphRecordError`."""
-    pieces: dict[int, dict[int, Fragment]] = {}
+    fragments_of_part: dict[int, dict[int, Fragment]] = {}
     for entry in entries:
         part, number = part_of_key(entry.key)
-        pieces.setdefault(part, {})[number] = _decode(entry.value, Fragment)
-    found: dict[int, PackedPart] = {}
-    for part, fragments in pieces.items():
+        fragments_of_part.setdefault(part, {})[number] = _decode(entry.value, Fragment)
+    parts: dict[int, PackedPart] = {}
+    for part, fragments in fragments_of_part.items():
         first = fragments.get(0)
         if first is None or len(fragments) != first.of:
-            raise GraphRecordError(f"part {part} is incomplete: {len(fragments)} fragments found")
+            raise GraphRecordError(f"part {part} is incomplete: {len(fragments)} fragments")
         try:
             content = base64.b64decode(
                 "".join(fragments[number].z for number in range(first.of)), validate=True
             )
         except (binascii.Error, KeyError) as error:
             raise GraphRecordError(f"part {part}: {error}") from None
-        found[part] = PackedPart(first.nodes, first.digest, content)
-    return found
+        parts[part] = PackedPart(first.nodes, first.digest, content)
+    return parts
 
 
 class NodeJob(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
--- a/tests/test_graphs.py
+++ b/tests/test_graphs.py
@@ -213,13 +213,13 @@
     ),
 )
 def test_graph_records_round_trip_and_unknown_versions_are_rejected(head: Head, over: Over) -> None:
-    kept = orjson.loads(wire.encode(head))
-    assert records.read_head(kept) == head
+    encoded = orjson.loads(wire.encode(head))
+    assert records.read_head(encoded) == head
     assert records.read_over(orjson.loads(wire.encode(over))) == over
-    others: list[Any] = [{**kept, "v": 2}, {**kept, "status": "odd"}, [], None]
-    for other in others:
+    invalid: list[Any] = [{**encoded, "v": 2}, {**encoded, "status": "odd"}, [], None]
+    for value in invalid:
         with pytest.raises(GraphRecordError):
-            records.read_head(other)
+            records.read_head(value)
 
 
 def test_task_failures_are_counted_across_failover() -> None:
@@ -281,9 +281,9 @@
 
 def _store_accepted_graph(store: CheckedStore, nodes: list[Node], **head: Any) -> None:
     """Write the records of an accepted graph."""
-    kept = Head(v=1, status="accepted", at=wall_now(), digest="d", defaults=_DEFAULTS,
+    record = Head(v=1, status="accepted", at=wall_now(), digest="d", defaults=_DEFAULTS,
                 nodes=len(nodes), edges=1, parts=1, **head)  # fmt: skip
-    changes = [wire.put("job/fam1", wire.plain(kept))]
+    changes = [wire.put("job/fam1", wire.plain(record))]
     for number, value in enumerate(records.pack(nodes, 4096)):
         changes.append(wire.put(records.fragment_key("fam1", 0, number), value))
     store.execute([], changes)
