--- a/tealrill/extensions.py
+++ b/tealrill/extensions.py
@@ -68,13 +68,13 @@
     def on_cancelled(self, name: str) -> None:
         """Process that another member has acknowledged the cancellation of `name`."""
 
-    def owner_changed(self, owner: Owner) -> None:
+    def on_owner_changed(self, owner: Owner) -> None:
         """Process that a transaction failed because an owner's record has changed."""
 
-    def tasks_done(self, job: Job, tasks: list[int]) -> None:
+    def on_tasks_done(self, job: Job, tasks: list[int]) -> None:
         """Process that tasks are committed as done, of a job that reports its completions."""
 
-    def upcoming(self, now: Monotonic, within_s: float) -> Iterable[tuple[JobView, int]]:
+    def upcoming_tasks(self, now: Monotonic, within_s: float) -> Iterable[tuple[JobView, int]]:
         """Return the tasks expected to wait for machines within `within_s` seconds, with counts."""
 
     def describe(self) -> dict[str, Any]:
@@ -95,6 +95,6 @@
     """Served on `cluster_listen`."""
     loops: Sequence[Callable[[], Coroutine[Any, Any, None]]] = field(default=())
     """Run on every controller, leader or not."""
-    names: ImplicitJobs | None = None
+    implicit_jobs: ImplicitJobs | None = None
     """Job ids that belong to the extension although they have no record of their own."""
-    term: Callable[[LeadershipContext], LeaderExtension] | None = None
+    create_leader_extension: Callable[[LeadershipContext], LeaderExtension] | None = None
--- a/tealrill/fleet/cloud.py
+++ b/tealrill/fleet/cloud.py
@@ -1,4 +1,4 @@
-"""Client of the cloud, within a budget."""
+"""Rate-limited client of the cloud's API."""
 
 from __future__ import annotations
 
@@ -16,36 +16,36 @@
 log = logging.getLogger(__name__)
 
 _TIMEOUT_S = 5.0
-_LIST_PAGE = 500
-MOST_RELEASED = 100
-MOST_RENTED = 50
+_LIST_PAGE_SIZE = 500
+MAX_RELEASED_PER_REQUEST = 100
+MAX_RENTED_PER_REQUEST = 50
 
 
 class CloudError(TealrillError):
-    """The request brought no result; it may have taken effect or may yet."""
+    """The request got no usable response; it may have taken effect, or may still do so."""
 
 
 class NoCapacityError(TealrillError):
-    """The cloud has none of what was asked for; nothing was rented."""
+    """The cloud refused the rental; no machine was rented."""
 
 
 class Cloud:
-    """The cloud's API. Only the leader rents and returns."""
+    """Client of the cloud's API. Only the leader rents and releases machines."""
 
     def __init__(self, address: str, rate: float, nodes: int) -> None:
-        self._http = Client(parse_address(address), most=3)
+        self._http = Client(parse_address(address), max_idle=3)
         self._rate = rate
-        self._nodes = nodes
-        self.budget = RateLimiter(rate * self._share(False))
+        self._node_count = nodes
+        self.budget = RateLimiter(rate * self._rate_share(False))
 
     def set_leading(self, leads: bool) -> None:
         """Give the leader the larger share of the cloud's request rate."""
-        self.budget.set_rate(self._rate * self._share(leads))
+        self.budget.set_rate(self._rate * self._rate_share(leads))
 
-    def _share(self, leads: bool) -> float:
-        if self._nodes == 1:
+    def _rate_share(self, leads: bool) -> float:
+        if self._node_count == 1:
             return 0.9
-        return 0.7 if leads else 0.2 / (self._nodes - 1)
+        return 0.7 if leads else 0.2 / (self._node_count - 1)
 
     async def catalogue(self) -> wire.Catalogue:
         """Return the machine types that the cloud offers; raises `CloudError`."""
@@ -53,20 +53,20 @@
         return self._read(await self._send("GET", "/catalog"), wire.Catalogue)
 
     async def machines(self) -> list[wire.ListedMachine]:
-        """The whole list, page after page."""
-        found: list[wire.ListedMachine] = []
-        after = ""
+        """Return the complete machine list, fetched page by page; raises `CloudError`."""
+        listed: list[wire.ListedMachine] = []
+        last_id = ""
         while True:
             await self.budget.acquire(priority=RequestPriority.LOW)
-            query: dict[str, str | int] = {"most": _LIST_PAGE}
-            if after:
-                query["from"] = after
+            query: dict[str, str | int] = {"most": _LIST_PAGE_SIZE}
+            if last_id:
+                query["from"] = last_id
             answer = await self._send("GET", "/hosts?" + urlencode(query))
             page = self._read(answer, wire.MachineList)
-            found.extend(page.machines)
+            listed.extend(page.machines)
             if not page.more or not page.machines:
-                return found
-            after = page.machines[-1].id
+                return listed
+            last_id = page.machines[-1].id
 
     async def rent(
         self,
@@ -77,10 +77,13 @@
         count: int,
         check: Callable[[], None],
     ) -> list[str]:
-        """The machines rented under this request name; raises `NoCapacityError` or `CloudError`.
+        """Rent machines and return their names; raises `NoCapacityError` or `CloudError`.
 
-        `check` is called after every wait, right before the request leaves; what it raises comes
-        out here, and then nothing was sent.
+        The request name makes the call idempotent: once a request has succeeded, repeating it under
+        the same name rents nothing more.
+
+        `check` is called after every wait, immediately before the request is sent. If it raises,
+        nothing is sent and the exception propagates to the caller.
         """
         await self.budget.acquire()
         body = wire.encode(wire.rent_request(name, type_name, zone, spot, count))
@@ -88,21 +91,21 @@
         if answer.status == 503 and b"no capacity" in answer.body:
             raise NoCapacityError
         if answer.status == 400:
-            # Repeating it would bring the same answer for ever.
-            log.error("rental %s was called malformed: %s", name, answer.body[:200])
+            # Not retried: the cloud rejects the same request every time.
+            log.error("rental rejected as malformed: name=%s response=%s", name, answer.body[:200])
             raise NoCapacityError
         return self._read(answer, wire.Rented).machines
 
     async def release(self, machines: Sequence[MachineId], check: Callable[[], None]) -> None:
-        """Returns when the machines and everything on them are gone; raises `CloudError`.
+        """Release machines; return once the cloud has confirmed that they are terminated.
 
-        `check` as in `rent`.
+        Raises `CloudError`. `check` is called as in `rent`.
         """
         await self.budget.acquire()
         body = wire.encode(wire.release_request(list(machines)))
         answer = await self._send("POST", "/hosts/release", body, check)
         if answer.status != 200:
-            raise CloudError(f"status {answer.status}")
+            raise CloudError(f"cloud answered with status {answer.status}")
 
     async def _send(
         self,
@@ -119,7 +122,7 @@
     @staticmethod
     def _read(answer: Answer, kind: type[wire.T]) -> wire.T:
         if answer.status != 200:
-            raise CloudError(f"status {answer.status}")
+            raise CloudError(f"cloud answered with status {answer.status}")
         try:
             return wire.decode(answer.body, kind)
         except wire.MalformedMessageError as error:
--- a/tealrill/graphs/admission.py
+++ b/tealrill/graphs/admission.py
@@ -34,8 +34,8 @@
     parse_node_id,
     resolve,
 )
-from tealrill.graphs.records import GraphRecordError, Head, Over, PackedPart
-from tealrill.graphs.tracker import STATES
+from tealrill.graphs.records import GraphEnd, GraphRecord, GraphRecordError, PackedPart
+from tealrill.graphs.tracker import NODE_STATES
 from tealrill.settings import Settings
 from tealrill.state.admission import Admission, ImplicitJob, Reply
 from tealrill.state.client import (
@@ -89,7 +89,11 @@
     """The records of a graph, with the revisions at which they were last changed."""
 
     def __init__(
-        self, record: Head | None, mod_revision: Revision, end: Over | None, end_revision: Revision
+        self,
+        record: GraphRecord | None,
+        mod_revision: Revision,
+        end: GraphEnd | None,
+        end_revision: Revision,
     ) -> None:
         self.record = record
         self.mod_revision = mod_revision
@@ -125,7 +129,7 @@
         graph = graph_prefix(job_id)
         if graph is None:
             return []
-        return [records.graph_key(graph), records.graph_over_key(graph)]
+        return [records.graph_key(graph), records.graph_end_key(graph)]
 
     async def status(self, job_id: JobId) -> ImplicitJob | None:
         """Return the status of a node that has no record of its own."""
@@ -172,7 +176,7 @@
             wire.put(
                 ended_key(job_id), {"status": wire.JOB_CANCELLED, "outcome": OUTCOME_CANCELLED}
             ),
-            wire.put(records.word_key(node[0]), {"cancelled": node[1]}),
+            wire.put(records.cancelled_node_key(node[0]), {"cancelled": node[1]}),
         ]
         try:
             result = await self._client.commit(guards, changes)
@@ -189,11 +193,11 @@
         """
         entry = await self._client.get(records.graph_key(graph))
         try:
-            record = None if entry is None else records.read_head(entry.value)
+            record = None if entry is None else records.read_graph(entry.value)
             if entry is not None and record is not None and record.status != records.EXPIRED:
                 return StoredGraph(record, Revision(entry.version), None, ABSENT)
-            end_entry = await self._client.get(records.graph_over_key(graph))
-            end = None if end_entry is None else records.read_over(end_entry.value)
+            end_entry = await self._client.get(records.graph_end_key(graph))
+            end = None if end_entry is None else records.read_graph_end(end_entry.value)
             if end_entry is not None and end is not None and end.status == wire.JOB_CANCELLED:
                 # The answer tells a user of the cancellation, perhaps before the member that
                 # executed it has acknowledged it; that member may also have failed since.
@@ -210,14 +214,14 @@
 
     async def _read_parts(self, graph: str) -> dict[int, PackedPart]:
         entries, _ = await self._client.scan(records.parts_prefix(graph))
-        return records.gather(entries)
+        return records.assemble_parts(entries)
 
     async def _conflicting_job(self, graph: str) -> str | None:
         """Return a plain job with an id of the graph's nodes; None if there is none.
 
         Called before the graph is accepted, when it has no nodes that are jobs.
         """
-        for prefix in (records.graph_key(graph), records.graph_over_key(graph)):
+        for prefix in (records.graph_key(graph), records.graph_end_key(graph)):
             page = await self._client.page(prefix + "-", None, 1)
             if page.items:
                 return page.items[0].key.rpartition("/")[2]
@@ -288,11 +292,11 @@
         if record.digest != digest:
             return _conflict("another graph has this id")
         if record.status == records.ACCEPTED:
-            return Reply(200, self._accepted(graph, record))
+            return Reply(200, self._accepted_body(graph, record))
         return None
 
     @staticmethod
-    def _accepted(graph: str, record: Head) -> dict[str, Any]:
+    def _accepted_body(graph: str, record: GraphRecord) -> dict[str, Any]:
         return {
             "id": graph,
             "status": records.ACCEPTED,
@@ -311,7 +315,7 @@
             raise InvalidGraphError(
                 f"job {conflicting_job} has an id of its nodes", field="id", status=409
             )
-        record = Head(
+        record = GraphRecord(
             v=records.VERSION,
             status="open",
             at=wall_now(),
@@ -326,7 +330,7 @@
             raise InvalidGraphError("they are too long", field="defaults")
         guards = [
             wire.guard(records.graph_key(graph), ABSENT),
-            wire.guard(records.graph_over_key(graph), ABSENT),
+            wire.guard(records.graph_end_key(graph), ABSENT),
         ]
         changes = [wire.put(records.graph_key(graph), value)]
         if submission.nodes:
@@ -360,7 +364,7 @@
         changes: list[dict[str, Any]],
     ) -> None:
         """Add a whole part to a transaction; raise `InvalidGraphError` if it does not fit."""
-        for fragment, value in enumerate(records.pack(nodes, self._value_bytes)):
+        for fragment, value in enumerate(records.pack_part(nodes, self._value_bytes)):
             key = records.fragment_key(graph, number, fragment)
             guards.append(wire.guard(key, ABSENT))
             changes.append(wire.put(key, value))
@@ -434,7 +438,7 @@
             if record.status == records.ACCEPTED:
                 if record.parts != parts:
                     return _conflict(f"the graph was sealed with {record.parts} parts")
-                return Reply(200, self._accepted(graph, record))
+                return Reply(200, self._accepted_body(graph, record))
             sealed = await self._accepted_record(graph, record, parts)
             if isinstance(sealed, Reply):
                 return sealed
@@ -442,10 +446,12 @@
             changes = [wire.put(records.graph_key(graph), msgspec.to_builtins(sealed))]
             if isinstance(await self._commit(guards, changes), Committed):
                 log.info("graph accepted: graph=%s nodes=%d", graph, sealed.nodes)
-                return Reply(201, self._accepted(graph, sealed))
+                return Reply(201, self._accepted_body(graph, sealed))
         return _retry_later("not decided")
 
-    async def _accepted_record(self, graph: str, record: Head, parts: int) -> Head | Reply:
+    async def _accepted_record(
+        self, graph: str, record: GraphRecord, parts: int
+    ) -> GraphRecord | Reply:
         """Return the accepted record after checking all parts, or a reply that rejects the seal."""
         try:
             parts_by_number = await self._read_parts(graph)
@@ -459,7 +465,7 @@
             return _conflict(f"{len(parts_by_number)} parts are kept, {parts} are named")
 
         def shape() -> Shape:
-            unpacked = (records.unpack(parts_by_number[number]) for number in range(parts))
+            unpacked = (records.unpack_part(parts_by_number[number]) for number in range(parts))
             return self._resolve_within_limits(record.defaults, record.retries, unpacked)
 
         # In a thread: a large graph takes a second on a fraction of a core, which would block the
@@ -506,14 +512,14 @@
             left_s = max(0.0, record.at + self._features.open_s - wall_now())
             return Reply(200, {"id": graph, "status": records.OPEN, "openS": round(left_s)})
         counts = await self._counts(graph)
-        return Reply(200, {**self._accepted(graph, record), "counts": counts})
+        return Reply(200, {**self._accepted_body(graph, record), "counts": counts})
 
     async def _count_ends(self, graph: str) -> dict[str, int]:
         """Return the number of ended nodes by state, from their own records."""
-        counts = dict.fromkeys(STATES[3:], 0)
-        entries, _ = await self._client.scan(records.graph_over_key(graph) + "-")
+        counts = dict.fromkeys(NODE_STATES[3:], 0)
+        entries, _ = await self._client.scan(records.graph_end_key(graph) + "-")
         for entry in entries:
-            counts[records.outcome_of(entry.value)] += 1
+            counts[records.node_outcome(entry.value)] += 1
         return counts
 
     async def nodes(self, graph: str, state: str | None, start: int, limit: int) -> Reply:
@@ -521,12 +527,12 @@
         return await self._handle_errors(self._nodes, graph, state, start, limit)
 
     async def _nodes(self, graph: str, state: str | None, start: int, limit: int) -> Reply:
-        if state is not None and state not in STATES:
-            return Reply(400, {"error": f"one of {', '.join(STATES)}", "field": "state"})
+        if state is not None and state not in NODE_STATES:
+            return Reply(400, {"error": f"one of {', '.join(NODE_STATES)}", "field": "state"})
         if parse_graph_id(graph) is None:
             return _NO_GRAPH
         stored = await self._read_records(graph)
-        record: Head | Over | None = stored.end or stored.record
+        record: GraphRecord | GraphEnd | None = stored.end or stored.record
         if record is None or (stored.end is None and record.status != records.ACCEPTED):
             return _NO_GRAPH
         keys = await self._node_keys(graph, record.parts)
@@ -563,7 +569,7 @@
             for entry in page.items:
                 node = parse_node_id(parse_job_id(entry.key.removeprefix(prefix)) or "")
                 if node is not None:
-                    states[node[1]] = records.outcome_of(entry.value) if is_ended else "released"
+                    states[node[1]] = records.node_outcome(entry.value) if is_ended else "released"
         return states
 
     async def _node_keys(self, graph: str, parts: int) -> list[str]:
@@ -571,7 +577,9 @@
         if keys is None:
             parts_by_number = await self._read_parts(graph)
             keys = [
-                node.key for part in range(parts) for node in records.unpack(parts_by_number[part])
+                node.key
+                for part in range(parts)
+                for node in records.unpack_part(parts_by_number[part])
             ]
             self._keys[graph] = keys
             while len(self._keys) > _MAX_CACHED_GRAPHS:
@@ -595,8 +603,8 @@
             record = stored.record
             if record is None or record.status == records.EXPIRED:
                 return _NO_GRAPH
-            key, end_key = records.graph_key(graph), records.graph_over_key(graph)
-            end_value = records.end_of(record, "aborted", wall_now(), "cancelled")
+            key, end_key = records.graph_key(graph), records.graph_end_key(graph)
+            end_value = records.graph_end_value(record, "aborted", wall_now(), "cancelled")
             if record.status == records.ACCEPTED:
                 record_change = wire.delete(key)
             else:
--- a/tealrill/graphs/api.py
+++ b/tealrill/graphs/api.py
@@ -32,7 +32,7 @@
             reply = await local
         else:
             relayed_request = (request.uri or "", request.method or "", request.body or None)
-            reply = await self._relay.either(
+            reply = await self._relay.first_conclusive(
                 local, relayed_request, _RELAY_AFTER_S, _RELAY_TIMEOUT_S
             )
         self.reply(reply.status, reply.body, reply.retry_after_s)
--- a/tealrill/graphs/extension.py
+++ b/tealrill/graphs/extension.py
@@ -69,6 +69,6 @@
         name="graphs",
         user_routes=user_routes(graph_admission, relay),
         peer_routes=peer_routes(graph_admission, counts.local_counts),
-        names=graph_admission,
-        term=term,
+        implicit_jobs=graph_admission,
+        create_leader_extension=term,
     )
--- a/tealrill/graphs/leader_extension.py
+++ b/tealrill/graphs/leader_extension.py
@@ -39,10 +39,10 @@
     parse_node_id,
     resolve,
 )
-from tealrill.graphs.records import GraphRecordError, Head, PackedPart
+from tealrill.graphs.records import GraphRecord, GraphRecordError, PackedPart
 from tealrill.graphs.tracker import (
-    OVER_CANCELLED,
-    OVER_FAILED,
+    CANCELLED,
+    FAILED,
     RELEASED,
     Progress,
     outcome_state,
@@ -82,15 +82,15 @@
 
 
 @dataclass(eq=False)
-class Live:
+class LoadedGraph:
     """An accepted graph that has not ended, with the progress known to its leader."""
 
     name: str
-    head: Head
+    record: GraphRecord
     owner: Owner
     parts: list[PackedPart]
     progress: Progress
-    first: list[int] = field(default_factory=list)
+    part_starts: list[int] = field(default_factory=list)
     """Index of each part's first node."""
     jobs: dict[int, Job] = field(default_factory=dict)
     """Jobs of the released nodes that have not ended."""
@@ -106,18 +106,18 @@
 
     def node(self, index: int) -> Node:
         """Return a node as its user submitted it; raise `GraphRecordError`."""
-        part = bisect_right(self.first, index) - 1
+        part = bisect_right(self.part_starts, index) - 1
         nodes = self.unpacked.get(part)
         if nodes is None:
-            nodes = self.unpacked[part] = records.unpack(self.parts[part])
+            nodes = self.unpacked[part] = records.unpack_part(self.parts[part])
             while len(self.unpacked) > _MAX_CACHED_PARTS:
                 self.unpacked.popitem(last=False)
         self.unpacked.move_to_end(part)
-        return nodes[index - self.first[part]]
+        return nodes[index - self.part_starts[part]]
 
     def spec(self, index: int) -> wire.JobSpec:
         """Return the job specification of a node."""
-        return node_spec(self.name, index, self.head.defaults, self.node(index))
+        return node_spec(self.name, index, self.record.defaults, self.node(index))
 
     def due_s(self, index: int, spec: wire.JobSpec, now: float) -> float | None:
         """Return the seconds until the node is due; None if it has no deadline.
@@ -126,8 +126,8 @@
         the longest path behind the node.
         """
         due = [] if spec.deadline_s is None else [spec.deadline_s]
-        if self.head.due_s is not None:
-            left_s = self.head.at + self.head.due_s - self.progress.tail_s[index] - now
+        if self.record.due_s is not None:
+            left_s = self.record.at + self.record.due_s - self.progress.tail_s[index] - now
             due.append(max(0.0, left_s))
         return min(due, default=None)
 
@@ -136,8 +136,8 @@
         return self.in_flight + sum(job.waiting > 0 for job in self.jobs.values())
 
 
-def _shape(head: Head, parts: Sequence[PackedPart]) -> Shape:
-    shape = resolve(head.defaults, head.retries, (records.unpack(part) for part in parts))
+def _build_shape(head: GraphRecord, parts: Sequence[PackedPart]) -> Shape:
+    shape = resolve(head.defaults, head.retries, (records.unpack_part(part) for part in parts))
     # The keys would take half of the memory per node, and are needed for error messages only.
     shape.keys.clear()
     return shape
@@ -150,22 +150,22 @@
         self._term = term
         self._features = features
         self._wake = asyncio.Event()
-        self._heads: dict[str, tuple[Head, Owner]] = {}
+        self._accepted: dict[str, tuple[GraphRecord, Owner]] = {}
         """Accepted graphs that have not ended."""
-        self._drafts: dict[str, tuple[Head, Revision]] = {}
+        self._drafts: dict[str, tuple[GraphRecord, Revision]] = {}
         """Graphs that are open or expired."""
         self._expiring: set[str] = set()
         """Drafts with a write in flight that expires them or deletes their records."""
-        self._live: dict[str, Live] = {}
+        self._loaded: dict[str, LoadedGraph] = {}
         """The accepted graphs whose records have been read."""
         self._pending_ends: dict[str, list[tuple[int, int]]] = {}
         """Ends of nodes that were reported while their graph was not loaded."""
         self._orphans: dict[JobId, tuple[Revision, wire.JobSpec]] = {}
         """Jobs that still have a record although their graph has ended."""
-        self._burials: set[JobId] = set()
+        self._ending_orphans: set[JobId] = set()
         """Orphans with a write in flight that ends them."""
         self._notices: dict[str, Revision] = {}
-        """Revisions of the cancellation notices (`records.word_key`), by graph."""
+        """Revisions of the cancellation notices (`records.cancelled_node_key`), by graph."""
         self._unreadable: dict[str, Owner] = {}
         """Graphs whose records this version can't read: no node of them is released, and their jobs
         are blocked when they are claimed."""
@@ -176,9 +176,9 @@
         """Load all records under `job/` that are not jobs."""
         present = {entry.key: entry for entry in entries}
         # Ends of nodes that the watch missed are read when the graph is loaded again.
-        self._live.clear()
+        self._loaded.clear()
         self._notices.clear()
-        for name in [*self._heads, *self._drafts, *self._unreadable]:
+        for name in [*self._accepted, *self._drafts, *self._unreadable]:
             if records.graph_key(name) not in present:
                 self.on_record_changed(records.graph_key(name), None, ABSENT)
         for entry in entries:
@@ -187,7 +187,7 @@
 
     def on_record_changed(self, key: str, value: Any, version: Revision) -> None:
         """Process a change of such a record; `value` is None if it was deleted."""
-        notice_graph = records.graph_of_word(key)
+        notice_graph = records.parse_cancelled_node_key(key)
         if notice_graph is not None:
             self._on_notice_changed(notice_graph, value, version)
         elif value is None:
@@ -203,20 +203,20 @@
         self._notices[name] = version
         index = value.get("cancelled") if isinstance(value, dict) else None
         if isinstance(index, int):
-            self._record_end(name, index, OVER_CANCELLED)
+            self._record_end(name, index, CANCELLED)
 
     def _on_graph_changed(self, name: str, value: Any, version: Revision) -> None:
-        if name in self._heads and self._heads[name][1].mod_revision == version:
+        if name in self._accepted and self._accepted[name][1].mod_revision == version:
             return
         try:
-            head = records.read_head(value)
+            head = records.read_graph(value)
         except GraphRecordError as error:
             self._hold_unreadable(name, version, error)
             return
         if head.status == records.ACCEPTED:
             self._drafts.pop(name, None)
-            self._heads[name] = (head, Owner(records.graph_key(name), version, name))
-            self._live.pop(name, None)
+            self._accepted[name] = (head, Owner(records.graph_key(name), version, name))
+            self._loaded.pop(name, None)
         else:
             self._drafts[name] = (head, version)
 
@@ -226,8 +226,8 @@
         Raising the error would end the term and interrupt the service for all jobs.
         """
         log.error("graph held, its records can't be read: graph=%s error=%s", name, error)
-        known = self._heads.pop(name, None)
-        self._live.pop(name, None)
+        known = self._accepted.pop(name, None)
+        self._loaded.pop(name, None)
         self._pending_ends.pop(name, None)
         owner = known[1] if known is not None else None
         self._unreadable[name] = owner or Owner(records.graph_key(name), version, name)
@@ -241,7 +241,7 @@
             job.owner = self._unreadable[name]
             self._term.job_store.block_tasks(job)
             return True
-        known = self._heads.get(name)
+        known = self._accepted.get(name)
         if known is None:
             # The graph has ended: the job's record is to be moved to `over/` as well.
             job.cancelled = True
@@ -260,7 +260,7 @@
         job.tail_s = node_fields.tail_s
         if node_fields.each:
             self._term.job_store.block_tasks(job)
-        live = self._live.get(name)
+        live = self._loaded.get(name)
         if live is not None:
             self._attach(live, node[1], job)
         return True
@@ -274,30 +274,30 @@
 
     def on_cancelled(self, name: str) -> None:
         """Stop a graph whose cancellation another member has acknowledged."""
-        if name in self._heads or name in self._unreadable:
+        if name in self._accepted or name in self._unreadable:
             self._drop_graph(name, "cancellation acknowledged by another member")
 
-    def tasks_done(self, job: Job, tasks: list[int]) -> None:
+    def on_tasks_done(self, job: Job, tasks: list[int]) -> None:
         """Unblock the tasks that wait for single tasks of a node, now committed as done."""
         node = parse_node_id(job.id)
-        live = self._live.get(job.owner.name) if job.owner is not None else None
+        live = self._loaded.get(job.owner.name) if job.owner is not None else None
         if live is None or node is None:
             return
         self._unblock_tasks(live, live.progress.record_tasks_done(node[1], tasks))
         self._wake.set()
 
-    def owner_changed(self, owner: Owner) -> None:
+    def on_owner_changed(self, owner: Owner) -> None:
         """Stop a graph whose record has changed or is deleted, as a failed guard has shown."""
-        known = self._heads.get(owner.name)
+        known = self._accepted.get(owner.name)
         if owner in (known[1] if known is not None else None, self._unreadable.get(owner.name)):
             self._drop_graph(owner.name, "record changed")
 
     # -- nodes ----------------------------------------------------------------------------------
 
-    def _attach(self, live: Live, index: int, job: Job) -> None:
+    def _attach(self, live: LoadedGraph, index: int, job: Job) -> None:
         """Attach the job in the job store to its node."""
         progress = live.progress
-        progress.released(index)
+        progress.mark_released(index)
         live.views_by_node.pop(index, None)
         if progress.state[index] != RELEASED:
             # While its release was in flight, a dependency ended so that the node is skipped.
@@ -309,31 +309,31 @@
         if job.unblocked is not None:
             self._unblock_runnable_tasks(live, index, job)
 
-    def _unblock_runnable_tasks(self, live: Live, index: int, job: Job) -> None:
+    def _unblock_runnable_tasks(self, live: LoadedGraph, index: int, job: Job) -> None:
         """Unblock all tasks of a node whose dependencies are done."""
         for task in live.progress.unblocked_tasks(index):
             self._term.job_store.unblock_task(job, task)
 
-    def _unblock_tasks(self, live: Live, unblocked_tasks: list[tuple[int, int]]) -> None:
+    def _unblock_tasks(self, live: LoadedGraph, unblocked_tasks: list[tuple[int, int]]) -> None:
         for dependent, task in unblocked_tasks:
             if dependent in live.jobs:
                 self._term.job_store.unblock_task(live.jobs[dependent], task)
 
     def _record_end(self, name: str, index: int, state: int) -> None:
-        live = self._live.get(name)
+        live = self._loaded.get(name)
         if live is None:
-            if name in self._heads:
+            if name in self._accepted:
                 self._pending_ends.setdefault(name, []).append((index, state))
             return
         if not 0 <= index < live.progress.shape.nodes:
             return
         live.jobs.pop(index, None)
         live.views_by_node.pop(index, None)
-        for dependent in live.progress.settle(index, state):
+        for dependent in live.progress.record_end(index, state):
             job = live.jobs.get(dependent)
             if job is not None:
                 self._unblock_runnable_tasks(live, dependent, job)
-        if state == OVER_FAILED and live.head.on_failure == "stop" and not live.stopped_by:
+        if state == FAILED and live.record.on_failure == "stop" and not live.stopped_by:
             live.stopped_by = live.node(index).key
         for stuck in live.progress.stuck:
             if stuck in live.jobs:
@@ -350,8 +350,8 @@
         self._drafts.pop(name, None)
         unreadable_owner = self._unreadable.pop(name, None)
         self._pending_ends.pop(name, None)
-        known = self._heads.pop(name, None)
-        self._live.pop(name, None)
+        known = self._accepted.pop(name, None)
+        self._loaded.pop(name, None)
         owner = known[1] if known is not None else unreadable_owner
         if owner is None:
             return
@@ -377,7 +377,7 @@
             self._wake.clear()
             pause_s: float | None = None
             try:
-                for name in [n for n in self._heads if n not in self._live]:
+                for name in [n for n in self._accepted if n not in self._loaded]:
                     await self._load(name)
                 for name in [
                     n for n, (h, _) in self._drafts.items() if h.status == records.EXPIRED
@@ -397,12 +397,12 @@
 
     def _pause_s(self) -> float | None:
         """Return the seconds until the next pass unless the loop is woken; None: no limit."""
-        if any(live.progress.has_ready for live in self._live.values()):
+        if any(live.progress.has_ready for live in self._loaded.values()):
             return _BACKLOG_POLL_S
         return _EXPIRY_POLL_S if self._drafts else None
 
     def _advance(self) -> None:
-        for live in list(self._live.values()):
+        for live in list(self._loaded.values()):
             if live.stopped_by and not live.ending:
                 self._enqueue_end(live, "failed", f"node {live.stopped_by!r} failed", None)
             elif not live.ending:
@@ -411,21 +411,23 @@
                 except (GraphRecordError, wire.MalformedMessageError) as error:
                     self._hold_unreadable(live.name, live.owner.mod_revision, error)
                     continue
-                if live.progress.over and not live.jobs and not live.in_flight:
+                if live.progress.all_ended and not live.jobs and not live.in_flight:
                     counts = live.progress.counts_by_state()
                     self._enqueue_end(live, _final_status(counts), "", counts)
-        for job_id in islice((j for j in self._orphans if j not in self._burials), _MAX_IN_FLIGHT):
-            if len(self._burials) >= _MAX_IN_FLIGHT:
+        for job_id in islice(
+            (j for j in self._orphans if j not in self._ending_orphans), _MAX_IN_FLIGHT
+        ):
+            if len(self._ending_orphans) >= _MAX_IN_FLIGHT:
                 break
-            self._bury(job_id)
+            self._enqueue_orphan_end(job_id)
         self._expire_drafts()
         for name, version in list(self._notices.items()):
-            if name not in self._heads:
+            if name not in self._accepted:
                 self._enqueue_notice_deletion(name, version)
 
     # -- releases -------------------------------------------------------------------------------
 
-    def _release(self, live: Live) -> None:
+    def _release(self, live: LoadedGraph) -> None:
         if not live.progress.has_ready:
             return
         max_releases = min(_MAX_IN_FLIGHT - live.in_flight, _MAX_BACKLOG - live.backlog())
@@ -433,13 +435,15 @@
             index = live.progress.next_ready()
             if index is None:
                 return
-            self._join_release(live, index)
+            self._enqueue_release(live, index)
 
-    def _join_release(self, live: Live, index: int) -> None:
+    def _enqueue_release(self, live: LoadedGraph, index: int) -> None:
         now = wall_now()
         spec = live.spec(index)
         job = JobId(spec.id)
-        each = [node_id(live.name, dependency) for dependency in live.progress.waits_each(index)]
+        each = [
+            node_id(live.name, dependency) for dependency in live.progress.task_dependencies(index)
+        ]
         node_fields = records.NodeJob(
             owner=live.name,
             each=each,
@@ -447,11 +451,11 @@
             due_s=live.due_s(index, spec, now),
             tail_s=round(live.progress.tail_s[index], 1),
         )
-        value = {"spec": wire.plain(spec), "at": now, **msgspec.to_builtins(node_fields)}
+        value = {"spec": wire.to_builtins(spec), "at": now, **msgspec.to_builtins(node_fields)}
 
         def on_committed(_: Revision) -> None:
             live.in_flight -= 1
-            live.progress.released(index)
+            live.progress.mark_released(index)
             self._wake.set()
 
         def on_guards_failed(current: dict[str, wire.KeyValue | None]) -> None:
@@ -462,7 +466,7 @@
                 # released it, and it has ended since.
                 self._record_end(live.name, index, _end_state(over.value))
             elif current.get(job_key(job)) is not None:
-                live.progress.released(index)
+                live.progress.mark_released(index)
             else:
                 live.progress.requeue(index)
             self._wake.set()
@@ -484,10 +488,10 @@
     # -- ends -----------------------------------------------------------------------------------
 
     def _enqueue_end(
-        self, live: Live, status: Any, why: str, counts: dict[str, int] | None
+        self, live: LoadedGraph, status: Any, why: str, counts: dict[str, int] | None
     ) -> None:
-        over = records.end_of(live.head, status, wall_now(), why, counts)
-        key = records.graph_over_key(live.name)
+        over = records.graph_end_value(live.record, status, wall_now(), why, counts)
+        key = records.graph_end_key(live.name)
 
         def on_committed(_: Revision) -> None:
             log.info("graph ended: graph=%s status=%s reason=%s", live.name, status, why)
@@ -510,17 +514,17 @@
             )
         )
 
-    def _bury(self, job: JobId) -> None:
+    def _enqueue_orphan_end(self, job: JobId) -> None:
         """Move the record of a job whose graph has ended from `job/` to `over/`, as cancelled."""
         mod_revision, spec = self._orphans[job]
         value = {
             "status": wire.JOB_CANCELLED,
             "outcome": OUTCOME_CANCELLED,
-            "spec": wire.plain(spec),
+            "spec": wire.to_builtins(spec),
         }
 
         def on_committed(_: Revision) -> None:
-            self._burials.discard(job)
+            self._ending_orphans.discard(job)
             self._orphans.pop(job, None)
             self._wake.set()
 
@@ -529,7 +533,7 @@
             # ended.
             on_committed(ABSENT)
 
-        self._burials.add(job)
+        self._ending_orphans.add(job)
         self._term.write_batcher.join(
             JoinedWrite(
                 {job_key(job): mod_revision, ended_key(job): ABSENT},
@@ -540,7 +544,7 @@
         )
 
     def _enqueue_notice_deletion(self, name: str, version: Revision) -> None:
-        key = records.word_key(name)
+        key = records.cancelled_node_key(name)
         del self._notices[name]
         # A notice that is written in the meantime arrives by the watch and is deleted later.
         deletion = JoinedWrite({key: version}, [wire.delete(key)], lambda _: None, lambda _: None)
@@ -555,7 +559,7 @@
             if late and name not in self._expiring:
                 self._enqueue_expiry(name, head, version)
 
-    def _enqueue_expiry(self, name: str, head: Head, version: Revision) -> None:
+    def _enqueue_expiry(self, name: str, head: GraphRecord, version: Revision) -> None:
         """Mark an open graph as expired, so that no part is added while its parts are deleted."""
         log.info(
             "graph expired, not sealed in time: graph=%s limit_s=%.0f", name, self._features.open_s
@@ -601,36 +605,36 @@
 
         Released nodes that have not ended are in the job store already.
         """
-        known = self._heads.get(name)
+        known = self._accepted.get(name)
         if known is None:
             # Cancelled while another graph was being read. A KeyError here would end the term.
             return
         head, owner = known
         self._pending_ends[name] = []
         entries, _ = await self._term.client.scan(records.parts_prefix(name))
-        ended, _ = await self._term.client.scan(records.graph_over_key(name) + "-")
+        ended, _ = await self._term.client.scan(records.graph_end_key(name) + "-")
         try:
-            parts_by_number = records.gather(entries)
+            parts_by_number = records.assemble_parts(entries)
             parts = [parts_by_number[number] for number in range(head.parts)]
             # In a thread: a large graph takes a second on a fraction of a core, which would block
             # the event loop.
-            shape = await asyncio.to_thread(_shape, head, parts)
+            shape = await asyncio.to_thread(_build_shape, head, parts)
         except (GraphRecordError, InvalidGraphError, KeyError) as error:
             # The graph was read completely before it was accepted, so reading it again won't help.
             self._hold_unreadable(name, owner.mod_revision, error)
             return
-        if self._heads.get(name) is not known:
+        if self._accepted.get(name) is not known:
             return
-        live = Live(name, head, owner, parts, Progress(shape))
-        live.first = [0, *accumulate(part.nodes for part in parts[:-1])]
-        self._live[name] = live
+        live = LoadedGraph(name, head, owner, parts, Progress(shape))
+        live.part_starts = [0, *accumulate(part.nodes for part in parts[:-1])]
+        self._loaded[name] = live
         for job in [j for j in self._term.job_store.jobs.values() if j.owner is owner]:
             node = parse_node_id(job.id)
             if node is not None and not job.cancelled:
                 self._attach(live, node[1], job)
         for index, state in (*_parse_ends(ended), *self._pending_ends.pop(name, [])):
             self._record_end(name, index, state)
-        live.progress.begin()
+        live.progress.evaluate_all()
         log.info(
             "graph loaded: graph=%s nodes=%d edges=%d states=%s",
             name,
@@ -641,14 +645,14 @@
 
     # -- queries --------------------------------------------------------------------------------
 
-    def upcoming(self, now: Monotonic, within_s: float) -> Iterator[tuple[JobView, int]]:
+    def upcoming_tasks(self, now: Monotonic, within_s: float) -> Iterator[tuple[JobView, int]]:
         """Yield the demand of gated nodes that are expected to be ready within `within_s` seconds.
 
         Only nodes are considered whose dependencies are all released. Nodes with the same
         requirements share one view: one view per node behind a wide layer made a pass cost more
         than twice as much.
         """
-        for live in self._live.values():
+        for live in self._loaded.values():
             task_counts: dict[JobView, int] = {}
             left_s: dict[int, float] = {}
             for index in list(islice(live.progress.nearly_ready, _MAX_UPCOMING_NODES)):
@@ -658,21 +662,21 @@
             yield from task_counts.items()
 
     def _time_until_ready_s(
-        self, live: Live, index: int, left_s: dict[int, float], now: Monotonic
+        self, live: LoadedGraph, index: int, left_s: dict[int, float], now: Monotonic
     ) -> float:
         """Return the expected seconds until all dependencies of a node have ended.
 
         `left_s` caches the time of each dependency.
         """
         longest = 0.0
-        for dependency, _ in live.progress.shape.awaited(index):
+        for dependency, _ in live.progress.shape.dependencies(index):
             if dependency not in left_s:
                 job = live.jobs.get(dependency)
                 left_s[dependency] = 0.0 if job is None else self._term.remaining_s(job, now)
             longest = max(longest, left_s[dependency])
         return longest
 
-    def _view_of(self, live: Live, index: int) -> JobView:
+    def _view_of(self, live: LoadedGraph, index: int) -> JobView:
         """Return the planner's view of a node; nodes with the same requirements share one."""
         view = live.views_by_node.get(index)
         if view is None:
@@ -691,13 +695,15 @@
 
     def counts(self, name: str) -> dict[str, int] | None:
         """Return the number of a graph's nodes by state; None if the graph is not loaded."""
-        live = self._live.get(name)
+        live = self._loaded.get(name)
         return None if live is None else live.progress.counts_by_state()
 
     def describe(self) -> dict[str, Any]:
         """Return the counts of nodes and of unsealed graphs, for operators."""
         return {
-            "graphs": {name: live.progress.counts_by_state() for name, live in self._live.items()},
+            "graphs": {
+                name: live.progress.counts_by_state() for name, live in self._loaded.items()
+            },
             "open": len(self._drafts),
         }
 
@@ -711,7 +717,7 @@
 
 
 def _end_state(over: dict[str, Any]) -> int:
-    return outcome_state(records.outcome_of(over))
+    return outcome_state(records.node_outcome(over))
 
 
 def _final_status(counts: dict[str, int]) -> str:
--- a/tealrill/graphs/model.py
+++ b/tealrill/graphs/model.py
@@ -24,19 +24,19 @@
 """Node ids have `ID_DIGITS` digits, so that their keys sort in the order of their numbers."""
 MAX_PARTS: Final = 10_000
 DEFAULT_RETRIES: Final = 3
-MOST_RETRIES: Final = 100
+MAX_RETRIES: Final = 100
 
 _GRAPH_ID: Final = re.compile(r"[a-z][a-z0-9]{0,30}[0-9]")
 _NODE_ID: Final = re.compile(r"([a-z][a-z0-9]{0,30}[0-9])-([0-9]{5})")
 _NODES_PER_PAUSE: Final = 250
 
-DONE: Final = 0
-FAILED: Final = 1
-ENDED: Final = 2
-EACH: Final = 3
-_WHEN: Final = {"done": DONE, "failed": FAILED, "ended": ENDED}
+ON_DONE: Final = 0
+ON_FAILED: Final = 1
+ON_ENDED: Final = 2
+PER_TASK: Final = 3
+_WHEN: Final = {"done": ON_DONE, "failed": ON_FAILED, "ended": ON_ENDED}
 
-Retries = Annotated[int, Meta(ge=0, le=MOST_RETRIES)]
+Retries = Annotated[int, Meta(ge=0, le=MAX_RETRIES)]
 Key = Annotated[str, Meta(min_length=1, max_length=100)]
 
 
@@ -234,7 +234,7 @@
     in_first: array[int]
     in_node: array[int]
     in_kind: bytearray
-    order: array[int]
+    topological_order: array[int]
     """All nodes, each after its dependencies."""
 
     @property
@@ -247,12 +247,12 @@
         """Number of edges."""
         return len(self.out_node)
 
-    def followers(self, index: int) -> Iterator[tuple[int, int]]:
+    def dependents(self, index: int) -> Iterator[tuple[int, int]]:
         """Yield the nodes that wait for this one, with the kind of edge."""
         for position in range(self.out_first[index], self.out_first[index + 1]):
             yield self.out_node[position], self.out_kind[position]
 
-    def awaited(self, index: int) -> Iterator[tuple[int, int]]:
+    def dependencies(self, index: int) -> Iterator[tuple[int, int]]:
         """Yield the nodes that this one waits for, with the kind of edge."""
         for position in range(self.in_first[index], self.in_first[index + 1]):
             yield self.in_node[position], self.in_kind[position]
@@ -263,9 +263,9 @@
         The node's own time is not part of it.
         """
         tails = array("f", bytes(4 * self.nodes))
-        for index in reversed(self.order):
+        for index in reversed(self.topological_order):
             longest = 0.0
-            for dependent, _ in self.followers(index):
+            for dependent, _ in self.dependents(index):
                 longest = max(longest, self.estimate_s[dependent] + tails[dependent])
             tails[index] = longest
         return tails
@@ -315,7 +315,7 @@
                     "after",
                 )
             in_node.append(dependency)
-            in_kind.append(EACH if edge.each else _WHEN[edge.when])
+            in_kind.append(PER_TASK if edge.each else _WHEN[edge.when])
         in_first.append(len(in_node))
     out_first, out_node, out_kind = _group_by_dependency(len(keys), in_first, in_node, in_kind)
     shape = Shape(
@@ -354,15 +354,15 @@
     unsorted_dependencies = array(
         "I", (shape.in_first[i + 1] - shape.in_first[i] for i in range(shape.nodes))
     )
-    shape.order.extend(i for i in range(shape.nodes) if not unsorted_dependencies[i])
+    shape.topological_order.extend(i for i in range(shape.nodes) if not unsorted_dependencies[i])
     position = 0
-    while position < len(shape.order):
-        for dependent, _ in shape.followers(shape.order[position]):
+    while position < len(shape.topological_order):
+        for dependent, _ in shape.dependents(shape.topological_order[position]):
             unsorted_dependencies[dependent] -= 1
             if not unsorted_dependencies[dependent]:
-                shape.order.append(dependent)
+                shape.topological_order.append(dependent)
         position += 1
-    if len(shape.order) < shape.nodes:
+    if len(shape.topological_order) < shape.nodes:
         path = _find_cycle(shape, unsorted_dependencies)
         cycle_keys = [shape.keys[i] for i in path]
         if len(cycle_keys) > 12:
@@ -383,7 +383,7 @@
         # An unsorted node has at least one unsorted dependency.
         index = next(
             dependency
-            for dependency, _ in shape.awaited(index)
+            for dependency, _ in shape.dependencies(index)
             if unsorted_dependencies[dependency]
         )
     cycle = path[position_on_path[index] :]
--- a/tealrill/graphs/records.py
+++ b/tealrill/graphs/records.py
@@ -49,7 +49,7 @@
 EXPIRED: Final = "expired"
 
 
-class Head(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
+class GraphRecord(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
     """`job/GRAPH`: a graph that is open, accepted or expired."""
 
     v: int
@@ -67,7 +67,7 @@
     parts: int = 0
 
 
-class Over(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
+class GraphEnd(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
     """`over/GRAPH`: an ended graph. A node without a record of its own never ran and never will."""
 
     v: int
@@ -100,17 +100,17 @@
     return JOB_PREFIX + graph
 
 
-def graph_over_key(graph: str) -> str:
+def graph_end_key(graph: str) -> str:
     """Return the key of an ended graph's record."""
     return ENDED_PREFIX + graph
 
 
-def word_key(graph: str) -> str:
+def cancelled_node_key(graph: str) -> str:
     """Return the key of the notice by which a member tells the leader of a cancelled gated node."""
     return JOB_PREFIX + graph + _NOTICE_SUFFIX
 
 
-def graph_of_word(key: str) -> str | None:
+def parse_cancelled_node_key(key: str) -> str | None:
     """Return the graph whose notice has this key; None for any other key under `job/`."""
     name = key.removeprefix(JOB_PREFIX)
     return name.removesuffix(_NOTICE_SUFFIX) if name.endswith(_NOTICE_SUFFIX) else None
@@ -126,7 +126,7 @@
     return f"{PART_PREFIX}{graph}/{part:05d}.{fragment:02d}"
 
 
-def part_of_key(key: str) -> tuple[int, int]:
+def parse_fragment_key(key: str) -> tuple[int, int]:
     """Return the numbers of the part and the fragment in a key; raise `GraphRecordError`."""
     part, dot, fragment = key.rpartition("/")[2].partition(".")
     if not dot or not part.isdigit() or not fragment.isdigit():
@@ -134,25 +134,25 @@
     return int(part), int(fragment)
 
 
-def read_head(value: Any) -> Head:
+def read_graph(value: Any) -> GraphRecord:
     """Decode `job/GRAPH`; raise `GraphRecordError`, also for an unknown version."""
-    return _decode(value, Head)
+    return _decode(value, GraphRecord)
 
 
-def read_over(value: Any) -> Over:
+def read_graph_end(value: Any) -> GraphEnd:
     """Decode `over/GRAPH`; raise `GraphRecordError`, also for an unknown version."""
-    return _decode(value, Over)
+    return _decode(value, GraphEnd)
 
 
-def end_of(
-    record: Head,
+def graph_end_value(
+    record: GraphRecord,
     status: Literal["done", "failed", "aborted"],
     at: float,
     why: str = "",
     counts: dict[str, int] | None = None,
 ) -> dict[str, Any]:
     """Return the value of `over/GRAPH` for a graph with this record."""
-    over = Over(
+    over = GraphEnd(
         v=VERSION,
         status=status,
         at=at,
@@ -166,7 +166,7 @@
     return cast(dict[str, Any], msgspec.to_builtins(over))
 
 
-def outcome_of(over: dict[str, Any]) -> str:
+def node_outcome(over: dict[str, Any]) -> str:
     """Return how a node ended from its record under `over/`.
 
     The record of a node that was cancelled as a job names no outcome.
@@ -194,7 +194,7 @@
     return hashlib.blake2b(content, digest_size=16).hexdigest()
 
 
-def pack(nodes: Sequence[Node], value_bytes: int) -> list[dict[str, Any]]:
+def pack_part(nodes: Sequence[Node], value_bytes: int) -> list[dict[str, Any]]:
     """Return the values of a part's fragments, each at most `value_bytes` of JSON."""
     plain = msgspec.to_builtins(list(nodes))
     packed = base64.b64encode(zlib.compress(orjson.dumps(plain), 6)).decode()
@@ -220,7 +220,7 @@
     content: bytes
 
 
-def unpack(packed: PackedPart) -> list[Node]:
+def unpack_part(packed: PackedPart) -> list[Node]:
     """Return the nodes of a part; raise `GraphRecordError`."""
     try:
         decompressor = zlib.decompressobj()
@@ -230,11 +230,11 @@
         raise GraphRecordError(f"part can't be decoded: {error}") from None
 
 
-def gather(entries: Iterable[wire.Entry]) -> dict[int, PackedPart]:
+def assemble_parts(entries: Iterable[wire.Entry]) -> dict[int, PackedPart]:
     """Assemble parts, by number, from all fragments of a graph; raise `GraphRecordError`."""
     fragments_of_part: dict[int, dict[int, Fragment]] = {}
     for entry in entries:
-        part, number = part_of_key(entry.key)
+        part, number = parse_fragment_key(entry.key)
         fragments_of_part.setdefault(part, {})[number] = _decode(entry.value, Fragment)
     parts: dict[int, PackedPart] = {}
     for part, fragments in fragments_of_part.items():
--- a/tealrill/graphs/tracker.py
+++ b/tealrill/graphs/tracker.py
@@ -13,7 +13,7 @@
 from collections.abc import Iterator
 from typing import Final
 
-from tealrill.graphs.model import DONE, EACH, ENDED, FAILED, Shape
+from tealrill.graphs.model import ON_DONE, ON_ENDED, ON_FAILED, PER_TASK, Shape
 from tealrill.state.records import OUTCOME_CANCELLED, OUTCOME_DONE, OUTCOME_FAILED, OUTCOME_SKIPPED
 
 GATED: Final = 0
@@ -22,32 +22,32 @@
 """It may run; its release is pending."""
 RELEASED: Final = 2
 """It is an ordinary job."""
-OVER_DONE: Final = 3
-OVER_FAILED: Final = 4
-OVER_CANCELLED: Final = 5
-OVER_SKIPPED: Final = 6
+DONE: Final = 3
+FAILED: Final = 4
+CANCELLED: Final = 5
+SKIPPED: Final = 6
 
-STATES: Final = ("gated", "ready", "released", "done", "failed", "cancelled", "skipped")
+NODE_STATES: Final = ("gated", "ready", "released", "done", "failed", "cancelled", "skipped")
 _STATE_OF_OUTCOME: Final = {
-    OUTCOME_DONE: OVER_DONE,
-    OUTCOME_FAILED: OVER_FAILED,
-    OUTCOME_CANCELLED: OVER_CANCELLED,
-    OUTCOME_SKIPPED: OVER_SKIPPED,
+    OUTCOME_DONE: DONE,
+    OUTCOME_FAILED: FAILED,
+    OUTCOME_CANCELLED: CANCELLED,
+    OUTCOME_SKIPPED: SKIPPED,
 }
 
 
 def outcome_state(outcome: str) -> int:
     """Return the state of a node whose job ended with `outcome`."""
-    return _STATE_OF_OUTCOME.get(outcome, OVER_CANCELLED)
+    return _STATE_OF_OUTCOME.get(outcome, CANCELLED)
 
 
 def _is_satisfied(kind: int, state: int) -> bool:
     """Return True if an edge is satisfied by a dependency that ended in `state`."""
-    if kind in (DONE, EACH):
-        return state == OVER_DONE
-    if kind == FAILED:
-        return state == OVER_FAILED
-    assert kind == ENDED
+    if kind in (ON_DONE, PER_TASK):
+        return state == DONE
+    if kind == ON_FAILED:
+        return state == FAILED
+    assert kind == ON_ENDED
     return True
 
 
@@ -57,7 +57,7 @@
     def __init__(self, shape: Shape) -> None:
         self.shape = shape
         self.state = bytearray(shape.nodes)
-        self.counts = [shape.nodes, *([0] * (len(STATES) - 1))]
+        self.counts = [shape.nodes, *([0] * (len(NODE_STATES) - 1))]
         self.tail_s = shape.tails()
         self._unsatisfied = array("I", bytes(4 * shape.nodes))
         """Per node: its unsatisfied edges, without those per task."""
@@ -77,10 +77,12 @@
         self.nearly_ready: set[int] = set()
         """Gated nodes whose dependencies are all released or ended."""
         for index in range(shape.nodes):
-            each = tuple(other for other, kind in shape.awaited(index) if kind == EACH)
+            each = tuple(other for other, kind in shape.dependencies(index) if kind == PER_TASK)
             if each:
                 self._task_dependencies[index] = each
-            task_dependents = tuple(other for other, kind in shape.followers(index) if kind == EACH)
+            task_dependents = tuple(
+                other for other, kind in shape.dependents(index) if kind == PER_TASK
+            )
             if task_dependents:
                 self._task_dependents[index] = task_dependents
             dependency_count = shape.in_first[index + 1] - shape.in_first[index]
@@ -88,15 +90,15 @@
             self._unreleased[index] = dependency_count
 
     @property
-    def over(self) -> bool:
+    def all_ended(self) -> bool:
         """Return True if every node has ended; a skipped or cancelled node has, too."""
-        return not any(self.counts[:OVER_DONE])
+        return not any(self.counts[:DONE])
 
     def counts_by_state(self) -> dict[str, int]:
         """Return the number of nodes by state."""
-        return dict(zip(STATES, self.counts, strict=True))
+        return dict(zip(NODE_STATES, self.counts, strict=True))
 
-    def waits_each(self, index: int) -> tuple[int, ...]:
+    def task_dependencies(self, index: int) -> tuple[int, ...]:
         """Return the dependencies that a node waits for task by task."""
         return self._task_dependencies.get(index, ())
 
@@ -113,7 +115,7 @@
 
     # -- readiness ------------------------------------------------------------------------------
 
-    def begin(self) -> None:
+    def evaluate_all(self) -> None:
         """Evaluate every node once, after the releases and ends known at the start are applied."""
         for index in range(self.shape.nodes):
             self._evaluate(index)
@@ -157,7 +159,7 @@
         if self.state[index] == READY:
             heapq.heappush(self._ready, (-self.tail_s[index], index))
 
-    def released(self, index: int) -> None:
+    def mark_released(self, index: int) -> None:
         """Record that a node is an ordinary job now."""
         if self.state[index] > READY:
             return
@@ -167,7 +169,7 @@
         self._count_release(index)
 
     def _count_release(self, index: int) -> None:
-        for dependent, _ in self.shape.followers(index):
+        for dependent, _ in self.shape.dependents(index):
             self._unreleased[dependent] -= 1
             if not self._unreleased[dependent] and self.state[dependent] == GATED:
                 self.nearly_ready.add(dependent)
@@ -194,7 +196,7 @@
 
     def _is_unblocked(self, each: tuple[int, ...], task: int) -> bool:
         for dependency in each:
-            if self.state[dependency] == OVER_DONE:
+            if self.state[dependency] == DONE:
                 continue
             done_tasks = self.done_tasks.get(dependency)
             if done_tasks is None or not done_tasks[task]:
@@ -210,7 +212,7 @@
 
     # -- ends -----------------------------------------------------------------------------------
 
-    def settle(self, index: int, state: int) -> list[int]:
+    def record_end(self, index: int, state: int) -> list[int]:
         """Record that a node has ended, and skip the nodes that can't run any more.
 
         Return the released nodes that waited for its single tasks: more of their tasks may run now.
@@ -222,9 +224,9 @@
         while ended:
             node, end_state = ended.pop()
             previous_state = self.state[node]
-            if previous_state >= OVER_DONE:
+            if previous_state >= DONE:
                 continue
-            if previous_state == RELEASED and end_state == OVER_SKIPPED and node != index:
+            if previous_state == RELEASED and end_state == SKIPPED and node != index:
                 # Its job exists and is ended by its own record.
                 self.stuck.append(node)
                 continue
@@ -232,11 +234,11 @@
             self.done_tasks.pop(node, None)
             if previous_state < RELEASED:
                 self._count_release(node)
-            for dependent, kind in self.shape.followers(node):
+            for dependent, kind in self.shape.dependents(node):
                 if not _is_satisfied(kind, end_state):
-                    ended.append((dependent, OVER_SKIPPED))
+                    ended.append((dependent, SKIPPED))
                     continue
-                if kind != EACH:
+                if kind != PER_TASK:
                     self._unsatisfied[dependent] -= 1
                 elif self.state[dependent] == RELEASED:
                     unblocked.append(dependent)
--- a/tealrill/leader/leader.py
+++ b/tealrill/leader/leader.py
@@ -1,4 +1,4 @@
-"""One term of leadership: composes what only the leader does, and runs it until the term ends."""
+"""Composes the components that only the leader runs, and runs them until the term ends."""
 
 from __future__ import annotations
 
@@ -40,12 +40,12 @@
 
 log = logging.getLogger(__name__)
 
-_STOP_S: Final = 3.0
-"""A stop takes no longer than this as a rule: it goes with every response to a heartbeat."""
+_MIN_STOP_TIMEOUT_S: Final = 3.0
+"""A stop normally takes effect within this time: it is sent with every heartbeat response."""
 
 
 class Leader:
-    """Everything that only the leader does, for one term."""
+    """The components of the leader, for one term."""
 
     def __init__(
         self,
@@ -58,9 +58,10 @@
         parts: Sequence[Callable[[LeadershipContext], LeaderExtension]] = (),
         catalogue: wire.Catalogue | None = None,
     ) -> None:
-        """Compose the term `leadership`; `parts` make the extensions' parts of it.
+        """Compose the components for the term `leadership`.
 
-        `catalogue` is the cloud's last known one, if there is any.
+        `parts` are factories of the extensions' components; `catalogue` is the last known catalogue
+        of the cloud, if any.
         """
         params = settings.params
         self._client = client
@@ -68,11 +69,11 @@
         self._leadership = leadership
         self._estimates = estimates
         self._wake = asyncio.Event()
-        self._winding_up = False
-        self._vouched_at = Monotonic(-math.inf)
-        """What was acknowledged before this moment the other members have told."""
-        self._unseen_s = renewal_staleness_bound_s(params.workers)
-        self._resigning: asyncio.Task[None] | None = None
+        self._handing_over = False
+        self._reported_through = Monotonic(-math.inf)
+        """All cancellations that other members acknowledged before this time are known."""
+        self._staleness_bound_s = renewal_staleness_bound_s(params.workers)
+        self._resignation: asyncio.Task[None] | None = None
         self.job_store = JobStore(params.state.value_kb)
         self.fleet = self._new_fleet(params)
         self._compose_writes(params, cloud, catalogue)
@@ -85,7 +86,7 @@
             leadership.term,
             leadership.mod_revision,
             self._valid,
-            on_lease_revoked=self._lease_revoked,
+            on_lease_revoked=self._on_lease_revoked,
         )
 
     def _new_fleet(self, params: Params) -> Fleet:
@@ -99,23 +100,23 @@
             workers.heartbeat_interval_s,
         )
         spare_s = workers.cancel_s - workers.lease_s
-        fleet.stop_timeout_s = max(_STOP_S, spare_s / 2)
+        fleet.stop_timeout_s = max(_MIN_STOP_TIMEOUT_S, spare_s / 2)
         fleet.changed = self.wake
-        fleet.finished = self._finished
+        fleet.finished = self._on_task_completed
         return fleet
 
     def _compose_writes(
         self, params: Params, cloud: Cloud, catalogue: wire.Catalogue | None
     ) -> None:
-        """Compose what writes to the state service and asks the cloud."""
+        """Compose the components that write to the state service and send requests to the cloud."""
         leadership = self._leadership
         self.write_batcher = WriteBatcher(
             self._client,
             self.job_store,
             leadership,
             params.state.txn_ops,
-            self._committed,
-            self._job_ended,
+            self._on_committed,
+            self._on_job_ended,
         )
         self.intent_log = IntentLog(self.write_batcher.join, leadership.term, params.state.value_kb)
         self.provisioner = Provisioner(
@@ -128,13 +129,14 @@
             self._duty("returning"),
         )
         if catalogue is not None:
-            # A leader elected while the cloud is away would place nothing until it is back.
+            # Without it, a leader elected during an outage of the cloud could not place any task
+            # until the outage ends.
             self.provisioner.set_catalogue(catalogue)
         self.provisioner.changed = self.wake
         self.fleet.registered = self.provisioner.registered
 
     def _compose_scheduling(self, params: Params, estimates: Estimates) -> None:
-        """Compose what decides, what tells workers, and what probes them."""
+        """Compose the components that schedule tasks, send commands to workers and probe them."""
         self._connections = ConnectionPool(params.quota.fd_limit, lambda: len(self.fleet.machines))
         self.fleet.deregistered = self._connections.drop
         self.direct_commands = DirectCommands(
@@ -159,7 +161,7 @@
         self.scheduling_loop.diagnosis = lambda: self.prober.diagnosis
 
     def _compose_loops(self) -> None:
-        """Compose what reads the records, and the loops that go on from there."""
+        """Compose the components that load the records, and the loops that run afterwards."""
         client, term = self._client, self._leadership.term
         self.lifecycle = JobLifecycle(self.job_store, self.fleet, self.scheduling_loop, self.wake)
         self.record_loader = RecordLoader(
@@ -203,20 +205,20 @@
             self.scheduling_loop.snapshots.remaining_s,
             self.scheduling_loop.snapshots.view_of,
         )
-        self.parts = [part(context) for part in parts]
-        self.lifecycle.extensions = self.parts
-        if self.parts:
-            self.scheduling_loop.autoscaler.upcoming = self.lifecycle.upcoming
+        self.extensions = [part(context) for part in parts]
+        self.lifecycle.extensions = self.extensions
+        if self.extensions:
+            self.scheduling_loop.autoscaler.upcoming_tasks = self.lifecycle.upcoming_tasks
             self.write_batcher.tasks_done = self.lifecycle.on_tasks_done
             self.write_batcher.owner_changed = self.lifecycle.on_owner_changed
 
     async def run(self) -> None:
-        """Read the records, then run the loops until the term is over."""
+        """Load the records, then run the loops until the term ends."""
         try:
-            seen = await self.record_loader.load()
+            knowledge = await self.record_loader.load()
             async with asyncio.TaskGroup() as group:
                 group.create_task(self.write_batcher.run())
-                group.create_task(self.job_watch.run(seen))
+                group.create_task(self.job_watch.run(knowledge))
                 group.create_task(self.pass_loop.run())
                 group.create_task(self.lease_expiry.run())
                 group.create_task(self.prober.run())
@@ -224,10 +226,10 @@
                 group.create_task(self.provisioner.run_release_recording())
                 group.create_task(self.provisioner.run_release_requests())
                 group.create_task(self.provisioner.run_reconciliation())
-                for part in self.parts:
+                for part in self.extensions:
                     group.create_task(part.run())
         except* LeadershipLostError:
-            self._election.step_down("its key is gone")
+            self._election.step_down("the leader's key is gone")
         finally:
             self._close()
 
@@ -238,16 +240,16 @@
         self.exclusions.close()
 
     def begin_handover(self) -> None:
-        """Begin nothing new, because the duties are about to be handed over."""
-        self._winding_up = True
+        """Stop beginning new work, because leadership is about to be handed over."""
+        self._handing_over = True
         self.intent_log.closed = True
         self.write_batcher.wake()
 
     @property
     def busy(self) -> bool:
-        """Whether something that was begun is still to be written or told.
+        """True while work that was begun is still to be committed or sent to workers.
 
-        Requests to the cloud are not waited for: they are recorded, and the next leader goes on.
+        Requests to the cloud are not included: they are recorded, and the next leader resumes them.
         """
         return bool(
             self.direct_commands.in_flight
@@ -257,20 +259,24 @@
         )
 
     def wake(self) -> None:
-        """Have a pass run soon: something happened that may change what it decides."""
+        """Schedule a pass soon, after an event that may change its decisions."""
         self._wake.set()
 
     def _duty(self, name: str) -> Duty:
         return Duty(
-            name, self._leadership.term, self._leadership.elected_at, self._valid, self._alone
+            name,
+            self._leadership.term,
+            self._leadership.elected_at,
+            self._valid,
+            self._is_state_service_unreachable,
         )
 
-    def _alone(self) -> bool:
-        """Whether the state service answers nothing of this node, not even its renewals."""
+    def _is_state_service_unreachable(self) -> bool:
+        """Return True if neither lease renewals nor other requests of this node are answered."""
         return self._leadership.renewal_failed and self._client.failing
 
     def duties(self) -> dict[str, Any]:
-        """Return the duties that this node holds, for operators."""
+        """Return a description of the duties that this node holds, for operators."""
         now = monotonic_now()
         intent_log = self.intent_log
         return {
@@ -282,68 +288,72 @@
         }
 
     def on_cancellations_known(self, at: Monotonic) -> None:
-        """Note that all other members told the cancellations they acknowledged before `at`.
+        """Record that all members' cancellations acknowledged before `at` are known.
 
-        Those that this node acknowledged itself it knows.
+        The other members have reported theirs; this node knows its own.
         """
-        self._vouched_at = max(self._vouched_at, at)
+        self._reported_through = max(self._reported_through, at)
 
     @property
     def cancellation_knowledge(self) -> CancellationKnowledge:
-        """What is known of cancellations, by the watch or by word of the other members."""
-        return CancellationKnowledge(self.job_watch.cancellation_knowledge.revision, self._known_at)
+        """How far cancellations are known, from the watch or from the other members' reports."""
+        return CancellationKnowledge(
+            self.job_watch.cancellation_knowledge.revision, self._known_through
+        )
 
     @property
-    def _known_at(self) -> Monotonic:
-        return max(self.job_watch.cancellation_knowledge.at, self._vouched_at)
+    def _known_through(self) -> Monotonic:
+        return max(self.job_watch.cancellation_knowledge.at, self._reported_through)
 
     def may_renew_workers(self, now: Monotonic) -> bool:
-        """Whether workers may be renewed: what this leader does not know of is recent enough.
+        """Return True if workers may be renewed: cancellations are known up to a recent time.
 
-        Not before the records are read. Leaders that ended one after the other while they read
-        would renew a cancelled job's worker for ever, each for a moment.
+        False until the records are loaded. Otherwise a sequence of leaders whose terms all end
+        while they load would keep renewing the worker of a cancelled job without ever stopping it.
         """
-        return self.fleet.loaded and now < self._known_at + self._unseen_s
+        return self.fleet.loaded and now < self._known_through + self._staleness_bound_s
 
     def _may_begin(self) -> bool:
-        return self._valid() and not self._winding_up
+        return self._valid() and not self._handing_over
 
-    def _lease_revoked(self) -> None:
-        if self._resigning is None:
-            why = "another member is ending its lease"
-            self._resigning = asyncio.create_task(self._election.resign(why, 0.0))
+    def _on_lease_revoked(self) -> None:
+        if self._resignation is None:
+            reason = "another member is revoking its lease"
+            self._resignation = asyncio.create_task(self._election.resign(reason, 0.0))
 
     def runs_term(self, leadership: Leadership) -> bool:
-        """Whether this is that term."""
+        """Return True if this object runs the term `leadership`."""
         return self._leadership is leadership
 
     def _valid(self) -> bool:
         return self._election.valid_leadership(monotonic_now()) is self._leadership
 
-    def _committed(self, chunks: list[Chunk]) -> None:
-        """Start what is bound in these chunks, which are recorded now."""
-        # Not a set: the order of the commands would differ from process to process.
-        found = {b.machine: None for chunk in chunks for b in self.job_store.never_sent(chunk)}
-        for machine_id in found:
+    def _on_committed(self, chunks: list[Chunk]) -> None:
+        """Send the starts of tasks whose bindings have just been committed in these chunks."""
+        # Not a set, whose order could differ between processes: the order of commands must not.
+        machine_ids = {
+            b.machine: None for chunk in chunks for b in self.job_store.never_sent(chunk)
+        }
+        for machine_id in machine_ids:
             machine = self.fleet.machines.get(machine_id)
             if machine is not None:
                 self.direct_commands.send(machine)
 
-    def _job_ended(self, job: Job) -> None:
+    def _on_job_ended(self, job: Job) -> None:
         self.lifecycle.on_ended(job)
 
-    def _finished(self, finished: CompletedTask) -> None:
+    def _on_task_completed(self, finished: CompletedTask) -> None:
         spec = finished.job.spec
         self._estimates.completed(spec.team, spec.estimate_s, finished.ran_s)
 
-    def report(
+    def handle_heartbeat(
         self, report: wire.Heartbeat, machine_id: MachineId, now: Monotonic
     ) -> list[dict[str, object]] | None:
-        """Process a heartbeat; return the commands, None if the worker must go elsewhere."""
+        """Process a heartbeat; return the commands, None if the worker must try another node."""
         try:
             commands = self.fleet.heartbeats.process(report, machine_id, now, wall_now())
         except NewerTokenError as error:
-            log.info("term %d: %s", self._leadership.term, error)
+            log.info("leadership superseded: term=%d reason=%s", self._leadership.term, error)
             self._election.step_down("a worker knows a newer term")
             return None
         if self.job_store.ending_jobs:
--- a/tealrill/scheduler/plan.py
+++ b/tealrill/scheduler/plan.py
@@ -1,8 +1,8 @@
 """One placement pass: `plan(view, now)`.
 
-In queue order every task that fits is placed. The first job with tasks that fit nowhere is the
-reserved job: it gets a reservation, the jobs behind it may backfill the window before that, and
-backfilled tasks that occupy capacity which the reserved job could use are preempted.
+In queue order, every task that fits is placed. The first job with tasks that fit nowhere becomes
+the reserved job: it gets a reservation, the jobs behind it may backfill the window before that, and
+backfilled tasks are preempted if they occupy capacity that the reserved job could use.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 from tealrill.scheduler import preemption
 from tealrill.scheduler.model import (
-    SLACK,
+    TOLERANCE,
     JobView,
     MachineView,
     Plan,
@@ -37,8 +37,8 @@
         self.plan = Plan()
         self.ready = [m for m in view.machines if m.ready_at <= now]
         self.with_room = self._machines_with_room()
-        self._has_filled = False
-        """Some of `with_room` are full by now."""
+        self._has_full_machines = False
+        """Some machines of `with_room` are full by now."""
         self.reserved_job: JobView | None = None
         self._windows: dict[MachineView, Window] | None = {}
         self._reserved_tasks = 0
@@ -47,8 +47,9 @@
     def _machines_with_room(self) -> list[MachineView]:
         """Return the machines with room for the smallest needs of all waiting jobs.
 
-        Placement only deducts capacity. With a full fleet and a long queue, looking at every
-        machine for every job was most of what was left of a pass.
+        Placement only deducts capacity, so other machines can't fit any job in this pass. With a
+        full fleet and a long queue, examining every machine for every job was a large part of a
+        pass.
         """
         jobs = self.view.jobs
         self._smallest_needs = (
@@ -59,12 +60,12 @@
 
     def _has_room(self, machine: MachineView) -> bool:
         cpus, memory_gb = self._smallest_needs
-        return machine.has(cpus, 0.0, memory_gb)
+        return machine.has_capacity(cpus, 0.0, memory_gb)
 
     def _compute_headroom_for_expected(self) -> float:
-        """Return the processors that expected work could have at once.
+        """Return the processors that expected work could get at once.
 
-        These are the free ones and those of preemptible backfilled tasks.
+        These are the free ones and those of backfilled tasks that may be preempted for it.
         """
         expected = self.view.expected
         if expected is None:
@@ -79,19 +80,21 @@
         """Return the decisions of the pass."""
         view = self.view
         fleet_cpus = sum(m.size for m in view.machines)
-        cheap: dict[float, float] = {}
+        inexpensive_cpus: dict[float, float] = {}
         for machine in view.machines + view.pending_machines:
             if not machine.is_expensive:
-                cheap[machine.size] = cheap.get(machine.size, 0.0) + machine.size
-        self.plan.affordable = affordable(view.jobs, self.policy, cheap, view.rank_cpus)
+                inexpensive_cpus[machine.size] = (
+                    inexpensive_cpus.get(machine.size, 0.0) + machine.size
+                )
+        self.plan.affordable = affordable(view.jobs, self.policy, inexpensive_cpus, view.rank_cpus)
         for job in order(view.jobs, view.teams, self.policy, fleet_cpus, view.rank_cpus):
-            within_quota = self._tasks_within_limit(job)
-            if within_quota <= 0:
+            allowed = self._tasks_within_limit(job)
+            if allowed <= 0:
                 # Its team is at its limit. Looking for machines all the same, for thousands of jobs
-                # on hundreds of machines with room, took a day over 400 s of processor time.
+                # on hundreds of machines with room, took over 400 s of processor time in a day.
                 continue
-            placed = self._place(job, within_quota)
-            left = within_quota - placed
+            placed = self._place(job, allowed)
+            left = allowed - placed
             if left <= 0:
                 continue
             self.plan.unplaced.append((job, left))
@@ -103,7 +106,7 @@
 
     def _tasks_within_limit(self, job: JobView) -> int:
         team = self.view.teams.get(job.team)
-        return job.waiting if team is None else team.room(job)
+        return job.waiting if team is None else team.tasks_within_limit(job)
 
     # -- placing --------------------------------------------------------------------------------
 
@@ -121,36 +124,43 @@
         return placed
 
     def _all_fit(self, job: JobView, machines: list[MachineView], limit: int) -> bool:
-        """Return whether all waiting tasks of a gang may start now.
+        """Return True if all waiting tasks of a gang may start now.
 
-        A part of a gang would occupy capacity and only wait.
+        Starting only some of them would occupy capacity without any progress.
         """
-        room: dict[str, int] = {}
+        slots_by_zone: dict[str, int] = {}
         for machine in machines:
             if self._may_start(job, machine) and machine not in self.windows:
                 fits = slots(job, machine.cpus, machine.gpus, machine.memory_gb)
-                room[machine.zone] = room.get(machine.zone, 0) + fits
-        total = sum(min(count, job.tasks_allowed_in_zone(zone)) for zone, count in room.items())
+                slots_by_zone[machine.zone] = slots_by_zone.get(machine.zone, 0) + fits
+        total = sum(
+            min(count, job.tasks_allowed_in_zone(zone)) for zone, count in slots_by_zone.items()
+        )
         return limit >= job.waiting and total >= job.waiting
 
     def _candidates(self, job: JobView) -> list[MachineView]:
         """Return the machines that fit the job, in the order of preference.
 
-        Inexpensive machines first, then small ones, then those with the image, then the fullest.
-        Small tasks spread over large machines would fragment them, and only bin packing lets other
-        machines become empty and be returned.
+        Inexpensive machines first, then small ones, then those with the image, then the fullest
+        (bin packing). Small tasks spread over large machines would fragment them, and only bin
+        packing lets other machines become empty, so that they can be released.
         """
-        if self._has_filled:
-            self._has_filled = False
+        if self._has_full_machines:
+            self._has_full_machines = False
             self.with_room = [m for m in self.with_room if self._has_room(m)]
-        cpus, gpus, memory_gb = job.cpus - SLACK, job.gpus - SLACK, job.memory_gb - SLACK
+        cpus, gpus, memory_gb = (
+            job.cpus - TOLERANCE,
+            job.gpus - TOLERANCE,
+            job.memory_gb - TOLERANCE,
+        )
         fitting = [
             m
             for m in self._usable(job, self.with_room)
             if m.cpus >= cpus and m.memory_gb >= memory_gb and m.gpus >= gpus and m.allows(job)
         ]
         if job.one_zone and not any(job.zone_counts.values()):
-            # Of what is not reserved: else it waits for that zone beside the other one.
+            # Only machines whose capacity is not reserved count: otherwise the job might be bound
+            # to a zone where it has to wait, although it could start in the other one.
             fitting = self._best_zone([m for m in fitting if self._may_start(job, m)])
         fitting.sort(
             key=lambda m: (m.is_expensive, m.size, job.image not in m.images, m.cpus, m.id)
@@ -158,21 +168,25 @@
         return fitting
 
     def _usable(self, job: JobView, machines: list[MachineView]) -> list[MachineView]:
-        """Exclude expensive machines for jobs that meet their deadline without them.
+        """Return the machines that the job may use, considering their price.
 
-        No job waits for longer than `any_room_s` beside capacity that it could have.
+        A job that meets its deadline without expensive machines may not use them. It may once it
+        has waited for `inexpensive_only_s`, so that no job waits for longer beside free capacity
+        that fits it.
         """
-        if job not in self.plan.affordable or job.waited_s >= self.policy.any_room_s:
+        if job not in self.plan.affordable or job.waited_s >= self.policy.inexpensive_only_s:
             return machines
         return [m for m in machines if not m.is_expensive]
 
     @staticmethod
     def _best_zone(machines: list[MachineView]) -> list[MachineView]:
         """Return the machines of the zone with the most free processors, for a one-zone job."""
-        room: dict[str, float] = {}
+        free_cpus_by_zone: dict[str, float] = {}
         for machine in machines:
-            room[machine.zone] = room.get(machine.zone, 0.0) + machine.cpus
-        best = max(room, key=lambda zone: room[zone], default=None)
+            free_cpus_by_zone[machine.zone] = (
+                free_cpus_by_zone.get(machine.zone, 0.0) + machine.cpus
+            )
+        best = max(free_cpus_by_zone, key=lambda zone: free_cpus_by_zone[zone], default=None)
         return [m for m in machines if m.zone == best]
 
     def _may_start(self, job: JobView, machine: MachineView) -> bool:
@@ -182,13 +196,14 @@
         if window is None or self.reserved_job is None:
             return True
         return (
-            self._in_time(job, machine, window)
+            self._ends_before_window(job, machine, window)
             or window.fits_beside(job)
-            # Past the window only strictly lower classes: nothing may stop the others for it.
+            # Past the window only strictly lower classes may run: tasks of other classes could not
+            # be preempted for the reserved job.
             or job.rank < self.reserved_job.rank
         )
 
-    def _in_time(self, job: JobView, machine: MachineView, window: Window) -> bool:
+    def _ends_before_window(self, job: JobView, machine: MachineView, window: Window) -> bool:
         fetch_s = 0.0 if job.image in machine.images else job.image_gb / machine.fetch_gb_per_s
         return self.now + fetch_s + job.estimate_s <= window.at
 
@@ -196,7 +211,7 @@
         window = self.windows.get(machine)
         if (
             window is not None
-            and not self._in_time(job, machine, window)
+            and not self._ends_before_window(job, machine, window)
             and window.fits_beside(job)
         ):
             window.reserve_beside(job)
@@ -205,7 +220,7 @@
             self.headroom_for_expected -= job.cpus
         machine.allocate_task(job)
         if not self._has_room(machine):
-            self._has_filled = True
+            self._has_full_machines = True
         job.waiting -= 1
         job.zone_counts[machine.zone] = job.zone_counts.get(machine.zone, 0) + 1
         team = self.view.teams.get(job.team)
@@ -215,11 +230,11 @@
         self.plan.starts.append(Start(job.id, machine.id, backfilled))
 
     def _is_backfilled(self, job: JobView) -> bool:
-        """Return whether a task starts ahead of the reserved job or in expected work's capacity.
+        """Return True if a task starts ahead of the reserved job or on capacity for expected work.
 
-        The paper reserves for the job that waits. A class whose service-level objective is a few
-        seconds has no time to wait, so its capacity is reserved before it comes; lower classes fill
-        it and may be preempted.
+        The paper makes a reservation for a job that waits. A class whose service-level objective is
+        a few seconds can't wait, so capacity for it is kept before its jobs arrive: lower classes
+        may use it, and their tasks may be preempted.
         """
         if self.reserved_job is not None and job.rank < self.reserved_job.rank:
             return True
@@ -243,9 +258,10 @@
     def windows(self) -> dict[MachineView, Window]:
         """Return the reservations of the reserved job by machine, computed on first use.
 
-        In an overload no job behind the reserved one fits anywhere, and the ends of all running
-        tasks were computed in vain. Nothing is placed between the choice of the reserved job and
-        the first question, since every start asks: so the result is what it would have been then.
+        In an overload no job behind the reserved one fits anywhere, and computing the ends of all
+        running tasks would be wasted. Computing them later gives the same result: every start asks
+        for the windows first, so nothing is placed between the choice of the reserved job and the
+        first use.
         """
         if self._windows is None:
             assert self.reserved_job is not None
@@ -260,8 +276,11 @@
         }
 
     def _is_anything_preemptible(self, reserved_job: JobView, is_within_quota: bool) -> bool:
-        """Return whether any task may be preempted; for the lowest class none may."""
-        if is_within_quota and any(t.borrows for t in self.view.teams.values()):
+        """Return True if any task may be preempted for the reserved job.
+
+        This saves the search for a job of the lowest class, for which usually none may be.
+        """
+        if is_within_quota and any(t.exceeds_quota for t in self.view.teams.values()):
             return True
         return any(
             t.rank < reserved_job.rank and not t.stopping
@@ -271,38 +290,43 @@
         )
 
     def _preempt_for(self, reserved_job: JobView) -> None:
-        """Preempt backfilled tasks, shortest run time first, for the reserved job."""
+        """Preempt backfilled tasks for the reserved job, those with the shortest run time first."""
         team = self.view.teams.get(reserved_job.team)
         is_within_quota = team is not None and team.is_within_quota(reserved_job)
         if not self._is_anything_preemptible(reserved_job, is_within_quota):
             return
-        soon = self.now + self.policy.min_preemption_gain_s
-        pending_machines = sum(w.tasks for w in self.windows.values() if w.at <= soon)
-        wanted = (
+        soon_at = self.now + self.policy.min_preemption_gain_s
+        available_soon = sum(w.tasks for w in self.windows.values() if w.at <= soon_at)
+        still_needed = (
             min(self._tasks_within_limit(reserved_job), self.policy.max_reserved_tasks)
-            - pending_machines
+            - available_soon
         )
         backfilled = sum(len(m.backfilled) for m in self.ready)
         budget = max(1, math.ceil(backfilled * self.policy.max_preempted_share))
-        taken: set[RunningTask] = set()
+        already_preempted: set[RunningTask] = set()
         machines = self._usable(reserved_job, self.ready)
-        while wanted > 0:
-            preempted = preemption.choose(
-                reserved_job, machines, self.view.teams, taken, is_within_quota, self.now
+        while still_needed > 0:
+            preempted = preemption.choose_preemption(
+                reserved_job,
+                machines,
+                self.view.teams,
+                already_preempted,
+                is_within_quota,
+                self.now,
             )
-            if preempted is None or len(taken) + len(preempted.tasks) > max(
+            if preempted is None or len(already_preempted) + len(preempted.tasks) > max(
                 budget, len(preempted.tasks)
             ):
                 return
-            taken.update(preempted.tasks)
+            already_preempted.update(preempted.tasks)
             for task in preempted.tasks:
                 grace_s = task.save_s if task.saves else 0.0
                 self.plan.stops.append(StopTask(task.task, reserved_job.id, grace_s))
                 preempted.machine.release_task(task)
             preempted.machine.allocate_task(reserved_job)
-            wanted -= 1
+            still_needed -= 1
 
 
 def plan(view: View, now: Monotonic, policy: Policy) -> Plan:
-    """Plan one pass. The capacities and counts of the view are consumed by it."""
+    """Plan one pass. It consumes the view: its capacities and counts are changed."""
     return _Pass(view, now, policy).run()
--- a/tealrill/scheduler/preemption.py
+++ b/tealrill/scheduler/preemption.py
@@ -1,14 +1,14 @@
 """Preemption for the reserved job: of the backfilled tasks, those that have run the shortest.
 
-From the paper's `duration-consumed` rule: the least work is lost that way. On one machine the
-smallest sufficient set is taken, and of all machines the one where least work is lost.
+This is the paper's `duration-consumed` rule, which loses the least work. On one machine the
+smallest sufficient set of tasks is preempted, on the machine where that loses the least work.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-from tealrill.scheduler.model import SLACK, JobView, MachineView, RunningTask, TeamView
+from tealrill.scheduler.model import TOLERANCE, JobView, MachineView, RunningTask, TeamView
 from tealrill.types import Monotonic
 
 
@@ -19,39 +19,45 @@
     machine: MachineView
     tasks: list[RunningTask]
     lost_cpu_s: float
-    """CPU seconds of work that the stop throws away."""
+    """Processor seconds of work that the preemption loses."""
 
 
 def is_preemptible(
     task: RunningTask, job: JobView, teams: dict[str, TeamView], is_within_quota: bool
 ) -> bool:
-    """Return whether `task` may be preempted for `job`.
+    """Return True if `task` may be preempted for `job`.
 
-    That is backfilled work of a strictly lower class or, within the quota of the job's team, work
-    of a team that borrows.
+    That is a backfilled task of a strictly lower class or, if the job is within its team's
+    guaranteed quota, a task of another team that exceeds its own.
     """
     if task.stopping:
         return False
     if task.backfilled and task.rank < job.rank:
         return True
-    other = teams.get(task.team)
-    return is_within_quota and task.team != job.team and other is not None and other.borrows
+    other_team = teams.get(task.team)
+    return (
+        is_within_quota
+        and task.team != job.team
+        and other_team is not None
+        and other_team.exceeds_quota
+    )
 
 
 def _makes_room(machine: MachineView, tasks: list[RunningTask], job: JobView) -> bool:
     return (
-        machine.cpus + sum(t.cpus for t in tasks) + SLACK >= job.cpus
-        and machine.memory_gb + sum(t.memory_gb for t in tasks) + SLACK >= job.memory_gb
-        and machine.gpus + sum(t.gpus for t in tasks) + SLACK >= job.gpus
+        machine.cpus + sum(t.cpus for t in tasks) + TOLERANCE >= job.cpus
+        and machine.memory_gb + sum(t.memory_gb for t in tasks) + TOLERANCE >= job.memory_gb
+        and machine.gpus + sum(t.gpus for t in tasks) + TOLERANCE >= job.gpus
     )
 
 
 def _preempted_tasks_on(
     machine: MachineView, job: JobView, candidates: list[RunningTask], now: Monotonic
 ) -> PreemptedTasks | None:
-    """Return the victims on one machine, shortest run time first; None if that is not enough.
+    """Return the tasks to preempt on one machine, shortest run time first.
 
-    Tasks that turn out not to be needed are dropped from the set.
+    Return None if that would not make enough room. Tasks that turn out not to be needed are
+    dropped.
     """
     chosen: list[RunningTask] = []
     for task in candidates:
@@ -61,34 +67,35 @@
     if not chosen or not _makes_room(machine, chosen, job):
         return None
     for task in reversed(chosen[:]):
-        rest = [other for other in chosen if other is not task]
-        if _makes_room(machine, rest, job):
-            chosen = rest
+        remaining = [other for other in chosen if other is not task]
+        if _makes_room(machine, remaining, job):
+            chosen = remaining
     lost_cpu_s = sum(t.cpus * (t.save_s if t.saves else t.ran_s(now)) for t in chosen)
     return PreemptedTasks(machine, chosen, lost_cpu_s)
 
 
-def choose(
+def choose_preemption(
     job: JobView,
     machines: list[MachineView],
     teams: dict[str, TeamView],
-    taken: set[RunningTask],
+    already_preempted: set[RunningTask],
     is_within_quota: bool,
     now: Monotonic,
 ) -> PreemptedTasks | None:
-    """Return the victims whose preemption makes room for one task at the least lost work."""
+    """Return the tasks whose preemption makes room for one task at the least lost work."""
     best: PreemptedTasks | None = None
     for machine in machines:
         if not (is_within_quota or machine.backfilled):
             continue
         if not machine.allows(job) or job.tasks_allowed_in_zone(machine.zone) <= 0:
             continue
-        # Without a guarantee only backfilled work may be stopped; most machines have none.
+        # Outside the guaranteed quota only backfilled tasks may be preempted; most machines have
+        # none.
         running = machine.running if is_within_quota else machine.backfilled
         candidates = [
             task
             for task in running
-            if task not in taken and is_preemptible(task, job, teams, is_within_quota)
+            if task not in already_preempted and is_preemptible(task, job, teams, is_within_quota)
         ]
         if not candidates:
             continue
--- a/tests/test_graphs.py
+++ b/tests/test_graphs.py
@@ -19,8 +19,8 @@
 from tealrill.graphs import records
 from tealrill.graphs.leader_extension import GraphLeaderExtension
 from tealrill.graphs.model import Edge, InvalidGraphError, Node, Shape, resolve
-from tealrill.graphs.records import GraphRecordError, Head, Over
-from tealrill.graphs.tracker import OVER_DONE, OVER_FAILED, RELEASED, Progress
+from tealrill.graphs.records import GraphEnd, GraphRecord, GraphRecordError
+from tealrill.graphs.tracker import DONE, FAILED, RELEASED, Progress
 from tealrill.leader.leader import Leader
 from tealrill.leadership.election import Election
 from tealrill.scheduler.estimates import Estimates
@@ -61,23 +61,23 @@
 
 def test_progress_of_ten_thousand_nodes_as_chain_parallel_and_fan_in() -> None:
     chain = _shape([_node(f"n{i}", *([f"n{i - 1}"] if i else [])) for i in range(10_000)])
-    assert chain.tails()[0] == 9_999 and list(chain.order) == list(range(10_000))
+    assert chain.tails()[0] == 9_999 and list(chain.topological_order) == list(range(10_000))
     wide = Progress(_shape([_node(f"n{i}") for i in range(10_000)]))
-    wide.begin()
+    wide.evaluate_all()
     assert sum(wide.next_ready() is not None for _ in range(10_001)) == 10_000
     nodes = [_node(f"n{i}") for i in range(10_000)]
     nodes.append(_node("last", *[f"n{i}" for i in range(10_000)]))
     fan_in = Progress(_shape(nodes))
-    fan_in.begin()
+    fan_in.evaluate_all()
     for index in range(10_000):
         assert fan_in.state[10_000] == 0
-        fan_in.settle(index, OVER_DONE)
+        fan_in.record_end(index, DONE)
     assert fan_in.next_ready() is not None
     # The failure of the first node skips the whole chain; recursion would overflow the stack.
     failing = Progress(chain)
-    failing.begin()
-    failing.settle(0, OVER_FAILED)
-    assert failing.over and failing.counts_by_state()["skipped"] == 9_999
+    failing.evaluate_all()
+    failing.record_end(0, FAILED)
+    assert failing.all_ended and failing.counts_by_state()["skipped"] == 9_999
 
 
 def test_cycle_error_names_its_path_in_bounded_length() -> None:
@@ -108,14 +108,14 @@
     shuffled = list(nodes)
     rng.shuffle(shuffled)
     shape = _shape(shuffled)
-    position = {index: at for at, index in enumerate(shape.order)}
+    position = {index: at for at, index in enumerate(shape.topological_order)}
     assert sorted(position) == list(range(len(nodes)))
     tails = shape.tails()
     for index in range(shape.nodes):
         longest = 0.0
-        for dependent, _ in shape.followers(index):
+        for dependent, _ in shape.dependents(index):
             assert position[index] < position[dependent]
-            assert (index, _) in list(shape.awaited(dependent))
+            assert (index, _) in list(shape.dependencies(dependent))
             longest = max(longest, shape.estimate_s[dependent] + tails[dependent])
         assert tails[index] == pytest.approx(longest, rel=1e-5)
 
@@ -127,25 +127,25 @@
     """Ends recorded as they happen give the same state as after a failover: unordered and twice."""
     shape = _shape(nodes)
     first = Progress(shape)
-    first.begin()
+    first.evaluate_all()
     ends: list[tuple[int, int]] = []
     released: list[int] = []
     while (index := first.next_ready()) is not None:
-        first.released(index)
+        first.mark_released(index)
         released.append(index)
         if rng.random() < 0.8:
-            ends.append((index, rng.choice([OVER_DONE, OVER_DONE, OVER_FAILED])))
-            first.settle(*ends[-1])
+            ends.append((index, rng.choice([DONE, DONE, FAILED])))
+            first.record_end(*ends[-1])
     second = Progress(shape)
     for index in rng.sample(released, len(released)):
-        second.released(index)
+        second.mark_released(index)
     for end in rng.sample(ends, len(ends)) + ends:
-        second.settle(*end)
-    second.begin()
+        second.record_end(*end)
+    second.evaluate_all()
     while (index := second.next_ready()) is not None:
-        second.released(index)
+        second.mark_released(index)
     assert bytes(first.state) == bytes(second.state)
-    assert first.counts == second.counts and first.over == second.over
+    assert first.counts == second.counts and first.all_ended == second.all_ended
     assert first.counts[RELEASED] == len(released) - len(ends)
 
 
@@ -156,24 +156,24 @@
 def test_parts_round_trip_and_missing_fragment_is_rejected(
     nodes: list[Node], value_bytes: int
 ) -> None:
-    values = records.pack(nodes, value_bytes)
+    values = records.pack_part(nodes, value_bytes)
     assert all(len(wire.encode(value)) <= value_bytes for value in values)
     entries = [
         wire.Entry(key=records.fragment_key("fam1", 7, i), value=v, version=1)
         for i, v in enumerate(orjson.loads(orjson.dumps(values)))
     ]
-    (part,) = records.gather(entries).items()
+    (part,) = records.assemble_parts(entries).items()
     assert part[0] == 7 and part[1].nodes == len(nodes)
-    assert records.unpack(part[1]) == nodes
+    assert records.unpack_part(part[1]) == nodes
     if len(entries) > 1:
         with pytest.raises(GraphRecordError):
-            records.gather(entries[:-1])
+            records.assemble_parts(entries[:-1])
 
 
 @given(st.binary(max_size=200))
 def test_unpack_rejects_arbitrary_bytes(content: bytes) -> None:
     with pytest.raises(GraphRecordError):
-        records.unpack(records.PackedPart(1, "", content))
+        records.unpack_part(records.PackedPart(1, "", content))
 
 
 def test_unpack_rejects_decompression_bomb_in_bounded_memory() -> None:
@@ -182,7 +182,7 @@
     bomb = zlib.compress(b"[" + b" " * 200_000_000 + b"]")
     tracemalloc.start()
     with pytest.raises(GraphRecordError):
-        records.unpack(records.PackedPart(1, "", bomb))
+        records.unpack_part(records.PackedPart(1, "", bomb))
     peak = tracemalloc.get_traced_memory()[1]
     tracemalloc.stop()
     assert peak < 20_000_000
@@ -193,7 +193,7 @@
 
 @given(
     st.builds(
-        Head,
+        GraphRecord,
         v=st.just(1),
         status=st.sampled_from(["open", "accepted", "expired"]),
         at=st.floats(0, 1e10),
@@ -204,7 +204,7 @@
         nodes=st.integers(0, 10_000),
     ),
     st.builds(
-        Over,
+        GraphEnd,
         v=st.just(1),
         status=st.sampled_from(["done", "failed", "aborted"]),
         at=st.floats(0, 1e10),
@@ -212,14 +212,16 @@
         counts=st.none() | st.dictionaries(_TEXT, st.integers(0, 9), max_size=2),
     ),
 )
-def test_graph_records_round_trip_and_unknown_versions_are_rejected(head: Head, over: Over) -> None:
+def test_graph_records_round_trip_and_unknown_versions_are_rejected(
+    head: GraphRecord, over: GraphEnd
+) -> None:
     encoded = orjson.loads(wire.encode(head))
-    assert records.read_head(encoded) == head
-    assert records.read_over(orjson.loads(wire.encode(over))) == over
+    assert records.read_graph(encoded) == head
+    assert records.read_graph_end(orjson.loads(wire.encode(over))) == over
     invalid: list[Any] = [{**encoded, "v": 2}, {**encoded, "status": "odd"}, [], None]
     for value in invalid:
         with pytest.raises(GraphRecordError):
-            records.read_head(value)
+            records.read_graph(value)
 
 
 def test_task_failures_are_counted_across_failover() -> None:
@@ -276,15 +278,15 @@
         Estimates(),
         [lambda term: GraphLeaderExtension(term, GraphFeatures(on=True))],
     )
-    return leader, cast(GraphLeaderExtension, leader.parts[0])
+    return leader, cast(GraphLeaderExtension, leader.extensions[0])
 
 
 def _store_accepted_graph(store: CheckedStore, nodes: list[Node], **head: Any) -> None:
     """Write the records of an accepted graph."""
-    record = Head(v=1, status="accepted", at=wall_now(), digest="d", defaults=_DEFAULTS,
+    record = GraphRecord(v=1, status="accepted", at=wall_now(), digest="d", defaults=_DEFAULTS,
                 nodes=len(nodes), edges=1, parts=1, **head)  # fmt: skip
-    changes = [wire.put("job/fam1", wire.plain(record))]
-    for number, value in enumerate(records.pack(nodes, 4096)):
+    changes = [wire.put("job/fam1", wire.to_builtins(record))]
+    for number, value in enumerate(records.pack_part(nodes, 4096)):
         changes.append(wire.put(records.fragment_key("fam1", 0, number), value))
     store.execute([], changes)
 
@@ -321,9 +323,9 @@
         leader.scheduling_loop.autoscaler._next_rental_at = Monotonic(0.0)
         leader.scheduling_loop.run(monotonic_now(), wall_now())
         assert sum(rental.count for rental in rentals) == 2
-        (demand,) = leader.lifecycle.upcoming(monotonic_now(), 20.0)
+        (demand,) = leader.lifecycle.upcoming_tasks(monotonic_now(), 20.0)
         assert demand[1] == 3
-        assert not leader.lifecycle.upcoming(monotonic_now(), 10.0)
+        assert not leader.lifecycle.upcoming_tasks(monotonic_now(), 10.0)
 
     asyncio.run(scenario())
 
@@ -333,11 +335,11 @@
         store = CheckedStore(random.Random(0))
         store.reliable = True
         _store_accepted_graph(store, [_node("a"), _node("b")])
-        value = {"spec": {**wire.plain(spec(id="fam1-00000", pieces=1))}, "at": 0.0}
+        value = {"spec": {**wire.to_builtins(spec(id="fam1-00000", pieces=1))}, "at": 0.0}
         store.execute([], [
             wire.put("job/fam1-00000", {**value, "owner": "fam1"}),
             wire.put("job/fam1", {**store.keys["job/fam1"][0], "v": 2}),
-            wire.put("job/wk-1", {"spec": wire.plain(spec(id="wk-1")), "at": 0.0}),
+            wire.put("job/wk-1", {"spec": wire.to_builtins(spec(id="wk-1")), "at": 0.0}),
         ])  # fmt: skip
         leader, part = _leader(store)
         await leader.record_loader.load()
@@ -375,11 +377,15 @@
     async def scenario() -> None:
         store = CheckedStore(random.Random(0))
         store.reliable = True
-        head = Head(v=1, status="open", at=wall_now() - 3590.0, digest="d", defaults=_DEFAULTS)
-        store.execute([], [wire.put("job/fam1", wire.plain(head))])
-        store.execute([], [wire.put("job/wk-1", {"spec": wire.plain(spec(id="wk-1")), "at": 0.0})])
+        head = GraphRecord(
+            v=1, status="open", at=wall_now() - 3590.0, digest="d", defaults=_DEFAULTS
+        )
+        store.execute([], [wire.put("job/fam1", wire.to_builtins(head))])
+        store.execute(
+            [], [wire.put("job/wk-1", {"spec": wire.to_builtins(spec(id="wk-1")), "at": 0.0})]
+        )
         for part_number in range(40):
-            for number, value in enumerate(records.pack([_node(f"n{part_number}")], 4096)):
+            for number, value in enumerate(records.pack_part([_node(f"n{part_number}")], 4096)):
                 key = records.fragment_key("fam1", part_number, number)
                 store.execute([], [wire.put(key, value)])
         leader, part = _leader(store)
--- a/tests/test_graphs_records.py
+++ b/tests/test_graphs_records.py
@@ -243,7 +243,7 @@
 
     @property
     def part(self) -> GraphLeaderExtension:
-        return cast(GraphLeaderExtension, self.leader.parts[0])
+        return cast(GraphLeaderExtension, self.leader.extensions[0])
 
     def process_events(self, until: int) -> None:
         """Process the changes that the watch reports up to a revision."""
@@ -254,7 +254,7 @@
         self.processed_revision = max(self.processed_revision, until)
 
     async def advance(self) -> None:
-        for name in [n for n in self.part._heads if n not in self.part._live]:
+        for name in [n for n in self.part._accepted if n not in self.part._loaded]:
             self.simulation.store.during_scan = self.cancel_during_load
             await self.part._load(name)
             self.simulation.store.during_scan = None
@@ -650,14 +650,14 @@
 
 def _stuck_nodes_ignored(patch: pytest.MonkeyPatch) -> None:
     """Wait for released nodes with tasks that can't be unblocked any more."""
-    original = Progress.settle
+    original = Progress.record_end
 
-    def settle(self: Progress, index: int, state: int) -> list[int]:
+    def record_end(self: Progress, index: int, state: int) -> list[int]:
         unblocked = original(self, index, state)
         self.stuck.clear()
         return unblocked
 
-    patch.setattr(Progress, "settle", settle)
+    patch.setattr(Progress, "record_end", record_end)
 
 
 # Losing a node's end at a failover is not among these: the node's record under `over/` makes its
--- a/tests/test_renewal_delegation.py
+++ b/tests/test_renewal_delegation.py
@@ -1,4 +1,4 @@
-"""Delegations to renew workers: the delegate's side and the leader's, against one store."""
+"""Delegation of lease renewals: the delegate and the leader against one store."""
 
 from __future__ import annotations
 
@@ -75,7 +75,7 @@
 
 
 class _Leader:
-    """The leader's cluster address, as the delegate reaches it."""
+    """The leader's peer address as the delegate reaches it."""
 
     error: NoAnswerError | None = NoAnswerError("TimeoutError", False)
 
@@ -85,8 +85,8 @@
         return Answer()
 
 
-class _Side:
-    """A delegate in a cut zone, with its own clock."""
+class _DelegateNode:
+    """A delegate in a partitioned zone, with its own clock."""
 
     def __init__(self, store: Store) -> None:
         self.now = Monotonic(100.0)
@@ -100,14 +100,14 @@
     def tick(self) -> FencingToken | None:
         async def run() -> None:
             await self.delegate._ping(cast(Client, self.leader))
-            if self.delegate._wanted(self.now):
+            if self.delegate._should_confirm(self.now):
                 await self.delegate.confirm(LEADER)
 
         asyncio.run(run())
         return self.term()
 
     def term(self) -> FencingToken | None:
-        """For a worker without tasks."""
+        """Return the token for a worker without tasks."""
         return self.delegate.renewal_token(report(MACHINE, 1, 1, 0), MACHINE, self.now)
 
 
@@ -115,63 +115,64 @@
     return Delegations(cast(StateClient, store), LEADER.term, LEADER.mod_revision, lambda: None)
 
 
-def test_a_delegate_renews_only_while_the_leader_is_out_of_reach() -> None:
-    side = _Side(Store())
-    assert [side.tick(), side.tick()] == [None, 3]
-    side.now = Monotonic(side.now + DELEGATION_S)
-    assert side.term() is None
-    assert side.tick() == 3
-    side.leader.error = None
-    assert side.tick() is None
-    # A refusal means a process that is gone, or controllers kept apart: workers aren't cut off.
-    side.leader.error = NoAnswerError("refused", False, refused=True)
-    assert [side.tick(), side.tick()] == [None, None]
+def test_delegate_renews_only_while_leader_is_unreachable() -> None:
+    delegate_node = _DelegateNode(Store())
+    assert [delegate_node.tick(), delegate_node.tick()] == [None, 3]
+    delegate_node.now = Monotonic(delegate_node.now + DELEGATION_S)
+    assert delegate_node.term() is None
+    assert delegate_node.tick() == 3
+    delegate_node.leader.error = None
+    assert delegate_node.tick() is None
+    # A refused connection means that the leader's process has ended, or that only controllers are
+    # partitioned from each other: heartbeats would still reach a leader.
+    delegate_node.leader.error = NoAnswerError("refused", False, refused=True)
+    assert [delegate_node.tick(), delegate_node.tick()] == [None, None]
 
 
-def test_a_delegation_ends_with_the_leader_it_is_from() -> None:
+def test_delegation_ends_with_its_term() -> None:
     store = Store()
-    side = _Side(store)
-    side.tick()
+    delegate_node = _DelegateNode(store)
+    delegate_node.tick()
     store.keys[LEADER_KEY] = ({}, 9)
-    assert side.tick() is None
+    assert delegate_node.tick() is None
     assert DELEGATION_PREFIX + "node-0" not in store.keys
     store.keys[LEADER_KEY] = ({}, 7)
-    assert side.tick() == 3
-    side.election.known_leader = KnownLeader("node-1", FencingToken(4), Revision(9))
-    assert side.term() is None
+    assert delegate_node.tick() == 3
+    delegate_node.election.known_leader = KnownLeader("node-1", FencingToken(4), Revision(9))
+    assert delegate_node.term() is None
 
 
-def test_nothing_lapses_while_a_delegation_stands_or_can_not_be_looked_for() -> None:
+def test_check_active_finds_delegation_and_propagates_state_errors() -> None:
     store = Store()
-    side, delegations = _Side(store), _delegations(store)
+    delegate_node, delegations = _DelegateNode(store), _delegations(store)
     assert asyncio.run(delegations.check_active(Monotonic(0.0), False)) is False
-    side.tick()
-    side.tick()
+    delegate_node.tick()
+    delegate_node.tick()
     assert asyncio.run(delegations.check_active(Monotonic(1.0), False)) is True
     store.down = True
     with pytest.raises(StateError):
         asyncio.run(delegations.check_active(Monotonic(1.5), False))
 
 
-def test_a_closed_permit_is_not_confirmed_again_in_its_term() -> None:
+def test_revoked_delegation_is_not_confirmed_again_in_its_term() -> None:
     store = Store()
-    side, delegations = _Side(store), _delegations(store)
-    side.tick()
-    side.tick()
+    delegate_node, delegations = _DelegateNode(store), _delegations(store)
+    delegate_node.tick()
+    delegate_node.tick()
     assert asyncio.run(delegations.check_active(Monotonic(1.0), revoke=True)) is True
     assert asyncio.run(delegations.check_active(Monotonic(1.5), revoke=True)) is False
-    side.now = Monotonic(side.now + DELEGATION_S)
-    assert side.tick() is None
+    delegate_node.now = Monotonic(delegate_node.now + DELEGATION_S)
+    assert delegate_node.tick() is None
     asyncio.run(delegations.clear())
-    assert side.tick() == 3
+    assert delegate_node.tick() == 3
 
 
-def test_a_delegation_counts_as_ended_whenever_its_removal_was_tried() -> None:
-    # Two delegations: one is removed, the other has just been written anew.
+def test_ended_is_called_although_deletion_fails() -> None:
+    # The deletion fails, because its guard on the leader's key does (revision 8 instead of 7).
     store = Store()
-    side = _Side(store)
-    side.tick()
-    side.tick()
+    delegate_node = _DelegateNode(store)
+    delegate_node.tick()
+    delegate_node.tick()
     ended: list[int] = []
     delegations = Delegations(
         cast(StateClient, store), FencingToken(3), Revision(8), lambda: ended.append(1)
@@ -182,38 +183,38 @@
     assert ended
 
 
-def test_a_delegation_that_serves_nobody_any_more_is_closed() -> None:
+def test_stale_delegation_is_revoked() -> None:
     store = Store()
-    side, delegations = _Side(store), _delegations(store)
-    side.tick()
-    side.tick()
+    delegate_node, delegations = _DelegateNode(store), _delegations(store)
+    delegate_node.tick()
+    delegate_node.tick()
     found = [
         asyncio.run(delegations.check_active(Monotonic(float(at)), False)) for at in (1, 3, 6, 7)
     ]
     assert found == [True, True, True, False]
 
 
-def test_the_delegation_of_an_older_term_is_void() -> None:
+def test_delegation_of_earlier_term_is_ignored() -> None:
     store = Store()
-    side = _Side(store)
-    side.tick()
-    side.tick()
+    delegate_node = _DelegateNode(store)
+    delegate_node.tick()
+    delegate_node.tick()
     later = Delegations(cast(StateClient, store), FencingToken(4), Revision(9), lambda: None)
     assert asyncio.run(later.check_active(Monotonic(1.0), False)) is False
 
 
-def test_no_worker_is_sent_to_a_leader_that_does_not_answer_this_node() -> None:
-    # In a cut between zones workers came to the node beside them, were sent back to the leader
-    # beyond the cut, and lost 4 s of their lease there each time.
+def test_worker_is_not_redirected_to_unreachable_leader() -> None:
+    # A worker redirected to a leader on the other side of a partition waits 4 s there for an
+    # answer, and so loses 4 s of its lease each time.
     node = Controller(settings.parse(orjson.dumps(SETTINGS)))
     node.election.known_leader = LEADER
-    beat = {
+    message = {
         "kiln": "m-1", "addr": "10.0.0.1:1", "build": "g8", "hall": "north", "loaners": False,
         "shift": 1, "tick": 1, "baton": 3, "warningS": None, "pieces": [],
     }  # fmt: skip
-    report = wire.decode(orjson.dumps(beat), wire.Heartbeat)
+    report = wire.decode(orjson.dumps(message), wire.Heartbeat)
     assert node.handle_heartbeat(report, MachineId("m-1")) == (421, {"foreman": "node-1"})
-    node._renewal_delegate._cut_since = Monotonic(0.0)
+    node._renewal_delegate._partitioned_since = Monotonic(0.0)
     assert node.handle_heartbeat(report, MachineId("m-1")) == (421, {})
-    node._renewal_delegate._heard()
+    node._renewal_delegate._on_leader_reachable()
     assert node.handle_heartbeat(report, MachineId("m-1")) == (421, {"foreman": "node-1"})
--- a/tests/test_write_batcher.py
+++ b/tests/test_write_batcher.py
@@ -1,4 +1,4 @@
-"""What the leader writes first when changes are few, and what goes with a job's end."""
+"""Order of the leader's writes at a limited rate, and deletion of chunks with a job's end."""
 
 from __future__ import annotations
 
@@ -25,8 +25,8 @@
 NOW = Monotonic(1.0)
 
 
-class _Rate:
-    """So many changes may be made at this moment."""
+class _FixedTokens:
+    """A rate limiter with a fixed number of tokens."""
 
     def __init__(self, tokens: float) -> None:
         self.tokens = tokens
@@ -42,7 +42,7 @@
     def __init__(self, txn_ops: int = 8, tokens: float = 100.0) -> None:
         self.store = Store(random.Random(0), True)
         self.store.reliable = True
-        self.rate = _Rate(tokens)
+        self.rate = _FixedTokens(tokens)
         self.store.writes = self.rate  # type: ignore[assignment]
         self.job_store = JobStore(8.0)
         leadership = Leadership(FencingToken(1), Revision(1), LeaseId(1), NOW, Monotonic(1e9))
@@ -59,7 +59,7 @@
         changes = {**SUBMISSION, "id": f"wk-{number}", "urgency": urgency, "pieces": pieces}
         spec = wire.decode(orjson.dumps(changes), wire.JobSpec)
         self.store.epoch += 1
-        self.store.keys[job_key(spec.id)] = ({"spec": wire.plain(spec)}, self.store.epoch)  # type: ignore[arg-type]
+        self.store.keys[job_key(spec.id)] = ({"spec": wire.to_builtins(spec)}, self.store.epoch)  # type: ignore[arg-type]
         return self.job_store.add(spec, Wall(0.0), Revision(self.store.epoch))
 
     def bind(self, job: Job) -> None:
@@ -76,7 +76,7 @@
                 self.job_store.release(binding, "north", NOW)
 
     def write(self) -> list[str]:
-        """One transaction: the jobs it ends and the jobs it binds tasks of, in its order."""
+        """Commit one transaction; return the ends and bindings in it, in order."""
         batch = self.write_batcher._gather(NOW)
         if not batch.changes:
             return []
@@ -85,8 +85,9 @@
         return ended + [f"bind {chunk.job.id}" for chunk, _, new in batch.chunks if new]
 
 
-def test_an_urgent_binding_goes_before_the_ends_of_many_small_jobs() -> None:
-    # 667 jobs of one task each ended within minutes at 20 changes a second; urgent work waited.
+def test_urgent_binding_precedes_job_ends_of_lower_class() -> None:
+    # When 667 jobs of one task each ended within minutes, at a rate of 20 changes per second,
+    # urgent bindings waited behind their ends.
     term = _Term()
     small = [term.job(number, "idle") for number in range(10)]
     for job in small:
@@ -103,10 +104,10 @@
     assert sum(line.startswith("end") for line in first) == 2
 
 
-def test_leftovers_do_not_hold_up_bindings_of_their_class_as_long_as_they_are_few(
+def test_chunk_deletion_waits_for_bindings_until_orphans_accumulate(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    def left_over() -> bool:
+    def chunk_remains() -> bool:
         term = _Term()
         done = term.job(1, "urgent")
         term.bind(done)
@@ -116,12 +117,12 @@
         assert term.write() == ["end wk-1", "bind wk-2"]
         return "run/wk-1/00000" in term.store.keys
 
-    assert left_over()
-    monkeypatch.setattr(batcher_module, "_LEFTOVERS", 0)
-    assert not left_over()
+    assert chunk_remains()
+    monkeypatch.setattr(batcher_module, "_MAX_ORPHANED_CHUNKS", 0)
+    assert not chunk_remains()
 
 
-def test_within_a_class_ends_go_before_bindings() -> None:
+def test_job_end_precedes_bindings_of_same_class() -> None:
     term = _Term(txn_ops=2)
     done, waiting = term.job(1, "standard"), term.job(2, "standard")
     term.bind(done)
@@ -132,9 +133,9 @@
     assert term.write() == ["bind wk-2"]
 
 
-def test_an_end_is_not_starved_by_bindings_that_take_less() -> None:
-    # An end takes two changes and more. With one to be had, bindings used to take it, again and
-    # again, and a user waited for its job's end as long as there were any.
+def test_job_end_is_not_starved_by_smaller_bindings() -> None:
+    # An end takes at least two changes. If bindings may use a single available change, an end is
+    # delayed for as long as there are bindings to write.
     term = _Term()
     done = term.job(1, "standard")
     term.bind(done)
@@ -148,7 +149,7 @@
     assert term.write() == ["end wk-1"]
 
 
-def test_a_small_jobs_chunk_goes_with_its_end() -> None:
+def test_small_job_chunk_is_deleted_with_job_end() -> None:
     term = _Term()
     job = term.job(1, "standard", pieces=2)
     term.bind(job)
@@ -166,8 +167,8 @@
     )
 
 
-def test_a_chunk_with_a_binding_that_stands_does_not_go_with_the_end() -> None:
-    """A done task may still be on a machine, and a new leader has to know of it."""
+def test_chunk_with_binding_is_kept_at_job_end() -> None:
+    """A done task may still be on a machine, and a new leader must know its binding."""
     term = _Term()
     job = term.job(1, "standard")
     term.bind(job)
@@ -177,8 +178,8 @@
     assert "run/wk-1/00000" in term.store.keys
 
 
-def test_an_end_without_an_answer_is_found_out_with_its_chunk() -> None:
-    for fate in ("lost", "late"):
+def test_unanswered_job_end_is_resolved_including_its_chunk() -> None:
+    for delivery in ("lost", "late"):
         term = _Term()
         job = term.job(1, "standard")
         term.bind(job)
@@ -186,14 +187,14 @@
         term.finish(job)
         term.store.reliable = False
         term.store.rng = random.Random(0)
-        term.store.rng.choice = lambda _, fate=fate: fate  # type: ignore[method-assign,misc]
+        term.store.rng.choice = lambda _, delivery=delivery: delivery  # type: ignore[method-assign,misc]
         term.write()
         term.store.reliable = True
         while term.write():
             pass
         assert "run/wk-1/00000" not in term.store.keys
         assert ended_key(job.id) in term.store.keys
-        # The late one is executed now, and its guards keep it from doing anything.
+        # The delayed transaction is executed now; its guards must reject it.
         before = dict(term.store.keys)
         for guards, changes in term.store.late:
             term.store.execute(guards, changes)
