--- a/tealrill/daemon.py
+++ b/tealrill/daemon.py
@@ -116,10 +116,10 @@
         """Make the extensions that are switched on; what is off is not even imported."""
         found: list[Extension] = []
         if self._features.graphs.on:
-            from tealrill.graphs.extension import graphs
+            from tealrill.graphs.extension import create_graphs_extension
 
             found.append(
-                graphs(
+                create_graphs_extension(
                     self._settings,
                     self._features.graphs,
                     self._client,
--- a/tealrill/extensions.py
+++ b/tealrill/extensions.py
@@ -32,9 +32,9 @@
     leadership: Leadership
     job_store: JobStore
     write_batcher: WriteBatcher
-    valid: Callable[[], bool]
+    may_act: Callable[[], bool]
     """Return True while the leader may act."""
-    stop: Callable[[Job], None]
+    stop_job: Callable[[Job], None]
     """Start no more tasks of a job and stop the running ones, because its record is deleted or will
     certainly be."""
     remaining_s: Callable[[Job, Monotonic], float]
--- a/tealrill/graphs/extension.py
+++ b/tealrill/graphs/extension.py
@@ -49,7 +49,7 @@
             return None
 
 
-def graphs(
+def create_graphs_extension(
     settings: Settings,
     features: GraphFeatures,
     client: StateClient,
@@ -61,7 +61,7 @@
     counts = GraphCounts(settings, election)
     graph_admission = GraphAdmission(client, settings, features, admission, counts.fetch_counts)
 
-    def term(context: LeadershipContext) -> LeaderExtension:
+    def create_leader_extension(context: LeadershipContext) -> LeaderExtension:
         counts.term = GraphLeaderExtension(context, features)
         return counts.term
 
@@ -70,5 +70,5 @@
         user_routes=user_routes(graph_admission, relay),
         peer_routes=peer_routes(graph_admission, counts.local_counts),
         implicit_jobs=graph_admission,
-        create_leader_extension=term,
+        create_leader_extension=create_leader_extension,
     )
--- a/tealrill/graphs/leader_extension.py
+++ b/tealrill/graphs/leader_extension.py
@@ -136,8 +136,8 @@
         return self.in_flight + sum(job.waiting > 0 for job in self.jobs.values())
 
 
-def _build_shape(head: GraphRecord, parts: Sequence[PackedPart]) -> Shape:
-    shape = resolve(head.defaults, head.retries, (records.unpack_part(part) for part in parts))
+def _build_shape(record: GraphRecord, parts: Sequence[PackedPart]) -> Shape:
+    shape = resolve(record.defaults, record.retries, (records.unpack_part(part) for part in parts))
     # The keys would take half of the memory per node, and are needed for error messages only.
     shape.keys.clear()
     return shape
@@ -209,16 +209,16 @@
         if name in self._accepted and self._accepted[name][1].mod_revision == version:
             return
         try:
-            head = records.read_graph(value)
+            record = records.read_graph(value)
         except GraphRecordError as error:
             self._hold_unreadable(name, version, error)
             return
-        if head.status == records.ACCEPTED:
+        if record.status == records.ACCEPTED:
             self._drafts.pop(name, None)
-            self._accepted[name] = (head, Owner(records.graph_key(name), version, name))
+            self._accepted[name] = (record, Owner(records.graph_key(name), version, name))
             self._loaded.pop(name, None)
         else:
-            self._drafts[name] = (head, version)
+            self._drafts[name] = (record, version)
 
     def _hold_unreadable(self, name: str, version: Revision, error: Exception) -> None:
         """Hold a graph that can't be read.
@@ -260,9 +260,9 @@
         job.tail_s = node_fields.tail_s
         if node_fields.each:
             self._term.job_store.block_tasks(job)
-        live = self._loaded.get(name)
-        if live is not None:
-            self._attach(live, node[1], job)
+        graph = self._loaded.get(name)
+        if graph is not None:
+            self._attach_job(graph, node[1], job)
         return True
 
     def on_job_ended(self, job: Job) -> None:
@@ -280,10 +280,10 @@
     def on_tasks_done(self, job: Job, tasks: list[int]) -> None:
         """Unblock the tasks that wait for single tasks of a node, now committed as done."""
         node = parse_node_id(job.id)
-        live = self._loaded.get(job.owner.name) if job.owner is not None else None
-        if live is None or node is None:
+        graph = self._loaded.get(job.owner.name) if job.owner is not None else None
+        if graph is None or node is None:
             return
-        self._unblock_tasks(live, live.progress.record_tasks_done(node[1], tasks))
+        self._unblock_tasks(graph, graph.progress.record_tasks_done(node[1], tasks))
         self._wake.set()
 
     def on_owner_changed(self, owner: Owner) -> None:
@@ -294,51 +294,51 @@
 
     # -- nodes ----------------------------------------------------------------------------------
 
-    def _attach(self, live: LoadedGraph, index: int, job: Job) -> None:
+    def _attach_job(self, graph: LoadedGraph, index: int, job: Job) -> None:
         """Attach the job in the job store to its node."""
-        progress = live.progress
+        progress = graph.progress
         progress.mark_released(index)
-        live.views_by_node.pop(index, None)
+        graph.views_by_node.pop(index, None)
         if progress.state[index] != RELEASED:
             # While its release was in flight, a dependency ended so that the node is skipped.
             self._term.job_store.abort_job(job, OUTCOME_SKIPPED)
-        live.jobs[index] = job
+        graph.jobs[index] = job
         if progress.has_task_dependents(index):
             done = self._term.job_store.report_completions(job, monotonic_now())
-            self._unblock_tasks(live, progress.record_tasks_done(index, done))
+            self._unblock_tasks(graph, progress.record_tasks_done(index, done))
         if job.unblocked is not None:
-            self._unblock_runnable_tasks(live, index, job)
+            self._unblock_runnable_tasks(graph, index, job)
 
-    def _unblock_runnable_tasks(self, live: LoadedGraph, index: int, job: Job) -> None:
+    def _unblock_runnable_tasks(self, graph: LoadedGraph, index: int, job: Job) -> None:
         """Unblock all tasks of a node whose dependencies are done."""
-        for task in live.progress.unblocked_tasks(index):
+        for task in graph.progress.unblocked_tasks(index):
             self._term.job_store.unblock_task(job, task)
 
-    def _unblock_tasks(self, live: LoadedGraph, unblocked_tasks: list[tuple[int, int]]) -> None:
+    def _unblock_tasks(self, graph: LoadedGraph, unblocked_tasks: list[tuple[int, int]]) -> None:
         for dependent, task in unblocked_tasks:
-            if dependent in live.jobs:
-                self._term.job_store.unblock_task(live.jobs[dependent], task)
+            if dependent in graph.jobs:
+                self._term.job_store.unblock_task(graph.jobs[dependent], task)
 
     def _record_end(self, name: str, index: int, state: int) -> None:
-        live = self._loaded.get(name)
-        if live is None:
+        graph = self._loaded.get(name)
+        if graph is None:
             if name in self._accepted:
                 self._pending_ends.setdefault(name, []).append((index, state))
             return
-        if not 0 <= index < live.progress.shape.nodes:
+        if not 0 <= index < graph.progress.shape.nodes:
             return
-        live.jobs.pop(index, None)
-        live.views_by_node.pop(index, None)
-        for dependent in live.progress.record_end(index, state):
-            job = live.jobs.get(dependent)
+        graph.jobs.pop(index, None)
+        graph.views_by_node.pop(index, None)
+        for dependent in graph.progress.record_end(index, state):
+            job = graph.jobs.get(dependent)
             if job is not None:
-                self._unblock_runnable_tasks(live, dependent, job)
-        if state == FAILED and live.record.on_failure == "stop" and not live.stopped_by:
-            live.stopped_by = live.node(index).key
-        for stuck in live.progress.stuck:
-            if stuck in live.jobs:
-                self._term.job_store.abort_job(live.jobs[stuck], OUTCOME_SKIPPED)
-        live.progress.stuck.clear()
+                self._unblock_runnable_tasks(graph, dependent, job)
+        if state == FAILED and graph.record.on_failure == "stop" and not graph.stopped_by:
+            graph.stopped_by = graph.node(index).key
+        for stuck in graph.progress.stuck:
+            if stuck in graph.jobs:
+                self._term.job_store.abort_job(graph.jobs[stuck], OUTCOME_SKIPPED)
+        graph.progress.stuck.clear()
         self._wake.set()
 
     def _add_orphan(self, job: Job) -> None:
@@ -367,7 +367,7 @@
             if not job.cancelled:
                 job.outcome = OUTCOME_CANCELLED
                 self._add_orphan(job)
-                self._term.stop(job)
+                self._term.stop_job(job)
 
     # -- the loop -------------------------------------------------------------------------------
 
@@ -386,8 +386,8 @@
             except StateError as error:
                 log.debug("reading graphs failed: error=%s", error)
                 pause_s = _RETRY_S
-            if self._term.valid():
-                self._advance()
+            if self._term.may_act():
+                self._enqueue_writes()
             if pause_s is None:
                 pause_s = self._pause_s()
             await asyncio.sleep(_MIN_PASS_INTERVAL_S)
@@ -397,23 +397,23 @@
 
     def _pause_s(self) -> float | None:
         """Return the seconds until the next pass unless the loop is woken; None: no limit."""
-        if any(live.progress.has_ready for live in self._loaded.values()):
+        if any(graph.progress.has_ready for graph in self._loaded.values()):
             return _BACKLOG_POLL_S
         return _EXPIRY_POLL_S if self._drafts else None
 
-    def _advance(self) -> None:
-        for live in list(self._loaded.values()):
-            if live.stopped_by and not live.ending:
-                self._enqueue_end(live, "failed", f"node {live.stopped_by!r} failed", None)
-            elif not live.ending:
+    def _enqueue_writes(self) -> None:
+        for graph in list(self._loaded.values()):
+            if graph.stopped_by and not graph.ending:
+                self._enqueue_end(graph, "failed", f"node {graph.stopped_by!r} failed", None)
+            elif not graph.ending:
                 try:
-                    self._release(live)
+                    self._release(graph)
                 except (GraphRecordError, wire.MalformedMessageError) as error:
-                    self._hold_unreadable(live.name, live.owner.mod_revision, error)
+                    self._hold_unreadable(graph.name, graph.owner.mod_revision, error)
                     continue
-                if live.progress.all_ended and not live.jobs and not live.in_flight:
-                    counts = live.progress.counts_by_state()
-                    self._enqueue_end(live, _final_status(counts), "", counts)
+                if graph.progress.all_ended and not graph.jobs and not graph.in_flight:
+                    counts = graph.progress.counts_by_state()
+                    self._enqueue_end(graph, _final_status(counts), "", counts)
         for job_id in islice(
             (j for j in self._orphans if j not in self._ending_orphans), _MAX_IN_FLIGHT
         ):
@@ -427,55 +427,56 @@
 
     # -- releases -------------------------------------------------------------------------------
 
-    def _release(self, live: LoadedGraph) -> None:
-        if not live.progress.has_ready:
+    def _release(self, graph: LoadedGraph) -> None:
+        if not graph.progress.has_ready:
             return
-        max_releases = min(_MAX_IN_FLIGHT - live.in_flight, _MAX_BACKLOG - live.backlog())
+        max_releases = min(_MAX_IN_FLIGHT - graph.in_flight, _MAX_BACKLOG - graph.backlog())
         for _ in range(max_releases):
-            index = live.progress.next_ready()
+            index = graph.progress.next_ready()
             if index is None:
                 return
-            self._enqueue_release(live, index)
+            self._enqueue_release(graph, index)
 
-    def _enqueue_release(self, live: LoadedGraph, index: int) -> None:
+    def _enqueue_release(self, graph: LoadedGraph, index: int) -> None:
         now = wall_now()
-        spec = live.spec(index)
+        spec = graph.spec(index)
         job = JobId(spec.id)
         each = [
-            node_id(live.name, dependency) for dependency in live.progress.task_dependencies(index)
+            node_id(graph.name, dependency)
+            for dependency in graph.progress.task_dependencies(index)
         ]
         node_fields = records.NodeJob(
-            owner=live.name,
+            owner=graph.name,
             each=each,
-            retries=live.progress.shape.retries[index],
-            due_s=live.due_s(index, spec, now),
-            tail_s=round(live.progress.tail_s[index], 1),
+            retries=graph.progress.shape.retries[index],
+            due_s=graph.due_s(index, spec, now),
+            tail_s=round(graph.progress.tail_s[index], 1),
         )
         value = {"spec": wire.to_builtins(spec), "at": now, **msgspec.to_builtins(node_fields)}
 
         def on_committed(_: Revision) -> None:
-            live.in_flight -= 1
-            live.progress.mark_released(index)
+            graph.in_flight -= 1
+            graph.progress.mark_released(index)
             self._wake.set()
 
         def on_guards_failed(current: dict[str, wire.KeyValue | None]) -> None:
-            live.in_flight -= 1
-            over = current.get(ended_key(job))
-            if over is not None:
+            graph.in_flight -= 1
+            ended_entry = current.get(ended_key(job))
+            if ended_entry is not None:
                 # The node was cancelled while gated, or a transaction whose outcome was unknown
                 # released it, and it has ended since.
-                self._record_end(live.name, index, _end_state(over.value))
+                self._record_end(graph.name, index, _end_state(ended_entry.value))
             elif current.get(job_key(job)) is not None:
-                live.progress.mark_released(index)
+                graph.progress.mark_released(index)
             else:
-                live.progress.requeue(index)
+                graph.progress.requeue(index)
             self._wake.set()
 
-        live.in_flight += 1
+        graph.in_flight += 1
         self._term.write_batcher.join(
             JoinedWrite(
                 {
-                    live.owner.key: live.owner.mod_revision,
+                    graph.owner.key: graph.owner.mod_revision,
                     job_key(job): ABSENT,
                     ended_key(job): ABSENT,
                 },
@@ -488,27 +489,27 @@
     # -- ends -----------------------------------------------------------------------------------
 
     def _enqueue_end(
-        self, live: LoadedGraph, status: Any, why: str, counts: dict[str, int] | None
+        self, graph: LoadedGraph, status: Any, why: str, counts: dict[str, int] | None
     ) -> None:
-        over = records.graph_end_value(live.record, status, wall_now(), why, counts)
-        key = records.graph_end_key(live.name)
+        end_value = records.graph_end_value(graph.record, status, wall_now(), why, counts)
+        key = records.graph_end_key(graph.name)
 
         def on_committed(_: Revision) -> None:
-            log.info("graph ended: graph=%s status=%s reason=%s", live.name, status, why)
-            self._drop_graph(live.name, f"status {status}")
+            log.info("graph ended: graph=%s status=%s reason=%s", graph.name, status, why)
+            self._drop_graph(graph.name, f"status {status}")
             self._wake.set()
 
         def on_guards_failed(current: dict[str, wire.KeyValue | None]) -> None:
-            live.ending = False
+            graph.ending = False
             if key in current and current[key] is not None:
-                self._drop_graph(live.name, "ended by another member")
+                self._drop_graph(graph.name, "ended by another member")
             self._wake.set()
 
-        live.ending = True
+        graph.ending = True
         self._term.write_batcher.join(
             JoinedWrite(
-                {live.owner.key: live.owner.mod_revision, key: ABSENT},
-                [wire.delete(live.owner.key), wire.put(key, over)],
+                {graph.owner.key: graph.owner.mod_revision, key: ABSENT},
+                [wire.delete(graph.owner.key), wire.put(key, end_value)],
                 on_committed,
                 on_guards_failed,
             )
@@ -554,17 +555,17 @@
 
     def _expire_drafts(self) -> None:
         now = wall_now()
-        for name, (head, version) in self._drafts.items():
-            late = head.status == records.OPEN and now - head.at > self._features.open_s
+        for name, (record, version) in self._drafts.items():
+            late = record.status == records.OPEN and now - record.at > self._features.open_s
             if late and name not in self._expiring:
-                self._enqueue_expiry(name, head, version)
+                self._enqueue_expiry(name, record, version)
 
-    def _enqueue_expiry(self, name: str, head: GraphRecord, version: Revision) -> None:
+    def _enqueue_expiry(self, name: str, record: GraphRecord, version: Revision) -> None:
         """Mark an open graph as expired, so that no part is added while its parts are deleted."""
         log.info(
             "graph expired, not sealed in time: graph=%s limit_s=%.0f", name, self._features.open_s
         )
-        expired = msgspec.structs.replace(head, status="expired")
+        expired = msgspec.structs.replace(record, status="expired")
         key = records.graph_key(name)
 
         def done(_: object) -> None:
@@ -609,38 +610,38 @@
         if known is None:
             # Cancelled while another graph was being read. A KeyError here would end the term.
             return
-        head, owner = known
+        record, owner = known
         self._pending_ends[name] = []
         entries, _ = await self._term.client.scan(records.parts_prefix(name))
         ended, _ = await self._term.client.scan(records.graph_end_key(name) + "-")
         try:
             parts_by_number = records.assemble_parts(entries)
-            parts = [parts_by_number[number] for number in range(head.parts)]
+            parts = [parts_by_number[number] for number in range(record.parts)]
             # In a thread: a large graph takes a second on a fraction of a core, which would block
             # the event loop.
-            shape = await asyncio.to_thread(_build_shape, head, parts)
+            shape = await asyncio.to_thread(_build_shape, record, parts)
         except (GraphRecordError, InvalidGraphError, KeyError) as error:
             # The graph was read completely before it was accepted, so reading it again won't help.
             self._hold_unreadable(name, owner.mod_revision, error)
             return
         if self._accepted.get(name) is not known:
             return
-        live = LoadedGraph(name, head, owner, parts, Progress(shape))
-        live.part_starts = [0, *accumulate(part.nodes for part in parts[:-1])]
-        self._loaded[name] = live
+        graph = LoadedGraph(name, record, owner, parts, Progress(shape))
+        graph.part_starts = [0, *accumulate(part.nodes for part in parts[:-1])]
+        self._loaded[name] = graph
         for job in [j for j in self._term.job_store.jobs.values() if j.owner is owner]:
             node = parse_node_id(job.id)
             if node is not None and not job.cancelled:
-                self._attach(live, node[1], job)
+                self._attach_job(graph, node[1], job)
         for index, state in (*_parse_ends(ended), *self._pending_ends.pop(name, [])):
             self._record_end(name, index, state)
-        live.progress.evaluate_all()
+        graph.progress.evaluate_all()
         log.info(
             "graph loaded: graph=%s nodes=%d edges=%d states=%s",
             name,
-            head.nodes,
-            head.edges,
-            live.progress.counts_by_state(),
+            record.nodes,
+            record.edges,
+            graph.progress.counts_by_state(),
         )
 
     # -- queries --------------------------------------------------------------------------------
@@ -652,57 +653,57 @@
         requirements share one view: one view per node behind a wide layer made a pass cost more
         than twice as much.
         """
-        for live in self._loaded.values():
+        for graph in self._loaded.values():
             task_counts: dict[JobView, int] = {}
             left_s: dict[int, float] = {}
-            for index in list(islice(live.progress.nearly_ready, _MAX_UPCOMING_NODES)):
-                if self._time_until_ready_s(live, index, left_s, now) <= within_s:
-                    view = self._view_of(live, index)
-                    task_counts[view] = task_counts.get(view, 0) + live.progress.shape.tasks[index]
+            for index in list(islice(graph.progress.nearly_ready, _MAX_UPCOMING_NODES)):
+                if self._time_until_ready_s(graph, index, left_s, now) <= within_s:
+                    view = self._view_of(graph, index)
+                    task_counts[view] = task_counts.get(view, 0) + graph.progress.shape.tasks[index]
             yield from task_counts.items()
 
     def _time_until_ready_s(
-        self, live: LoadedGraph, index: int, left_s: dict[int, float], now: Monotonic
+        self, graph: LoadedGraph, index: int, left_s: dict[int, float], now: Monotonic
     ) -> float:
         """Return the expected seconds until all dependencies of a node have ended.
 
         `left_s` caches the time of each dependency.
         """
         longest = 0.0
-        for dependency, _ in live.progress.shape.dependencies(index):
+        for dependency, _ in graph.progress.shape.dependencies(index):
             if dependency not in left_s:
-                job = live.jobs.get(dependency)
+                job = graph.jobs.get(dependency)
                 left_s[dependency] = 0.0 if job is None else self._term.remaining_s(job, now)
             longest = max(longest, left_s[dependency])
         return longest
 
-    def _view_of(self, live: LoadedGraph, index: int) -> JobView:
+    def _view_of(self, graph: LoadedGraph, index: int) -> JobView:
         """Return the planner's view of a node; nodes with the same requirements share one."""
-        view = live.views_by_node.get(index)
+        view = graph.views_by_node.get(index)
         if view is None:
-            spec = live.spec(index)
-            requirements = msgspec.structs.replace(spec, id=live.name, tasks=1)
+            spec = graph.spec(index)
+            requirements = msgspec.structs.replace(spec, id=graph.name, tasks=1)
             encoded_requirements = wire.encode(requirements)
-            view = live.views_by_requirements.get(encoded_requirements)
+            view = graph.views_by_requirements.get(encoded_requirements)
             if view is None:
-                if len(live.views_by_requirements) >= _MAX_CACHED_VIEWS:
-                    live.views_by_requirements.clear()
-                view = live.views_by_requirements[encoded_requirements] = self._term.job_view(
+                if len(graph.views_by_requirements) >= _MAX_CACHED_VIEWS:
+                    graph.views_by_requirements.clear()
+                view = graph.views_by_requirements[encoded_requirements] = self._term.job_view(
                     requirements, 1
                 )
-            live.views_by_node[index] = view
+            graph.views_by_node[index] = view
         return view
 
     def counts(self, name: str) -> dict[str, int] | None:
         """Return the number of a graph's nodes by state; None if the graph is not loaded."""
-        live = self._loaded.get(name)
-        return None if live is None else live.progress.counts_by_state()
+        graph = self._loaded.get(name)
+        return None if graph is None else graph.progress.counts_by_state()
 
     def describe(self) -> dict[str, Any]:
         """Return the counts of nodes and of unsealed graphs, for operators."""
         return {
             "graphs": {
-                name: live.progress.counts_by_state() for name, live in self._loaded.items()
+                name: graph.progress.counts_by_state() for name, graph in self._loaded.items()
             },
             "open": len(self._drafts),
         }
@@ -716,8 +717,8 @@
             yield node[1], _end_state(entry.value)
 
 
-def _end_state(over: dict[str, Any]) -> int:
-    return outcome_state(records.node_outcome(over))
+def _end_state(node_end: dict[str, Any]) -> int:
+    return outcome_state(records.node_outcome(node_end))
 
 
 def _final_status(counts: dict[str, int]) -> str:
--- a/tealrill/graphs/records.py
+++ b/tealrill/graphs/records.py
@@ -152,7 +152,7 @@
     counts: dict[str, int] | None = None,
 ) -> dict[str, Any]:
     """Return the value of `over/GRAPH` for a graph with this record."""
-    over = GraphEnd(
+    end = GraphEnd(
         v=VERSION,
         status=status,
         at=at,
@@ -163,17 +163,17 @@
         why=why,
         counts=counts,
     )
-    return cast(dict[str, Any], msgspec.to_builtins(over))
+    return cast(dict[str, Any], msgspec.to_builtins(end))
 
 
-def node_outcome(over: dict[str, Any]) -> str:
+def node_outcome(node_end: dict[str, Any]) -> str:
     """Return how a node ended from its record under `over/`.
 
     The record of a node that was cancelled as a job names no outcome.
     """
-    if over.get("status") == wire.JOB_DONE:
+    if node_end.get("status") == wire.JOB_DONE:
         return OUTCOME_DONE
-    return str(over.get("outcome", OUTCOME_CANCELLED))
+    return str(node_end.get("outcome", OUTCOME_CANCELLED))
 
 
 def _decode(value: Any, kind: type[wire.T]) -> wire.T:
--- a/tests/test_graphs.py
+++ b/tests/test_graphs.py
@@ -126,27 +126,27 @@
 ) -> None:
     """Ends recorded as they happen give the same state as after a failover: unordered and twice."""
     shape = _shape(nodes)
-    first = Progress(shape)
-    first.evaluate_all()
+    original = Progress(shape)
+    original.evaluate_all()
     ends: list[tuple[int, int]] = []
     released: list[int] = []
-    while (index := first.next_ready()) is not None:
-        first.mark_released(index)
+    while (index := original.next_ready()) is not None:
+        original.mark_released(index)
         released.append(index)
         if rng.random() < 0.8:
             ends.append((index, rng.choice([DONE, DONE, FAILED])))
-            first.record_end(*ends[-1])
-    second = Progress(shape)
+            original.record_end(*ends[-1])
+    replayed = Progress(shape)
     for index in rng.sample(released, len(released)):
-        second.mark_released(index)
+        replayed.mark_released(index)
     for end in rng.sample(ends, len(ends)) + ends:
-        second.record_end(*end)
-    second.evaluate_all()
-    while (index := second.next_ready()) is not None:
-        second.mark_released(index)
-    assert bytes(first.state) == bytes(second.state)
-    assert first.counts == second.counts and first.all_ended == second.all_ended
-    assert first.counts[RELEASED] == len(released) - len(ends)
+        replayed.record_end(*end)
+    replayed.evaluate_all()
+    while (index := replayed.next_ready()) is not None:
+        replayed.mark_released(index)
+    assert bytes(original.state) == bytes(replayed.state)
+    assert original.counts == replayed.counts and original.all_ended == replayed.all_ended
+    assert original.counts[RELEASED] == len(released) - len(ends)
 
 
 # -- records --------------------------------------------------------------------------------------
@@ -213,11 +213,11 @@
     ),
 )
 def test_graph_records_round_trip_and_unknown_versions_are_rejected(
-    head: GraphRecord, over: GraphEnd
+    record: GraphRecord, end: GraphEnd
 ) -> None:
-    encoded = orjson.loads(wire.encode(head))
-    assert records.read_graph(encoded) == head
-    assert records.read_graph_end(orjson.loads(wire.encode(over))) == over
+    encoded = orjson.loads(wire.encode(record))
+    assert records.read_graph(encoded) == record
+    assert records.read_graph_end(orjson.loads(wire.encode(end))) == end
     invalid: list[Any] = [{**encoded, "v": 2}, {**encoded, "status": "odd"}, [], None]
     for value in invalid:
         with pytest.raises(GraphRecordError):
@@ -281,10 +281,10 @@
     return leader, cast(GraphLeaderExtension, leader.extensions[0])
 
 
-def _store_accepted_graph(store: CheckedStore, nodes: list[Node], **head: Any) -> None:
+def _store_accepted_graph(store: CheckedStore, nodes: list[Node], **fields: Any) -> None:
     """Write the records of an accepted graph."""
     record = GraphRecord(v=1, status="accepted", at=wall_now(), digest="d", defaults=_DEFAULTS,
-                nodes=len(nodes), edges=1, parts=1, **head)  # fmt: skip
+                nodes=len(nodes), edges=1, parts=1, **fields)  # fmt: skip
     changes = [wire.put("job/fam1", wire.to_builtins(record))]
     for number, value in enumerate(records.pack_part(nodes, 4096)):
         changes.append(wire.put(records.fragment_key("fam1", 0, number), value))
@@ -299,10 +299,10 @@
         nodes = [_node("a", vcpus=1.0, guessS=15.0)]
         nodes += [_node(f"b{i}", "a", **large) for i in range(3)]
         _store_accepted_graph(store, nodes)
-        leader, part = _leader(store)
+        leader, extension = _leader(store)
         await leader.record_loader.load()
-        await part._load("fam1")
-        part._advance()
+        await extension._load("fam1")
+        extension._enqueue_writes()
         rentals: list[Any] = []
         leader.provisioner.set_catalogue(
             wire.decode(orjson.dumps({"builds": [_MACHINE_TYPE]}), wire.Catalogue)
@@ -341,9 +341,9 @@
             wire.put("job/fam1", {**store.keys["job/fam1"][0], "v": 2}),
             wire.put("job/wk-1", {"spec": wire.to_builtins(spec(id="wk-1")), "at": 0.0}),
         ])  # fmt: skip
-        leader, part = _leader(store)
+        leader, extension = _leader(store)
         await leader.record_loader.load()
-        part._advance()
+        extension._enqueue_writes()
         waiting = {job.id: job.waiting for job in leader.job_store.jobs.values()}
         assert waiting == {"fam1-00000": 0, "wk-1": 6}
         assert not leader.write_batcher.joined
@@ -356,14 +356,16 @@
 
 
 async def _process_until_idle(
-    leader: Leader, part: GraphLeaderExtension, store: CheckedStore
+    leader: Leader, extension: GraphLeaderExtension, store: CheckedStore
 ) -> None:
     """Let the leader process and write until it has nothing left to write."""
     processed_revision = store.epoch
     for _ in range(60):
-        for name in [n for n, (head, _) in part._drafts.items() if head.status == "expired"]:
-            await part._delete_expired(name)
-        part._advance()
+        for name in [
+            n for n, (record, _) in extension._drafts.items() if record.status == "expired"
+        ]:
+            await extension._delete_expired(name)
+        extension._enqueue_writes()
         batch = leader.write_batcher._gather(Monotonic(monotonic_now() + 10.0))
         if batch.changes:
             await leader.write_batcher._commit(batch)
@@ -377,10 +379,10 @@
     async def scenario() -> None:
         store = CheckedStore(random.Random(0))
         store.reliable = True
-        head = GraphRecord(
+        record = GraphRecord(
             v=1, status="open", at=wall_now() - 3590.0, digest="d", defaults=_DEFAULTS
         )
-        store.execute([], [wire.put("job/fam1", wire.to_builtins(head))])
+        store.execute([], [wire.put("job/fam1", wire.to_builtins(record))])
         store.execute(
             [], [wire.put("job/wk-1", {"spec": wire.to_builtins(spec(id="wk-1")), "at": 0.0})]
         )
@@ -388,17 +390,17 @@
             for number, value in enumerate(records.pack_part([_node(f"n{part_number}")], 4096)):
                 key = records.fragment_key("fam1", part_number, number)
                 store.execute([], [wire.put(key, value)])
-        leader, part = _leader(store)
+        leader, extension = _leader(store)
         await leader.record_loader.load()
-        await _process_until_idle(leader, part, store)
+        await _process_until_idle(leader, extension, store)
         assert "job/fam1" in store.keys and len(store.keys) == 43
         # Ten seconds later the graph expires. A part in flight is guarded by the open record.
         open_stamp = store.keys["job/fam1"][1]
-        part._drafts["fam1"] = (
-            msgspec.structs.replace(head, at=head.at - 20.0),
+        extension._drafts["fam1"] = (
+            msgspec.structs.replace(record, at=record.at - 20.0),
             Revision(open_stamp),
         )
-        await _process_until_idle(leader, part, store)
+        await _process_until_idle(leader, extension, store)
         late = store.execute(
             [wire.guard("job/fam1", open_stamp)], [wire.put("part/fam1/00099.00", {})]
         )
@@ -424,14 +426,14 @@
         done = [wire.put(f"over/fam1-{i:05d}", {"status": "done", "tasks": 1}) for i in range(2000)]
         store.execute([], done)
         for _ in range(2):
-            leader, part = _leader(store)
+            leader, extension = _leader(store)
             await leader.record_loader.load()
-            await part._load("fam1")
-            counts = part.counts("fam1")
+            await extension._load("fam1")
+            counts = extension.counts("fam1")
             assert counts is not None and counts["done"] == 2000
             assert counts["ready"] + counts["released"] == 10
             batch_sizes = []
-            part._advance()
+            extension._enqueue_writes()
             while (batch := leader.write_batcher._gather(monotonic_now())).changes:
                 batch_sizes.append(len(batch.changes))
                 await leader.write_batcher._commit(batch)
@@ -449,10 +451,10 @@
         store.reliable = True
         nodes = [_node("a", guessS=10.0), _node("b", "a", guessS=30.0)]
         _store_accepted_graph(store, nodes, due_s=100.0)
-        leader, part = _leader(store)
+        leader, extension = _leader(store)
         await leader.record_loader.load()
-        await part._load("fam1")
-        part._advance()
+        await extension._load("fam1")
+        extension._enqueue_writes()
         await leader.write_batcher._commit(leader.write_batcher._gather(monotonic_now()))
         record = store.keys["job/fam1-00000"][0]
         assert record["due_s"] == pytest.approx(70.0, abs=5.0) and record["tail_s"] == 30.0
--- a/tests/test_graphs_records.py
+++ b/tests/test_graphs_records.py
@@ -77,11 +77,11 @@
 
     def outcome(self, keys: dict[str, Any], index: int) -> str | None:
         """Return how a node ended or must end; None while that is undecided."""
-        over = keys.get(f"over/{self.job(index)}")
-        if over is not None:
-            if over[0]["status"] == "done":
+        end_entry = keys.get(f"over/{self.job(index)}")
+        if end_entry is not None:
+            if end_entry[0]["status"] == "done":
                 return "done"
-            return str(over[0].get("outcome", "cancelled"))
+            return str(end_entry[0].get("outcome", "cancelled"))
         for edge in self.nodes[index]["after"]:
             dependency_outcome = self.outcome(keys, self.index[edge["node"]])
             if dependency_outcome is not None and not self._is_satisfied(edge, dependency_outcome):
@@ -169,14 +169,14 @@
                 self._check_end(before, model, value)
             return
         index = int(number)
-        head = before.get(f"job/{name}")
+        record = before.get(f"job/{name}")
         if kind == "job":
-            if head is None or head[0]["status"] != "accepted":
+            if record is None or record[0]["status"] != "accepted":
                 raise Contradiction(f"{job} released without an accepted graph")
             if f"over/{job}" in before or not model.may_release(before, index):
                 raise Contradiction(f"{job} released too early or after its end")
         elif kind == "over" and value["status"] == "done":
-            if head is None:
+            if record is None:
                 raise Contradiction(f"{job} done after its graph's end")
             if self.completed.get(job, set()) != set(range(model.tasks(index))):
                 raise Contradiction(f"{job} done before all its tasks")
@@ -186,12 +186,16 @@
     def _check_bindings(
         self, before: dict[str, Any], model: Model, index: int, key: str, value: Any
     ) -> None:
-        old = before[key][0]["tasks"] if key in before else []
+        previous_entries = before[key][0]["tasks"] if key in before else []
         for task, entry in enumerate(value["tasks"]):
-            was = old[task] if task < len(old) else 0
-            if not isinstance(entry, list) or len(entry) == 1 or entry == was:
+            previous_entry = previous_entries[task] if task < len(previous_entries) else 0
+            if not isinstance(entry, list) or len(entry) == 1 or entry == previous_entry:
                 continue
-            if isinstance(was, list) and len(was) > 1 and was[3] == entry[3]:
+            if (
+                isinstance(previous_entry, list)
+                and len(previous_entry) > 1
+                and previous_entry[3] == entry[3]
+            ):
                 continue
             if f"job/{model.name}" not in before or f"job/{model.job(index)}" not in before:
                 raise Contradiction(f"{model.job(index)}/{task} bound after its end")
@@ -242,7 +246,7 @@
             self.running += job.bindings()
 
     @property
-    def part(self) -> GraphLeaderExtension:
+    def extension(self) -> GraphLeaderExtension:
         return cast(GraphLeaderExtension, self.leader.extensions[0])
 
     def process_events(self, until: int) -> None:
@@ -254,13 +258,13 @@
         self.processed_revision = max(self.processed_revision, until)
 
     async def advance(self) -> None:
-        for name in [n for n in self.part._accepted if n not in self.part._loaded]:
+        for name in [n for n in self.extension._accepted if n not in self.extension._loaded]:
             self.simulation.store.during_scan = self.cancel_during_load
-            await self.part._load(name)
+            await self.extension._load(name)
             self.simulation.store.during_scan = None
-        for name in [n for n, (h, _) in self.part._drafts.items() if h.status == "expired"]:
-            await self.part._delete_expired(name)
-        self.part._advance()
+        for name in [n for n, (h, _) in self.extension._drafts.items() if h.status == "expired"]:
+            await self.extension._delete_expired(name)
+        self.extension._enqueue_writes()
 
     async def cancel_during_load(self) -> None:
         """Cancel nodes, or a graph, while the leader reads a graph's records."""
@@ -507,8 +511,8 @@
     def _check_aborted(self, name: str, index: int) -> None:
         """Check that an aborted node was cancelled, failed or skipped."""
         model = self.models[name]
-        over = self.store.keys.get(f"over/{name}")
-        if over is not None and over[0]["status"] != "done":
+        end_entry = self.store.keys.get(f"over/{name}")
+        if end_entry is not None and end_entry[0]["status"] != "done":
             return
         outcome = model.outcome(self.store.keys, index)
         if outcome not in ("failed", "skipped", "cancelled"):
@@ -530,17 +534,17 @@
             assert self.driver is not None
             self.driver.process_events(self.store.epoch)
             await self._act(self.driver, failure_probability=0.0, idle_probability=0.0)
-        left = [k for k in self.store.keys if k.startswith(("job/", "run/"))]
+        records_left = [k for k in self.store.keys if k.startswith(("job/", "run/"))]
         drafts = {f"job/{n}" for n in _NAMES if n not in self.replied}
-        if set(left) - drafts:
-            raise Contradiction(f"records left at the end: {left}")
+        if set(records_left) - drafts:
+            raise Contradiction(f"records left at the end: {records_left}")
         for name, model in self.models.items():
-            over = self.store.keys.get(f"over/{name}")
-            if self.replied.get(name) is not None and over is None:
+            end_entry = self.store.keys.get(f"over/{name}")
+            if self.replied.get(name) is not None and end_entry is None:
                 raise Contradiction(f"{name} has not ended")
             admission, graphs = self._node()
             self._check_graph_reply(name, await graphs.show(name))
-            if over is None or not over[0].get("nodes"):
+            if end_entry is None or not end_entry[0].get("nodes"):
                 continue
             for index in range(len(model.nodes)):
                 reply = await admission.status(model.job(index))
@@ -550,7 +554,7 @@
                 outcome = model.outcome(self.store.keys, index)
                 # A node that would have been skipped may still be cancelled by its user.
                 if (
-                    over[0]["status"] == "done"
+                    end_entry[0]["status"] == "done"
                     and outcome not in ("done", "skipped")
                     and model.job(index) not in self.cancelled
                 ):
