--- a/tealrill/graphs/leader_extension.py
+++ b/tealrill/graphs/leader_extension.py
@@ -346,7 +346,7 @@
         self._wake.set()
 
     def _drop_graph(self, name: str, why: str) -> None:
-        """Drop a graph whose record is gone, and stop its jobs."""
+        """Drop a graph whose record is deleted or changed, and stop its jobs."""
         self._drafts.pop(name, None)
         unreadable_owner = self._unreadable.pop(name, None)
         self._pending_ends.pop(name, None)
@@ -530,7 +530,7 @@
             self._wake.set()
 
         def on_guards_failed(_: dict[str, wire.KeyValue | None]) -> None:
-            # Its record has gone already: it was cancelled by itself, or done before its graph
+            # Its record is deleted already: it was cancelled by itself, or done before its graph
             # ended.
             on_committed(ABSENT)
 
--- a/tests/test_graphs_node.py
+++ b/tests/test_graphs_node.py
@@ -1,4 +1,4 @@
-"""Graphs on a whole controller on loopback, with stand-ins for the services around it."""
+"""Graphs on a whole controller on loopback, with fakes of the services around it."""
 
 from __future__ import annotations
 
