--- a/tealrill/graphs/admission.py
+++ b/tealrill/graphs/admission.py
@@ -1,9 +1,10 @@
-"""What users ask of graphs: the same on every node, answered from the state service.
+"""Submitting, showing and cancelling graphs, the same on every member: answered from the records.
 
-A graph is claimed first (its head, open), filled with parts, and accepted by one transaction that
-requires the head to be as it was. Between claim and acceptance no plain job gets an id of its
-nodes, so what was looked for and not found under its name stays absent. A part, once written, never
-changes, and none can be added after the acceptance, since each requires the open head.
+A submission first writes the graph's record with status open, which reserves the id, then the
+parts. One transaction accepts the graph, guarded by the revision of the open record. While that
+record exists, no plain job with an id of the graph's nodes is accepted, so a check for such jobs
+remains valid until the acceptance. A part never changes once written, and none can be added after
+the acceptance, since its write is guarded by the open record too.
 """
 
 from __future__ import annotations
@@ -33,7 +34,7 @@
     parse_node_id,
     resolve,
 )
-from tealrill.graphs.records import GraphEnd, GraphRecord, GraphRecordError, Packed
+from tealrill.graphs.records import GraphEnd, GraphRecord, GraphRecordError, PackedPart
 from tealrill.graphs.tracker import NODE_STATES
 from tealrill.settings import Settings
 from tealrill.state.admission import Admission, ImplicitJob, Reply
@@ -60,18 +61,19 @@
 
 log = logging.getLogger(__name__)
 
-_TRIES: Final = 4
-_TXN_BYTES: Final = 60 * 1024
-_NAMES_KEPT: Final = 4
-"""Graphs whose nodes' keys are remembered for listings."""
-_PAGE: Final = 200
-_PAGES: Final = 10
-"""Pages looked through for one listing by state."""
+_MAX_ATTEMPTS: Final = 4
+_MAX_TRANSACTION_BYTES: Final = 60 * 1024
+_MAX_CACHED_GRAPHS: Final = 4
+"""Most graphs whose nodes' keys are cached for listings."""
+_PAGE_SIZE: Final = 200
+"""Nodes per page of records."""
+_MAX_PAGES: Final = 10
+"""Most pages of records read for one request of a listing."""
 
 _NO_GRAPH: Final = Reply(404, {"error": "no such graph"})
 
 
-def _later(why: str, retry_on_other_node: bool = False) -> Reply:
+def _retry_later(why: str, retry_on_other_node: bool = False) -> Reply:
     return Reply(503, {"error": why}, retry_after_s=1, retry_on_other_node=retry_on_other_node)
 
 
@@ -79,28 +81,28 @@
     return Reply(409, {"error": why, **more})
 
 
-def _bad(error: InvalidGraphError) -> Reply:
+def _rejected(error: InvalidGraphError) -> Reply:
     return Reply(error.status, error.body(), retry_after_s=1 if error.status == 503 else None)
 
 
-class Found:
-    """What is kept under a graph's name."""
+class StoredGraph:
+    """The records of a graph, with the revisions at which they were last changed."""
 
     def __init__(
         self,
-        head: GraphRecord | None,
+        record: GraphRecord | None,
         mod_revision: Revision,
-        over: GraphEnd | None,
-        over_stamp: Revision,
+        end: GraphEnd | None,
+        end_revision: Revision,
     ) -> None:
-        self.head = head
+        self.record = record
         self.mod_revision = mod_revision
-        self.over = over
-        self.over_stamp = over_stamp
+        self.end = end
+        self.end_revision = end_revision
 
 
 class GraphAdmission:
-    """Submit, show and cancel graphs; answer for the ids of their nodes as `ImplicitJobs`."""
+    """Submit, show and cancel graphs; implement `ImplicitJobs` for the ids of their nodes."""
 
     def __init__(
         self,
@@ -114,7 +116,7 @@
         self._features = features
         self._admission = admission
         self._counts = counts
-        """A live graph's nodes by state, as its leader has them; None if it can't be asked."""
+        """Return the number of a graph's nodes by state from its leader; None without an answer."""
         state = settings.params.state
         self._txn_ops = state.txn_ops
         self._value_bytes = int(state.value_kb * 1024)
@@ -123,7 +125,7 @@
     # -- ids of nodes ---------------------------------------------------------------------------
 
     def conflicting_keys(self, job_id: JobId) -> list[str]:
-        """Return the keys that must be absent where a plain job takes this id."""
+        """Return the keys that must be absent for a plain job of this id to be accepted."""
         graph = graph_prefix(job_id)
         if graph is None:
             return []
@@ -134,36 +136,39 @@
         node = parse_node_id(job_id)
         if node is None:
             return None
-        found = await self._find(node[0])
-        if found.over is not None:
-            cancelled = found.over.status == wire.JOB_CANCELLED
+        stored = await self._read_records(node[0])
+        if stored.end is not None:
+            cancelled = stored.end.status == wire.JOB_CANCELLED
             outcome = OUTCOME_CANCELLED if cancelled else OUTCOME_SKIPPED
             never_released = ImplicitJob(wire.JOB_CANCELLED, outcome)
-            return never_released if node[1] < found.over.nodes else None
-        if found.head is None or found.head.status != records.ACCEPTED:
+            return never_released if node[1] < stored.end.nodes else None
+        if stored.record is None or stored.record.status != records.ACCEPTED:
             return None
-        return ImplicitJob(wire.JOB_PENDING) if node[1] < found.head.nodes else None
+        return ImplicitJob(wire.JOB_PENDING) if node[1] < stored.record.nodes else None
 
     async def refusal(self, job_id: JobId) -> Reply | None:
-        """Return the answer to a plain job whose id belongs to a graph."""
+        """Return the rejection of a plain job whose id belongs to an accepted or ended graph."""
         graph = graph_prefix(job_id)
         if graph is None:
             return None
-        found = await self._find(graph)
-        accepted = found.head is not None and found.head.status == records.ACCEPTED
-        if accepted or found.over is not None:
+        stored = await self._read_records(graph)
+        accepted = stored.record is not None and stored.record.status == records.ACCEPTED
+        if accepted or stored.end is not None:
             return Reply(422, {"error": f"ids of this form belong to graph {graph!r}"})
         return None
 
     async def cancel(self, job_id: JobId) -> Revision | None:
-        """Cancel a gated node; the revision that made it true, or None."""
+        """Cancel a gated node.
+
+        Return the revision of the cancellation; None if it was not executed or that is unknown.
+        """
         node = parse_node_id(job_id)
         assert node is not None
-        found = await self._find(node[0])
-        if found.head is None or found.head.status != records.ACCEPTED:
+        stored = await self._read_records(node[0])
+        if stored.record is None or stored.record.status != records.ACCEPTED:
             return None
         guards = [
-            wire.guard(records.graph_key(node[0]), found.mod_revision),
+            wire.guard(records.graph_key(node[0]), stored.mod_revision),
             wire.guard(job_key(job_id), ABSENT),
             wire.guard(ended_key(job_id), ABSENT),
         ]
@@ -181,35 +186,41 @@
 
     # -- reading --------------------------------------------------------------------------------
 
-    async def _find(self, graph: str) -> Found:
-        """Head and end, read in the order in which a graph moves."""
+    async def _read_records(self, graph: str) -> StoredGraph:
+        """Read the records of a graph: `job/GRAPH` first, then `over/GRAPH`.
+
+        An ended graph moves in this direction, so reading in the same order can't miss it.
+        """
         entry = await self._client.get(records.graph_key(graph))
         try:
-            head = None if entry is None else records.read_graph(entry.value)
-            if entry is not None and head is not None and head.status != records.EXPIRED:
-                return Found(head, Revision(entry.version), None, ABSENT)
-            over = await self._client.get(records.graph_end_key(graph))
-            end = None if over is None else records.read_graph_end(over.value)
-            if over is not None and end is not None and end.status == wire.JOB_CANCELLED:
-                # Whatever is answered from it tells a user, perhaps before the node that cancelled
-                # it could; and that one may have ended since.
-                self._admission.acknowledge(graph, Revision(over.version))
-            return Found(
-                head,
+            record = None if entry is None else records.read_graph(entry.value)
+            if entry is not None and record is not None and record.status != records.EXPIRED:
+                return StoredGraph(record, Revision(entry.version), None, ABSENT)
+            end_entry = await self._client.get(records.graph_end_key(graph))
+            end = None if end_entry is None else records.read_graph_end(end_entry.value)
+            if end_entry is not None and end is not None and end.status == wire.JOB_CANCELLED:
+                # The answer tells a user of the cancellation, perhaps before the member that
+                # executed it has acknowledged it; that member may also have failed since.
+                self._admission.acknowledge(graph, Revision(end_entry.version))
+            return StoredGraph(
+                record,
                 ABSENT if entry is None else Revision(entry.version),
                 end,
-                ABSENT if over is None else Revision(over.version),
+                ABSENT if end_entry is None else Revision(end_entry.version),
             )
         except GraphRecordError as error:
-            log.error("graph %s: %s", graph, error)
+            log.error("graph not read: graph=%s error=%s", graph, error)
             raise StateUnavailableError(f"graph {graph}: {error}") from None
 
-    async def _read_parts(self, graph: str) -> dict[int, Packed]:
+    async def _read_parts(self, graph: str) -> dict[int, PackedPart]:
         entries, _ = await self._client.scan(records.parts_prefix(graph))
         return records.assemble_parts(entries)
 
-    async def _plain_job(self, graph: str) -> str | None:
-        """A job that has an id of the graph's nodes without being one."""
+    async def _conflicting_job(self, graph: str) -> str | None:
+        """Return a plain job with an id of the graph's nodes; None if there is none.
+
+        Called before the graph is accepted, when it has no nodes that are jobs.
+        """
         for prefix in (records.graph_key(graph), records.graph_end_key(graph)):
             page = await self._client.page(prefix + "-", None, 1)
             if page.items:
@@ -219,31 +230,31 @@
     # -- submitting -----------------------------------------------------------------------------
 
     async def submit(self, body: bytes) -> Reply:
-        """Submit a graph, or begin one that comes in parts."""
-        return await self._guarded(self._submit, body)
+        """Submit a graph, or open one that is submitted in parts."""
+        return await self._handle_errors(self._submit, body)
 
     async def put_part(self, graph: str, number: int, body: bytes) -> Reply:
         """Add a part to an open graph."""
-        return await self._guarded(self._put_part, graph, number, body)
+        return await self._handle_errors(self._put_part, graph, number, body)
 
     async def seal(self, graph: str, body: bytes) -> Reply:
-        """Accept an open graph once all its parts are there."""
-        return await self._guarded(self._seal_request, graph, body)
+        """Accept an open graph if all its parts are stored."""
+        return await self._handle_errors(self._seal_request, graph, body)
 
-    async def _guarded(self, call: Callable[..., Awaitable[Reply]], *arguments: Any) -> Reply:
+    async def _handle_errors(self, call: Callable[..., Awaitable[Reply]], *arguments: Any) -> Reply:
         try:
             return await call(*arguments)
         except InvalidGraphError as error:
-            return _bad(error)
+            return _rejected(error)
         except wire.MalformedMessageError as error:
             return Reply(400, {"error": str(error)})
         except TransactionRejectedError as error:
             return Reply(400, {"error": f"the state service can't keep it: {error}"})
         except StateError as error:
-            log.debug("graphs: %s", error)
+            log.debug("graph request failed: error=%s", error)
             if isinstance(error, RateLimitedError):
-                return _later("too many submissions")
-            return _later("the state service can't be reached", retry_on_other_node=True)
+                return _retry_later("too many submissions")
+            return _retry_later("the state service can't be reached", retry_on_other_node=True)
 
     async def _submit(self, body: bytes) -> Reply:
         submission = _decode(body, Submission)
@@ -252,62 +263,69 @@
             raise InvalidGraphError(
                 "letters and digits, a letter first, a digit last, at most 32", field="id"
             )
-        whole = records.digest(submission)
-        for _ in range(_TRIES):
-            found = await self._find(graph)
-            known = self._known(graph, found, whole)
-            if known is not None:
-                return known
-            if found.head is None and not await self._begin(graph, submission, whole):
+        digest = records.digest(submission)
+        for _ in range(_MAX_ATTEMPTS):
+            stored = await self._read_records(graph)
+            reply = self._repeated_reply(graph, stored, digest)
+            if reply is not None:
+                return reply
+            if stored.record is None and not await self._open_graph(graph, submission, digest):
                 continue
             if not submission.seal:
                 return Reply(
-                    201 if found.head is None else 200, {"id": graph, "status": records.OPEN}
+                    201 if stored.record is None else 200, {"id": graph, "status": records.OPEN}
                 )
             return await self._seal(graph, 1)
-        return _later("not decided")
+        return _retry_later("not decided")
 
-    def _known(self, graph: str, found: Found, whole: str) -> Reply | None:
-        """The answer to a repetition; None if there is something to do."""
-        if found.over is not None:
-            if found.over.digest != whole:
+    def _repeated_reply(self, graph: str, stored: StoredGraph, digest: str) -> Reply | None:
+        """Return the reply to a repeated or conflicting submission; None for any other."""
+        if stored.end is not None:
+            if stored.end.digest != digest:
                 return _conflict("another graph had this id")
-            return Reply(200, {"id": graph, "status": found.over.status})
-        head = found.head
-        if head is None:
+            return Reply(200, {"id": graph, "status": stored.end.status})
+        record = stored.record
+        if record is None:
             return None
-        if head.status == records.EXPIRED:
-            return _later("a graph of this id is being removed")
-        if head.digest != whole:
+        if record.status == records.EXPIRED:
+            return _retry_later("a graph of this id is being removed")
+        if record.digest != digest:
             return _conflict("another graph has this id")
-        if head.status == records.ACCEPTED:
-            return Reply(200, self._accepted_body(graph, head))
+        if record.status == records.ACCEPTED:
+            return Reply(200, self._accepted_body(graph, record))
         return None
 
     @staticmethod
-    def _accepted_body(graph: str, head: GraphRecord) -> dict[str, Any]:
-        return {"id": graph, "status": records.ACCEPTED, "nodes": head.nodes, "edges": head.edges}
-
-    async def _begin(self, graph: str, submission: Submission, whole: str) -> bool:
-        """Claims the id and keeps part 0; False if it has to be looked at again."""
+    def _accepted_body(graph: str, record: GraphRecord) -> dict[str, Any]:
+        return {
+            "id": graph,
+            "status": records.ACCEPTED,
+            "nodes": record.nodes,
+            "edges": record.edges,
+        }
+
+    async def _open_graph(self, graph: str, submission: Submission, digest: str) -> bool:
+        """Write the open record and part 0; False if the records have to be read again."""
         await self._check(graph, submission.defaults, submission.nodes)
         if submission.seal:
-            # Whatever is wrong with it is said before anything of it is kept.
-            self._resolve(submission.defaults, submission.retries, [submission.nodes])
-        plain = await self._plain_job(graph)
-        if plain is not None:
-            raise InvalidGraphError(f"job {plain} has an id of its nodes", field="id", status=409)
-        head = GraphRecord(
+            # Rejects an invalid graph before any of its records is written.
+            self._resolve_within_limits(submission.defaults, submission.retries, [submission.nodes])
+        conflicting_job = await self._conflicting_job(graph)
+        if conflicting_job is not None:
+            raise InvalidGraphError(
+                f"job {conflicting_job} has an id of its nodes", field="id", status=409
+            )
+        record = GraphRecord(
             v=records.VERSION,
             status="open",
             at=wall_now(),
-            digest=whole,
+            digest=digest,
             defaults=submission.defaults,
             on_failure=submission.on_failure,
             due_s=submission.due_s,
             retries=submission.retries,
         )
-        value = msgspec.to_builtins(head)
+        value = msgspec.to_builtins(record)
         if len(wire.encode(value)) + 200 > self._value_bytes:
             raise InvalidGraphError("they are too long", field="defaults")
         guards = [
@@ -320,16 +338,18 @@
         return isinstance(await self._commit(guards, changes), Committed)
 
     async def _check(self, graph: str, defaults: dict[str, Any], nodes: list[Node]) -> None:
-        most_each = max((sum(e.each for e in node.edges()) for node in nodes), default=0)
-        beside = 100 + records.NODE_JOB_BYTES + most_each * records.EACH_BYTES
+        max_entries = max((sum(e.each for e in node.edges()) for node in nodes), default=0)
+        extra_bytes = (
+            100 + records.MAX_NODE_FIELDS_BYTES + max_entries * records.MAX_EACH_ENTRY_BYTES
+        )
 
         def rejection(spec: wire.JobSpec) -> tuple[int, str] | None:
-            reply = self._admission.rejection(spec, JobId(spec.id), beside)
+            reply = self._admission.rejection(spec, JobId(spec.id), extra_bytes)
             return None if reply is None else (reply.status, reply.body["error"])
 
         await check_part(graph, defaults, nodes, rejection, lambda: asyncio.sleep(0))
 
-    def _resolve(
+    def _resolve_within_limits(
         self, defaults: dict[str, Any], retries: int, parts: Iterable[list[Node]]
     ) -> Shape:
         features = self._features
@@ -343,13 +363,13 @@
         guards: list[dict[str, Any]],
         changes: list[dict[str, Any]],
     ) -> None:
-        """Adds a whole part to a transaction; raises `InvalidGraphError` if it does not fit one."""
+        """Add a whole part to a transaction; raise `InvalidGraphError` if it does not fit."""
         for fragment, value in enumerate(records.pack_part(nodes, self._value_bytes)):
             key = records.fragment_key(graph, number, fragment)
             guards.append(wire.guard(key, ABSENT))
             changes.append(wire.put(key, value))
         size = len(wire.encode(changes)) + 200 * len(guards)
-        if len(changes) > self._txn_ops or size > _TXN_BYTES:
+        if len(changes) > self._txn_ops or size > _MAX_TRANSACTION_BYTES:
             raise InvalidGraphError(
                 "too much for one part: send fewer nodes at a time", field="nodes"
             )
@@ -357,13 +377,16 @@
     async def _commit(
         self, guards: list[dict[str, Any]], changes: list[dict[str, Any]]
     ) -> Committed | GuardsFailed | None:
-        """None if it is not known whether it was executed. Plain submissions go first."""
+        """Commit at low priority, so that submissions of plain jobs take precedence.
+
+        Return None if it is unknown whether the transaction was executed.
+        """
         if not self._client.submissions.try_acquire(len(changes), RequestPriority.LOW):
             raise RateLimitedError("too many submissions")
         try:
             return await self._client.commit(guards, changes, tokens_acquired=True)
         except OutcomeUnknownError as error:
-            log.info("graph: commit without an answer (%s): reading back", error)
+            log.info("graph commit without an answer, records are read again: error=%s", error)
             return None
 
     async def _put_part(self, graph: str, number: int, body: bytes) -> Reply:
@@ -373,29 +396,29 @@
         if not nodes:
             raise InvalidGraphError("a part has at least one node", field="nodes")
         checked = False
-        for _ in range(_TRIES):
-            found = await self._find(graph)
-            head = found.head
-            if found.over is not None:
-                return _conflict(f"the graph is {found.over.status}")
-            if head is None or head.status == records.EXPIRED:
+        for _ in range(_MAX_ATTEMPTS):
+            stored = await self._read_records(graph)
+            record = stored.record
+            if stored.end is not None:
+                return _conflict(f"the graph is {stored.end.status}")
+            if record is None or record.status == records.EXPIRED:
                 return _NO_GRAPH
-            kept = await self._client.get(records.fragment_key(graph, number, 0))
-            if kept is not None:
-                if kept.value.get("digest") != records.digest(msgspec.to_builtins(nodes)):
+            fragment = await self._client.get(records.fragment_key(graph, number, 0))
+            if fragment is not None:
+                if fragment.value.get("digest") != records.digest(msgspec.to_builtins(nodes)):
                     return _conflict(f"part {number} is kept with other nodes")
                 return Reply(200, {"id": graph, "part": number, "nodes": len(nodes)})
-            if head.status == records.ACCEPTED:
+            if record.status == records.ACCEPTED:
                 return _conflict("the graph is sealed")
             if not checked:
-                await self._check(graph, head.defaults, nodes)
+                await self._check(graph, record.defaults, nodes)
                 checked = True
-            guards = [wire.guard(records.graph_key(graph), found.mod_revision)]
+            guards = [wire.guard(records.graph_key(graph), stored.mod_revision)]
             changes: list[dict[str, Any]] = []
             self._add_part(graph, number, nodes, guards, changes)
             if isinstance(await self._commit(guards, changes), Committed):
                 return Reply(201, {"id": graph, "part": number, "nodes": len(nodes)})
-        return _later("not decided")
+        return _retry_later("not decided")
 
     async def _seal_request(self, graph: str, body: bytes) -> Reply:
         if parse_graph_id(graph) is None:
@@ -403,154 +426,163 @@
         return await self._seal(graph, _decode(body, SealBody).parts)
 
     async def _seal(self, graph: str, parts: int) -> Reply:
-        for _ in range(_TRIES):
-            found = await self._find(graph)
-            if found.over is not None:
-                if found.over.parts != parts:
-                    return _conflict(f"the graph is {found.over.status}")
-                return Reply(200, {"id": graph, "status": found.over.status})
-            head = found.head
-            if head is None or head.status == records.EXPIRED:
+        for _ in range(_MAX_ATTEMPTS):
+            stored = await self._read_records(graph)
+            if stored.end is not None:
+                if stored.end.parts != parts:
+                    return _conflict(f"the graph is {stored.end.status}")
+                return Reply(200, {"id": graph, "status": stored.end.status})
+            record = stored.record
+            if record is None or record.status == records.EXPIRED:
                 return _NO_GRAPH
-            if head.status == records.ACCEPTED:
-                if head.parts != parts:
-                    return _conflict(f"the graph was sealed with {head.parts} parts")
-                return Reply(200, self._accepted_body(graph, head))
-            sealed = await self._whole(graph, head, parts)
+            if record.status == records.ACCEPTED:
+                if record.parts != parts:
+                    return _conflict(f"the graph was sealed with {record.parts} parts")
+                return Reply(200, self._accepted_body(graph, record))
+            sealed = await self._accepted_record(graph, record, parts)
             if isinstance(sealed, Reply):
                 return sealed
-            guards = [wire.guard(records.graph_key(graph), found.mod_revision)]
+            guards = [wire.guard(records.graph_key(graph), stored.mod_revision)]
             changes = [wire.put(records.graph_key(graph), msgspec.to_builtins(sealed))]
             if isinstance(await self._commit(guards, changes), Committed):
-                log.info("graph %s accepted: %d nodes", graph, sealed.nodes)
+                log.info("graph accepted: graph=%s nodes=%d", graph, sealed.nodes)
                 return Reply(201, self._accepted_body(graph, sealed))
-        return _later("not decided")
+        return _retry_later("not decided")
 
-    async def _whole(self, graph: str, head: GraphRecord, parts: int) -> GraphRecord | Reply:
-        """The head as it is once accepted, after a look at all that is kept."""
+    async def _accepted_record(
+        self, graph: str, record: GraphRecord, parts: int
+    ) -> GraphRecord | Reply:
+        """Return the accepted record after checking all parts, or a reply that rejects the seal."""
         try:
-            kept = await self._read_parts(graph)
+            parts_by_number = await self._read_parts(graph)
         except GraphRecordError as error:
-            log.error("graph %s: %s", graph, error)
-            return _later("its parts can't be read")
-        missing = [number for number in range(parts) if number not in kept]
+            log.error("graph not sealed, its parts can't be read: graph=%s error=%s", graph, error)
+            return _retry_later("its parts can't be read")
+        missing = [number for number in range(parts) if number not in parts_by_number]
         if missing:
             return _conflict("parts are missing", missing=missing[:20])
-        if len(kept) > parts:
-            return _conflict(f"{len(kept)} parts are kept, {parts} are named")
+        if len(parts_by_number) > parts:
+            return _conflict(f"{len(parts_by_number)} parts are kept, {parts} are named")
 
         def shape() -> Shape:
-            unpacked = (records.unpack_part(kept[number]) for number in range(parts))
-            return self._resolve(head.defaults, head.retries, unpacked)
-
-        # Beside the loop: a large graph takes a second on a share of a core.
-        found = await asyncio.to_thread(shape)
-        plain = await self._plain_job(graph)
-        if plain is not None:
-            return _conflict(f"job {plain} has an id of its nodes")
+            unpacked = (records.unpack_part(parts_by_number[number]) for number in range(parts))
+            return self._resolve_within_limits(record.defaults, record.retries, unpacked)
+
+        # In a thread: a large graph takes a second on a fraction of a core, which would block the
+        # event loop.
+        resolved = await asyncio.to_thread(shape)
+        conflicting_job = await self._conflicting_job(graph)
+        if conflicting_job is not None:
+            return _conflict(f"job {conflicting_job} has an id of its nodes")
         return msgspec.structs.replace(
-            head,
+            record,
             status="accepted",
             at=wall_now(),
-            nodes=found.nodes,
-            edges=found.edges,
+            nodes=resolved.nodes,
+            edges=resolved.edges,
             parts=parts,
         )
 
     # -- showing --------------------------------------------------------------------------------
 
     async def show(self, graph: str) -> Reply:
-        """Answer with a graph's status and counts."""
-        return await self._guarded(self._show, graph)
+        """Return a graph's status and counts."""
+        return await self._handle_errors(self._show, graph)
 
     async def _show(self, graph: str) -> Reply:
         if parse_graph_id(graph) is None:
             return _NO_GRAPH
-        found = await self._find(graph)
-        if found.over is not None:
-            over = found.over
+        stored = await self._read_records(graph)
+        if stored.end is not None:
+            end = stored.end
             body = {
                 "id": graph,
-                "status": over.status,
-                "nodes": over.nodes,
-                "edges": over.edges,
-                "counts": over.counts if over.counts is not None else await self._ended(graph),
+                "status": end.status,
+                "nodes": end.nodes,
+                "edges": end.edges,
+                "counts": end.counts if end.counts is not None else await self._count_ends(graph),
             }
-            if over.why:
-                body["why"] = over.why
+            if end.why:
+                body["why"] = end.why
             return Reply(200, body)
-        if found.head is None or found.head.status == records.EXPIRED:
+        if stored.record is None or stored.record.status == records.EXPIRED:
             return _NO_GRAPH
-        head = found.head
-        if head.status == records.OPEN:
-            left_s = max(0.0, head.at + self._features.open_s - wall_now())
+        record = stored.record
+        if record.status == records.OPEN:
+            left_s = max(0.0, record.at + self._features.open_s - wall_now())
             return Reply(200, {"id": graph, "status": records.OPEN, "openS": round(left_s)})
         counts = await self._counts(graph)
-        return Reply(200, {**self._accepted_body(graph, head), "counts": counts})
+        return Reply(200, {**self._accepted_body(graph, record), "counts": counts})
 
-    async def _ended(self, graph: str) -> dict[str, int]:
-        """How many nodes ended in which way, by their own records."""
+    async def _count_ends(self, graph: str) -> dict[str, int]:
+        """Return the number of ended nodes by state, from their own records."""
         counts = dict.fromkeys(NODE_STATES[3:], 0)
         entries, _ = await self._client.scan(records.graph_end_key(graph) + "-")
         for entry in entries:
             counts[records.node_outcome(entry.value)] += 1
         return counts
 
-    async def nodes(self, graph: str, state: str | None, start: int, most: int) -> Reply:
-        """Answer with nodes in their order, `most` at a time."""
-        return await self._guarded(self._nodes, graph, state, start, most)
+    async def nodes(self, graph: str, state: str | None, start: int, limit: int) -> Reply:
+        """Return at most `limit` nodes in their order, from number `start`, in `state` if given."""
+        return await self._handle_errors(self._nodes, graph, state, start, limit)
 
-    async def _nodes(self, graph: str, state: str | None, start: int, most: int) -> Reply:
+    async def _nodes(self, graph: str, state: str | None, start: int, limit: int) -> Reply:
         if state is not None and state not in NODE_STATES:
             return Reply(400, {"error": f"one of {', '.join(NODE_STATES)}", "field": "state"})
         if parse_graph_id(graph) is None:
             return _NO_GRAPH
-        found = await self._find(graph)
-        head: GraphRecord | GraphEnd | None = found.over or found.head
-        if head is None or (found.over is None and head.status != records.ACCEPTED):
+        stored = await self._read_records(graph)
+        record: GraphRecord | GraphEnd | None = stored.end or stored.record
+        if record is None or (stored.end is None and record.status != records.ACCEPTED):
             return _NO_GRAPH
-        keys = await self._keys_of(graph, head.parts)
-        rest = "gated" if found.over is None else "skipped"
-        if found.over is not None and found.over.status == wire.JOB_CANCELLED:
-            rest = "cancelled"
-        shown: list[dict[str, Any]] = []
-        for _ in range(_PAGES):
-            if start >= head.nodes or len(shown) >= most:
+        keys = await self._node_keys(graph, record.parts)
+        default_state = "gated" if stored.end is None else "skipped"
+        if stored.end is not None and stored.end.status == wire.JOB_CANCELLED:
+            default_state = "cancelled"
+        listed: list[dict[str, Any]] = []
+        for _ in range(_MAX_PAGES):
+            if start >= record.nodes or len(listed) >= limit:
                 break
             states = await self._states(graph, start)
-            for index in range(start, min(start + _PAGE, head.nodes)):
-                how = states.get(index, rest)
+            for index in range(start, min(start + _PAGE_SIZE, record.nodes)):
+                node_state = states.get(index, default_state)
                 start = index + 1
-                if state is None or how == state:
-                    shown.append({"id": node_id(graph, index), "key": keys[index], "state": how})
-                    if len(shown) >= most:
+                if state is None or node_state == state:
+                    listed.append(
+                        {"id": node_id(graph, index), "key": keys[index], "state": node_state}
+                    )
+                    if len(listed) >= limit:
                         break
         return Reply(
-            200, {"id": graph, "nodes": shown, "next": start if start < head.nodes else None}
+            200, {"id": graph, "nodes": listed, "next": start if start < record.nodes else None}
         )
 
     async def _states(self, graph: str, start: int) -> dict[int, str]:
-        """Return the states of those of `_PAGE` nodes from `start` on that have a record.
+        """Return the states of the nodes with a record, of `_PAGE_SIZE` nodes from `start`.
 
-        They are read in the order in which records move.
+        The records under `job/` are read first, since they move from there to `over/`.
         """
-        found: dict[int, str] = {}
-        for own, over in ((JOB_PREFIX, False), (ENDED_PREFIX, True)):
-            after = f"{own}{node_id(graph, start - 1)}" if start else None
-            page = await self._client.page(f"{own}{graph}-", after, _PAGE)
+        states: dict[int, str] = {}
+        for prefix, is_ended in ((JOB_PREFIX, False), (ENDED_PREFIX, True)):
+            after = f"{prefix}{node_id(graph, start - 1)}" if start else None
+            page = await self._client.page(f"{prefix}{graph}-", after, _PAGE_SIZE)
             for entry in page.items:
-                node = parse_node_id(parse_job_id(entry.key.removeprefix(own)) or "")
+                node = parse_node_id(parse_job_id(entry.key.removeprefix(prefix)) or "")
                 if node is not None:
-                    found[node[1]] = records.node_outcome(entry.value) if over else "released"
-        return found
+                    states[node[1]] = records.node_outcome(entry.value) if is_ended else "released"
+        return states
 
-    async def _keys_of(self, graph: str, parts: int) -> list[str]:
+    async def _node_keys(self, graph: str, parts: int) -> list[str]:
         keys = self._keys.get(graph)
         if keys is None:
-            kept = await self._read_parts(graph)
-            keys = [node.key for part in range(parts) for node in records.unpack_part(kept[part])]
+            parts_by_number = await self._read_parts(graph)
+            keys = [
+                node.key
+                for part in range(parts)
+                for node in records.unpack_part(parts_by_number[part])
+            ]
             self._keys[graph] = keys
-            while len(self._keys) > _NAMES_KEPT:
+            while len(self._keys) > _MAX_CACHED_GRAPHS:
                 self._keys.popitem(last=False)
         self._keys.move_to_end(graph)
         return keys
@@ -559,37 +591,37 @@
 
     async def cancel_graph(self, graph: str) -> Reply:
         """Cancel a graph and all its nodes."""
-        return await self._guarded(self._cancel_graph, graph)
+        return await self._handle_errors(self._cancel_graph, graph)
 
     async def _cancel_graph(self, graph: str) -> Reply:
         if parse_graph_id(graph) is None:
             return _NO_GRAPH
-        for _ in range(_TRIES):
-            found = await self._find(graph)
-            if found.over is not None:
-                return Reply(200, {"id": graph, "status": found.over.status})
-            head = found.head
-            if head is None or head.status == records.EXPIRED:
+        for _ in range(_MAX_ATTEMPTS):
+            stored = await self._read_records(graph)
+            if stored.end is not None:
+                return Reply(200, {"id": graph, "status": stored.end.status})
+            record = stored.record
+            if record is None or record.status == records.EXPIRED:
                 return _NO_GRAPH
-            key, end = records.graph_key(graph), records.graph_end_key(graph)
-            over = records.graph_end_value(head, "aborted", wall_now(), "cancelled")
-            if head.status == records.ACCEPTED:
-                first = wire.delete(key)
+            key, end_key = records.graph_key(graph), records.graph_end_key(graph)
+            end_value = records.graph_end_value(record, "aborted", wall_now(), "cancelled")
+            if record.status == records.ACCEPTED:
+                record_change = wire.delete(key)
             else:
-                # Its parts are to be removed before its head is.
-                expired = msgspec.structs.replace(head, status="expired")
-                first = wire.put(key, msgspec.to_builtins(expired))
-            guards = [wire.guard(key, found.mod_revision), wire.guard(end, ABSENT)]
-            changes = [first, wire.put(end, over)]
+                # Its parts are deleted before its record is (`GraphLeaderExtension`).
+                expired = msgspec.structs.replace(record, status="expired")
+                record_change = wire.put(key, msgspec.to_builtins(expired))
+            guards = [wire.guard(key, stored.mod_revision), wire.guard(end_key, ABSENT)]
+            changes = [record_change, wire.put(end_key, end_value)]
             try:
                 result = await self._client.commit(guards, changes)
             except OutcomeUnknownError:
                 continue
             if isinstance(result, Committed):
-                log.info("graph %s cancelled", graph)
+                log.info("graph cancelled: graph=%s", graph)
                 self._admission.acknowledge(graph, result.revision)
                 return Reply(200, {"id": graph, "status": wire.JOB_CANCELLED})
-        return _later("not cancelled yet")
+        return _retry_later("not cancelled yet")
 
 
 def _decode(body: bytes, kind: type[wire.T]) -> wire.T:
--- a/tealrill/graphs/leader_extension.py
+++ b/tealrill/graphs/leader_extension.py
@@ -1,11 +1,15 @@
-"""The leader's part in graphs: releases nodes, hears how they end, ends graphs, clears up.
-
-Wanted: every node whose wait is over is an ordinary job, every graph whose nodes are over is over,
-every job whose graph is over is stopped. What is known comes from the watch on `job/`, from the
-keeper's transactions and, once a graph, from its parts and its nodes' ends. Every write is guarded
-by the leader's key and by the head of its graph (`Owner`), which nobody changes between acceptance
-and end: so nothing is released, bound or done once somebody may have been told that the graph is
-cancelled. What a guard refuses is read back and taken for what it is.
+"""The leader's part of task graphs: release nodes, track their ends, end graphs, delete leftovers.
+
+Invariants that the leader works towards: a node whose dependencies are satisfied is an ordinary
+job; a graph whose nodes have all ended has ended; the jobs of an ended graph are stopped. The
+leader learns of changes from the watch on `job/` and from the write batcher's transactions, and
+reads a graph's parts and the ends of its nodes once, when it loads the graph.
+
+Every write that releases a node, binds its tasks, records its end or ends the graph is guarded by
+the leader's key and by the graph's record (`Owner`), which does not change between acceptance and
+end. So nothing is released, bound or recorded as done once a user may have been told that the graph
+is cancelled. When a guard fails, the records that it names are read, and the leader applies what
+they say.
 """
 
 from __future__ import annotations
@@ -35,7 +39,7 @@
     parse_node_id,
     resolve,
 )
-from tealrill.graphs.records import GraphRecord, GraphRecordError, Packed
+from tealrill.graphs.records import GraphRecord, GraphRecordError, PackedPart
 from tealrill.graphs.tracker import (
     CANCELLED,
     FAILED,
@@ -59,63 +63,67 @@
 
 log = logging.getLogger(__name__)
 
-_BACKLOG: Final = 256
-"""Released nodes of a graph that still have tasks in the queue. More would change no start, while
-every pass looks at all that is in the queue."""
-_IN_FLIGHT: Final = 32
-"""Releases of a graph that wait for their transaction; the rest stays in the order of its paths."""
-_GAP_S: Final = 0.1
-_BACKLOG_EVERY_S: Final = 0.5
+_MAX_BACKLOG: Final = 256
+"""Most nodes of a graph that are released and still have tasks in the queue. A longer queue would
+start no task earlier, but each scheduling pass examines all of it."""
+_MAX_IN_FLIGHT: Final = 32
+"""Most releases of a graph that wait for their transaction; the other ready nodes stay ordered by
+the path behind them. Also the most orphaned jobs ended, and fragments deleted, at a time."""
+_MIN_PASS_INTERVAL_S: Final = 0.1
+_BACKLOG_POLL_S: Final = 0.5
 _RETRY_S: Final = 1.0
-_EXPIRY_EVERY_S: Final = 30.0
-_PARTS_KEPT: Final = 8
-"""Unpacked parts that are kept for the next releases."""
-_NEAR: Final = 128
-"""Nodes about to be released for which machines are wished for ahead."""
-_KINDS: Final = 64
-"""Different needs of such nodes that are remembered."""
+_EXPIRY_POLL_S: Final = 30.0
+_MAX_CACHED_PARTS: Final = 8
+"""Unpacked parts that are cached for the next releases."""
+_MAX_UPCOMING_NODES: Final = 128
+"""Most gated nodes of a graph whose demand is reported before they are released."""
+_MAX_CACHED_VIEWS: Final = 64
+"""Most distinct job views that are cached for such nodes."""
 
 
 @dataclass(eq=False)
 class LoadedGraph:
-    """An accepted graph that is not over, as its leader knows it."""
+    """An accepted graph that has not ended, with the progress known to its leader."""
 
     name: str
     record: GraphRecord
     owner: Owner
-    parts: list[Packed]
+    parts: list[PackedPart]
     progress: Progress
     part_starts: list[int] = field(default_factory=list)
-    """The number of each part's first node."""
+    """Index of each part's first node."""
     jobs: dict[int, Job] = field(default_factory=dict)
-    """Released nodes that are not over."""
+    """Jobs of the released nodes that have not ended."""
     in_flight: int = 0
+    """Releases that wait for their transaction."""
     ending: bool = False
+    """The transaction that ends the graph is in flight."""
     stopped_by: str = ""
-    """The failed node for which all of it is to be stopped."""
+    """Key of the failed node because of which the whole graph is to be stopped."""
     unpacked: OrderedDict[int, list[Node]] = field(default_factory=OrderedDict)
-    views: dict[int, JobView] = field(default_factory=dict)
-    kinds: dict[bytes, JobView] = field(default_factory=dict)
+    views_by_node: dict[int, JobView] = field(default_factory=dict)
+    views_by_requirements: dict[bytes, JobView] = field(default_factory=dict)
 
     def node(self, index: int) -> Node:
-        """Return a node as its user wrote it."""
+        """Return a node as its user submitted it; raise `GraphRecordError`."""
         part = bisect_right(self.part_starts, index) - 1
         nodes = self.unpacked.get(part)
         if nodes is None:
             nodes = self.unpacked[part] = records.unpack_part(self.parts[part])
-            while len(self.unpacked) > _PARTS_KEPT:
+            while len(self.unpacked) > _MAX_CACHED_PARTS:
                 self.unpacked.popitem(last=False)
         self.unpacked.move_to_end(part)
         return nodes[index - self.part_starts[part]]
 
     def spec(self, index: int) -> wire.JobSpec:
-        """Return a node as the job that it is."""
+        """Return the job specification of a node."""
         return node_spec(self.name, index, self.record.defaults, self.node(index))
 
     def due_s(self, index: int, spec: wire.JobSpec, now: float) -> float | None:
-        """Return the seconds until the node is due.
+        """Return the seconds until the node is due; None if it has no deadline.
 
-        Its own deadline counts, or what the graph's leaves before the path behind the node.
+        This is the earlier of its own deadline and the graph's deadline less the estimated time of
+        the longest path behind the node.
         """
         due = [] if spec.deadline_s is None else [spec.deadline_s]
         if self.record.due_s is not None:
@@ -124,48 +132,53 @@
         return min(due, default=None)
 
     def backlog(self) -> int:
-        """Return how many of its jobs are released and not yet started."""
+        """Return how many nodes are being released or are released with unstarted tasks."""
         return self.in_flight + sum(job.waiting > 0 for job in self.jobs.values())
 
 
-def _build_shape(head: GraphRecord, parts: Sequence[Packed]) -> Shape:
-    shape = resolve(head.defaults, head.retries, (records.unpack_part(part) for part in parts))
-    # Half of what a node would take here; a key is needed for a message at most.
+def _build_shape(record: GraphRecord, parts: Sequence[PackedPart]) -> Shape:
+    shape = resolve(record.defaults, record.retries, (records.unpack_part(part) for part in parts))
+    # The keys would take half of the memory per node, and are needed for error messages only.
     shape.keys.clear()
     return shape
 
 
 class GraphLeaderExtension:
-    """All graphs, for one term."""
+    """All graphs during one term."""
 
     def __init__(self, term: LeadershipContext, features: GraphFeatures) -> None:
         self._term = term
         self._features = features
         self._wake = asyncio.Event()
         self._accepted: dict[str, tuple[GraphRecord, Owner]] = {}
-        """Accepted graphs that are not over."""
+        """Accepted graphs that have not ended."""
         self._drafts: dict[str, tuple[GraphRecord, Revision]] = {}
         """Graphs that are open or expired."""
         self._expiring: set[str] = set()
+        """Drafts with a write in flight that expires them or deletes their records."""
         self._loaded: dict[str, LoadedGraph] = {}
-        self._heard: dict[str, list[tuple[int, int]]] = {}
-        """Ends that were heard of while a graph was being read."""
+        """The accepted graphs whose records have been read."""
+        self._pending_ends: dict[str, list[tuple[int, int]]] = {}
+        """Ends of nodes that were reported while their graph was not loaded."""
         self._orphans: dict[JobId, tuple[Revision, wire.JobSpec]] = {}
-        """Records of jobs whose graph is over."""
+        """Jobs that still have a record although their graph has ended."""
         self._ending_orphans: set[JobId] = set()
-        self._words: dict[str, Revision] = {}
-        self._aside: dict[str, Owner] = {}
-        """Graphs that this program can't read: nothing more of them starts until one can."""
+        """Orphans with a write in flight that ends them."""
+        self._notices: dict[str, Revision] = {}
+        """Revisions of the cancellation notices (`records.cancelled_node_key`), by graph."""
+        self._unreadable: dict[str, Owner] = {}
+        """Graphs whose records this version can't read: no node of them is released, and their jobs
+        are blocked when they are claimed."""
 
-    # -- what is heard --------------------------------------------------------------------------
+    # -- changes of records ---------------------------------------------------------------------
 
     def load_records(self, entries: Sequence[wire.Entry]) -> None:
-        """Take all records under `job/` that are no jobs."""
+        """Load all records under `job/` that are not jobs."""
         present = {entry.key: entry for entry in entries}
-        # What was missed of the nodes' ends is read again with the graph.
+        # Ends of nodes that the watch missed are read when the graph is loaded again.
         self._loaded.clear()
-        self._words.clear()
-        for name in [*self._accepted, *self._drafts, *self._aside]:
+        self._notices.clear()
+        for name in [*self._accepted, *self._drafts, *self._unreadable]:
             if records.graph_key(name) not in present:
                 self.on_record_changed(records.graph_key(name), None, ABSENT)
         for entry in entries:
@@ -173,185 +186,193 @@
         self._wake.set()
 
     def on_record_changed(self, key: str, value: Any, version: Revision) -> None:
-        """Take one such record, None as its value if it was removed."""
-        about = records.parse_cancelled_node_key(key)
-        if about is not None:
-            self._take_word(about, value, version)
+        """Process a change of such a record; `value` is None if it was deleted."""
+        notice_graph = records.parse_cancelled_node_key(key)
+        if notice_graph is not None:
+            self._on_notice_changed(notice_graph, value, version)
         elif value is None:
-            self._gone(key.removeprefix(JOB_PREFIX), "its record is gone")
+            self._drop_graph(key.removeprefix(JOB_PREFIX), "record deleted")
         else:
-            self._take_head(key.removeprefix(JOB_PREFIX), value, version)
+            self._on_graph_changed(key.removeprefix(JOB_PREFIX), value, version)
         self._wake.set()
 
-    def _take_word(self, name: str, value: Any, version: Revision) -> None:
+    def _on_notice_changed(self, name: str, value: Any, version: Revision) -> None:
         if value is None:
-            self._words.pop(name, None)
+            self._notices.pop(name, None)
             return
-        self._words[name] = version
+        self._notices[name] = version
         index = value.get("cancelled") if isinstance(value, dict) else None
         if isinstance(index, int):
-            self._settle(name, index, CANCELLED)
+            self._record_end(name, index, CANCELLED)
 
-    def _take_head(self, name: str, value: Any, version: Revision) -> None:
+    def _on_graph_changed(self, name: str, value: Any, version: Revision) -> None:
         if name in self._accepted and self._accepted[name][1].mod_revision == version:
             return
         try:
-            head = records.read_graph(value)
+            record = records.read_graph(value)
         except GraphRecordError as error:
-            self._set_aside(name, version, error)
+            self._hold_unreadable(name, version, error)
             return
-        if head.status == records.ACCEPTED:
+        if record.status == records.ACCEPTED:
             self._drafts.pop(name, None)
-            self._accepted[name] = (head, Owner(records.graph_key(name), version, name))
+            self._accepted[name] = (record, Owner(records.graph_key(name), version, name))
             self._loaded.pop(name, None)
         else:
-            self._drafts[name] = (head, version)
+            self._drafts[name] = (record, version)
 
-    def _set_aside(self, name: str, version: Revision, error: Exception) -> None:
-        """What can't be read must not end the term, and with it everybody's service."""
-        log.error("graph %s can't be read, nothing more of it starts: %s", name, error)
+    def _hold_unreadable(self, name: str, version: Revision, error: Exception) -> None:
+        """Hold a graph that can't be read.
+
+        Raising the error would end the term and interrupt the service for all jobs.
+        """
+        log.error("graph held, its records can't be read: graph=%s error=%s", name, error)
         known = self._accepted.pop(name, None)
         self._loaded.pop(name, None)
-        self._heard.pop(name, None)
+        self._pending_ends.pop(name, None)
         owner = known[1] if known is not None else None
-        self._aside[name] = owner or Owner(records.graph_key(name), version, name)
+        self._unreadable[name] = owner or Owner(records.graph_key(name), version, name)
 
     def claim_job(self, job: Job, value: dict[str, Any]) -> bool:
-        """Take a job that a graph owns; False if no graph known here does."""
+        """Take charge of a job that belongs to a graph; False if it belongs to none."""
         name, node = value["owner"], parse_node_id(job.id)
         if node is None or node[0] != name:
             return False
-        if name in self._aside:
-            job.owner = self._aside[name]
+        if name in self._unreadable:
+            job.owner = self._unreadable[name]
             self._term.job_store.block_tasks(job)
             return True
         known = self._accepted.get(name)
         if known is None:
-            # The graph ended before this: its record goes where its graph's went.
+            # The graph has ended: the job's record is to be moved to `over/` as well.
             job.cancelled = True
             job.outcome = OUTCOME_CANCELLED
-            self._orphan(job)
+            self._add_orphan(job)
             return True
         job.owner = known[1]
         try:
-            kept = records.read_node_job(value)
+            node_fields = records.read_node_job(value)
         except GraphRecordError as error:
-            log.error("record of node %s: %s", job.id, error)
+            log.error("node held, its record can't be read: job=%s error=%s", job.id, error)
             self._term.job_store.block_tasks(job)
             return True
-        job.max_task_errors = kept.retries
-        job.due_s = kept.due_s
-        job.tail_s = kept.tail_s
-        if kept.each:
+        job.max_task_errors = node_fields.retries
+        job.due_s = node_fields.due_s
+        job.tail_s = node_fields.tail_s
+        if node_fields.each:
             self._term.job_store.block_tasks(job)
-        live = self._loaded.get(name)
-        if live is not None:
-            self._attach(live, node[1], job)
+        graph = self._loaded.get(name)
+        if graph is not None:
+            self._attach_job(graph, node[1], job)
         return True
 
     def on_job_ended(self, job: Job) -> None:
-        """Settle the node whose job has ended."""
+        """Record the end of the node whose job has ended."""
         node = parse_node_id(job.id)
         if job.owner is None or node is None:
             return
-        self._settle(job.owner.name, node[1], outcome_state(job.outcome))
+        self._record_end(job.owner.name, node[1], outcome_state(job.outcome))
 
     def on_cancelled(self, name: str) -> None:
-        """Stop a graph that another member has called cancelled."""
-        if name in self._accepted or name in self._aside:
-            self._gone(name, "another node acknowledged its cancellation")
+        """Stop a graph whose cancellation another member has acknowledged."""
+        if name in self._accepted or name in self._unreadable:
+            self._drop_graph(name, "cancellation acknowledged by another member")
 
     def on_tasks_done(self, job: Job, tasks: list[int]) -> None:
-        """Tasks of a followed node are written down as done."""
+        """Unblock the tasks that wait for single tasks of a node, now committed as done."""
         node = parse_node_id(job.id)
-        live = self._loaded.get(job.owner.name) if job.owner is not None else None
-        if live is None or node is None:
+        graph = self._loaded.get(job.owner.name) if job.owner is not None else None
+        if graph is None or node is None:
             return
-        self._opened(live, live.progress.tasks_done(node[1], tasks))
+        self._unblock_tasks(graph, graph.progress.record_tasks_done(node[1], tasks))
         self._wake.set()
 
     def on_owner_changed(self, owner: Owner) -> None:
-        """A guard on a graph's head failed."""
+        """Stop a graph whose record has changed or is deleted, as a failed guard has shown."""
         known = self._accepted.get(owner.name)
-        if owner in (known[1] if known is not None else None, self._aside.get(owner.name)):
-            self._gone(owner.name, "its record was found changed")
+        if owner in (known[1] if known is not None else None, self._unreadable.get(owner.name)):
+            self._drop_graph(owner.name, "record changed")
 
     # -- nodes ----------------------------------------------------------------------------------
 
-    def _attach(self, live: LoadedGraph, index: int, job: Job) -> None:
-        """A node's job is in the book."""
-        progress = live.progress
+    def _attach_job(self, graph: LoadedGraph, index: int, job: Job) -> None:
+        """Attach the job in the job store to its node."""
+        progress = graph.progress
         progress.mark_released(index)
-        live.views.pop(index, None)
+        graph.views_by_node.pop(index, None)
         if progress.state[index] != RELEASED:
-            # While its release was on its way, what it waits for became impossible.
+            # While its release was in flight, a dependency ended so that the node is skipped.
             self._term.job_store.abort_job(job, OUTCOME_SKIPPED)
-        live.jobs[index] = job
-        if progress.is_followed(index):
+        graph.jobs[index] = job
+        if progress.has_task_dependents(index):
             done = self._term.job_store.report_completions(job, monotonic_now())
-            self._opened(live, progress.tasks_done(index, done))
+            self._unblock_tasks(graph, progress.record_tasks_done(index, done))
         if job.unblocked is not None:
-            self._open(live, index, job)
+            self._unblock_runnable_tasks(graph, index, job)
 
-    def _open(self, live: LoadedGraph, index: int, job: Job) -> None:
-        """Lets all tasks go whose wait is over."""
-        for task in live.progress.open_elements(index):
+    def _unblock_runnable_tasks(self, graph: LoadedGraph, index: int, job: Job) -> None:
+        """Unblock all tasks of a node whose dependencies are done."""
+        for task in graph.progress.unblocked_tasks(index):
             self._term.job_store.unblock_task(job, task)
 
-    def _opened(self, live: LoadedGraph, freed: list[tuple[int, int]]) -> None:
-        for follower, task in freed:
-            if follower in live.jobs:
-                self._term.job_store.unblock_task(live.jobs[follower], task)
+    def _unblock_tasks(self, graph: LoadedGraph, unblocked_tasks: list[tuple[int, int]]) -> None:
+        for dependent, task in unblocked_tasks:
+            if dependent in graph.jobs:
+                self._term.job_store.unblock_task(graph.jobs[dependent], task)
 
-    def _settle(self, name: str, index: int, state: int) -> None:
-        live = self._loaded.get(name)
-        if live is None:
+    def _record_end(self, name: str, index: int, state: int) -> None:
+        graph = self._loaded.get(name)
+        if graph is None:
             if name in self._accepted:
-                self._heard.setdefault(name, []).append((index, state))
+                self._pending_ends.setdefault(name, []).append((index, state))
             return
-        if not 0 <= index < live.progress.shape.nodes:
+        if not 0 <= index < graph.progress.shape.nodes:
             return
-        live.jobs.pop(index, None)
-        live.views.pop(index, None)
-        for follower in live.progress.record_end(index, state):
-            job = live.jobs.get(follower)
+        graph.jobs.pop(index, None)
+        graph.views_by_node.pop(index, None)
+        for dependent in graph.progress.record_end(index, state):
+            job = graph.jobs.get(dependent)
             if job is not None:
-                self._open(live, follower, job)
-        if state == FAILED and live.record.on_failure == "stop" and not live.stopped_by:
-            live.stopped_by = live.node(index).key
-        for stuck in live.progress.stuck:
-            if stuck in live.jobs:
-                self._term.job_store.abort_job(live.jobs[stuck], OUTCOME_SKIPPED)
-        live.progress.stuck.clear()
+                self._unblock_runnable_tasks(graph, dependent, job)
+        if state == FAILED and graph.record.on_failure == "stop" and not graph.stopped_by:
+            graph.stopped_by = graph.node(index).key
+        for stuck in graph.progress.stuck:
+            if stuck in graph.jobs:
+                self._term.job_store.abort_job(graph.jobs[stuck], OUTCOME_SKIPPED)
+        graph.progress.stuck.clear()
         self._wake.set()
 
-    def _orphan(self, job: Job) -> None:
+    def _add_orphan(self, job: Job) -> None:
         self._orphans[job.id] = (job.mod_revision, job.spec)
         self._wake.set()
 
-    def _gone(self, name: str, why: str) -> None:
-        """A graph's head is gone: nothing of it may run."""
+    def _drop_graph(self, name: str, why: str) -> None:
+        """Drop a graph whose record is deleted or changed, and stop its jobs."""
         self._drafts.pop(name, None)
-        aside = self._aside.pop(name, None)
-        self._heard.pop(name, None)
+        unreadable_owner = self._unreadable.pop(name, None)
+        self._pending_ends.pop(name, None)
         known = self._accepted.pop(name, None)
         self._loaded.pop(name, None)
-        owner = known[1] if known is not None else aside
+        owner = known[1] if known is not None else unreadable_owner
         if owner is None:
             return
         jobs = [job for job in self._term.job_store.jobs.values() if job.owner is owner]
         if jobs:
-            log.info("graph %s is over (%s); %d of its jobs are stopped", name, why, len(jobs))
+            log.info(
+                "graph ended, its jobs are stopped: graph=%s reason=%s jobs=%d",
+                name,
+                why,
+                len(jobs),
+            )
         for job in jobs:
             if not job.cancelled:
                 job.outcome = OUTCOME_CANCELLED
-                self._orphan(job)
-                self._term.stop(job)
+                self._add_orphan(job)
+                self._term.stop_job(job)
 
     # -- the loop -------------------------------------------------------------------------------
 
     async def run(self) -> None:
-        """Release, end and remove what is due, until the term ends."""
+        """Load graphs, release and end nodes and delete leftovers until the term ends."""
         while True:
             self._wake.clear()
             pause_s: float | None = None
@@ -361,135 +382,141 @@
                 for name in [
                     n for n, (h, _) in self._drafts.items() if h.status == records.EXPIRED
                 ]:
-                    await self._clear_up(name)
+                    await self._delete_expired(name)
             except StateError as error:
-                log.debug("reading graphs: %s", error)
+                log.debug("reading graphs failed: error=%s", error)
                 pause_s = _RETRY_S
-            if self._term.valid():
-                self._advance()
+            if self._term.may_act():
+                self._enqueue_writes()
             if pause_s is None:
                 pause_s = self._pause_s()
-            await asyncio.sleep(_GAP_S)
+            await asyncio.sleep(_MIN_PASS_INTERVAL_S)
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(pause_s):
                     await self._wake.wait()
 
     def _pause_s(self) -> float | None:
-        """Until when nothing needs a look if nothing is heard; None: for ever."""
-        if any(live.progress.has_ready for live in self._loaded.values()):
-            return _BACKLOG_EVERY_S
-        return _EXPIRY_EVERY_S if self._drafts else None
-
-    def _advance(self) -> None:
-        for live in list(self._loaded.values()):
-            if live.stopped_by and not live.ending:
-                self._end(live, "failed", f"node {live.stopped_by!r} failed", None)
-            elif not live.ending:
+        """Return the seconds until the next pass unless the loop is woken; None: no limit."""
+        if any(graph.progress.has_ready for graph in self._loaded.values()):
+            return _BACKLOG_POLL_S
+        return _EXPIRY_POLL_S if self._drafts else None
+
+    def _enqueue_writes(self) -> None:
+        for graph in list(self._loaded.values()):
+            if graph.stopped_by and not graph.ending:
+                self._enqueue_end(graph, "failed", f"node {graph.stopped_by!r} failed", None)
+            elif not graph.ending:
                 try:
-                    self._release(live)
+                    self._release(graph)
                 except (GraphRecordError, wire.MalformedMessageError) as error:
-                    self._set_aside(live.name, live.owner.mod_revision, error)
+                    self._hold_unreadable(graph.name, graph.owner.mod_revision, error)
                     continue
-                if live.progress.all_ended and not live.jobs and not live.in_flight:
-                    counts = live.progress.counted()
-                    self._end(live, _final_status(counts), "", counts)
+                if graph.progress.all_ended and not graph.jobs and not graph.in_flight:
+                    counts = graph.progress.counts_by_state()
+                    self._enqueue_end(graph, _final_status(counts), "", counts)
         for job_id in islice(
-            (j for j in self._orphans if j not in self._ending_orphans), _IN_FLIGHT
+            (j for j in self._orphans if j not in self._ending_orphans), _MAX_IN_FLIGHT
         ):
-            if len(self._ending_orphans) >= _IN_FLIGHT:
+            if len(self._ending_orphans) >= _MAX_IN_FLIGHT:
                 break
             self._enqueue_orphan_end(job_id)
-        self._expire()
-        for name, version in list(self._words.items()):
+        self._expire_drafts()
+        for name, version in list(self._notices.items()):
             if name not in self._accepted:
-                self._forget_word(name, version)
+                self._enqueue_notice_deletion(name, version)
 
     # -- releases -------------------------------------------------------------------------------
 
-    def _release(self, live: LoadedGraph) -> None:
-        if not live.progress.has_ready:
+    def _release(self, graph: LoadedGraph) -> None:
+        if not graph.progress.has_ready:
             return
-        room = min(_IN_FLIGHT - live.in_flight, _BACKLOG - live.backlog())
-        for _ in range(room):
-            index = live.progress.next_ready()
+        max_releases = min(_MAX_IN_FLIGHT - graph.in_flight, _MAX_BACKLOG - graph.backlog())
+        for _ in range(max_releases):
+            index = graph.progress.next_ready()
             if index is None:
                 return
-            self._enqueue_release(live, index)
+            self._enqueue_release(graph, index)
 
-    def _enqueue_release(self, live: LoadedGraph, index: int) -> None:
+    def _enqueue_release(self, graph: LoadedGraph, index: int) -> None:
         now = wall_now()
-        spec = live.spec(index)
+        spec = graph.spec(index)
         job = JobId(spec.id)
-        each = [node_id(live.name, up) for up in live.progress.task_dependencies(index)]
-        kept = records.NodeJob(
-            owner=live.name,
+        each = [
+            node_id(graph.name, dependency)
+            for dependency in graph.progress.task_dependencies(index)
+        ]
+        node_fields = records.NodeJob(
+            owner=graph.name,
             each=each,
-            retries=live.progress.shape.retries[index],
-            due_s=live.due_s(index, spec, now),
-            tail_s=round(live.progress.tail_s[index], 1),
+            retries=graph.progress.shape.retries[index],
+            due_s=graph.due_s(index, spec, now),
+            tail_s=round(graph.progress.tail_s[index], 1),
         )
-        value = {"spec": wire.to_builtins(spec), "at": now, **msgspec.to_builtins(kept)}
+        value = {"spec": wire.to_builtins(spec), "at": now, **msgspec.to_builtins(node_fields)}
 
-        def applied(_: Revision) -> None:
-            live.in_flight -= 1
-            live.progress.mark_released(index)
+        def on_committed(_: Revision) -> None:
+            graph.in_flight -= 1
+            graph.progress.mark_released(index)
             self._wake.set()
 
-        def refused(found: dict[str, wire.KeyValue | None]) -> None:
-            live.in_flight -= 1
-            over = found.get(ended_key(job))
-            if over is not None:
-                # Cancelled while it was gated, or released and ended by a late transaction.
-                self._settle(live.name, index, _state_of(over.value))
-            elif found.get(job_key(job)) is not None:
-                live.progress.mark_released(index)
+        def on_guards_failed(current: dict[str, wire.KeyValue | None]) -> None:
+            graph.in_flight -= 1
+            ended_entry = current.get(ended_key(job))
+            if ended_entry is not None:
+                # The node was cancelled while gated, or a transaction whose outcome was unknown
+                # released it, and it has ended since.
+                self._record_end(graph.name, index, _end_state(ended_entry.value))
+            elif current.get(job_key(job)) is not None:
+                graph.progress.mark_released(index)
             else:
-                live.progress.put_back(index)
+                graph.progress.requeue(index)
             self._wake.set()
 
-        live.in_flight += 1
+        graph.in_flight += 1
         self._term.write_batcher.join(
             JoinedWrite(
                 {
-                    live.owner.key: live.owner.mod_revision,
+                    graph.owner.key: graph.owner.mod_revision,
                     job_key(job): ABSENT,
                     ended_key(job): ABSENT,
                 },
                 [wire.put(job_key(job), value)],
-                applied,
-                refused,
+                on_committed,
+                on_guards_failed,
             )
         )
 
     # -- ends -----------------------------------------------------------------------------------
 
-    def _end(self, live: LoadedGraph, status: Any, why: str, counts: dict[str, int] | None) -> None:
-        over = records.graph_end_value(live.record, status, wall_now(), why, counts)
-        key = records.graph_end_key(live.name)
+    def _enqueue_end(
+        self, graph: LoadedGraph, status: Any, why: str, counts: dict[str, int] | None
+    ) -> None:
+        end_value = records.graph_end_value(graph.record, status, wall_now(), why, counts)
+        key = records.graph_end_key(graph.name)
 
-        def applied(_: Revision) -> None:
-            log.info("graph %s is %s %s", live.name, status, why)
-            self._gone(live.name, f"it is {status}")
+        def on_committed(_: Revision) -> None:
+            log.info("graph ended: graph=%s status=%s reason=%s", graph.name, status, why)
+            self._drop_graph(graph.name, f"status {status}")
             self._wake.set()
 
-        def refused(found: dict[str, wire.KeyValue | None]) -> None:
-            live.ending = False
-            if key in found and found[key] is not None:
-                self._gone(live.name, "it was ended by another node")
+        def on_guards_failed(current: dict[str, wire.KeyValue | None]) -> None:
+            graph.ending = False
+            if key in current and current[key] is not None:
+                self._drop_graph(graph.name, "ended by another member")
             self._wake.set()
 
-        live.ending = True
+        graph.ending = True
         self._term.write_batcher.join(
             JoinedWrite(
-                {live.owner.key: live.owner.mod_revision, key: ABSENT},
-                [wire.delete(live.owner.key), wire.put(key, over)],
-                applied,
-                refused,
+                {graph.owner.key: graph.owner.mod_revision, key: ABSENT},
+                [wire.delete(graph.owner.key), wire.put(key, end_value)],
+                on_committed,
+                on_guards_failed,
             )
         )
 
     def _enqueue_orphan_end(self, job: JobId) -> None:
-        """Moves the record of a job whose graph is over to where its graph's is."""
+        """Move the record of a job whose graph has ended from `job/` to `over/`, as cancelled."""
         mod_revision, spec = self._orphans[job]
         value = {
             "status": wire.JOB_CANCELLED,
@@ -497,45 +524,48 @@
             "spec": wire.to_builtins(spec),
         }
 
-        def applied(_: Revision) -> None:
+        def on_committed(_: Revision) -> None:
             self._ending_orphans.discard(job)
             self._orphans.pop(job, None)
             self._wake.set()
 
-        def refused(_: dict[str, wire.KeyValue | None]) -> None:
-            # Its record is gone already: cancelled by itself, or done before its graph ended.
-            applied(ABSENT)
+        def on_guards_failed(_: dict[str, wire.KeyValue | None]) -> None:
+            # Its record is deleted already: it was cancelled by itself, or done before its graph
+            # ended.
+            on_committed(ABSENT)
 
         self._ending_orphans.add(job)
         self._term.write_batcher.join(
             JoinedWrite(
                 {job_key(job): mod_revision, ended_key(job): ABSENT},
                 [wire.delete(job_key(job)), wire.put(ended_key(job), value)],
-                applied,
-                refused,
+                on_committed,
+                on_guards_failed,
             )
         )
 
-    def _forget_word(self, name: str, version: Revision) -> None:
+    def _enqueue_notice_deletion(self, name: str, version: Revision) -> None:
         key = records.cancelled_node_key(name)
-        del self._words[name]
-        # A word that comes meanwhile is seen, and forgotten in its turn.
-        terminated = JoinedWrite({key: version}, [wire.delete(key)], lambda _: None, lambda _: None)
-        self._term.write_batcher.join(terminated)
+        del self._notices[name]
+        # A notice that is written in the meantime arrives by the watch and is deleted later.
+        deletion = JoinedWrite({key: version}, [wire.delete(key)], lambda _: None, lambda _: None)
+        self._term.write_batcher.join(deletion)
 
-    # -- graphs that were never sealed ----------------------------------------------------------
+    # -- graphs that are not sealed in time -----------------------------------------------------
 
-    def _expire(self) -> None:
+    def _expire_drafts(self) -> None:
         now = wall_now()
-        for name, (head, version) in self._drafts.items():
-            late = head.status == records.OPEN and now - head.at > self._features.open_s
+        for name, (record, version) in self._drafts.items():
+            late = record.status == records.OPEN and now - record.at > self._features.open_s
             if late and name not in self._expiring:
-                self._join_expiry(name, head, version)
+                self._enqueue_expiry(name, record, version)
 
-    def _join_expiry(self, name: str, head: GraphRecord, version: Revision) -> None:
-        """From here on no part can be added to it, so that its parts can be removed."""
-        log.info("graph %s was not sealed for %.0f s: removed", name, self._features.open_s)
-        expired = msgspec.structs.replace(head, status="expired")
+    def _enqueue_expiry(self, name: str, record: GraphRecord, version: Revision) -> None:
+        """Mark an open graph as expired, so that no part is added while its parts are deleted."""
+        log.info(
+            "graph expired, not sealed in time: graph=%s limit_s=%.0f", name, self._features.open_s
+        )
+        expired = msgspec.structs.replace(record, status="expired")
         key = records.graph_key(name)
 
         def done(_: object) -> None:
@@ -545,137 +575,150 @@
         changes = [wire.put(key, msgspec.to_builtins(expired))]
         self._term.write_batcher.join(JoinedWrite({key: version}, changes, done, done))
 
-    async def _clear_up(self, name: str) -> None:
-        """Removes the parts of an expired graph, a few at a time, then its head."""
+    async def _delete_expired(self, name: str) -> None:
+        """Delete the parts of an expired graph, a few at a time, then its record."""
         if name in self._expiring or name not in self._drafts:
             return
         _, version = self._drafts[name]
         entries, _ = await self._term.client.scan(records.parts_prefix(name))
-        left = {entry.key: Revision(entry.version) for entry in entries[:_IN_FLIGHT]}
-        if not left:
-            left = {records.graph_key(name): version}
+        remaining = {entry.key: Revision(entry.version) for entry in entries[:_MAX_IN_FLIGHT]}
+        if not remaining:
+            remaining = {records.graph_key(name): version}
         self._expiring.add(name)
-        for key, mod_revision in list(left.items()):
+        for key, mod_revision in list(remaining.items()):
 
             def done(_: object, key: str = key) -> None:
-                left.pop(key)
-                if not left:
+                remaining.pop(key)
+                if not remaining:
                     self._expiring.discard(name)
                     self._wake.set()
 
-            # One by one: a set of many waits for a bucket that may never be so full.
+            # One write per part: a write of many changes needs as many tokens of the rate limiter
+            # at once, and its bucket may never hold that many.
             self._term.write_batcher.join(
                 JoinedWrite({key: mod_revision}, [wire.delete(key)], done, done)
             )
 
-    # -- reading a graph ------------------------------------------------------------------------
+    # -- loading a graph ------------------------------------------------------------------------
 
     async def _load(self, name: str) -> None:
-        """Reads a graph and how its nodes ended; the book has those that are released."""
+        """Read a graph's parts and the ends of its nodes.
+
+        Released nodes that have not ended are in the job store already.
+        """
         known = self._accepted.get(name)
         if known is None:
-            # Cancelled while another graph was being read; an error here ended the whole term.
+            # Cancelled while another graph was being read. A KeyError here would end the term.
             return
-        head, owner = known
-        self._heard[name] = []
+        record, owner = known
+        self._pending_ends[name] = []
         entries, _ = await self._term.client.scan(records.parts_prefix(name))
         ended, _ = await self._term.client.scan(records.graph_end_key(name) + "-")
         try:
-            found = records.assemble_parts(entries)
-            parts = [found[number] for number in range(head.parts)]
-            # Beside the loop: a large graph takes a second on a share of a core.
-            shape = await asyncio.to_thread(_build_shape, head, parts)
+            parts_by_number = records.assemble_parts(entries)
+            parts = [parts_by_number[number] for number in range(record.parts)]
+            # In a thread: a large graph takes a second on a fraction of a core, which would block
+            # the event loop.
+            shape = await asyncio.to_thread(_build_shape, record, parts)
         except (GraphRecordError, InvalidGraphError, KeyError) as error:
-            # Accepted graphs were read back whole; what is wrong here is not mended by waiting.
-            self._set_aside(name, owner.mod_revision, error)
+            # The graph was read completely before it was accepted, so reading it again won't help.
+            self._hold_unreadable(name, owner.mod_revision, error)
             return
         if self._accepted.get(name) is not known:
             return
-        live = LoadedGraph(name, head, owner, parts, Progress(shape))
-        live.part_starts = [0, *accumulate(part.nodes for part in parts[:-1])]
-        self._loaded[name] = live
+        graph = LoadedGraph(name, record, owner, parts, Progress(shape))
+        graph.part_starts = [0, *accumulate(part.nodes for part in parts[:-1])]
+        self._loaded[name] = graph
         for job in [j for j in self._term.job_store.jobs.values() if j.owner is owner]:
             node = parse_node_id(job.id)
             if node is not None and not job.cancelled:
-                self._attach(live, node[1], job)
-        for index, state in (*_ends(ended), *self._heard.pop(name, [])):
-            self._settle(name, index, state)
-        live.progress.evaluate_all()
+                self._attach_job(graph, node[1], job)
+        for index, state in (*_parse_ends(ended), *self._pending_ends.pop(name, [])):
+            self._record_end(name, index, state)
+        graph.progress.evaluate_all()
         log.info(
-            "graph %s: %d nodes, %d edges read: %s",
+            "graph loaded: graph=%s nodes=%d edges=%d states=%s",
             name,
-            head.nodes,
-            head.edges,
-            live.progress.counted(),
+            record.nodes,
+            record.edges,
+            graph.progress.counts_by_state(),
         )
 
-    # -- what others ask ------------------------------------------------------------------------
+    # -- queries --------------------------------------------------------------------------------
 
     def upcoming_tasks(self, now: Monotonic, within_s: float) -> Iterator[tuple[JobView, int]]:
-        """Nodes that wait for released ones only, all of which end within `within_s`.
+        """Yield the demand of gated nodes that are expected to be ready within `within_s` seconds.
 
-        Nodes that need the same are one wish: looked at one by one, the nodes behind a wide layer
-        made a pass cost more than twice as much.
+        Only nodes are considered whose dependencies are all released. Nodes with the same
+        requirements share one view: one view per node behind a wide layer made a pass cost more
+        than twice as much.
         """
-        for live in self._loaded.values():
-            found: dict[JobView, int] = {}
+        for graph in self._loaded.values():
+            task_counts: dict[JobView, int] = {}
             left_s: dict[int, float] = {}
-            for index in list(islice(live.progress.near, _NEAR)):
-                if self._awaited_s(live, index, left_s, now) <= within_s:
-                    view = self._wish(live, index)
-                    found[view] = found.get(view, 0) + live.progress.shape.tasks[index]
-            yield from found.items()
-
-    def _awaited_s(
-        self, live: LoadedGraph, index: int, left_s: dict[int, float], now: Monotonic
+            for index in list(islice(graph.progress.nearly_ready, _MAX_UPCOMING_NODES)):
+                if self._time_until_ready_s(graph, index, left_s, now) <= within_s:
+                    view = self._view_of(graph, index)
+                    task_counts[view] = task_counts.get(view, 0) + graph.progress.shape.tasks[index]
+            yield from task_counts.items()
+
+    def _time_until_ready_s(
+        self, graph: LoadedGraph, index: int, left_s: dict[int, float], now: Monotonic
     ) -> float:
-        """Until all that a node waits for is expected to have ended; `left_s` remembers."""
+        """Return the expected seconds until all dependencies of a node have ended.
+
+        `left_s` caches the time of each dependency.
+        """
         longest = 0.0
-        for up, _ in live.progress.shape.dependencies(index):
-            if up not in left_s:
-                job = live.jobs.get(up)
-                left_s[up] = 0.0 if job is None else self._term.remaining_s(job, now)
-            longest = max(longest, left_s[up])
+        for dependency, _ in graph.progress.shape.dependencies(index):
+            if dependency not in left_s:
+                job = graph.jobs.get(dependency)
+                left_s[dependency] = 0.0 if job is None else self._term.remaining_s(job, now)
+            longest = max(longest, left_s[dependency])
         return longest
 
-    def _wish(self, live: LoadedGraph, index: int) -> JobView:
-        """The node as the planner would see it, one and the same for all that need the same."""
-        view = live.views.get(index)
+    def _view_of(self, graph: LoadedGraph, index: int) -> JobView:
+        """Return the planner's view of a node; nodes with the same requirements share one."""
+        view = graph.views_by_node.get(index)
         if view is None:
-            spec = live.spec(index)
-            needs = msgspec.structs.replace(spec, id=live.name, tasks=1)
-            kind = wire.encode(needs)
-            view = live.kinds.get(kind)
+            spec = graph.spec(index)
+            requirements = msgspec.structs.replace(spec, id=graph.name, tasks=1)
+            encoded_requirements = wire.encode(requirements)
+            view = graph.views_by_requirements.get(encoded_requirements)
             if view is None:
-                if len(live.kinds) >= _KINDS:
-                    live.kinds.clear()
-                view = live.kinds[kind] = self._term.job_view(needs, 1)
-            live.views[index] = view
+                if len(graph.views_by_requirements) >= _MAX_CACHED_VIEWS:
+                    graph.views_by_requirements.clear()
+                view = graph.views_by_requirements[encoded_requirements] = self._term.job_view(
+                    requirements, 1
+                )
+            graph.views_by_node[index] = view
         return view
 
     def counts(self, name: str) -> dict[str, int] | None:
-        """A live graph's nodes by state; None if this leader has not read it."""
-        live = self._loaded.get(name)
-        return None if live is None else live.progress.counted()
+        """Return the number of a graph's nodes by state; None if the graph is not loaded."""
+        graph = self._loaded.get(name)
+        return None if graph is None else graph.progress.counts_by_state()
 
     def describe(self) -> dict[str, Any]:
-        """Return the graphs' counts, for operators."""
+        """Return the counts of nodes and of unsealed graphs, for operators."""
         return {
-            "graphs": {name: live.progress.counted() for name, live in self._loaded.items()},
+            "graphs": {
+                name: graph.progress.counts_by_state() for name, graph in self._loaded.items()
+            },
             "open": len(self._drafts),
         }
 
 
-def _ends(entries: Sequence[wire.Entry]) -> Iterator[tuple[int, int]]:
+def _parse_ends(entries: Sequence[wire.Entry]) -> Iterator[tuple[int, int]]:
     for entry in entries:
         job = parse_job_id(entry.key.rpartition("/")[2])
         node = parse_node_id(job) if job is not None else None
         if node is not None:
-            yield node[1], _state_of(entry.value)
+            yield node[1], _end_state(entry.value)
 
 
-def _state_of(over: dict[str, Any]) -> int:
-    return outcome_state(records.node_outcome(over))
+def _end_state(node_end: dict[str, Any]) -> int:
+    return outcome_state(records.node_outcome(node_end))
 
 
 def _final_status(counts: dict[str, int]) -> str:
--- a/tealrill/graphs/model.py
+++ b/tealrill/graphs/model.py
@@ -1,7 +1,7 @@
-"""What a user submits, checked, and the shape of a graph: who waits for whom.
+"""Submissions of graphs, their validation, and the resolved dependencies between nodes.
 
-Pure: no I/O and no clock. A graph is submitted in parts, so a part is checked by itself when it
-comes (`check_part`) and the whole when it is sealed (`resolve`).
+Pure, without I/O or clock. A graph may be submitted in parts: each part is validated by itself when
+it is received (`check_part`), and the whole graph when it is sealed (`resolve`).
 """
 
 from __future__ import annotations
@@ -20,15 +20,15 @@
 from tealrill.types import JobId
 
 ID_DIGITS: Final = 5
-MOST_NODES: Final = 10**ID_DIGITS
-"""Node ids have so many digits, so that the order of their keys is that of their numbers."""
-MOST_PARTS: Final = 10_000
+MAX_NODES: Final = 10**ID_DIGITS
+"""Node ids have `ID_DIGITS` digits, so that their keys sort in the order of their numbers."""
+MAX_PARTS: Final = 10_000
 DEFAULT_RETRIES: Final = 3
 MAX_RETRIES: Final = 100
 
 _GRAPH_ID: Final = re.compile(r"[a-z][a-z0-9]{0,30}[0-9]")
 _NODE_ID: Final = re.compile(r"([a-z][a-z0-9]{0,30}[0-9])-([0-9]{5})")
-_YIELD_EVERY: Final = 250
+_NODES_PER_PAUSE: Final = 250
 
 ON_DONE: Final = 0
 ON_FAILED: Final = 1
@@ -41,7 +41,7 @@
 
 
 class InvalidGraphError(TealrillError):
-    """A graph that can't be taken; `node` and `field` say where."""
+    """A graph that is rejected; `node` and `field` name the place of the error."""
 
     def __init__(
         self, why: str, node: str | None = None, field: str | None = None, status: int = 400
@@ -53,37 +53,39 @@
 
     def body(self) -> dict[str, Any]:
         """Return the error as the body of a response."""
-        found: dict[str, Any] = {"error": str(self)}
+        body: dict[str, Any] = {"error": str(self)}
         if self.node is not None:
-            found["node"] = self.node
+            body["node"] = self.node
         if self.field is not None:
-            found["field"] = self.field
-        return found
+            body["field"] = self.field
+        return body
 
 
 class Edge(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """What a node waits for."""
+    """A dependency of a node on another node."""
 
     node: Key
+    """The other node."""
     each: bool = False
-    """Task i waits for task i of the other node, instead of for all of it."""
+    """Task i waits for task i of the other node only, not for all of its tasks."""
     when: Literal["done", "failed", "ended"] = "done"
+    """How the other node must have ended; `ended` is satisfied by any outcome."""
 
 
 class Node(
     msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True, rename={"retries": "maxRetries"}
 ):
-    """One node as its user writes it."""
+    """One node as submitted."""
 
     key: Key
     job: dict[str, Any] = {}
     """Fields of a submission (`wire.JobSpec`) beyond the graph's `defaults`, without `id`."""
     after: list[Key | Edge] = []
     retries: Retries | None = None
-    """How often one of its tasks is tried again after an error; None: as the graph says."""
+    """How often one of its tasks is retried after an error; None: the graph's value."""
 
     def edges(self) -> Iterator[Edge]:
-        """Return the edges of the graph, those of a node in its order."""
+        """Yield the node's dependencies in the order of `after`."""
         for edge in self.after:
             yield Edge(node=edge) if isinstance(edge, str) else edge
 
@@ -94,18 +96,18 @@
     kw_only=True,
     rename={"on_failure": "onFailure", "due_s": "dueS", "retries": "maxRetries"},
 ):
-    """A graph, or the beginning of one."""
+    """A whole graph, or the first request of one that is submitted in parts."""
 
     id: str
     defaults: dict[str, Any] = {}
     on_failure: Literal["finish", "stop"] = "finish"
     due_s: wire.Amount | None = None
-    """When all of it should be complete, from its acceptance."""
+    """Deadline of the whole graph, in seconds from its acceptance."""
     retries: Retries = DEFAULT_RETRIES
     nodes: list[Node] = []
     """Part 0."""
     seal: bool = True
-    """False: more parts follow."""
+    """False if more parts follow."""
 
 
 class PartBody(msgspec.Struct, frozen=True, kw_only=True):
@@ -117,14 +119,14 @@
 class SealBody(msgspec.Struct, frozen=True, kw_only=True):
     """The body of a request that seals a graph."""
 
-    parts: Annotated[int, Meta(ge=1, le=MOST_PARTS)]
+    parts: Annotated[int, Meta(ge=1, le=MAX_PARTS)]
 
 
 def parse_graph_id(text: str) -> str | None:
-    """The graph id in `text`: letters and digits, the last one a digit, at most 32 in all.
+    """Return `text` if it is a valid graph id, else None.
 
-    Ids of plain jobs seldom have a digit in front of their hyphen, and those that have not can't
-    belong to a graph.
+    An id has at most 32 lower-case letters and digits, a letter first and a digit last. Few ids of
+    plain jobs have a digit before their first hyphen, so few can conflict with a graph's nodes.
     """
     return text if _GRAPH_ID.fullmatch(text) else None
 
@@ -135,56 +137,57 @@
 
 
 def parse_node_id(text: str) -> tuple[str, int] | None:
-    """The graph's id and the node's number in a job id of that form."""
+    """Return the graph's id and the node's number in a node's job id; None for any other id."""
     match = _NODE_ID.fullmatch(text)
     return None if match is None else (match[1], int(match[2]))
 
 
 def graph_prefix(job_id: str) -> str | None:
-    """The graph that would own a job id, whatever its number looks like."""
+    """Return the graph id that a job id begins with, in whatever form its number is; else None."""
     return parse_graph_id(job_id.partition("-")[0])
 
 
 def node_spec(graph: str, index: int, defaults: dict[str, Any], node: Node) -> wire.JobSpec:
-    """The job that a node is; raises `wire.MalformedMessageError`."""
+    """Return the job specification of a node; raise `wire.MalformedMessageError`."""
     try:
         return msgspec.convert({**defaults, **node.job, "id": node_id(graph, index)}, wire.JobSpec)
     except msgspec.ValidationError as error:
         raise wire.MalformedMessageError(str(error)) from None
 
 
-Check = Callable[[wire.JobSpec], tuple[int, str] | None]
-"""What stands against a job: a status and an error."""
+JobCheck = Callable[[wire.JobSpec], tuple[int, str] | None]
+"""Validates a job; returns the status and message of its rejection, or None."""
 
 
 async def check_part(
     graph: str,
     defaults: dict[str, Any],
     nodes: Sequence[Node],
-    check: Check,
+    check: JobCheck,
     pause: Callable[[], Any],
 ) -> None:
-    """Checks every node of a part by itself; raises `InvalidGraphError`.
+    """Validate every node of a part by itself; raise `InvalidGraphError`.
 
-    A machine with a share of a core has other things to do, so it pauses now and then.
+    `pause` is awaited regularly: on a fraction of a core the validation takes long enough to delay
+    other requests.
     """
     for number, node in enumerate(nodes):
-        if number % _YIELD_EVERY == _YIELD_EVERY - 1:
+        if number % _NODES_PER_PAUSE == _NODES_PER_PAUSE - 1:
             await pause()
         if "id" in node.job or "id" in defaults:
             raise InvalidGraphError("a node's id follows from its graph's", node.key, "job.id")
         try:
-            # Its number is not known before the graph is sealed; any has the same form.
+            # The node's number is unknown until the graph is sealed; any gives a valid id.
             spec = node_spec(graph, 0, defaults, node)
         except wire.MalformedMessageError as error:
-            raise InvalidGraphError(str(error), node.key, _field_in(str(error))) from None
+            raise InvalidGraphError(str(error), node.key, _field_of_error(str(error))) from None
         if spec.is_service:
             raise InvalidGraphError(
                 "a service never ends, so it can't be a node", node.key, "job.shape"
             )
-        against = check(spec)
-        if against is not None:
-            status, why = against
+        rejection = check(spec)
+        if rejection is not None:
+            status, why = rejection
             raise InvalidGraphError(why, node.key, "job", status)
         _check_edges(node, spec)
 
@@ -207,18 +210,18 @@
             )
 
 
-def _field_in(error: str) -> str:
-    """The field that msgspec names at the end of its message."""
-    _, found, path = error.rpartition("`$.")
-    return "job." + path.rstrip("`") if found else "job"
+def _field_of_error(error: str) -> str:
+    """Return the path of the field that msgspec names at the end of its message."""
+    _, separator, path = error.rpartition("`$.")
+    return "job." + path.rstrip("`") if separator else "job"
 
 
 @dataclass(slots=True, eq=False)
 class Shape:
-    """Who waits for whom, in arrays: 10,000 nodes are to take little room in a leader.
+    """Nodes and edges of a graph, in arrays to use little memory for 10,000 nodes.
 
-    The edges that leave node i are `out_node[out_first[i]:out_first[i + 1]]`, each with its kind;
-    the nodes it waits for are `in_node[in_first[i]:in_first[i + 1]]`.
+    The dependents of node i are `out_node[out_first[i]:out_first[i + 1]]`, its dependencies are
+    `in_node[in_first[i]:in_first[i + 1]]`; `out_kind` and `in_kind` hold the kinds of these edges.
     """
 
     keys: list[str]
@@ -232,147 +235,156 @@
     in_node: array[int]
     in_kind: bytearray
     topological_order: array[int]
-    """All nodes, each after what it waits for."""
+    """All nodes, each after its dependencies."""
 
     @property
     def nodes(self) -> int:
-        """The number of nodes."""
+        """Number of nodes."""
         return len(self.tasks)
 
     @property
     def edges(self) -> int:
-        """Return the edges of the graph, those of a node in its order."""
+        """Number of edges."""
         return len(self.out_node)
 
     def dependents(self, index: int) -> Iterator[tuple[int, int]]:
         """Yield the nodes that wait for this one, with the kind of edge."""
-        for at in range(self.out_first[index], self.out_first[index + 1]):
-            yield self.out_node[at], self.out_kind[at]
+        for position in range(self.out_first[index], self.out_first[index + 1]):
+            yield self.out_node[position], self.out_kind[position]
 
     def dependencies(self, index: int) -> Iterator[tuple[int, int]]:
         """Yield the nodes that this one waits for, with the kind of edge."""
-        for at in range(self.in_first[index], self.in_first[index + 1]):
-            yield self.in_node[at], self.in_kind[at]
+        for position in range(self.in_first[index], self.in_first[index + 1]):
+            yield self.in_node[position], self.in_kind[position]
 
     def tails(self) -> array[float]:
-        """Per node the estimated time of the longest path that begins after it, in seconds."""
-        found = array("f", bytes(4 * self.nodes))
+        """Return per node the estimated time of the longest path behind it, in seconds.
+
+        The node's own time is not part of it.
+        """
+        tails = array("f", bytes(4 * self.nodes))
         for index in reversed(self.topological_order):
             longest = 0.0
-            for follower, _ in self.dependents(index):
-                longest = max(longest, self.estimate_s[follower] + found[follower])
-            found[index] = longest
-        return found
+            for dependent, _ in self.dependents(index):
+                longest = max(longest, self.estimate_s[dependent] + tails[dependent])
+            tails[index] = longest
+        return tails
 
 
 def resolve(
     defaults: dict[str, Any],
     retries: int,
     parts: Iterable[Sequence[Node]],
-    most_nodes: int = MOST_NODES,
-    most_edges: int = 1_000_000,
+    max_nodes: int = MAX_NODES,
+    max_edges: int = 1_000_000,
 ) -> Shape:
-    """The shape of a whole graph; raises `InvalidGraphError` naming the node and the field."""
+    """Resolve the edges of a whole graph; raise `InvalidGraphError` with the node and the field."""
     keys: list[str] = []
-    index: dict[str, int] = {}
-    tasks, estimates, tried = array("I"), array("f"), bytearray()
-    awaited: list[list[Edge]] = []
+    index_of_key: dict[str, int] = {}
+    tasks, estimates, retry_limits = array("I"), array("f"), bytearray()
+    edges_of_nodes: list[list[Edge]] = []
     edges = 0
     for nodes in parts:
         for node in nodes:
-            if node.key in index:
+            if node.key in index_of_key:
                 raise InvalidGraphError("two nodes have this key", node.key, "key")
-            index[node.key] = len(keys)
+            index_of_key[node.key] = len(keys)
             keys.append(node.key)
-            if len(keys) > most_nodes:
-                raise InvalidGraphError(f"more than {most_nodes} nodes", node.key, "nodes")
-            tasks.append(int(_field(defaults, node, "pieces")))
-            estimates.append(float(_field(defaults, node, "guessS")))
-            tried.append(node.retries if node.retries is not None else retries)
-            awaited.append(list(node.edges()))
+            if len(keys) > max_nodes:
+                raise InvalidGraphError(f"more than {max_nodes} nodes", node.key, "nodes")
+            tasks.append(int(_job_field(defaults, node, "pieces")))
+            estimates.append(float(_job_field(defaults, node, "guessS")))
+            retry_limits.append(node.retries if node.retries is not None else retries)
+            edges_of_nodes.append(list(node.edges()))
             edges += len(node.after)
-            if edges > most_edges:
-                raise InvalidGraphError(f"more than {most_edges} edges", node.key, "after")
+            if edges > max_edges:
+                raise InvalidGraphError(f"more than {max_edges} edges", node.key, "after")
     if not keys:
         raise InvalidGraphError("a graph has at least one node", field="nodes")
     in_first, in_node, in_kind = array("I", [0]), array("I"), bytearray()
-    for number, wanted in enumerate(awaited):
-        for edge in wanted:
-            other = index.get(edge.node)
-            if other is None:
+    for number, dependency_edges in enumerate(edges_of_nodes):
+        for edge in dependency_edges:
+            dependency = index_of_key.get(edge.node)
+            if dependency is None:
                 raise InvalidGraphError(f"no node {edge.node!r}", keys[number], "after")
-            if edge.each and tasks[other] != tasks[number]:
+            if edge.each and tasks[dependency] != tasks[number]:
                 raise InvalidGraphError(
-                    f"{tasks[number]} tasks can't wait one by one for the {tasks[other]} of "
+                    f"{tasks[number]} tasks can't wait one by one for the {tasks[dependency]} of "
                     f"{edge.node!r}",
                     keys[number],
                     "after",
                 )
-            in_node.append(other)
+            in_node.append(dependency)
             in_kind.append(PER_TASK if edge.each else _WHEN[edge.when])
         in_first.append(len(in_node))
-    out_first, out_node, out_kind = _reverse(len(keys), in_first, in_node, in_kind)
+    out_first, out_node, out_kind = _group_by_dependency(len(keys), in_first, in_node, in_kind)
     shape = Shape(
-        keys, tasks, estimates, tried, out_first, out_node, out_kind, in_first, in_node, in_kind,
-        array("I"),
+        keys, tasks, estimates, retry_limits, out_first, out_node, out_kind,
+        in_first, in_node, in_kind, array("I"),
     )  # fmt: skip
-    _sort(shape)
+    _sort_topologically(shape)
     return shape
 
 
-def _field(defaults: dict[str, Any], node: Node, name: str) -> Any:
+def _job_field(defaults: dict[str, Any], node: Node, name: str) -> Any:
     return node.job[name] if name in node.job else defaults[name]
 
 
-def _reverse(
+def _group_by_dependency(
     nodes: int, in_first: array[int], in_node: array[int], in_kind: bytearray
 ) -> tuple[array[int], array[int], bytearray]:
-    """The same edges by the node that they leave."""
+    """Return the same edges grouped by dependency: first positions, dependents and kinds."""
     first = array("I", bytes(4 * (nodes + 1)))
-    for other in in_node:
-        first[other + 1] += 1
-    for number in range(nodes):
-        first[number + 1] += first[number]
-    at = array("I", first)
+    for dependency in in_node:
+        first[dependency + 1] += 1
+    for index in range(nodes):
+        first[index + 1] += first[index]
+    next_position = array("I", first)
     out_node, out_kind = array("I", bytes(4 * len(in_node))), bytearray(len(in_node))
-    for number in range(nodes):
-        for edge in range(in_first[number], in_first[number + 1]):
-            place = at[in_node[edge]]
-            at[in_node[edge]] += 1
-            out_node[place], out_kind[place] = number, in_kind[edge]
+    for index in range(nodes):
+        for edge in range(in_first[index], in_first[index + 1]):
+            position = next_position[in_node[edge]]
+            next_position[in_node[edge]] += 1
+            out_node[position], out_kind[position] = index, in_kind[edge]
     return first, out_node, out_kind
 
 
-def _sort(shape: Shape) -> None:
-    """Fills `order`; raises `InvalidGraphError` with the path of a cycle if there is one."""
-    left = array("I", (shape.in_first[i + 1] - shape.in_first[i] for i in range(shape.nodes)))
-    shape.topological_order.extend(i for i in range(shape.nodes) if not left[i])
-    at = 0
-    while at < len(shape.topological_order):
-        for follower, _ in shape.dependents(shape.topological_order[at]):
-            left[follower] -= 1
-            if not left[follower]:
-                shape.topological_order.append(follower)
-        at += 1
+def _sort_topologically(shape: Shape) -> None:
+    """Fill `order`; raise `InvalidGraphError` with the path of a cycle if there is one."""
+    unsorted_dependencies = array(
+        "I", (shape.in_first[i + 1] - shape.in_first[i] for i in range(shape.nodes))
+    )
+    shape.topological_order.extend(i for i in range(shape.nodes) if not unsorted_dependencies[i])
+    position = 0
+    while position < len(shape.topological_order):
+        for dependent, _ in shape.dependents(shape.topological_order[position]):
+            unsorted_dependencies[dependent] -= 1
+            if not unsorted_dependencies[dependent]:
+                shape.topological_order.append(dependent)
+        position += 1
     if len(shape.topological_order) < shape.nodes:
-        path = _cycle(shape, left)
-        named = [shape.keys[i] for i in path]
-        if len(named) > 12:
-            named = [*named[:6], "...", *named[-5:]]
+        path = _find_cycle(shape, unsorted_dependencies)
+        cycle_keys = [shape.keys[i] for i in path]
+        if len(cycle_keys) > 12:
+            cycle_keys = [*cycle_keys[:6], "...", *cycle_keys[-5:]]
         raise InvalidGraphError(
-            "waits for itself: " + " -> ".join(named), shape.keys[path[0]], "after"
+            "waits for itself: " + " -> ".join(cycle_keys), shape.keys[path[0]], "after"
         )
 
 
-def _cycle(shape: Shape, left: array[int]) -> list[int]:
-    """A cycle among the nodes that never became free, each before what waits for it."""
-    number = next(i for i in range(shape.nodes) if left[i])
-    seen: dict[int, int] = {}
+def _find_cycle(shape: Shape, unsorted_dependencies: array[int]) -> list[int]:
+    """Return a cycle among the unsorted nodes, each before its dependent, the first one twice."""
+    index = next(i for i in range(shape.nodes) if unsorted_dependencies[i])
+    position_on_path: dict[int, int] = {}
     path: list[int] = []
-    while number not in seen:
-        seen[number] = len(path)
-        path.append(number)
-        # Some node that it waits for has not become free either.
-        number = next(other for other, _ in shape.dependencies(number) if left[other])
-    cycle = path[seen[number] :]
-    return [number, *reversed(cycle)]
+    while index not in position_on_path:
+        position_on_path[index] = len(path)
+        path.append(index)
+        # An unsorted node has at least one unsorted dependency.
+        index = next(
+            dependency
+            for dependency, _ in shape.dependencies(index)
+            if unsorted_dependencies[dependency]
+        )
+    cycle = path[position_on_path[index] :]
+    return [index, *reversed(cycle)]
--- a/tealrill/graphs/tracker.py
+++ b/tealrill/graphs/tracker.py
@@ -1,8 +1,9 @@
-"""How far an accepted graph is: which nodes are gated, released, over; pure.
+"""Progress of an accepted graph: the state of each node. Pure, without I/O or clock.
 
-A node's outcome is told to its followers: each edge fires, or can never fire any more. A node all
-of whose edges fired is ready; one of whose edges can't fire is skipped, and that is its own outcome
-for the nodes behind it. Everything here can be told twice; the first word counts.
+When a node ends, each edge to a dependent is either satisfied or can never be satisfied any more. A
+node all of whose edges are satisfied is ready. A node with an edge that can't be satisfied is
+skipped, which is its outcome for its own dependents. All updates are idempotent: a node's first
+outcome is final.
 """
 
 from __future__ import annotations
@@ -16,17 +17,18 @@
 from tealrill.state.records import OUTCOME_CANCELLED, OUTCOME_DONE, OUTCOME_FAILED, OUTCOME_SKIPPED
 
 GATED: Final = 0
+"""It waits for dependencies."""
 READY: Final = 1
-"""All it waits for has come; its release is under way."""
+"""It may run; its release is pending."""
 RELEASED: Final = 2
-"""An ordinary job."""
+"""It is an ordinary job."""
 DONE: Final = 3
 FAILED: Final = 4
 CANCELLED: Final = 5
 SKIPPED: Final = 6
 
 NODE_STATES: Final = ("gated", "ready", "released", "done", "failed", "cancelled", "skipped")
-_OUTCOMES: Final = {
+_STATE_OF_OUTCOME: Final = {
     OUTCOME_DONE: DONE,
     OUTCOME_FAILED: FAILED,
     OUTCOME_CANCELLED: CANCELLED,
@@ -36,11 +38,11 @@
 
 def outcome_state(outcome: str) -> int:
     """Return the state of a node whose job ended with `outcome`."""
-    return _OUTCOMES.get(outcome, CANCELLED)
+    return _STATE_OF_OUTCOME.get(outcome, CANCELLED)
 
 
-def _fires(kind: int, state: int) -> bool:
-    """Whether an edge lets its node go when what it waits for has ended like this."""
+def _is_satisfied(kind: int, state: int) -> bool:
+    """Return True if an edge is satisfied by a dependency that ended in `state`."""
     if kind in (ON_DONE, PER_TASK):
         return state == DONE
     if kind == ON_FAILED:
@@ -50,89 +52,97 @@
 
 
 class Progress:
-    """One graph's progress."""
+    """Progress of one graph."""
 
     def __init__(self, shape: Shape) -> None:
         self.shape = shape
         self.state = bytearray(shape.nodes)
         self.counts = [shape.nodes, *([0] * (len(NODE_STATES) - 1))]
         self.tail_s = shape.tails()
-        self._unfired = array("I", bytes(4 * shape.nodes))
-        """Edges to whole nodes that have not fired."""
+        self._unsatisfied = array("I", bytes(4 * shape.nodes))
+        """Per node: its unsatisfied edges, without those per task."""
         self._unreleased = array("I", bytes(4 * shape.nodes))
-        """Awaited nodes that are still gated themselves."""
-        self._each: dict[int, tuple[int, ...]] = {}
-        """Per node that waits task by task: for whom."""
-        self._followed: dict[int, tuple[int, ...]] = {}
-        """Per node whose tasks are waited for one by one: by whom."""
-        self.elements: dict[int, bytearray] = {}
-        """Of released nodes with such followers: the tasks known to be done."""
+        """Per node: its dependencies that are neither released nor ended."""
+        self._task_dependencies: dict[int, tuple[int, ...]] = {}
+        """Per node with edges per task: those dependencies."""
+        self._task_dependents: dict[int, tuple[int, ...]] = {}
+        """Per node: the dependents that wait for it task by task."""
+        self.done_tasks: dict[int, bytearray] = {}
+        """Per released node with such dependents: 1 for each task known to be done."""
         self._ready: list[tuple[float, int]] = []
+        """Heap of ready nodes, the one with the longest path behind it first."""
         self.stuck: list[int] = []
-        """Released nodes that can't end by themselves: some of their tasks will never be let go."""
-        self.near: set[int] = set()
-        """Gated nodes that wait for released ones only."""
+        """Released nodes that can't end by themselves, because some of their tasks will never be
+        unblocked."""
+        self.nearly_ready: set[int] = set()
+        """Gated nodes whose dependencies are all released or ended."""
         for index in range(shape.nodes):
             each = tuple(other for other, kind in shape.dependencies(index) if kind == PER_TASK)
             if each:
-                self._each[index] = each
-            followed = tuple(other for other, kind in shape.dependents(index) if kind == PER_TASK)
-            if followed:
-                self._followed[index] = followed
-            waits = shape.in_first[index + 1] - shape.in_first[index]
-            self._unfired[index] = waits - len(each)
-            self._unreleased[index] = waits
+                self._task_dependencies[index] = each
+            task_dependents = tuple(
+                other for other, kind in shape.dependents(index) if kind == PER_TASK
+            )
+            if task_dependents:
+                self._task_dependents[index] = task_dependents
+            dependency_count = shape.in_first[index + 1] - shape.in_first[index]
+            self._unsatisfied[index] = dependency_count - len(each)
+            self._unreleased[index] = dependency_count
 
     @property
     def all_ended(self) -> bool:
-        """Whether every node has ended or never will begin."""
+        """Return True if every node has ended; a skipped or cancelled node has, too."""
         return not any(self.counts[:DONE])
 
-    def counted(self) -> dict[str, int]:
+    def counts_by_state(self) -> dict[str, int]:
         """Return the number of nodes by state."""
         return dict(zip(NODE_STATES, self.counts, strict=True))
 
     def task_dependencies(self, index: int) -> tuple[int, ...]:
-        """Return the nodes that this one waits for task by task."""
-        return self._each.get(index, ())
+        """Return the dependencies that a node waits for task by task."""
+        return self._task_dependencies.get(index, ())
 
-    def is_followed(self, index: int) -> bool:
-        """Whether other nodes wait for its single tasks."""
-        return index in self._followed
+    def has_task_dependents(self, index: int) -> bool:
+        """Return True if other nodes wait for single tasks of a node."""
+        return index in self._task_dependents
 
-    def _set(self, index: int, state: int) -> None:
+    def _set_state(self, index: int, state: int) -> None:
         self.counts[self.state[index]] -= 1
         self.counts[state] += 1
         self.state[index] = state
         if state != GATED:
-            self.near.discard(index)
+            self.nearly_ready.discard(index)
 
-    # -- the beginning --------------------------------------------------------------------------
+    # -- readiness ------------------------------------------------------------------------------
 
     def evaluate_all(self) -> None:
-        """Looks at every node once, after what was known at the start has been told."""
+        """Evaluate every node once, after the releases and ends known at the start are applied."""
         for index in range(self.shape.nodes):
-            self._look(index)
+            self._evaluate(index)
 
-    def _look(self, index: int) -> None:
-        """Makes a node ready when nothing holds it any more."""
-        if self.state[index] != GATED or self._unfired[index]:
+    def _evaluate(self, index: int) -> None:
+        """Make a gated node ready if its dependencies are satisfied.
+
+        With edges per task it is ready once all those dependencies are released or ended and one of
+        its tasks may run.
+        """
+        if self.state[index] != GATED or self._unsatisfied[index]:
             return
-        each = self._each.get(index)
-        if each is not None and not self._any_open(index, each):
+        each = self._task_dependencies.get(index)
+        if each is not None and not self._any_task_unblocked(index, each):
             return
-        self._set(index, READY)
+        self._set_state(index, READY)
         heapq.heappush(self._ready, (-self.tail_s[index], index))
 
-    def _any_open(self, index: int, each: tuple[int, ...]) -> bool:
-        if any(self.state[up] in (GATED, READY) for up in each):
+    def _any_task_unblocked(self, index: int, each: tuple[int, ...]) -> bool:
+        if any(self.state[dependency] in (GATED, READY) for dependency in each):
             return False
-        return any(True for _ in self.open_elements(index))
+        return any(True for _ in self.unblocked_tasks(index))
 
     # -- release --------------------------------------------------------------------------------
 
     def next_ready(self) -> int | None:
-        """The ready node with the longest path behind it; it is handed out once."""
+        """Remove and return the ready node with the longest path behind it; None without any."""
         while self._ready:
             _, index = heapq.heappop(self._ready)
             if self.state[index] == READY:
@@ -141,91 +151,96 @@
 
     @property
     def has_ready(self) -> bool:
-        """Whether a node may be released."""
+        """Return True if a node is to be released."""
         return self.counts[READY] > 0 and bool(self._ready)
 
-    def put_back(self, index: int) -> None:
-        """Its release was not written."""
+    def requeue(self, index: int) -> None:
+        """Queue a ready node again after its release was not executed."""
         if self.state[index] == READY:
             heapq.heappush(self._ready, (-self.tail_s[index], index))
 
     def mark_released(self, index: int) -> None:
-        """It is an ordinary job now."""
+        """Record that a node is an ordinary job now."""
         if self.state[index] > READY:
             return
-        self._set(index, RELEASED)
-        if index in self._followed:
-            self.elements.setdefault(index, bytearray(self.shape.tasks[index]))
-        self._told_followers(index)
+        self._set_state(index, RELEASED)
+        if index in self._task_dependents:
+            self.done_tasks.setdefault(index, bytearray(self.shape.tasks[index]))
+        self._count_release(index)
 
-    def _told_followers(self, index: int) -> None:
-        for follower, _ in self.shape.dependents(index):
-            self._unreleased[follower] -= 1
-            if not self._unreleased[follower] and self.state[follower] == GATED:
-                self.near.add(follower)
+    def _count_release(self, index: int) -> None:
+        for dependent, _ in self.shape.dependents(index):
+            self._unreleased[dependent] -= 1
+            if not self._unreleased[dependent] and self.state[dependent] == GATED:
+                self.nearly_ready.add(dependent)
 
     # -- single tasks ---------------------------------------------------------------------------
 
-    def tasks_done(self, index: int, tasks: list[int]) -> list[tuple[int, int]]:
-        """Tasks of a node are known to be done for good; the (node, task) that this lets go."""
-        elements = self.elements.get(index)
-        if elements is None:
+    def record_tasks_done(self, index: int, tasks: list[int]) -> list[tuple[int, int]]:
+        """Record that tasks of a node are done and committed.
+
+        Return the tasks of released nodes that may run now, as (node, task).
+        """
+        done_tasks = self.done_tasks.get(index)
+        if done_tasks is None:
             return []
         for task in tasks:
-            elements[task] = 1
-        freed: list[tuple[int, int]] = []
-        for follower in self._followed.get(index, ()):
-            self._look(follower)
-            if self.state[follower] == RELEASED:
-                each = self._each[follower]
-                freed += [(follower, t) for t in tasks if self._element_open(each, t)]
-        return freed
-
-    def _element_open(self, each: tuple[int, ...], task: int) -> bool:
-        for up in each:
-            if self.state[up] == DONE:
+            done_tasks[task] = 1
+        unblocked: list[tuple[int, int]] = []
+        for dependent in self._task_dependents.get(index, ()):
+            self._evaluate(dependent)
+            if self.state[dependent] == RELEASED:
+                each = self._task_dependencies[dependent]
+                unblocked += [(dependent, t) for t in tasks if self._is_unblocked(each, t)]
+        return unblocked
+
+    def _is_unblocked(self, each: tuple[int, ...], task: int) -> bool:
+        for dependency in each:
+            if self.state[dependency] == DONE:
                 continue
-            elements = self.elements.get(up)
-            if elements is None or not elements[task]:
+            done_tasks = self.done_tasks.get(dependency)
+            if done_tasks is None or not done_tasks[task]:
                 return False
         return True
 
-    def open_elements(self, index: int) -> Iterator[int]:
-        """The tasks of a node that waits task by task which may run."""
-        each = self._each.get(index, ())
+    def unblocked_tasks(self, index: int) -> Iterator[int]:
+        """Yield the tasks that may run, of a node with edges per task."""
+        each = self._task_dependencies.get(index, ())
         for task in range(self.shape.tasks[index]):
-            if self._element_open(each, task):
+            if self._is_unblocked(each, task):
                 yield task
 
     # -- ends -----------------------------------------------------------------------------------
 
     def record_end(self, index: int, state: int) -> list[int]:
-        """A node has ended; returns released nodes all of whose tasks may run now.
+        """Record that a node has ended, and skip the nodes that can't run any more.
 
-        Nodes that become ready are handed out by `next_ready`, those that can't end are in `stuck`.
+        Return the released nodes that waited for its single tasks: more of their tasks may run now.
+        Nodes that become ready are returned by `next_ready`; released nodes that can't end any more
+        are added to `stuck`.
         """
-        freed: list[int] = []
-        told = [(index, state)]
-        while told:
-            node, how = told.pop()
-            before = self.state[node]
-            if before >= DONE:
+        unblocked: list[int] = []
+        ended = [(index, state)]
+        while ended:
+            node, end_state = ended.pop()
+            previous_state = self.state[node]
+            if previous_state >= DONE:
                 continue
-            if before == RELEASED and how == SKIPPED and node != index:
-                # Its job exists, and ends by a record of its own.
+            if previous_state == RELEASED and end_state == SKIPPED and node != index:
+                # Its job exists and is ended by its own record.
                 self.stuck.append(node)
                 continue
-            self._set(node, how)
-            self.elements.pop(node, None)
-            if before < RELEASED:
-                self._told_followers(node)
-            for follower, kind in self.shape.dependents(node):
-                if not _fires(kind, how):
-                    told.append((follower, SKIPPED))
+            self._set_state(node, end_state)
+            self.done_tasks.pop(node, None)
+            if previous_state < RELEASED:
+                self._count_release(node)
+            for dependent, kind in self.shape.dependents(node):
+                if not _is_satisfied(kind, end_state):
+                    ended.append((dependent, SKIPPED))
                     continue
                 if kind != PER_TASK:
-                    self._unfired[follower] -= 1
-                elif self.state[follower] == RELEASED:
-                    freed.append(follower)
-                self._look(follower)
-        return freed
+                    self._unsatisfied[dependent] -= 1
+                elif self.state[dependent] == RELEASED:
+                    unblocked.append(dependent)
+                self._evaluate(dependent)
+        return unblocked
