--- a/tealrill/simulation/__init__.py
+++ b/tealrill/simulation/__init__.py
@@ -2,9 +2,9 @@
 
 The controllers are the real `daemon.Controller`; the network, the state service, the cloud, the
 workers and the users are small state machines written from the protocol. Faults are drawn from a
-seed, and the protocol's invariants are checked on the true state of the simulation. The same seed
-gives the same day.
+seed, and the protocol's invariants are checked on the true state of the simulation. Runs with the
+same seed are identical.
 
-Never imported by the daemon. Not simulated: processor time, sockets, memory, packet loss and
-retransmission, clock drift. What a day shows holds for the simulation only.
+The daemon never imports this package. Processor time, sockets, memory, packet loss and
+retransmission, and clock drift are not simulated, so a run says nothing about them.
 """
--- a/tealrill/simulation/__main__.py
+++ b/tealrill/simulation/__main__.py
@@ -1,11 +1,11 @@
-"""Simulated days of troubles, to find broken rules.
+"""Simulation runs with random faults, to find violations of the invariants.
 
     python3 -m tealrill.simulation hunt --days 20 --seed 1
     python3 -m tealrill.simulation hunt --days 1 --seed 17 --log
     python3 -m tealrill.simulation digest tests/data/day_digests.json
 
-Exit status 1 if a rule broke, with the day's seed and its troubles. What a day shows is of the
-simulated world that docs/design.md tells of.
+On a violation the seed and the events of the run are printed, and the exit status is 1.
+docs/design.md says what the simulation covers.
 """
 
 from __future__ import annotations
@@ -33,13 +33,13 @@
 
 @main.command()
 @click.option("--days", type=click.IntRange(min=1), default=10)
-@click.option("--seed", type=click.IntRange(min=0), default=1, help="Of the first day.")
+@click.option("--seed", type=click.IntRange(min=0), default=1, help="Seed of the first run.")
 @click.option("--nodes", type=click.IntRange(min=1, max=7), default=3)
 @click.option("--machines", type=click.IntRange(min=1, max=60), default=8)
 @click.option("--for-s", type=click.FloatRange(min=30.0, max=1000.0), default=150.0)
-@click.option("--log", is_flag=True, help="The nodes' log, at the level debug.")
+@click.option("--log", is_flag=True, help="Print the controllers' log at level debug.")
 def hunt(days: int, seed: int, nodes: int, machines: int, for_s: float, log: bool) -> None:
-    """Plays days with other luck."""
+    """Simulate clusters with random faults, each with its own seed."""
     if log:
         handler = logging.StreamHandler(sys.stdout)
         handler.setFormatter(_Format())
@@ -52,11 +52,11 @@
         terminated = sum(job.cancelled_at is not None for job in world.jobs.values())
         click.echo(
             f"seed {day}: {len(world.jobs)} jobs, {done} done, {terminated} cancelled, "
-            f"{world.starts} starts, {len(world.broken)} rules broken"
+            f"{world.starts} starts, {len(world.broken)} invariants violated"
         )
         if world.broken:
             bad += 1
-            for line in [*world.events, *(f"BROKEN {text}" for text in world.broken[:10])]:
+            for line in [*world.events, *(f"VIOLATED {text}" for text in world.broken[:10])]:
                 click.echo(f"  {line}")
     if bad:
         sys.exit(1)
@@ -64,10 +64,10 @@
 
 @main.command()
 @click.argument("file", type=click.Path(dir_okay=False, path_type=Path))
-@click.option("--jobs", type=click.IntRange(min=1), default=4, help="Processes side by side.")
-@click.option("--record", is_flag=True, help="Write the digests of this code into the file.")
+@click.option("--jobs", type=click.IntRange(min=1), default=4, help="Number of parallel processes.")
+@click.option("--record", is_flag=True, help="Write the digests of this code to FILE.")
 def digest(file: Path, jobs: int, record: bool) -> None:
-    """Plays the days of FILE and holds their digests against those recorded in it."""
+    """Simulate the runs of FILE and compare their digests with the recorded ones."""
     if record:
         write_days(file, jobs)
         return
--- a/tealrill/simulation/active_faults.py
+++ b/tealrill/simulation/active_faults.py
@@ -1,4 +1,4 @@
-"""The faults that are active in a simulated cluster at present."""
+"""The currently active faults of a simulated cluster."""
 
 from __future__ import annotations
 
@@ -7,38 +7,38 @@
 
 @dataclass
 class ActiveFaults:
-    """Faults of links, processes and users; those of a service are in the service itself.
+    """Faults of links, processes and users; faults of a service are attributes of that service.
 
     Shares lie between 0 and 1. By default there are no faults.
     """
 
     cut_links: set[frozenset[str]] = field(default_factory=set)
-    """Links that lose everything, each as its two ends; "workers" stands for all machines."""
+    """Cut links, each as a pair of endpoint names; "workers" stands for all machines."""
     paused: set[str] = field(default_factory=set)
-    """Controllers whose processes are paused: requests to them and answers to theirs wait."""
+    """Controllers with a paused process: requests to them and responses to theirs are delayed."""
     isolated_zones: set[str] = field(default_factory=set)
     """Zones that are partitioned from everything outside."""
     zones_partitioned: bool = False
     """Whether the zones are partitioned from each other, but not from the services."""
     inbound_partitioned: set[str] = field(default_factory=set)
-    """Machines that receive nothing from controllers."""
+    """Machines that receive neither commands nor heartbeat responses."""
     outbound_partitioned: set[str] = field(default_factory=set)
-    """Machines that can't open connections to controllers."""
+    """Machines whose heartbeats don't arrive; direct commands still reach them."""
     must_stay_idle: set[str] = field(default_factory=set)
-    """Machines that must not be given work now: an expectation, checked by the invariants."""
+    """Machines on which no task may start now: not a fault but an expectation of the invariants."""
     duplicate_share: float = 0.0
     """Share of heartbeats of which a duplicate is delivered later."""
     replay_share: float = 0.0
     """Share of heartbeats that are replayed to all controllers at the next election."""
     close_polling: bool = False
-    """Whether users poll all controllers at once when an answer has changed."""
+    """Whether a user whose job's status has changed polls all controllers at once."""
     cancel_at_end_share: float = 0.0
     """Share of jobs that are cancelled at the moment of their end."""
     invalid_requests: bool = False
     """Whether users send invalid and repeated requests."""
     command_delay_s: float = 0.0
-    """The longest delay of commands, and of their answers."""
+    """Maximum delay of commands and of their responses, in seconds."""
     link_delay_s: float = 0.0
-    """The longest delay of each way between two endpoints, beside the usual latency."""
+    """Maximum one-way delay between two endpoints on top of the usual latency, in seconds."""
     cancel_in_flight: bool = False
-    """Whether jobs are cancelled while the start of one of their tasks is delayed."""
+    """Whether a job is cancelled while a start command of one of its tasks is delayed."""
--- a/tealrill/simulation/clock.py
+++ b/tealrill/simulation/clock.py
@@ -1,4 +1,4 @@
-"""Simulated time: an event loop that never waits, and the clocks that processes read."""
+"""Simulated time: an event loop that never waits, and the clocks that the controllers read."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from tealrill import types
 
 STEADY_AT = 1_000.0
-"""The monotonic clock at the beginning, in seconds."""
+"""Value of the monotonic clock at the beginning of a run, in seconds."""
 _WALL_AT = 1_700_000_000.0
 
 
@@ -28,20 +28,20 @@
     loop: Loop
 
     def select(self, timeout: float | None = None) -> list[Any]:
-        """Return the files that are ready, or advance the time by `timeout` seconds."""
+        """Return the files that are ready; if there are none, advance the time by `timeout` s."""
         found = super().select(0)
         if not found:
             if timeout is None:
-                raise RuntimeError("nothing is left that could happen")
+                raise RuntimeError("simulation is stuck: no timer is set and no file is ready")
             self.loop.passed += max(0.0, timeout)
         return found
 
 
 class NumberedTask(asyncio.Task[Any]):
-    """A task whose hash is its number within the day.
+    """A task whose hash is its sequence number within the run.
 
-    Task groups cancel their tasks in the order of a set. With hashes made from memory addresses the
-    same seed gave other days from run to run.
+    Task groups cancel their tasks in the order of a set. With the default hash, which depends on
+    the memory address, runs with the same seed would differ.
     """
 
     def __init__(self, work: Coroutine[Any, Any, Any], *, loop: Loop, **more: Any) -> None:
@@ -53,10 +53,10 @@
 
 
 class NumberedTimer(asyncio.TimerHandle):
-    """A timer that fires after those set before it for the same moment.
+    """A timer that fires after earlier-set timers for the same time.
 
-    The loop's heap alone leaves open which of them goes first. That hung on cancelled timers, which
-    leave the heap when garbage is collected.
+    The loop's heap alone doesn't order timers of equal time: their order would depend on when
+    cancelled timers are removed from the heap, and so on garbage collection.
     """
 
     def __init__(self, number: int, *details: Any) -> None:
@@ -69,7 +69,7 @@
 
 
 class Loop(asyncio.SelectorEventLoop):
-    """An event loop that runs what is due, then jumps to the moment of what is due next."""
+    """An event loop that runs what is due, then advances its time to the next timer."""
 
     def __init__(self) -> None:
         self.passed = 0.0
@@ -81,7 +81,7 @@
         super().__init__(selector)
 
     def time(self) -> float:
-        """Return the simulated time in seconds since the loop was made."""
+        """Return the simulated time since the loop was created, in seconds."""
         return self.passed
 
     def call_at(  # type: ignore[override]  # typeshed ties the arguments to the callback
@@ -91,7 +91,7 @@
         *args: Any,
         context: contextvars.Context | None = None,
     ) -> asyncio.TimerHandle:
-        """Set a timer, as the base class does, with a total order of the timers."""
+        """Set a timer as the base class does, but with a total order of all timers."""
         timer = NumberedTimer(next(self.timer_numbers), when, callback, args, self, context)
         timer._scheduled = True
         heapq.heappush(self._scheduled, timer)
@@ -99,13 +99,13 @@
 
 
 async def _in_this_thread(function: Callable[..., Any], *args: Any, **more: Any) -> Any:
-    """Stand in for `asyncio.to_thread`: a thread's end would come at a moment of chance."""
+    """Replace `asyncio.to_thread`, since a real thread would end at an unpredictable time."""
     return function(*args, **more)
 
 
 @contextlib.contextmanager
 def simulated(seed: int) -> Iterator[tuple[Loop, random.Random]]:
-    """Yield a loop and a random generator, which drive the clocks and random numbers in use."""
+    """Yield a loop and a random generator; patch the clocks and random sources to be simulated."""
     loop = Loop()
     rng = random.Random(seed)
     own = random.Random(f"program/{seed}")
--- a/tealrill/simulation/cloud_service.py
+++ b/tealrill/simulation/cloud_service.py
@@ -1,4 +1,4 @@
-"""The stand-in for the cloud, written from the protocol."""
+"""A fake of the cloud service, written from the protocol."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass
 class Machine:
-    """One rented machine; its worker starts at `up_at`."""
+    """One rented machine; its worker starts at `up_at` unless it is terminated before."""
 
     id: str
     addr: str
@@ -28,7 +28,7 @@
 
 
 class CloudService:
-    """A cloud with one machine type in two zones, whose lists lag; calling it handles a request."""
+    """A cloud with one machine type in two zones; its machine lists lag. Call it with a request."""
 
     VCPUS: Final = 8.0
     BOOT_S: Final = 6.0
@@ -42,9 +42,9 @@
     def __init__(self, rng: random.Random, now: Callable[[], float], most: int) -> None:
         self.rng, self.now, self.most = rng, now, most
         self.at_once = False
-        """New machines are up within two seconds."""
+        """Whether new machines boot within two seconds."""
         self.answers_s = 0.0
-        """The longest delay of the answer to a rental, which is carried out at once."""
+        """Maximum delay of the response to a rental, which itself takes effect at once; seconds."""
         self.machines: dict[str, Machine] = {}
         self.answers: dict[str, list[str]] = {}
         self.booted: Callable[[Machine], None] = lambda _: None
@@ -71,11 +71,11 @@
         return 200, {"kilns": [self._line(m) for m in listed], "truncated": False}
 
     def alive(self) -> list[Machine]:
-        """Return the machines that are rented and neither released nor failed."""
+        """Return the machines that are not terminated."""
         return [m for m in self.machines.values() if not m.terminated]
 
     def take(self, machine: Machine) -> None:
-        """Terminate a machine, and with it all that runs there."""
+        """Terminate a machine together with its tasks."""
         machine.terminated = True
         self.taken(machine)
 
--- a/tealrill/simulation/cluster.py
+++ b/tealrill/simulation/cluster.py
@@ -1,4 +1,4 @@
-"""The simulated cluster: composition, fault state, and the controllers' processes."""
+"""The simulated cluster: its parts, its fault state, and the controllers' processes."""
 
 from __future__ import annotations
 
@@ -36,12 +36,12 @@
 
 
 class SimulatedCluster:
-    """All parts of one simulated day, and its faults; violated invariants are in `broken`."""
+    """All parts of one simulation run and its active faults; `broken` lists the violations."""
 
     def __init__(self, loop: Loop, rng: random.Random, shape: Shape) -> None:
         self.loop, self.rng, self.shape = loop, rng, shape
         self.digest = TrafficDigest()
-        """Over all that crosses the network and all that is written to the state service."""
+        """Covers all network traffic and all changes of the state service."""
         self.state = StateService(rng, self.now)
         self.state.written = lambda changes: self.digest.add(self.now(), STATE, changes)
         self.network, self.worker_fleet = Network(self), WorkerFleet(self)
@@ -58,23 +58,23 @@
         self.jobs: dict[str, UserJob] = {}
         self.broken: list[str] = []
         self.rules: set[str] = set()
-        """Those that are broken, by name."""
+        """Names of the violated invariants."""
         self.breached: Callable[[str], object] = lambda _: None
         self.events: list[str] = []
         self.calm_since = math.inf
-        """When the last trouble ended."""
+        """When the last fault ended and the quiet period began; infinite while there are faults."""
         self.starts = 0
         self._tasks: set[asyncio.Task[Any]] = set()
         self._context = contextvars.copy_context()
-        """The world's own, in which no process runs."""
+        """Context of the simulation's own tasks, which belong to no process."""
         loop.set_task_factory(create_process_task)  # type: ignore[arg-type]
 
     def now(self) -> float:
-        """Return the seconds since the day began."""
+        """Return the simulated time since the beginning of the run, in seconds."""
         return self.loop.passed
 
     def note(self, text: str) -> None:
-        """Append an event of the day."""
+        """Append an event to the log of the run."""
         self.events.append(f"{self.now():9.3f} {text}")
 
     def breach(self, rule: str, text: str) -> None:
@@ -84,14 +84,14 @@
         self.breached(rule)
 
     def begin(self, work: Coroutine[Any, Any, Any], context: Any = None) -> asyncio.Task[Any]:
-        """Begin a task, without a context one that belongs to no process."""
+        """Start a task in the process of `context`; without a context it belongs to no process."""
         task = self.loop.create_task(work, context=context or self._context)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         return task
 
     def start(self, host: Host) -> None:
-        """Start the controller's process on a host, unless one runs."""
+        """Start a controller process on the host unless one is running."""
         if host.node is not None:
             return
         host.context = contextvars.copy_context()
@@ -109,17 +109,17 @@
             self.breach("ended", f"{host.name}: {task.exception()!r}")
 
     def end(self, host: Host, back_s: float) -> None:
-        """Kill the process, and start another one after `back_s`."""
+        """Kill the controller process, and start a new one after `back_s` seconds."""
         if host.node is None or host.process is None:
             return
-        self.note(f"{host.name} ends, back in {back_s:.2f} s")
+        self.note(f"controller killed: host={host.name} restart_s={back_s:.2f}")
         host.node = None
         for task in list(host.process.tasks):
             task.cancel()
         self.loop.call_later(back_s, self.start, host, context=self._context)
 
     def leader(self) -> Host | None:
-        """Return the host whose controller believes to lead, that of the latest term."""
+        """Return the host whose controller considers itself leader; the latest term wins."""
         leading = [
             (h.node.election.leadership.term, h.name)
             for h in self.hosts.values()
@@ -132,13 +132,13 @@
         return [worker for worker in self.workers.values() if not worker.machine.terminated]
 
     def add_foreign_job(self, name: str, body: dict[str, Any]) -> None:
-        """Add a job that no user of its own submits and polls."""
+        """Register a job that is not submitted and polled by a simulated user of its own."""
         self.jobs[name] = UserJob(name, body)
 
 
 @contextlib.contextmanager
 def connected(seed: int, shape: Shape) -> Iterator[SimulatedCluster]:
-    """Return a cluster whose network carries the requests of the controllers' HTTP clients."""
+    """Yield a cluster whose simulated network carries the controllers' HTTP requests."""
     with simulated(seed) as (loop, rng):
         world = SimulatedCluster(loop, rng, shape)
 
@@ -150,7 +150,7 @@
             timeout_s: float = 2.0,
             check: Callable[[], None] | None = None,
         ) -> Answer:
-            # What a paused process sends, and the answers to it, wait.
+            # A paused process neither sends requests nor receives responses.
             name = PROCESS.get().name
             await world.network.wait_until_resumed(name)
             try:
--- a/tealrill/simulation/day_digests.py
+++ b/tealrill/simulation/day_digests.py
@@ -1,4 +1,4 @@
-"""Digests of simulated days, recorded in a file and compared with those of the present code."""
+"""Digests of simulation runs, recorded in a file and compared with those of the current code."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class RecordedDay(msgspec.Struct, frozen=True, kw_only=True):
-    """One day and the digest of its traffic; an empty digest was not taken yet."""
+    """One simulation run and the digest of its traffic, which is empty if not yet computed."""
 
     seed: int
     controllers: int
@@ -26,30 +26,30 @@
 
     @property
     def name(self) -> str:
-        """Return what tells this day from the others."""
+        """Description of the run, unique among the recorded ones."""
         graphs = "with" if self.graphs else "without"
         return f"seed {self.seed}, {self.controllers} controllers, {graphs} graphs"
 
 
 def digest_of(day: RecordedDay) -> str:
-    """Play the day and return the digest of its traffic."""
+    """Repeat the run and return the digest of its traffic."""
     shape = Shape(nodes=day.controllers, graphs=day.graphs)
     return play(day.seed, shape, _TROUBLE_S).digest.hexdigest()
 
 
 def differing_days(days: Sequence[RecordedDay], processes: int) -> list[RecordedDay]:
-    """Play the days side by side and return those whose digest is not the recorded one."""
+    """Repeat the runs in parallel and return those whose digest differs from the recorded one."""
     digests = _digests(days, processes)
     return [day for day, found in zip(days, digests, strict=True) if day.sha256 != found]
 
 
 def read_days(file: Path) -> list[RecordedDay]:
-    """Read the recorded days."""
+    """Read the recorded runs from a file."""
     return msgspec.json.decode(file.read_bytes(), type=list[RecordedDay])
 
 
 def write_days(file: Path, processes: int) -> None:
-    """Record this code's digests: three and five controllers, with and without graphs."""
+    """Write the digests of this code to a file: 3 and 5 controllers, with and without graphs."""
     kinds = [(controllers, graphs) for controllers in (3, 5) for graphs in (False, True)]
     days = [
         RecordedDay(seed=seed, controllers=controllers, graphs=graphs)
--- a/tealrill/simulation/graph_users.py
+++ b/tealrill/simulation/graph_users.py
@@ -1,4 +1,4 @@
-"""Users of the simulation who submit small graphs of dependent jobs."""
+"""Simulated users who submit small graphs of dependent jobs."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 _RUN_S: Final = 4.0
 _VCPUS: Final = 2.0
 _PAUSE_S: Final = (8.0, 20.0)
-"""Between two graphs, from and to."""
+"""Shortest and longest pause between two graphs, in seconds."""
 _JOB: Final[dict[str, Any]] = {
     "lineup": "any", "shape": "sweep", "urgency": "urgent", "pieces": 1, "vcpus": _VCPUS,
     "gpus": 0.0, "memoryGb": 1.0, "bundle": "img", "sizeGb": 0.1, "builds": None, "hall": None,
@@ -28,7 +28,7 @@
 
 
 async def submit_graphs(world: SimulatedCluster, teams: tuple[str, ...], until_s: float) -> None:
-    """Submit a graph of two nodes every few seconds, each to a node drawn by chance."""
+    """Submit a graph of two nodes every 8 to 20 s, each to a random controller, until `until_s`."""
     number = 0
     while world.now() < until_s:
         await asyncio.sleep(world.rng.uniform(*_PAUSE_S))
--- a/tealrill/simulation/invariants.py
+++ b/tealrill/simulation/invariants.py
@@ -15,19 +15,19 @@
     from tealrill.simulation.cluster import SimulatedCluster
 
 ANSWER_WITHIN_S: Final = 75.0
-"""Within this time after the last fault every job must have had an answer."""
+"""Longest time after the last fault without a response about an open job."""
 PLACE_WITHIN_S: Final = 90.0
-"""The longest time that a task may wait beside room for it once all faults are over."""
+"""Longest time in the quiet period that a task may wait while a machine has room for it."""
 
 
 class Invariants:
-    """Checks the invariants; violations are recorded by the cluster."""
+    """Checks the invariants; the cluster records the violations."""
 
     def __init__(self, world: SimulatedCluster) -> None:
         self.world = world
 
     def check_start(self, worker: Worker, name: str) -> None:
-        """Check a task that starts to run: exclusion, constraints, cancellation and quota."""
+        """Check a task that begins to run: no second copy, constraints, cancellation and quota."""
         self.world.starts += 1
         own = worker.machine
         for other in self.world.up():
@@ -59,7 +59,7 @@
             self.world.breach("quota", f"{used} vcpus of {job.body['crew']} in use")
 
     async def watch(self) -> None:
-        """Check the invariants that are violated when something lasts for too long."""
+        """Check time limits twice a second: cancelled jobs, waiting tasks and missing responses."""
         said: set[str] = set()
         while True:
             await asyncio.sleep(0.5)
@@ -77,15 +77,17 @@
                 open_ = job.accepted and not job.over
                 if self._waits_beside_room(job, open_, now):
                     said.add(job.id)
-                    self.world.breach("waited", f"{job.id}: {PLACE_WITHIN_S:.0f} s beside room")
+                    self.world.breach(
+                        "waited", f"{job.id}: a machine had room for {PLACE_WITHIN_S:.0f} s"
+                    )
                 if open_ and now - max(job.answered_at, self.world.calm_since) > ANSWER_WITHIN_S:
                     said.add(job.id)
                     self.world.breach(
-                        "forgotten", f"{job.id}: no answer for {ANSWER_WITHIN_S:.0f} s"
+                        "forgotten", f"{job.id}: no response for {ANSWER_WITHIN_S:.0f} s"
                     )
 
     def _waits_beside_room(self, job: UserJob, open_: bool, now: float) -> bool:
-        """Return whether a task has waited too long although a machine has room for it."""
+        """Return True if a task has waited for too long while a machine had room for it."""
         if not open_ or now < self.world.calm_since or not self._has_room(job):
             job.beside_since = None
             return False
@@ -119,7 +121,7 @@
         )
 
     def check_commands(self, name: str, commands: list[dict[str, Any]]) -> None:
-        """Check that no start leaves a controller that knows that its job has ended."""
+        """Check that a controller sends no start command of a job that it knows has ended."""
         for command in commands:
             if command["verb"] == wire.START and self._is_known_to_have_ended(
                 name, command["piece"]
@@ -129,7 +131,7 @@
     def check_renewal(
         self, name: str, heartbeat: dict[str, Any], commands: list[dict[str, Any]]
     ) -> None:
-        """Check that a lease is renewed only with the stops of what the leader knows has ended."""
+        """Check that a renewal stops every listed task whose job the leader knows has ended."""
         stopped = {(c["piece"], c["try"]) for c in commands if c["verb"] == wire.STOP}
         for line in heartbeat["pieces"]:
             if (
@@ -140,7 +142,7 @@
                 self.world.breach("renewed_unstopped", f"{line['piece']} by {name}")
 
     def _is_known_to_have_ended(self, name: str, task: str) -> bool:
-        """Return whether the leader on that host, if there is one, knows that the job has ended."""
+        """Return True if a leader runs on that host and knows that the task's job has ended."""
         node = self.world.hosts[name].node
         if node is None or node.leader is None:
             return False
--- a/tealrill/simulation/network.py
+++ b/tealrill/simulation/network.py
@@ -26,13 +26,13 @@
 
 
 class Network:
-    """Carries requests between controllers, services and machines; the cluster has its faults."""
+    """Carries requests between controllers, services and machines, subject to the active faults."""
 
     def __init__(self, world: SimulatedCluster) -> None:
         self.world = world
 
     def endpoint_of(self, address: Address) -> str:
-        """Return the name of the service, controller or machine that listens there."""
+        """Return the name of the service, controller or machine that listens on the address."""
         if address.host == "10.2.0.1":
             return STATE
         if address.host == "10.2.0.2":
@@ -51,7 +51,7 @@
         )
 
     def partitioned(self, one: str, other: str) -> bool:
-        """Return whether the link between two endpoints is cut."""
+        """Return True if no messages pass between the two endpoints."""
         if self.world.active_faults.isolated_zones or self.world.active_faults.zones_partitioned:
             zones = self._zone_of(one), self._zone_of(other)
             if zones[0] != zones[1] and (
@@ -63,12 +63,12 @@
         return pair in self.world.active_faults.cut_links
 
     async def wait_until_resumed(self, name: str) -> None:
-        """Return once that controller's process is not paused."""
+        """Wait until the controller's process is not paused."""
         while name in self.world.active_faults.paused:
             await asyncio.sleep(0.05)
 
     async def delay(self) -> None:
-        """Wait for the latency of one way."""
+        """Wait for the one-way latency of a link."""
         await asyncio.sleep(
             self.world.rng.uniform(0.0003, 0.002)
             + self.world.rng.uniform(0.0, self.world.active_faults.link_delay_s)
@@ -83,14 +83,14 @@
         timeout_s: float,
         check: Callable[[], None] | None,
     ) -> Answer:
-        """Carry one request of a controller and its answer, as `http.Client.request` does.
+        """Carry one request of a controller and return the response, as `http.Client.request` does.
 
         Raises:
-            NoAnswerError: A partition, a host without a process, or no answer within `timeout_s`.
+            NoAnswerError: A partition, a host without a process, or no response within `timeout_s`.
         """
         source, place = PROCESS.get().name, self.endpoint_of(address)
         if place.startswith("m-"):
-            # Checked as they leave: what the controller learns later comes too late.
+            # Checked when sent: what the controller learns afterwards can't affect these commands.
             self.world.invariants.check_commands(
                 source, orjson.loads(body or b"{}").get("orders", [])
             )
@@ -160,7 +160,11 @@
     async def _call_worker(
         self, source: str, place: str, method: str, path: str, body: bytes | None
     ) -> Reply:
-        """Pass a request to a machine's worker, once the machine is not paused."""
+        """Pass a request to a machine's worker once the machine is not paused.
+
+        Raises:
+            NoReplyError: The machine is terminated or has not booted.
+        """
         worker = self.world.workers.get(place)
         while worker is not None and worker.hung_at is not None:
             await asyncio.sleep(0.05)
--- a/tealrill/simulation/process.py
+++ b/tealrill/simulation/process.py
@@ -1,4 +1,4 @@
-"""Processes of controllers: their tasks, settings and hosts."""
+"""Controller processes and their hosts, and the configuration of the simulated cluster."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from tealrill.simulation.clock import Loop, NumberedTask
 
 PROCESS: contextvars.ContextVar[Process] = contextvars.ContextVar("process")
-"""The process whose code runs; not set in the simulation's own tasks."""
+"""The process to which the running task belongs; not set in the simulation's own tasks."""
 TEAMS: Final = ("blue", "red")
 
 
@@ -27,7 +27,7 @@
 
     name: str
     tasks: dict[asyncio.Task[Any], None] = field(default_factory=dict)
-    """In the order in which they began: a set's order differs from run to run."""
+    """In order of creation, so that they are cancelled in the same order in every run."""
 
 
 def create_process_task(
@@ -35,7 +35,7 @@
     work: Coroutine[Any, Any, Any],
     context: contextvars.Context | None = None,
 ) -> asyncio.Task[Any]:
-    """Create a task that belongs to the process that began it, if one did."""
+    """Create a task in the process that is set in its context, or in none."""
     found = NumberedTask(work, loop=loop, context=context)
     process = context.get(PROCESS) if context is not None else PROCESS.get(None)
     if process is not None:
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True)
 class Shape:
-    """The size and settings of a deployment, and the load on it."""
+    """Size and settings of a simulated cluster, and the load on it."""
 
     nodes: int = 3
     machines: int = 8
@@ -54,22 +54,22 @@
     lease_s: float = 8.0
     cancel_s: float = 28.0
     limit_vcpus: float = 40.0
-    """Quota of each team."""
+    """Quota of each team, in processors."""
     every_s: float = 4.0
-    """Mean time between two jobs."""
+    """Mean time between two submissions of jobs, in seconds."""
     jobs: tuple[tuple[int, float], ...] = ((1, 4.0), (2, 9.0), (3, 15.0), (6, 8.0), (2, 60.0))
-    """Numbers of tasks and run times in seconds that jobs are drawn from."""
+    """Number of tasks and run time in seconds of each kind of job; jobs are drawn from these."""
     cancelled: float = 0.4
-    """Share of jobs that are cancelled by their users."""
+    """Share of jobs that their users cancel."""
     saving: float = 0.3
     """Share of jobs whose tasks have checkpoints."""
     zoned: float = 1 / 3
-    """Share of jobs with several tasks that have a constraint on zones."""
+    """Share of the jobs with several tasks that have a placement constraint on zones."""
     graphs: bool = False
-    """Whether users submit graphs of dependent jobs too."""
+    """Whether users also submit graphs of dependent jobs."""
 
     def settings(self, number: int) -> Settings:
-        """Return the settings of one controller."""
+        """Return the settings of the controller with that number."""
         hosts = [f"host-{n}" for n in range(self.nodes)]
         values = {
             "host_name": hosts[number],
@@ -98,7 +98,7 @@
         return settings.parse(orjson.dumps(values))
 
     def features(self) -> Features:
-        """Return the features that every controller has switched on."""
+        """Return the features that are enabled on every controller."""
         return Features(graphs=GraphFeatures(on=self.graphs))
 
 
@@ -108,7 +108,7 @@
 
 
 class SocketlessController(Controller):
-    """A controller that the simulation calls directly; it opens no sockets."""
+    """A controller without sockets: the simulation calls its handlers directly."""
 
     def _listen(self) -> None:
         return
@@ -116,7 +116,7 @@
 
 @dataclass
 class Host:
-    """The host of a controller and its process; `node` is None while no process runs."""
+    """A controller's host and its process; `node` is None while no process runs."""
 
     name: str
     node: SocketlessController | None = None
--- a/tealrill/simulation/replies.py
+++ b/tealrill/simulation/replies.py
@@ -1,4 +1,4 @@
-"""What a simulated service answers to a request."""
+"""Responses of the simulated services."""
 
 from __future__ import annotations
 
@@ -11,4 +11,4 @@
 
 
 class NoReplyError(TealrillError):
-    """The request was received, and is never answered."""
+    """The request gets no response; it may have been executed."""
--- a/tealrill/simulation/scenario.py
+++ b/tealrill/simulation/scenario.py
@@ -1,4 +1,4 @@
-"""A simulated day: arrivals of jobs, faults, and the calm after them."""
+"""A simulation run: job arrivals, faults, and the quiet period after them."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 _SAVE_S: Final = 1.5
 
 Script = Callable[[SimulatedCluster], Coroutine[Any, Any, None]]
-"""The faults of a day; it returns when all of them have ended."""
+"""Injects the faults of a run; returns once all of them have ended."""
 
 
 def play(
@@ -30,11 +30,16 @@
     calm_s: float = max(ANSWER_WITHIN_S, PLACE_WITHIN_S) + 60.0,
     until: str = "",
 ) -> SimulatedCluster:
-    """Play one day: faults, then `calm_s` without any, in which every job that can has to end.
-
-    Without `script` the faults are drawn from the seed for `trouble_s`. With `until` the day ends
-    once that invariant is violated. Jobs left over are looked for only if the calm is at least as
-    long as a job may go without an answer.
+    """Simulate a cluster with faults, then a quiet period in which all accepted jobs must end.
+
+    Args:
+        seed: Seed of all random draws.
+        shape: Size, settings and load of the cluster.
+        trouble_s: How long jobs arrive and, without a `script`, faults are drawn; seconds.
+        script: Injects the faults of the run; by default they are drawn from the seed.
+        calm_s: Length of the quiet period, in seconds. Unfinished jobs count as violations only if
+            it is at least `ANSWER_WITHIN_S`, since a shorter one leaves them too little time.
+        until: The run ends once this invariant is violated.
     """
     with connected(seed, shape or Shape()) as world:
         asyncio.set_event_loop(world.loop)
@@ -71,13 +76,13 @@
     await asyncio.sleep(20.0)
     await script(world)
     world.calm_since = world.now()
-    world.note("all troubles are over")
+    world.note("all faults have ended")
     await asyncio.sleep(calm_s)
     if world.starts == 0:
         world.breach("nothing_ran", "no task was started")
     for job in world.jobs.values() if calm_s >= ANSWER_WITHIN_S else ():
         if job.accepted and not job.asked_to_cancel and not job.tasks <= world.results:
-            world.breach("left", f"{job.id} did not run to its end")
+            world.breach("left", f"{job.id} was accepted and has not completed")
 
 
 async def _close(world: SimulatedCluster) -> None:
--- a/tealrill/simulation/state_service.py
+++ b/tealrill/simulation/state_service.py
@@ -1,4 +1,4 @@
-"""The stand-in for the state service, written from the protocol."""
+"""A fake of the state service, written from the protocol."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 class StateService:
-    """A key-value store with versions, leases and watches, and the faults injected into it.
+    """A key-value store with versions, leases and watches, into which faults can be injected.
 
-    Faults: outages, refusal of single controllers, transactions carried out late, lost answers,
-    slow answers. Calling it handles one request.
+    Faults: outages, rejection of single controllers, transactions executed late, lost and slow
+    responses. Call it with a request.
     """
 
     def __init__(self, rng: random.Random, now: Callable[[], float]) -> None:
@@ -26,24 +26,25 @@
         self.epoch = 0
         self.log: list[tuple[int, dict[str, Any]]] = []
         self.leases: dict[int, tuple[float, float]] = {}
-        """By number: when it expires, and its length, both in seconds."""
+        """By number: when the lease expires, and its time to live, both in seconds."""
         self.down = False
         self.refused: set[str] = set()
         self.late = 0.0
-        """Share of transactions that get no answer and are carried out later."""
+        """Share of the transactions with changes that get no response and are executed later."""
         self.lost = 0.0
-        """Share of changes that are carried out at once and whose answer alone is lost."""
+        """Share of the transactions and lease requests that are executed but get no response."""
         self.slow_s = 0.0
+        """Maximum time before a request is handled, in seconds; the minimum is 0.3 of it."""
         self.scan_s = 0.0
-        """How long reading a range takes."""
+        """How long reading a range of keys takes, in seconds."""
         self.written: Callable[[list[dict[str, Any]]], None] = lambda _: None
-        """Called with the changes of each transaction that is carried out."""
+        """Called with the changes of each transaction that is executed."""
         self._numbers = 0
         self._changed = asyncio.Event()
         self._tasks: set[asyncio.Task[None]] = set()
 
     def outage(self, begins: bool) -> None:
-        """Begin or end an outage; at its end every lease has its full time again."""
+        """Begin or end an outage; its end renews every lease for its full time to live."""
         if self.down and not begins:
             self.leases = {n: (self.now() + ttl, ttl) for n, (_, ttl) in self.leases.items()}
         self.down = begins
@@ -54,7 +55,7 @@
         self._changed = asyncio.Event()
 
     def expire(self) -> None:
-        """Delete the leases that have expired, with their keys; an outage stops the clock."""
+        """Delete expired leases and their keys; during an outage no lease expires."""
         if self.down:
             return
         over = {n for n, (until, _) in self.leases.items() if until <= self.now()}
@@ -152,7 +153,7 @@
         since, under = int(query["from"]), query["under"]
         until = self.now() + int(query.get("holdMs", "0")) / 1000
         while True:
-            # In an outage, and where one is refused, open watches wait.
+            # During an outage, or while the source is refused, open watches stay open.
             shut = self.down or source in self.refused
             if not shut:
                 self.expire()
--- a/tealrill/simulation/traffic_digest.py
+++ b/tealrill/simulation/traffic_digest.py
@@ -1,9 +1,9 @@
-"""A digest of a simulated day: equal digests mean equal traffic and equal stored records.
+"""A digest of a simulation run: equal digests mean equal traffic and equal stored records.
 
 Refactoring must change neither what the controllers send nor what they store. The digest covers
-every request and answer on the simulated network, in order, with its moment, and every change of
-the state service. It tells that two versions differ, not where: `SimulatedCluster.events` and the
-log do.
+every request and response on the simulated network, in order and with its time, and every change
+of the state service. It shows that two versions differ; to find where, compare
+`SimulatedCluster.events` and the logs.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
         self._hash = hashlib.sha256()
 
     def add(self, now: float, *fields: Any) -> None:
-        """Append one entry; the order of the keys of a JSON object counts."""
+        """Append one entry; the digest depends on the order of the keys of a JSON object."""
         self._hash.update(repr(now).encode())
         for field in fields:
             self._hash.update(b"\x1f")
--- a/tealrill/simulation/users.py
+++ b/tealrill/simulation/users.py
@@ -1,4 +1,4 @@
-"""The users of the simulation: what they send, and what they know of their jobs."""
+"""The simulated users: the requests that they send and the status of their jobs as they know it."""
 
 from __future__ import annotations
 
@@ -18,24 +18,26 @@
     from tealrill.simulation.cluster import SimulatedCluster
 
 _PATIENCE_S: Final = 5.0
-"""How long a user waits for the answer to a change."""
+"""How long a user waits for the response to a submission or cancellation."""
 _SPOILED: Final[tuple[dict[str, Any], ...]] = (
     {"pieces": 0}, {"vcpus": -1.0}, {"vcpus": 1e6}, {"crew": "nobody"}, {"shape": "circle"},
 )  # fmt: skip
-"""A known job is answered by its state, whatever its repetition says."""
+"""Changes to the body of a repeated submission. The response must still be the job's status."""
 _IMPOSSIBLE: Final[tuple[dict[str, Any], ...]] = (
     {"vcpus": 1e6}, {"gpus": 1.0}, {"memoryGb": 1e6}, {"builds": []}, {"builds": ["other"]},
     {"hall": "elsewhere"}, {"crew": "nobody"}, {"shape": "standing", "pieces": 1000},
 )  # fmt: skip
+"""Changes that make a new submission invalid or impossible to place; it must be rejected."""
 _NEEDED: Final = (
     "lineup", "crew", "shape", "urgency", "pieces", "vcpus", "gpus", "memoryGb", "bundle",
     "sizeGb", "samePlace", "scatter", "loaners", "guessS", "snapshotS", "flushS",
 )  # fmt: skip
+"""Fields without which a submission must be rejected."""
 
 
 @dataclass
 class UserJob:
-    """A job as its user knows it; times are in seconds of simulated time."""
+    """A job as its user knows it; times are simulated seconds since the beginning of the run."""
 
     id: str
     body: dict[str, Any]
@@ -43,32 +45,32 @@
     cancel_at: float | None = None
     asked_to_cancel: bool = False
     cancelled_at: float | None = None
-    """When its user was first answered that it is cancelled."""
+    """When a response first told its user that it is cancelled."""
     done: bool = False
     answered_at: float = 0.0
     looked_at: bool = False
-    """Whether all controllers are being polled for it."""
+    """True while all controllers are polled for it."""
     beside_since: float | None = None
-    """Since when a task of it has waited while a machine had room for it."""
+    """Since when a task of it has been waiting while a machine had room for the task."""
 
     @property
     def path(self) -> str:
-        """Return its path at the controllers."""
+        """Path of the job in the controllers' HTTP interface."""
         return f"{wire.JOBS_PATH}/{self.id}"
 
     @property
     def tasks(self) -> set[str]:
-        """Return the names of its tasks."""
+        """Names of its tasks."""
         return {f"{self.id}/{n}" for n in range(self.body["pieces"])}
 
     @property
     def over(self) -> bool:
-        """Return whether its user knows that it is done or cancelled."""
+        """True if its user knows that it is done or cancelled."""
         return self.done or self.cancelled_at is not None
 
     @property
     def told(self) -> tuple[bool, bool, bool]:
-        """Return which answers its user has had: accepted, cancelled, done."""
+        """Which statuses its user has been told: accepted, cancelled, done."""
         return self.accepted, self.cancelled_at is not None, self.done
 
 
@@ -94,7 +96,7 @@
     async def ask(
         self, method: str, path: str, body: Any, patience_s: float, at: Host | None = None
     ) -> Reply | None:
-        """Send a request to a controller, drawn without `at`; return None without an answer."""
+        """Send a request to a controller, by default a random one; None if there is no response."""
         host = at or self.world.rng.choice(list(self.world.hosts.values()))
         node = host.node
         if node is None:
@@ -113,7 +115,7 @@
         return reply
 
     async def run_job(self, job: UserJob) -> None:
-        """Submit, poll and perhaps cancel one job, as the protocol has users do."""
+        """Submit, poll and perhaps cancel one job, following the protocol for users."""
         until = self.world.now() + 60.0
         while not job.accepted:
             reply = await self.ask("POST", wire.JOBS_PATH, job.body, _PATIENCE_S)
@@ -136,7 +138,7 @@
             await self._poll(job, again=True)
 
     async def _poll(self, job: UserJob, again: bool = False, at: Host | None = None) -> None:
-        """Ask for the status of a job, or repeat its submission."""
+        """Request the status of a job, or with `again` repeat its submission."""
         before = job.told
         if again:
             reply = await self.ask("POST", wire.JOBS_PATH, job.body, _PATIENCE_S, at)
@@ -154,9 +156,9 @@
     async def cancel_now(
         self, count: int, hang_s: float = 0.0, within_s: float = 0.2, begun: bool = True
     ) -> None:
-        """Cancel `count` jobs within `within_s`, and pause their machines for `hang_s`.
+        """Cancel up to `count` jobs within `within_s`, and pause their machines for `hang_s`.
 
-        Unless `begun` is false, only jobs that run are chosen.
+        Only jobs with a running task are chosen if `begun`.
         """
         on = {job_of(n): w for w in self.world.workers.values() for n in w.on()}
         found = [
@@ -172,14 +174,14 @@
             )
 
     def cancel_started(self, body: bytes | None) -> None:
-        """Cancel the jobs whose tasks these commands start."""
+        """Cancel the jobs whose tasks the commands in a request body start."""
         for command in orjson.loads(body or b"{}").get("orders", []):
             job = self.world.jobs.get(job_of(command["piece"]))
             if command["verb"] == wire.START and job is not None:
                 self.world.begin(self._cancel_until_acknowledged(job, 0.05))
 
     async def pause(self, worker: Worker, for_s: float) -> None:
-        """Pause a machine for a while."""
+        """Pause a machine for `for_s` seconds."""
         worker.hang()
         await asyncio.sleep(for_s)
         worker.resume()
@@ -191,19 +193,19 @@
             await asyncio.sleep(1.0)
 
     def task_completed(self, worker: Worker, name: str) -> None:
-        """Perhaps cancel a job at the moment when its last task has completed."""
+        """Poll or cancel a job whose last task has just completed, if those faults are active."""
         job = self.world.jobs[job_of(name)]
         if not job.tasks <= self.world.results:
             return
         if self.world.active_faults.close_polling:
             self.world.begin(self._watch_end(job))
         if not job.done and self.world.rng.random() < self.world.active_faults.cancel_at_end_share:
-            # The leader learns of the end within a heartbeat interval.
+            # The leader learns of the completion within a heartbeat interval.
             after_s = self.world.rng.uniform(0.0, 1.6 * self.world.shape.heartbeat_interval_s)
             self.world.begin(self._cancel_until_acknowledged(job, after_s))
 
     def _poll_closely(self, job: UserJob) -> None:
-        """Poll all controllers at once, also by repeated submissions."""
+        """Poll all controllers at once, also by repeated submissions, if that fault is active."""
         if self.world.active_faults.close_polling and not job.looked_at:
             job.looked_at = True
             self.world.begin(self._poll_all(job))
@@ -218,7 +220,7 @@
         job.looked_at = False
 
     async def _watch_end(self, job: UserJob) -> None:
-        """Poll until the end is acknowledged, at most for 1.6 heartbeat intervals."""
+        """Poll until the user knows of the job's end, for at most 1.6 heartbeat intervals."""
         until = self.world.now() + 1.6 * self.world.shape.heartbeat_interval_s
         while self.world.now() < until and not job.over:
             self.world.begin(self._poll(job))
@@ -231,7 +233,7 @@
     def _process_answer(
         self, job: UserJob, reply: Reply | None, before: tuple[bool, bool, bool]
     ) -> None:
-        """Check an answer about a job against the answers before its request, and note it."""
+        """Check a response against the statuses known before its request, and record its status."""
         if reply is None or reply[0] >= 500 or reply[0] == 429:
             return
         status, answer = reply
@@ -250,7 +252,7 @@
         elif (job.done and said == wire.JOB_CANCELLED) or (
             job.cancelled_at is not None and said == wire.JOB_DONE
         ):
-            self.world.breach("went_back", f"{job.id} is called done, and cancelled")
+            self.world.breach("went_back", f"{job.id} was reported both done and cancelled")
         else:
             self._note_status(job, said)
         if job.told != known:
@@ -263,12 +265,14 @@
             job.done = True
         elif said == wire.JOB_CANCELLED:
             if not job.asked_to_cancel:
-                self.world.breach("went_back", f"{job.id} is called cancelled")
+                self.world.breach(
+                    "went_back", f"{job.id} is reported cancelled without a request to cancel it"
+                )
             if job.cancelled_at is None:
                 job.cancelled_at = self.world.now()
 
     async def send_invalid_requests(self) -> None:
-        """Send requests to be rejected, and cancellations of ended jobs; check the answers."""
+        """Send invalid and repeated requests at random times, and check the responses."""
         number = 0
         while True:
             await asyncio.sleep(self.world.rng.uniform(0.3, 1.0))
@@ -296,7 +300,7 @@
                 self.world.breach("accepted", f"{odd} with status {reply[0]}")
 
     async def ask_for_unknown_jobs(self) -> None:
-        """Ask for jobs that nobody has submitted."""
+        """Request the status of jobs that were never submitted; no controller may know them."""
         while True:
             await asyncio.sleep(self.world.rng.uniform(5.0, 15.0))
             path = f"{wire.JOBS_PATH}/no-{self.world.rng.randrange(10**6):06d}"
--- a/tealrill/simulation/worker.py
+++ b/tealrill/simulation/worker.py
@@ -1,4 +1,4 @@
-"""The stand-in for a machine's worker, written from the protocol."""
+"""A fake of a machine's worker, written from the protocol."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def job_of(task: str) -> str:
-    """Return the job's id in a task's name, whose form the simulation chooses."""
+    """Return the job id in a task's name, `JOB/INDEX` in the simulation."""
     return task.partition("/")[0]
 
 
@@ -27,11 +27,11 @@
     state: str = wire.FETCHING
     why: str | None = None
     due: float = 0.0
-    """When its present state ends."""
+    """When its current state ends."""
     checkpoint_at: float = math.inf
-    """When it saves a checkpoint by itself the next time."""
+    """When its next periodic checkpoint is saved."""
     progress_s: float = 0.0
-    """Run time that its checkpoints had when it began to run."""
+    """Run time that its checkpoints covered when it began to run."""
     running_since: float = 0.0
 
 
@@ -43,9 +43,9 @@
     run_s: float
     vcpus: float
     checkpoint_s: float = 0.0
-    """Interval of checkpoints; 0 for a job that has none."""
+    """Interval of periodic checkpoints, in seconds; 0 for a job without checkpoints."""
     save_s: float = 0.0
-    """How long a task of it saves when it is stopped."""
+    """How long a stopped task of it takes to save a checkpoint, in seconds."""
 
 
 @dataclass
@@ -61,7 +61,7 @@
     results: set[str]
     """Tasks that have completed on any machine."""
     checkpoints: dict[str, float]
-    """Run time that each task has saved; they are stored outside the machines."""
+    """Run time that the checkpoint of each task covers; checkpoints are stored off the machines."""
     incarnation: int = 1
     sequence: int = 0
     token: int = 0
@@ -75,9 +75,9 @@
     hung_at: float | None = None
     """When the machine was paused; requests to it wait until it is resumed."""
     taken_at: float | None = None
-    """When the cloud takes the machine back, once a notice has come."""
+    """When the cloud terminates the spot machine; None before the interruption notice."""
     changed: asyncio.Event = field(default_factory=asyncio.Event)
-    """Set while something has changed that no heartbeat has told of yet."""
+    """Set while there is a change that no heartbeat has reported yet."""
     token_changed_at: float = -math.inf
     """When a higher token last counted as a change."""
 
@@ -85,11 +85,11 @@
         self.renewed_at = self.now()
 
     def on(self) -> list[str]:
-        """Return the tasks that occupy this machine as the invariants count them."""
+        """Return the names of the tasks that run here, those that save a checkpoint included."""
         return [n for (n, _), t in self.tasks.items() if t.state in (wire.RUNNING, wire.SAVING)]
 
     def observe_token(self, token: int) -> None:
-        """Keep the highest token seen; it counts as a change at most once in half a lease."""
+        """Keep the highest token; a new one counts as a change at most once per half lease."""
         if token <= self.token:
             return
         self.token = token
@@ -98,7 +98,7 @@
             self.changed.set()
 
     def tick(self) -> None:
-        """Advance to the present moment."""
+        """Advance the state to the current time."""
         now = self.now()
         if now - self.renewed_at > self.lease_s:
             self.tasks.clear()
@@ -134,7 +134,7 @@
         self.started(self, name)
 
     def _save(self, name: str, task: Task) -> None:
-        """Store the progress of a task, as it does by itself or when it is stopped."""
+        """Store the progress of a task, periodically or when it is stopped."""
         ran_s = self.now() - task.running_since
         if task.state == wire.SAVING:
             ran_s -= self.jobs[job_of(name)].save_s
@@ -159,7 +159,7 @@
         self.tick()
 
     def report(self) -> dict[str, Any]:
-        """Return the next heartbeat message, or the same in the answer to a direct command."""
+        """Return the next heartbeat message; responses to direct commands have the same form."""
         self.sequence += 1
         machine = self.machine
         lines = []
@@ -190,7 +190,7 @@
                 self.changed.set()
 
     def _stop(self, name: str, task: Task, grace_s: float) -> None:
-        """Stop a task; one that has checkpoints saves first if it is given the time."""
+        """Stop a task; one with checkpoints saves first if `grace_s` leaves the time."""
         job = self.jobs[job_of(name)]
         if task.state == wire.SAVING and grace_s > 0:
             return
@@ -211,11 +211,11 @@
         elif used + job.vcpus > CloudService.VCPUS:
             self.tasks[name, attempt] = Task(wire.EXITED, "no_room")
         else:
-            # All jobs have one image, which a machine fetches once.
+            # All jobs use the same image, which a machine fetches once.
             self.tasks[name, attempt] = Task(due=max(self.now(), self.fetched_at))
 
     async def __call__(self, source: str, method: str, target: str, body: bytes | None) -> Reply:
-        """Handle a request with commands; status 409 if its fencing token or incarnation is old."""
+        """Handle direct commands; status 409 if their token is old or their incarnation differs."""
         self.tick()
         message = orjson.loads(body or b"{}")
         if message["baton"] < self.token or message["shift"] != self.incarnation:
--- a/tealrill/simulation/worker_fleet.py
+++ b/tealrill/simulation/worker_fleet.py
@@ -1,4 +1,4 @@
-"""The workers of all machines: their heartbeats, and copies of these that arrive late."""
+"""The workers of all machines: their heartbeats, and late duplicates and replays of these."""
 
 from __future__ import annotations
 
@@ -20,28 +20,28 @@
 
 _HEARTBEAT_TIMEOUT_S: Final = 4.0
 _NEXT_CONTROLLER_S: Final = 1.0
-"""The pause before another controller is tried."""
+"""Pause before the next controller is tried."""
 _HEARTBEAT_GAP_S: Final = 0.5
-"""The least time between two heartbeats to one controller."""
+"""Minimum time between two heartbeats to the same controller."""
 _HELD_SHARE: Final = 0.5
-"""Share of the heartbeats into a partition that are delivered once it has healed."""
+"""Share of the heartbeats sent into a partition that are delivered once it has healed."""
 
 
 class WorkerFleet:
-    """Runs the workers of the rented machines; the cluster has them by their names."""
+    """Runs the workers of the rented machines, which are in the cluster's `workers`."""
 
     def __init__(self, world: SimulatedCluster) -> None:
         self.world = world
         self._kept: list[dict[str, Any]] = []
-        """Heartbeats whose copies are delivered at the next election."""
+        """Heartbeats to replay at the next election."""
 
     def boot(self, machine: Machine) -> None:
-        """Start the worker of a rented machine once the machine is up."""
+        """Start the worker of a rented machine once the machine has booted."""
         self.world.by_address[machine.addr] = machine.id
         self.world.begin(self._run(machine))
 
     def clear(self, machine: Machine) -> None:
-        """End the tasks of a terminated machine."""
+        """Drop the tasks of a terminated machine."""
         worker = self.world.workers.get(machine.id)
         if worker is not None:
             worker.tasks.clear()
@@ -73,7 +73,7 @@
             await asyncio.sleep(0.1)
 
     async def _send_heartbeat(self, worker: Worker, order: list[str], at: int) -> int:
-        """Send one heartbeat, obey its answer; return the index of the next one's receiver."""
+        """Send one heartbeat and execute the response; return the index of the next receiver."""
         await self._wait_until_resumed(worker)
         worker.tick()
         worker.changed.clear()
@@ -105,7 +105,7 @@
         return (at + 1) % len(order)
 
     async def _wait_until_due(self, worker: Worker, sent: float) -> None:
-        """Wait for the interval after a heartbeat that was sent then, or for a change."""
+        """Wait until the next heartbeat is due: after the interval, or early if a change occurs."""
         interval_s = self.world.shape.heartbeat_interval_s * self.world.rng.uniform(0.75, 1.25)
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(sent + interval_s - self.world.now()):
@@ -120,7 +120,7 @@
     async def _exchange_heartbeat(
         self, machine: str, message: dict[str, Any], name: str
     ) -> Reply | None:
-        """Return the answer to a heartbeat, None after the timeout or a refused connection."""
+        """Return the response to a heartbeat; None after a time-out or a refused connection."""
         await self.world.network.delay()
         if self.world.hosts[name].node is None:
             return None
@@ -155,7 +155,7 @@
         return reply
 
     def deliver_heartbeat(self, message: dict[str, Any], name: str) -> Reply | None:
-        """Return a controller's answer to a heartbeat, None if no process runs there."""
+        """Return a controller's response to a heartbeat; None if no process runs on its host."""
         host = self.world.hosts[name]
         node = host.node
         if node is None:
@@ -172,7 +172,7 @@
     async def _deliver_once(
         self, message: dict[str, Any], name: str, possible: Callable[[], bool]
     ) -> Reply | None:
-        """Deliver a heartbeat that was held back, which its worker may not wait for any more."""
+        """Deliver a delayed heartbeat once `possible`; its worker may have timed out by then."""
         while not possible():
             await asyncio.sleep(0.05)
         return self.deliver_heartbeat(message, name)
@@ -183,7 +183,7 @@
             self.deliver_heartbeat(message, name)
 
     async def replay_at_elections(self) -> None:
-        """Deliver the heartbeats kept back to every controller whenever a leader is elected."""
+        """Replay the recorded heartbeats to every controller whenever a leader is elected."""
         known = None
         while True:
             await asyncio.sleep(0.05)
@@ -201,6 +201,6 @@
                     self.world.begin(self._deliver_to_successor(message, name))
 
     async def _deliver_to_successor(self, message: dict[str, Any], name: str) -> None:
-        """Deliver it while the records are read, or after the first bindings."""
+        """Deliver a heartbeat while the new leader loads the records, or up to 5 s later."""
         await asyncio.sleep(self.world.rng.choice([0.0, 0.1, 0.5, 2.0, 5.0]))
         self.deliver_heartbeat(message, name)
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -230,10 +230,14 @@
 def test_a_broken_rule_is_told_with_its_day(monkeypatch: pytest.MonkeyPatch) -> None:
     args = ["hunt", "--days", "1", "--seed", "2", "--for-s", "30"]
     fine = CliRunner().invoke(main, args)
-    assert fine.exit_code == 0 and "0 rules broken" in fine.output
+    assert fine.exit_code == 0 and "0 invariants violated" in fine.output
     _deaf_to_users(monkeypatch)
     _answer(200, wire.JOB_CANCELLED)(monkeypatch)
     bad = CliRunner().invoke(main, args)
     assert bad.exit_code == 1
-    assert "seed 2" in bad.output and "BROKEN" in bad.output and "all troubles" in bad.output
+    assert (
+        "seed 2" in bad.output
+        and "VIOLATED" in bad.output
+        and "all faults have ended" in bad.output
+    )
     assert CliRunner().invoke(main, ["hunt", "--days", "none"]).exit_code == 2
