--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -1,9 +1,9 @@
-"""Where troubles of real machines meet: whole controllers in the lab, one meeting after the other.
+"""Fault combinations: simulated clusters of real controllers under scripted, overlapping faults.
 
-Each meeting of the operators' page that has no model of its own is brought about by a script over
-real nodes, and the rules are held against the world's own truth. `test_each_guard_is_needed` takes
-the guard away that a meeting is for and requires that the same script finds the rule broken.
-docs/notes/007-meetings.md has the table.
+The invariants are checked on the true state of the simulation. `test_each_guard_is_needed` disables
+the safeguard that a combination is meant to exercise and requires that the same scenario then
+violates the invariant. docs/notes/007-meetings.md lists the combinations; those that have a model
+of their own are tested elsewhere.
 """
 
 from __future__ import annotations
@@ -48,7 +48,7 @@
 _LONG = ((1, 25.0), (2, 40.0), (3, 15.0))
 
 
-# -- the meetings ---------------------------------------------------------------------------------
+# -- scenarios ------------------------------------------------------------------------------------
 
 
 def _end_leader(world: SimulatedCluster, back_s: float = 3.0) -> None:
@@ -58,8 +58,8 @@
 
 
 async def _looked_at_closely(world: SimulatedCluster) -> None:
-    """All nodes are asked at once whenever something was told, while records move: jobs end, are
-    called off and are sent anew, and nodes are refused, cut off and begin."""
+    """All controllers are polled whenever a job's status changes, while jobs end, are cancelled and
+    are submitted again, and controllers are refused, partitioned and restarted."""
     (
         world.active_faults.close_polling,
         world.active_faults.cancel_at_end_share,
@@ -92,7 +92,7 @@
 
 
 async def _answers_lost(world: SimulatedCluster) -> None:
-    """Every second change is carried out and its writer does not know, while leaders end."""
+    """Half of the state service's responses to executed changes are lost; leaders are killed."""
     world.state.lost, world.active_faults.close_polling = 0.5, True
     for _ in range(4):
         await asyncio.sleep(8.0)
@@ -101,7 +101,7 @@
 
 
 async def _transactions_late(world: SimulatedCluster) -> None:
-    """The same with changes that are carried out seconds later, after newer ones."""
+    """Half of the transactions are executed seconds later, after newer ones; leaders are killed."""
     world.state.late = 0.5
     for _ in range(5):
         await asyncio.sleep(6.0)
@@ -110,7 +110,7 @@
 
 
 async def _at_the_limit(world: SimulatedCluster) -> None:
-    """Each team uses what it may; jobs on machines that hang are called off, and leaders follow."""
+    """Teams reach their quota; jobs on paused machines are cancelled, then the leader is killed."""
     for _ in range(3):
         await asyncio.sleep(6.0)
         await world.users.cancel_now(3, hang_s=0.8 * world.shape.lease_s, within_s=0.1)
@@ -120,7 +120,7 @@
 
 
 async def _hands_change(world: SimulatedCluster) -> None:
-    """Jobs are called off before, in and after each change of the leader, planned or not."""
+    """Jobs are cancelled before, during and after a planned handover and the loss of a leader."""
     for planned in (True, False):
         world.begin(_called_off_again_and_again(world))
         await asyncio.sleep(1.0)
@@ -139,7 +139,7 @@
 
 
 async def _up_at_once(world: SimulatedCluster) -> None:
-    """New machines work before their rental is answered or written down, and leaders end."""
+    """New machines run tasks before their rental is answered or recorded; leaders are killed."""
     world.cloud.at_once, world.cloud.answers_s = True, 2.0
     for number in range(6):
         for machine in world.cloud.alive()[:3]:
@@ -150,13 +150,13 @@
             _end_leader(world, 0.5)
             world.state.late = 0.0
         else:
-            # What a leader takes for new machines the next one knows better.
+            # No leader change here: the next leader would know these machines and hide the error.
             await asyncio.sleep(10.0)
     world.cloud.at_once, world.cloud.answers_s = False, 0.0
 
 
 async def _kept_reports(world: SimulatedCluster) -> None:
-    """Copies of old reports reach every controller as each leader begins, and some later."""
+    """Old heartbeats are replayed to every controller at each election, and duplicated later."""
     world.active_faults.replay_share, world.active_faults.duplicate_share = 0.9, 0.9
     for _ in range(6):
         await asyncio.sleep(6.0)
@@ -165,7 +165,7 @@
 
 
 async def _flood(world: SimulatedCluster) -> None:
-    """One-task jobs, four a second, a quarter called off; in its middle an outage and an end."""
+    """Four one-task jobs per second, a quarter cancelled; an outage, then the leader is killed."""
     await asyncio.sleep(10.0)
     world.state.outage(True)
     await asyncio.sleep(8.0)
@@ -176,7 +176,7 @@
 
 
 async def _more_than_room(world: SimulatedCluster) -> None:
-    """More work than room, urgent and not, over links that take up to half a second each way."""
+    """More work than capacity, urgent and standard, over links with a delay of up to 0.5 s."""
     world.active_faults.link_delay_s = 0.5
     for _ in range(3):
         await asyncio.sleep(8.0)
@@ -187,7 +187,7 @@
 
 
 async def _off_at_the_end(world: SimulatedCluster) -> None:
-    """Jobs are called off, asked about and sent again in the moment of their end."""
+    """Jobs are cancelled, polled and submitted again at the moment of their completion."""
     (
         world.active_faults.cancel_at_end_share,
         world.active_faults.close_polling,
@@ -204,18 +204,18 @@
 
 
 async def _refused_and_off(world: SimulatedCluster) -> None:
-    """Called off as the leader alone is refused; a second later an outage beyond `cancel_s`."""
+    """Jobs are cancelled while only the leader is refused; an outage beyond `cancel_s` follows."""
     await asyncio.sleep(4.0)
     await FaultInjector(world).cancel_while_refused()
 
 
 async def _mute(world: SimulatedCluster) -> None:
-    """Half of the machines reach no controller; what they do is called off, and leaders end."""
+    """Half of the machines are partitioned outbound; jobs are cancelled and leaders killed."""
     names = sorted(world.workers)[::2]
     world.active_faults.outbound_partitioned.update(names)
     await asyncio.sleep(2.0)
     await world.users.cancel_now(2)
-    # From when the leader must have noticed; they answer direct commands all the time.
+    # The leader must have missed their heartbeats by now, though they answer direct commands.
     await asyncio.sleep(4.0 * world.shape.heartbeat_interval_s)
     world.active_faults.must_stay_idle.update(names)
     for _ in range(5):
@@ -228,12 +228,12 @@
     world.active_faults.outbound_partitioned.clear()
     terminated = [name for name in names if world.cloud.machines[name].terminated]
     if terminated:
-        world.breach("returned", f"{terminated} were mute for a short spell")
+        world.breach("returned", f"{terminated} were terminated after a short outbound partition")
 
 
 async def _zones_lose_machines(world: SimulatedCluster) -> None:
-    """Jobs with a rule about zones lose machines; the next leader does not hear where the others
-    run."""
+    """Jobs with a zone constraint lose machines; the next leader receives neither the heartbeats of
+    the other zone nor the list of machines, so it can't tell where their other tasks run."""
     for number in range(4):
         await asyncio.sleep(5.0)
         for machine in world.cloud.alive()[number % 2 :: 3]:
@@ -248,7 +248,7 @@
 
 
 async def _zones_parted(world: SimulatedCluster) -> None:
-    """A zone with workers and controllers is kept apart for longer than the workers' lease."""
+    """Zones with workers and controllers are partitioned for longer than the workers' lease."""
     await asyncio.sleep(4.0)
     world.active_faults.zones_partitioned = True
     await asyncio.sleep(2.5 * world.shape.lease_s)
@@ -260,7 +260,7 @@
 
 
 async def _nobody_leads(world: SimulatedCluster) -> None:
-    """All controllers are away, for less and for longer than the workers' lease."""
+    """All controllers are down, once for less and once for longer than the workers' lease."""
     for part in (0.5, 1.6):
         await asyncio.sleep(8.0)
         for host in world.hosts.values():
@@ -269,7 +269,7 @@
 
 
 async def _ten_leaders(world: SimulatedCluster) -> None:
-    """Leaders end before they have read the records; between them jobs are called off."""
+    """Jobs are cancelled; then every leader is killed before it has loaded the records."""
     await asyncio.sleep(4.0)
     world.state.scan_s = 2.0
     _end_leader(world, 0.1)
@@ -285,7 +285,7 @@
 
 
 async def _leader_apart(world: SimulatedCluster) -> None:
-    """It loses the state service and the controllers; workers and users still reach it."""
+    """The leader is partitioned from the state service and the other controllers only."""
     await asyncio.sleep(4.0)
     host = world.leader()
     if host is None:
@@ -299,8 +299,8 @@
 
 
 async def _held(world: SimulatedCluster) -> None:
-    """Commands and answers are held for longer than `cancel_s`; jobs are called off while a start
-    of theirs is on its way."""
+    """Commands and responses are delayed for longer than `cancel_s`; jobs are cancelled while one
+    of their start commands is in flight."""
     world.active_faults.command_delay_s, world.active_faults.cancel_in_flight = (
         2.0 * world.shape.cancel_s,
         True,
@@ -311,7 +311,7 @@
 
 
 async def _hung_for_long(world: SimulatedCluster) -> None:
-    """Jobs are called off as their machines begin to hang, for less and for more than a lease."""
+    """Jobs are cancelled as their machines are paused, for less and for longer than a lease."""
     shape = world.shape
     for hang_s in (0.9 * shape.lease_s, 1.4 * shape.lease_s, shape.cancel_s + 4.0):
         await asyncio.sleep(5.0)
@@ -319,11 +319,11 @@
         await asyncio.sleep(hang_s)
 
 
-# -- guards, taken away ---------------------------------------------------------------------------
+# -- mutations: each disables one safeguard -------------------------------------------------------
 
 
 def _over_first(patch: Patch) -> None:
-    """A job's end is looked for before the job, which moves in between."""
+    """The end record is read before the job record, although the job may end in between."""
 
     async def status(self: Admission, job_id: JobId) -> Reply:
         over = self._over.get(job_id) or await self._read_over(job_id)
@@ -337,7 +337,7 @@
 
 
 def _remembers_for_a_moment(patch: Patch) -> None:
-    """What was read is told again for a quarter of a second."""
+    """A status is served from a cache for a quarter of a second."""
     whole = Admission._status
     kept: dict[tuple[int, JobId], tuple[Monotonic, Reply]] = {}
 
@@ -352,7 +352,7 @@
 
 
 def _accepted_without_an_answer(patch: Patch) -> None:
-    """An acceptance of which nothing was heard is told as one."""
+    """A submission whose outcome is unknown is reported as accepted."""
     whole = Admission._commit_accepted
 
     async def commit(self: Admission, *given: Any) -> Any:
@@ -365,7 +365,7 @@
 
 
 def _accepted_again(patch: Patch) -> None:
-    """An acceptance that does not require that the job is new."""
+    """A submission is accepted without the guard that the job is new."""
     whole = Admission._commit_accepted
 
     async def commit(self: Admission, guards: list[Any], changes: list[Any]) -> Any:
@@ -375,7 +375,7 @@
 
 
 def _silence_is_success(patch: Patch) -> None:
-    """A leader's transaction without an answer is taken for one that was carried out."""
+    """A leader takes a transaction without a response for an executed one."""
     whole = Fence.commit
 
     async def commit(self: Fence, *given: Any, **named: Any) -> Any:
@@ -388,7 +388,7 @@
 
 
 def _cancelled_are_leftovers(patch: Patch) -> None:
-    """A new leader takes the chunks of jobs that are over for leftovers."""
+    """A new leader loads no ended jobs, so it takes their chunks for orphaned ones."""
 
     async def nothing(*_: object) -> None:
         return
@@ -397,7 +397,7 @@
 
 
 def _limits_forget(patch: Patch) -> None:
-    """What former leaders bound does not count against limits."""
+    """Bindings of former leaders don't count against quotas."""
     whole = JobStore.load
 
     def load(self: JobStore, job: Job, *given: Any) -> Any:
@@ -405,7 +405,7 @@
         found = whole(self, job, *given)
         self.team_cpus, self.team_gpus = cpus, gpus
         for binding in found:
-            # Its end takes away what was never counted.
+            # The end of a binding subtracts its usage, though it was never added.
             self.team_cpus.setdefault(binding.chunk.job.spec.team, 0.0)
             self.team_gpus.setdefault(binding.chunk.job.spec.team, 0.0)
         return found
@@ -414,7 +414,7 @@
 
 
 def _watch_begins_late(patch: Patch) -> None:
-    """The watch of jobs begins where the reading ended, and not where it began."""
+    """The watch of jobs starts at a revision after the records were read."""
     whole = RecordLoader.load
 
     async def load(self: RecordLoader) -> CancellationKnowledge:
@@ -427,7 +427,7 @@
 
 
 def _rented_anew(patch: Patch) -> None:
-    """What a rental brings is new, though it may have reported and been given work."""
+    """A rental's response replaces a machine that has already sent heartbeats and got tasks."""
     whole = Provisioner._add_rented_machine
 
     def rented(self: Provisioner, name: str, *given: Any, **named: Any) -> None:
@@ -438,12 +438,12 @@
 
 
 def _any_order(patch: Patch) -> None:
-    """Reports count whichever is the newer one."""
+    """Heartbeats are processed even if a newer one has arrived."""
     patch.setattr(HeartbeatProcessor, "_out_of_date", staticmethod(lambda *_: False))
 
 
 def _any_token(patch: Patch) -> None:
-    """Lists of reports sent before the term count."""
+    """Task lists of heartbeats that were sent before the term are used."""
     whole = HeartbeatProcessor.process
 
     def process(self: HeartbeatProcessor, report: wire.Heartbeat, *given: Any) -> Any:
@@ -454,7 +454,7 @@
 
 
 def _end_unguarded(patch: Patch) -> None:
-    """A job is called done whether or not it was cancelled meanwhile."""
+    """A job's end is written without the guards against a concurrent cancellation."""
     whole = TransactionBatch.add_end
 
     def add_end(self: TransactionBatch, job: Job, *given: Any) -> bool:
@@ -467,12 +467,12 @@
 
 
 def _acknowledges_nothing(patch: Patch) -> None:
-    """Promises don't carry what was told."""
+    """Lease extension grants don't list the acknowledged cancellations."""
     patch.setattr(AcknowledgedCancellations, "add", lambda *_: None)
 
 
 def _delegates_ignored(patch: Patch) -> None:
-    """A machine lapses whether or not another node may have renewed it."""
+    """Leases expire although another controller may have renewed the worker."""
 
     async def check(self: LeaseExpiryLoop) -> None:
         self._fleet.leases.expire_leases(monotonic_now())
@@ -481,7 +481,7 @@
 
 
 def _silence_from_nothing(patch: Patch) -> None:
-    """A new leader counts silence as if nobody had renewed workers before it."""
+    """A new leader ignores that a former leader may have renewed a worker's lease."""
 
     def renewed_at(self: Leases, machine: Machine) -> Monotonic:
         return (
@@ -494,7 +494,7 @@
 
 
 def _unread_renews(patch: Patch) -> None:
-    """A leader renews workers before it has read the records."""
+    """A leader renews workers before it has loaded the records."""
     whole = HeartbeatProcessor.process
 
     def process(self: HeartbeatProcessor, *given: Any) -> Any:
@@ -505,17 +505,17 @@
 
 
 def _for_ever(patch: Patch) -> None:
-    """A leader goes on though its lease has ended."""
+    """A leader continues after its lease has expired."""
     patch.setattr(Election, "valid_leadership", lambda self, now: self.leadership)
 
 
 def _out_for_ever(patch: Patch) -> None:
-    """A worker is renewed though a start of a cancelled job is on its way to it."""
+    """A worker is renewed although a start command of a cancelled job may still reach it."""
     patch.setattr(HeartbeatProcessor, "_must_let_lease_expire", lambda *_: False)
 
 
 def _no_stops(patch: Patch) -> None:
-    """A machine that was told once to stop a task is not told again."""
+    """Each stop command is sent only once."""
     whole = Commands.stops
     told: set[object] = set()
 
@@ -614,7 +614,7 @@
     ),
     "a leader apart": Meeting(
         _leader_apart,
-        # Room for the next leader to start again what the one before goes on with.
+        # Enough capacity for the next leader to start again what the former one still runs.
         Shape(machines=18, every_s=1.0, jobs=((2, 90.0),), cancelled=0.0),
         (("ran_twice", _for_ever),),
         10.0,
@@ -640,7 +640,7 @@
 
 @functools.cache
 def _sound(name: str) -> SimulatedCluster:
-    """The meeting with all guards, played once."""
+    """Return the finished simulation of a combination with all safeguards enabled."""
     return _play(_MEETINGS[name], _MEETINGS[name].seed)
 
 
@@ -664,11 +664,14 @@
         found |= _play(_MEETINGS[name], seed, rule).rules
         if rule in found:
             return
-    raise AssertionError(f"{rule} is not among {found}")
+    raise AssertionError(f"invariant {rule} not violated; violated: {found}")
 
 
 def test_a_one_task_job_costs_five_changes_and_other_jobs_are_served() -> None:
-    """Accepted, bound, ended (two records), its chunk removed; called off it costs no more."""
+    """A job needs changes to accept it, bind it, end it (two records) and delete its chunk.
+
+    A cancelled job needs no more.
+    """
     world = _sound("one-task jobs by the hundred")
     assert not world.broken and len(world.jobs) > 200
     assert len(world.state.log) <= 5 * len(world.jobs) + 150
