--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -1,11 +1,12 @@
-"""Where two troubles meet: what users were told is cancelled ends in time, whoever renews workers.
-
-The model plays the chain of moments of docs/design.md ("Cancellations"): real leaders, lease
-extensions and acknowledgements of three hosts; a worker and the state service as the protocol
-describes them. The state service refuses one host or all, a watch stands still, hosts end one after
-the other, also before they have read the records, workers hear nothing. No task may be on its
-machine longer than `cancel_s` after anybody was told. `test_each_link_is_needed` takes links away;
-those of the promises are taken away in `tests/test_acknowledged_cancellations.py`.
+"""Cancelled tasks end within `cancel_s` of the acknowledgement, whichever faults coincide.
+
+The model runs the sequence of steps of docs/design.md ("Cancellations") with the real leader, lease
+extensions and acknowledged cancellations of three hosts; the worker and the state service follow
+the protocol. The state service refuses one host or all, the leader's watch stalls, leaders are
+killed, also before they have loaded the records, and responses don't reach the worker. No task may
+be on its machine longer than `cancel_s` after a user was told that its job is cancelled.
+`test_each_link_is_needed` disables the conditions for renewing a worker one by one; the conditions
+for lease extension grants are tested in `tests/test_acknowledged_cancellations.py`.
 """
 
 from __future__ import annotations
@@ -101,7 +102,7 @@
 
 
 class _Client:
-    """The state service as one host reaches it."""
+    """The state service as one host sees it; it fails while it doesn't serve that host."""
 
     def __init__(self, world: _World | None, host: int) -> None:
         self.world, self.host = world, host
@@ -112,7 +113,7 @@
 
 
 class _Host:
-    """A process; what it knows goes with it."""
+    """A controller process; a restart loses its knowledge of cancellations."""
 
     leadership: Leadership | None = None
 
@@ -142,7 +143,7 @@
 
 
 class _World:
-    """Time goes on in small steps; nothing waits for anything."""
+    """A model of the hosts, the worker and the state service; time advances in discrete steps."""
 
     def __init__(self, seed: int, without: str = "", lease_s: float = 8.0, cancel_s: float = 20.0):
         self.rng = random.Random(seed)
@@ -175,14 +176,14 @@
     def serves(self, host: int) -> bool:
         return not self.down and host not in self.refused
 
-    # -- a leader's term --------------------------------------------------------------------------
+    # -- the leader's term ------------------------------------------------------------------------
 
     def _elect(self, host: int) -> None:
         self.term += 1
         self.leads = host
         self.leader = _leader(self.settings, self.term, self.now)
         self.leader.fleet.leases.expiry_s = (
-            1e9  # Nothing is bound anew: no proof is looked at here.
+            1e9  # Leases never expire for the leader: rebinding is not modelled.
         )
         self.key_until = Monotonic(self.now + LEASE_TTL_S)
         self.reads_at = Monotonic(self.now + self.rng.choice([0.2, 0.2, 2.0, 6.0]))
@@ -235,7 +236,7 @@
         return leader if leader is not None and leader._leadership.valid(self.now) else None
 
     def lead(self) -> None:
-        """What the leader's loops do in a moment."""
+        """One step of the leader's loops: lease renewal, record loading and the job watch."""
         leader = self.leader
         if leader is None or self.leads is None:
             return
@@ -296,7 +297,7 @@
             return True
         return leader.may_renew_workers(self.now)
 
-    # -- troubles ---------------------------------------------------------------------------------
+    # -- faults and user requests -----------------------------------------------------------------
 
     def run(self, steps: int) -> None:
         troubles = [
@@ -321,7 +322,7 @@
 
     def heal(self) -> None:
         if self.down:
-            # After an outage leases have their full time again.
+            # The end of an outage renews every lease for its full time to live.
             self.key_until = Monotonic(max(self.key_until, self.now + LEASE_TTL_S))
         self.down, self.refused, self.stuck, self.inbound_partitioned = False, set(), False, False
         for host in self.hosts:
@@ -334,7 +335,7 @@
             self.hosts[number] = _Host(self, number, None)
 
     def end(self) -> None:
-        """The leader's process; its key stands until its lease is over."""
+        """Kill the leader's process; its key remains until its lease expires."""
         if self.leads is not None:
             self.hosts[self.leads] = _Host(self, self.leads, None)
             self.leader = self.leads = None
@@ -371,7 +372,7 @@
         for name, told in self.told.items():
             held = self.worker.tasks.get(f"{name}/0")
             on = held is not None and held[1] != "ended"
-            assert not on or self.now <= told + self.cancel_s, f"{name} runs on"
+            assert not on or self.now <= told + self.cancel_s, f"{name} still runs"
 
 
 @given(st.integers(0, 2**32), st.sampled_from([(8.0, 20.0), (15.25, 35.25), (10.0, 30.0)]))
@@ -382,7 +383,7 @@
 
 @pytest.mark.parametrize("link", ["reading", "watching"])
 def test_each_link_is_needed(link: str) -> None:
-    with pytest.raises(AssertionError, match="runs on"):
+    with pytest.raises(AssertionError, match="still runs"):
         for seed in range(4000):
             _World(seed, link).run(40)
 
@@ -390,7 +391,10 @@
 @pytest.mark.parametrize("refused_s", [0.7, 2.5])
 @pytest.mark.parametrize("out_s", [40.0, 180.0])
 def test_a_leader_that_was_refused_alone_learns_and_goes_on(refused_s: float, out_s: float) -> None:
-    """The meeting that came first: the leader does not only fall silent, it stops these tasks."""
+    """It learns of the cancellation from another member, though it can't read the records itself.
+
+    It must then stop the cancelled task, and renew the worker for the other jobs throughout.
+    """
     world = _World(0)
     world.refuse()
 
@@ -411,7 +415,7 @@
     on(out_s)
     states = {name: state for name, (_, state, _) in world.worker.tasks.items()}
     assert states.pop(f"{_JOBS[0]}/0", "ended") == "ended"
-    # The other jobs' tasks were kept all the time.
+    # The tasks of the other jobs ran throughout.
     assert list(states.values()) == ["running"] * (len(_JOBS) - 1)
     assert world.worker.incarnation == 1 and world.stopped_knowing == 1
 
@@ -421,11 +425,11 @@
     assert renewal_staleness_bound_s(_settings(8.0, 20.0).params.workers) == 7.0
 
 
-# -- jobs that end, and starts that may still arrive ----------------------------------------------
+# -- ended jobs, and start commands in flight -----------------------------------------------------
 
 
 def _bound(cancel_s: float = 20.0) -> tuple[Leader, Fleet, Job, Binding]:
-    """A leader with a job of one task, whose direct start has brought no answer."""
+    """Return a leader with a job of one task, whose direct start has got no response."""
     leader = _leader(_settings(8.0, cancel_s), 1, Monotonic(100.0))
     fleet = leader.fleet
     fleet.inherit([], Monotonic(100.0))
@@ -449,11 +453,11 @@
 
 
 def test_a_start_that_is_out_is_not_waited_for_for_ever() -> None:
-    # Neither listed nor answered: a task that was to be stopped stayed bound with its machine.
+    # A task whose start was neither listed nor answered stayed bound although it was to be stopped.
     _, fleet, job, binding = _bound()
     fleet.commands.stop(binding, "preemption", 0.0, Monotonic(101.0))
     commands = _beat(fleet, 3, 101.5)
-    # The stop does nothing yet; started, the task is listed and stopped then.
+    # A stop has no effect before the start: the task is started, and stopped once it is listed.
     assert commands == [wire.stop("wk-000412/0", 1, 0.0), wire.start("wk-000412/0", 1)]
     assert _beat(fleet, 4, 102.5, ("wk-000412/0", 1, "running", None)) == [
         wire.stop("wk-000412/0", 1, 0.0)
@@ -463,7 +467,8 @@
 
 
 def test_a_start_of_a_cancelled_job_that_is_out_ends_with_the_workers_lease() -> None:
-    # It may arrive after any time and then run: only a new session takes it back.
+    # The start may arrive at any time and then run: only a new incarnation rules that out, so the
+    # worker's lease must expire.
     leader, fleet, job, _ = _bound()
     leader.lifecycle.on_cancelled("wk-000412", "test")
     since = next(iter(job.bindings())).stop
@@ -478,11 +483,11 @@
 
 
 class _TakeOver:
-    """The state service while a new leader reads: one task is bound, other jobs have ended."""
+    """The state service of a takeover: one task is bound, and a chunk of an ended job is left."""
 
     def __init__(self, during: Callable[[], None]) -> None:
         self._during = during
-        """What happens meanwhile."""
+        """Called while the leader loads the records."""
 
     async def scan(self, prefix: str) -> tuple[list[wire.Entry], Revision]:
         bound = BoundEntry(_MACHINE, Incarnation(1), Attempt(1), False, False, Wall(0.0))
@@ -498,12 +503,10 @@
 
 
 def test_a_task_stays_known_whose_cancellation_is_told_while_the_records_are_read() -> None:
-    """Seen in the code, after the incident of `tests/test_leader_churn.py`; no rule broke by it.
+    """A member reports a cancellation after the new leader has read the jobs, before the bindings.
 
-    A member's word reached a new leader between its reading of the jobs and that of the bindings.
-    Without any the cancelled job was dropped, its binding taken for obsolete and its record
-    removed: nobody stopped the task for being bound any more, and it did not count for its team.
-    Cause: an action on knowledge that was not whole yet. Proof: this test.
+    The job then has no bindings yet. If the leader dropped it, it would take the job's chunk for an
+    orphaned one and delete it: the task would neither be stopped nor count against its quota.
     """
     leader = _leader(_settings(), 1, Monotonic(100.0))
     leader.record_loader._client = cast(
@@ -517,7 +520,7 @@
 
 
 def test_a_job_that_fails_is_stopped_when_its_user_cancels_it_in_an_outage() -> None:
-    # Its end can't be written before the outage is over; its other task ran on until then.
+    # Its end can't be committed during an outage, but its other task must not run until then.
     leader, fleet, job, binding = _bound()
     fleet.commands.direct_executed([binding])
     leader.job_store.abort_job(job, OUTCOME_FAILED)
@@ -527,7 +530,7 @@
 
 
 def test_a_done_jobs_bound_task_is_known_to_the_next_leader() -> None:
-    """One machine called it done, another one still has it."""
+    """One machine has reported the task done while it is still bound to another one."""
     leader, _, job, binding = _bound()
     leader.job_store.complete(job, 0, Monotonic(101.0))
     assert job.id in leader.job_store.ending_jobs and list(job.bindings()) == [binding]
@@ -554,11 +557,11 @@
     assert not later.job_store.orphaned_chunks
 
 
-# -- machines that hear nothing -------------------------------------------------------------------
+# -- inbound partitions: machines that responses and commands don't reach --------------------------
 
 
 def _heard(*beats: tuple[int, int, float]) -> Fleet:
-    """A machine's reports: session, sequence number, time."""
+    """Process a machine's heartbeats, each given as incarnation, sequence number and time."""
     fleet = Fleet(JobStore(8.0), FencingToken(1), Monotonic(0.0), 8.0)
     fleet.inherit([], Monotonic(0.0))
     for incarnation, sequence, at in beats:
@@ -567,15 +570,15 @@
 
 
 def test_a_machine_that_lapses_though_it_is_answered_gets_no_work() -> None:
-    # Deaf ones took tasks in each new session, and gave them back a lease later.
+    # Otherwise it would get tasks in each new incarnation and lose them a lease later.
     inbound_partitioned = _heard((1, 1, 0.0), (1, 4, 5.0), (2, 7, 10.0)).machines[_MACHINE]
     assert inbound_partitioned.inbound_partitioned and not inbound_partitioned.is_placeable(
         Monotonic(10.0), 5.0
     )
-    # Its next report but two comes here: it has asked the other nodes meanwhile.
+    # Two sequence numbers are missing: it has sent heartbeats to other controllers meanwhile.
     fleet = _heard((1, 1, 0.0), (1, 4, 5.0), (2, 7, 10.0), (2, 10, 25.0))
     assert fleet.machines[_MACHINE].inbound_partitioned
-    # The one after the last, within the time in which an answer must have come: it hears.
+    # The next heartbeat follows within the response time-out, so the last response has arrived.
     _beat(fleet, 11, 27.0, incarnation=2)
     assert fleet.machines[_MACHINE].is_placeable(Monotonic(27.0), 5.0)
 
@@ -591,9 +594,9 @@
     machine.mark_inbound_partitioned(True)
     assert not machine.is_placeable(Monotonic(1.5), 5.0)
     _beat(fleet, 4, 2.0)
-    assert machine.inbound_partitioned, "a report between them went elsewhere"
+    assert machine.inbound_partitioned, "the heartbeat between them went to another controller"
     _beat(fleet, 5, 7.0)
-    assert machine.inbound_partitioned, "it may have waited for an answer in vain"
+    assert machine.inbound_partitioned, "it may have timed out waiting for the response"
     _beat(fleet, 6, 8.0)
     assert machine.is_placeable(Monotonic(8.0), 5.0)
 
@@ -622,7 +625,7 @@
 
 
 def test_a_delegation_is_closed_in_time_for_a_cancelled_task_beyond_a_cut() -> None:
-    """Counted from the confirmation: the wait, the delegation's end, the worker's lease."""
+    """From the acknowledgement on: stop time-out, end of the delegation, lease of the worker."""
     leader, fleet, _, binding = _bound(cancel_s=24.0)
     fleet.commands.direct_executed([binding])
     leader.lifecycle.on_cancelled("wk-000412", "test")
@@ -634,18 +637,18 @@
     while not fleet.heartbeats.has_overdue_stop(at):
         at = Monotonic(at + 0.5)
     assert fleet.leases.expired_machines(at) == [] or at - stop.since <= fleet.stop_timeout_s + 0.5
-    # A watch's pace, the wait, a delegation that was confirmed at the last moment, the lease.
+    # Watch interval, stop time-out, a delegation confirmed at the last moment, and the lease.
     assert 3.0 + (at - stop.since) + 2.5 + 8.0 < 24.0
-    # One that is heard has been told with its reports' answers.
+    # A machine that sends heartbeats has received the stop in their responses.
     machine.last_contact_at = at
     assert not fleet.heartbeats.has_overdue_stop(at)
 
 
-# -- who tells a user vouches for it --------------------------------------------------------------
+# -- acknowledgements to users --------------------------------------------------------------------
 
 
 class _Records:
-    """As much of the state service as answers to users need."""
+    """The part of the state service that responses to users need."""
 
     first_seen = Revision(1)
     unavailable = False
@@ -674,13 +677,13 @@
 
 
 def test_a_nodes_poll_that_tells_of_its_graphs_end_is_acknowledged() -> None:
-    # The node that cancelled the graph may be gone, or its transaction was executed late: then
-    # nobody would tell a leader that goes on through an outage.
+    # The controller that cancelled the graph may have failed, or its transaction was executed late.
+    # Then no other member would report the cancellation to a leader that continues in an outage.
     admission = _admission(_Records(job__lab1_0=(_NODE, 7), over__lab1=(_GRAPH_OVER, 44)))
     reply = asyncio.run(admission.status("lab1-0"))
     assert (reply.status, reply.body["status"]) == (200, wire.JOB_CANCELLED)
     assert admission.acknowledged.since(Revision(43)) == ["lab1"]
-    # Between two records nothing final is said.
+    # While only one of the two records is visible, the response is not final.
     unclear = _admission(_Records(job__lab1_0=(_NODE, 7)))
     assert asyncio.run(unclear.status("lab1-0")).status == 503
     assert not unclear.acknowledged.since(Revision(0))
@@ -700,11 +703,11 @@
     assert admission.acknowledged.since(Revision(43)) == ["lab1"]
 
 
-# -- records that can't be read -------------------------------------------------------------------
+# -- unreadable records, and an unavailable state service ------------------------------------------
 
 
 def test_what_can_not_be_read_is_held_and_nothing_else() -> None:
-    """A job and a chunk of a later version: nothing of them starts, nothing of them is removed."""
+    """A job and a chunk of a later version: no task of theirs starts, no record is deleted."""
     good, odd, later = JobId("wk-000001"), JobId("wk-000002"), JobId("wk-000003")
     entries = {
         f"job/{good}": {"spec": wire.plain(spec(id=good)), "at": 1.0},
@@ -735,7 +738,7 @@
 
 
 def test_a_watch_that_brought_nothing_is_followed_by_a_question() -> None:
-    """Held ones come too late each time where the state service answers slowly."""
+    """With a slow state service the responses to long polls would time out every time."""
     leader = _leader(_settings(), 2, Monotonic(110.0))
     asked: list[float] = []
 
@@ -762,7 +765,7 @@
 
 
 def test_while_the_state_service_is_away_users_are_answered_at_once() -> None:
-    """Without a request for each of theirs; the election's own tries show when it is back."""
+    """Not each of them causes a request; other requests show when the service is available."""
     parsed = _settings()
     client = StateClient(parsed.services.state, parsed.params.state, 3)
     at = [100.0]
@@ -774,7 +777,7 @@
         found = HttpAnswer()
         found.status, found.body = answers[-1], b'{"epoch":1}'
         if path.startswith("/kv?") and answers[-1] == 404:
-            # A range without keys is an answer.
+            # A range without keys gets an empty result, not status 404.
             found.status, found.body = 200, b'{"entries":[],"truncated":false,"epoch":1}'
         return found
 
@@ -785,7 +788,7 @@
         for _ in range(50):
             assert (await admission.status("wk-000001")).status == 503
         assert len(asked) == 3 and client.unavailable
-        # Half a second later one is tried again, though nothing else was.
+        # Half a second later one request is tried, even if there were no others.
         at[0] += 0.7
         assert (await admission.status("wk-000001")).status == 503 and len(asked) == 4
         answers.append(404)
