--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -1,9 +1,10 @@
 """Fault combinations: simulated clusters of real controllers under scripted, overlapping faults.
 
-The invariants are checked on the true state of the simulation. `test_each_guard_is_needed` disables
-the safeguard that a combination is meant to exercise and requires that the same scenario then
-violates the invariant. docs/notes/007-meetings.md lists the combinations; those that have a model
-of their own are tested elsewhere.
+The invariants are checked on the true state of the simulation.
+`test_disabled_guard_violates_invariant` disables the safeguard that a combination is meant to
+exercise and requires that the same scenario then violates the invariant.
+docs/notes/007-meetings.md lists the combinations; those that have a model of their own are tested
+elsewhere.
 """
 
 from __future__ import annotations
@@ -43,21 +44,21 @@
 from tests.test_bindings import place_on_contacted_machines
 
 Patch = pytest.MonkeyPatch
-Fault = Callable[[Patch], None]
+Mutation = Callable[[Patch], None]
 
-_LONG = ((1, 25.0), (2, 40.0), (3, 15.0))
+_LONG_JOBS = ((1, 25.0), (2, 40.0), (3, 15.0))
 
 
 # -- scenarios ------------------------------------------------------------------------------------
 
 
-def _end_leader(world: SimulatedCluster, back_s: float = 3.0) -> None:
+def _kill_leader(world: SimulatedCluster, back_s: float = 3.0) -> None:
     host = world.leader()
     if host is not None:
         world.end(host, back_s)
 
 
-async def _looked_at_closely(world: SimulatedCluster) -> None:
+async def _close_polling(world: SimulatedCluster) -> None:
     """All controllers are polled whenever a job's status changes, while jobs end, are cancelled and
     are submitted again, and controllers are refused, partitioned and restarted."""
     (
@@ -91,54 +92,54 @@
     ) = False, 0.0, False, 0.0
 
 
-async def _answers_lost(world: SimulatedCluster) -> None:
+async def _lost_responses(world: SimulatedCluster) -> None:
     """Half of the state service's responses to executed changes are lost; leaders are killed."""
     world.state.lost, world.active_faults.close_polling = 0.5, True
     for _ in range(4):
         await asyncio.sleep(8.0)
-        _end_leader(world, 0.3)
+        _kill_leader(world, 0.3)
     world.state.lost = 0.0
 
 
-async def _transactions_late(world: SimulatedCluster) -> None:
+async def _late_transactions(world: SimulatedCluster) -> None:
     """Half of the transactions are executed seconds later, after newer ones; leaders are killed."""
     world.state.late = 0.5
     for _ in range(5):
         await asyncio.sleep(6.0)
-        _end_leader(world, 0.3)
+        _kill_leader(world, 0.3)
     world.state.late = 0.0
 
 
-async def _at_the_limit(world: SimulatedCluster) -> None:
+async def _teams_at_quota(world: SimulatedCluster) -> None:
     """Teams reach their quota; jobs on paused machines are cancelled, then the leader is killed."""
     for _ in range(3):
         await asyncio.sleep(6.0)
         await world.users.cancel_now(3, hang_s=0.8 * world.shape.lease_s, within_s=0.1)
         await asyncio.sleep(0.3)
-        _end_leader(world)
+        _kill_leader(world)
         await asyncio.sleep(8.0)
 
 
-async def _hands_change(world: SimulatedCluster) -> None:
+async def _leader_changes(world: SimulatedCluster) -> None:
     """Jobs are cancelled before, during and after a planned handover and the loss of a leader."""
     for planned in (True, False):
-        world.begin(_called_off_again_and_again(world))
+        world.begin(_cancel_repeatedly(world))
         await asyncio.sleep(1.0)
         host = world.leader()
         if planned and host is not None and host.node is not None:
             world.begin(host.node.hand_over("a test"), host.context)
         else:
-            _end_leader(world)
+            _kill_leader(world)
         await asyncio.sleep(world.shape.cancel_s + 6.0)
 
 
-async def _called_off_again_and_again(world: SimulatedCluster) -> None:
+async def _cancel_repeatedly(world: SimulatedCluster) -> None:
     for _ in range(50):
         await world.users.cancel_now(1, within_s=0.02)
         await asyncio.sleep(0.1)
 
 
-async def _up_at_once(world: SimulatedCluster) -> None:
+async def _fast_boots(world: SimulatedCluster) -> None:
     """New machines run tasks before their rental is answered or recorded; leaders are killed."""
     world.cloud.at_once, world.cloud.answers_s = True, 2.0
     for number in range(6):
@@ -147,7 +148,7 @@
         if number < 4:
             world.state.late = 0.2
             await asyncio.sleep(7.0)
-            _end_leader(world, 0.5)
+            _kill_leader(world, 0.5)
             world.state.late = 0.0
         else:
             # No leader change here: the next leader would know these machines and hide the error.
@@ -155,38 +156,38 @@
     world.cloud.at_once, world.cloud.answers_s = False, 0.0
 
 
-async def _kept_reports(world: SimulatedCluster) -> None:
+async def _replayed_heartbeats(world: SimulatedCluster) -> None:
     """Old heartbeats are replayed to every controller at each election, and duplicated later."""
     world.active_faults.replay_share, world.active_faults.duplicate_share = 0.9, 0.9
     for _ in range(6):
         await asyncio.sleep(6.0)
-        _end_leader(world, 0.5)
+        _kill_leader(world, 0.5)
     world.active_faults.replay_share = world.active_faults.duplicate_share = 0.0
 
 
-async def _flood(world: SimulatedCluster) -> None:
+async def _many_small_jobs(world: SimulatedCluster) -> None:
     """Four one-task jobs per second, a quarter cancelled; an outage, then the leader is killed."""
     await asyncio.sleep(10.0)
     world.state.outage(True)
     await asyncio.sleep(8.0)
     world.state.outage(False)
     await asyncio.sleep(6.0)
-    _end_leader(world)
+    _kill_leader(world)
     await asyncio.sleep(10.0)
 
 
-async def _more_than_room(world: SimulatedCluster) -> None:
+async def _overload(world: SimulatedCluster) -> None:
     """More work than capacity, urgent and standard, over links with a delay of up to 0.5 s."""
     world.active_faults.link_delay_s = 0.5
     for _ in range(3):
         await asyncio.sleep(8.0)
         await world.users.cancel_now(2)
-    _end_leader(world)
+    _kill_leader(world)
     await asyncio.sleep(8.0)
     world.active_faults.link_delay_s = 0.0
 
 
-async def _off_at_the_end(world: SimulatedCluster) -> None:
+async def _cancellations_at_completion(world: SimulatedCluster) -> None:
     """Jobs are cancelled, polled and submitted again at the moment of their completion."""
     (
         world.active_faults.cancel_at_end_share,
@@ -203,13 +204,13 @@
     world.state.slow_s = 0.0
 
 
-async def _refused_and_off(world: SimulatedCluster) -> None:
+async def _cancellations_while_refused(world: SimulatedCluster) -> None:
     """Jobs are cancelled while only the leader is refused; an outage beyond `cancel_s` follows."""
     await asyncio.sleep(4.0)
     await FaultInjector(world).cancel_while_refused()
 
 
-async def _mute(world: SimulatedCluster) -> None:
+async def _outbound_partition(world: SimulatedCluster) -> None:
     """Half of the machines are partitioned outbound; jobs are cancelled and leaders killed."""
     names = sorted(world.workers)[::2]
     world.active_faults.outbound_partitioned.update(names)
@@ -222,7 +223,7 @@
         await world.users.cancel_now(1)
         await asyncio.sleep(4.0)
     for _ in range(2):
-        _end_leader(world)
+        _kill_leader(world)
         await asyncio.sleep(5.0)
     world.active_faults.must_stay_idle.clear()
     world.active_faults.outbound_partitioned.clear()
@@ -241,13 +242,13 @@
         world.active_faults.zones_partitioned = True
         missing_from_lists = [frozenset((name, "cloud")) for name in world.hosts]
         world.active_faults.cut_links.update(missing_from_lists)
-        _end_leader(world, 0.5)
+        _kill_leader(world, 0.5)
         await asyncio.sleep(6.0)
         world.active_faults.zones_partitioned = False
         world.active_faults.cut_links.difference_update(missing_from_lists)
 
 
-async def _zones_parted(world: SimulatedCluster) -> None:
+async def _partitioned_zones(world: SimulatedCluster) -> None:
     """Zones with workers and controllers are partitioned for longer than the workers' lease."""
     await asyncio.sleep(4.0)
     world.active_faults.zones_partitioned = True
@@ -259,7 +260,7 @@
     world.active_faults.isolated_zones.clear()
 
 
-async def _nobody_leads(world: SimulatedCluster) -> None:
+async def _no_controller(world: SimulatedCluster) -> None:
     """All controllers are down, once for less and once for longer than the workers' lease."""
     for part in (0.5, 1.6):
         await asyncio.sleep(8.0)
@@ -268,11 +269,11 @@
         await asyncio.sleep(part * world.shape.lease_s + 4.0)
 
 
-async def _ten_leaders(world: SimulatedCluster) -> None:
+async def _short_terms(world: SimulatedCluster) -> None:
     """Jobs are cancelled; then every leader is killed before it has loaded the records."""
     await asyncio.sleep(4.0)
     world.state.scan_s = 2.0
-    _end_leader(world, 0.1)
+    _kill_leader(world, 0.1)
     await world.users.cancel_now(6)
     until = world.now() + world.shape.cancel_s + 10.0
     while world.now() < until:
@@ -284,7 +285,7 @@
     world.state.scan_s = 0.0
 
 
-async def _leader_apart(world: SimulatedCluster) -> None:
+async def _isolated_leader(world: SimulatedCluster) -> None:
     """The leader is partitioned from the state service and the other controllers only."""
     await asyncio.sleep(4.0)
     host = world.leader()
@@ -298,7 +299,7 @@
     world.active_faults.cut_links.difference_update(pairs)
 
 
-async def _held(world: SimulatedCluster) -> None:
+async def _delayed_commands(world: SimulatedCluster) -> None:
     """Commands and responses are delayed for longer than `cancel_s`; jobs are cancelled while one
     of their start commands is in flight."""
     world.active_faults.command_delay_s, world.active_faults.cancel_in_flight = (
@@ -310,7 +311,7 @@
     await asyncio.sleep(2.0 * world.shape.cancel_s)
 
 
-async def _hung_for_long(world: SimulatedCluster) -> None:
+async def _paused_machines(world: SimulatedCluster) -> None:
     """Jobs are cancelled as their machines are paused, for less and for longer than a lease."""
     shape = world.shape
     for hang_s in (0.9 * shape.lease_s, 1.4 * shape.lease_s, shape.cancel_s + 4.0):
@@ -322,7 +323,7 @@
 # -- mutations: each disables one safeguard -------------------------------------------------------
 
 
-def _over_first(patch: Patch) -> None:
+def _read_end_before_job(patch: Patch) -> None:
     """The end record is read before the job record, although the job may end in between."""
 
     async def status(self: Admission, job_id: JobId) -> Reply:
@@ -336,58 +337,58 @@
     patch.setattr(Admission, "_status", status)
 
 
-def _remembers_for_a_moment(patch: Patch) -> None:
+def _cache_status(patch: Patch) -> None:
     """A status is served from a cache for a quarter of a second."""
-    whole = Admission._status
-    kept: dict[tuple[int, JobId], tuple[Monotonic, Reply]] = {}
+    original = Admission._status
+    cache: dict[tuple[int, JobId], tuple[Monotonic, Reply]] = {}
 
     async def status(self: Admission, job_id: JobId) -> Reply:
-        at, reply = kept.get((id(self), job_id), (Monotonic(-1e9), None))
+        at, reply = cache.get((id(self), job_id), (Monotonic(-1e9), None))
         if reply is None or monotonic_now() - at > 0.25:
-            reply = await whole(self, job_id)
-            kept[(id(self), job_id)] = monotonic_now(), reply
+            reply = await original(self, job_id)
+            cache[(id(self), job_id)] = monotonic_now(), reply
         return reply
 
     patch.setattr(Admission, "_status", status)
 
 
-def _accepted_without_an_answer(patch: Patch) -> None:
+def _report_unknown_outcome_as_accepted(patch: Patch) -> None:
     """A submission whose outcome is unknown is reported as accepted."""
-    whole = Admission._commit_accepted
+    original = Admission._commit_accepted
 
-    async def commit(self: Admission, *given: Any) -> Any:
+    async def commit(self: Admission, *args: Any) -> Any:
         try:
-            return await whole(self, *given)
+            return await original(self, *args)
         except OutcomeUnknownError:
             return Committed(Revision(1))
 
     patch.setattr(Admission, "_commit_accepted", commit)
 
 
-def _accepted_again(patch: Patch) -> None:
+def _accept_without_guard(patch: Patch) -> None:
     """A submission is accepted without the guard that the job is new."""
-    whole = Admission._commit_accepted
+    original = Admission._commit_accepted
 
     async def commit(self: Admission, guards: list[Any], changes: list[Any]) -> Any:
-        return await whole(self, [], changes)
+        return await original(self, [], changes)
 
     patch.setattr(Admission, "_commit_accepted", commit)
 
 
-def _silence_is_success(patch: Patch) -> None:
+def _assume_unanswered_transactions_executed(patch: Patch) -> None:
     """A leader takes a transaction without a response for an executed one."""
-    whole = Fence.commit
+    original = Fence.commit
 
-    async def commit(self: Fence, *given: Any, **named: Any) -> Any:
+    async def commit(self: Fence, *args: Any, **kwargs: Any) -> Any:
         try:
-            return await whole(self, *given, **named)
+            return await original(self, *args, **kwargs)
         except OutcomeUnknownError:
             return Committed(Revision(1))
 
     patch.setattr(Fence, "commit", commit)
 
 
-def _cancelled_are_leftovers(patch: Patch) -> None:
+def _skip_loading_ended_jobs(patch: Patch) -> None:
     """A new leader loads no ended jobs, so it takes their chunks for orphaned ones."""
 
     async def nothing(*_: object) -> None:
@@ -396,29 +397,29 @@
     patch.setattr(RecordLoader, "_load_ended", nothing)
 
 
-def _limits_forget(patch: Patch) -> None:
+def _ignore_inherited_usage(patch: Patch) -> None:
     """Bindings of former leaders don't count against quotas."""
-    whole = JobStore.load
+    original = JobStore.load
 
-    def load(self: JobStore, job: Job, *given: Any) -> Any:
+    def load(self: JobStore, job: Job, *args: Any) -> Any:
         cpus, gpus = dict(self.team_cpus), dict(self.team_gpus)
-        found = whole(self, job, *given)
+        result = original(self, job, *args)
         self.team_cpus, self.team_gpus = cpus, gpus
-        for binding in found:
+        for binding in result:
             # The end of a binding subtracts its usage, though it was never added.
             self.team_cpus.setdefault(binding.chunk.job.spec.team, 0.0)
             self.team_gpus.setdefault(binding.chunk.job.spec.team, 0.0)
-        return found
+        return result
 
     patch.setattr(JobStore, "load", load)
 
 
-def _watch_begins_late(patch: Patch) -> None:
+def _watch_from_later_revision(patch: Patch) -> None:
     """The watch of jobs starts at a revision after the records were read."""
-    whole = RecordLoader.load
+    original = RecordLoader.load
 
     async def load(self: RecordLoader) -> CancellationKnowledge:
-        seen = await whole(self)
+        seen = await original(self)
         await asyncio.sleep(0.3)
         _, revision = await self._client.scan("job/")
         return CancellationKnowledge(revision, seen.at)
@@ -426,52 +427,52 @@
     patch.setattr(RecordLoader, "load", load)
 
 
-def _rented_anew(patch: Patch) -> None:
+def _replace_rented_machine(patch: Patch) -> None:
     """A rental's response replaces a machine that has already sent heartbeats and got tasks."""
-    whole = Provisioner._add_rented_machine
+    original = Provisioner._add_rented_machine
 
-    def rented(self: Provisioner, name: str, *given: Any, **named: Any) -> None:
+    def rented(self: Provisioner, name: str, *args: Any, **kwargs: Any) -> None:
         self._fleet.machines.pop(name, None)  # type: ignore[call-overload]
-        whole(self, name, *given, **named)
+        original(self, name, *args, **kwargs)
 
     patch.setattr(Provisioner, "_add_rented_machine", rented)
 
 
-def _any_order(patch: Patch) -> None:
+def _accept_old_heartbeats(patch: Patch) -> None:
     """Heartbeats are processed even if a newer one has arrived."""
     patch.setattr(HeartbeatProcessor, "_out_of_date", staticmethod(lambda *_: False))
 
 
-def _any_token(patch: Patch) -> None:
+def _accept_old_tokens(patch: Patch) -> None:
     """Task lists of heartbeats that were sent before the term are used."""
-    whole = HeartbeatProcessor.process
+    original = HeartbeatProcessor.process
 
-    def process(self: HeartbeatProcessor, report: wire.Heartbeat, *given: Any) -> Any:
+    def process(self: HeartbeatProcessor, report: wire.Heartbeat, *args: Any) -> Any:
         values = {f: getattr(report, f) for f in report.__struct_fields__}
-        return whole(self, wire.Heartbeat(**{**values, "token": self._term}), *given)
+        return original(self, wire.Heartbeat(**{**values, "token": self._term}), *args)
 
     patch.setattr(HeartbeatProcessor, "process", process)
 
 
-def _end_unguarded(patch: Patch) -> None:
+def _end_without_guards(patch: Patch) -> None:
     """A job's end is written without the guards against a concurrent cancellation."""
-    whole = TransactionBatch.add_end
+    original = TransactionBatch.add_end
 
-    def add_end(self: TransactionBatch, job: Job, *given: Any) -> bool:
-        found = whole(self, job, *given)
+    def add_end(self: TransactionBatch, job: Job, *args: Any) -> bool:
+        result = original(self, job, *args)
         self.guards.pop(job_key(job.id), None)
         self.guards.pop(f"over/{job.id}", None)
-        return found
+        return result
 
     patch.setattr(TransactionBatch, "add_end", add_end)
 
 
-def _acknowledges_nothing(patch: Patch) -> None:
+def _ignore_acknowledged_cancellations(patch: Patch) -> None:
     """Lease extension grants don't list the acknowledged cancellations."""
     patch.setattr(AcknowledgedCancellations, "add", lambda *_: None)
 
 
-def _delegates_ignored(patch: Patch) -> None:
+def _ignore_delegations(patch: Patch) -> None:
     """Leases expire although another controller may have renewed the worker."""
 
     async def check(self: LeaseExpiryLoop) -> None:
@@ -480,7 +481,7 @@
     patch.setattr(LeaseExpiryLoop, "_check", check)
 
 
-def _silence_from_nothing(patch: Patch) -> None:
+def _ignore_former_renewals(patch: Patch) -> None:
     """A new leader ignores that a former leader may have renewed a worker's lease."""
 
     def renewed_at(self: Leases, machine: Machine) -> Monotonic:
@@ -493,186 +494,192 @@
     patch.setattr(Leases, "_renewed_at", renewed_at)
 
 
-def _unread_renews(patch: Patch) -> None:
+def _renew_before_loading(patch: Patch) -> None:
     """A leader renews workers before it has loaded the records."""
-    whole = HeartbeatProcessor.process
+    original = HeartbeatProcessor.process
 
-    def process(self: HeartbeatProcessor, *given: Any) -> Any:
-        return whole(self, *given) if self._fleet.loaded else []
+    def process(self: HeartbeatProcessor, *args: Any) -> Any:
+        return original(self, *args) if self._fleet.loaded else []
 
     patch.setattr(HeartbeatProcessor, "process", process)
     patch.setattr(Leader, "may_renew_workers", lambda *_: True)
 
 
-def _for_ever(patch: Patch) -> None:
+def _ignore_lease_expiry(patch: Patch) -> None:
     """A leader continues after its lease has expired."""
     patch.setattr(Election, "valid_leadership", lambda self, now: self.leadership)
 
 
-def _out_for_ever(patch: Patch) -> None:
+def _never_let_worker_lease_expire(patch: Patch) -> None:
     """A worker is renewed although a start command of a cancelled job may still reach it."""
     patch.setattr(HeartbeatProcessor, "_must_let_lease_expire", lambda *_: False)
 
 
-def _no_stops(patch: Patch) -> None:
+def _send_stops_once(patch: Patch) -> None:
     """Each stop command is sent only once."""
-    whole = Commands.stops
-    told: set[object] = set()
+    original = Commands.stops
+    sent: set[object] = set()
 
     def stops(self: Commands, machine: Machine, now: Monotonic) -> Any:
-        found = [c for c in whole(self, machine, now) if (c["piece"], c["try"]) not in told]
-        told.update((c["piece"], c["try"]) for c in found)
-        return found
+        result = [c for c in original(self, machine, now) if (c["piece"], c["try"]) not in sent]
+        sent.update((c["piece"], c["try"]) for c in result)
+        return result
 
     patch.setattr(Commands, "stops", stops)
 
 
 @dataclass(frozen=True)
-class Meeting:
+class FaultCombination:
     script: Script
     shape: Shape = field(default_factory=lambda: Shape(machines=6))
-    faults: tuple[tuple[str, Fault], ...] = ()
+    mutations: tuple[tuple[str, Mutation], ...] = ()
     calm_s: float = 30.0
     seed: int = 1
 
 
-_MEETINGS: dict[str, Meeting] = {
-    "close looks": Meeting(
-        _looked_at_closely,
+_COMBINATIONS: dict[str, FaultCombination] = {
+    "close polling": FaultCombination(
+        _close_polling,
         Shape(machines=6, every_s=1.0, jobs=((1, 2.0), (2, 4.0), (1, 30.0))),
         (
-            ("forgotten", _over_first),
-            ("went_back", _remembers_for_a_moment),
-            ("forgotten", _accepted_without_an_answer),
+            ("forgotten", _read_end_before_job),
+            ("went_back", _cache_status),
+            ("forgotten", _report_unknown_outcome_as_accepted),
         ),
         10.0,
     ),
-    "only answers are lost": Meeting(
-        _answers_lost, Shape(machines=6, every_s=1.5), (("went_back", _accepted_again),)
+    "lost responses": FaultCombination(
+        _lost_responses, Shape(machines=6, every_s=1.5), (("went_back", _accept_without_guard),)
     ),
-    "transactions are late": Meeting(
-        _transactions_late,
-        Shape(machines=12, every_s=1.5, jobs=_LONG, limit_vcpus=99.0, cancelled=0.0),
-        (("ran_twice", _silence_is_success),),
+    "late transactions": FaultCombination(
+        _late_transactions,
+        Shape(machines=12, every_s=1.5, jobs=_LONG_JOBS, limit_vcpus=99.0, cancelled=0.0),
+        (("ran_twice", _assume_unanswered_transactions_executed),),
     ),
-    "teams at their limits": Meeting(
-        _at_the_limit,
-        Shape(machines=8, limit_vcpus=16.0, every_s=1.5, jobs=_LONG, cancelled=0.1),
-        (("quota", _cancelled_are_leftovers), ("quota", _limits_forget)),
+    "teams at their quota": FaultCombination(
+        _teams_at_quota,
+        Shape(machines=8, limit_vcpus=16.0, every_s=1.5, jobs=_LONG_JOBS, cancelled=0.1),
+        (("quota", _skip_loading_ended_jobs), ("quota", _ignore_inherited_usage)),
     ),
-    "hands change": Meeting(
-        _hands_change,
+    "leader changes": FaultCombination(
+        _leader_changes,
         Shape(machines=12, every_s=0.4, jobs=((1, 90.0),), cancelled=0.0, limit_vcpus=99.0),
-        (("ran_cancelled", _watch_begins_late),),
+        (("ran_cancelled", _watch_from_later_revision),),
         5.0,
     ),
-    "machines up at once": Meeting(
-        _up_at_once, Shape(machines=16, every_s=1.5), (("left", _rented_anew),), 170.0
+    "fast machine boots": FaultCombination(
+        _fast_boots, Shape(machines=16, every_s=1.5), (("left", _replace_rented_machine),), 170.0
     ),
-    "reports kept for the next leader": Meeting(
-        _kept_reports,
+    "heartbeats replayed to the next leader": FaultCombination(
+        _replayed_heartbeats,
         Shape(machines=10, every_s=0.8, limit_vcpus=99.0),
-        (("ran_twice", _any_order), ("ran_twice", _any_token)),
+        (("ran_twice", _accept_old_heartbeats), ("ran_twice", _accept_old_tokens)),
     ),
-    "one-task jobs by the hundred": Meeting(
-        _flood, Shape(machines=8, every_s=0.25, jobs=((1, 3.0),), cancelled=0.25), ()
+    "hundreds of one-task jobs": FaultCombination(
+        _many_small_jobs, Shape(machines=8, every_s=0.25, jobs=((1, 3.0),), cancelled=0.25), ()
     ),
-    "more work than room": Meeting(
-        _more_than_room, Shape(machines=4, every_s=0.5, jobs=_LONG, limit_vcpus=99.0), ()
+    "more work than capacity": FaultCombination(
+        _overload, Shape(machines=4, every_s=0.5, jobs=_LONG_JOBS, limit_vcpus=99.0), ()
     ),
-    "called off at the end": Meeting(
-        _off_at_the_end, Shape(machines=6, every_s=1.0), (("went_back", _end_unguarded),)
+    "cancelled at completion": FaultCombination(
+        _cancellations_at_completion,
+        Shape(machines=6, every_s=1.0),
+        (("went_back", _end_without_guards),),
     ),
-    "refused as jobs are called off": Meeting(
-        _refused_and_off,
+    "cancelled while the leader is refused": FaultCombination(
+        _cancellations_while_refused,
         Shape(machines=6, every_s=1.5, jobs=((2, 90.0),), cancelled=0.0),
-        (("ran_cancelled", _acknowledges_nothing),),
+        (("ran_cancelled", _ignore_acknowledged_cancellations),),
         10.0,
     ),
-    "mute machines": Meeting(
-        _mute,
-        Shape(machines=6, every_s=1.5, jobs=_LONG),
-        (("ran_twice", _silence_from_nothing), ("given_work", place_on_contacted_machines)),
+    "machines partitioned outbound": FaultCombination(
+        _outbound_partition,
+        Shape(machines=6, every_s=1.5, jobs=_LONG_JOBS),
+        (("ran_twice", _ignore_former_renewals), ("given_work", place_on_contacted_machines)),
     ),
-    "zones lose machines": Meeting(
+    "zones lose machines": FaultCombination(
         _zones_lose_machines,
         Shape(machines=9, every_s=1.5, jobs=((6, 20.0), (3, 30.0)), cancelled=0.0, zoned=1.0),
     ),
-    "zones apart": Meeting(
-        _zones_parted,
-        Shape(machines=6, every_s=1.5, jobs=_LONG),
-        (("ran_twice", _delegates_ignored),),
+    "partitioned zones": FaultCombination(
+        _partitioned_zones,
+        Shape(machines=6, every_s=1.5, jobs=_LONG_JOBS),
+        (("ran_twice", _ignore_delegations),),
     ),
-    "no controller": Meeting(
-        _nobody_leads, Shape(machines=6, every_s=1.5), (("ran_twice", _silence_from_nothing),)
+    "no controller": FaultCombination(
+        _no_controller, Shape(machines=6, every_s=1.5), (("ran_twice", _ignore_former_renewals),)
     ),
-    "ten leaders": Meeting(
-        _ten_leaders,
+    "short terms": FaultCombination(
+        _short_terms,
         Shape(machines=6, every_s=1.5, jobs=((2, 90.0),), cancelled=0.0),
-        (("ran_cancelled", _unread_renews),),
+        (("ran_cancelled", _renew_before_loading),),
         10.0,
     ),
-    "a leader apart": Meeting(
-        _leader_apart,
+    "isolated leader": FaultCombination(
+        _isolated_leader,
         # Enough capacity for the next leader to start again what the former one still runs.
         Shape(machines=18, every_s=1.0, jobs=((2, 90.0),), cancelled=0.0),
-        (("ran_twice", _for_ever),),
+        (("ran_twice", _ignore_lease_expiry),),
         10.0,
     ),
-    "commands are held": Meeting(
-        _held,
+    "delayed commands": FaultCombination(
+        _delayed_commands,
         Shape(machines=8, every_s=0.7, jobs=((1, 20.0),), cancelled=0.0, limit_vcpus=99.0),
-        (("ran_cancelled", _out_for_ever),),
+        (("ran_cancelled", _never_let_worker_lease_expire),),
         5.0,
     ),
-    "machines hang": Meeting(
-        _hung_for_long,
+    "paused machines": FaultCombination(
+        _paused_machines,
         Shape(machines=6, every_s=1.5, jobs=((2, 90.0),), cancelled=0.0),
-        (("ran_cancelled", _no_stops),),
+        (("ran_cancelled", _send_stops_once),),
         10.0,
     ),
 }
 
 
-def _play(meeting: Meeting, seed: int, until: str = "") -> SimulatedCluster:
-    return play(seed, meeting.shape, 60.0, meeting.script, meeting.calm_s, until)
+def _run(combination: FaultCombination, seed: int, until: str = "") -> SimulatedCluster:
+    return play(seed, combination.shape, 60.0, combination.script, combination.calm_s, until)
 
 
 @functools.cache
-def _sound(name: str) -> SimulatedCluster:
+def _run_unmodified(name: str) -> SimulatedCluster:
     """Return the finished simulation of a combination with all safeguards enabled."""
-    return _play(_MEETINGS[name], _MEETINGS[name].seed)
+    return _run(_COMBINATIONS[name], _COMBINATIONS[name].seed)
 
 
-@pytest.mark.parametrize("name", _MEETINGS)
-def test_no_rule_breaks(name: str) -> None:
-    world = _sound(name)
+@pytest.mark.parametrize("name", _COMBINATIONS)
+def test_no_invariant_is_violated(name: str) -> None:
+    world = _run_unmodified(name)
     assert not world.broken, [*world.events, *world.broken]
     assert world.starts > 5
 
 
 @pytest.mark.parametrize(
-    ("name", "rule", "fault"),
-    [(name, rule, fault) for name, m in _MEETINGS.items() for rule, fault in m.faults],
+    ("name", "invariant", "mutation"),
+    [
+        (name, invariant, mutation)
+        for name, m in _COMBINATIONS.items()
+        for invariant, mutation in m.mutations
+    ],
 )
-def test_each_guard_is_needed(
-    name: str, rule: str, fault: Fault, monkeypatch: pytest.MonkeyPatch
+def test_disabled_guard_violates_invariant(
+    name: str, invariant: str, mutation: Mutation, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    fault(monkeypatch)
-    found: set[str] = set()
+    mutation(monkeypatch)
+    violated: set[str] = set()
     for seed in range(1, 7):
-        found |= _play(_MEETINGS[name], seed, rule).rules
-        if rule in found:
+        violated |= _run(_COMBINATIONS[name], seed, invariant).rules
+        if invariant in violated:
             return
-    raise AssertionError(f"invariant {rule} not violated; violated: {found}")
+    raise AssertionError(f"invariant {invariant} not violated; violated: {violated}")
 
 
-def test_a_one_task_job_costs_five_changes_and_other_jobs_are_served() -> None:
+def test_one_task_job_needs_at_most_five_changes_under_load() -> None:
     """A job needs changes to accept it, bind it, end it (two records) and delete its chunk.
 
     A cancelled job needs no more.
     """
-    world = _sound("one-task jobs by the hundred")
+    world = _run_unmodified("hundreds of one-task jobs")
     assert not world.broken and len(world.jobs) > 200
     assert len(world.state.log) <= 5 * len(world.jobs) + 150
     open_ = [job for job in world.jobs.values() if job.accepted and not job.over]
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -5,8 +5,8 @@
 the protocol. The state service refuses one host or all, the leader's watch stalls, leaders are
 killed, also before they have loaded the records, and responses don't reach the worker. No task may
 be on its machine longer than `cancel_s` after a user was told that its job is cancelled.
-`test_each_link_is_needed` disables the conditions for renewing a worker one by one; the conditions
-for lease extension grants are tested in `tests/test_acknowledged_cancellations.py`.
+`test_disabled_renewal_condition_delays_stop` disables the conditions for renewing a worker one by
+one; `tests/test_acknowledged_cancellations.py` tests the conditions for lease extension grants.
 """
 
 from __future__ import annotations
@@ -104,11 +104,11 @@
 class _Client:
     """The state service as one host sees it; it fails while it doesn't serve that host."""
 
-    def __init__(self, world: _World | None, host: int) -> None:
-        self.world, self.host = world, host
+    def __init__(self, model: _Model | None, host: int) -> None:
+        self.model, self.host = model, host
 
     async def get(self, key: str) -> None:
-        if self.world is None or not self.world.serves(self.host):
+        if self.model is None or not self.model.serves(self.host):
             raise StateUnavailableError("status 503")
 
 
@@ -117,58 +117,62 @@
 
     leadership: Leadership | None = None
 
-    def __init__(self, world: _World, number: int, first: Revision | None) -> None:
-        self.world, self.number, self.first = world, number, first
-        self.waits_until = Monotonic(world.now + EXTENSION_GRANT_S)
-        self.known = AcknowledgedCancellations(lambda: self.first)
-        client = cast(StateClient, _Client(world, number))
-        self.extension = LeaseExtension(world.settings, client, self, self.known, lambda: world.now)
+    def __init__(self, model: _Model, number: int, known_since: Revision | None) -> None:
+        self.model, self.number, self.known_since = model, number, known_since
+        self.no_campaign_before = Monotonic(model.now + EXTENSION_GRANT_S)
+        self.acknowledged = AcknowledgedCancellations(lambda: self.known_since)
+        client = cast(StateClient, _Client(model, number))
+        self.extension = LeaseExtension(
+            model.settings, client, self, self.acknowledged, lambda: model.now
+        )
         self.extension._peers = {str(n): cast(Any, n) for n in range(_HOSTS) if n != number}
         self.extension._ask = self._ask  # type: ignore[method-assign,assignment]
         self.extension.cancellation_knowledge = lambda: (
-            world.leader.cancellation_knowledge
-            if world.leader is not None
+            model.leader.cancellation_knowledge
+            if model.leader is not None
             else CancellationKnowledge()
         )
-        self.extension.on_cancelled = lambda job: world.learns(job)
-        self.extension.on_cancellations_known = lambda _, at: world.on_cancellations_known(at)
+        self.extension.on_cancelled = lambda job: model.notify_leader(job)
+        self.extension.on_cancellations_known = lambda _, at: model.on_cancellations_known(at)
 
     async def _ask(self, number: Any, request: ExtensionRequest) -> ExtensionAnswer:
-        answer: ExtensionAnswer = await self.world.hosts[number].extension.handle_request(request)
+        answer: ExtensionAnswer = await self.model.hosts[number].extension.handle_request(request)
         return answer
 
     def grant_extension(self, term: FencingToken, until: Monotonic) -> str:
-        self.waits_until = Monotonic(max(self.waits_until, until))
+        self.no_campaign_before = Monotonic(max(self.no_campaign_before, until))
         return ""
 
 
-class _World:
+class _Model:
     """A model of the hosts, the worker and the state service; time advances in discrete steps."""
 
-    def __init__(self, seed: int, without: str = "", lease_s: float = 8.0, cancel_s: float = 20.0):
+    def __init__(
+        self, seed: int, disabled_condition: str = "", lease_s: float = 8.0, cancel_s: float = 20.0
+    ):
         self.rng = random.Random(seed)
-        self.without = without
+        self.disabled_condition = disabled_condition
         self.settings = _settings(lease_s, cancel_s)
         self.lease_s, self.cancel_s = lease_s, cancel_s
         self.now = Monotonic(100.0)
         self.revision = 10
         self.down = False
         self.refused: set[int] = set()
-        self.stuck = False
+        self.watch_stalled = False
         self.inbound_partitioned = False
-        self.terminated: dict[str, int] = {}
-        self.told: dict[str, Monotonic] = {}
-        self.stopped_knowing = 0
+        self.cancelled_revisions: dict[str, int] = {}
+        self.acknowledged_at: dict[str, Monotonic] = {}
+        self.cancellations_learned = 0
         self.hosts = [_Host(self, n, Revision(10)) for n in range(_HOSTS)]
         for host in self.hosts:
-            host.waits_until = self.now
+            host.no_campaign_before = self.now
         self.worker = Worker(_MACHINE, renewed_at=self.now)
         self.worker.beats = 1
         self.records: dict[str, Any] = {}
         self.term = 0
-        self.leads: int | None = None
+        self.leader_host: int | None = None
         self.leader: Leader | None = None
-        self.key_until = self.now
+        self.leader_key_expires_at = self.now
         self._elect(0)
         self._load()
         self._bind()
@@ -180,13 +184,13 @@
 
     def _elect(self, host: int) -> None:
         self.term += 1
-        self.leads = host
+        self.leader_host = host
         self.leader = _leader(self.settings, self.term, self.now)
         self.leader.fleet.leases.expiry_s = (
             1e9  # Leases never expire for the leader: rebinding is not modelled.
         )
-        self.key_until = Monotonic(self.now + LEASE_TTL_S)
-        self.reads_at = Monotonic(self.now + self.rng.choice([0.2, 0.2, 2.0, 6.0]))
+        self.leader_key_expires_at = Monotonic(self.now + LEASE_TTL_S)
+        self.records_loaded_at = Monotonic(self.now + self.rng.choice([0.2, 0.2, 2.0, 6.0]))
 
     def _load(self) -> None:
         leader = self.leader
@@ -200,7 +204,7 @@
         leader.job_watch.cancellation_knowledge = CancellationKnowledge(
             Revision(self.revision), self.now
         )
-        for name in self.terminated:
+        for name in self.cancelled_revisions:
             job = leader.job_store.jobs[JobId(name)]
             leader.job_store.cancel(job)
             leader.scheduling_loop.placement.cancel(job, self.now)
@@ -208,8 +212,8 @@
     def _bind(self) -> None:
         leader = self.leader
         assert leader is not None
-        self.beat()
-        self.beat()
+        self.send_heartbeat()
+        self.send_heartbeat()
         machine = leader.fleet.machines[_MACHINE]
         for job_id in _JOBS:
             job = leader.job_store.jobs[job_id]
@@ -217,14 +221,14 @@
             (chunk,) = job.chunks.values()
             self.records[job_id] = leader.job_store.value(chunk)
             chunk.committed = chunk.version
-        self.beat()
+        self.send_heartbeat()
         assert len(self.worker.tasks) == len(_JOBS)
 
-    def learns(self, name: str) -> None:
+    def notify_leader(self, name: str) -> None:
         if self.leader is not None and self.leader.fleet.loaded:
             job = self.leader.job_store.jobs.get(JobId(name))
             if job is not None and not job.cancelled:
-                self.stopped_knowing += 1
+                self.cancellations_learned += 1
             self.leader.lifecycle.on_cancelled(name, "test")
 
     def on_cancellations_known(self, at: Monotonic) -> None:
@@ -235,50 +239,50 @@
         leader = self.leader
         return leader if leader is not None and leader._leadership.valid(self.now) else None
 
-    def lead(self) -> None:
+    def run_leader(self) -> None:
         """One step of the leader's loops: lease renewal, record loading and the job watch."""
         leader = self.leader
-        if leader is None or self.leads is None:
+        if leader is None or self.leader_host is None:
             return
         leadership = leader._leadership
-        if self.serves(self.leads):
-            if self.now >= self.key_until:
-                self.leader = self.leads = None
+        if self.serves(self.leader_host):
+            if self.now >= self.leader_key_expires_at:
+                self.leader = self.leader_host = None
                 return
             leadership.renewal_failed = False
             leadership.valid_until = Monotonic(
                 max(leadership.valid_until, self.now + LEASE_TTL_S - 0.2)
             )
-            self.key_until = Monotonic(self.now + LEASE_TTL_S)
+            self.leader_key_expires_at = Monotonic(self.now + LEASE_TTL_S)
             if not leader.fleet.loaded:
-                if self.now >= self.reads_at:
+                if self.now >= self.records_loaded_at:
                     self._load()
-            elif not self.stuck:
-                for name in self.terminated:
-                    self.learns(name)
+            elif not self.watch_stalled:
+                for name in self.cancelled_revisions:
+                    self.notify_leader(name)
                 leader.job_watch.cancellation_knowledge = CancellationKnowledge(
                     Revision(self.revision), self.now
                 )
         else:
             leadership.renewal_failed = True
-            asyncio.run(self.hosts[self.leads].extension._seek(leadership))
+            asyncio.run(self.hosts[self.leader_host].extension._seek(leadership))
 
-    def stand(self) -> None:
-        if self.down or self.now < self.key_until:
+    def elect_if_due(self) -> None:
+        if self.down or self.now < self.leader_key_expires_at:
             return
         for host in self.rng.sample(range(_HOSTS), _HOSTS):
-            if self.serves(host) and self.now >= self.hosts[host].waits_until:
+            if self.serves(host) and self.now >= self.hosts[host].no_campaign_before:
                 return self._elect(host)
 
     # -- the worker -------------------------------------------------------------------------------
 
-    def beat(self) -> None:
+    def send_heartbeat(self) -> None:
         worker = self.worker
         worker.lapse(self.now)
         leader = self._leading()
         if leader is None:
             return
-        if not self._informed(leader):
+        if not self._may_renew(leader):
             return
         message = worker.report()
         found = leader.fleet.heartbeats.process(message, _MACHINE, self.now, Wall(0.0))
@@ -290,137 +294,151 @@
         worker.renewed_at = self.now
         worker.execute(found)
 
-    def _informed(self, leader: Leader) -> bool:
-        if self.without == "reading" and not leader.fleet.loaded:
+    def _may_renew(self, leader: Leader) -> bool:
+        if self.disabled_condition == "records loaded" and not leader.fleet.loaded:
             return True
-        if self.without == "watching" and leader.fleet.loaded:
+        if self.disabled_condition == "recent knowledge" and leader.fleet.loaded:
             return True
         return leader.may_renew_workers(self.now)
 
     # -- faults and user requests -----------------------------------------------------------------
 
     def run(self, steps: int) -> None:
-        troubles = [
-            self.refuse, self.outage, self.heal, self.heal, self.restart, self.end, self.end,
-            self.stick, self.hear_nothing, self.cancel, self.cancel, self.poll,
+        actions = [
+            self.refuse_leader, self.begin_outage, self.end_faults, self.end_faults,
+            self.restart_member, self.kill_leader, self.kill_leader, self.stall_watch,
+            self.partition_worker_inbound, self.cancel_job, self.cancel_job, self.acknowledge_late,
         ]  # fmt: skip
         for _ in range(steps):
-            self.rng.choice(troubles)()
+            self.rng.choice(actions)()
             for _ in range(self.rng.choice([1, 2, 4, 8])):
-                self.lead()
-                self.stand()
-                self.beat()
+                self.run_leader()
+                self.elect_if_due()
+                self.send_heartbeat()
                 self.now = Monotonic(self.now + self.rng.choice([0.1, 0.5, 0.7]))
-                self.check()
+                self.check_deadlines()
 
-    def refuse(self) -> None:
-        if self.leads is not None:
-            self.refused = {self.leads}
+    def refuse_leader(self) -> None:
+        if self.leader_host is not None:
+            self.refused = {self.leader_host}
 
-    def outage(self) -> None:
+    def begin_outage(self) -> None:
         self.down = True
 
-    def heal(self) -> None:
+    def end_faults(self) -> None:
         if self.down:
             # The end of an outage renews every lease for its full time to live.
-            self.key_until = Monotonic(max(self.key_until, self.now + LEASE_TTL_S))
-        self.down, self.refused, self.stuck, self.inbound_partitioned = False, set(), False, False
+            self.leader_key_expires_at = Monotonic(
+                max(self.leader_key_expires_at, self.now + LEASE_TTL_S)
+            )
+        self.down, self.refused, self.watch_stalled, self.inbound_partitioned = (
+            False,
+            set(),
+            False,
+            False,
+        )
         for host in self.hosts:
-            if host.first is None:
-                host.first = Revision(self.revision)
+            if host.known_since is None:
+                host.known_since = Revision(self.revision)
 
-    def restart(self) -> None:
+    def restart_member(self) -> None:
         number = self.rng.randrange(_HOSTS)
-        if number != self.leads:
+        if number != self.leader_host:
             self.hosts[number] = _Host(self, number, None)
 
-    def end(self) -> None:
+    def kill_leader(self) -> None:
         """Kill the leader's process; its key remains until its lease expires."""
-        if self.leads is not None:
-            self.hosts[self.leads] = _Host(self, self.leads, None)
-            self.leader = self.leads = None
+        if self.leader_host is not None:
+            self.hosts[self.leader_host] = _Host(self, self.leader_host, None)
+            self.leader = self.leader_host = None
 
-    def stick(self) -> None:
-        self.stuck = True
+    def stall_watch(self) -> None:
+        self.watch_stalled = True
 
-    def hear_nothing(self) -> None:
+    def partition_worker_inbound(self) -> None:
         self.inbound_partitioned = self.rng.random() < 0.3
 
-    def cancel(self) -> None:
+    def cancel_job(self) -> None:
         serving = [n for n in range(_HOSTS) if self.serves(n)]
-        left = [name for name in _JOBS if name not in self.terminated]
+        left = [name for name in _JOBS if name not in self.cancelled_revisions]
         if serving and left:
             self.revision += 1
-            self.terminated[left[0]] = self.revision
+            self.cancelled_revisions[left[0]] = self.revision
             if self.rng.random() < 0.8:
-                self._tell(left[0], self.rng.choice(serving))
+                self._acknowledge(left[0], self.rng.choice(serving))
             if self.rng.random() < 0.3:
                 self.down = True
 
-    def poll(self) -> None:
+    def acknowledge_late(self) -> None:
         serving = [n for n in range(_HOSTS) if self.serves(n)]
-        never_sent = [name for name in self.terminated if name not in self.told]
-        if serving and never_sent:
-            self._tell(never_sent[0], self.rng.choice(serving))
+        unacknowledged = [
+            name for name in self.cancelled_revisions if name not in self.acknowledged_at
+        ]
+        if serving and unacknowledged:
+            self._acknowledge(unacknowledged[0], self.rng.choice(serving))
 
-    def _tell(self, name: str, host: int) -> None:
-        self.hosts[host].known.add(name, Revision(self.terminated[name]))
-        self.told[name] = self.now
+    def _acknowledge(self, name: str, host: int) -> None:
+        self.hosts[host].acknowledged.add(name, Revision(self.cancelled_revisions[name]))
+        self.acknowledged_at[name] = self.now
 
-    def check(self) -> None:
+    def check_deadlines(self) -> None:
         self.worker.lapse(self.now)
-        for name, told in self.told.items():
-            held = self.worker.tasks.get(f"{name}/0")
-            on = held is not None and held[1] != "ended"
-            assert not on or self.now <= told + self.cancel_s, f"{name} still runs"
+        for name, acknowledged_at in self.acknowledged_at.items():
+            task = self.worker.tasks.get(f"{name}/0")
+            running = task is not None and task[1] != "ended"
+            assert not running or self.now <= acknowledged_at + self.cancel_s, f"{name} still runs"
 
 
 @given(st.integers(0, 2**32), st.sampled_from([(8.0, 20.0), (15.25, 35.25), (10.0, 30.0)]))
 @hypothesis_settings(max_examples=200, deadline=None, derandomize=True)
-def test_what_was_called_cancelled_ends_in_time(seed: int, workers: tuple[float, float]) -> None:
-    _World(seed, "", *workers).run(40)
+def test_acknowledged_cancellation_ends_tasks_within_cancel_s(
+    seed: int, workers: tuple[float, float]
+) -> None:
+    _Model(seed, "", *workers).run(40)
 
 
-@pytest.mark.parametrize("link", ["reading", "watching"])
-def test_each_link_is_needed(link: str) -> None:
+@pytest.mark.parametrize("condition", ["records loaded", "recent knowledge"])
+def test_disabled_renewal_condition_delays_stop(condition: str) -> None:
     with pytest.raises(AssertionError, match="still runs"):
         for seed in range(4000):
-            _World(seed, link).run(40)
+            _Model(seed, condition).run(40)
 
 
 @pytest.mark.parametrize("refused_s", [0.7, 2.5])
 @pytest.mark.parametrize("out_s", [40.0, 180.0])
-def test_a_leader_that_was_refused_alone_learns_and_goes_on(refused_s: float, out_s: float) -> None:
+def test_refused_leader_stops_cancelled_task_and_keeps_others(
+    refused_s: float, out_s: float
+) -> None:
     """It learns of the cancellation from another member, though it can't read the records itself.
 
     It must then stop the cancelled task, and renew the worker for the other jobs throughout.
     """
-    world = _World(0)
-    world.refuse()
-
-    def on(seconds: float) -> None:
-        until = world.now + seconds
-        while world.now < until:
-            world.lead()
-            world.beat()
-            world.check()
-            world.now = Monotonic(world.now + 0.1)
-
-    on(refused_s / 2)
-    world.revision += 1
-    world.terminated[_JOBS[0]] = world.revision
-    world._tell(_JOBS[0], 1)
-    on(refused_s / 2)
-    world.outage()
-    on(out_s)
-    states = {name: state for name, (_, state, _) in world.worker.tasks.items()}
+    model = _Model(0)
+    model.refuse_leader()
+
+    def run_for(seconds: float) -> None:
+        until = model.now + seconds
+        while model.now < until:
+            model.run_leader()
+            model.send_heartbeat()
+            model.check_deadlines()
+            model.now = Monotonic(model.now + 0.1)
+
+    run_for(refused_s / 2)
+    model.revision += 1
+    model.cancelled_revisions[_JOBS[0]] = model.revision
+    model._acknowledge(_JOBS[0], 1)
+    run_for(refused_s / 2)
+    model.begin_outage()
+    run_for(out_s)
+    states = {name: state for name, (_, state, _) in model.worker.tasks.items()}
     assert states.pop(f"{_JOBS[0]}/0", "ended") == "ended"
     # The tasks of the other jobs ran throughout.
     assert list(states.values()) == ["running"] * (len(_JOBS) - 1)
-    assert world.worker.incarnation == 1 and world.stopped_knowing == 1
+    assert model.worker.incarnation == 1 and model.cancellations_learned == 1
 
 
-def test_where_cancel_s_is_short_a_watch_in_its_ordinary_pace_is_enough() -> None:
+def test_renewal_staleness_bound_has_minimum() -> None:
     assert renewal_staleness_bound_s(_settings(8.0, 9.0).params.workers) == 6.0
     assert renewal_staleness_bound_s(_settings(8.0, 20.0).params.workers) == 7.0
 
@@ -428,7 +446,7 @@
 # -- ended jobs, and start commands in flight -----------------------------------------------------
 
 
-def _bound(cancel_s: float = 20.0) -> tuple[Leader, Fleet, Job, Binding]:
+def _leader_with_bound_task(cancel_s: float = 20.0) -> tuple[Leader, Fleet, Job, Binding]:
     """Return a leader with a job of one task, whose direct start has got no response."""
     leader = _leader(_settings(8.0, cancel_s), 1, Monotonic(100.0))
     fleet = leader.fleet
@@ -447,46 +465,48 @@
     return leader, fleet, job, binding
 
 
-def _beat(fleet: Fleet, sequence: int, at: float, *tasks: Any, incarnation: int = 1) -> Any:
+def _process_heartbeat(
+    fleet: Fleet, sequence: int, at: float, *tasks: Any, incarnation: int = 1
+) -> Any:
     message = report(_MACHINE, incarnation, sequence, 1, list(tasks))
     return fleet.heartbeats.process(message, _MACHINE, Monotonic(at), Wall(0.0))
 
 
-def test_a_start_that_is_out_is_not_waited_for_for_ever() -> None:
+def test_stopped_task_with_unanswered_start_is_started_and_stopped() -> None:
     # A task whose start was neither listed nor answered stayed bound although it was to be stopped.
-    _, fleet, job, binding = _bound()
+    _, fleet, job, binding = _leader_with_bound_task()
     fleet.commands.stop(binding, "preemption", 0.0, Monotonic(101.0))
-    commands = _beat(fleet, 3, 101.5)
+    commands = _process_heartbeat(fleet, 3, 101.5)
     # A stop has no effect before the start: the task is started, and stopped once it is listed.
     assert commands == [wire.stop("wk-000412/0", 1, 0.0), wire.start("wk-000412/0", 1)]
-    assert _beat(fleet, 4, 102.5, ("wk-000412/0", 1, "running", None)) == [
+    assert _process_heartbeat(fleet, 4, 102.5, ("wk-000412/0", 1, "running", None)) == [
         wire.stop("wk-000412/0", 1, 0.0)
     ]
-    _beat(fleet, 5, 103.5, ("wk-000412/0", 1, "ended", "stopped"))
+    _process_heartbeat(fleet, 5, 103.5, ("wk-000412/0", 1, "ended", "stopped"))
     assert binding not in list(job.bindings())
 
 
-def test_a_start_of_a_cancelled_job_that_is_out_ends_with_the_workers_lease() -> None:
+def test_worker_with_unanswered_start_of_cancelled_job_is_not_renewed() -> None:
     # The start may arrive at any time and then run: only a new incarnation rules that out, so the
     # worker's lease must expire.
-    leader, fleet, job, _ = _bound()
+    leader, fleet, job, _ = _leader_with_bound_task()
     leader.lifecycle.on_cancelled("wk-000412", "test")
-    since = next(iter(job.bindings())).stop
-    assert since is not None
-    patience_s = fleet.stop_timeout_s
-    assert patience_s + 8.0 < 20.0
-    in_vain = [wire.stop("wk-000412/0", 1, 0.0)]
-    assert _beat(fleet, 3, since.since + patience_s - 0.1) == in_vain
-    assert _beat(fleet, 4, since.since + patience_s + 0.1) is None
-    assert _beat(fleet, 5, since.since + patience_s + 0.2, incarnation=2) is not None
+    stop = next(iter(job.bindings())).stop
+    assert stop is not None
+    timeout_s = fleet.stop_timeout_s
+    assert timeout_s + 8.0 < 20.0
+    stops = [wire.stop("wk-000412/0", 1, 0.0)]
+    assert _process_heartbeat(fleet, 3, stop.since + timeout_s - 0.1) == stops
+    assert _process_heartbeat(fleet, 4, stop.since + timeout_s + 0.1) is None
+    assert _process_heartbeat(fleet, 5, stop.since + timeout_s + 0.2, incarnation=2) is not None
     assert not list(job.bindings())
 
 
-class _TakeOver:
+class _TakeoverState:
     """The state service of a takeover: one task is bound, and a chunk of an ended job is left."""
 
-    def __init__(self, during: Callable[[], None]) -> None:
-        self._during = during
+    def __init__(self, on_get: Callable[[], None]) -> None:
+        self._on_get = on_get
         """Called while the leader loads the records."""
 
     async def scan(self, prefix: str) -> tuple[list[wire.Entry], Revision]:
@@ -498,11 +518,11 @@
         return [wire.Entry(key=key, value=value, version=3) for key, value in found], Revision(5)
 
     async def get(self, key: str) -> wire.KeyValue | None:
-        self._during()
+        self._on_get()
         return wire.KeyValue(value={"status": wire.JOB_DONE, "tasks": 1}, version=4)
 
 
-def test_a_task_stays_known_whose_cancellation_is_told_while_the_records_are_read() -> None:
+def test_cancellation_during_record_loading_keeps_binding() -> None:
     """A member reports a cancellation after the new leader has read the jobs, before the bindings.
 
     The job then has no bindings yet. If the leader dropped it, it would take the job's chunk for an
@@ -510,7 +530,7 @@
     """
     leader = _leader(_settings(), 1, Monotonic(100.0))
     leader.record_loader._client = cast(
-        Any, _TakeOver(lambda: leader.lifecycle.on_cancelled("wk-000412", "test"))
+        Any, _TakeoverState(lambda: leader.lifecycle.on_cancelled("wk-000412", "test"))
     )
     asyncio.run(leader.record_loader.load())
     job = leader.job_store.jobs[JobId("wk-000412")]
@@ -519,9 +539,9 @@
     assert list(leader.job_store.orphaned_chunks) == [chunk_key(JobId("wk-000001"), 0)]
 
 
-def test_a_job_that_fails_is_stopped_when_its_user_cancels_it_in_an_outage() -> None:
+def test_cancelling_failed_job_stops_its_tasks_before_its_end_is_committed() -> None:
     # Its end can't be committed during an outage, but its other task must not run until then.
-    leader, fleet, job, binding = _bound()
+    leader, fleet, job, binding = _leader_with_bound_task()
     fleet.commands.direct_executed([binding])
     leader.job_store.abort_job(job, OUTCOME_FAILED)
     leader.lifecycle.on_cancelled("wk-000412", "test")
@@ -529,15 +549,15 @@
     assert job.outcome == OUTCOME_FAILED and job.id in leader.job_store.ending_jobs
 
 
-def test_a_done_jobs_bound_task_is_known_to_the_next_leader() -> None:
+def test_next_leader_inherits_binding_of_done_job() -> None:
     """One machine has reported the task done while it is still bound to another one."""
-    leader, _, job, binding = _bound()
+    leader, _, job, binding = _leader_with_bound_task()
     leader.job_store.complete(job, 0, Monotonic(101.0))
     assert job.id in leader.job_store.ending_jobs and list(job.bindings()) == [binding]
     leader.write_batcher._client = cast(Any, SimpleNamespace(writes=RateLimiter(1000.0)))
     batch = leader.write_batcher._gather(Monotonic(101.0))
-    (over,) = [c for c in batch.changes if c.get("set") == ended_key(job.id)]
-    assert over["value"]["status"] == wire.JOB_DONE
+    (end_record,) = [c for c in batch.changes if c.get("set") == ended_key(job.id)]
+    assert end_record["value"]["status"] == wire.JOB_DONE
     chunk = wire.Entry(
         key=binding.chunk.key, value=leader.job_store.value(binding.chunk), version=3
     )
@@ -547,71 +567,73 @@
             return [chunk] if prefix == RUN_PREFIX else [], Revision(9)
 
         async def get(self, key: str) -> wire.KeyValue | None:
-            return wire.KeyValue(value=over["value"], version=4) if key == over["set"] else None
+            return (
+                wire.KeyValue(value=end_record["value"], version=4)
+                if key == end_record["set"]
+                else None
+            )
 
     later = _leader(_settings(), 2, Monotonic(110.0))
     later.record_loader._client = cast(StateClient, Client())
     asyncio.run(later.record_loader.load())
-    (taken,) = later.job_store.jobs[job.id].bindings()
-    assert taken.machine == _MACHINE and taken.stop is not None
+    (inherited,) = later.job_store.jobs[job.id].bindings()
+    assert inherited.machine == _MACHINE and inherited.stop is not None
     assert not later.job_store.orphaned_chunks
 
 
 # -- inbound partitions: machines that responses and commands don't reach --------------------------
 
 
-def _heard(*beats: tuple[int, int, float]) -> Fleet:
+def _fleet_after(*beats: tuple[int, int, float]) -> Fleet:
     """Process a machine's heartbeats, each given as incarnation, sequence number and time."""
     fleet = Fleet(JobStore(8.0), FencingToken(1), Monotonic(0.0), 8.0)
     fleet.inherit([], Monotonic(0.0))
     for incarnation, sequence, at in beats:
-        _beat(fleet, sequence, at, incarnation=incarnation)
+        _process_heartbeat(fleet, sequence, at, incarnation=incarnation)
     return fleet
 
 
-def test_a_machine_that_lapses_though_it_is_answered_gets_no_work() -> None:
+def test_machine_whose_lease_expires_despite_responses_gets_no_tasks() -> None:
     # Otherwise it would get tasks in each new incarnation and lose them a lease later.
-    inbound_partitioned = _heard((1, 1, 0.0), (1, 4, 5.0), (2, 7, 10.0)).machines[_MACHINE]
-    assert inbound_partitioned.inbound_partitioned and not inbound_partitioned.is_placeable(
-        Monotonic(10.0), 5.0
-    )
+    machine = _fleet_after((1, 1, 0.0), (1, 4, 5.0), (2, 7, 10.0)).machines[_MACHINE]
+    assert machine.inbound_partitioned and not machine.is_placeable(Monotonic(10.0), 5.0)
     # Two sequence numbers are missing: it has sent heartbeats to other controllers meanwhile.
-    fleet = _heard((1, 1, 0.0), (1, 4, 5.0), (2, 7, 10.0), (2, 10, 25.0))
+    fleet = _fleet_after((1, 1, 0.0), (1, 4, 5.0), (2, 7, 10.0), (2, 10, 25.0))
     assert fleet.machines[_MACHINE].inbound_partitioned
     # The next heartbeat follows within the response time-out, so the last response has arrived.
-    _beat(fleet, 11, 27.0, incarnation=2)
+    _process_heartbeat(fleet, 11, 27.0, incarnation=2)
     assert fleet.machines[_MACHINE].is_placeable(Monotonic(27.0), 5.0)
 
 
-def test_a_machine_that_stood_still_is_not_deaf() -> None:
-    fleet = _heard((1, 1, 0.0), (1, 2, 1.0), (2, 3, 20.0))
+def test_paused_machine_is_not_inbound_partitioned() -> None:
+    fleet = _fleet_after((1, 1, 0.0), (1, 2, 1.0), (2, 3, 20.0))
     assert not fleet.machines[_MACHINE].inbound_partitioned
 
 
-def test_a_direct_command_without_an_answer_stops_new_work_until_two_reports_in_a_row() -> None:
-    fleet = _heard((1, 1, 0.0), (1, 2, 1.0))
+def test_inbound_partitioned_machine_is_placeable_after_two_consecutive_heartbeats() -> None:
+    fleet = _fleet_after((1, 1, 0.0), (1, 2, 1.0))
     machine = fleet.machines[_MACHINE]
     machine.mark_inbound_partitioned(True)
     assert not machine.is_placeable(Monotonic(1.5), 5.0)
-    _beat(fleet, 4, 2.0)
+    _process_heartbeat(fleet, 4, 2.0)
     assert machine.inbound_partitioned, "the heartbeat between them went to another controller"
-    _beat(fleet, 5, 7.0)
+    _process_heartbeat(fleet, 5, 7.0)
     assert machine.inbound_partitioned, "it may have timed out waiting for the response"
-    _beat(fleet, 6, 8.0)
+    _process_heartbeat(fleet, 6, 8.0)
     assert machine.is_placeable(Monotonic(8.0), 5.0)
 
 
-@pytest.mark.parametrize(("took_s", "inbound_partitioned"), [(2.0, True), (3.0, False)])
-def test_a_node_that_is_late_itself_calls_no_machine_deaf(
-    took_s: float, inbound_partitioned: bool
+@pytest.mark.parametrize(("elapsed_s", "inbound_partitioned"), [(2.0, True), (3.0, False)])
+def test_delayed_controller_does_not_mark_machine_inbound_partitioned(
+    elapsed_s: float, inbound_partitioned: bool
 ) -> None:
-    leader, fleet, _, binding = _bound()
+    leader, fleet, _, binding = _leader_with_bound_task()
     machine = fleet.machines[_MACHINE]
     at = [0.0]
 
     class ConnectionPool:
         async def request(self, *_: object) -> HttpAnswer:
-            at[0] += took_s
+            at[0] += elapsed_s
             raise NoAnswerError("TimeoutError", True, silent=True)
 
     leader.direct_commands._connections = cast(Any, ConnectionPool())
@@ -624,9 +646,9 @@
 # -- delegations ----------------------------------------------------------------------------------
 
 
-def test_a_delegation_is_closed_in_time_for_a_cancelled_task_beyond_a_cut() -> None:
+def test_overdue_stop_is_detected_in_time_to_end_delegations() -> None:
     """From the acknowledgement on: stop time-out, end of the delegation, lease of the worker."""
-    leader, fleet, _, binding = _bound(cancel_s=24.0)
+    leader, fleet, _, binding = _leader_with_bound_task(cancel_s=24.0)
     fleet.commands.direct_executed([binding])
     leader.lifecycle.on_cancelled("wk-000412", "test")
     stop = binding.stop
@@ -647,7 +669,7 @@
 # -- acknowledgements to users --------------------------------------------------------------------
 
 
-class _Records:
+class _StoredRecords:
     """The part of the state service that responses to users need."""
 
     first_seen = Revision(1)
@@ -672,28 +694,28 @@
 _NODE = {"spec": wire.plain(spec(id="lab1-0")), "at": 1.0, "owner": "lab1"}
 
 
-def _admission(records: _Records) -> Admission:
+def _admission(records: _StoredRecords) -> Admission:
     return Admission(cast(StateClient, records), _settings(), lambda: None)
 
 
-def test_a_nodes_poll_that_tells_of_its_graphs_end_is_acknowledged() -> None:
+def test_status_of_node_acknowledges_end_of_its_graph() -> None:
     # The controller that cancelled the graph may have failed, or its transaction was executed late.
     # Then no other member would report the cancellation to a leader that continues in an outage.
-    admission = _admission(_Records(job__lab1_0=(_NODE, 7), over__lab1=(_GRAPH_OVER, 44)))
+    admission = _admission(_StoredRecords(job__lab1_0=(_NODE, 7), over__lab1=(_GRAPH_OVER, 44)))
     reply = asyncio.run(admission.status("lab1-0"))
     assert (reply.status, reply.body["status"]) == (200, wire.JOB_CANCELLED)
     assert admission.acknowledged.since(Revision(43)) == ["lab1"]
     # While only one of the two records is visible, the response is not final.
-    unclear = _admission(_Records(job__lab1_0=(_NODE, 7)))
+    unclear = _admission(_StoredRecords(job__lab1_0=(_NODE, 7)))
     assert asyncio.run(unclear.status("lab1-0")).status == 503
     assert not unclear.acknowledged.since(Revision(0))
 
 
-def test_a_graphs_own_end_is_acknowledged_whoever_asks() -> None:
+def test_status_of_graph_acknowledges_its_end() -> None:
     async def counts(_: str) -> None:
         return None
 
-    records = _Records(over__lab1=(_GRAPH_OVER, 44))
+    records = _StoredRecords(over__lab1=(_GRAPH_OVER, 44))
     admission = _admission(records)
     graphs = GraphAdmission(
         cast(StateClient, records), _settings(), GraphFeatures(), admission, counts
@@ -706,7 +728,7 @@
 # -- unreadable records, and an unavailable state service ------------------------------------------
 
 
-def test_what_can_not_be_read_is_held_and_nothing_else() -> None:
+def test_unreadable_records_block_only_their_own_job() -> None:
     """A job and a chunk of a later version: no task of theirs starts, no record is deleted."""
     good, odd, later = JobId("wk-000001"), JobId("wk-000002"), JobId("wk-000003")
     entries = {
@@ -737,7 +759,7 @@
     assert not leader.job_store.orphaned_chunks and leader.fleet.loaded
 
 
-def test_a_watch_that_brought_nothing_is_followed_by_a_question() -> None:
+def test_unanswered_watch_is_followed_by_polls_without_waiting() -> None:
     """With a slow state service the responses to long polls would time out every time."""
     leader = _leader(_settings(), 2, Monotonic(110.0))
     asked: list[float] = []
@@ -764,7 +786,7 @@
     assert leader.job_watch.cancellation_knowledge.revision == 5
 
 
-def test_while_the_state_service_is_away_users_are_answered_at_once() -> None:
+def test_status_requests_fail_fast_while_state_service_is_unavailable() -> None:
     """Not each of them causes a request; other requests show when the service is available."""
     parsed = _settings()
     client = StateClient(parsed.services.state, parsed.params.state, 3)
