--- a/tests/test_day_digests.py
+++ b/tests/test_day_digests.py
@@ -1,8 +1,8 @@
-"""Refactoring leaves the traffic and the stored records of simulated days as they were.
+"""Refactoring must not change the traffic and the stored records of simulation runs.
 
-All recorded days are played by `python3 -m tealrill.simulation digest tests/data/day_digests.json`.
-A
-change of behaviour changes the digests; it records them anew with `--record` and says so.
+The first seed of each kind is run here; `python3 -m tealrill.simulation digest
+tests/data/day_digests.json` runs all of them. A change of behaviour changes the digests: record the
+new ones with `--record` and say so in the commit.
 """
 
 from __future__ import annotations
--- a/tests/test_simulated_worker.py
+++ b/tests/test_simulated_worker.py
@@ -1,4 +1,4 @@
-"""The simulated worker keeps the protocol's section on workers."""
+"""The simulated worker follows the protocol's section on workers."""
 
 from __future__ import annotations
 
@@ -84,7 +84,7 @@
     clock = _Clock()
     worker = _worker(clock)
     _run(worker, clock)
-    # Repeated it does nothing; another attempt is refused while this one is there.
+    # A repeated start has no effect; another attempt is rejected while this one is present.
     worker.execute([_start(1), _start(2), _stop(3, 0.0)])
     refused = (2, wire.EXITED, "in_use")
     assert _listed(worker) == [(1, wire.RUNNING, None), refused]
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -1,6 +1,6 @@
-"""The lab: days of whole controllers, and that each of its checks fires.
+"""Simulation runs of whole controllers, and a test of each invariant by a planted bug.
 
-A fixed set of days is played here; `python3 -m tealrill.simulation hunt` plays others.
+The seeds are fixed here; `python3 -m tealrill.simulation hunt` simulates others.
 """
 
 from __future__ import annotations
@@ -53,23 +53,23 @@
 
 
 def test_no_real_connection_is_tried(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Probes of silent machines went to their simulated addresses over the real network."""
+    """Probes of unreachable machines must not be sent to their addresses in the real network."""
     tried: list[object] = []
 
     def connect(_: IOStream, address: object, *__: object, **___: object) -> Future[IOStream]:
         tried.append(address)
-        raise OSError("no real network here")
+        raise OSError("connection to the real network in a simulation")
 
     monkeypatch.setattr(IOStream, "connect", connect)
     world = play(7, trouble_s=_SHORT_S)
     assert world.starts and not tried
 
 
-# -- planted faults -------------------------------------------------------------------------------
+# -- planted bugs ---------------------------------------------------------------------------------
 
 
 def _lapses_at_once(patch: pytest.MonkeyPatch) -> None:
-    """A machine that is silent for a moment has its tasks given away."""
+    """Leases count as expired after 0.8 s without contact, so tasks are started elsewhere."""
 
     def silent(self: Leases, now: Monotonic) -> list[Machine]:
         known = self._fleet.machines.values()
@@ -79,7 +79,7 @@
 
 
 def _deaf_to_users(patch: pytest.MonkeyPatch) -> None:
-    """The leader never hears of a cancellation."""
+    """The leader ignores cancellations."""
     patch.setattr(JobLifecycle, "on_cancelled", lambda *_: None)
 
 
@@ -100,7 +100,7 @@
 
 
 def _soon_done(patch: pytest.MonkeyPatch) -> None:
-    """The first task's end is the job's."""
+    """The completion of one task completes all tasks of its job."""
     whole = JobStore.complete
 
     def complete(self: JobStore, job: Job, index: int, now: Monotonic) -> bool:
@@ -133,7 +133,7 @@
 
 
 def _passes_over(patch: pytest.MonkeyPatch) -> None:
-    """Every third job is never placed, and the machines that it could use stay."""
+    """A third of the jobs is never placed, and idle machines are not released."""
     whole = SnapshotBuilder._waiting
 
     def waiting(self: SnapshotBuilder, job: Job, now: Monotonic) -> int:
@@ -174,17 +174,17 @@
     rule: str, fault: Callable[[pytest.MonkeyPatch], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     fault(monkeypatch)
-    # Other rules may break first; this one breaks on some short day.
+    # Other invariants may be violated first; one of these short runs violates this one.
     found: set[str] = set()
     for seed in range(1, 5):
         shape = Shape(limit_vcpus=16.0 if rule == "quota" else 64.0)
         if rule == "ran_cancelled":
-            # Of the usual jobs hardly any runs for longer than a cancelled one may.
+            # Most of the default jobs end before `cancel_s` has passed.
             shape = Shape(limit_vcpus=64.0, jobs=LONG_JOBS)
         found |= play(seed, shape, _SHORT_S, until=rule).rules
         if rule in found:
             return
-    raise AssertionError(f"{rule} is not among {found}")
+    raise AssertionError(f"invariant {rule} not violated; violated: {found}")
 
 
 async def _odd_requests(world: SimulatedCluster) -> None:
@@ -196,7 +196,7 @@
 
 
 def _starts_whatever_is_bound(patch: pytest.MonkeyPatch) -> None:
-    """A task whose job was called off is started all the same, and never told to stop."""
+    """A task whose job is cancelled is started nevertheless, and no stop is ever sent."""
     patch.setattr(Commands, "_may_start", staticmethod(lambda b: b.committed and not b.inherited))
     patch.setattr(Commands, "_to_send", lambda _, b: b.committed and not b.inherited)
     patch.setattr(Commands, "stop", lambda *_: True)
