--- a/tealrill/simulation/__main__.py
+++ b/tealrill/simulation/__main__.py
@@ -16,7 +16,7 @@
 
 import click
 
-from tealrill.simulation.day_digests import differing_days, read_days, write_days
+from tealrill.simulation.day_digests import differing_runs, read_runs, write_runs
 from tealrill.simulation.process import Shape
 from tealrill.simulation.scenario import play
 
@@ -52,7 +52,7 @@
         terminated = sum(job.cancelled_at is not None for job in world.jobs.values())
         click.echo(
             f"seed {day}: {len(world.jobs)} jobs, {done} done, {terminated} cancelled, "
-            f"{world.starts} starts, {len(world.broken)} invariants violated"
+            f"{world.task_starts} starts, {len(world.broken)} invariants violated"
         )
         if world.broken:
             bad += 1
@@ -69,10 +69,10 @@
 def digest(file: Path, jobs: int, record: bool) -> None:
     """Simulate the runs of FILE and compare their digests with the recorded ones."""
     if record:
-        write_days(file, jobs)
+        write_runs(file, jobs)
         return
-    days = read_days(file)
-    differing = differing_days(days, jobs)
+    days = read_runs(file)
+    differing = differing_runs(days, jobs)
     for day in differing:
         click.echo(f"{day.name}: not the recorded digest")
     click.echo(f"{len(days) - len(differing)} of {len(days)} days as recorded")
--- a/tealrill/simulation/clock.py
+++ b/tealrill/simulation/clock.py
@@ -19,7 +19,7 @@
 
 STEADY_AT = 1_000.0
 """Value of the monotonic clock at the beginning of a run, in seconds."""
-_WALL_AT = 1_700_000_000.0
+_WALL_START_S = 1_700_000_000.0
 
 
 class _Selector(selectors.SelectSelector):
@@ -29,12 +29,12 @@
 
     def select(self, timeout: float | None = None) -> list[Any]:
         """Return the files that are ready; if there are none, advance the time by `timeout` s."""
-        found = super().select(0)
-        if not found:
+        ready = super().select(0)
+        if not ready:
             if timeout is None:
                 raise RuntimeError("simulation is stuck: no timer is set and no file is ready")
-            self.loop.passed += max(0.0, timeout)
-        return found
+            self.loop.elapsed_s += max(0.0, timeout)
+        return ready
 
 
 class NumberedTask(asyncio.Task[Any]):
@@ -44,9 +44,9 @@
     the memory address, runs with the same seed would differ.
     """
 
-    def __init__(self, work: Coroutine[Any, Any, Any], *, loop: Loop, **more: Any) -> None:
+    def __init__(self, coroutine: Coroutine[Any, Any, Any], *, loop: Loop, **kwargs: Any) -> None:
         self._number = next(loop.task_numbers)
-        super().__init__(work, loop=loop, **more)
+        super().__init__(coroutine, loop=loop, **kwargs)
 
     def __hash__(self) -> int:
         return self._number
@@ -72,7 +72,7 @@
     """An event loop that runs what is due, then advances its time to the next timer."""
 
     def __init__(self) -> None:
-        self.passed = 0.0
+        self.elapsed_s = 0.0
         self.task_numbers = itertools.count()
         self.timer_numbers = itertools.count()
         self._scheduled: list[NumberedTimer]
@@ -82,7 +82,7 @@
 
     def time(self) -> float:
         """Return the simulated time since the loop was created, in seconds."""
-        return self.passed
+        return self.elapsed_s
 
     def call_at(  # type: ignore[override]  # typeshed ties the arguments to the callback
         self,
@@ -98,31 +98,31 @@
         return timer
 
 
-async def _in_this_thread(function: Callable[..., Any], *args: Any, **more: Any) -> Any:
+async def _run_in_same_thread(function: Callable[..., Any], *args: Any, **kwargs: Any) -> Any:
     """Replace `asyncio.to_thread`, since a real thread would end at an unpredictable time."""
-    return function(*args, **more)
+    return function(*args, **kwargs)
 
 
 @contextlib.contextmanager
-def simulated(seed: int) -> Iterator[tuple[Loop, random.Random]]:
+def simulated_time(seed: int) -> Iterator[tuple[Loop, random.Random]]:
     """Yield a loop and a random generator; patch the clocks and random sources to be simulated."""
     loop = Loop()
     rng = random.Random(seed)
-    own = random.Random(f"program/{seed}")
+    program_rng = random.Random(f"program/{seed}")
     clocks = SimpleNamespace(
-        monotonic=lambda: STEADY_AT + loop.passed, time=lambda: _WALL_AT + loop.passed
+        monotonic=lambda: STEADY_AT + loop.elapsed_s, time=lambda: _WALL_START_S + loop.elapsed_s
     )
-    before = random.getstate()
+    saved_state = random.getstate()
     random.seed(f"module/{seed}")
     try:
         with (
             mock.patch.object(types, "time", clocks),
             mock.patch.object(
-                secrets, "token_hex", lambda n: f"{own.getrandbits(8 * n):0{2 * n}x}"
+                secrets, "token_hex", lambda n: f"{program_rng.getrandbits(8 * n):0{2 * n}x}"
             ),
-            mock.patch.object(asyncio, "to_thread", _in_this_thread),
+            mock.patch.object(asyncio, "to_thread", _run_in_same_thread),
         ):
             yield loop, rng
     finally:
-        random.setstate(before)
+        random.setstate(saved_state)
         loop.close()
--- a/tealrill/simulation/cluster.py
+++ b/tealrill/simulation/cluster.py
@@ -16,7 +16,7 @@
 from tealrill.http import Answer
 from tealrill.settings import Address
 from tealrill.simulation.active_faults import ActiveFaults
-from tealrill.simulation.clock import Loop, simulated
+from tealrill.simulation.clock import Loop, simulated_time
 from tealrill.simulation.cloud_service import CloudService
 from tealrill.simulation.invariants import Invariants
 from tealrill.simulation.network import STATE, Network
@@ -31,7 +31,7 @@
 from tealrill.simulation.state_service import StateService
 from tealrill.simulation.traffic_digest import TrafficDigest
 from tealrill.simulation.users import UserJob, Users
-from tealrill.simulation.worker import Description, Worker
+from tealrill.simulation.worker import JobDescription, Worker
 from tealrill.simulation.worker_fleet import WorkerFleet
 
 
@@ -43,27 +43,30 @@
         self.digest = TrafficDigest()
         """Covers all network traffic and all changes of the state service."""
         self.state = StateService(rng, self.now)
-        self.state.written = lambda changes: self.digest.add(self.now(), STATE, changes)
+        self.state.on_written = lambda changes: self.digest.add(self.now(), STATE, changes)
         self.network, self.worker_fleet = Network(self), WorkerFleet(self)
         self.users, self.invariants = Users(self), Invariants(self)
         self.cloud = CloudService(rng, self.now, shape.machines)
-        self.cloud.booted, self.cloud.taken = self.worker_fleet.boot, self.worker_fleet.clear
+        self.cloud.on_rented, self.cloud.on_terminated = (
+            self.worker_fleet.boot,
+            self.worker_fleet.drop_tasks,
+        )
         self.hosts = {f"host-{n}": Host(f"host-{n}") for n in range(shape.nodes)}
         self.workers: dict[str, Worker] = {}
-        self.by_address: dict[str, str] = {}
+        self.machine_by_address: dict[str, str] = {}
         self.active_faults = ActiveFaults()
-        self.descriptions: dict[str, Description] = {}
-        self.results: set[str] = set()
+        self.descriptions: dict[str, JobDescription] = {}
+        self.completed_tasks: set[str] = set()
         self.checkpoints: dict[str, float] = {}
         self.jobs: dict[str, UserJob] = {}
         self.broken: list[str] = []
         self.rules: set[str] = set()
         """Names of the violated invariants."""
-        self.breached: Callable[[str], object] = lambda _: None
+        self.on_violation: Callable[[str], object] = lambda _: None
         self.events: list[str] = []
-        self.calm_since = math.inf
+        self.quiet_since = math.inf
         """When the last fault ended and the quiet period began; infinite while there are faults."""
-        self.starts = 0
+        self.task_starts = 0
         self._tasks: set[asyncio.Task[Any]] = set()
         self._context = contextvars.copy_context()
         """Context of the simulation's own tasks, which belong to no process."""
@@ -71,26 +74,26 @@
 
     def now(self) -> float:
         """Return the simulated time since the beginning of the run, in seconds."""
-        return self.loop.passed
+        return self.loop.elapsed_s
 
-    def note(self, text: str) -> None:
+    def log_event(self, text: str) -> None:
         """Append an event to the log of the run."""
         self.events.append(f"{self.now():9.3f} {text}")
 
-    def breach(self, rule: str, text: str) -> None:
+    def record_violation(self, invariant: str, text: str) -> None:
         """Record the violation of an invariant."""
-        self.broken.append(f"{self.now():.3f} {rule}: {text}")
-        self.rules.add(rule)
-        self.breached(rule)
+        self.broken.append(f"{self.now():.3f} {invariant}: {text}")
+        self.rules.add(invariant)
+        self.on_violation(invariant)
 
-    def begin(self, work: Coroutine[Any, Any, Any], context: Any = None) -> asyncio.Task[Any]:
+    def begin(self, coroutine: Coroutine[Any, Any, Any], context: Any = None) -> asyncio.Task[Any]:
         """Start a task in the process of `context`; without a context it belongs to no process."""
-        task = self.loop.create_task(work, context=context or self._context)
+        task = self.loop.create_task(coroutine, context=context or self._context)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         return task
 
-    def start(self, host: Host) -> None:
+    def start_controller(self, host: Host) -> None:
         """Start a controller process on the host unless one is running."""
         if host.node is not None:
             return
@@ -102,21 +105,21 @@
             SocketlessController, self.shape.settings(number), self.shape.features()
         )
         task = self.begin(host.node.run(), host.context)
-        task.add_done_callback(lambda task: self._check_end(host, task))
+        task.add_done_callback(lambda task: self._check_exit(host, task))
 
-    def _check_end(self, host: Host, task: asyncio.Task[None]) -> None:
+    def _check_exit(self, host: Host, task: asyncio.Task[None]) -> None:
         if not task.cancelled() and task.exception() is not None:
-            self.breach("ended", f"{host.name}: {task.exception()!r}")
+            self.record_violation("ended", f"{host.name}: {task.exception()!r}")
 
-    def end(self, host: Host, back_s: float) -> None:
-        """Kill the controller process, and start a new one after `back_s` seconds."""
+    def kill_controller(self, host: Host, restart_s: float) -> None:
+        """Kill the controller process, and start a new one after `restart_s` seconds."""
         if host.node is None or host.process is None:
             return
-        self.note(f"controller killed: host={host.name} restart_s={back_s:.2f}")
+        self.log_event(f"controller killed: host={host.name} restart_s={restart_s:.2f}")
         host.node = None
         for task in list(host.process.tasks):
             task.cancel()
-        self.loop.call_later(back_s, self.start, host, context=self._context)
+        self.loop.call_later(restart_s, self.start_controller, host, context=self._context)
 
     def leader(self) -> Host | None:
         """Return the host whose controller considers itself leader; the latest term wins."""
@@ -127,19 +130,19 @@
         ]
         return self.hosts[max(leading)[1]] if leading else None
 
-    def up(self) -> list[Worker]:
+    def live_workers(self) -> list[Worker]:
         """Return the workers whose machines are not terminated."""
         return [worker for worker in self.workers.values() if not worker.machine.terminated]
 
-    def add_foreign_job(self, name: str, body: dict[str, Any]) -> None:
+    def register_job(self, name: str, body: dict[str, Any]) -> None:
         """Register a job that is not submitted and polled by a simulated user of its own."""
         self.jobs[name] = UserJob(name, body)
 
 
 @contextlib.contextmanager
-def connected(seed: int, shape: Shape) -> Iterator[SimulatedCluster]:
+def simulated_cluster(seed: int, shape: Shape) -> Iterator[SimulatedCluster]:
     """Yield a cluster whose simulated network carries the controllers' HTTP requests."""
-    with simulated(seed) as (loop, rng):
+    with simulated_time(seed) as (loop, rng):
         world = SimulatedCluster(loop, rng, shape)
 
         async def request(
@@ -161,9 +164,9 @@
                 await world.network.wait_until_resumed(name)
 
         async def accepts(address: Address, timeout_s: float) -> bool | None:
-            place = world.network.endpoint_of(address)
-            if world.cloud.machines[place].terminated or world.network.partitioned(
-                PROCESS.get().name, place
+            endpoint = world.network.endpoint_of(address)
+            if world.cloud.machines[endpoint].terminated or world.network.partitioned(
+                PROCESS.get().name, endpoint
             ):
                 await asyncio.sleep(timeout_s)
                 return False
--- a/tealrill/simulation/day_digests.py
+++ b/tealrill/simulation/day_digests.py
@@ -12,11 +12,11 @@
 from tealrill.simulation.process import Shape
 from tealrill.simulation.scenario import play
 
-_TROUBLE_S: Final = 90.0
+_FAULT_PERIOD_S: Final = 90.0
 _SEEDS_PER_KIND: Final = 10
 
 
-class RecordedDay(msgspec.Struct, frozen=True, kw_only=True):
+class RecordedRun(msgspec.Struct, frozen=True, kw_only=True):
     """One simulation run and the digest of its traffic, which is empty if not yet computed."""
 
     seed: int
@@ -31,38 +31,38 @@
         return f"seed {self.seed}, {self.controllers} controllers, {graphs} graphs"
 
 
-def digest_of(day: RecordedDay) -> str:
+def digest_of(run: RecordedRun) -> str:
     """Repeat the run and return the digest of its traffic."""
-    shape = Shape(nodes=day.controllers, graphs=day.graphs)
-    return play(day.seed, shape, _TROUBLE_S).digest.hexdigest()
+    shape = Shape(nodes=run.controllers, graphs=run.graphs)
+    return play(run.seed, shape, _FAULT_PERIOD_S).digest.hexdigest()
 
 
-def differing_days(days: Sequence[RecordedDay], processes: int) -> list[RecordedDay]:
+def differing_runs(runs: Sequence[RecordedRun], processes: int) -> list[RecordedRun]:
     """Repeat the runs in parallel and return those whose digest differs from the recorded one."""
-    digests = _digests(days, processes)
-    return [day for day, found in zip(days, digests, strict=True) if day.sha256 != found]
+    digests = _digests(runs, processes)
+    return [run for run, digest in zip(runs, digests, strict=True) if run.sha256 != digest]
 
 
-def read_days(file: Path) -> list[RecordedDay]:
+def read_runs(file: Path) -> list[RecordedRun]:
     """Read the recorded runs from a file."""
-    return msgspec.json.decode(file.read_bytes(), type=list[RecordedDay])
+    return msgspec.json.decode(file.read_bytes(), type=list[RecordedRun])
 
 
-def write_days(file: Path, processes: int) -> None:
+def write_runs(file: Path, processes: int) -> None:
     """Write the digests of this code to a file: 3 and 5 controllers, with and without graphs."""
     kinds = [(controllers, graphs) for controllers in (3, 5) for graphs in (False, True)]
-    days = [
-        RecordedDay(seed=seed, controllers=controllers, graphs=graphs)
+    runs = [
+        RecordedRun(seed=seed, controllers=controllers, graphs=graphs)
         for controllers, graphs in kinds
         for seed in range(1, _SEEDS_PER_KIND + 1)
     ]
     recorded = [
-        msgspec.structs.replace(day, sha256=found)
-        for day, found in zip(days, _digests(days, processes), strict=True)
+        msgspec.structs.replace(run, sha256=digest)
+        for run, digest in zip(runs, _digests(runs, processes), strict=True)
     ]
     file.write_bytes(msgspec.json.format(msgspec.json.encode(recorded), indent=1) + b"\n")
 
 
-def _digests(days: Sequence[RecordedDay], processes: int) -> list[str]:
+def _digests(runs: Sequence[RecordedRun], processes: int) -> list[str]:
     with ProcessPoolExecutor(processes) as pool:
-        return list(pool.map(digest_of, days))
+        return list(pool.map(digest_of, runs))
--- a/tealrill/simulation/faults.py
+++ b/tealrill/simulation/faults.py
@@ -12,7 +12,7 @@
 
 Undo = Callable[[], None]
 
-FROZEN, GONE, CUT, REFUSED = LOSSES = ("frozen", "gone", "cut", "refused")
+FROZEN, GONE, CUT, REFUSED = LEADER_LOSSES = ("frozen", "gone", "cut", "refused")
 """How a leader is lost: its process is paused, its host is lost, it is partitioned from all other
 endpoints, or the state service rejects its requests alone."""
 
@@ -65,61 +65,65 @@
             await asyncio.sleep(self.rng.choice([0.5, 2.0, 6.0, 15.0, 30.0]))
         await asyncio.gather(*tasks)
 
-    def _busiest(self) -> Host:
+    def _leader_or_any(self) -> Host:
         leader = self.world.leader()
-        return leader if leader is not None else self._any()
+        return leader if leader is not None else self._any_controller()
 
-    def _any(self) -> Host:
+    def _any_controller(self) -> Host:
         return self.rng.choice(list(self.world.hosts.values()))
 
-    def _back_s(self) -> float:
+    def _restart_s(self) -> float:
         return self.rng.choice([0.1, 0.3, 0.9, 3.0, 8.0])
 
-    async def _for(self, name: str, seconds: float, undo: Undo) -> None:
-        self.world.note(f"{name} for {seconds:.1f} s")
+    async def _hold(self, name: str, seconds: float, undo: Undo) -> None:
+        self.world.log_event(f"{name} for {seconds:.1f} s")
         await asyncio.sleep(seconds)
         undo()
-        self.world.note(f"end of {name}")
+        self.world.log_event(f"end of {name}")
 
     async def refuse_leader_before_outage(self) -> None:
         """Let the state service reject the leader's requests, then begin an outage for all."""
-        host, state = self._busiest(), self.world.state
-        before = self.rng.choice([0.7, 1.5, 2.5, 5.0, 12.0])
-        state.refused.add(host.name)
-        await self._for(f"state service refuses {host.name}", before, lambda: state.outage(True))
-        out = self.rng.choice([10.0, 35.0, 60.0])
-        await self._for("an outage", out, lambda: state.outage(False))
-        state.refused.discard(host.name)
+        host, state = self._leader_or_any(), self.world.state
+        refused_s = self.rng.choice([0.7, 1.5, 2.5, 5.0, 12.0])
+        state.refused_sources.add(host.name)
+        await self._hold(
+            f"state service refuses {host.name}", refused_s, lambda: state.set_outage(True)
+        )
+        outage_s = self.rng.choice([10.0, 35.0, 60.0])
+        await self._hold("an outage", outage_s, lambda: state.set_outage(False))
+        state.refused_sources.discard(host.name)
 
     async def outage(self) -> None:
         """Inject an outage of the state service."""
-        self.world.state.outage(True)
+        self.world.state.set_outage(True)
         seconds = self.rng.choice([3.0, 12.0, 30.0])
-        await self._for("an outage", seconds, lambda: self.world.state.outage(False))
+        await self._hold("an outage", seconds, lambda: self.world.state.set_outage(False))
 
-    async def _level(self, name: str, thing: object, field: str, at: float, seconds: float) -> None:
+    async def _set_field(
+        self, name: str, target: object, field: str, value: float, seconds: float
+    ) -> None:
         """Set a field, which is 0 or False without the fault, and reset it after `seconds`."""
-        off = False if isinstance(at, bool) else 0.0
-        setattr(thing, field, at)
-        await self._for(name, seconds, lambda: setattr(thing, field, off))
-
-    async def _links(self, name: str, host: Host, others: list[str], seconds: float) -> None:
-        pairs = [frozenset((host.name, other)) for other in others]
-        self.world.active_faults.cut_links.update(pairs)
-        await self._for(
+        default = False if isinstance(value, bool) else 0.0
+        setattr(target, field, value)
+        await self._hold(name, seconds, lambda: setattr(target, field, default))
+
+    async def _cut_links(self, name: str, host: Host, others: list[str], seconds: float) -> None:
+        links = [frozenset((host.name, other)) for other in others]
+        self.world.active_faults.cut_links.update(links)
+        await self._hold(
             f"{host.name} {name}",
             seconds,
-            lambda: self.world.active_faults.cut_links.difference_update(pairs),
+            lambda: self.world.active_faults.cut_links.difference_update(links),
         )
 
-    def _members(self, host: Host) -> list[str]:
+    def _other_controllers(self, host: Host) -> list[str]:
         return [name for name in self.world.hosts if name != host.name]
 
     async def partition_leader(self) -> None:
         """Partition the leader from the state service and the other controllers only."""
-        host = self._busiest()
-        others = ["state", *self._members(host)]
-        await self._links(
+        host = self._leader_or_any()
+        others = ["state", *self._other_controllers(host)]
+        await self._cut_links(
             "partitioned from state service and members",
             host,
             others,
@@ -128,25 +132,27 @@
 
     async def cut_link(self) -> None:
         """Cut the link of a controller to one service or to the workers."""
-        host = self._any()
+        host = self._any_controller()
         other = self.rng.choice(["state", "workers", "cloud"])
-        await self._links(f"partitioned from {other}", host, [other], self.rng.choice([4.0, 15.0]))
+        await self._cut_links(
+            f"partitioned from {other}", host, [other], self.rng.choice([4.0, 15.0])
+        )
 
     async def isolate_controller(self) -> None:
         """Partition a controller from everything but its users."""
-        host = self._any()
-        others = ["state", "cloud", "workers", *self._members(host)]
-        await self._links("isolated", host, others, self.rng.choice([10.0, 40.0]))
+        host = self._any_controller()
+        others = ["state", "cloud", "workers", *self._other_controllers(host)]
+        await self._cut_links("isolated", host, others, self.rng.choice([10.0, 40.0]))
 
     async def delay_transactions(self) -> None:
         """Execute a share of the transactions late and without a response."""
         share, seconds = self.rng.choice([0.1, 0.4]), self.rng.choice([10.0, 30.0])
-        await self._level("late transactions", self.world.state, "late", share, seconds)
+        await self._set_field("late transactions", self.world.state, "late_share", share, seconds)
 
     async def duplicate_heartbeats(self) -> None:
         """Deliver late duplicates of a share of the heartbeats."""
         seconds = self.rng.choice([15.0, 40.0])
-        await self._level(
+        await self._set_field(
             "late duplicates of heartbeats",
             self.world.active_faults,
             "duplicate_share",
@@ -154,160 +160,176 @@
             seconds,
         )
 
-    async def _some_are(self, name: str, which: set[str], for_s: list[float]) -> None:
+    async def _affect_machines(self, name: str, affected: set[str], for_s: list[float]) -> None:
         names = [n for n in self.world.workers if self.rng.random() < 0.4]
-        which.update(names)
+        affected.update(names)
         seconds = self.rng.choice(for_s)
         text = f"{len(names)} machines {name}"
-        await self._for(text, seconds, lambda: which.difference_update(names))
+        await self._hold(text, seconds, lambda: affected.difference_update(names))
 
     async def partition_machines_inbound(self) -> None:
         """Keep commands and heartbeat responses from reaching some machines."""
-        await self._some_are(
+        await self._affect_machines(
             "partitioned inbound", self.world.active_faults.inbound_partitioned, [5.0, 12.0, 30.0]
         )
 
     async def delay_commands(self) -> None:
         """Delay commands and their responses."""
-        held_s, seconds = self.rng.choice([3.0, 9.0]), self.rng.choice([10.0, 30.0])
-        await self._level(
-            "delayed commands", self.world.active_faults, "command_delay_s", held_s, seconds
+        delay_s, seconds = self.rng.choice([3.0, 9.0]), self.rng.choice([10.0, 30.0])
+        await self._set_field(
+            "delayed commands", self.world.active_faults, "command_delay_s", delay_s, seconds
         )
 
     async def slow_state_service(self) -> None:
         """Delay the state service's handling of requests."""
-        slow_s, seconds = self.rng.choice([0.3, 0.8, 1.6]), self.rng.choice([8.0, 25.0])
-        await self._level("slow state service", self.world.state, "slow_s", slow_s, seconds)
+        request_delay_s, seconds = self.rng.choice([0.3, 0.8, 1.6]), self.rng.choice([8.0, 25.0])
+        await self._set_field(
+            "slow state service", self.world.state, "request_delay_s", request_delay_s, seconds
+        )
 
     async def kill_controller(self) -> None:
         """Kill a controller once or several times; it restarts each time."""
-        host = self._busiest() if self.rng.random() < 0.6 else self._any()
+        host = self._leader_or_any() if self.rng.random() < 0.6 else self._any_controller()
         for _ in range(self.rng.choice([1, 1, 4])):
-            self.world.end(host, self._back_s())
+            self.world.kill_controller(host, self._restart_s())
             await asyncio.sleep(self.rng.choice([0.5, 1.0, 4.0]))
 
     async def kill_all_controllers(self) -> None:
         """Kill all controllers, once or several times; each restarts after its own random pause."""
         for _ in range(self.rng.choice([1, 3])):
             for host in self.world.hosts.values():
-                self.world.end(host, self._back_s())
+                self.world.kill_controller(host, self._restart_s())
             await asyncio.sleep(self.rng.choice([0.7, 2.0]))
 
-    async def change_leaders(self, every_s: float = 0.0, for_s: float = 0.0) -> None:
-        """Kill all controllers every `every_s` for `for_s` seconds, and cancel running jobs.
+    async def change_leaders(self, interval_s: float = 0.0, for_s: float = 0.0) -> None:
+        """Kill all controllers every `interval_s` for `for_s` seconds, and cancel running jobs.
 
         A value of 0 is replaced by a random one.
         """
-        every_s = every_s or self.rng.uniform(1.5, 3.0)
+        interval_s = interval_s or self.rng.uniform(1.5, 3.0)
         for_s = for_s or self.world.shape.cancel_s * self.rng.choice([0.5, 1.5])
         cancellations = self.world.begin(self._cancellations(for_s))
         until = self.world.now() + for_s
         while self.world.now() < until:
             for host in self.world.hosts.values():
-                self.world.end(host, self.rng.choice([0.1, 0.3, 0.5]))
-            await asyncio.sleep(every_s)
+                self.world.kill_controller(host, self.rng.choice([0.1, 0.3, 0.5]))
+            await asyncio.sleep(interval_s)
         await cancellations
 
     async def terminate_machine(self) -> None:
         """Terminate a machine."""
-        alive = self.world.cloud.alive()
+        alive = self.world.cloud.live_machines()
         if alive:
             machine = self.rng.choice(alive)
-            self.world.note(f"machine terminated: machine={machine.id}")
-            self.world.cloud.take(machine)
+            self.world.log_event(f"machine terminated: machine={machine.id}")
+            self.world.cloud.terminate(machine)
 
     async def reclaim_machine(self) -> None:
         """Terminate a spot machine after an interruption notice, which its worker reports."""
-        spot = [worker for worker in self.world.up() if worker.machine.spot]
+        spot = [worker for worker in self.world.live_workers() if worker.machine.spot]
         if not spot:
             return
         worker, notice_s = self.rng.choice(spot), self.rng.choice([2.0, 6.0, 20.0])
-        worker.taken_at = self.world.now() + notice_s
-        worker.changed.set()
+        worker.terminates_at = self.world.now() + notice_s
+        worker.unreported_change.set()
         await asyncio.sleep(notice_s)
-        self.world.note(f"machine reclaimed: machine={worker.machine.id} notice_s={notice_s:.0f}")
-        self.world.cloud.take(worker.machine)
+        self.world.log_event(
+            f"machine reclaimed: machine={worker.machine.id} notice_s={notice_s:.0f}"
+        )
+        self.world.cloud.terminate(worker.machine)
 
-    async def cancel_running(self, hang_s: float | None = None) -> None:
-        """Cancel running jobs and pause their machines for `hang_s` seconds, by default random."""
+    async def cancel_running(self, pause_s: float | None = None) -> None:
+        """Cancel running jobs and pause their machines for `pause_s` seconds, by default random."""
         shape = self.world.shape
-        if hang_s is None:
-            hang_s = self.rng.choice([0.0, 0.0, 0.5 * shape.lease_s, 0.95 * shape.lease_s])
-            hang_s = self.rng.choice([hang_s, 1.3 * shape.lease_s, shape.cancel_s + 4.0])
+        if pause_s is None:
+            pause_s = self.rng.choice([0.0, 0.0, 0.5 * shape.lease_s, 0.95 * shape.lease_s])
+            pause_s = self.rng.choice([pause_s, 1.3 * shape.lease_s, shape.cancel_s + 4.0])
         count = self.rng.choice([1, 4, 12])
-        self.world.note(f"running jobs cancelled: max_jobs={count} machine_pause_s={hang_s:.1f}")
-        await self.world.users.cancel_now(count, hang_s)
-        await asyncio.sleep(hang_s)
+        self.world.log_event(
+            f"running jobs cancelled: max_jobs={count} machine_pause_s={pause_s:.1f}"
+        )
+        await self.world.users.cancel_jobs(count, pause_s)
+        await asyncio.sleep(pause_s)
 
     async def cancel_while_refused(self) -> None:
         """Cancel jobs while the state service refuses the leader alone, a second before an outage.
 
         The outage lasts for longer than `cancel_s`.
         """
-        host, state = self._busiest(), self.world.state
-        state.refused.add(host.name)
-        self.world.note(f"state service refuses {host.name}")
+        host, state = self._leader_or_any(), self.world.state
+        state.refused_sources.add(host.name)
+        self.world.log_event(f"state service refuses {host.name}")
         await asyncio.sleep(self.rng.choice([0.0, 0.1, 0.6]))
         await self.cancel_running(0.0)
         await asyncio.sleep(1.0)
-        state.outage(True)
+        state.set_outage(True)
         seconds = self.world.shape.cancel_s + self.rng.choice([3.0, 15.0])
-        await self._for("an outage", seconds, lambda: state.outage(False))
-        state.refused.discard(host.name)
+        await self._hold("an outage", seconds, lambda: state.set_outage(False))
+        state.refused_sources.discard(host.name)
 
-    async def flapping(self, way: str = "", for_s: float = 0.0) -> None:
+    async def flapping(self, loss_kind: str = "", for_s: float = 0.0) -> None:
         """Inject a series of short outages of the state service, and lose the leader meanwhile.
 
         Args:
-            way: How the leader is lost: one of `LOSSES`; drawn if empty.
+            loss_kind: How the leader is lost: one of `LEADER_LOSSES`; drawn if empty.
             for_s: How long both faults last, in seconds; drawn if 0.
         """
-        shape, host = self.world.shape, self._busiest()
+        shape, host = self.world.shape, self._leader_or_any()
         for_s = for_s or shape.cancel_s * self.rng.choice([0.5, 1.2, 1.8])
-        loss = self.world.begin(self._lose(host, way or self.rng.choice(LOSSES), for_s))
+        loss = self.world.begin(
+            self._lose_leader(host, loss_kind or self.rng.choice(LEADER_LOSSES), for_s)
+        )
         cancellations = self.world.begin(self._cancellations(for_s))
         until = self.world.now() + for_s
         longest_s = self.rng.choice([0.8, 1.5, 2.5])
-        self.world.note(f"state service flaps: duration_s={for_s:.1f} max_outage_s={longest_s}")
+        self.world.log_event(
+            f"state service flaps: duration_s={for_s:.1f} max_outage_s={longest_s}"
+        )
         while self.world.now() < until:
             await self._flap(self.rng.uniform(0.4, 1.0) * longest_s)
-        self.world.note("state service stable again")
+        self.world.log_event("state service stable again")
         await asyncio.gather(loss, cancellations)
 
     async def _flap(self, down_s: float) -> None:
         """Inject one short outage; just before and after it, responses are lost and writes late."""
         state = self.world.state
-        state.lost, state.late = 0.3, 0.1
+        state.lost_reply_share, state.late_share = 0.3, 0.1
         await asyncio.sleep(0.1)
-        state.outage(True)
+        state.set_outage(True)
         await asyncio.sleep(down_s)
-        state.outage(False)
+        state.set_outage(False)
         await asyncio.sleep(0.1)
-        state.lost = state.late = 0.0
+        state.lost_reply_share = state.late_share = 0.0
         await asyncio.sleep(self.rng.uniform(0.2, 1.4))
 
-    async def _lose(self, host: Host, way: str, for_s: float) -> None:
-        if way in (GONE, CUT):
-            if way == GONE:
-                self.world.end(host, for_s)
-            everybody = ["workers", "state", *self._members(host)]
-            await self._links(f"lost ({way})", host, everybody, for_s)
+    async def _lose_leader(self, host: Host, loss_kind: str, for_s: float) -> None:
+        if loss_kind in (GONE, CUT):
+            if loss_kind == GONE:
+                self.world.kill_controller(host, for_s)
+            endpoints = ["workers", "state", *self._other_controllers(host)]
+            await self._cut_links(f"lost ({loss_kind})", host, endpoints, for_s)
         else:
-            which = self.world.active_faults.paused if way == FROZEN else self.world.state.refused
-            which.add(host.name)
-            await self._for(f"{host.name} lost ({way})", for_s, lambda: which.discard(host.name))
+            affected = (
+                self.world.active_faults.paused
+                if loss_kind == FROZEN
+                else self.world.state.refused_sources
+            )
+            affected.add(host.name)
+            await self._hold(
+                f"{host.name} lost ({loss_kind})", for_s, lambda: affected.discard(host.name)
+            )
 
     async def _cancellations(self, for_s: float) -> None:
         """Cancel running jobs several times, mostly in the first half of `for_s`."""
         for pause_s in (0.2, 1.0, *(self.rng.uniform(0.1, 0.25) * for_s for _ in range(2))):
             await asyncio.sleep(pause_s)
-            self.world.note("running jobs cancelled")
-            await self.world.users.cancel_now(self.rng.choice([2, 4]))
+            self.world.log_event("running jobs cancelled")
+            await self.world.users.cancel_jobs(self.rng.choice([2, 4]))
 
     async def cancel_at_end(self) -> None:
         """Let users cancel jobs at the moment of their completion."""
         seconds = self.rng.choice([10.0, 40.0])
-        await self._level(
+        await self._set_field(
             "cancellations at job completion",
             self.world.active_faults,
             "cancel_at_end_share",
@@ -318,49 +340,53 @@
     async def lose_answers(self) -> None:
         """Lose the state service's responses to changes that it has applied."""
         share, seconds = self.rng.choice([0.2, 0.6]), self.rng.choice([5.0, 20.0])
-        await self._level("lost state service responses", self.world.state, "lost", share, seconds)
+        await self._set_field(
+            "lost state service responses", self.world.state, "lost_reply_share", share, seconds
+        )
 
     async def replay_heartbeats(self) -> None:
         """Replay a share of the heartbeats to all controllers at the next election."""
         seconds = self.rng.choice([15.0, 40.0])
-        await self._level(
+        await self._set_field(
             "replayed heartbeats", self.world.active_faults, "replay_share", 0.3, seconds
         )
 
     async def partition_machines_outbound(self) -> None:
         """Keep the heartbeats of some machines from reaching controllers."""
-        await self._some_are(
+        await self._affect_machines(
             "partitioned outbound", self.world.active_faults.outbound_partitioned, [3.0, 10.0, 25.0]
         )
 
     async def poll_closely(self) -> None:
         """Let users poll all controllers at once when the status of their job changes."""
-        await self._level("close polling", self.world.active_faults, "close_polling", True, 40.0)
+        await self._set_field(
+            "close polling", self.world.active_faults, "close_polling", True, 40.0
+        )
 
     async def send_invalid_requests(self) -> None:
         """Let users send invalid and repeated requests."""
-        await self._level(
+        await self._set_field(
             "invalid requests", self.world.active_faults, "invalid_requests", True, 30.0
         )
 
     async def boot_at_once(self) -> None:
         """Terminate machines; replacements may boot before the response to their rental arrives."""
         cloud = self.world.cloud
-        cloud.at_once, cloud.answers_s = True, self.rng.choice([0.0, 1.5])
+        cloud.fast_boot, cloud.rental_response_delay_s = True, self.rng.choice([0.0, 1.5])
         for _ in range(3):
             await self.terminate_machine()
 
         def undo() -> None:
-            cloud.at_once, cloud.answers_s = False, 0.0
+            cloud.fast_boot, cloud.rental_response_delay_s = False, 0.0
 
-        await self._for("fast machine boots", 30.0, undo)
+        await self._hold("fast machine boots", 30.0, undo)
 
     async def isolate_zone(self) -> None:
         """Partition a zone from all endpoints outside it."""
         zone = self.rng.choice(["north", "south"])
         self.world.active_faults.isolated_zones.add(zone)
         seconds = self.world.shape.lease_s * self.rng.choice([0.5, 1.2, 2.5])
-        await self._for(
+        await self._hold(
             f"zone {zone} isolated",
             seconds,
             lambda: self.world.active_faults.isolated_zones.discard(zone),
@@ -369,7 +395,7 @@
     async def partition_zones(self) -> None:
         """Partition the zones from each other, but not from the services."""
         seconds = self.world.shape.lease_s * self.rng.choice([0.5, 1.2, 2.5])
-        await self._level(
+        await self._set_field(
             "zones partitioned from each other",
             self.world.active_faults,
             "zones_partitioned",
--- a/tealrill/simulation/graph_users.py
+++ b/tealrill/simulation/graph_users.py
@@ -9,7 +9,7 @@
 
 from tealrill.graphs.admission import GraphAdmission
 from tealrill.graphs.model import node_id
-from tealrill.simulation.worker import Description
+from tealrill.simulation.worker import JobDescription
 
 if TYPE_CHECKING:
     from tealrill.simulation.cluster import SimulatedCluster
@@ -17,7 +17,7 @@
 _NODES: Final = ({"key": "a", "after": []}, {"key": "b", "after": ["a"]})
 _RUN_S: Final = 4.0
 _VCPUS: Final = 2.0
-_PAUSE_S: Final = (8.0, 20.0)
+_PAUSE_RANGE_S: Final = (8.0, 20.0)
 """Shortest and longest pause between two graphs, in seconds."""
 _JOB: Final[dict[str, Any]] = {
     "lineup": "any", "shape": "sweep", "urgency": "urgent", "pieces": 1, "vcpus": _VCPUS,
@@ -31,14 +31,14 @@
     """Submit a graph of two nodes every 8 to 20 s, each to a random controller, until `until_s`."""
     number = 0
     while world.now() < until_s:
-        await asyncio.sleep(world.rng.uniform(*_PAUSE_S))
+        await asyncio.sleep(world.rng.uniform(*_PAUSE_RANGE_S))
         number += 1
         graph = f"graph{number}"
         job = {**_JOB, "crew": world.rng.choice(teams)}
         for index in range(len(_NODES)):
             name = node_id(graph, index)
-            world.descriptions[name] = Description(1, _RUN_S, _VCPUS)
-            world.add_foreign_job(name, {**job, "id": name})
+            world.descriptions[name] = JobDescription(1, _RUN_S, _VCPUS)
+            world.register_job(name, {**job, "id": name})
         await _submit(world, orjson.dumps({"id": graph, "defaults": job, "nodes": list(_NODES)}))
 
 
--- a/tealrill/simulation/network.py
+++ b/tealrill/simulation/network.py
@@ -39,7 +39,7 @@
             return _CLOUD
         if address.host.startswith("10.0.0."):
             return f"host-{int(address.host.rpartition('.')[2]) - 1}"
-        return self.world.by_address[f"{address.host}:{address.port}"]
+        return self.world.machine_by_address[f"{address.host}:{address.port}"]
 
     def _zone_of(self, name: str) -> str | None:
         if name.startswith("m-"):
@@ -50,17 +50,17 @@
             else None
         )
 
-    def partitioned(self, one: str, other: str) -> bool:
+    def partitioned(self, first: str, second: str) -> bool:
         """Return True if no messages pass between the two endpoints."""
         if self.world.active_faults.isolated_zones or self.world.active_faults.zones_partitioned:
-            zones = self._zone_of(one), self._zone_of(other)
+            zones = self._zone_of(first), self._zone_of(second)
             if zones[0] != zones[1] and (
                 not self.world.active_faults.isolated_zones.isdisjoint(zones)
                 or (self.world.active_faults.zones_partitioned and None not in zones)
             ):
                 return True
-        pair = frozenset("workers" if name.startswith("m-") else name for name in (one, other))
-        return pair in self.world.active_faults.cut_links
+        link = frozenset("workers" if name.startswith("m-") else name for name in (first, second))
+        return link in self.world.active_faults.cut_links
 
     async def wait_until_resumed(self, name: str) -> None:
         """Wait until the controller's process is not paused."""
@@ -88,17 +88,17 @@
         Raises:
             NoAnswerError: A partition, a host without a process, or no response within `timeout_s`.
         """
-        source, place = PROCESS.get().name, self.endpoint_of(address)
-        if place.startswith("m-"):
+        source, endpoint = PROCESS.get().name, self.endpoint_of(address)
+        if endpoint.startswith("m-"):
             # Checked when sent: what the controller learns afterwards can't affect these commands.
             self.world.invariants.check_commands(
                 source, orjson.loads(body or b"{}").get("orders", [])
             )
-        self.world.digest.add(self.world.now(), source, place, method, path, body or b"")
+        self.world.digest.add(self.world.now(), source, endpoint, method, path, body or b"")
         await self.delay()
-        host = self.world.hosts.get(place)
-        if self.partitioned(source, place) or (
-            place in self.world.active_faults.inbound_partitioned and place.startswith("m-")
+        host = self.world.hosts.get(endpoint)
+        if self.partitioned(source, endpoint) or (
+            endpoint in self.world.active_faults.inbound_partitioned and endpoint.startswith("m-")
         ):
             await asyncio.sleep(timeout_s)
             raise NoAnswerError("TimeoutError", self.world.rng.random() < 0.5, silent=True)
@@ -106,73 +106,73 @@
             raise NoAnswerError("refused", False, refused=True)
         if check is not None:
             check()
-        answered: asyncio.Future[Reply] = self.world.loop.create_future()
-        work = self._deliver(answered, source, place, method, path, body)
-        self.world.begin(work, host.context if host is not None else None)
+        reply_future: asyncio.Future[Reply] = self.world.loop.create_future()
+        coroutine = self._deliver(reply_future, source, endpoint, method, path, body)
+        self.world.begin(coroutine, host.context if host is not None else None)
         try:
             async with asyncio.timeout(timeout_s):
-                status, value = await asyncio.shield(answered)
+                status, value = await asyncio.shield(reply_future)
                 await self.delay()
         except TimeoutError:
             raise NoAnswerError("TimeoutError", True, silent=True) from None
-        if self.partitioned(source, place):
+        if self.partitioned(source, endpoint):
             raise NoAnswerError("StreamClosedError", True)
         answer = Answer()
         answer.status, answer.body, answer.complete = status, orjson.dumps(value), True
-        self.world.digest.add(self.world.now(), place, source, status, answer.body)
+        self.world.digest.add(self.world.now(), endpoint, source, status, answer.body)
         return answer
 
     async def _deliver(
         self,
-        answered: asyncio.Future[Reply],
+        reply_future: asyncio.Future[Reply],
         source: str,
-        place: str,
+        endpoint: str,
         method: str,
         path: str,
         body: bytes | None,
     ) -> None:
-        held = place.startswith("m-") and self.world.active_faults.command_delay_s > 0
-        if held and self.world.rng.random() < 0.5:
+        delayed = endpoint.startswith("m-") and self.world.active_faults.command_delay_s > 0
+        if delayed and self.world.rng.random() < 0.5:
             if self.world.active_faults.cancel_in_flight:
                 self.world.users.cancel_started(body)
             await asyncio.sleep(
                 self.world.rng.uniform(0.0, self.world.active_faults.command_delay_s)
             )
         try:
-            if place == STATE:
+            if endpoint == STATE:
                 reply = await self.world.state(source, method, path, body)
-            elif place == _CLOUD:
+            elif endpoint == _CLOUD:
                 reply = await self.world.cloud(source, method, path, body)
-            elif place in self.world.hosts:
-                await self.wait_until_resumed(place)
-                reply = await self._peer(self.world.hosts[place], method, path, body)
+            elif endpoint in self.world.hosts:
+                await self.wait_until_resumed(endpoint)
+                reply = await self._call_peer(self.world.hosts[endpoint], method, path, body)
             else:
-                reply = await self._call_worker(source, place, method, path, body)
+                reply = await self._call_worker(source, endpoint, method, path, body)
         except NoReplyError:
             return
-        if held and self.world.rng.random() < 0.5:
+        if delayed and self.world.rng.random() < 0.5:
             await asyncio.sleep(
                 self.world.rng.uniform(0.0, self.world.active_faults.command_delay_s)
             )
-        if not answered.done():
-            answered.set_result(reply)
+        if not reply_future.done():
+            reply_future.set_result(reply)
 
     async def _call_worker(
-        self, source: str, place: str, method: str, path: str, body: bytes | None
+        self, source: str, endpoint: str, method: str, path: str, body: bytes | None
     ) -> Reply:
         """Pass a request to a machine's worker once the machine is not paused.
 
         Raises:
             NoReplyError: The machine is terminated or has not booted.
         """
-        worker = self.world.workers.get(place)
-        while worker is not None and worker.hung_at is not None:
+        worker = self.world.workers.get(endpoint)
+        while worker is not None and worker.paused_at is not None:
             await asyncio.sleep(0.05)
         if worker is None or worker.machine.terminated:
             raise NoReplyError
         return await worker(source, method, path, body)
 
-    async def _peer(self, host: Host, method: str, path: str, body: bytes | None) -> Reply:
+    async def _call_peer(self, host: Host, method: str, path: str, body: bytes | None) -> Reply:
         node = host.node
         if node is None:
             raise NoReplyError
--- a/tealrill/simulation/process.py
+++ b/tealrill/simulation/process.py
@@ -32,16 +32,16 @@
 
 def create_process_task(
     loop: Loop,
-    work: Coroutine[Any, Any, Any],
+    coroutine: Coroutine[Any, Any, Any],
     context: contextvars.Context | None = None,
 ) -> asyncio.Task[Any]:
     """Create a task in the process that is set in its context, or in none."""
-    found = NumberedTask(work, loop=loop, context=context)
+    created = NumberedTask(coroutine, loop=loop, context=context)
     process = context.get(PROCESS) if context is not None else PROCESS.get(None)
     if process is not None:
-        process.tasks[found] = None
-        found.add_done_callback(lambda task: process.tasks.pop(task, None))
-    return found
+        process.tasks[created] = None
+        created.add_done_callback(lambda task: process.tasks.pop(task, None))
+    return created
 
 
 @dataclass(frozen=True)
@@ -55,7 +55,7 @@
     cancel_s: float = 28.0
     limit_vcpus: float = 40.0
     """Quota of each team, in processors."""
-    every_s: float = 4.0
+    arrival_interval_s: float = 4.0
     """Mean time between two submissions of jobs, in seconds."""
     jobs: tuple[tuple[int, float], ...] = ((1, 4.0), (2, 9.0), (3, 15.0), (6, 8.0), (2, 60.0))
     """Number of tasks and run time in seconds of each kind of job; jobs are drawn from these."""
@@ -63,7 +63,7 @@
     """Share of jobs that their users cancel."""
     saving: float = 0.3
     """Share of jobs whose tasks have checkpoints."""
-    zoned: float = 1 / 3
+    zone_rule_share: float = 1 / 3
     """Share of the jobs with several tasks that have a placement constraint on zones."""
     graphs: bool = False
     """Whether users also submit graphs of dependent jobs."""
--- a/tealrill/simulation/state_service.py
+++ b/tealrill/simulation/state_service.py
@@ -28,26 +28,26 @@
         self.leases: dict[int, tuple[float, float]] = {}
         """By number: when the lease expires, and its time to live, both in seconds."""
         self.down = False
-        self.refused: set[str] = set()
-        self.late = 0.0
+        self.refused_sources: set[str] = set()
+        self.late_share = 0.0
         """Share of the transactions with changes that get no response and are executed later."""
-        self.lost = 0.0
+        self.lost_reply_share = 0.0
         """Share of the transactions and lease requests that are executed but get no response."""
-        self.slow_s = 0.0
+        self.request_delay_s = 0.0
         """Maximum time before a request is handled, in seconds; the minimum is 0.3 of it."""
-        self.scan_s = 0.0
+        self.scan_duration_s = 0.0
         """How long reading a range of keys takes, in seconds."""
-        self.written: Callable[[list[dict[str, Any]]], None] = lambda _: None
+        self.on_written: Callable[[list[dict[str, Any]]], None] = lambda _: None
         """Called with the changes of each transaction that is executed."""
-        self._numbers = 0
+        self._last_lease = 0
         self._changed = asyncio.Event()
         self._tasks: set[asyncio.Task[None]] = set()
 
-    def outage(self, begins: bool) -> None:
+    def set_outage(self, active: bool) -> None:
         """Begin or end an outage; its end renews every lease for its full time to live."""
-        if self.down and not begins:
+        if self.down and not active:
             self.leases = {n: (self.now() + ttl, ttl) for n, (_, ttl) in self.leases.items()}
-        self.down = begins
+        self.down = active
         self._wake()
 
     def _wake(self) -> None:
@@ -58,14 +58,14 @@
         """Delete expired leases and their keys; during an outage no lease expires."""
         if self.down:
             return
-        over = {n for n, (until, _) in self.leases.items() if until <= self.now()}
-        for number in over:
+        expired = {n for n, (until, _) in self.leases.items() if until <= self.now()}
+        for number in expired:
             del self.leases[number]
-        for key in [k for k, (_, _, lease) in self.keys.items() if lease in over]:
+        for key in [k for k, (_, _, lease) in self.keys.items() if lease in expired]:
             self._apply([{"delete": key}])
 
     def _apply(self, changes: list[dict[str, Any]]) -> None:
-        self.written(changes)
+        self.on_written(changes)
         self.epoch += 1
         for change in changes:
             if "set" in change:
@@ -80,9 +80,9 @@
 
     async def __call__(self, source: str, method: str, target: str, body: bytes | None) -> Reply:
         """Handle one request."""
-        if self.slow_s:
-            await asyncio.sleep(self.rng.uniform(0.3, 1.0) * self.slow_s)
-        if self.down or source in self.refused:
+        if self.request_delay_s:
+            await asyncio.sleep(self.rng.uniform(0.3, 1.0) * self.request_delay_s)
+        if self.down or source in self.refused_sources:
             return 503, {}
         self.expire()
         url = urlsplit(target)
@@ -91,8 +91,8 @@
         if parts[0] == "kv" and len(parts) > 1:
             return self._get(unquote(url.path.removeprefix("/kv/")))
         if parts[0] == "kv":
-            if self.scan_s:
-                await asyncio.sleep(self.scan_s)
+            if self.scan_duration_s:
+                await asyncio.sleep(self.scan_duration_s)
             return self._scan(query)
         if parts[0] == "commit":
             return await self._commit(orjson.loads(body or b"{}"))
@@ -110,24 +110,24 @@
     def _scan(self, query: dict[str, str]) -> Reply:
         under, after = query["under"], query.get("from", "")
         found = sorted(k for k in self.keys if k.startswith(under) and k > after)
-        part = found[: int(query.get("most", "1000"))]
-        entries = [{"path": k, "value": self.keys[k][0], "stamp": self.keys[k][1]} for k in part]
+        page = found[: int(query.get("most", "1000"))]
+        entries = [{"path": k, "value": self.keys[k][0], "stamp": self.keys[k][1]} for k in page]
         return 200, {
-            "entries": entries, "truncated": len(part) < len(found), "epoch": self.epoch
+            "entries": entries, "truncated": len(page) < len(found), "epoch": self.epoch
         }  # fmt: skip
 
     async def _commit(self, message: dict[str, Any]) -> Reply:
-        if message.get("apply") and self.rng.random() < self.late:
-            task = asyncio.create_task(self._later(message))
+        if message.get("apply") and self.rng.random() < self.late_share:
+            task = asyncio.create_task(self._execute_later(message))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
             raise NoReplyError
         reply = self._execute(message)
-        if self.rng.random() < self.lost:
+        if self.rng.random() < self.lost_reply_share:
             raise NoReplyError
         return reply
 
-    async def _later(self, message: dict[str, Any]) -> None:
+    async def _execute_later(self, message: dict[str, Any]) -> None:
         await asyncio.sleep(self.rng.uniform(2.0, 12.0))
         while self.down:
             await asyncio.sleep(0.5)
@@ -154,8 +154,8 @@
         until = self.now() + int(query.get("holdMs", "0")) / 1000
         while True:
             # During an outage, or while the source is refused, open watches stay open.
-            shut = self.down or source in self.refused
-            if not shut:
+            unavailable = self.down or source in self.refused_sources
+            if not unavailable:
                 self.expire()
                 found = [
                     e for at, e in self.log
@@ -163,7 +163,7 @@
                 ]  # fmt: skip
                 if found or self.now() >= until:
                     return 200, {"epoch": self.epoch, "log": found}
-            pause = 1.0 if shut else min(0.5, max(0.001, until - self.now()))
+            pause = 1.0 if unavailable else min(0.5, max(0.001, until - self.now()))
             try:
                 async with asyncio.timeout(pause):
                     await self._changed.wait()
@@ -171,17 +171,17 @@
                 pass
 
     def _lease(self, method: str, parts: list[str], body: dict[str, Any]) -> Reply:
-        reply = self._leased(method, parts, body)
-        if self.rng.random() < self.lost:
+        reply = self._handle_lease(method, parts, body)
+        if self.rng.random() < self.lost_reply_share:
             raise NoReplyError
         return reply
 
-    def _leased(self, method: str, parts: list[str], body: dict[str, Any]) -> Reply:
+    def _handle_lease(self, method: str, parts: list[str], body: dict[str, Any]) -> Reply:
         if len(parts) == 1:
-            self._numbers += 1
+            self._last_lease += 1
             ttl = body["ttlMs"] / 1000
-            self.leases[self._numbers] = (self.now() + ttl, ttl)
-            return 200, {"hold": self._numbers}
+            self.leases[self._last_lease] = (self.now() + ttl, ttl)
+            return 200, {"hold": self._last_lease}
         number = int(parts[1])
         if number not in self.leases:
             return 404, {}
--- a/tealrill/simulation/users.py
+++ b/tealrill/simulation/users.py
@@ -11,24 +11,24 @@
 from tealrill import wire
 from tealrill.simulation.process import Host
 from tealrill.simulation.replies import Reply
-from tealrill.simulation.worker import Worker, job_of
+from tealrill.simulation.worker import Worker, job_id_of
 from tealrill.state.admission import Reply as UserReply
 
 if TYPE_CHECKING:
     from tealrill.simulation.cluster import SimulatedCluster
 
-_PATIENCE_S: Final = 5.0
+_CHANGE_TIMEOUT_S: Final = 5.0
 """How long a user waits for the response to a submission or cancellation."""
-_SPOILED: Final[tuple[dict[str, Any], ...]] = (
+_RESUBMISSION_CHANGES: Final[tuple[dict[str, Any], ...]] = (
     {"pieces": 0}, {"vcpus": -1.0}, {"vcpus": 1e6}, {"crew": "nobody"}, {"shape": "circle"},
 )  # fmt: skip
 """Changes to the body of a repeated submission. The response must still be the job's status."""
-_IMPOSSIBLE: Final[tuple[dict[str, Any], ...]] = (
+_INVALID_CHANGES: Final[tuple[dict[str, Any], ...]] = (
     {"vcpus": 1e6}, {"gpus": 1.0}, {"memoryGb": 1e6}, {"builds": []}, {"builds": ["other"]},
     {"hall": "elsewhere"}, {"crew": "nobody"}, {"shape": "standing", "pieces": 1000},
 )  # fmt: skip
 """Changes that make a new submission invalid or impossible to place; it must be rejected."""
-_NEEDED: Final = (
+_REQUIRED_FIELDS: Final = (
     "lineup", "crew", "shape", "urgency", "pieces", "vcpus", "gpus", "memoryGb", "bundle",
     "sizeGb", "samePlace", "scatter", "loaners", "guessS", "snapshotS", "flushS",
 )  # fmt: skip
@@ -43,14 +43,14 @@
     body: dict[str, Any]
     accepted: bool = False
     cancel_at: float | None = None
-    asked_to_cancel: bool = False
+    cancel_requested: bool = False
     cancelled_at: float | None = None
     """When a response first told its user that it is cancelled."""
     done: bool = False
-    answered_at: float = 0.0
-    looked_at: bool = False
+    last_response_at: float = 0.0
+    is_polled_closely: bool = False
     """True while all controllers are polled for it."""
-    beside_since: float | None = None
+    waiting_since: float | None = None
     """Since when a task of it has been waiting while a machine had room for the task."""
 
     @property
@@ -59,31 +59,31 @@
         return f"{wire.JOBS_PATH}/{self.id}"
 
     @property
-    def tasks(self) -> set[str]:
+    def task_names(self) -> set[str]:
         """Names of its tasks."""
         return {f"{self.id}/{n}" for n in range(self.body["pieces"])}
 
     @property
-    def over(self) -> bool:
+    def has_ended(self) -> bool:
         """True if its user knows that it is done or cancelled."""
         return self.done or self.cancelled_at is not None
 
     @property
-    def told(self) -> tuple[bool, bool, bool]:
+    def known_statuses(self) -> tuple[bool, bool, bool]:
         """Which statuses its user has been told: accepted, cancelled, done."""
         return self.accepted, self.cancelled_at is not None, self.done
 
 
-async def call_user_api(users: Any, method: str, path: str, body: bytes | None) -> UserReply:
+async def call_user_api(api: Any, method: str, path: str, body: bytes | None) -> UserReply:
     """Pass a user's request to an `Admission` or a `Relay`."""
     name, _, verb = path.removeprefix(wire.JOBS_PATH).strip("/").partition("/")
     reply: UserReply
     if verb == wire.CANCEL_PATH:
-        reply = await users.cancel(name)
+        reply = await api.cancel(name)
     elif method == "POST":
-        reply = await users.submit(body or b"")
+        reply = await api.submit(body or b"")
     else:
-        reply = await users.status(name)
+        reply = await api.status(name)
     return reply
 
 
@@ -93,20 +93,20 @@
     def __init__(self, world: SimulatedCluster) -> None:
         self.world = world
 
-    async def ask(
-        self, method: str, path: str, body: Any, patience_s: float, at: Host | None = None
+    async def request(
+        self, method: str, path: str, body: Any, timeout_s: float, target: Host | None = None
     ) -> Reply | None:
         """Send a request to a controller, by default a random one; None if there is no response."""
-        host = at or self.world.rng.choice(list(self.world.hosts.values()))
+        host = target or self.world.rng.choice(list(self.world.hosts.values()))
         node = host.node
         if node is None:
             return None
         if host.name in self.world.active_faults.paused:
-            await asyncio.sleep(patience_s)
+            await asyncio.sleep(timeout_s)
             return None
         raw = orjson.dumps(body) if body is not None else None
         task = self.world.begin(call_user_api(node._relay, method, path, raw), host.context)
-        done, _ = await asyncio.wait({task}, timeout=patience_s)
+        done, _ = await asyncio.wait({task}, timeout=timeout_s)
         if not done or host.node is not node or task.cancelled() or task.exception() is not None:
             return None
         answer = task.result()
@@ -118,15 +118,15 @@
         """Submit, poll and perhaps cancel one job, following the protocol for users."""
         until = self.world.now() + 60.0
         while not job.accepted:
-            reply = await self.ask("POST", wire.JOBS_PATH, job.body, _PATIENCE_S)
+            reply = await self.request("POST", wire.JOBS_PATH, job.body, _CHANGE_TIMEOUT_S)
             if reply is not None and reply[0] in (200, 201):
-                job.accepted, job.answered_at = True, self.world.now()
+                job.accepted, job.last_response_at = True, self.world.now()
                 self._poll_closely(job)
                 break
             if self.world.now() > until:
                 return
             await asyncio.sleep(self.world.rng.uniform(1.0, 2.0))
-        while not job.over:
+        while not job.has_ended:
             await asyncio.sleep(self.world.rng.uniform(4.0, 6.0))
             if job.cancel_at is not None and self.world.now() >= job.cancel_at:
                 await self._cancel(job)
@@ -135,40 +135,46 @@
         for _ in range(3):
             await asyncio.sleep(self.world.rng.uniform(5.0, 25.0))
             await self._poll(job)
-            await self._poll(job, again=True)
+            await self._poll(job, resubmit=True)
 
-    async def _poll(self, job: UserJob, again: bool = False, at: Host | None = None) -> None:
-        """Request the status of a job, or with `again` repeat its submission."""
-        before = job.told
-        if again:
-            reply = await self.ask("POST", wire.JOBS_PATH, job.body, _PATIENCE_S, at)
+    async def _poll(self, job: UserJob, resubmit: bool = False, target: Host | None = None) -> None:
+        """Request the status of a job, or with `resubmit` repeat its submission."""
+        known_before = job.known_statuses
+        if resubmit:
+            reply = await self.request("POST", wire.JOBS_PATH, job.body, _CHANGE_TIMEOUT_S, target)
         else:
-            reply = await self.ask("GET", job.path, None, 2.0, at)
-        self._process_answer(job, reply, before)
+            reply = await self.request("GET", job.path, None, 2.0, target)
+        self._process_answer(job, reply, known_before)
 
     async def _cancel(self, job: UserJob) -> None:
-        job.asked_to_cancel = True
-        before = job.told
-        reply = await self.ask("POST", f"{job.path}/{wire.CANCEL_PATH}", {}, _PATIENCE_S)
+        job.cancel_requested = True
+        known_before = job.known_statuses
+        reply = await self.request("POST", f"{job.path}/{wire.CANCEL_PATH}", {}, _CHANGE_TIMEOUT_S)
         if reply is not None and reply[0] == 200:
-            self._process_answer(job, reply, before)
+            self._process_answer(job, reply, known_before)
 
-    async def cancel_now(
-        self, count: int, hang_s: float = 0.0, within_s: float = 0.2, begun: bool = True
+    async def cancel_jobs(
+        self, count: int, pause_s: float = 0.0, within_s: float = 0.2, running_only: bool = True
     ) -> None:
-        """Cancel up to `count` jobs within `within_s`, and pause their machines for `hang_s`.
+        """Cancel up to `count` jobs within `within_s`, and pause their machines for `pause_s`.
 
-        Only jobs with a running task are chosen if `begun`.
+        Only jobs with a running task are chosen if `running_only`.
         """
-        on = {job_of(n): w for w in self.world.workers.values() for n in w.on()}
-        found = [
-            job for job in self.world.jobs.values() if job.accepted and not job.asked_to_cancel
+        worker_by_job = {
+            job_id_of(n): w for w in self.world.workers.values() for n in w.running_tasks()
+        }
+        chosen = [
+            job for job in self.world.jobs.values() if job.accepted and not job.cancel_requested
         ]
-        found = [job for job in found if not job.done and (not begun or job.id in on)][:count]
-        if hang_s:
-            for name in {on[job.id].machine.id: None for job in found if job.id in on}:
-                self.world.begin(self.pause(self.world.workers[name], hang_s))
-        for job in found:
+        chosen = [
+            job for job in chosen if not job.done and (not running_only or job.id in worker_by_job)
+        ][:count]
+        if pause_s:
+            for name in {
+                worker_by_job[job.id].machine.id: None for job in chosen if job.id in worker_by_job
+            }:
+                self.world.begin(self.pause_machine(self.world.workers[name], pause_s))
+        for job in chosen:
             self.world.begin(
                 self._cancel_until_acknowledged(job, self.world.rng.uniform(0.0, within_s))
             )
@@ -176,29 +182,29 @@
     def cancel_started(self, body: bytes | None) -> None:
         """Cancel the jobs whose tasks the commands in a request body start."""
         for command in orjson.loads(body or b"{}").get("orders", []):
-            job = self.world.jobs.get(job_of(command["piece"]))
+            job = self.world.jobs.get(job_id_of(command["piece"]))
             if command["verb"] == wire.START and job is not None:
                 self.world.begin(self._cancel_until_acknowledged(job, 0.05))
 
-    async def pause(self, worker: Worker, for_s: float) -> None:
+    async def pause_machine(self, worker: Worker, for_s: float) -> None:
         """Pause a machine for `for_s` seconds."""
-        worker.hang()
+        worker.pause()
         await asyncio.sleep(for_s)
         worker.resume()
 
     async def _cancel_until_acknowledged(self, job: UserJob, after_s: float) -> None:
         await asyncio.sleep(after_s)
-        while not job.over:
+        while not job.has_ended:
             await self._cancel(job)
             await asyncio.sleep(1.0)
 
     def task_completed(self, worker: Worker, name: str) -> None:
         """Poll or cancel a job whose last task has just completed, if those faults are active."""
-        job = self.world.jobs[job_of(name)]
-        if not job.tasks <= self.world.results:
+        job = self.world.jobs[job_id_of(name)]
+        if not job.task_names <= self.world.completed_tasks:
             return
         if self.world.active_faults.close_polling:
-            self.world.begin(self._watch_end(job))
+            self.world.begin(self._poll_until_ended(job))
         if not job.done and self.world.rng.random() < self.world.active_faults.cancel_at_end_share:
             # The leader learns of the completion within a heartbeat interval.
             after_s = self.world.rng.uniform(0.0, 1.6 * self.world.shape.heartbeat_interval_s)
@@ -206,66 +212,68 @@
 
     def _poll_closely(self, job: UserJob) -> None:
         """Poll all controllers at once, also by repeated submissions, if that fault is active."""
-        if self.world.active_faults.close_polling and not job.looked_at:
-            job.looked_at = True
+        if self.world.active_faults.close_polling and not job.is_polled_closely:
+            job.is_polled_closely = True
             self.world.begin(self._poll_all(job))
 
     async def _poll_all(self, job: UserJob) -> None:
-        looks = [
+        polls = [
             self.world.begin(self._poll_once(job, host, number))
             for host in self.world.hosts.values()
             for number in range(4)
         ]
-        await asyncio.wait(looks)
-        job.looked_at = False
+        await asyncio.wait(polls)
+        job.is_polled_closely = False
 
-    async def _watch_end(self, job: UserJob) -> None:
+    async def _poll_until_ended(self, job: UserJob) -> None:
         """Poll until the user knows of the job's end, for at most 1.6 heartbeat intervals."""
         until = self.world.now() + 1.6 * self.world.shape.heartbeat_interval_s
-        while self.world.now() < until and not job.over:
+        while self.world.now() < until and not job.has_ended:
             self.world.begin(self._poll(job))
             await asyncio.sleep(self.world.rng.uniform(0.02, 0.06))
 
     async def _poll_once(self, job: UserJob, host: Host, number: int) -> None:
         await asyncio.sleep(number * self.world.rng.uniform(0.0, 0.005))
-        await self._poll(job, again=number == 3, at=host)
+        await self._poll(job, resubmit=number == 3, target=host)
 
     def _process_answer(
-        self, job: UserJob, reply: Reply | None, before: tuple[bool, bool, bool]
+        self, job: UserJob, reply: Reply | None, known_before: tuple[bool, bool, bool]
     ) -> None:
         """Check a response against the statuses known before its request, and record its status."""
         if reply is None or reply[0] >= 500 or reply[0] == 429:
             return
         status, answer = reply
-        accepted, cancelled, done = before
+        accepted, cancelled, done = known_before
         if status not in (200, 201):
             if accepted:
-                self.world.breach("forgotten", f"{job.id}: status {status}")
+                self.world.record_violation("forgotten", f"{job.id}: status {status}")
             return
-        job.answered_at = self.world.now()
-        said = answer["status"]
-        known = job.told
-        if done and said != wire.JOB_DONE:
-            self.world.breach("went_back", f"{job.id} was done and is {said}")
-        elif cancelled and said != wire.JOB_CANCELLED:
-            self.world.breach("went_back", f"{job.id} was cancelled and is {said}")
-        elif (job.done and said == wire.JOB_CANCELLED) or (
-            job.cancelled_at is not None and said == wire.JOB_DONE
+        job.last_response_at = self.world.now()
+        job_status = answer["status"]
+        previous = job.known_statuses
+        if done and job_status != wire.JOB_DONE:
+            self.world.record_violation("went_back", f"{job.id} was done and is {job_status}")
+        elif cancelled and job_status != wire.JOB_CANCELLED:
+            self.world.record_violation("went_back", f"{job.id} was cancelled and is {job_status}")
+        elif (job.done and job_status == wire.JOB_CANCELLED) or (
+            job.cancelled_at is not None and job_status == wire.JOB_DONE
         ):
-            self.world.breach("went_back", f"{job.id} was reported both done and cancelled")
+            self.world.record_violation(
+                "went_back", f"{job.id} was reported both done and cancelled"
+            )
         else:
-            self._note_status(job, said)
-        if job.told != known:
+            self._record_status(job, job_status)
+        if job.known_statuses != previous:
             self._poll_closely(job)
 
-    def _note_status(self, job: UserJob, said: str) -> None:
-        if said == wire.JOB_DONE:
-            if not job.tasks <= self.world.results:
-                self.world.breach("not_done", job.id)
+    def _record_status(self, job: UserJob, job_status: str) -> None:
+        if job_status == wire.JOB_DONE:
+            if not job.task_names <= self.world.completed_tasks:
+                self.world.record_violation("not_done", job.id)
             job.done = True
-        elif said == wire.JOB_CANCELLED:
-            if not job.asked_to_cancel:
-                self.world.breach(
+        elif job_status == wire.JOB_CANCELLED:
+            if not job.cancel_requested:
+                self.world.record_violation(
                     "went_back", f"{job.id} is reported cancelled without a request to cancel it"
                 )
             if job.cancelled_at is None:
@@ -280,30 +288,32 @@
                 continue
             number += 1
             job = self.world.rng.choice(list(self.world.jobs.values()))
-            if job.over:
-                before = job.told
+            if job.has_ended:
+                known_before = job.known_statuses
                 path = f"{job.path}/{wire.CANCEL_PATH}"
-                self._process_answer(job, await self.ask("POST", path, {}, _PATIENCE_S), before)
+                self._process_answer(
+                    job, await self.request("POST", path, {}, _CHANGE_TIMEOUT_S), known_before
+                )
             elif job.accepted:
-                before = job.told
-                spoiled = {**job.body, **self.world.rng.choice(_SPOILED)}
-                reply = await self.ask("POST", wire.JOBS_PATH, spoiled, _PATIENCE_S)
-                self._process_answer(job, reply, before)
-            odd = {**job.body, "id": f"odd-{number:06d}"}
-            lacks = self.world.rng.choice([None, *_NEEDED])
-            if lacks is None:
-                odd.update(self.world.rng.choice(_IMPOSSIBLE))
+                known_before = job.known_statuses
+                changed = {**job.body, **self.world.rng.choice(_RESUBMISSION_CHANGES)}
+                reply = await self.request("POST", wire.JOBS_PATH, changed, _CHANGE_TIMEOUT_S)
+                self._process_answer(job, reply, known_before)
+            invalid = {**job.body, "id": f"odd-{number:06d}"}
+            missing_field = self.world.rng.choice([None, *_REQUIRED_FIELDS])
+            if missing_field is None:
+                invalid.update(self.world.rng.choice(_INVALID_CHANGES))
             else:
-                del odd[lacks]
-            reply = await self.ask("POST", wire.JOBS_PATH, odd, _PATIENCE_S)
+                del invalid[missing_field]
+            reply = await self.request("POST", wire.JOBS_PATH, invalid, _CHANGE_TIMEOUT_S)
             if reply is not None and reply[0] < 400:
-                self.world.breach("accepted", f"{odd} with status {reply[0]}")
+                self.world.record_violation("accepted", f"{invalid} with status {reply[0]}")
 
-    async def ask_for_unknown_jobs(self) -> None:
+    async def request_unknown_jobs(self) -> None:
         """Request the status of jobs that were never submitted; no controller may know them."""
         while True:
             await asyncio.sleep(self.world.rng.uniform(5.0, 15.0))
             path = f"{wire.JOBS_PATH}/no-{self.world.rng.randrange(10**6):06d}"
-            reply = await self.ask("GET", path, None, 2.0)
+            reply = await self.request("GET", path, None, 2.0)
             if reply is not None and reply[0] == 200:
-                self.world.breach("invented", path)
+                self.world.record_violation("invented", path)
--- a/tealrill/simulation/worker_fleet.py
+++ b/tealrill/simulation/worker_fleet.py
@@ -19,11 +19,11 @@
     from tealrill.simulation.cluster import SimulatedCluster
 
 _HEARTBEAT_TIMEOUT_S: Final = 4.0
-_NEXT_CONTROLLER_S: Final = 1.0
+_NEXT_CONTROLLER_PAUSE_S: Final = 1.0
 """Pause before the next controller is tried."""
-_HEARTBEAT_GAP_S: Final = 0.5
+_MIN_HEARTBEAT_INTERVAL_S: Final = 0.5
 """Minimum time between two heartbeats to the same controller."""
-_HELD_SHARE: Final = 0.5
+_DELAYED_SHARE: Final = 0.5
 """Share of the heartbeats sent into a partition that are delivered once it has healed."""
 
 
@@ -32,22 +32,22 @@
 
     def __init__(self, world: SimulatedCluster) -> None:
         self.world = world
-        self._kept: list[dict[str, Any]] = []
+        self._to_replay: list[dict[str, Any]] = []
         """Heartbeats to replay at the next election."""
 
     def boot(self, machine: Machine) -> None:
         """Start the worker of a rented machine once the machine has booted."""
-        self.world.by_address[machine.addr] = machine.id
+        self.world.machine_by_address[machine.addr] = machine.id
         self.world.begin(self._run(machine))
 
-    def clear(self, machine: Machine) -> None:
+    def drop_tasks(self, machine: Machine) -> None:
         """Drop the tasks of a terminated machine."""
         worker = self.world.workers.get(machine.id)
         if worker is not None:
             worker.tasks.clear()
 
     async def _run(self, machine: Machine) -> None:
-        await asyncio.sleep(machine.up_at - self.world.now())
+        await asyncio.sleep(machine.boots_at - self.world.now())
         if machine.terminated:
             return
         worker = Worker(
@@ -56,38 +56,38 @@
             self.world.now,
             self.world.descriptions,
             self.world.invariants.check_start,
-            self.world.results,
+            self.world.completed_tasks,
             self.world.checkpoints,
         )
-        worker.completed = self.world.users.task_completed
+        worker.on_completed = self.world.users.task_completed
         self.world.workers[machine.id] = worker
-        self.world.begin(self._tick(worker))
-        order = list(self.world.hosts)
-        at = self.world.rng.randrange(len(order))
+        self.world.begin(self._run_ticks(worker))
+        controllers = list(self.world.hosts)
+        index = self.world.rng.randrange(len(controllers))
         while not machine.terminated:
-            at = await self._send_heartbeat(worker, order, at)
+            index = await self._send_heartbeat(worker, controllers, index)
 
-    async def _tick(self, worker: Worker) -> None:
+    async def _run_ticks(self, worker: Worker) -> None:
         while not worker.machine.terminated:
             worker.tick()
             await asyncio.sleep(0.1)
 
-    async def _send_heartbeat(self, worker: Worker, order: list[str], at: int) -> int:
+    async def _send_heartbeat(self, worker: Worker, controllers: list[str], index: int) -> int:
         """Send one heartbeat and execute the response; return the index of the next receiver."""
         await self._wait_until_resumed(worker)
         worker.tick()
-        worker.changed.clear()
-        message = worker.report()
-        incarnation, sent, name = worker.incarnation, self.world.now(), order[at]
+        worker.unreported_change.clear()
+        message = worker.build_heartbeat()
+        incarnation, sent, name = worker.incarnation, self.world.now(), controllers[index]
         if self.world.rng.random() < self.world.active_faults.duplicate_share:
-            self.world.begin(self._deliver_copy(message, name))
+            self.world.begin(self._deliver_duplicate(message, name))
         if self.world.rng.random() < self.world.active_faults.replay_share:
-            self._kept.append(message)
+            self._to_replay.append(message)
         reply = await self._exchange_heartbeat(worker.machine.id, message, name)
         await self._wait_until_resumed(worker)
         if reply is None or self.world.now() - sent > _HEARTBEAT_TIMEOUT_S:
-            await asyncio.sleep(_NEXT_CONTROLLER_S)
-            return (at + 1) % len(order)
+            await asyncio.sleep(_NEXT_CONTROLLER_PAUSE_S)
+            return (index + 1) % len(controllers)
         status, answer = reply
         worker.tick()
         if status == 200:
@@ -96,25 +96,25 @@
                 worker.renewed_at = max(worker.renewed_at, sent)
                 worker.execute(answer["orders"])
             await self._wait_until_due(worker, sent)
-            return at
-        foreman = answer.get("foreman")
-        if status == 421 and foreman in order and foreman != name:
+            return index
+        leader_host = answer.get("foreman")
+        if status == 421 and leader_host in controllers and leader_host != name:
             await asyncio.sleep(self.world.rng.uniform(0.0, 0.5))
-            return order.index(foreman)
-        await asyncio.sleep(_NEXT_CONTROLLER_S)
-        return (at + 1) % len(order)
+            return controllers.index(leader_host)
+        await asyncio.sleep(_NEXT_CONTROLLER_PAUSE_S)
+        return (index + 1) % len(controllers)
 
     async def _wait_until_due(self, worker: Worker, sent: float) -> None:
         """Wait until the next heartbeat is due: after the interval, or early if a change occurs."""
         interval_s = self.world.shape.heartbeat_interval_s * self.world.rng.uniform(0.75, 1.25)
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(sent + interval_s - self.world.now()):
-                await worker.changed.wait()
-                await asyncio.sleep(sent + _HEARTBEAT_GAP_S - self.world.now())
+                await worker.unreported_change.wait()
+                await asyncio.sleep(sent + _MIN_HEARTBEAT_INTERVAL_S - self.world.now())
 
     @staticmethod
     async def _wait_until_resumed(worker: Worker) -> None:
-        while worker.hung_at is not None and not worker.machine.terminated:
+        while worker.paused_at is not None and not worker.machine.terminated:
             await asyncio.sleep(0.05)
 
     async def _exchange_heartbeat(
@@ -128,24 +128,24 @@
             await asyncio.sleep(_HEARTBEAT_TIMEOUT_S)
             return None
         if self.world.network.partitioned(machine, name):
-            if self.world.rng.random() < _HELD_SHARE:
+            if self.world.rng.random() < _DELAYED_SHARE:
                 self.world.begin(
-                    self._deliver_once(
+                    self._deliver_when(
                         message, name, lambda: not self.world.network.partitioned(machine, name)
                     )
                 )
             await asyncio.sleep(_HEARTBEAT_TIMEOUT_S)
             return None
         if name in self.world.active_faults.paused:
-            held = self.world.begin(
-                self._deliver_once(
+            delayed = self.world.begin(
+                self._deliver_when(
                     message, name, lambda: name not in self.world.active_faults.paused
                 )
             )
-            done, _ = await asyncio.wait({held}, timeout=_HEARTBEAT_TIMEOUT_S)
+            done, _ = await asyncio.wait({delayed}, timeout=_HEARTBEAT_TIMEOUT_S)
             if not done:
                 return None
-            reply: Reply | None = await held
+            reply: Reply | None = await delayed
         else:
             reply = self.deliver_heartbeat(message, name)
         if machine in self.world.active_faults.inbound_partitioned or reply is None:
@@ -160,8 +160,10 @@
         node = host.node
         if node is None:
             return None
-        found = wire.decode(orjson.dumps(message), wire.Heartbeat)
-        status, answer = host.context.run(node.handle_heartbeat, found, MachineId(found.machine))
+        heartbeat = wire.decode(orjson.dumps(message), wire.Heartbeat)
+        status, answer = host.context.run(
+            node.handle_heartbeat, heartbeat, MachineId(heartbeat.machine)
+        )
         self.world.digest.add(self.world.now(), name, message, status, answer)
         commands = answer.get("orders", [])
         self.world.invariants.check_commands(name, commands)
@@ -169,22 +171,22 @@
             self.world.invariants.check_renewal(name, message, commands)
         return status, answer
 
-    async def _deliver_once(
-        self, message: dict[str, Any], name: str, possible: Callable[[], bool]
+    async def _deliver_when(
+        self, message: dict[str, Any], name: str, condition: Callable[[], bool]
     ) -> Reply | None:
-        """Deliver a delayed heartbeat once `possible`; its worker may have timed out by then."""
-        while not possible():
+        """Deliver a heartbeat once `condition` is true; its worker may have timed out by then."""
+        while not condition():
             await asyncio.sleep(0.05)
         return self.deliver_heartbeat(message, name)
 
-    async def _deliver_copy(self, message: dict[str, Any], name: str) -> None:
+    async def _deliver_duplicate(self, message: dict[str, Any], name: str) -> None:
         await asyncio.sleep(self.world.rng.uniform(2.0, 2.5 * self.world.shape.lease_s))
         if not self.world.network.partitioned(message["kiln"], name):
             self.deliver_heartbeat(message, name)
 
     async def replay_at_elections(self) -> None:
         """Replay the recorded heartbeats to every controller whenever a leader is elected."""
-        known = None
+        last_term = None
         while True:
             await asyncio.sleep(0.05)
             host = self.world.leader()
@@ -193,10 +195,10 @@
                 if host is not None and host.node is not None
                 else None
             )
-            if leadership is None or leadership.term == known:
+            if leadership is None or leadership.term == last_term:
                 continue
-            known, kept, self._kept = leadership.term, self._kept, []
-            for message in kept:
+            last_term, messages, self._to_replay = leadership.term, self._to_replay, []
+            for message in messages:
                 for name in self.world.hosts:
                     self.world.begin(self._deliver_to_successor(message, name))
 
--- a/tests/test_day_digests.py
+++ b/tests/test_day_digests.py
@@ -12,16 +12,16 @@
 
 import pytest
 
-from tealrill.simulation.day_digests import RecordedDay, digest_of, read_days
+from tealrill.simulation.day_digests import RecordedRun, digest_of, read_runs
 
-_RECORDED: Final = read_days(Path(__file__).parent / "data" / "day_digests.json")
-_PLAYED: Final = [day for day in _RECORDED if day.seed == 1]
+_RECORDED: Final = read_runs(Path(__file__).parent / "data" / "day_digests.json")
+_FIRST_SEED_RUNS: Final = [run for run in _RECORDED if run.seed == 1]
 
 
-@pytest.mark.parametrize("day", _PLAYED, ids=lambda day: day.name)
-def test_the_day_has_the_recorded_traffic(day: RecordedDay) -> None:
-    assert digest_of(day) == day.sha256
+@pytest.mark.parametrize("run", _FIRST_SEED_RUNS, ids=lambda run: run.name)
+def test_traffic_has_recorded_digest(run: RecordedRun) -> None:
+    assert digest_of(run) == run.sha256
 
 
-def test_other_seeds_have_other_traffic() -> None:
-    assert len({day.sha256 for day in _RECORDED}) == len(_RECORDED) == 40
+def test_recorded_digests_are_distinct() -> None:
+    assert len({run.sha256 for run in _RECORDED}) == len(_RECORDED) == 40
--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -52,10 +52,10 @@
 # -- scenarios ------------------------------------------------------------------------------------
 
 
-def _kill_leader(world: SimulatedCluster, back_s: float = 3.0) -> None:
+def _kill_leader(world: SimulatedCluster, restart_s: float = 3.0) -> None:
     host = world.leader()
     if host is not None:
-        world.end(host, back_s)
+        world.kill_controller(host, restart_s)
 
 
 async def _close_polling(world: SimulatedCluster) -> None:
@@ -65,56 +65,56 @@
         world.active_faults.close_polling,
         world.active_faults.cancel_at_end_share,
         world.active_faults.invalid_requests,
-        world.state.slow_s,
+        world.state.request_delay_s,
     ) = True, 0.5, True, 0.05
     for number in range(8):
         await asyncio.sleep(3.0)
-        await world.users.cancel_now(2)
+        await world.users.cancel_jobs(2)
         host = world.rng.choice(list(world.hosts.values()))
-        pair = frozenset((host.name, "state"))
+        link = frozenset((host.name, "state"))
         if number % 4 == 0:
-            world.state.refused.add(host.name)
+            world.state.refused_sources.add(host.name)
         elif number % 4 == 1:
-            world.active_faults.cut_links.add(pair)
+            world.active_faults.cut_links.add(link)
         elif number % 4 == 2:
-            world.end(host, 0.3)
+            world.kill_controller(host, 0.3)
         else:
-            world.state.late = 0.7
+            world.state.late_share = 0.7
         await asyncio.sleep(2.5)
-        world.state.refused.discard(host.name)
-        world.active_faults.cut_links.discard(pair)
-        world.state.late = 0.0
+        world.state.refused_sources.discard(host.name)
+        world.active_faults.cut_links.discard(link)
+        world.state.late_share = 0.0
     (
         world.active_faults.close_polling,
         world.active_faults.cancel_at_end_share,
         world.active_faults.invalid_requests,
-        world.state.slow_s,
+        world.state.request_delay_s,
     ) = False, 0.0, False, 0.0
 
 
 async def _lost_responses(world: SimulatedCluster) -> None:
     """Half of the state service's responses to executed changes are lost; leaders are killed."""
-    world.state.lost, world.active_faults.close_polling = 0.5, True
+    world.state.lost_reply_share, world.active_faults.close_polling = 0.5, True
     for _ in range(4):
         await asyncio.sleep(8.0)
         _kill_leader(world, 0.3)
-    world.state.lost = 0.0
+    world.state.lost_reply_share = 0.0
 
 
 async def _late_transactions(world: SimulatedCluster) -> None:
     """Half of the transactions are executed seconds later, after newer ones; leaders are killed."""
-    world.state.late = 0.5
+    world.state.late_share = 0.5
     for _ in range(5):
         await asyncio.sleep(6.0)
         _kill_leader(world, 0.3)
-    world.state.late = 0.0
+    world.state.late_share = 0.0
 
 
 async def _teams_at_quota(world: SimulatedCluster) -> None:
     """Teams reach their quota; jobs on paused machines are cancelled, then the leader is killed."""
     for _ in range(3):
         await asyncio.sleep(6.0)
-        await world.users.cancel_now(3, hang_s=0.8 * world.shape.lease_s, within_s=0.1)
+        await world.users.cancel_jobs(3, pause_s=0.8 * world.shape.lease_s, within_s=0.1)
         await asyncio.sleep(0.3)
         _kill_leader(world)
         await asyncio.sleep(8.0)
@@ -135,25 +135,25 @@
 
 async def _cancel_repeatedly(world: SimulatedCluster) -> None:
     for _ in range(50):
-        await world.users.cancel_now(1, within_s=0.02)
+        await world.users.cancel_jobs(1, within_s=0.02)
         await asyncio.sleep(0.1)
 
 
 async def _fast_boots(world: SimulatedCluster) -> None:
     """New machines run tasks before their rental is answered or recorded; leaders are killed."""
-    world.cloud.at_once, world.cloud.answers_s = True, 2.0
+    world.cloud.fast_boot, world.cloud.rental_response_delay_s = True, 2.0
     for number in range(6):
-        for machine in world.cloud.alive()[:3]:
-            world.cloud.take(machine)
+        for machine in world.cloud.live_machines()[:3]:
+            world.cloud.terminate(machine)
         if number < 4:
-            world.state.late = 0.2
+            world.state.late_share = 0.2
             await asyncio.sleep(7.0)
             _kill_leader(world, 0.5)
-            world.state.late = 0.0
+            world.state.late_share = 0.0
         else:
             # No leader change here: the next leader would know these machines and hide the error.
             await asyncio.sleep(10.0)
-    world.cloud.at_once, world.cloud.answers_s = False, 0.0
+    world.cloud.fast_boot, world.cloud.rental_response_delay_s = False, 0.0
 
 
 async def _replayed_heartbeats(world: SimulatedCluster) -> None:
@@ -168,9 +168,9 @@
 async def _many_small_jobs(world: SimulatedCluster) -> None:
     """Four one-task jobs per second, a quarter cancelled; an outage, then the leader is killed."""
     await asyncio.sleep(10.0)
-    world.state.outage(True)
+    world.state.set_outage(True)
     await asyncio.sleep(8.0)
-    world.state.outage(False)
+    world.state.set_outage(False)
     await asyncio.sleep(6.0)
     _kill_leader(world)
     await asyncio.sleep(10.0)
@@ -181,7 +181,7 @@
     world.active_faults.link_delay_s = 0.5
     for _ in range(3):
         await asyncio.sleep(8.0)
-        await world.users.cancel_now(2)
+        await world.users.cancel_jobs(2)
     _kill_leader(world)
     await asyncio.sleep(8.0)
     world.active_faults.link_delay_s = 0.0
@@ -194,14 +194,14 @@
         world.active_faults.close_polling,
         world.active_faults.invalid_requests,
     ) = 1.0, True, True
-    world.state.slow_s = 0.3
+    world.state.request_delay_s = 0.3
     await asyncio.sleep(40.0)
     (
         world.active_faults.cancel_at_end_share,
         world.active_faults.close_polling,
         world.active_faults.invalid_requests,
     ) = 0.0, False, False
-    world.state.slow_s = 0.0
+    world.state.request_delay_s = 0.0
 
 
 async def _cancellations_while_refused(world: SimulatedCluster) -> None:
@@ -215,12 +215,12 @@
     names = sorted(world.workers)[::2]
     world.active_faults.outbound_partitioned.update(names)
     await asyncio.sleep(2.0)
-    await world.users.cancel_now(2)
+    await world.users.cancel_jobs(2)
     # The leader must have missed their heartbeats by now, though they answer direct commands.
     await asyncio.sleep(4.0 * world.shape.heartbeat_interval_s)
     world.active_faults.must_stay_idle.update(names)
     for _ in range(5):
-        await world.users.cancel_now(1)
+        await world.users.cancel_jobs(1)
         await asyncio.sleep(4.0)
     for _ in range(2):
         _kill_leader(world)
@@ -229,7 +229,9 @@
     world.active_faults.outbound_partitioned.clear()
     terminated = [name for name in names if world.cloud.machines[name].terminated]
     if terminated:
-        world.breach("returned", f"{terminated} were terminated after a short outbound partition")
+        world.record_violation(
+            "returned", f"{terminated} were terminated after a short outbound partition"
+        )
 
 
 async def _zones_lose_machines(world: SimulatedCluster) -> None:
@@ -237,15 +239,15 @@
     the other zone nor the list of machines, so it can't tell where their other tasks run."""
     for number in range(4):
         await asyncio.sleep(5.0)
-        for machine in world.cloud.alive()[number % 2 :: 3]:
-            world.cloud.take(machine)
+        for machine in world.cloud.live_machines()[number % 2 :: 3]:
+            world.cloud.terminate(machine)
         world.active_faults.zones_partitioned = True
-        missing_from_lists = [frozenset((name, "cloud")) for name in world.hosts]
-        world.active_faults.cut_links.update(missing_from_lists)
+        cloud_links = [frozenset((name, "cloud")) for name in world.hosts]
+        world.active_faults.cut_links.update(cloud_links)
         _kill_leader(world, 0.5)
         await asyncio.sleep(6.0)
         world.active_faults.zones_partitioned = False
-        world.active_faults.cut_links.difference_update(missing_from_lists)
+        world.active_faults.cut_links.difference_update(cloud_links)
 
 
 async def _partitioned_zones(world: SimulatedCluster) -> None:
@@ -265,24 +267,24 @@
     for part in (0.5, 1.6):
         await asyncio.sleep(8.0)
         for host in world.hosts.values():
-            world.end(host, part * world.shape.lease_s)
+            world.kill_controller(host, part * world.shape.lease_s)
         await asyncio.sleep(part * world.shape.lease_s + 4.0)
 
 
 async def _short_terms(world: SimulatedCluster) -> None:
     """Jobs are cancelled; then every leader is killed before it has loaded the records."""
     await asyncio.sleep(4.0)
-    world.state.scan_s = 2.0
+    world.state.scan_duration_s = 2.0
     _kill_leader(world, 0.1)
-    await world.users.cancel_now(6)
+    await world.users.cancel_jobs(6)
     until = world.now() + world.shape.cancel_s + 10.0
     while world.now() < until:
         await asyncio.sleep(0.05)
         host = world.leader()
         if host is not None:
             await asyncio.sleep(1.5)
-            world.end(host, 0.1)
-    world.state.scan_s = 0.0
+            world.kill_controller(host, 0.1)
+    world.state.scan_duration_s = 0.0
 
 
 async def _isolated_leader(world: SimulatedCluster) -> None:
@@ -291,12 +293,12 @@
     host = world.leader()
     if host is None:
         return
-    pairs = [frozenset((host.name, other)) for other in ("state", *world.hosts)]
-    world.active_faults.cut_links.update(pairs)
+    links = [frozenset((host.name, other)) for other in ("state", *world.hosts)]
+    world.active_faults.cut_links.update(links)
     await asyncio.sleep(5.0)
-    await world.users.cancel_now(4)
+    await world.users.cancel_jobs(4)
     await asyncio.sleep(world.shape.cancel_s + 4.0)
-    world.active_faults.cut_links.difference_update(pairs)
+    world.active_faults.cut_links.difference_update(links)
 
 
 async def _delayed_commands(world: SimulatedCluster) -> None:
@@ -314,10 +316,10 @@
 async def _paused_machines(world: SimulatedCluster) -> None:
     """Jobs are cancelled as their machines are paused, for less and for longer than a lease."""
     shape = world.shape
-    for hang_s in (0.9 * shape.lease_s, 1.4 * shape.lease_s, shape.cancel_s + 4.0):
+    for pause_s in (0.9 * shape.lease_s, 1.4 * shape.lease_s, shape.cancel_s + 4.0):
         await asyncio.sleep(5.0)
-        await world.users.cancel_now(4, hang_s)
-        await asyncio.sleep(hang_s)
+        await world.users.cancel_jobs(4, pause_s)
+        await asyncio.sleep(pause_s)
 
 
 # -- mutations: each disables one safeguard -------------------------------------------------------
@@ -540,7 +542,7 @@
 _COMBINATIONS: dict[str, FaultCombination] = {
     "close polling": FaultCombination(
         _close_polling,
-        Shape(machines=6, every_s=1.0, jobs=((1, 2.0), (2, 4.0), (1, 30.0))),
+        Shape(machines=6, arrival_interval_s=1.0, jobs=((1, 2.0), (2, 4.0), (1, 30.0))),
         (
             ("forgotten", _read_end_before_job),
             ("went_back", _cache_status),
@@ -549,88 +551,109 @@
         10.0,
     ),
     "lost responses": FaultCombination(
-        _lost_responses, Shape(machines=6, every_s=1.5), (("went_back", _accept_without_guard),)
+        _lost_responses,
+        Shape(machines=6, arrival_interval_s=1.5),
+        (("went_back", _accept_without_guard),),
     ),
     "late transactions": FaultCombination(
         _late_transactions,
-        Shape(machines=12, every_s=1.5, jobs=_LONG_JOBS, limit_vcpus=99.0, cancelled=0.0),
+        Shape(
+            machines=12, arrival_interval_s=1.5, jobs=_LONG_JOBS, limit_vcpus=99.0, cancelled=0.0
+        ),
         (("ran_twice", _assume_unanswered_transactions_executed),),
     ),
     "teams at their quota": FaultCombination(
         _teams_at_quota,
-        Shape(machines=8, limit_vcpus=16.0, every_s=1.5, jobs=_LONG_JOBS, cancelled=0.1),
+        Shape(machines=8, limit_vcpus=16.0, arrival_interval_s=1.5, jobs=_LONG_JOBS, cancelled=0.1),
         (("quota", _skip_loading_ended_jobs), ("quota", _ignore_inherited_usage)),
     ),
     "leader changes": FaultCombination(
         _leader_changes,
-        Shape(machines=12, every_s=0.4, jobs=((1, 90.0),), cancelled=0.0, limit_vcpus=99.0),
+        Shape(
+            machines=12, arrival_interval_s=0.4, jobs=((1, 90.0),), cancelled=0.0, limit_vcpus=99.0
+        ),
         (("ran_cancelled", _watch_from_later_revision),),
         5.0,
     ),
     "fast machine boots": FaultCombination(
-        _fast_boots, Shape(machines=16, every_s=1.5), (("left", _replace_rented_machine),), 170.0
+        _fast_boots,
+        Shape(machines=16, arrival_interval_s=1.5),
+        (("left", _replace_rented_machine),),
+        170.0,
     ),
     "heartbeats replayed to the next leader": FaultCombination(
         _replayed_heartbeats,
-        Shape(machines=10, every_s=0.8, limit_vcpus=99.0),
+        Shape(machines=10, arrival_interval_s=0.8, limit_vcpus=99.0),
         (("ran_twice", _accept_old_heartbeats), ("ran_twice", _accept_old_tokens)),
     ),
     "hundreds of one-task jobs": FaultCombination(
-        _many_small_jobs, Shape(machines=8, every_s=0.25, jobs=((1, 3.0),), cancelled=0.25), ()
+        _many_small_jobs,
+        Shape(machines=8, arrival_interval_s=0.25, jobs=((1, 3.0),), cancelled=0.25),
+        (),
     ),
     "more work than capacity": FaultCombination(
-        _overload, Shape(machines=4, every_s=0.5, jobs=_LONG_JOBS, limit_vcpus=99.0), ()
+        _overload, Shape(machines=4, arrival_interval_s=0.5, jobs=_LONG_JOBS, limit_vcpus=99.0), ()
     ),
     "cancelled at completion": FaultCombination(
         _cancellations_at_completion,
-        Shape(machines=6, every_s=1.0),
+        Shape(machines=6, arrival_interval_s=1.0),
         (("went_back", _end_without_guards),),
     ),
     "cancelled while the leader is refused": FaultCombination(
         _cancellations_while_refused,
-        Shape(machines=6, every_s=1.5, jobs=((2, 90.0),), cancelled=0.0),
+        Shape(machines=6, arrival_interval_s=1.5, jobs=((2, 90.0),), cancelled=0.0),
         (("ran_cancelled", _ignore_acknowledged_cancellations),),
         10.0,
     ),
     "machines partitioned outbound": FaultCombination(
         _outbound_partition,
-        Shape(machines=6, every_s=1.5, jobs=_LONG_JOBS),
+        Shape(machines=6, arrival_interval_s=1.5, jobs=_LONG_JOBS),
         (("ran_twice", _ignore_former_renewals), ("given_work", place_on_contacted_machines)),
     ),
     "zones lose machines": FaultCombination(
         _zones_lose_machines,
-        Shape(machines=9, every_s=1.5, jobs=((6, 20.0), (3, 30.0)), cancelled=0.0, zoned=1.0),
+        Shape(
+            machines=9,
+            arrival_interval_s=1.5,
+            jobs=((6, 20.0), (3, 30.0)),
+            cancelled=0.0,
+            zone_rule_share=1.0,
+        ),
     ),
     "partitioned zones": FaultCombination(
         _partitioned_zones,
-        Shape(machines=6, every_s=1.5, jobs=_LONG_JOBS),
+        Shape(machines=6, arrival_interval_s=1.5, jobs=_LONG_JOBS),
         (("ran_twice", _ignore_delegations),),
     ),
     "no controller": FaultCombination(
-        _no_controller, Shape(machines=6, every_s=1.5), (("ran_twice", _ignore_former_renewals),)
+        _no_controller,
+        Shape(machines=6, arrival_interval_s=1.5),
+        (("ran_twice", _ignore_former_renewals),),
     ),
     "short terms": FaultCombination(
         _short_terms,
-        Shape(machines=6, every_s=1.5, jobs=((2, 90.0),), cancelled=0.0),
+        Shape(machines=6, arrival_interval_s=1.5, jobs=((2, 90.0),), cancelled=0.0),
         (("ran_cancelled", _renew_before_loading),),
         10.0,
     ),
     "isolated leader": FaultCombination(
         _isolated_leader,
         # Enough capacity for the next leader to start again what the former one still runs.
-        Shape(machines=18, every_s=1.0, jobs=((2, 90.0),), cancelled=0.0),
+        Shape(machines=18, arrival_interval_s=1.0, jobs=((2, 90.0),), cancelled=0.0),
         (("ran_twice", _ignore_lease_expiry),),
         10.0,
     ),
     "delayed commands": FaultCombination(
         _delayed_commands,
-        Shape(machines=8, every_s=0.7, jobs=((1, 20.0),), cancelled=0.0, limit_vcpus=99.0),
+        Shape(
+            machines=8, arrival_interval_s=0.7, jobs=((1, 20.0),), cancelled=0.0, limit_vcpus=99.0
+        ),
         (("ran_cancelled", _never_let_worker_lease_expire),),
         5.0,
     ),
     "paused machines": FaultCombination(
         _paused_machines,
-        Shape(machines=6, every_s=1.5, jobs=((2, 90.0),), cancelled=0.0),
+        Shape(machines=6, arrival_interval_s=1.5, jobs=((2, 90.0),), cancelled=0.0),
         (("ran_cancelled", _send_stops_once),),
         10.0,
     ),
@@ -651,7 +674,7 @@
 def test_no_invariant_is_violated(name: str) -> None:
     world = _run_unmodified(name)
     assert not world.broken, [*world.events, *world.broken]
-    assert world.starts > 5
+    assert world.task_starts > 5
 
 
 @pytest.mark.parametrize(
@@ -682,5 +705,5 @@
     world = _run_unmodified("hundreds of one-task jobs")
     assert not world.broken and len(world.jobs) > 200
     assert len(world.state.log) <= 5 * len(world.jobs) + 150
-    open_ = [job for job in world.jobs.values() if job.accepted and not job.over]
+    open_ = [job for job in world.jobs.values() if job.accepted and not job.has_ended]
     assert len(open_) < 0.05 * len(world.jobs)
--- a/tests/test_simulated_worker.py
+++ b/tests/test_simulated_worker.py
@@ -6,7 +6,7 @@
 
 from tealrill import wire
 from tealrill.simulation.cloud_service import Machine
-from tealrill.simulation.worker import Description, Worker
+from tealrill.simulation.worker import JobDescription, Worker
 
 LEASE_S = 8.0
 JOB = "wk-000001"
@@ -20,12 +20,12 @@
 
 def _worker(clock: _Clock, checkpoint_s: float = 0.0) -> Worker:
     machine = Machine("m-000001", "10.1.0.1:9000", "north", True, 0.0, 0.0)
-    jobs = {JOB: Description(2, RUN_S, 2.0, checkpoint_s, SAVE_S)}
+    jobs = {JOB: JobDescription(2, RUN_S, 2.0, checkpoint_s, SAVE_S)}
     return Worker(machine, LEASE_S, lambda: clock.now, jobs, lambda *_: None, set(), {})
 
 
 def _listed(worker: Worker) -> list[tuple[int, str, str | None]]:
-    return [(p["try"], p["status"], p.get("cause")) for p in worker.report()["pieces"]]
+    return [(p["try"], p["status"], p.get("cause")) for p in worker.build_heartbeat()["pieces"]]
 
 
 def _start(attempt: int) -> dict[str, Any]:
@@ -43,20 +43,20 @@
     assert _listed(worker) == [(1, wire.RUNNING, None)]
 
 
-def test_a_higher_token_is_a_change_at_most_once_in_half_a_lease() -> None:
+def test_higher_token_counts_as_change_once_per_half_lease() -> None:
     clock = _Clock()
     worker = _worker(clock)
     changes = []
     for token in range(1, 10):
-        worker.changed.clear()
+        worker.unreported_change.clear()
         worker.observe_token(token)
-        changes.append(worker.changed.is_set())
+        changes.append(worker.unreported_change.is_set())
         clock.now += LEASE_S / 8
     assert worker.token == 9
     assert changes == [True, False, False, False, True, False, False, False, True]
 
 
-def test_a_task_with_checkpoints_saves_when_it_is_given_the_time() -> None:
+def test_stop_with_grace_saves_checkpoint() -> None:
     clock = _Clock()
     worker = _worker(clock, checkpoint_s=5.0)
     _run(worker, clock)
@@ -69,7 +69,7 @@
     assert 3.0 <= worker.checkpoints[f"{JOB}/0"] <= 4.0
 
 
-def test_a_second_stop_without_time_ends_a_task_that_saves() -> None:
+def test_stop_without_grace_ends_saving_task() -> None:
     clock = _Clock()
     worker = _worker(clock, checkpoint_s=5.0)
     _run(worker, clock)
@@ -80,24 +80,24 @@
     assert not worker.checkpoints
 
 
-def test_attempts_are_told_apart() -> None:
+def test_commands_apply_only_to_their_attempt() -> None:
     clock = _Clock()
     worker = _worker(clock)
     _run(worker, clock)
     # A repeated start has no effect; another attempt is rejected while this one is present.
     worker.execute([_start(1), _start(2), _stop(3, 0.0)])
-    refused = (2, wire.EXITED, "in_use")
-    assert _listed(worker) == [(1, wire.RUNNING, None), refused]
+    rejected = (2, wire.EXITED, "in_use")
+    assert _listed(worker) == [(1, wire.RUNNING, None), rejected]
     worker.execute([wire.forget(f"{JOB}/0", 1), wire.forget(f"{JOB}/0", 2)])
     assert _listed(worker) == [(1, wire.RUNNING, None)]
     worker.execute([_stop(1, 0.0), wire.forget(f"{JOB}/0", 1), _start(1)])
     assert _listed(worker) == [(1, wire.FETCHING, None)]
 
 
-def test_a_notice_is_reported_with_what_is_left_of_it() -> None:
+def test_heartbeat_reports_remaining_notice_time() -> None:
     clock = _Clock()
     worker = _worker(clock)
-    assert worker.report()["warningS"] is None
-    worker.taken_at = clock.now + 6.0
+    assert worker.build_heartbeat()["warningS"] is None
+    worker.terminates_at = clock.now + 6.0
     clock.now += 2.0
-    assert worker.report()["warningS"] == 4.0
+    assert worker.build_heartbeat()["warningS"] == 4.0
