--- a/tealrill/simulation/faults.py
+++ b/tealrill/simulation/faults.py
@@ -135,7 +135,7 @@
         host = self._any_controller()
         other = self.rng.choice(["state", "workers", "cloud"])
         await self._cut_links(
-            f"partitioned from {other}", host, [other], self.rng.choice([4.0, 15.0])
+            "partitioned from one endpoint", host, [other], self.rng.choice([4.0, 15.0])
         )
 
     async def isolate_controller(self) -> None:
