--- a/tealrill/simulation/__main__.py
+++ b/tealrill/simulation/__main__.py
@@ -39,26 +39,26 @@
 @click.option("--for-s", type=click.FloatRange(min=30.0, max=1000.0), default=150.0)
 @click.option("--log", is_flag=True, help="Print the controllers' log at level debug.")
 def hunt(days: int, seed: int, nodes: int, machines: int, for_s: float, log: bool) -> None:
-    """Simulate clusters with random faults, each with its own seed."""
+    """Simulate clusters with random faults, DAYS runs of different seeds, FOR_S seconds each."""
     if log:
         handler = logging.StreamHandler(sys.stdout)
         handler.setFormatter(_Format())
         logging.getLogger("tealrill").addHandler(handler)
         logging.getLogger("tealrill").setLevel(logging.DEBUG)
-    bad = 0
-    for day in range(seed, seed + days):
-        world = play(day, Shape(nodes=nodes, machines=machines), for_s)
+    failed = 0
+    for run_seed in range(seed, seed + days):
+        world = play(run_seed, Shape(nodes=nodes, machines=machines), for_s)
         done = sum(job.done for job in world.jobs.values())
-        terminated = sum(job.cancelled_at is not None for job in world.jobs.values())
+        cancelled = sum(job.cancelled_at is not None for job in world.jobs.values())
         click.echo(
-            f"seed {day}: {len(world.jobs)} jobs, {done} done, {terminated} cancelled, "
+            f"seed {run_seed}: {len(world.jobs)} jobs, {done} done, {cancelled} cancelled, "
             f"{world.task_starts} starts, {len(world.broken)} invariants violated"
         )
         if world.broken:
-            bad += 1
+            failed += 1
             for line in [*world.events, *(f"VIOLATED {text}" for text in world.broken[:10])]:
                 click.echo(f"  {line}")
-    if bad:
+    if failed:
         sys.exit(1)
 
 
@@ -71,11 +71,11 @@
     if record:
         write_runs(file, jobs)
         return
-    days = read_runs(file)
-    differing = differing_runs(days, jobs)
-    for day in differing:
-        click.echo(f"{day.name}: not the recorded digest")
-    click.echo(f"{len(days) - len(differing)} of {len(days)} days as recorded")
+    runs = read_runs(file)
+    differing = differing_runs(runs, jobs)
+    for run in differing:
+        click.echo(f"{run.name}: digest differs from the recorded one")
+    click.echo(f"{len(runs) - len(differing)} of {len(runs)} runs as recorded")
     if differing:
         sys.exit(1)
 
