--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -264,11 +264,11 @@
 
 async def _no_controller(world: SimulatedCluster) -> None:
     """All controllers are down, once for less and once for longer than the workers' lease."""
-    for part in (0.5, 1.6):
+    for lease_share in (0.5, 1.6):
         await asyncio.sleep(8.0)
         for host in world.hosts.values():
-            world.kill_controller(host, part * world.shape.lease_s)
-        await asyncio.sleep(part * world.shape.lease_s + 4.0)
+            world.kill_controller(host, lease_share * world.shape.lease_s)
+        await asyncio.sleep(lease_share * world.shape.lease_s + 4.0)
 
 
 async def _short_terms(world: SimulatedCluster) -> None:
@@ -329,9 +329,9 @@
     """The end record is read before the job record, although the job may end in between."""
 
     async def status(self: Admission, job_id: JobId) -> Reply:
-        over = self._over.get(job_id) or await self._read_over(job_id)
-        if over is not None:
-            return self._final(job_id, over)
+        ended = self._over.get(job_id) or await self._read_over(job_id)
+        if ended is not None:
+            return self._final(job_id, ended)
         if await self._client.get(job_key(job_id)) is None:
             return Reply(404, {"error": "no such job"})
         return Reply(200, wire.job_status(job_id, wire.JOB_PENDING))
@@ -393,10 +393,10 @@
 def _skip_loading_ended_jobs(patch: Patch) -> None:
     """A new leader loads no ended jobs, so it takes their chunks for orphaned ones."""
 
-    async def nothing(*_: object) -> None:
+    async def load_ended(*_: object) -> None:
         return
 
-    patch.setattr(RecordLoader, "_load_ended", nothing)
+    patch.setattr(RecordLoader, "_load_ended", load_ended)
 
 
 def _ignore_inherited_usage(patch: Patch) -> None:
@@ -421,10 +421,10 @@
     original = RecordLoader.load
 
     async def load(self: RecordLoader) -> CancellationKnowledge:
-        seen = await original(self)
+        knowledge = await original(self)
         await asyncio.sleep(0.3)
         _, revision = await self._client.scan("job/")
-        return CancellationKnowledge(revision, seen.at)
+        return CancellationKnowledge(revision, knowledge.at)
 
     patch.setattr(RecordLoader, "load", load)
 
@@ -433,11 +433,11 @@
     """A rental's response replaces a machine that has already sent heartbeats and got tasks."""
     original = Provisioner._add_rented_machine
 
-    def rented(self: Provisioner, name: str, *args: Any, **kwargs: Any) -> None:
+    def add_rented_machine(self: Provisioner, name: str, *args: Any, **kwargs: Any) -> None:
         self._fleet.machines.pop(name, None)  # type: ignore[call-overload]
         original(self, name, *args, **kwargs)
 
-    patch.setattr(Provisioner, "_add_rented_machine", rented)
+    patch.setattr(Provisioner, "_add_rented_machine", add_rented_machine)
 
 
 def _accept_old_heartbeats(patch: Patch) -> None:
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -96,9 +96,11 @@
         FencingToken(term), Revision(term), LeaseId(term), now, Monotonic(now + LEASE_TTL_S - 0.2)
     )
     client = cast(StateClient, _Client(None, 0))
-    found = Leader(parsed, client, cast(Cloud, None), cast(Election, None), leadership, Estimates())
-    found.scheduling_loop.placement._command_now = lambda _: None
-    return found
+    leader = Leader(
+        parsed, client, cast(Cloud, None), cast(Election, None), leadership, Estimates()
+    )
+    leader.scheduling_loop.placement._command_now = lambda _: None
+    return leader
 
 
 class _Client:
@@ -156,7 +158,7 @@
         self.lease_s, self.cancel_s = lease_s, cancel_s
         self.now = Monotonic(100.0)
         self.revision = 10
-        self.down = False
+        self.in_outage = False
         self.refused: set[int] = set()
         self.watch_stalled = False
         self.inbound_partitioned = False
@@ -178,7 +180,7 @@
         self._bind()
 
     def serves(self, host: int) -> bool:
-        return not self.down and host not in self.refused
+        return not self.in_outage and host not in self.refused
 
     # -- the leader's term ------------------------------------------------------------------------
 
@@ -268,7 +270,7 @@
             asyncio.run(self.hosts[self.leader_host].extension._seek(leadership))
 
     def elect_if_due(self) -> None:
-        if self.down or self.now < self.leader_key_expires_at:
+        if self.in_outage or self.now < self.leader_key_expires_at:
             return
         for host in self.rng.sample(range(_HOSTS), _HOSTS):
             if self.serves(host) and self.now >= self.hosts[host].no_campaign_before:
@@ -285,14 +287,14 @@
         if not self._may_renew(leader):
             return
         message = worker.report()
-        found = leader.fleet.heartbeats.process(message, _MACHINE, self.now, Wall(0.0))
+        commands = leader.fleet.heartbeats.process(message, _MACHINE, self.now, Wall(0.0))
         if not leader.fleet.loaded:
-            found = []
-        if found is None or self.inbound_partitioned:
+            commands = []
+        if commands is None or self.inbound_partitioned:
             return
         worker.token = leader._leadership.term
         worker.renewed_at = self.now
-        worker.execute(found)
+        worker.execute(commands)
 
     def _may_renew(self, leader: Leader) -> bool:
         if self.disabled_condition == "records loaded" and not leader.fleet.loaded:
@@ -323,15 +325,15 @@
             self.refused = {self.leader_host}
 
     def begin_outage(self) -> None:
-        self.down = True
+        self.in_outage = True
 
     def end_faults(self) -> None:
-        if self.down:
+        if self.in_outage:
             # The end of an outage renews every lease for its full time to live.
             self.leader_key_expires_at = Monotonic(
                 max(self.leader_key_expires_at, self.now + LEASE_TTL_S)
             )
-        self.down, self.refused, self.watch_stalled, self.inbound_partitioned = (
+        self.in_outage, self.refused, self.watch_stalled, self.inbound_partitioned = (
             False,
             set(),
             False,
@@ -360,14 +362,14 @@
 
     def cancel_job(self) -> None:
         serving = [n for n in range(_HOSTS) if self.serves(n)]
-        left = [name for name in _JOBS if name not in self.cancelled_revisions]
-        if serving and left:
+        uncancelled = [name for name in _JOBS if name not in self.cancelled_revisions]
+        if serving and uncancelled:
             self.revision += 1
-            self.cancelled_revisions[left[0]] = self.revision
+            self.cancelled_revisions[uncancelled[0]] = self.revision
             if self.rng.random() < 0.8:
-                self._acknowledge(left[0], self.rng.choice(serving))
+                self._acknowledge(uncancelled[0], self.rng.choice(serving))
             if self.rng.random() < 0.3:
-                self.down = True
+                self.in_outage = True
 
     def acknowledge_late(self) -> None:
         serving = [n for n in range(_HOSTS) if self.serves(n)]
@@ -405,11 +407,11 @@
 
 
 @pytest.mark.parametrize("refused_s", [0.7, 2.5])
-@pytest.mark.parametrize("out_s", [40.0, 180.0])
+@pytest.mark.parametrize("outage_s", [40.0, 180.0])
 def test_refused_leader_stops_cancelled_task_and_keeps_others(
-    refused_s: float, out_s: float
+    refused_s: float, outage_s: float
 ) -> None:
-    """It learns of the cancellation from another member, though it can't read the records itself.
+    """A refused leader learns of the cancellation from another member.
 
     It must then stop the cancelled task, and renew the worker for the other jobs throughout.
     """
@@ -430,7 +432,7 @@
     model._acknowledge(_JOBS[0], 1)
     run_for(refused_s / 2)
     model.begin_outage()
-    run_for(out_s)
+    run_for(outage_s)
     states = {name: state for name, (_, state, _) in model.worker.tasks.items()}
     assert states.pop(f"{_JOBS[0]}/0", "ended") == "ended"
     # The tasks of the other jobs ran throughout.
@@ -438,7 +440,7 @@
     assert model.worker.incarnation == 1 and model.cancellations_learned == 1
 
 
-def test_renewal_staleness_bound_has_minimum() -> None:
+def test_renewal_staleness_bound_has_minimum_for_short_cancel_s() -> None:
     assert renewal_staleness_bound_s(_settings(8.0, 9.0).params.workers) == 6.0
     assert renewal_staleness_bound_s(_settings(8.0, 20.0).params.workers) == 7.0
 
@@ -573,22 +575,22 @@
                 else None
             )
 
-    later = _leader(_settings(), 2, Monotonic(110.0))
-    later.record_loader._client = cast(StateClient, Client())
-    asyncio.run(later.record_loader.load())
-    (inherited,) = later.job_store.jobs[job.id].bindings()
+    next_leader = _leader(_settings(), 2, Monotonic(110.0))
+    next_leader.record_loader._client = cast(StateClient, Client())
+    asyncio.run(next_leader.record_loader.load())
+    (inherited,) = next_leader.job_store.jobs[job.id].bindings()
     assert inherited.machine == _MACHINE and inherited.stop is not None
-    assert not later.job_store.orphaned_chunks
+    assert not next_leader.job_store.orphaned_chunks
 
 
 # -- inbound partitions: machines that responses and commands don't reach --------------------------
 
 
-def _fleet_after(*beats: tuple[int, int, float]) -> Fleet:
+def _fleet_after(*heartbeats: tuple[int, int, float]) -> Fleet:
     """Process a machine's heartbeats, each given as incarnation, sequence number and time."""
     fleet = Fleet(JobStore(8.0), FencingToken(1), Monotonic(0.0), 8.0)
     fleet.inherit([], Monotonic(0.0))
-    for incarnation, sequence, at in beats:
+    for incarnation, sequence, at in heartbeats:
         _process_heartbeat(fleet, sequence, at, incarnation=incarnation)
     return fleet
 
