--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -692,7 +692,7 @@
         return [], Revision(1)
 
 
-_GRAPH_OVER = {"v": 1, "status": "aborted", "at": 1.0, "digest": "d", "nodes": 2, "counts": {}}
+_GRAPH_END = {"v": 1, "status": "aborted", "at": 1.0, "digest": "d", "nodes": 2, "counts": {}}
 _NODE = {"spec": wire.plain(spec(id="lab1-0")), "at": 1.0, "owner": "lab1"}
 
 
@@ -703,7 +703,7 @@
 def test_status_of_node_acknowledges_end_of_its_graph() -> None:
     # The controller that cancelled the graph may have failed, or its transaction was executed late.
     # Then no other member would report the cancellation to a leader that continues in an outage.
-    admission = _admission(_StoredRecords(job__lab1_0=(_NODE, 7), over__lab1=(_GRAPH_OVER, 44)))
+    admission = _admission(_StoredRecords(job__lab1_0=(_NODE, 7), over__lab1=(_GRAPH_END, 44)))
     reply = asyncio.run(admission.status("lab1-0"))
     assert (reply.status, reply.body["status"]) == (200, wire.JOB_CANCELLED)
     assert admission.acknowledged.since(Revision(43)) == ["lab1"]
@@ -717,7 +717,7 @@
     async def counts(_: str) -> None:
         return None
 
-    records = _StoredRecords(over__lab1=(_GRAPH_OVER, 44))
+    records = _StoredRecords(over__lab1=(_GRAPH_END, 44))
     admission = _admission(records)
     graphs = GraphAdmission(
         cast(StateClient, records), _settings(), GraphFeatures(), admission, counts
@@ -731,14 +731,21 @@
 
 
 def test_unreadable_records_block_only_their_own_job() -> None:
-    """A job and a chunk of a later version: no task of theirs starts, no record is deleted."""
-    good, odd, later = JobId("wk-000001"), JobId("wk-000002"), JobId("wk-000003")
+    """A job and a chunk of a later format: no task of theirs starts, no record is deleted."""
+    readable, with_unreadable_chunk, unreadable = (
+        JobId("wk-000001"),
+        JobId("wk-000002"),
+        JobId("wk-000003"),
+    )
     entries = {
-        f"job/{good}": {"spec": wire.plain(spec(id=good)), "at": 1.0},
-        f"job/{odd}": {"spec": wire.plain(spec(id=odd)), "at": 1.0},
-        f"job/{later}": {"described": "otherwise"},
-        f"run/{odd}/00000": {"n": 6, "tasks": [[]]},
-        f"run/{later}/00000": {"n": 6, "tasks": [[2, "m-1", 1, 1, 0, 5]]},
+        f"job/{readable}": {"spec": wire.plain(spec(id=readable)), "at": 1.0},
+        f"job/{with_unreadable_chunk}": {
+            "spec": wire.plain(spec(id=with_unreadable_chunk)),
+            "at": 1.0,
+        },
+        f"job/{unreadable}": {"described": "otherwise"},
+        f"run/{with_unreadable_chunk}/00000": {"n": 6, "tasks": [[]]},
+        f"run/{unreadable}/00000": {"n": 6, "tasks": [[2, "m-1", 1, 1, 0, 5]]},
     }
 
     class Client:
@@ -756,24 +763,27 @@
     leader = _leader(_settings(), 2, Monotonic(110.0))
     leader.record_loader._client = cast(StateClient, Client())
     asyncio.run(leader.record_loader.load())
-    assert set(leader.job_store.jobs) == {good, odd}
-    assert leader.job_store.jobs[good].waiting == 6 and leader.job_store.jobs[odd].waiting == 0
+    assert set(leader.job_store.jobs) == {readable, with_unreadable_chunk}
+    assert (
+        leader.job_store.jobs[readable].waiting == 6
+        and leader.job_store.jobs[with_unreadable_chunk].waiting == 0
+    )
     assert not leader.job_store.orphaned_chunks and leader.fleet.loaded
 
 
 def test_unanswered_watch_is_followed_by_polls_without_waiting() -> None:
     """With a slow state service the responses to long polls would time out every time."""
     leader = _leader(_settings(), 2, Monotonic(110.0))
-    asked: list[float] = []
+    holds_s: list[float] = []
 
     class Client:
         async def watch(self, prefix: str, since: Revision, hold_s: float) -> wire.WatchResult:
-            asked.append(hold_s)
-            if len(asked) in (2, 3):
+            holds_s.append(hold_s)
+            if len(holds_s) in (2, 3):
                 raise OutcomeUnknownError("no answer")
-            if len(asked) == 6:
+            if len(holds_s) == 6:
                 raise asyncio.CancelledError
-            return wire.WatchResult(revision=len(asked), events=[])
+            return wire.WatchResult(revision=len(holds_s), events=[])
 
     leader.job_watch._client = cast(StateClient, Client())
 
@@ -784,26 +794,26 @@
                 await leader.job_watch.run(CancellationKnowledge(Revision(0), Monotonic(1.0)))
 
     asyncio.run(scenario())
-    assert asked == [2.0, 2.0, 0.0, 0.0, 2.0, 2.0]
+    assert holds_s == [2.0, 2.0, 0.0, 0.0, 2.0, 2.0]
     assert leader.job_watch.cancellation_knowledge.revision == 5
 
 
 def test_status_requests_fail_fast_while_state_service_is_unavailable() -> None:
-    """Not each of them causes a request; other requests show when the service is available."""
+    """Only some of them reach the service; any success shows that it is available again."""
     parsed = _settings()
     client = StateClient(parsed.services.state, parsed.params.state, 3)
-    at = [100.0]
-    answers = [503]
-    asked: list[str] = []
+    clock = [100.0]
+    statuses = [503]
+    requested_paths: list[str] = []
 
     async def request(method: str, path: str, *_: object) -> HttpAnswer:
-        asked.append(path)
-        found = HttpAnswer()
-        found.status, found.body = answers[-1], b'{"epoch":1}'
-        if path.startswith("/kv?") and answers[-1] == 404:
+        requested_paths.append(path)
+        answer = HttpAnswer()
+        answer.status, answer.body = statuses[-1], b'{"epoch":1}'
+        if path.startswith("/kv?") and statuses[-1] == 404:
             # A range without keys gets an empty result, not status 404.
-            found.status, found.body = 200, b'{"entries":[],"truncated":false,"epoch":1}'
-        return found
+            answer.status, answer.body = 200, b'{"entries":[],"truncated":false,"epoch":1}'
+        return answer
 
     client._http.request = request  # type: ignore[method-assign,assignment]
     admission = Admission(client, parsed, lambda: None)
@@ -811,16 +821,16 @@
     async def scenario() -> None:
         for _ in range(50):
             assert (await admission.status("wk-000001")).status == 503
-        assert len(asked) == 3 and client.unavailable
+        assert len(requested_paths) == 3 and client.unavailable
         # Half a second later one request is tried, even if there were no others.
-        at[0] += 0.7
-        assert (await admission.status("wk-000001")).status == 503 and len(asked) == 4
-        answers.append(404)
+        clock[0] += 0.7
+        assert (await admission.status("wk-000001")).status == 503 and len(requested_paths) == 4
+        statuses.append(404)
         with contextlib.suppress(StateError):
             await client.get("leader")
         assert not client.unavailable
         assert (await admission.status("wk-000001")).status == 404
 
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(client_module, "monotonic_now", lambda: at[0])
+        patch.setattr(client_module, "monotonic_now", lambda: clock[0])
         asyncio.run(scenario())
