--- a/tealrill/simulation/__main__.py
+++ b/tealrill/simulation/__main__.py
@@ -17,8 +17,8 @@
 import click
 
 from tealrill.simulation.day_digests import differing_runs, read_runs, write_runs
-from tealrill.simulation.process import Shape
-from tealrill.simulation.scenario import play
+from tealrill.simulation.process import ClusterConfig
+from tealrill.simulation.scenario import run_scenario
 
 
 class _Format(logging.Formatter):
@@ -47,16 +47,19 @@
         logging.getLogger("tealrill").setLevel(logging.DEBUG)
     failed = 0
     for run_seed in range(seed, seed + days):
-        world = play(run_seed, Shape(nodes=nodes, machines=machines), for_s)
-        done = sum(job.done for job in world.jobs.values())
-        cancelled = sum(job.cancelled_at is not None for job in world.jobs.values())
+        cluster = run_scenario(run_seed, ClusterConfig(nodes=nodes, machines=machines), for_s)
+        done = sum(job.done for job in cluster.jobs.values())
+        cancelled = sum(job.cancelled_at is not None for job in cluster.jobs.values())
         click.echo(
-            f"seed {run_seed}: {len(world.jobs)} jobs, {done} done, {cancelled} cancelled, "
-            f"{world.task_starts} starts, {len(world.broken)} invariants violated"
+            f"seed {run_seed}: {len(cluster.jobs)} jobs, {done} done, {cancelled} cancelled, "
+            f"{cluster.task_starts} starts, {len(cluster.violations)} invariants violated"
         )
-        if world.broken:
+        if cluster.violations:
             failed += 1
-            for line in [*world.events, *(f"VIOLATED {text}" for text in world.broken[:10])]:
+            for line in [
+                *cluster.events,
+                *(f"VIOLATED {text}" for text in cluster.violations[:10]),
+            ]:
                 click.echo(f"  {line}")
     if failed:
         sys.exit(1)
--- a/tealrill/simulation/clock.py
+++ b/tealrill/simulation/clock.py
@@ -17,7 +17,7 @@
 
 from tealrill import types
 
-STEADY_AT = 1_000.0
+MONOTONIC_START_S = 1_000.0
 """Value of the monotonic clock at the beginning of a run, in seconds."""
 _WALL_START_S = 1_700_000_000.0
 
@@ -110,7 +110,8 @@
     rng = random.Random(seed)
     program_rng = random.Random(f"program/{seed}")
     clocks = SimpleNamespace(
-        monotonic=lambda: STEADY_AT + loop.elapsed_s, time=lambda: _WALL_START_S + loop.elapsed_s
+        monotonic=lambda: MONOTONIC_START_S + loop.elapsed_s,
+        time=lambda: _WALL_START_S + loop.elapsed_s,
     )
     saved_state = random.getstate()
     random.seed(f"module/{seed}")
--- a/tealrill/simulation/cluster.py
+++ b/tealrill/simulation/cluster.py
@@ -22,9 +22,9 @@
 from tealrill.simulation.network import STATE, Network
 from tealrill.simulation.process import (
     PROCESS,
+    ClusterConfig,
     Host,
     Process,
-    Shape,
     SocketlessController,
     create_process_task,
 )
@@ -36,22 +36,22 @@
 
 
 class SimulatedCluster:
-    """All parts of one simulation run and its active faults; `broken` lists the violations."""
+    """All parts of one simulation run and its active faults; `violations` lists the violations."""
 
-    def __init__(self, loop: Loop, rng: random.Random, shape: Shape) -> None:
-        self.loop, self.rng, self.shape = loop, rng, shape
+    def __init__(self, loop: Loop, rng: random.Random, config: ClusterConfig) -> None:
+        self.loop, self.rng, self.config = loop, rng, config
         self.digest = TrafficDigest()
         """Covers all network traffic and all changes of the state service."""
         self.state = StateService(rng, self.now)
         self.state.on_written = lambda changes: self.digest.add(self.now(), STATE, changes)
         self.network, self.worker_fleet = Network(self), WorkerFleet(self)
         self.users, self.invariants = Users(self), Invariants(self)
-        self.cloud = CloudService(rng, self.now, shape.machines)
+        self.cloud = CloudService(rng, self.now, config.machines)
         self.cloud.on_rented, self.cloud.on_terminated = (
             self.worker_fleet.boot,
             self.worker_fleet.drop_tasks,
         )
-        self.hosts = {f"host-{n}": Host(f"host-{n}") for n in range(shape.nodes)}
+        self.hosts = {f"host-{n}": Host(f"host-{n}") for n in range(config.nodes)}
         self.workers: dict[str, Worker] = {}
         self.machine_by_address: dict[str, str] = {}
         self.active_faults = ActiveFaults()
@@ -59,8 +59,8 @@
         self.completed_tasks: set[str] = set()
         self.checkpoints: dict[str, float] = {}
         self.jobs: dict[str, UserJob] = {}
-        self.broken: list[str] = []
-        self.rules: set[str] = set()
+        self.violations: list[str] = []
+        self.violated_invariants: set[str] = set()
         """Names of the violated invariants."""
         self.on_violation: Callable[[str], object] = lambda _: None
         self.events: list[str] = []
@@ -82,11 +82,11 @@
 
     def record_violation(self, invariant: str, text: str) -> None:
         """Record the violation of an invariant."""
-        self.broken.append(f"{self.now():.3f} {invariant}: {text}")
-        self.rules.add(invariant)
+        self.violations.append(f"{self.now():.3f} {invariant}: {text}")
+        self.violated_invariants.add(invariant)
         self.on_violation(invariant)
 
-    def begin(self, coroutine: Coroutine[Any, Any, Any], context: Any = None) -> asyncio.Task[Any]:
+    def spawn(self, coroutine: Coroutine[Any, Any, Any], context: Any = None) -> asyncio.Task[Any]:
         """Start a task in the process of `context`; without a context it belongs to no process."""
         task = self.loop.create_task(coroutine, context=context or self._context)
         self._tasks.add(task)
@@ -102,9 +102,9 @@
         host.context.run(PROCESS.set, host.process)
         number = int(host.name.removeprefix("host-"))
         host.node = host.context.run(
-            SocketlessController, self.shape.settings(number), self.shape.features()
+            SocketlessController, self.config.settings(number), self.config.features()
         )
-        task = self.begin(host.node.run(), host.context)
+        task = self.spawn(host.node.run(), host.context)
         task.add_done_callback(lambda task: self._check_exit(host, task))
 
     def _check_exit(self, host: Host, task: asyncio.Task[None]) -> None:
@@ -140,10 +140,10 @@
 
 
 @contextlib.contextmanager
-def simulated_cluster(seed: int, shape: Shape) -> Iterator[SimulatedCluster]:
+def simulated_cluster(seed: int, config: ClusterConfig) -> Iterator[SimulatedCluster]:
     """Yield a cluster whose simulated network carries the controllers' HTTP requests."""
     with simulated_time(seed) as (loop, rng):
-        world = SimulatedCluster(loop, rng, shape)
+        cluster = SimulatedCluster(loop, rng, config)
 
         async def request(
             client: Any,
@@ -155,17 +155,17 @@
         ) -> Answer:
             # A paused process neither sends requests nor receives responses.
             name = PROCESS.get().name
-            await world.network.wait_until_resumed(name)
+            await cluster.network.wait_until_resumed(name)
             try:
-                return await world.network.call(
+                return await cluster.network.call(
                     client._address, method, path, body, timeout_s, check
                 )
             finally:
-                await world.network.wait_until_resumed(name)
+                await cluster.network.wait_until_resumed(name)
 
         async def accepts(address: Address, timeout_s: float) -> bool | None:
-            endpoint = world.network.endpoint_of(address)
-            if world.cloud.machines[endpoint].terminated or world.network.partitioned(
+            endpoint = cluster.network.endpoint_of(address)
+            if cluster.cloud.machines[endpoint].terminated or cluster.network.partitioned(
                 PROCESS.get().name, endpoint
             ):
                 await asyncio.sleep(timeout_s)
@@ -176,4 +176,4 @@
             mock.patch.object(http.Client, "request", request),
             mock.patch.object(prober, "accepts", accepts),
         ):
-            yield world
+            yield cluster
--- a/tealrill/simulation/day_digests.py
+++ b/tealrill/simulation/day_digests.py
@@ -9,8 +9,8 @@
 
 import msgspec
 
-from tealrill.simulation.process import Shape
-from tealrill.simulation.scenario import play
+from tealrill.simulation.process import ClusterConfig
+from tealrill.simulation.scenario import run_scenario
 
 _FAULT_PERIOD_S: Final = 90.0
 _SEEDS_PER_KIND: Final = 10
@@ -33,8 +33,8 @@
 
 def digest_of(run: RecordedRun) -> str:
     """Repeat the run and return the digest of its traffic."""
-    shape = Shape(nodes=run.controllers, graphs=run.graphs)
-    return play(run.seed, shape, _FAULT_PERIOD_S).digest.hexdigest()
+    config = ClusterConfig(nodes=run.controllers, graphs=run.graphs)
+    return run_scenario(run.seed, config, _FAULT_PERIOD_S).digest.hexdigest()
 
 
 def differing_runs(runs: Sequence[RecordedRun], processes: int) -> list[RecordedRun]:
--- a/tealrill/simulation/invariants.py
+++ b/tealrill/simulation/invariants.py
@@ -23,28 +23,28 @@
 class Invariants:
     """Checks the invariants; the cluster records the violations."""
 
-    def __init__(self, world: SimulatedCluster) -> None:
-        self.world = world
+    def __init__(self, cluster: SimulatedCluster) -> None:
+        self.cluster = cluster
 
     def check_start(self, worker: Worker, name: str) -> None:
         """Check a task that begins to run: no second copy, constraints, cancellation and quota."""
-        self.world.task_starts += 1
+        self.cluster.task_starts += 1
         machine = worker.machine
-        for other in self.world.live_workers():
+        for other in self.cluster.live_workers():
             if other is not worker and name in other.running_tasks():
                 other.tick()
                 if name in other.running_tasks():
-                    self.world.record_violation(
+                    self.cluster.record_violation(
                         "ran_twice", f"{name} runs on {other.machine.id}, {machine.id}"
                     )
-        job = self.world.jobs[job_id_of(name)]
+        job = self.cluster.jobs[job_id_of(name)]
         if job.body["hall"] not in (None, machine.zone) or (
             machine.spot and not job.body["loaners"]
         ):
-            self.world.record_violation("wrong_place", f"{name} on {machine.id}")
+            self.cluster.record_violation("wrong_place", f"{name} on {machine.id}")
         running = [
             (job_id_of(n), w.machine.zone)
-            for w in self.world.live_workers()
+            for w in self.cluster.live_workers()
             for n in w.running_tasks()
         ]
         zones = [zone for job_id, zone in running if job_id == job.id]
@@ -52,57 +52,59 @@
         if (job.body["samePlace"] and len(set(zones)) > 1) or zones.count(
             machine.zone
         ) > zone_limit:
-            self.world.record_violation("wrong_place", f"{name} in {machine.zone}, beside {zones}")
-        if machine.id in self.world.active_faults.must_stay_idle:
-            self.world.record_violation("given_work", f"{name} on {machine.id}")
+            self.cluster.record_violation(
+                "wrong_place", f"{name} in {machine.zone}, beside {zones}"
+            )
+        if machine.id in self.cluster.active_faults.must_stay_idle:
+            self.cluster.record_violation("given_work", f"{name} on {machine.id}")
         if (
             job.cancelled_at is not None
-            and self.world.now() > job.cancelled_at + self.world.shape.cancel_s
+            and self.cluster.now() > job.cancelled_at + self.cluster.config.cancel_s
         ):
-            self.world.record_violation("ran_cancelled", f"{name} starts")
+            self.cluster.record_violation("ran_cancelled", f"{name} starts")
         used = sum(
-            self.world.descriptions[job_id].vcpus
+            self.cluster.descriptions[job_id].vcpus
             for job_id, _ in running
-            if self.world.jobs[job_id].body["crew"] == job.body["crew"]
+            if self.cluster.jobs[job_id].body["crew"] == job.body["crew"]
         )
-        if used > self.world.shape.limit_vcpus:
-            self.world.record_violation("quota", f"{used} vcpus of {job.body['crew']} in use")
+        if used > self.cluster.config.limit_vcpus:
+            self.cluster.record_violation("quota", f"{used} vcpus of {job.body['crew']} in use")
 
     async def watch(self) -> None:
         """Check time limits twice a second: cancelled jobs, waiting tasks and missing responses."""
         reported: set[str] = set()
         while True:
             await asyncio.sleep(0.5)
-            now = self.world.now()
-            running = {job_id_of(n) for w in self.world.live_workers() for n in w.running_tasks()}
-            for job in self.world.jobs.values():
+            now = self.cluster.now()
+            running = {job_id_of(n) for w in self.cluster.live_workers() for n in w.running_tasks()}
+            for job in self.cluster.jobs.values():
                 if job.id in reported:
                     continue
                 overdue = job.cancelled_at is not None and (
-                    now > job.cancelled_at + self.world.shape.cancel_s
+                    now > job.cancelled_at + self.cluster.config.cancel_s
                 )
                 if overdue and job.id in running:
                     reported.add(job.id)
-                    self.world.record_violation("ran_cancelled", job.id)
+                    self.cluster.record_violation("ran_cancelled", job.id)
                 open_ = job.accepted and not job.has_ended
                 if self._waits_despite_capacity(job, open_, now):
                     reported.add(job.id)
-                    self.world.record_violation(
+                    self.cluster.record_violation(
                         "waited", f"{job.id}: a machine had room for {PLACEMENT_DEADLINE_S:.0f} s"
                     )
                 if (
                     open_
-                    and now - max(job.last_response_at, self.world.quiet_since)
+                    and now - max(job.last_response_at, self.cluster.quiet_since)
                     > RESPONSE_DEADLINE_S
                 ):
                     reported.add(job.id)
-                    self.world.record_violation(
+                    self.cluster.record_violation(
                         "forgotten", f"{job.id}: no response for {RESPONSE_DEADLINE_S:.0f} s"
                     )
 
     def _waits_despite_capacity(self, job: UserJob, open_: bool, now: float) -> bool:
         """Return True if a task has waited for too long while a machine had room for it."""
-        if not open_ or now < self.world.quiet_since or not self._has_capacity(job):
+        if not open_ or now < self.cluster.quiet_since or not self._has_capacity(job):
             job.waiting_since = None
             return False
         if job.waiting_since is None:
@@ -112,18 +114,18 @@
     def _has_capacity(self, job: UserJob) -> bool:
         body = job.body
         needed_vcpus = body["vcpus"]
-        placed = set(self.world.completed_tasks)
+        placed = set(self.cluster.completed_tasks)
         team_vcpus = 0.0
         free_capacity: list[tuple[str, bool, float]] = []
-        for worker in self.world.live_workers():
+        for worker in self.cluster.live_workers():
             used = 0.0
             for (name, _), task in worker.tasks.items():
                 job_id = job_id_of(name)
                 if task.state != wire.EXITED:
                     placed.add(name)
-                    used += self.world.descriptions[job_id].vcpus
-                    if self.world.jobs[job_id].body["crew"] == body["crew"]:
-                        team_vcpus += self.world.descriptions[job_id].vcpus
+                    used += self.cluster.descriptions[job_id].vcpus
+                    if self.cluster.jobs[job_id].body["crew"] == body["crew"]:
+                        team_vcpus += self.cluster.descriptions[job_id].vcpus
             free_capacity.append(
                 (worker.machine.zone, worker.machine.spot, CloudService.VCPUS - used)
             )
@@ -132,7 +134,7 @@
         if (
             body["samePlace"]
             or body["scatter"]
-            or team_vcpus + needed_vcpus > self.world.shape.limit_vcpus
+            or team_vcpus + needed_vcpus > self.cluster.config.limit_vcpus
         ):
             return False
         return any(
@@ -148,7 +150,7 @@
             if command["verb"] == wire.START and self._is_known_to_have_ended(
                 name, command["piece"]
             ):
-                self.world.record_violation("started_late", f"{command['piece']} by {name}")
+                self.cluster.record_violation("started_late", f"{command['piece']} by {name}")
 
     def check_renewal(
         self, name: str, heartbeat: dict[str, Any], commands: list[dict[str, Any]]
@@ -161,11 +163,11 @@
                 and (line["piece"], line["try"]) not in stopped
                 and self._is_known_to_have_ended(name, line["piece"])
             ):
-                self.world.record_violation("renewed_unstopped", f"{line['piece']} by {name}")
+                self.cluster.record_violation("renewed_unstopped", f"{line['piece']} by {name}")
 
     def _is_known_to_have_ended(self, name: str, task: str) -> bool:
         """Return True if a leader runs on that host and knows that the task's job has ended."""
-        node = self.world.hosts[name].node
+        node = self.cluster.hosts[name].node
         if node is None or node.leader is None:
             return False
         job = node.leader.job_store.jobs.get(JobId(job_id_of(task)))
--- a/tealrill/simulation/process.py
+++ b/tealrill/simulation/process.py
@@ -45,7 +45,7 @@
 
 
 @dataclass(frozen=True)
-class Shape:
+class ClusterConfig:
     """Size and settings of a simulated cluster, and the load on it."""
 
     nodes: int = 3
@@ -57,11 +57,11 @@
     """Quota of each team, in processors."""
     arrival_interval_s: float = 4.0
     """Mean time between two submissions of jobs, in seconds."""
-    jobs: tuple[tuple[int, float], ...] = ((1, 4.0), (2, 9.0), (3, 15.0), (6, 8.0), (2, 60.0))
+    job_kinds: tuple[tuple[int, float], ...] = ((1, 4.0), (2, 9.0), (3, 15.0), (6, 8.0), (2, 60.0))
     """Number of tasks and run time in seconds of each kind of job; jobs are drawn from these."""
-    cancelled: float = 0.4
+    cancelled_share: float = 0.4
     """Share of jobs that their users cancel."""
-    saving: float = 0.3
+    checkpoint_share: float = 0.3
     """Share of jobs whose tasks have checkpoints."""
     zone_rule_share: float = 1 / 3
     """Share of the jobs with several tasks that have a placement constraint on zones."""
--- a/tealrill/simulation/users.py
+++ b/tealrill/simulation/users.py
@@ -90,50 +90,50 @@
 class Users:
     """The users of all jobs."""
 
-    def __init__(self, world: SimulatedCluster) -> None:
-        self.world = world
+    def __init__(self, cluster: SimulatedCluster) -> None:
+        self.cluster = cluster
 
     async def request(
         self, method: str, path: str, body: Any, timeout_s: float, target: Host | None = None
     ) -> Reply | None:
         """Send a request to a controller, by default a random one; None if there is no response."""
-        host = target or self.world.rng.choice(list(self.world.hosts.values()))
+        host = target or self.cluster.rng.choice(list(self.cluster.hosts.values()))
         node = host.node
         if node is None:
             return None
-        if host.name in self.world.active_faults.paused:
+        if host.name in self.cluster.active_faults.paused:
             await asyncio.sleep(timeout_s)
             return None
         raw = orjson.dumps(body) if body is not None else None
-        task = self.world.begin(call_user_api(node._relay, method, path, raw), host.context)
+        task = self.cluster.spawn(call_user_api(node._relay, method, path, raw), host.context)
         done, _ = await asyncio.wait({task}, timeout=timeout_s)
         if not done or host.node is not node or task.cancelled() or task.exception() is not None:
             return None
         answer = task.result()
         reply = answer.status, answer.body
-        self.world.digest.add(self.world.now(), host.name, method, path, raw or b"", *reply)
+        self.cluster.digest.add(self.cluster.now(), host.name, method, path, raw or b"", *reply)
         return reply
 
     async def run_job(self, job: UserJob) -> None:
         """Submit, poll and perhaps cancel one job, following the protocol for users."""
-        until = self.world.now() + 60.0
+        until = self.cluster.now() + 60.0
         while not job.accepted:
             reply = await self.request("POST", wire.JOBS_PATH, job.body, _CHANGE_TIMEOUT_S)
             if reply is not None and reply[0] in (200, 201):
-                job.accepted, job.last_response_at = True, self.world.now()
+                job.accepted, job.last_response_at = True, self.cluster.now()
                 self._poll_closely(job)
                 break
-            if self.world.now() > until:
+            if self.cluster.now() > until:
                 return
-            await asyncio.sleep(self.world.rng.uniform(1.0, 2.0))
+            await asyncio.sleep(self.cluster.rng.uniform(1.0, 2.0))
         while not job.has_ended:
-            await asyncio.sleep(self.world.rng.uniform(4.0, 6.0))
-            if job.cancel_at is not None and self.world.now() >= job.cancel_at:
+            await asyncio.sleep(self.cluster.rng.uniform(4.0, 6.0))
+            if job.cancel_at is not None and self.cluster.now() >= job.cancel_at:
                 await self._cancel(job)
             else:
                 await self._poll(job)
         for _ in range(3):
-            await asyncio.sleep(self.world.rng.uniform(5.0, 25.0))
+            await asyncio.sleep(self.cluster.rng.uniform(5.0, 25.0))
             await self._poll(job)
             await self._poll(job, resubmit=True)
 
@@ -161,10 +161,10 @@
         Only jobs with a running task are chosen if `running_only`.
         """
         worker_by_job = {
-            job_id_of(n): w for w in self.world.workers.values() for n in w.running_tasks()
+            job_id_of(n): w for w in self.cluster.workers.values() for n in w.running_tasks()
         }
         chosen = [
-            job for job in self.world.jobs.values() if job.accepted and not job.cancel_requested
+            job for job in self.cluster.jobs.values() if job.accepted and not job.cancel_requested
         ]
         chosen = [
             job for job in chosen if not job.done and (not running_only or job.id in worker_by_job)
@@ -173,18 +173,18 @@
             for name in {
                 worker_by_job[job.id].machine.id: None for job in chosen if job.id in worker_by_job
             }:
-                self.world.begin(self.pause_machine(self.world.workers[name], pause_s))
+                self.cluster.spawn(self.pause_machine(self.cluster.workers[name], pause_s))
         for job in chosen:
-            self.world.begin(
-                self._cancel_until_acknowledged(job, self.world.rng.uniform(0.0, within_s))
+            self.cluster.spawn(
+                self._cancel_until_acknowledged(job, self.cluster.rng.uniform(0.0, within_s))
             )
 
     def cancel_started(self, body: bytes | None) -> None:
         """Cancel the jobs whose tasks the commands in a request body start."""
         for command in orjson.loads(body or b"{}").get("orders", []):
-            job = self.world.jobs.get(job_id_of(command["piece"]))
+            job = self.cluster.jobs.get(job_id_of(command["piece"]))
             if command["verb"] == wire.START and job is not None:
-                self.world.begin(self._cancel_until_acknowledged(job, 0.05))
+                self.cluster.spawn(self._cancel_until_acknowledged(job, 0.05))
 
     async def pause_machine(self, worker: Worker, for_s: float) -> None:
         """Pause a machine for `for_s` seconds."""
@@ -200,26 +200,29 @@
 
     def task_completed(self, worker: Worker, name: str) -> None:
         """Poll or cancel a job whose last task has just completed, if those faults are active."""
-        job = self.world.jobs[job_id_of(name)]
-        if not job.task_names <= self.world.completed_tasks:
+        job = self.cluster.jobs[job_id_of(name)]
+        if not job.task_names <= self.cluster.completed_tasks:
             return
-        if self.world.active_faults.close_polling:
-            self.world.begin(self._poll_until_ended(job))
-        if not job.done and self.world.rng.random() < self.world.active_faults.cancel_at_end_share:
+        if self.cluster.active_faults.close_polling:
+            self.cluster.spawn(self._poll_until_ended(job))
+        if (
+            not job.done
+            and self.cluster.rng.random() < self.cluster.active_faults.cancel_at_end_share
+        ):
             # The leader learns of the completion within a heartbeat interval.
-            after_s = self.world.rng.uniform(0.0, 1.6 * self.world.shape.heartbeat_interval_s)
-            self.world.begin(self._cancel_until_acknowledged(job, after_s))
+            after_s = self.cluster.rng.uniform(0.0, 1.6 * self.cluster.config.heartbeat_interval_s)
+            self.cluster.spawn(self._cancel_until_acknowledged(job, after_s))
 
     def _poll_closely(self, job: UserJob) -> None:
         """Poll all controllers at once, also by repeated submissions, if that fault is active."""
-        if self.world.active_faults.close_polling and not job.is_polled_closely:
+        if self.cluster.active_faults.close_polling and not job.is_polled_closely:
             job.is_polled_closely = True
-            self.world.begin(self._poll_all(job))
+            self.cluster.spawn(self._poll_all(job))
 
     async def _poll_all(self, job: UserJob) -> None:
         polls = [
-            self.world.begin(self._poll_once(job, host, number))
-            for host in self.world.hosts.values()
+            self.cluster.spawn(self._poll_once(job, host, number))
+            for host in self.cluster.hosts.values()
             for number in range(4)
         ]
         await asyncio.wait(polls)
@@ -227,13 +230,13 @@
 
     async def _poll_until_ended(self, job: UserJob) -> None:
         """Poll until the user knows of the job's end, for at most 1.6 heartbeat intervals."""
-        until = self.world.now() + 1.6 * self.world.shape.heartbeat_interval_s
-        while self.world.now() < until and not job.has_ended:
-            self.world.begin(self._poll(job))
-            await asyncio.sleep(self.world.rng.uniform(0.02, 0.06))
+        until = self.cluster.now() + 1.6 * self.cluster.config.heartbeat_interval_s
+        while self.cluster.now() < until and not job.has_ended:
+            self.cluster.spawn(self._poll(job))
+            await asyncio.sleep(self.cluster.rng.uniform(0.02, 0.06))
 
     async def _poll_once(self, job: UserJob, host: Host, number: int) -> None:
-        await asyncio.sleep(number * self.world.rng.uniform(0.0, 0.005))
+        await asyncio.sleep(number * self.cluster.rng.uniform(0.0, 0.005))
         await self._poll(job, resubmit=number == 3, target=host)
 
     def _process_answer(
@@ -246,19 +249,21 @@
         accepted, cancelled, done = known_before
         if status not in (200, 201):
             if accepted:
-                self.world.record_violation("forgotten", f"{job.id}: status {status}")
+                self.cluster.record_violation("forgotten", f"{job.id}: status {status}")
             return
-        job.last_response_at = self.world.now()
+        job.last_response_at = self.cluster.now()
         job_status = answer["status"]
         previous = job.known_statuses
         if done and job_status != wire.JOB_DONE:
-            self.world.record_violation("went_back", f"{job.id} was done and is {job_status}")
+            self.cluster.record_violation("went_back", f"{job.id} was done and is {job_status}")
         elif cancelled and job_status != wire.JOB_CANCELLED:
-            self.world.record_violation("went_back", f"{job.id} was cancelled and is {job_status}")
+            self.cluster.record_violation(
+                "went_back", f"{job.id} was cancelled and is {job_status}"
+            )
         elif (job.done and job_status == wire.JOB_CANCELLED) or (
             job.cancelled_at is not None and job_status == wire.JOB_DONE
         ):
-            self.world.record_violation(
+            self.cluster.record_violation(
                 "went_back", f"{job.id} was reported both done and cancelled"
             )
         else:
@@ -268,26 +273,26 @@
 
     def _record_status(self, job: UserJob, job_status: str) -> None:
         if job_status == wire.JOB_DONE:
-            if not job.task_names <= self.world.completed_tasks:
-                self.world.record_violation("not_done", job.id)
+            if not job.task_names <= self.cluster.completed_tasks:
+                self.cluster.record_violation("not_done", job.id)
             job.done = True
         elif job_status == wire.JOB_CANCELLED:
             if not job.cancel_requested:
-                self.world.record_violation(
+                self.cluster.record_violation(
                     "went_back", f"{job.id} is reported cancelled without a request to cancel it"
                 )
             if job.cancelled_at is None:
-                job.cancelled_at = self.world.now()
+                job.cancelled_at = self.cluster.now()
 
     async def send_invalid_requests(self) -> None:
         """Send invalid and repeated requests at random times, and check the responses."""
         number = 0
         while True:
-            await asyncio.sleep(self.world.rng.uniform(0.3, 1.0))
-            if not self.world.active_faults.invalid_requests or not self.world.jobs:
+            await asyncio.sleep(self.cluster.rng.uniform(0.3, 1.0))
+            if not self.cluster.active_faults.invalid_requests or not self.cluster.jobs:
                 continue
             number += 1
-            job = self.world.rng.choice(list(self.world.jobs.values()))
+            job = self.cluster.rng.choice(list(self.cluster.jobs.values()))
             if job.has_ended:
                 known_before = job.known_statuses
                 path = f"{job.path}/{wire.CANCEL_PATH}"
@@ -296,24 +301,24 @@
                 )
             elif job.accepted:
                 known_before = job.known_statuses
-                changed = {**job.body, **self.world.rng.choice(_RESUBMISSION_CHANGES)}
+                changed = {**job.body, **self.cluster.rng.choice(_RESUBMISSION_CHANGES)}
                 reply = await self.request("POST", wire.JOBS_PATH, changed, _CHANGE_TIMEOUT_S)
                 self._process_answer(job, reply, known_before)
             invalid = {**job.body, "id": f"odd-{number:06d}"}
-            missing_field = self.world.rng.choice([None, *_REQUIRED_FIELDS])
+            missing_field = self.cluster.rng.choice([None, *_REQUIRED_FIELDS])
             if missing_field is None:
-                invalid.update(self.world.rng.choice(_INVALID_CHANGES))
+                invalid.update(self.cluster.rng.choice(_INVALID_CHANGES))
             else:
                 del invalid[missing_field]
             reply = await self.request("POST", wire.JOBS_PATH, invalid, _CHANGE_TIMEOUT_S)
             if reply is not None and reply[0] < 400:
-                self.world.record_violation("accepted", f"{invalid} with status {reply[0]}")
+                self.cluster.record_violation("accepted", f"{invalid} with status {reply[0]}")
 
     async def request_unknown_jobs(self) -> None:
         """Request the status of jobs that were never submitted; no controller may know them."""
         while True:
-            await asyncio.sleep(self.world.rng.uniform(5.0, 15.0))
-            path = f"{wire.JOBS_PATH}/no-{self.world.rng.randrange(10**6):06d}"
+            await asyncio.sleep(self.cluster.rng.uniform(5.0, 15.0))
+            path = f"{wire.JOBS_PATH}/no-{self.cluster.rng.randrange(10**6):06d}"
             reply = await self.request("GET", path, None, 2.0)
             if reply is not None and reply[0] == 200:
-                self.world.record_violation("invented", path)
+                self.cluster.record_violation("invented", path)
--- a/tealrill/simulation/worker_fleet.py
+++ b/tealrill/simulation/worker_fleet.py
@@ -30,40 +30,40 @@
 class WorkerFleet:
     """Runs the workers of the rented machines, which are in the cluster's `workers`."""
 
-    def __init__(self, world: SimulatedCluster) -> None:
-        self.world = world
+    def __init__(self, cluster: SimulatedCluster) -> None:
+        self.cluster = cluster
         self._to_replay: list[dict[str, Any]] = []
         """Heartbeats to replay at the next election."""
 
     def boot(self, machine: Machine) -> None:
         """Start the worker of a rented machine once the machine has booted."""
-        self.world.machine_by_address[machine.addr] = machine.id
-        self.world.begin(self._run(machine))
+        self.cluster.machine_by_address[machine.addr] = machine.id
+        self.cluster.spawn(self._run(machine))
 
     def drop_tasks(self, machine: Machine) -> None:
         """Drop the tasks of a terminated machine."""
-        worker = self.world.workers.get(machine.id)
+        worker = self.cluster.workers.get(machine.id)
         if worker is not None:
             worker.tasks.clear()
 
     async def _run(self, machine: Machine) -> None:
-        await asyncio.sleep(machine.boots_at - self.world.now())
+        await asyncio.sleep(machine.boots_at - self.cluster.now())
         if machine.terminated:
             return
         worker = Worker(
             machine,
-            self.world.shape.lease_s,
-            self.world.now,
-            self.world.descriptions,
-            self.world.invariants.check_start,
-            self.world.completed_tasks,
-            self.world.checkpoints,
+            self.cluster.config.lease_s,
+            self.cluster.now,
+            self.cluster.descriptions,
+            self.cluster.invariants.check_start,
+            self.cluster.completed_tasks,
+            self.cluster.checkpoints,
         )
-        worker.on_completed = self.world.users.task_completed
-        self.world.workers[machine.id] = worker
-        self.world.begin(self._run_ticks(worker))
-        controllers = list(self.world.hosts)
-        index = self.world.rng.randrange(len(controllers))
+        worker.on_completed = self.cluster.users.task_completed
+        self.cluster.workers[machine.id] = worker
+        self.cluster.spawn(self._run_ticks(worker))
+        controllers = list(self.cluster.hosts)
+        index = self.cluster.rng.randrange(len(controllers))
         while not machine.terminated:
             index = await self._send_heartbeat(worker, controllers, index)
 
@@ -78,14 +78,14 @@
         worker.tick()
         worker.unreported_change.clear()
         message = worker.build_heartbeat()
-        incarnation, sent, name = worker.incarnation, self.world.now(), controllers[index]
-        if self.world.rng.random() < self.world.active_faults.duplicate_share:
-            self.world.begin(self._deliver_duplicate(message, name))
-        if self.world.rng.random() < self.world.active_faults.replay_share:
+        incarnation, sent, name = worker.incarnation, self.cluster.now(), controllers[index]
+        if self.cluster.rng.random() < self.cluster.active_faults.duplicate_share:
+            self.cluster.spawn(self._deliver_duplicate(message, name))
+        if self.cluster.rng.random() < self.cluster.active_faults.replay_share:
             self._to_replay.append(message)
         reply = await self._exchange_heartbeat(worker.machine.id, message, name)
         await self._wait_until_resumed(worker)
-        if reply is None or self.world.now() - sent > _HEARTBEAT_TIMEOUT_S:
+        if reply is None or self.cluster.now() - sent > _HEARTBEAT_TIMEOUT_S:
             await asyncio.sleep(_NEXT_CONTROLLER_PAUSE_S)
             return (index + 1) % len(controllers)
         status, answer = reply
@@ -99,18 +99,18 @@
             return index
         leader_host = answer.get("foreman")
         if status == 421 and leader_host in controllers and leader_host != name:
-            await asyncio.sleep(self.world.rng.uniform(0.0, 0.5))
+            await asyncio.sleep(self.cluster.rng.uniform(0.0, 0.5))
             return controllers.index(leader_host)
         await asyncio.sleep(_NEXT_CONTROLLER_PAUSE_S)
         return (index + 1) % len(controllers)
 
     async def _wait_until_due(self, worker: Worker, sent: float) -> None:
         """Wait until the next heartbeat is due: after the interval, or early if a change occurs."""
-        interval_s = self.world.shape.heartbeat_interval_s * self.world.rng.uniform(0.75, 1.25)
+        interval_s = self.cluster.config.heartbeat_interval_s * self.cluster.rng.uniform(0.75, 1.25)
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(sent + interval_s - self.world.now()):
+            async with asyncio.timeout(sent + interval_s - self.cluster.now()):
                 await worker.unreported_change.wait()
-                await asyncio.sleep(sent + _MIN_HEARTBEAT_INTERVAL_S - self.world.now())
+                await asyncio.sleep(sent + _MIN_HEARTBEAT_INTERVAL_S - self.cluster.now())
 
     @staticmethod
     async def _wait_until_resumed(worker: Worker) -> None:
@@ -121,25 +121,25 @@
         self, machine: str, message: dict[str, Any], name: str
     ) -> Reply | None:
         """Return the response to a heartbeat; None after a time-out or a refused connection."""
-        await self.world.network.delay()
-        if self.world.hosts[name].node is None:
+        await self.cluster.network.delay()
+        if self.cluster.hosts[name].node is None:
             return None
-        if machine in self.world.active_faults.outbound_partitioned:
+        if machine in self.cluster.active_faults.outbound_partitioned:
             await asyncio.sleep(_HEARTBEAT_TIMEOUT_S)
             return None
-        if self.world.network.partitioned(machine, name):
-            if self.world.rng.random() < _DELAYED_SHARE:
-                self.world.begin(
+        if self.cluster.network.partitioned(machine, name):
+            if self.cluster.rng.random() < _DELAYED_SHARE:
+                self.cluster.spawn(
                     self._deliver_when(
-                        message, name, lambda: not self.world.network.partitioned(machine, name)
+                        message, name, lambda: not self.cluster.network.partitioned(machine, name)
                     )
                 )
             await asyncio.sleep(_HEARTBEAT_TIMEOUT_S)
             return None
-        if name in self.world.active_faults.paused:
-            delayed = self.world.begin(
+        if name in self.cluster.active_faults.paused:
+            delayed = self.cluster.spawn(
                 self._deliver_when(
-                    message, name, lambda: name not in self.world.active_faults.paused
+                    message, name, lambda: name not in self.cluster.active_faults.paused
                 )
             )
             done, _ = await asyncio.wait({delayed}, timeout=_HEARTBEAT_TIMEOUT_S)
@@ -148,15 +148,15 @@
             reply: Reply | None = await delayed
         else:
             reply = self.deliver_heartbeat(message, name)
-        if machine in self.world.active_faults.inbound_partitioned or reply is None:
+        if machine in self.cluster.active_faults.inbound_partitioned or reply is None:
             await asyncio.sleep(_HEARTBEAT_TIMEOUT_S)
             return None
-        await self.world.network.delay()
+        await self.cluster.network.delay()
         return reply
 
     def deliver_heartbeat(self, message: dict[str, Any], name: str) -> Reply | None:
         """Return a controller's response to a heartbeat; None if no process runs on its host."""
-        host = self.world.hosts[name]
+        host = self.cluster.hosts[name]
         node = host.node
         if node is None:
             return None
@@ -164,11 +164,11 @@
         status, answer = host.context.run(
             node.handle_heartbeat, heartbeat, MachineId(heartbeat.machine)
         )
-        self.world.digest.add(self.world.now(), name, message, status, answer)
+        self.cluster.digest.add(self.cluster.now(), name, message, status, answer)
         commands = answer.get("orders", [])
-        self.world.invariants.check_commands(name, commands)
+        self.cluster.invariants.check_commands(name, commands)
         if status == 200:
-            self.world.invariants.check_renewal(name, message, commands)
+            self.cluster.invariants.check_renewal(name, message, commands)
         return status, answer
 
     async def _deliver_when(
@@ -180,8 +180,8 @@
         return self.deliver_heartbeat(message, name)
 
     async def _deliver_duplicate(self, message: dict[str, Any], name: str) -> None:
-        await asyncio.sleep(self.world.rng.uniform(2.0, 2.5 * self.world.shape.lease_s))
-        if not self.world.network.partitioned(message["kiln"], name):
+        await asyncio.sleep(self.cluster.rng.uniform(2.0, 2.5 * self.cluster.config.lease_s))
+        if not self.cluster.network.partitioned(message["kiln"], name):
             self.deliver_heartbeat(message, name)
 
     async def replay_at_elections(self) -> None:
@@ -189,7 +189,7 @@
         last_term = None
         while True:
             await asyncio.sleep(0.05)
-            host = self.world.leader()
+            host = self.cluster.leader()
             leadership = (
                 host.node.election.leadership
                 if host is not None and host.node is not None
@@ -199,10 +199,10 @@
                 continue
             last_term, messages, self._to_replay = leadership.term, self._to_replay, []
             for message in messages:
-                for name in self.world.hosts:
-                    self.world.begin(self._deliver_to_successor(message, name))
+                for name in self.cluster.hosts:
+                    self.cluster.spawn(self._deliver_to_successor(message, name))
 
     async def _deliver_to_successor(self, message: dict[str, Any], name: str) -> None:
         """Deliver a heartbeat while the new leader loads the records, or up to 5 s later."""
-        await asyncio.sleep(self.world.rng.choice([0.0, 0.1, 0.5, 2.0, 5.0]))
+        await asyncio.sleep(self.cluster.rng.choice([0.0, 0.1, 0.5, 2.0, 5.0]))
         self.deliver_heartbeat(message, name)
--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -30,8 +30,8 @@
 from tealrill.leadership.lease_extension import CancellationKnowledge
 from tealrill.simulation.cluster import SimulatedCluster
 from tealrill.simulation.faults import FaultInjector
-from tealrill.simulation.process import Shape
-from tealrill.simulation.scenario import Script, play
+from tealrill.simulation.process import ClusterConfig
+from tealrill.simulation.scenario import Scenario, run_scenario
 from tealrill.state.acknowledged_cancellations import AcknowledgedCancellations
 from tealrill.state.admission import Admission, Reply
 from tealrill.state.bindings import Job
@@ -52,273 +52,273 @@
 # -- scenarios ------------------------------------------------------------------------------------
 
 
-def _kill_leader(world: SimulatedCluster, restart_s: float = 3.0) -> None:
-    host = world.leader()
+def _kill_leader(cluster: SimulatedCluster, restart_s: float = 3.0) -> None:
+    host = cluster.leader()
     if host is not None:
-        world.kill_controller(host, restart_s)
+        cluster.kill_controller(host, restart_s)
 
 
-async def _close_polling(world: SimulatedCluster) -> None:
+async def _close_polling(cluster: SimulatedCluster) -> None:
     """All controllers are polled whenever a job's status changes, while jobs end, are cancelled and
     are submitted again, and controllers are refused, partitioned and restarted."""
     (
-        world.active_faults.close_polling,
-        world.active_faults.cancel_at_end_share,
-        world.active_faults.invalid_requests,
-        world.state.request_delay_s,
+        cluster.active_faults.close_polling,
+        cluster.active_faults.cancel_at_end_share,
+        cluster.active_faults.invalid_requests,
+        cluster.state.request_delay_s,
     ) = True, 0.5, True, 0.05
     for number in range(8):
         await asyncio.sleep(3.0)
-        await world.users.cancel_jobs(2)
-        host = world.rng.choice(list(world.hosts.values()))
+        await cluster.users.cancel_jobs(2)
+        host = cluster.rng.choice(list(cluster.hosts.values()))
         link = frozenset((host.name, "state"))
         if number % 4 == 0:
-            world.state.refused_sources.add(host.name)
+            cluster.state.refused_sources.add(host.name)
         elif number % 4 == 1:
-            world.active_faults.cut_links.add(link)
+            cluster.active_faults.cut_links.add(link)
         elif number % 4 == 2:
-            world.kill_controller(host, 0.3)
+            cluster.kill_controller(host, 0.3)
         else:
-            world.state.late_share = 0.7
+            cluster.state.late_share = 0.7
         await asyncio.sleep(2.5)
-        world.state.refused_sources.discard(host.name)
-        world.active_faults.cut_links.discard(link)
-        world.state.late_share = 0.0
+        cluster.state.refused_sources.discard(host.name)
+        cluster.active_faults.cut_links.discard(link)
+        cluster.state.late_share = 0.0
     (
-        world.active_faults.close_polling,
-        world.active_faults.cancel_at_end_share,
-        world.active_faults.invalid_requests,
-        world.state.request_delay_s,
+        cluster.active_faults.close_polling,
+        cluster.active_faults.cancel_at_end_share,
+        cluster.active_faults.invalid_requests,
+        cluster.state.request_delay_s,
     ) = False, 0.0, False, 0.0
 
 
-async def _lost_responses(world: SimulatedCluster) -> None:
+async def _lost_responses(cluster: SimulatedCluster) -> None:
     """Half of the state service's responses to executed changes are lost; leaders are killed."""
-    world.state.lost_reply_share, world.active_faults.close_polling = 0.5, True
+    cluster.state.lost_reply_share, cluster.active_faults.close_polling = 0.5, True
     for _ in range(4):
         await asyncio.sleep(8.0)
-        _kill_leader(world, 0.3)
-    world.state.lost_reply_share = 0.0
+        _kill_leader(cluster, 0.3)
+    cluster.state.lost_reply_share = 0.0
 
 
-async def _late_transactions(world: SimulatedCluster) -> None:
+async def _late_transactions(cluster: SimulatedCluster) -> None:
     """Half of the transactions are executed seconds later, after newer ones; leaders are killed."""
-    world.state.late_share = 0.5
+    cluster.state.late_share = 0.5
     for _ in range(5):
         await asyncio.sleep(6.0)
-        _kill_leader(world, 0.3)
-    world.state.late_share = 0.0
+        _kill_leader(cluster, 0.3)
+    cluster.state.late_share = 0.0
 
 
-async def _teams_at_quota(world: SimulatedCluster) -> None:
+async def _teams_at_quota(cluster: SimulatedCluster) -> None:
     """Teams reach their quota; jobs on paused machines are cancelled, then the leader is killed."""
     for _ in range(3):
         await asyncio.sleep(6.0)
-        await world.users.cancel_jobs(3, pause_s=0.8 * world.shape.lease_s, within_s=0.1)
+        await cluster.users.cancel_jobs(3, pause_s=0.8 * cluster.config.lease_s, within_s=0.1)
         await asyncio.sleep(0.3)
-        _kill_leader(world)
+        _kill_leader(cluster)
         await asyncio.sleep(8.0)
 
 
-async def _leader_changes(world: SimulatedCluster) -> None:
+async def _leader_changes(cluster: SimulatedCluster) -> None:
     """Jobs are cancelled before, during and after a planned handover and the loss of a leader."""
     for planned in (True, False):
-        world.begin(_cancel_repeatedly(world))
+        cluster.spawn(_cancel_repeatedly(cluster))
         await asyncio.sleep(1.0)
-        host = world.leader()
+        host = cluster.leader()
         if planned and host is not None and host.node is not None:
-            world.begin(host.node.hand_over("a test"), host.context)
+            cluster.spawn(host.node.hand_over("a test"), host.context)
         else:
-            _kill_leader(world)
-        await asyncio.sleep(world.shape.cancel_s + 6.0)
+            _kill_leader(cluster)
+        await asyncio.sleep(cluster.config.cancel_s + 6.0)
 
 
-async def _cancel_repeatedly(world: SimulatedCluster) -> None:
+async def _cancel_repeatedly(cluster: SimulatedCluster) -> None:
     for _ in range(50):
-        await world.users.cancel_jobs(1, within_s=0.02)
+        await cluster.users.cancel_jobs(1, within_s=0.02)
         await asyncio.sleep(0.1)
 
 
-async def _fast_boots(world: SimulatedCluster) -> None:
+async def _fast_boots(cluster: SimulatedCluster) -> None:
     """New machines run tasks before their rental is answered or recorded; leaders are killed."""
-    world.cloud.fast_boot, world.cloud.rental_response_delay_s = True, 2.0
+    cluster.cloud.fast_boot, cluster.cloud.rental_response_delay_s = True, 2.0
     for number in range(6):
-        for machine in world.cloud.live_machines()[:3]:
-            world.cloud.terminate(machine)
+        for machine in cluster.cloud.live_machines()[:3]:
+            cluster.cloud.terminate(machine)
         if number < 4:
-            world.state.late_share = 0.2
+            cluster.state.late_share = 0.2
             await asyncio.sleep(7.0)
-            _kill_leader(world, 0.5)
-            world.state.late_share = 0.0
+            _kill_leader(cluster, 0.5)
+            cluster.state.late_share = 0.0
         else:
             # No leader change here: the next leader would know these machines and hide the error.
             await asyncio.sleep(10.0)
-    world.cloud.fast_boot, world.cloud.rental_response_delay_s = False, 0.0
+    cluster.cloud.fast_boot, cluster.cloud.rental_response_delay_s = False, 0.0
 
 
-async def _replayed_heartbeats(world: SimulatedCluster) -> None:
+async def _replayed_heartbeats(cluster: SimulatedCluster) -> None:
     """Old heartbeats are replayed to every controller at each election, and duplicated later."""
-    world.active_faults.replay_share, world.active_faults.duplicate_share = 0.9, 0.9
+    cluster.active_faults.replay_share, cluster.active_faults.duplicate_share = 0.9, 0.9
     for _ in range(6):
         await asyncio.sleep(6.0)
-        _kill_leader(world, 0.5)
-    world.active_faults.replay_share = world.active_faults.duplicate_share = 0.0
+        _kill_leader(cluster, 0.5)
+    cluster.active_faults.replay_share = cluster.active_faults.duplicate_share = 0.0
 
 
-async def _many_small_jobs(world: SimulatedCluster) -> None:
+async def _many_small_jobs(cluster: SimulatedCluster) -> None:
     """Four one-task jobs per second, a quarter cancelled; an outage, then the leader is killed."""
     await asyncio.sleep(10.0)
-    world.state.set_outage(True)
+    cluster.state.set_outage(True)
     await asyncio.sleep(8.0)
-    world.state.set_outage(False)
+    cluster.state.set_outage(False)
     await asyncio.sleep(6.0)
-    _kill_leader(world)
+    _kill_leader(cluster)
     await asyncio.sleep(10.0)
 
 
-async def _overload(world: SimulatedCluster) -> None:
+async def _overload(cluster: SimulatedCluster) -> None:
     """More work than capacity, urgent and standard, over links with a delay of up to 0.5 s."""
-    world.active_faults.link_delay_s = 0.5
+    cluster.active_faults.link_delay_s = 0.5
     for _ in range(3):
         await asyncio.sleep(8.0)
-        await world.users.cancel_jobs(2)
-    _kill_leader(world)
+        await cluster.users.cancel_jobs(2)
+    _kill_leader(cluster)
     await asyncio.sleep(8.0)
-    world.active_faults.link_delay_s = 0.0
+    cluster.active_faults.link_delay_s = 0.0
 
 
-async def _cancellations_at_completion(world: SimulatedCluster) -> None:
+async def _cancellations_at_completion(cluster: SimulatedCluster) -> None:
     """Jobs are cancelled, polled and submitted again at the moment of their completion."""
     (
-        world.active_faults.cancel_at_end_share,
-        world.active_faults.close_polling,
-        world.active_faults.invalid_requests,
+        cluster.active_faults.cancel_at_end_share,
+        cluster.active_faults.close_polling,
+        cluster.active_faults.invalid_requests,
     ) = 1.0, True, True
-    world.state.request_delay_s = 0.3
+    cluster.state.request_delay_s = 0.3
     await asyncio.sleep(40.0)
     (
-        world.active_faults.cancel_at_end_share,
-        world.active_faults.close_polling,
-        world.active_faults.invalid_requests,
+        cluster.active_faults.cancel_at_end_share,
+        cluster.active_faults.close_polling,
+        cluster.active_faults.invalid_requests,
     ) = 0.0, False, False
-    world.state.request_delay_s = 0.0
+    cluster.state.request_delay_s = 0.0
 
 
-async def _cancellations_while_refused(world: SimulatedCluster) -> None:
+async def _cancellations_while_refused(cluster: SimulatedCluster) -> None:
     """Jobs are cancelled while only the leader is refused; an outage beyond `cancel_s` follows."""
     await asyncio.sleep(4.0)
-    await FaultInjector(world).cancel_while_refused()
+    await FaultInjector(cluster).cancel_while_refused()
 
 
-async def _outbound_partition(world: SimulatedCluster) -> None:
+async def _outbound_partition(cluster: SimulatedCluster) -> None:
     """Half of the machines are partitioned outbound; jobs are cancelled and leaders killed."""
-    names = sorted(world.workers)[::2]
-    world.active_faults.outbound_partitioned.update(names)
+    names = sorted(cluster.workers)[::2]
+    cluster.active_faults.outbound_partitioned.update(names)
     await asyncio.sleep(2.0)
-    await world.users.cancel_jobs(2)
+    await cluster.users.cancel_jobs(2)
     # The leader must have missed their heartbeats by now, though they answer direct commands.
-    await asyncio.sleep(4.0 * world.shape.heartbeat_interval_s)
-    world.active_faults.must_stay_idle.update(names)
+    await asyncio.sleep(4.0 * cluster.config.heartbeat_interval_s)
+    cluster.active_faults.must_stay_idle.update(names)
     for _ in range(5):
-        await world.users.cancel_jobs(1)
+        await cluster.users.cancel_jobs(1)
         await asyncio.sleep(4.0)
     for _ in range(2):
-        _kill_leader(world)
+        _kill_leader(cluster)
         await asyncio.sleep(5.0)
-    world.active_faults.must_stay_idle.clear()
-    world.active_faults.outbound_partitioned.clear()
-    terminated = [name for name in names if world.cloud.machines[name].terminated]
+    cluster.active_faults.must_stay_idle.clear()
+    cluster.active_faults.outbound_partitioned.clear()
+    terminated = [name for name in names if cluster.cloud.machines[name].terminated]
     if terminated:
-        world.record_violation(
+        cluster.record_violation(
             "returned", f"{terminated} were terminated after a short outbound partition"
         )
 
 
-async def _zones_lose_machines(world: SimulatedCluster) -> None:
+async def _zones_lose_machines(cluster: SimulatedCluster) -> None:
     """Jobs with a zone constraint lose machines; the next leader receives neither the heartbeats of
     the other zone nor the list of machines, so it can't tell where their other tasks run."""
     for number in range(4):
         await asyncio.sleep(5.0)
-        for machine in world.cloud.live_machines()[number % 2 :: 3]:
-            world.cloud.terminate(machine)
-        world.active_faults.zones_partitioned = True
-        cloud_links = [frozenset((name, "cloud")) for name in world.hosts]
-        world.active_faults.cut_links.update(cloud_links)
-        _kill_leader(world, 0.5)
+        for machine in cluster.cloud.live_machines()[number % 2 :: 3]:
+            cluster.cloud.terminate(machine)
+        cluster.active_faults.zones_partitioned = True
+        cloud_links = [frozenset((name, "cloud")) for name in cluster.hosts]
+        cluster.active_faults.cut_links.update(cloud_links)
+        _kill_leader(cluster, 0.5)
         await asyncio.sleep(6.0)
-        world.active_faults.zones_partitioned = False
-        world.active_faults.cut_links.difference_update(cloud_links)
+        cluster.active_faults.zones_partitioned = False
+        cluster.active_faults.cut_links.difference_update(cloud_links)
 
 
-async def _partitioned_zones(world: SimulatedCluster) -> None:
+async def _partitioned_zones(cluster: SimulatedCluster) -> None:
     """Zones with workers and controllers are partitioned for longer than the workers' lease."""
     await asyncio.sleep(4.0)
-    world.active_faults.zones_partitioned = True
-    await asyncio.sleep(2.5 * world.shape.lease_s)
-    world.active_faults.zones_partitioned = False
+    cluster.active_faults.zones_partitioned = True
+    await asyncio.sleep(2.5 * cluster.config.lease_s)
+    cluster.active_faults.zones_partitioned = False
     await asyncio.sleep(5.0)
-    world.active_faults.isolated_zones.add("south")
-    await asyncio.sleep(1.5 * world.shape.lease_s)
-    world.active_faults.isolated_zones.clear()
+    cluster.active_faults.isolated_zones.add("south")
+    await asyncio.sleep(1.5 * cluster.config.lease_s)
+    cluster.active_faults.isolated_zones.clear()
 
 
-async def _no_controller(world: SimulatedCluster) -> None:
+async def _no_controller(cluster: SimulatedCluster) -> None:
     """All controllers are down, once for less and once for longer than the workers' lease."""
     for lease_share in (0.5, 1.6):
         await asyncio.sleep(8.0)
-        for host in world.hosts.values():
-            world.kill_controller(host, lease_share * world.shape.lease_s)
-        await asyncio.sleep(lease_share * world.shape.lease_s + 4.0)
+        for host in cluster.hosts.values():
+            cluster.kill_controller(host, lease_share * cluster.config.lease_s)
+        await asyncio.sleep(lease_share * cluster.config.lease_s + 4.0)
 
 
-async def _short_terms(world: SimulatedCluster) -> None:
+async def _short_terms(cluster: SimulatedCluster) -> None:
     """Jobs are cancelled; then every leader is killed before it has loaded the records."""
     await asyncio.sleep(4.0)
-    world.state.scan_duration_s = 2.0
-    _kill_leader(world, 0.1)
-    await world.users.cancel_jobs(6)
-    until = world.now() + world.shape.cancel_s + 10.0
-    while world.now() < until:
+    cluster.state.scan_duration_s = 2.0
+    _kill_leader(cluster, 0.1)
+    await cluster.users.cancel_jobs(6)
+    until = cluster.now() + cluster.config.cancel_s + 10.0
+    while cluster.now() < until:
         await asyncio.sleep(0.05)
-        host = world.leader()
+        host = cluster.leader()
         if host is not None:
             await asyncio.sleep(1.5)
-            world.kill_controller(host, 0.1)
-    world.state.scan_duration_s = 0.0
+            cluster.kill_controller(host, 0.1)
+    cluster.state.scan_duration_s = 0.0
 
 
-async def _isolated_leader(world: SimulatedCluster) -> None:
+async def _isolated_leader(cluster: SimulatedCluster) -> None:
     """The leader is partitioned from the state service and the other controllers only."""
     await asyncio.sleep(4.0)
-    host = world.leader()
+    host = cluster.leader()
     if host is None:
         return
-    links = [frozenset((host.name, other)) for other in ("state", *world.hosts)]
-    world.active_faults.cut_links.update(links)
+    links = [frozenset((host.name, other)) for other in ("state", *cluster.hosts)]
+    cluster.active_faults.cut_links.update(links)
     await asyncio.sleep(5.0)
-    await world.users.cancel_jobs(4)
-    await asyncio.sleep(world.shape.cancel_s + 4.0)
-    world.active_faults.cut_links.difference_update(links)
+    await cluster.users.cancel_jobs(4)
+    await asyncio.sleep(cluster.config.cancel_s + 4.0)
+    cluster.active_faults.cut_links.difference_update(links)
 
 
-async def _delayed_commands(world: SimulatedCluster) -> None:
+async def _delayed_commands(cluster: SimulatedCluster) -> None:
     """Commands and responses are delayed for longer than `cancel_s`; jobs are cancelled while one
     of their start commands is in flight."""
-    world.active_faults.command_delay_s, world.active_faults.cancel_in_flight = (
-        2.0 * world.shape.cancel_s,
+    cluster.active_faults.command_delay_s, cluster.active_faults.cancel_in_flight = (
+        2.0 * cluster.config.cancel_s,
         True,
     )
     await asyncio.sleep(25.0)
-    world.active_faults.command_delay_s, world.active_faults.cancel_in_flight = 0.0, False
-    await asyncio.sleep(2.0 * world.shape.cancel_s)
+    cluster.active_faults.command_delay_s, cluster.active_faults.cancel_in_flight = 0.0, False
+    await asyncio.sleep(2.0 * cluster.config.cancel_s)
 
 
-async def _paused_machines(world: SimulatedCluster) -> None:
+async def _paused_machines(cluster: SimulatedCluster) -> None:
     """Jobs are cancelled as their machines are paused, for less and for longer than a lease."""
-    shape = world.shape
-    for pause_s in (0.9 * shape.lease_s, 1.4 * shape.lease_s, shape.cancel_s + 4.0):
+    config = cluster.config
+    for pause_s in (0.9 * config.lease_s, 1.4 * config.lease_s, config.cancel_s + 4.0):
         await asyncio.sleep(5.0)
-        await world.users.cancel_jobs(4, pause_s)
+        await cluster.users.cancel_jobs(4, pause_s)
         await asyncio.sleep(pause_s)
 
 
@@ -329,9 +329,9 @@
     """The end record is read before the job record, although the job may end in between."""
 
     async def status(self: Admission, job_id: JobId) -> Reply:
-        ended = self._over.get(job_id) or await self._read_over(job_id)
+        ended = self._ended_jobs.get(job_id) or await self._read_ended(job_id)
         if ended is not None:
-            return self._final(job_id, ended)
+            return self._final_reply(job_id, ended)
         if await self._client.get(job_key(job_id)) is None:
             return Reply(404, {"error": "no such job"})
         return Reply(200, wire.job_status(job_id, wire.JOB_PENDING))
@@ -356,7 +356,7 @@
 
 def _report_unknown_outcome_as_accepted(patch: Patch) -> None:
     """A submission whose outcome is unknown is reported as accepted."""
-    original = Admission._commit_accepted
+    original = Admission._commit_with_retries
 
     async def commit(self: Admission, *args: Any) -> Any:
         try:
@@ -364,17 +364,17 @@
         except OutcomeUnknownError:
             return Committed(Revision(1))
 
-    patch.setattr(Admission, "_commit_accepted", commit)
+    patch.setattr(Admission, "_commit_with_retries", commit)
 
 
 def _accept_without_guard(patch: Patch) -> None:
     """A submission is accepted without the guard that the job is new."""
-    original = Admission._commit_accepted
+    original = Admission._commit_with_retries
 
     async def commit(self: Admission, guards: list[Any], changes: list[Any]) -> Any:
         return await original(self, [], changes)
 
-    patch.setattr(Admission, "_commit_accepted", commit)
+    patch.setattr(Admission, "_commit_with_retries", commit)
 
 
 def _assume_unanswered_transactions_executed(patch: Patch) -> None:
@@ -442,7 +442,7 @@
 
 def _accept_old_heartbeats(patch: Patch) -> None:
     """Heartbeats are processed even if a newer one has arrived."""
-    patch.setattr(HeartbeatProcessor, "_out_of_date", staticmethod(lambda *_: False))
+    patch.setattr(HeartbeatProcessor, "_is_out_of_date", staticmethod(lambda *_: False))
 
 
 def _accept_old_tokens(patch: Patch) -> None:
@@ -532,17 +532,19 @@
 
 @dataclass(frozen=True)
 class FaultCombination:
-    script: Script
-    shape: Shape = field(default_factory=lambda: Shape(machines=6))
+    scenario: Scenario
+    config: ClusterConfig = field(default_factory=lambda: ClusterConfig(machines=6))
     mutations: tuple[tuple[str, Mutation], ...] = ()
-    calm_s: float = 30.0
+    quiet_s: float = 30.0
     seed: int = 1
 
 
 _COMBINATIONS: dict[str, FaultCombination] = {
     "close polling": FaultCombination(
         _close_polling,
-        Shape(machines=6, arrival_interval_s=1.0, jobs=((1, 2.0), (2, 4.0), (1, 30.0))),
+        ClusterConfig(
+            machines=6, arrival_interval_s=1.0, job_kinds=((1, 2.0), (2, 4.0), (1, 30.0))
+        ),
         (
             ("forgotten", _read_end_before_job),
             ("went_back", _cache_status),
@@ -552,108 +554,138 @@
     ),
     "lost responses": FaultCombination(
         _lost_responses,
-        Shape(machines=6, arrival_interval_s=1.5),
+        ClusterConfig(machines=6, arrival_interval_s=1.5),
         (("went_back", _accept_without_guard),),
     ),
     "late transactions": FaultCombination(
         _late_transactions,
-        Shape(
-            machines=12, arrival_interval_s=1.5, jobs=_LONG_JOBS, limit_vcpus=99.0, cancelled=0.0
+        ClusterConfig(
+            machines=12,
+            arrival_interval_s=1.5,
+            job_kinds=_LONG_JOBS,
+            limit_vcpus=99.0,
+            cancelled_share=0.0,
         ),
         (("ran_twice", _assume_unanswered_transactions_executed),),
     ),
     "teams at their quota": FaultCombination(
         _teams_at_quota,
-        Shape(machines=8, limit_vcpus=16.0, arrival_interval_s=1.5, jobs=_LONG_JOBS, cancelled=0.1),
+        ClusterConfig(
+            machines=8,
+            limit_vcpus=16.0,
+            arrival_interval_s=1.5,
+            job_kinds=_LONG_JOBS,
+            cancelled_share=0.1,
+        ),
         (("quota", _skip_loading_ended_jobs), ("quota", _ignore_inherited_usage)),
     ),
     "leader changes": FaultCombination(
         _leader_changes,
-        Shape(
-            machines=12, arrival_interval_s=0.4, jobs=((1, 90.0),), cancelled=0.0, limit_vcpus=99.0
+        ClusterConfig(
+            machines=12,
+            arrival_interval_s=0.4,
+            job_kinds=((1, 90.0),),
+            cancelled_share=0.0,
+            limit_vcpus=99.0,
         ),
         (("ran_cancelled", _watch_from_later_revision),),
         5.0,
     ),
     "fast machine boots": FaultCombination(
         _fast_boots,
-        Shape(machines=16, arrival_interval_s=1.5),
+        ClusterConfig(machines=16, arrival_interval_s=1.5),
         (("left", _replace_rented_machine),),
         170.0,
     ),
     "heartbeats replayed to the next leader": FaultCombination(
         _replayed_heartbeats,
-        Shape(machines=10, arrival_interval_s=0.8, limit_vcpus=99.0),
+        ClusterConfig(machines=10, arrival_interval_s=0.8, limit_vcpus=99.0),
         (("ran_twice", _accept_old_heartbeats), ("ran_twice", _accept_old_tokens)),
     ),
     "hundreds of one-task jobs": FaultCombination(
         _many_small_jobs,
-        Shape(machines=8, arrival_interval_s=0.25, jobs=((1, 3.0),), cancelled=0.25),
+        ClusterConfig(
+            machines=8, arrival_interval_s=0.25, job_kinds=((1, 3.0),), cancelled_share=0.25
+        ),
         (),
     ),
     "more work than capacity": FaultCombination(
-        _overload, Shape(machines=4, arrival_interval_s=0.5, jobs=_LONG_JOBS, limit_vcpus=99.0), ()
+        _overload,
+        ClusterConfig(machines=4, arrival_interval_s=0.5, job_kinds=_LONG_JOBS, limit_vcpus=99.0),
+        (),
     ),
     "cancelled at completion": FaultCombination(
         _cancellations_at_completion,
-        Shape(machines=6, arrival_interval_s=1.0),
+        ClusterConfig(machines=6, arrival_interval_s=1.0),
         (("went_back", _end_without_guards),),
     ),
     "cancelled while the leader is refused": FaultCombination(
         _cancellations_while_refused,
-        Shape(machines=6, arrival_interval_s=1.5, jobs=((2, 90.0),), cancelled=0.0),
+        ClusterConfig(
+            machines=6, arrival_interval_s=1.5, job_kinds=((2, 90.0),), cancelled_share=0.0
+        ),
         (("ran_cancelled", _ignore_acknowledged_cancellations),),
         10.0,
     ),
     "machines partitioned outbound": FaultCombination(
         _outbound_partition,
-        Shape(machines=6, arrival_interval_s=1.5, jobs=_LONG_JOBS),
+        ClusterConfig(machines=6, arrival_interval_s=1.5, job_kinds=_LONG_JOBS),
         (("ran_twice", _ignore_former_renewals), ("given_work", place_on_contacted_machines)),
     ),
     "zones lose machines": FaultCombination(
         _zones_lose_machines,
-        Shape(
+        ClusterConfig(
             machines=9,
             arrival_interval_s=1.5,
-            jobs=((6, 20.0), (3, 30.0)),
-            cancelled=0.0,
+            job_kinds=((6, 20.0), (3, 30.0)),
+            cancelled_share=0.0,
             zone_rule_share=1.0,
         ),
     ),
     "partitioned zones": FaultCombination(
         _partitioned_zones,
-        Shape(machines=6, arrival_interval_s=1.5, jobs=_LONG_JOBS),
+        ClusterConfig(machines=6, arrival_interval_s=1.5, job_kinds=_LONG_JOBS),
         (("ran_twice", _ignore_delegations),),
     ),
     "no controller": FaultCombination(
         _no_controller,
-        Shape(machines=6, arrival_interval_s=1.5),
+        ClusterConfig(machines=6, arrival_interval_s=1.5),
         (("ran_twice", _ignore_former_renewals),),
     ),
     "short terms": FaultCombination(
         _short_terms,
-        Shape(machines=6, arrival_interval_s=1.5, jobs=((2, 90.0),), cancelled=0.0),
+        ClusterConfig(
+            machines=6, arrival_interval_s=1.5, job_kinds=((2, 90.0),), cancelled_share=0.0
+        ),
         (("ran_cancelled", _renew_before_loading),),
         10.0,
     ),
     "isolated leader": FaultCombination(
         _isolated_leader,
         # Enough capacity for the next leader to start again what the former one still runs.
-        Shape(machines=18, arrival_interval_s=1.0, jobs=((2, 90.0),), cancelled=0.0),
+        ClusterConfig(
+            machines=18, arrival_interval_s=1.0, job_kinds=((2, 90.0),), cancelled_share=0.0
+        ),
         (("ran_twice", _ignore_lease_expiry),),
         10.0,
     ),
     "delayed commands": FaultCombination(
         _delayed_commands,
-        Shape(
-            machines=8, arrival_interval_s=0.7, jobs=((1, 20.0),), cancelled=0.0, limit_vcpus=99.0
+        ClusterConfig(
+            machines=8,
+            arrival_interval_s=0.7,
+            job_kinds=((1, 20.0),),
+            cancelled_share=0.0,
+            limit_vcpus=99.0,
         ),
         (("ran_cancelled", _never_let_worker_lease_expire),),
         5.0,
     ),
     "paused machines": FaultCombination(
         _paused_machines,
-        Shape(machines=6, arrival_interval_s=1.5, jobs=((2, 90.0),), cancelled=0.0),
+        ClusterConfig(
+            machines=6, arrival_interval_s=1.5, job_kinds=((2, 90.0),), cancelled_share=0.0
+        ),
         (("ran_cancelled", _send_stops_once),),
         10.0,
     ),
@@ -661,7 +693,9 @@
 
 
 def _run(combination: FaultCombination, seed: int, until: str = "") -> SimulatedCluster:
-    return play(seed, combination.shape, 60.0, combination.script, combination.calm_s, until)
+    return run_scenario(
+        seed, combination.config, 60.0, combination.scenario, combination.quiet_s, until
+    )
 
 
 @functools.cache
@@ -672,9 +706,9 @@
 
 @pytest.mark.parametrize("name", _COMBINATIONS)
 def test_no_invariant_is_violated(name: str) -> None:
-    world = _run_unmodified(name)
-    assert not world.broken, [*world.events, *world.broken]
-    assert world.task_starts > 5
+    cluster = _run_unmodified(name)
+    assert not cluster.violations, [*cluster.events, *cluster.violations]
+    assert cluster.task_starts > 5
 
 
 @pytest.mark.parametrize(
@@ -691,7 +725,7 @@
     mutation(monkeypatch)
     violated: set[str] = set()
     for seed in range(1, 7):
-        violated |= _run(_COMBINATIONS[name], seed, invariant).rules
+        violated |= _run(_COMBINATIONS[name], seed, invariant).violated_invariants
         if invariant in violated:
             return
     raise AssertionError(f"invariant {invariant} not violated; violated: {violated}")
@@ -702,8 +736,8 @@
 
     A cancelled job needs no more.
     """
-    world = _run_unmodified("hundreds of one-task jobs")
-    assert not world.broken and len(world.jobs) > 200
-    assert len(world.state.log) <= 5 * len(world.jobs) + 150
-    open_ = [job for job in world.jobs.values() if job.accepted and not job.has_ended]
-    assert len(open_) < 0.05 * len(world.jobs)
+    cluster = _run_unmodified("hundreds of one-task jobs")
+    assert not cluster.violations and len(cluster.jobs) > 200
+    assert len(cluster.state.log) <= 5 * len(cluster.jobs) + 150
+    open_ = [job for job in cluster.jobs.values() if job.accepted and not job.has_ended]
+    assert len(open_) < 0.05 * len(cluster.jobs)
--- a/tests/test_lease_extension.py
+++ b/tests/test_lease_extension.py
@@ -1,4 +1,4 @@
-"""Promises not to stand for election: each clause of the argument in docs/design.md."""
+"""Lease extension grants: each condition of the safety argument in docs/design.md."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 class _State:
-    """As much of the state service as an election uses."""
+    """The part of the state service that an election uses."""
 
     def __init__(self, term: int | None = 4, outcome: str = "ok") -> None:
         self.keys: dict[str, tuple[Any, int]] = {} if term is None else {TERM_KEY: (term, 9)}
@@ -83,8 +83,8 @@
     return clock
 
 
-def _election(state: _State, promised_s: float = 0.0) -> Election:
-    return Election(cast(StateClient, state), "host-0", lambda: None, promised_s)
+def _election(state: _State, previous_grants_s: float = 0.0) -> Election:
+    return Election(cast(StateClient, state), "host-0", lambda: None, previous_grants_s)
 
 
 def _campaign(election: Election, mod_revision: int = 0) -> bool:
@@ -92,7 +92,7 @@
     return election.leadership is not None
 
 
-def test_who_has_promised_does_not_stand_before_the_promise_is_over(clock: _Clock) -> None:
+def test_no_campaign_before_grant_expires(clock: _Clock) -> None:
     election = _election(_State())
     assert election.grant_extension(FencingToken(4), Monotonic(clock.now + EXTENSION_GRANT_S)) == ""
     assert not _campaign(election)
@@ -100,24 +100,25 @@
     assert _campaign(election)
 
 
-def test_a_restarted_member_may_have_promised(clock: _Clock) -> None:
+def test_restarted_member_waits_for_possible_grants(clock: _Clock) -> None:
     assert not _campaign(_election(_State(), EXTENSION_GRANT_S))
-    # Before the first term nobody can hold a promise, and nothing is to be waited for.
+    # Before the first term no leader can have been granted an extension.
     assert _campaign(_election(_State(term=None), EXTENSION_GRANT_S))
-    # The key of this host's own former process belongs to nobody who could hold one.
+    # If the leader's key is that of this host's previous process, no other member leads.
     assert _campaign(_election(_State(), EXTENSION_GRANT_S), mod_revision=7)
 
 
-def test_a_restarted_member_stands_at_once_if_nobody_leads(clock: _Clock) -> None:
-    # All controllers crashed together, and the wait for the promise's end cost every task.
+def test_restarted_member_campaigns_at_once_if_no_peer_leads(clock: _Clock) -> None:
+    # After a crash of all controllers, waiting for the grants to expire would outlast the workers'
+    # leases and end every task.
     election = _election(_State(), EXTENSION_GRANT_S)
     extension = _extension(_State(), election, clock)
-    said: dict[str, NoAnswerError | bytes] = {
+    peer_answer: dict[str, NoAnswerError | bytes] = {
         "answer": NoAnswerError("refused", False, refused=True)
     }
 
     async def request(*_: object, timeout_s: float) -> HttpAnswer:
-        answer = said["answer"]
+        answer = peer_answer["answer"]
         if isinstance(answer, NoAnswerError):
             raise answer
         found = HttpAnswer()
@@ -128,10 +129,10 @@
         peer.request = request  # type: ignore[method-assign,assignment]
     election.no_peer_leads = extension.no_peer_leads
     assert not _campaign(election)
-    said["answer"] = wire.encode(Presence(leads=True))
+    peer_answer["answer"] = wire.encode(Presence(leads=True))
     assert not _campaign(election)
-    said["answer"] = wire.encode(Presence(leads=False))
-    # A promise of this very process still holds.
+    peer_answer["answer"] = wire.encode(Presence(leads=False))
+    # A grant by this process itself is still in force.
     assert election.grant_extension(FencingToken(4), Monotonic(clock.now + 1.0)) == ""
     assert not _campaign(election)
     clock.now = Monotonic(clock.now + 1.0)
@@ -141,30 +142,31 @@
 @pytest.mark.parametrize(
     ("outcome", "promised"), [("unknown", False), ("refused", True), ("failed", True)]
 )
-def test_an_election_without_an_answer_may_take_place_late(
+def test_unknown_campaign_outcome_refuses_grants_to_earlier_terms(
     clock: _Clock, outcome: str, promised: bool
 ) -> None:
     election = _election(_State(outcome=outcome))
     assert not _campaign(election)
     assert (election.grant_extension(FencingToken(4), Monotonic(200.0)) == "") is promised
-    # The guard on the term makes the late one fail once a later term is there.
+    # The guard on the term's key makes the late transaction fail once there is a later term.
     assert election.grant_extension(FencingToken(5), Monotonic(200.0)) == ""
 
 
-def test_no_promise_to_a_leader_of_the_past(clock: _Clock) -> None:
+def test_extension_is_refused_to_earlier_terms(clock: _Clock) -> None:
     election = _election(_State())
     election.known_leader = KnownLeader("host-1", FencingToken(5))
     assert election.grant_extension(FencingToken(4), Monotonic(200.0)) != ""
     election.known_leader = None
     assert _campaign(election)
     assert election.leadership is not None
-    # Asked by its own term's number, it is not asked by a later leader.
+    # A request with this node's own term is not one of a later leader.
     assert election.grant_extension(election.leadership.term, Monotonic(200.0)) == "leads itself"
 
 
-def test_who_was_followed_promises_to_the_one_that_follows(clock: _Clock) -> None:
-    # Refused by the state service alone it can't see that its key has gone. Its "leads itself" made
-    # its successor fall silent in an outage, and every task ended with its lease.
+def test_replaced_leader_grants_extension_to_successor(clock: _Clock) -> None:
+    # While only its own requests to the state service fail, the former leader can't see that its
+    # key no longer exists. If it refused the grant ("leads itself"), its successor would become
+    # invalid in an outage, and every task would end with its worker's lease.
     election = _election(_State())
     assert _campaign(election)
     leadership = election.leadership
@@ -182,12 +184,12 @@
     values = {**SETTINGS, **changes}
     parsed = settings.parse(orjson.dumps(values))
 
-    known_leader = AcknowledgedCancellations(lambda: state.first_seen)
-    known_leader.add("wk-1", Revision(50))
-    return LeaseExtension(parsed, cast(StateClient, state), election, known_leader, clock)
+    acknowledged = AcknowledgedCancellations(lambda: state.first_seen)
+    acknowledged.add("wk-1", Revision(50))
+    return LeaseExtension(parsed, cast(StateClient, state), election, acknowledged, clock)
 
 
-def test_only_a_term_without_a_gap_is_prolonged(clock: _Clock) -> None:
+def test_only_valid_term_is_extended(clock: _Clock) -> None:
     extension = _extension(_State(), _election(_State()), clock)
     leadership = Leadership(
         FencingToken(4), Revision(1), LeaseId(1), Monotonic(90.0), Monotonic(101.0)
@@ -201,7 +203,7 @@
     assert not leadership.valid(clock.now)
 
 
-def test_a_member_that_reaches_the_state_service_promises_nothing(clock: _Clock) -> None:
+def test_member_that_reaches_state_service_grants_nothing(clock: _Clock) -> None:
     state = _State()
     state.keys[LEADER_KEY] = ({"host": "host-1"}, 8)
     election = _election(state)
@@ -211,7 +213,7 @@
     assert asyncio.run(extension.handle_request(ExtensionRequest(4, seen=60))) == ExtensionAnswer(
         True
     )
-    # What was cancelled here without the leader's knowledge goes with the promise.
+    # The grant carries cancellations acknowledged here that the leader does not know.
     assert asyncio.run(extension.handle_request(ExtensionRequest(4, seen=40))) == ExtensionAnswer(
         True, cancelled=["wk-1"]
     )
@@ -219,37 +221,37 @@
     assert not _campaign(election)
 
 
-def test_one_missing_promise_is_silence(clock: _Clock, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_one_refusal_prevents_extension(clock: _Clock, monkeypatch: pytest.MonkeyPatch) -> None:
     election = _election(_State())
     members = [{"host_name": f"n-{n}", "zone": "north", "peer_addr": "x:1"} for n in range(2)]
     extension = _extension(_State(), election, clock, members=members)
-    # Its own process's first look lies before what it has seen as a leader.
+    # The revision that this process read first is older than what it knows as the leader.
     extension.cancellation_knowledge = lambda: CancellationKnowledge(Revision(30), clock.now)
-    told: list[str] = []
-    extension.on_cancelled = told.append
+    cancelled_jobs: list[str] = []
+    extension.on_cancelled = cancelled_jobs.append
 
-    def extended(last: ExtensionAnswer) -> bool:
-        left = iter([ExtensionAnswer(True, cancelled=["wk-2"]), last])
+    def is_extended(last: ExtensionAnswer) -> bool:
+        answers = iter([ExtensionAnswer(True, cancelled=["wk-2"]), last])
 
         async def ask(*_: object) -> ExtensionAnswer:
-            return next(left)
+            return next(answers)
 
         monkeypatch.setattr(extension, "_ask", ask)
         leadership = Leadership(
             FencingToken(4), Revision(1), LeaseId(1), Monotonic(90.0), Monotonic(101.0)
         )
-        asyncio.run(extension._seek(leadership))
+        asyncio.run(extension._request_grants(leadership))
         return leadership.valid_until > 101.0
 
-    assert extended(ExtensionAnswer(True))
-    assert not extended(ExtensionAnswer(False, "no answer"))
-    # With what this node itself acknowledged, which may not have come back to it.
-    assert set(told) == {"wk-1", "wk-2"}
+    assert is_extended(ExtensionAnswer(True))
+    assert not is_extended(ExtensionAnswer(False, "no answer"))
+    # Includes this node's own cancellation, which its watch may not have delivered yet.
+    assert set(cancelled_jobs) == {"wk-1", "wk-2"}
 
 
-def test_no_extension_where_a_cancellation_would_come_too_late(clock: _Clock) -> None:
+def test_extension_requires_enough_cancellation_slack(clock: _Clock) -> None:
     workers = SETTINGS["params"]["workers"]
     short = {**workers, "cancel_s": workers["lease_s"] + EXTENSION_GRANT_S}
     params = {**SETTINGS["params"], "workers": short}
-    assert not _extension(_State(), _election(_State()), clock, params=params).possible
-    assert _extension(_State(), _election(_State()), clock).possible
+    assert not _extension(_State(), _election(_State()), clock, params=params).is_possible
+    assert _extension(_State(), _election(_State()), clock).is_possible
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -99,7 +99,7 @@
     leader = Leader(
         parsed, client, cast(Cloud, None), cast(Election, None), leadership, Estimates()
     )
-    leader.scheduling_loop.placement._command_now = lambda _: None
+    leader.scheduling_loop.placement._send_commands_now = lambda _: None
     return leader
 
 
@@ -169,7 +169,7 @@
         for host in self.hosts:
             host.no_campaign_before = self.now
         self.worker = Worker(_MACHINE, renewed_at=self.now)
-        self.worker.beats = 1
+        self.worker.heartbeat_count = 1
         self.records: dict[str, Any] = {}
         self.term = 0
         self.leader_host: int | None = None
@@ -267,7 +267,7 @@
                 )
         else:
             leadership.renewal_failed = True
-            asyncio.run(self.hosts[self.leader_host].extension._seek(leadership))
+            asyncio.run(self.hosts[self.leader_host].extension._request_grants(leadership))
 
     def elect_if_due(self) -> None:
         if self.in_outage or self.now < self.leader_key_expires_at:
@@ -280,7 +280,7 @@
 
     def send_heartbeat(self) -> None:
         worker = self.worker
-        worker.lapse(self.now)
+        worker.expire_lease(self.now)
         leader = self._leading()
         if leader is None:
             return
@@ -384,7 +384,7 @@
         self.acknowledged_at[name] = self.now
 
     def check_deadlines(self) -> None:
-        self.worker.lapse(self.now)
+        self.worker.expire_lease(self.now)
         for name, acknowledged_at in self.acknowledged_at.items():
             task = self.worker.tasks.get(f"{name}/0")
             running = task is not None and task[1] != "ended"
@@ -480,9 +480,12 @@
     fleet.commands.stop(binding, "preemption", 0.0, Monotonic(101.0))
     commands = _process_heartbeat(fleet, 3, 101.5)
     # A stop has no effect before the start: the task is started, and stopped once it is listed.
-    assert commands == [wire.stop("wk-000412/0", 1, 0.0), wire.start("wk-000412/0", 1)]
+    assert commands == [
+        wire.stop_command("wk-000412/0", 1, 0.0),
+        wire.start_command("wk-000412/0", 1),
+    ]
     assert _process_heartbeat(fleet, 4, 102.5, ("wk-000412/0", 1, "running", None)) == [
-        wire.stop("wk-000412/0", 1, 0.0)
+        wire.stop_command("wk-000412/0", 1, 0.0)
     ]
     _process_heartbeat(fleet, 5, 103.5, ("wk-000412/0", 1, "ended", "stopped"))
     assert binding not in list(job.bindings())
@@ -497,7 +500,7 @@
     assert stop is not None
     timeout_s = fleet.stop_timeout_s
     assert timeout_s + 8.0 < 20.0
-    stops = [wire.stop("wk-000412/0", 1, 0.0)]
+    stops = [wire.stop_command("wk-000412/0", 1, 0.0)]
     assert _process_heartbeat(fleet, 3, stop.since + timeout_s - 0.1) == stops
     assert _process_heartbeat(fleet, 4, stop.since + timeout_s + 0.1) is None
     assert _process_heartbeat(fleet, 5, stop.since + timeout_s + 0.2, incarnation=2) is not None
@@ -514,7 +517,9 @@
     async def scan(self, prefix: str) -> tuple[list[wire.Entry], Revision]:
         bound = BoundEntry(_MACHINE, Incarnation(1), Attempt(1), False, False, Wall(0.0))
         chunk = encode_chunk(1, [bound.encode(Attempt(2))], {})
-        jobs = [(job_key(JobId("wk-000412")), {"spec": wire.plain(spec(pieces=1)), "at": 0.0})]
+        jobs = [
+            (job_key(JobId("wk-000412")), {"spec": wire.to_builtins(spec(pieces=1)), "at": 0.0})
+        ]
         chunks = [(chunk_key(JobId(name), 0), chunk) for name in ("wk-000412", "wk-000001")]
         found = {JOB_PREFIX: jobs, RUN_PREFIX: chunks}.get(prefix, [])
         return [wire.Entry(key=key, value=value, version=3) for key, value in found], Revision(5)
@@ -636,7 +641,7 @@
     class ConnectionPool:
         async def request(self, *_: object) -> HttpAnswer:
             at[0] += elapsed_s
-            raise NoAnswerError("TimeoutError", True, silent=True)
+            raise NoAnswerError("TimeoutError", True, timed_out=True)
 
     leader.direct_commands._connections = cast(Any, ConnectionPool())
     with pytest.MonkeyPatch.context() as patch:
@@ -693,7 +698,7 @@
 
 
 _GRAPH_END = {"v": 1, "status": "aborted", "at": 1.0, "digest": "d", "nodes": 2, "counts": {}}
-_NODE = {"spec": wire.plain(spec(id="lab1-0")), "at": 1.0, "owner": "lab1"}
+_NODE = {"spec": wire.to_builtins(spec(id="lab1-0")), "at": 1.0, "owner": "lab1"}
 
 
 def _admission(records: _StoredRecords) -> Admission:
@@ -738,9 +743,9 @@
         JobId("wk-000003"),
     )
     entries = {
-        f"job/{readable}": {"spec": wire.plain(spec(id=readable)), "at": 1.0},
+        f"job/{readable}": {"spec": wire.to_builtins(spec(id=readable)), "at": 1.0},
         f"job/{with_unreadable_chunk}": {
-            "spec": wire.plain(spec(id=with_unreadable_chunk)),
+            "spec": wire.to_builtins(spec(id=with_unreadable_chunk)),
             "at": 1.0,
         },
         f"job/{unreadable}": {"described": "otherwise"},
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -24,8 +24,8 @@
 from tealrill.leader.job_lifecycle import JobLifecycle
 from tealrill.simulation.__main__ import main
 from tealrill.simulation.cluster import SimulatedCluster
-from tealrill.simulation.process import Shape
-from tealrill.simulation.scenario import play
+from tealrill.simulation.process import ClusterConfig
+from tealrill.simulation.scenario import run_scenario
 from tealrill.state.admission import Admission
 from tealrill.state.admission import Reply as UserReply
 from tealrill.state.bindings import Job
@@ -39,21 +39,25 @@
 
 @pytest.mark.parametrize(("seed", "nodes"), [(1, 3), (2, 3), (3, 3), (4, 5)])
 def test_random_faults_violate_no_invariant(seed: int, nodes: int) -> None:
-    world = play(seed, Shape(nodes=nodes))
-    assert not world.broken, [*world.events, *world.broken]
-    assert world.task_starts > 30 and sum(job.done for job in world.jobs.values()) > 10
+    cluster = run_scenario(seed, ClusterConfig(nodes=nodes))
+    assert not cluster.violations, [*cluster.events, *cluster.violations]
+    assert cluster.task_starts > 30 and sum(job.done for job in cluster.jobs.values()) > 10
 
 
 def test_same_seed_gives_identical_run() -> None:
-    def outcome(world: SimulatedCluster) -> object:
+    def outcome(cluster: SimulatedCluster) -> object:
         return (
-            world.events,
-            world.task_starts,
-            [job.last_response_at for job in world.jobs.values()],
+            cluster.events,
+            cluster.task_starts,
+            [job.last_response_at for job in cluster.jobs.values()],
         )
 
-    assert outcome(play(7, fault_period_s=_SHORT_S)) == outcome(play(7, fault_period_s=_SHORT_S))
-    assert outcome(play(8, fault_period_s=_SHORT_S)) != outcome(play(7, fault_period_s=_SHORT_S))
+    assert outcome(run_scenario(7, fault_period_s=_SHORT_S)) == outcome(
+        run_scenario(7, fault_period_s=_SHORT_S)
+    )
+    assert outcome(run_scenario(8, fault_period_s=_SHORT_S)) != outcome(
+        run_scenario(7, fault_period_s=_SHORT_S)
+    )
 
 
 def test_simulation_opens_no_real_connection(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -65,8 +69,8 @@
         raise OSError("connection to the real network in a simulation")
 
     monkeypatch.setattr(IOStream, "connect", connect)
-    world = play(7, fault_period_s=_SHORT_S)
-    assert world.task_starts and not attempts
+    cluster = run_scenario(7, fault_period_s=_SHORT_S)
+    assert cluster.task_starts and not attempts
 
 
 # -- planted bugs ---------------------------------------------------------------------------------
@@ -94,7 +98,7 @@
 
 
 def _ignore_placement_constraints(patch: pytest.MonkeyPatch) -> None:
-    original = SnapshotBuilder._job
+    original = SnapshotBuilder._job_view
 
     def job(self: SnapshotBuilder, *args: Any) -> Any:
         view = original(self, *args)
@@ -102,7 +106,7 @@
         view.spot = True
         return view
 
-    patch.setattr(SnapshotBuilder, "_job", job)
+    patch.setattr(SnapshotBuilder, "_job_view", job)
 
 
 def _complete_job_with_first_task(patch: pytest.MonkeyPatch) -> None:
@@ -140,12 +144,12 @@
 
 def _skip_every_third_job(patch: pytest.MonkeyPatch) -> None:
     """A third of the jobs is never placed, and idle machines are not released."""
-    original = SnapshotBuilder._waiting
+    original = SnapshotBuilder._startable_tasks
 
     def waiting(self: SnapshotBuilder, job: Job, now: Monotonic) -> int:
         return 0 if job.id.endswith(("3", "6", "9")) else original(self, job, now)
 
-    patch.setattr(SnapshotBuilder, "_waiting", waiting)
+    patch.setattr(SnapshotBuilder, "_startable_tasks", waiting)
     patch.setattr(Autoscaler, "release_unneeded", lambda *_: None)
 
 
@@ -183,33 +187,33 @@
     # Other invariants may be violated first; one of these short runs violates this one.
     violated: set[str] = set()
     for seed in range(1, 5):
-        shape = Shape(limit_vcpus=16.0 if invariant == "quota" else 64.0)
+        config = ClusterConfig(limit_vcpus=16.0 if invariant == "quota" else 64.0)
         if invariant == "ran_cancelled":
             # Most of the default jobs end before `cancel_s` has passed.
-            shape = Shape(limit_vcpus=64.0, jobs=LONG_JOBS)
-        violated |= play(seed, shape, _SHORT_S, stop_on=invariant).rules
+            config = ClusterConfig(limit_vcpus=64.0, job_kinds=LONG_JOBS)
+        violated |= run_scenario(seed, config, _SHORT_S, stop_on=invariant).violated_invariants
         if invariant in violated:
             return
     raise AssertionError(f"invariant {invariant} not violated; violated: {violated}")
 
 
-async def _inject_request_faults(world: SimulatedCluster) -> None:
-    world.active_faults.invalid_requests = world.active_faults.cancel_in_flight = True
-    world.active_faults.command_delay_s = 2.0
+async def _inject_request_faults(cluster: SimulatedCluster) -> None:
+    cluster.active_faults.invalid_requests = cluster.active_faults.cancel_in_flight = True
+    cluster.active_faults.command_delay_s = 2.0
     await asyncio.sleep(20.0)
-    world.active_faults.invalid_requests = world.active_faults.cancel_in_flight = False
-    world.active_faults.command_delay_s = 0.0
+    cluster.active_faults.invalid_requests = cluster.active_faults.cancel_in_flight = False
+    cluster.active_faults.command_delay_s = 0.0
 
 
 def _start_cancelled_tasks(patch: pytest.MonkeyPatch) -> None:
     """A task whose job is cancelled is started nevertheless, and no stop is ever sent."""
     patch.setattr(Commands, "_may_start", staticmethod(lambda b: b.committed and not b.inherited))
-    patch.setattr(Commands, "_to_send", lambda _, b: b.committed and not b.inherited)
+    patch.setattr(Commands, "_may_send_in_response", lambda _, b: b.committed and not b.inherited)
     patch.setattr(Commands, "stop", lambda *_: True)
 
 
 @pytest.mark.parametrize(
-    ("invariant", "plant_bug", "calm_s"),
+    ("invariant", "plant_bug", "quiet_s"),
     [
         ("waited", _skip_every_third_job, 105.0),
         ("accepted", _accept_any_specification, 1.0),
@@ -219,17 +223,24 @@
 def test_planted_bug_violates_invariant_during_request_faults(
     invariant: str,
     plant_bug: Callable[[pytest.MonkeyPatch], None],
-    calm_s: float,
+    quiet_s: float,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    unmodified = play(1, Shape(), _SHORT_S, script=_inject_request_faults, calm_s=calm_s)
-    assert not unmodified.broken
+    unmodified = run_scenario(
+        1, ClusterConfig(), _SHORT_S, scenario=_inject_request_faults, quiet_s=quiet_s
+    )
+    assert not unmodified.violations
     plant_bug(monkeypatch)
     violated: set[str] = set()
     for seed in range(1, 5):
-        violated |= play(
-            seed, Shape(), _SHORT_S, script=_inject_request_faults, calm_s=calm_s, stop_on=invariant
-        ).rules
+        violated |= run_scenario(
+            seed,
+            ClusterConfig(),
+            _SHORT_S,
+            scenario=_inject_request_faults,
+            quiet_s=quiet_s,
+            stop_on=invariant,
+        ).violated_invariants
     assert invariant in violated
 
 
