--- a/tealrill/simulation/faults.py
+++ b/tealrill/simulation/faults.py
@@ -45,12 +45,12 @@
             self.cancel_running,
             self.cancel_running,
             self.cancel_at_end,
-            self.lose_answers,
+            self.lose_responses,
             self.replay_heartbeats,
             self.partition_machines_outbound,
             self.poll_closely,
             self.send_invalid_requests,
-            self.boot_at_once,
+            self.boot_fast,
             self.isolate_zone,
             self.partition_zones,
             self.cancel_while_refused,
@@ -218,9 +218,9 @@
 
     async def terminate_machine(self) -> None:
         """Terminate a machine."""
-        alive = self.cluster.cloud.live_machines()
-        if alive:
-            machine = self.rng.choice(alive)
+        live = self.cluster.cloud.live_machines()
+        if live:
+            machine = self.rng.choice(live)
             self.cluster.log_event(f"machine terminated: machine={machine.id}")
             self.cluster.cloud.terminate(machine)
 
@@ -337,7 +337,7 @@
             seconds,
         )
 
-    async def lose_answers(self) -> None:
+    async def lose_responses(self) -> None:
         """Lose the state service's responses to changes that it has applied."""
         share, seconds = self.rng.choice([0.2, 0.6]), self.rng.choice([5.0, 20.0])
         await self._set_field(
@@ -371,7 +371,7 @@
             "invalid requests", self.cluster.active_faults, "invalid_requests", True, 30.0
         )
 
-    async def boot_at_once(self) -> None:
+    async def boot_fast(self) -> None:
         """Terminate machines; replacements may boot before the response to their rental arrives."""
         cloud = self.cluster.cloud
         cloud.fast_boot, cloud.rental_response_delay_s = True, self.rng.choice([0.0, 1.5])
--- a/tealrill/simulation/process.py
+++ b/tealrill/simulation/process.py
@@ -35,7 +35,7 @@
     coroutine: Coroutine[Any, Any, Any],
     context: contextvars.Context | None = None,
 ) -> asyncio.Task[Any]:
-    """Create a task in the process that is set in its context, or in none."""
+    """Create a task that belongs to the process set in its context, or to none."""
     created = NumberedTask(coroutine, loop=loop, context=context)
     process = context.get(PROCESS) if context is not None else PROCESS.get(None)
     if process is not None:
--- a/tealrill/simulation/users.py
+++ b/tealrill/simulation/users.py
@@ -144,14 +144,14 @@
             reply = await self.request("POST", wire.JOBS_PATH, job.body, _CHANGE_TIMEOUT_S, target)
         else:
             reply = await self.request("GET", job.path, None, 2.0, target)
-        self._process_answer(job, reply, known_before)
+        self._process_response(job, reply, known_before)
 
     async def _cancel(self, job: UserJob) -> None:
         job.cancel_requested = True
         known_before = job.known_statuses
         reply = await self.request("POST", f"{job.path}/{wire.CANCEL_PATH}", {}, _CHANGE_TIMEOUT_S)
         if reply is not None and reply[0] == 200:
-            self._process_answer(job, reply, known_before)
+            self._process_response(job, reply, known_before)
 
     async def cancel_jobs(
         self, count: int, pause_s: float = 0.0, within_s: float = 0.2, running_only: bool = True
@@ -239,7 +239,7 @@
         await asyncio.sleep(number * self.cluster.rng.uniform(0.0, 0.005))
         await self._poll(job, resubmit=number == 3, target=host)
 
-    def _process_answer(
+    def _process_response(
         self, job: UserJob, reply: Reply | None, known_before: tuple[bool, bool, bool]
     ) -> None:
         """Check a response against the statuses known before its request, and record its status."""
@@ -296,14 +296,14 @@
             if job.has_ended:
                 known_before = job.known_statuses
                 path = f"{job.path}/{wire.CANCEL_PATH}"
-                self._process_answer(
+                self._process_response(
                     job, await self.request("POST", path, {}, _CHANGE_TIMEOUT_S), known_before
                 )
             elif job.accepted:
                 known_before = job.known_statuses
                 changed = {**job.body, **self.cluster.rng.choice(_RESUBMISSION_CHANGES)}
                 reply = await self.request("POST", wire.JOBS_PATH, changed, _CHANGE_TIMEOUT_S)
-                self._process_answer(job, reply, known_before)
+                self._process_response(job, reply, known_before)
             invalid = {**job.body, "id": f"odd-{number:06d}"}
             missing_field = self.cluster.rng.choice([None, *_REQUIRED_FIELDS])
             if missing_field is None:
