--- a/tests/test_day_digests.py
+++ b/tests/test_day_digests.py
@@ -18,9 +18,9 @@
 _FIRST_SEED_RUNS: Final = [run for run in _RECORDED if run.seed == 1]
 
 
-@pytest.mark.parametrize("run", _FIRST_SEED_RUNS, ids=lambda run: run.name)
-def test_traffic_has_recorded_digest(run: RecordedRun) -> None:
-    assert digest_of(run) == run.sha256
+@pytest.mark.parametrize("recorded", _FIRST_SEED_RUNS, ids=lambda run: run.name)
+def test_traffic_has_recorded_digest(recorded: RecordedRun) -> None:
+    assert digest_of(recorded) == recorded.sha256
 
 
 def test_recorded_digests_are_distinct() -> None:
