--- a/tests/test_day_digests.py
+++ b/tests/test_day_digests.py
@@ -15,13 +15,13 @@
 from tealrill.simulation.day_digests import RecordedRun, digest_of, read_runs
 
 _RECORDED: Final = read_runs(Path(__file__).parent / "data" / "day_digests.json")
-_FIRST_SEED_RUNS: Final = [run for run in _RECORDED if run.seed == 1]
+_FIRST_SEED_RUNS: Final = [recorded for recorded in _RECORDED if recorded.seed == 1]
 
 
-@pytest.mark.parametrize("recorded", _FIRST_SEED_RUNS, ids=lambda run: run.name)
+@pytest.mark.parametrize("recorded", _FIRST_SEED_RUNS, ids=lambda recorded: recorded.name)
 def test_traffic_has_recorded_digest(recorded: RecordedRun) -> None:
     assert digest_of(recorded) == recorded.sha256
 
 
 def test_recorded_digests_are_distinct() -> None:
-    assert len({run.sha256 for run in _RECORDED}) == len(_RECORDED) == 40
+    assert len({recorded.sha256 for recorded in _RECORDED}) == len(_RECORDED) == 40
