--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -1,6 +1,6 @@
-"""The lab: days of whole controllers, and that each of its checks fires.
+"""Simulation runs of whole controllers, and a test of each invariant by a planted bug.
 
-A fixed set of days is played here; `python3 -m tealrill.simulation hunt` plays others.
+The seeds are fixed here; `python3 -m tealrill.simulation hunt` simulates others.
 """
 
 from __future__ import annotations
@@ -38,156 +38,166 @@
 
 
 @pytest.mark.parametrize(("seed", "nodes"), [(1, 3), (2, 3), (3, 3), (4, 5)])
-def test_no_rule_breaks_where_troubles_meet(seed: int, nodes: int) -> None:
+def test_random_faults_violate_no_invariant(seed: int, nodes: int) -> None:
     cluster = run_scenario(seed, ClusterConfig(nodes=nodes))
     assert not cluster.violations, [*cluster.events, *cluster.violations]
-    assert cluster.starts > 30 and sum(job.done for job in cluster.jobs.values()) > 10
+    assert cluster.task_starts > 30 and sum(job.done for job in cluster.jobs.values()) > 10
 
 
-def test_the_same_seed_gives_the_same_day() -> None:
-    def told(cluster: SimulatedCluster) -> object:
-        return cluster.events, cluster.starts, [job.answered_at for job in cluster.jobs.values()]
+def test_same_seed_gives_identical_run() -> None:
+    def outcome(cluster: SimulatedCluster) -> object:
+        return (
+            cluster.events,
+            cluster.task_starts,
+            [job.last_response_at for job in cluster.jobs.values()],
+        )
 
-    assert told(run_scenario(7, trouble_s=_SHORT_S)) == told(run_scenario(7, trouble_s=_SHORT_S))
-    assert told(run_scenario(8, trouble_s=_SHORT_S)) != told(run_scenario(7, trouble_s=_SHORT_S))
+    assert outcome(run_scenario(7, fault_period_s=_SHORT_S)) == outcome(
+        run_scenario(7, fault_period_s=_SHORT_S)
+    )
+    assert outcome(run_scenario(8, fault_period_s=_SHORT_S)) != outcome(
+        run_scenario(7, fault_period_s=_SHORT_S)
+    )
 
 
-def test_no_real_connection_is_tried(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Probes of silent machines went to their simulated addresses over the real network."""
-    tried: list[object] = []
+def test_simulation_opens_no_real_connection(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Probes of unreachable machines must not be sent to their addresses in the real network."""
+    attempts: list[object] = []
 
     def connect(_: IOStream, address: object, *__: object, **___: object) -> Future[IOStream]:
-        tried.append(address)
-        raise OSError("no real network here")
+        attempts.append(address)
+        raise OSError("connection to the real network in a simulation")
 
     monkeypatch.setattr(IOStream, "connect", connect)
-    cluster = run_scenario(7, trouble_s=_SHORT_S)
-    assert cluster.starts and not tried
+    cluster = run_scenario(7, fault_period_s=_SHORT_S)
+    assert cluster.task_starts and not attempts
 
 
-# -- planted faults -------------------------------------------------------------------------------
+# -- planted bugs ---------------------------------------------------------------------------------
 
 
-def _lapses_at_once(patch: pytest.MonkeyPatch) -> None:
-    """A machine that is silent for a moment has its tasks given away."""
+def _expire_leases_early(patch: pytest.MonkeyPatch) -> None:
+    """Leases count as expired after 0.8 s without contact, so tasks are started elsewhere."""
 
-    def silent(self: Leases, now: Monotonic) -> list[Machine]:
-        known = self._fleet.machines.values()
-        return [m for m in known if m.last_contact_at is not None and now - m.last_contact_at > 0.8]
+    def expired_machines(self: Leases, now: Monotonic) -> list[Machine]:
+        machines = self._fleet.machines.values()
+        return [
+            m for m in machines if m.last_contact_at is not None and now - m.last_contact_at > 0.8
+        ]
 
-    patch.setattr(Leases, "expired_machines", silent)
+    patch.setattr(Leases, "expired_machines", expired_machines)
 
 
-def _deaf_to_users(patch: pytest.MonkeyPatch) -> None:
-    """The leader never hears of a cancellation."""
+def _ignore_cancellations(patch: pytest.MonkeyPatch) -> None:
+    """The leader ignores cancellations."""
     patch.setattr(JobLifecycle, "on_cancelled", lambda *_: None)
 
 
-def _boundless(patch: pytest.MonkeyPatch) -> None:
+def _ignore_quotas(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(SnapshotBuilder, "_teams", lambda _: {})
 
 
-def _anywhere(patch: pytest.MonkeyPatch) -> None:
-    whole = SnapshotBuilder._job_view
+def _ignore_placement_constraints(patch: pytest.MonkeyPatch) -> None:
+    original = SnapshotBuilder._job_view
 
-    def job(self: SnapshotBuilder, *given: Any) -> Any:
-        found = whole(self, *given)
-        found.zone = None
-        found.spot = True
-        return found
+    def job(self: SnapshotBuilder, *args: Any) -> Any:
+        view = original(self, *args)
+        view.zone = None
+        view.spot = True
+        return view
 
     patch.setattr(SnapshotBuilder, "_job_view", job)
 
 
-def _soon_done(patch: pytest.MonkeyPatch) -> None:
-    """The first task's end is the job's."""
-    whole = JobStore.complete
+def _complete_job_with_first_task(patch: pytest.MonkeyPatch) -> None:
+    """The completion of one task completes all tasks of its job."""
+    original = JobStore.complete
 
     def complete(self: JobStore, job: Job, index: int, now: Monotonic) -> bool:
         for other in range(job.spec.tasks):
-            whole(self, job, other, now)
-        return whole(self, job, index, now)
+            original(self, job, other, now)
+        return original(self, job, index, now)
 
     patch.setattr(JobStore, "complete", complete)
 
 
-def _answer(status: int, said: str) -> Callable[[pytest.MonkeyPatch], None]:
-    def fault(patch: pytest.MonkeyPatch) -> None:
+def _answer_with(status: int, job_status: str) -> Callable[[pytest.MonkeyPatch], None]:
+    def plant_bug(patch: pytest.MonkeyPatch) -> None:
         async def answer(self: Admission, job_id: JobId) -> UserReply:
-            return UserReply(status, wire.job_status(job_id, said))
+            return UserReply(status, wire.job_status(job_id, job_status))
 
         patch.setattr(Admission, "_status", answer)
 
-    return fault
+    return plant_bug
 
 
-def _never_answers(patch: pytest.MonkeyPatch) -> None:
+def _always_unavailable(patch: pytest.MonkeyPatch) -> None:
     async def answer(self: Admission, text: str) -> UserReply:
         return UserReply(503, {})
 
     patch.setattr(Admission, "status", answer)
 
 
-def _idle(patch: pytest.MonkeyPatch) -> None:
+def _never_schedule(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(SchedulingLoop, "run", lambda *_: None)
 
 
-def _passes_over(patch: pytest.MonkeyPatch) -> None:
-    """Every third job is never placed, and the machines that it could use stay."""
-    whole = SnapshotBuilder._startable_tasks
+def _skip_every_third_job(patch: pytest.MonkeyPatch) -> None:
+    """A third of the jobs is never placed, and idle machines are not released."""
+    original = SnapshotBuilder._startable_tasks
 
     def waiting(self: SnapshotBuilder, job: Job, now: Monotonic) -> int:
-        return 0 if job.id.endswith(("3", "6", "9")) else whole(self, job, now)
+        return 0 if job.id.endswith(("3", "6", "9")) else original(self, job, now)
 
     patch.setattr(SnapshotBuilder, "_startable_tasks", waiting)
     patch.setattr(Autoscaler, "release_unneeded", lambda *_: None)
 
 
-def _takes_anything(patch: pytest.MonkeyPatch) -> None:
+def _accept_any_specification(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(Admission, "rejection", lambda *_: None)
 
 
-def _ends_by_itself(patch: pytest.MonkeyPatch) -> None:
-    async def watch(*_: object) -> None:
+def _raise_in_lease_creation(patch: pytest.MonkeyPatch) -> None:
+    async def create_lease(*_: object) -> None:
         raise ValueError("planted")
 
-    patch.setattr(StateClient, "create_lease", watch)
+    patch.setattr(StateClient, "create_lease", create_lease)
 
 
 @pytest.mark.parametrize(
-    ("rule", "fault"),
+    ("invariant", "plant_bug"),
     [
-        ("ran_twice", _lapses_at_once),
-        ("ran_cancelled", _deaf_to_users),
-        ("quota", _boundless),
-        ("wrong_place", _anywhere),
-        ("not_done", _soon_done),
-        ("forgotten", _answer(404, wire.JOB_PENDING)),
-        ("forgotten", _never_answers),
-        ("invented", _answer(200, wire.JOB_PENDING)),
-        ("went_back", _answer(200, wire.JOB_CANCELLED)),
-        ("nothing_ran", _idle),
-        ("ended", _ends_by_itself),
+        ("ran_twice", _expire_leases_early),
+        ("ran_cancelled", _ignore_cancellations),
+        ("quota", _ignore_quotas),
+        ("wrong_place", _ignore_placement_constraints),
+        ("not_done", _complete_job_with_first_task),
+        ("forgotten", _answer_with(404, wire.JOB_PENDING)),
+        ("forgotten", _always_unavailable),
+        ("invented", _answer_with(200, wire.JOB_PENDING)),
+        ("went_back", _answer_with(200, wire.JOB_CANCELLED)),
+        ("nothing_ran", _never_schedule),
+        ("ended", _raise_in_lease_creation),
     ],
 )
-def test_each_rule_is_watched(
-    rule: str, fault: Callable[[pytest.MonkeyPatch], None], monkeypatch: pytest.MonkeyPatch
+def test_planted_bug_violates_invariant(
+    invariant: str, plant_bug: Callable[[pytest.MonkeyPatch], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    fault(monkeypatch)
-    # Other rules may break first; this one breaks on some short day.
-    found: set[str] = set()
+    plant_bug(monkeypatch)
+    # Other invariants may be violated first; one of these short runs violates this one.
+    violated: set[str] = set()
     for seed in range(1, 5):
-        config = ClusterConfig(limit_vcpus=16.0 if rule == "quota" else 64.0)
-        if rule == "ran_cancelled":
-            # Of the usual jobs hardly any runs for longer than a cancelled one may.
+        config = ClusterConfig(limit_vcpus=16.0 if invariant == "quota" else 64.0)
+        if invariant == "ran_cancelled":
+            # Most of the default jobs end before `cancel_s` has passed.
             config = ClusterConfig(limit_vcpus=64.0, job_kinds=LONG_JOBS)
-        found |= run_scenario(seed, config, _SHORT_S, until=rule).violated_invariants
-        if rule in found:
+        violated |= run_scenario(seed, config, _SHORT_S, stop_on=invariant).violated_invariants
+        if invariant in violated:
             return
-    raise AssertionError(f"{rule} is not among {found}")
+    raise AssertionError(f"invariant {invariant} not violated; violated: {violated}")
 
 
-async def _odd_requests(cluster: SimulatedCluster) -> None:
+async def _inject_request_faults(cluster: SimulatedCluster) -> None:
     cluster.active_faults.invalid_requests = cluster.active_faults.cancel_in_flight = True
     cluster.active_faults.command_delay_s = 2.0
     await asyncio.sleep(20.0)
@@ -195,45 +205,56 @@
     cluster.active_faults.command_delay_s = 0.0
 
 
-def _starts_whatever_is_bound(patch: pytest.MonkeyPatch) -> None:
-    """A task whose job was called off is started all the same, and never told to stop."""
+def _start_cancelled_tasks(patch: pytest.MonkeyPatch) -> None:
+    """A task whose job is cancelled is started nevertheless, and no stop is ever sent."""
     patch.setattr(Commands, "_may_start", staticmethod(lambda b: b.committed and not b.inherited))
     patch.setattr(Commands, "_may_send_in_response", lambda _, b: b.committed and not b.inherited)
     patch.setattr(Commands, "stop", lambda *_: True)
 
 
 @pytest.mark.parametrize(
-    ("rule", "fault", "quiet_s"),
+    ("invariant", "plant_bug", "quiet_s"),
     [
-        ("waited", _passes_over, 105.0),
-        ("accepted", _takes_anything, 1.0),
-        ("started_late", _starts_whatever_is_bound, 1.0),
+        ("waited", _skip_every_third_job, 105.0),
+        ("accepted", _accept_any_specification, 1.0),
+        ("started_late", _start_cancelled_tasks, 1.0),
     ],
 )
-def test_what_is_newly_counted_is_watched(
-    rule: str,
-    fault: Callable[[pytest.MonkeyPatch], None],
+def test_planted_bug_violates_invariant_during_request_faults(
+    invariant: str,
+    plant_bug: Callable[[pytest.MonkeyPatch], None],
     quiet_s: float,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    sound = run_scenario(1, ClusterConfig(), _SHORT_S, scenario=_odd_requests, quiet_s=quiet_s)
-    assert not sound.violations
-    fault(monkeypatch)
-    found: set[str] = set()
+    unmodified = run_scenario(
+        1, ClusterConfig(), _SHORT_S, scenario=_inject_request_faults, quiet_s=quiet_s
+    )
+    assert not unmodified.violations
+    plant_bug(monkeypatch)
+    violated: set[str] = set()
     for seed in range(1, 5):
-        found |= run_scenario(
-            seed, ClusterConfig(), _SHORT_S, scenario=_odd_requests, quiet_s=quiet_s, until=rule
+        violated |= run_scenario(
+            seed,
+            ClusterConfig(),
+            _SHORT_S,
+            scenario=_inject_request_faults,
+            quiet_s=quiet_s,
+            stop_on=invariant,
         ).violated_invariants
-    assert rule in found
+    assert invariant in violated
 
 
-def test_a_broken_rule_is_told_with_its_day(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_hunt_reports_violation_with_seed_and_events(monkeypatch: pytest.MonkeyPatch) -> None:
     args = ["hunt", "--days", "1", "--seed", "2", "--for-s", "30"]
     fine = CliRunner().invoke(main, args)
-    assert fine.exit_code == 0 and "0 rules broken" in fine.output
-    _deaf_to_users(monkeypatch)
-    _answer(200, wire.JOB_CANCELLED)(monkeypatch)
+    assert fine.exit_code == 0 and "0 invariants violated" in fine.output
+    _ignore_cancellations(monkeypatch)
+    _answer_with(200, wire.JOB_CANCELLED)(monkeypatch)
     bad = CliRunner().invoke(main, args)
     assert bad.exit_code == 1
-    assert "seed 2" in bad.output and "BROKEN" in bad.output and "all troubles" in bad.output
+    assert (
+        "seed 2" in bad.output
+        and "VIOLATED" in bad.output
+        and "all faults have ended" in bad.output
+    )
     assert CliRunner().invoke(main, ["hunt", "--days", "none"]).exit_code == 2
