--- a/tealrill/api/__init__.py
+++ b/tealrill/api/__init__.py
@@ -1,1 +1,1 @@
-"""What others call: users, workers, the other controllers, operators."""
+"""The HTTP interfaces for users, workers, other controllers and operators."""
--- a/tealrill/api/admin.py
+++ b/tealrill/api/admin.py
@@ -1,4 +1,4 @@
-"""The administration API, on the cluster address."""
+"""The administration API, served on the cluster address."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     """GET: the state of this controller."""
 
     def initialize(self, node: Described) -> None:
-        """Set the component to describe."""
+        """Set the component whose state is returned."""
         self._node = node
 
     def get(self) -> None:
--- a/tealrill/api/base.py
+++ b/tealrill/api/base.py
@@ -1,4 +1,4 @@
-"""The base of all request handlers: JSON in, JSON out, errors included."""
+"""Base classes of the request handlers, whose responses and errors are JSON."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class JsonHandler(web.RequestHandler):
-    """A handler that answers everything, errors included, in JSON."""
+    """A handler whose responses, including errors, are JSON."""
 
     def set_default_headers(self) -> None:
         """Declare JSON content and hide the server's version."""
@@ -25,7 +25,7 @@
         self.finish(wire.encode(body))
 
     def write_error(self, status_code: int, **_: Any) -> None:
-        """Answer an unhandled error with its reason phrase."""
+        """Finish the response to a failed request with the status's reason phrase."""
         self.finish(wire.encode({"error": self._reason}))
 
     def compute_etag(self) -> str | None:
@@ -34,12 +34,12 @@
 
 
 class NotFound(JsonHandler):
-    """Any path that is not served."""
+    """Handler of all unknown paths."""
 
     def prepare(self) -> None:
-        """Answer 404 before any method is looked up."""
+        """Answer 404, whatever the method."""
         self.reply(404, {"error": "no such path"})
 
 
 def no_access_log(_: web.RequestHandler) -> None:
-    """Thousands of reports a minute would drown what matters in the log."""
+    """Log nothing: thousands of heartbeats a minute would bury the other log lines."""
--- a/tealrill/api/http_frontend.py
+++ b/tealrill/api/http_frontend.py
@@ -1,12 +1,12 @@
-"""The HTTP front end before the handlers: heartbeats, large bodies, idle connections.
+"""HTTP front end: heartbeats, limits on buffered request bodies, idle connections.
 
-Nine of ten requests are heartbeats, several hundred a second on a share of a core. Routed through
-tornado's application, each would cost several times what its content does; so they are answered
-here, from tornado's own connection. Everything else goes on to the application.
+Nine of ten requests are heartbeats, several hundred a second on a share of a core. Routing one
+through tornado's application would cost several times as much as processing its content, so the
+front end answers heartbeats itself. All other requests are passed to the application.
 
-Bodies are held in memory until they are complete. Many large ones side by side, up to the number of
-sockets, would take more memory than the machine has, so what all of them hold is bounded: past that
-a request is read to its end, dropped piece by piece, and answered 503.
+A body is buffered in memory until it is complete. Concurrent large bodies, as many as there are
+sockets, could exceed the machine's memory, so their total size is limited. Beyond the limit a body
+is read and discarded, and the request is answered 503.
 """
 
 from __future__ import annotations
@@ -31,42 +31,42 @@
 HeartbeatHandler = Callable[[wire.Heartbeat, MachineId], HeartbeatReply]
 
 _IDLE_S: Final = 600.0
-"""A connection on which no request begins for so long is closed: a machine that lost its power
-never closes its own."""
+"""Idle time after which a connection is closed; a machine that loses power leaves its connections
+open."""
 _MAX_RECEIVED: Final = 1024 * 1024
-"""Larger bodies than the protocol allows are read up to here, so that they get a JSON answer."""
+"""Size in bytes up to which a body above the protocol's limit is read to be answered in JSON."""
 _YIELD_EVERY: Final = 8
-"""Requests of one connection after which it yields to others in any case."""
+"""Number of a connection's requests after which it always yields to other connections."""
 _MAX_CACHED_HEAD: Final = 256
 _MAX_CACHED_HEADS: Final = 1024
-"""The largest header block, in bytes, that is cached once parsed, and their number."""
+"""Largest header block in bytes whose parsed form is cached, and the number of cached ones."""
 _READ_CHUNK: Final = 16 * 1024
-"""The maximum number of bytes that a connection reads from the network at once."""
+"""Largest number of bytes that a connection reads at once."""
 
 
 class BodyMemory:
-    """The bytes of request bodies that are held, up to a bound."""
+    """Accounting of the memory that buffered request bodies use, up to a limit."""
 
     def __init__(self, limit: int) -> None:
         self._limit = limit
         self._held_bytes = 0
 
     def reserve(self, size: int) -> bool:
-        """Account for `size` more bytes; False if that would exceed the bound."""
+        """Reserve `size` bytes; return False, reserving nothing, if that would exceed the limit."""
         if self._held_bytes + size > self._limit:
             return False
         self._held_bytes += size
         return True
 
     def release(self, size: int) -> None:
-        """Return `size` reserved bytes."""
+        """Release `size` reserved bytes."""
         self._held_bytes -= size
 
 
 def answer(
     connection: httputil.HTTPConnection, status: int, body: Any, retry_after_s: int | None = None
 ) -> None:
-    """Write a whole JSON response."""
+    """Write a complete JSON response."""
     content = wire.encode(body)
     headers = httputil.HTTPHeaders(
         {"Content-Type": "application/json", "Content-Length": str(len(content))}
@@ -79,7 +79,7 @@
 
 
 class HttpFrontend(httputil.HTTPServerConnectionDelegate):
-    """The delegate of a server: `handle_heartbeat` answers workers, `application` the rest."""
+    """Delegate of a server: `handle_heartbeat` processes heartbeats, `application` the rest."""
 
     def __init__(
         self,
@@ -91,21 +91,21 @@
         self.handle_heartbeat = handle_heartbeat
         self.heartbeat_bodies = BodyMemory(max_held_bytes)
         self.other_bodies = BodyMemory(max_held_bytes)
-        """Apart, so that a flood of users' bodies keeps no worker from its lease."""
+        """Limited separately, so that users' large bodies don't prevent lease renewals."""
         self._requests: dict[Any, _Request] = {}
-        """Per connection its last request, or the one that has not begun."""
+        """The latest request of each connection, which may not have begun to arrive."""
 
     def start_request(
         self, server_conn: object, request_conn: httputil.HTTPConnection
     ) -> httputil.HTTPMessageDelegate:
-        """Create the collector of a connection's next request."""
-        # Called when the one before is answered: until then its handler holds its body.
+        """Create the delegate of a connection's next request."""
+        # The previous request has been answered, so its handler no longer uses its body.
         self.on_close(server_conn)
         request = self._requests[server_conn] = _Request(self, server_conn, request_conn)
         return request
 
     def on_close(self, server_conn: object) -> None:
-        """Release what the last request of a closed connection holds."""
+        """Release the memory reserved by a connection's last request."""
         request = self._requests.pop(server_conn, None)
         if request is not None:
             request.release()
@@ -116,14 +116,17 @@
         return len(self._requests)
 
     async def close_idle(self, now: Monotonic) -> None:
-        """Close connections idle for too long; tornado's own timeout sets a timer per request."""
+        """Close connections that have been idle for too long.
+
+        tornado's idle timeout would need a timer per request.
+        """
         for connection, request in list(self._requests.items()):
             if not request.has_begun and now - request.since > _IDLE_S:
                 await connection.close()
 
 
 class Server(httpserver.HTTPServer):
-    """The HTTP server; tornado's own does not tell its delegate that a connection closed."""
+    """HTTP server that notifies its delegate of closed connections, unlike tornado's."""
 
     def __init__(self, front: HttpFrontend) -> None:
         super().__init__(front, max_body_size=_MAX_RECEIVED, chunk_size=_READ_CHUNK)
@@ -145,11 +148,12 @@
 
 
 class _Connection(HTTP1ServerConnection):
-    """tornado's connection, which goes on without a turn of the loop where nothing waits for it.
+    """tornado's server connection, without its yield to the event loop after every request.
 
-    tornado yields after every request, so that a peer that sends many in one go does not keep
-    others from theirs. A worker sends the next one 2.5 s later: then the turn, with its look at all
-    sockets, is for nothing, and turns were half of all those of a large fleet's leader.
+    tornado yields so that a peer that pipelines requests does not starve other connections. A
+    worker sends its next heartbeat 2.5 s later, so that yield only costs an iteration of the event
+    loop, which polls all sockets: on the leader of a large fleet, half of all iterations. This
+    connection yields only if more data has been received, and after every few requests.
     """
 
     async def _server_request_loop(self, delegate: httputil.HTTPServerConnectionDelegate) -> None:
@@ -167,14 +171,14 @@
                 ):
                     return
                 except Exception:
-                    log.exception("a request failed")
+                    log.exception("unhandled error in a request")
                     message.close()
                     return
                 served += 1
-                # tornado has no public name for the bytes it has read ahead.
+                # tornado has no public attribute for the number of bytes it has read ahead.
                 read_ahead = self.stream._read_buffer_size  # noqa: SLF001
                 if read_ahead or served % _YIELD_EVERY == 0:
-                    # The next request is buffered, or may be at the socket: others go first.
+                    # Another request is buffered or may be waiting in the socket.
                     await asyncio.sleep(0)
         finally:
             delegate.on_close(self)
@@ -184,7 +188,7 @@
 
 
 class _Message(HTTP1Connection):
-    """A message whose header block is parsed once: workers send the same again and again."""
+    """A message whose parsed header block is cached, since workers repeat theirs."""
 
     _heads: ClassVar[dict[bytes, _Head]] = {}
 
@@ -192,7 +196,7 @@
         head = self._heads.get(data)
         if head is None:
             head = super()._parse_headers(data)
-            # What comes from workers says little; others' heads are long, and hardly ever again.
+            # Workers' header blocks are short; longer ones of other clients rarely recur.
             if len(data) <= _MAX_CACHED_HEAD and "," not in head[1].get("Content-Length", ""):
                 if len(self._heads) >= _MAX_CACHED_HEADS:
                     self._heads.clear()
@@ -201,7 +205,7 @@
 
 
 class _Rejection(NamedTuple):
-    """The answer to a request whose body is dropped."""
+    """The response to a request whose body is discarded."""
 
     status: int
     error: str
@@ -209,7 +213,7 @@
 
 
 class _Request(httputil.HTTPMessageDelegate):
-    """One request: its body is collected, then answered or forwarded in one piece."""
+    """A request whose body is buffered, then answered here or passed to the application."""
 
     def __init__(
         self, front: HttpFrontend, server_conn: object, connection: httputil.HTTPConnection
@@ -220,12 +224,12 @@
         self._server_conn = server_conn
         self._connection = connection
         self._delegate: httputil.HTTPMessageDelegate | None = None
-        """What answers it; None for a heartbeat."""
+        """The application's delegate; None for a heartbeat."""
         self._held = front.heartbeat_bodies
         self._chunks: list[bytes] = []
         self._size = 0
         self._rejection: _Rejection | None = None
-        """Why the body is being dropped."""
+        """Set once the body is being discarded."""
 
     def headers_received(
         self,
@@ -250,7 +254,7 @@
         if self._delegate is None and self._size + len(chunk) > wire.MAX_BODY:
             self._rejection = _Rejection(400, "the body is larger than 64 KiB")
         elif not self._held.reserve(len(chunk)):
-            # Whether the job was accepted before can't be told without its id: no 400.
+            # Not 400: without its id, a new job can't be told from one that is already accepted.
             self._rejection = _Rejection(503, "too much at once", retry_after_s=1)
         else:
             self._size += len(chunk)
--- a/tealrill/api/peers.py
+++ b/tealrill/api/peers.py
@@ -1,4 +1,4 @@
-"""What the controllers ask of each other, on the cluster address."""
+"""Requests between controllers, served on the cluster address."""
 
 from __future__ import annotations
 
@@ -10,10 +10,13 @@
 
 
 class LeaseExtensionHandler(JsonHandler):
-    """A leader asks this controller not to stand for election while the state service is down."""
+    """POST: a leader's request for a lease extension while the state service is unreachable.
+
+    A controller that grants it does not campaign until the grant expires.
+    """
 
     def initialize(self, extension: LeaseExtension) -> None:
-        """Set the lease extension that decides."""
+        """Set the lease extension that decides on requests."""
         self._extension = extension
 
     async def post(self) -> None:
@@ -27,10 +30,10 @@
 
 
 class PingHandler(JsonHandler):
-    """Whether this controller can be reached from another, and whether it leads."""
+    """GET: reachability check, which also tells whether this controller leads."""
 
     def initialize(self, extension: LeaseExtension) -> None:
-        """Set the lease extension that knows who leads."""
+        """Set the lease extension that provides the presence."""
         self._extension = extension
 
     def get(self) -> None:
@@ -39,7 +42,7 @@
 
 
 class CatalogueHandler(JsonHandler):
-    """The machine types as this controller knows them."""
+    """GET: the machine types that this controller knows."""
 
     def initialize(self, known: Callable[[], wire.Catalogue | None]) -> None:
         """Set the function that returns the catalogue, or None while it is unknown."""
--- a/tealrill/api/relay.py
+++ b/tealrill/api/relay.py
@@ -1,10 +1,10 @@
-"""Users' requests on a controller that can't reach the state service, while another one can.
+"""Relay of users' requests to another controller.
 
-A cut between this controller and the state service, or a refusal that reaches this controller
-alone, looks to its users like an outage. Every controller gives the same answers from the same
-records, so the request is handed to another controller when the own attempt was refused or is slow.
-Both may succeed: each change is guarded by its key's version, so the second finds what the first
-has done.
+If a partition separates only this controller from the state service, or the service rejects only
+this controller's requests, its users would see an outage. Every controller answers from the same
+records, so a request is also sent to another controller if the local attempt failed or is slow.
+Both attempts may succeed: each change is guarded by the version of its key, so the second attempt
+finds the result of the first.
 """
 
 from __future__ import annotations
@@ -25,15 +25,15 @@
 
 PEER_PREFIX: Final = "/peer"
 _SLOW_S: Final = 0.1
-"""The state service answers within 10 ms as a rule; a second attempt elsewhere may be faster."""
+"""Time after which a submission is also relayed; the state service usually takes 10 ms."""
 _SLOW_POLL_S: Final = 0.4
 _TIMEOUT_S: Final = 0.6
 _AGAIN_S: Final = 0.2
-"""While no controller settles anything, one request in so long tries whether that is still so."""
+"""Interval between relayed requests while no other controller gives conclusive answers."""
 
 
 class JobRequests(Protocol):
-    """The requests of users."""
+    """Users' requests concerning jobs."""
 
     async def submit(self, body: bytes) -> Reply:
         """Submit the job described by the request body."""
@@ -46,14 +46,14 @@
 
 
 class Relay:
-    """Answers from this controller, or by way of another one."""
+    """Users' requests, processed by this controller or by another one."""
 
     def __init__(self, local: JobRequests, settings: Settings, failing: Callable[[], bool]) -> None:
         self._local = local
         self._failing = failing
         self._peers = list(peer_clients(settings, most=2).values())
         self._in_vain = 0
-        """So many requests in a row, handed on, were settled by nobody."""
+        """Number of consecutive relayed requests without a conclusive answer."""
         self._in_vain_at = Monotonic(-math.inf)
 
     async def submit(self, body: bytes) -> Reply:
@@ -78,10 +78,11 @@
         slow_s: float,
         timeout_s: float = _TIMEOUT_S,
     ) -> Reply:
-        """Return the first conclusive answer; if there is none, that of this controller.
+        """Return the first conclusive reply, or this controller's own if there is none.
 
-        `there` is the same request as another controller takes it: path, method and body. It is
-        sent when the own attempt could not be made, or has taken `slow_s`.
+        `there` is the equivalent request to another controller: path, method and body. It is sent
+        if the state service is failing, if the local attempt is inconclusive, or once that has
+        taken `slow_s` seconds.
         """
         here = asyncio.create_task(local)
         other: asyncio.Task[Reply | None] | None = None
@@ -101,7 +102,10 @@
                 other.cancel()
 
     def _worth_asking(self) -> bool:
-        """Return whether another controller may answer; in an outage none does."""
+        """Return True if another controller may give a conclusive answer.
+
+        In an outage of the state service none can, and only one request per interval is relayed.
+        """
         if not self._peers:
             return False
         some = self._in_vain < 2 * len(self._peers)
@@ -110,16 +114,16 @@
     async def _ask(
         self, path: str, method: str, body: bytes | None, timeout_s: float
     ) -> Reply | None:
-        """Return another controller's answer, or None if it has none either."""
+        """Return another controller's reply, or None if that is inconclusive too."""
         peer = self._peers[0]
         try:
             answer = await peer.request(method, PEER_PREFIX + path, body, timeout_s)
             reply = Reply(answer.status, wire.decode(answer.body, dict[str, Any]))
         except (NoAnswerError, wire.MalformedMessageError) as error:
-            log.debug("request to another controller failed: error=%s", error)
+            log.debug("relayed request failed: error=%s", error)
             reply = None
         if reply is None or reply.status >= 500:
-            # The next request goes to the next controller.
+            # Relay the next request to the next controller in turn.
             self._peers = [*self._peers[1:], peer]
             self._in_vain += 1
             self._in_vain_at = monotonic_now()
--- a/tealrill/api/users.py
+++ b/tealrill/api/users.py
@@ -1,4 +1,4 @@
-"""The users' API."""
+"""The API for users."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 class _AdmissionHandler(JsonHandler):
     def initialize(self, admission: JobRequests) -> None:
-        """Set what answers the requests."""
+        """Set the component that processes the requests."""
         self._admission = admission
 
     def answer(self, reply: Reply) -> None:
-        """Write the reply to a request."""
+        """Finish the response with a reply."""
         self.reply(reply.status, reply.body, reply.retry_after_s)
 
 
@@ -44,10 +44,10 @@
 
 
 class HealthHandler(JsonHandler):
-    """GET: whether this controller can serve users."""
+    """GET: health check of this controller."""
 
     def initialize(self, healthy: Callable[[], bool]) -> None:
-        """Set the function that tells whether the controller is healthy."""
+        """Set the function that returns True if the controller is healthy."""
         self._healthy = healthy
 
     def get(self) -> None:
--- a/tealrill/change_log.py
+++ b/tealrill/change_log.py
@@ -1,4 +1,4 @@
-"""A log line once a change: what a loop finds again and again is said when it is new."""
+"""Logging of recurring findings: a message is logged only when it differs from the last one."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 
 
 class ChangeLog:
-    """Says what holds, each time that it differs from what was said before."""
+    """Wrapper of a logger that suppresses repetitions of the last message."""
 
     def __init__(self, log: logging.Logger) -> None:
         self._log = log
         self._said = ""
 
     def info(self, text: str) -> None:
-        """Logs the text unless it is the one that was logged last."""
+        """Log the text at level INFO unless it is the text logged last."""
         self._say(logging.INFO, text)
 
     def error(self, text: str) -> None:
-        """The same at the level of errors."""
+        """Log the text at level ERROR unless it is the text logged last."""
         self._say(logging.ERROR, text)
 
     def _say(self, level: int, text: str) -> None:
@@ -26,5 +26,5 @@
             self._log.log(level, "%s", text)
 
     def forget(self) -> None:
-        """The next text is logged in any case."""
+        """Log the next text even if it repeats the last one."""
         self._said = ""
--- a/tealrill/daemon.py
+++ b/tealrill/daemon.py
@@ -1,4 +1,4 @@
-"""One controller: its servers, its election, and the leader's term when it has one."""
+"""A controller: its HTTP servers, leader election, and the leader while it is elected."""
 
 from __future__ import annotations
 
@@ -44,10 +44,10 @@
 log = logging.getLogger(__name__)
 
 _HELD_PART: Final = 0.1
-"""The part of the machine's memory that held bodies may take, reports and others each."""
+"""Share of the memory quota for buffered request bodies, for heartbeats and others each."""
 _CLOSE_IDLE_S: Final = 30.0
 _HAND_OVER_S: Final = 1.0
-"""What is under way is waited for so long; the lease is three times that."""
+"""Time limit for finishing work in flight before a handover; a third of the lease's TTL."""
 _HAND_OVER_LOOK_S: Final = 0.02
 _RESIGN_PAUSE_S: Final = 10.0
 _SILENT_REPORTS: Final = 4.0
@@ -60,7 +60,7 @@
     """One controller process."""
 
     def __init__(self, settings: Settings, features: Features | None = None) -> None:
-        """Wire the controller together; without `features` all extensions are off."""
+        """Assemble the controller; without `features` all extensions are disabled."""
         params = settings.params
         self._settings = settings
         self._features = features or Features()
@@ -113,7 +113,7 @@
                 self.admission.implicit_jobs = extension.names
 
     def _enabled_extensions(self) -> list[Extension]:
-        """Make the extensions that are switched on; what is off is not even imported."""
+        """Create the enabled extensions; the modules of disabled ones are not imported."""
         found: list[Extension] = []
         if self._features.graphs.on:
             from tealrill.graphs.extension import graphs
@@ -133,7 +133,7 @@
     # -- running --------------------------------------------------------------------------------
 
     async def run(self, *more: Callable[[], Coroutine[Any, Any, None]]) -> None:
-        """Serve until it is cancelled; `more` are loops that run beside the controller's own."""
+        """Serve until cancelled, running the loops in `more` alongside the controller's own."""
         self._listen()
         async with asyncio.TaskGroup() as group:
             group.create_task(self.election.run())
@@ -179,7 +179,11 @@
             server = Server(front)
             server.listen(address.port, address.host)
             self.servers.append(server)
-        log.info("%s listens on %s", self._settings.host_name, self._settings.client_listen)
+        log.info(
+            "controller listening: host=%s address=%s",
+            self._settings.host_name,
+            self._settings.client_listen,
+        )
 
     async def _close_idle(self) -> None:
         while True:
@@ -188,7 +192,7 @@
                 await front.close_idle(monotonic_now())
 
     async def _terms(self) -> None:
-        """Run a `Leader` for as long as the election says so."""
+        """Run a `Leader` for each term that this controller is elected for."""
         while True:
             await self._leader_changed.wait()
             self._leader_changed.clear()
@@ -219,14 +223,15 @@
 
     async def _end_term(self, term: asyncio.Task[None]) -> None:
         term.cancel()
-        # Awaited itself, its cancellation could not be told from that of this node: a node that was
-        # stopped right after its leadership ended went on for ever.
+        # `await term` would raise CancelledError for the term's cancellation as well as for this
+        # coroutine's own. With one taken for the other, a controller that is stopped right after
+        # its leadership ended would never stop.
         await asyncio.wait({term})
         error = None if term.cancelled() else term.exception()
         if error is not None:
-            # Another node, or this one in a new term, starts again from the records.
-            log.error("the term ended by an error", exc_info=error)
-            await self.election.resign("an error ended the term", 1.0)
+            # The next leader, which may be this controller, restores its state from the records.
+            log.error("term aborted by an unhandled error", exc_info=error)
+            await self.election.resign("unhandled error in the term", 1.0)
 
     # -- workers --------------------------------------------------------------------------------
 
@@ -235,8 +240,10 @@
     ) -> tuple[int, dict[str, Any]]:
         """Process a worker's heartbeat; return the status and the body of the response.
 
-        Only a leader that is valid at this moment, and that knows what users were told is
-        cancelled, responds with 200, or a node that renews in its place.
+        The status is 200, which renews the worker's lease, only if this controller leads with a
+        valid lease and its knowledge of acknowledged cancellations is recent enough, or if the
+        leader has delegated renewals to it. Otherwise 421 redirects the worker to the leader as far
+        as it is known, or 503 rejects the heartbeat.
         """
         now = monotonic_now()
         self._last_report = now
@@ -245,14 +252,14 @@
         if leadership is None or self.leader is None or not self.leader.may_renew_workers(now):
             term = self._renewal_delegate.renewal_token(report, machine_id, now)
             if term is not None:
-                # The leader can't hear this worker, and waits for it.
+                # A delegated renewal: heartbeats of this worker don't reach the leader.
                 self._report_counts.delegated += 1
                 return 200, wire.report_answer(term, [])
             known = self.election.known_leader
             host = known.host if known is not None else None
             if host == self._settings.host_name or self._renewal_delegate.leader_unreachable:
-                # Sent to a leader that does not answer this node either, a worker loses 4 s of its
-                # lease there; asking the next node costs 1 s.
+                # Name no leader. A worker that is redirected to an unreachable leader loses 4 s of
+                # its lease waiting for it; trying the next controller costs 1 s.
                 host = None
             self._report_counts.redirected += 1
             return 421, wire.redirect(host)
@@ -264,10 +271,10 @@
         return 200, wire.report_answer(leadership.term, commands)
 
     def _has_quorum_reach(self) -> bool:
-        """Whether workers reach this node, and whether there can be workers in its own zone.
+        """Return True if heartbeats still reach this controller and its zone offers machine types.
 
-        A leader in a zone without machines is cut off from all of them in turn by every cut of its
-        zone; one that has machines beside it keeps at least those.
+        A partition of its zone cuts a leader in a zone without machines off from every machine. A
+        leader with machines in its own zone still reaches those.
         """
         last = self._last_report
         if last is not None and monotonic_now() - last > self._silent_s:
@@ -286,14 +293,14 @@
         return self._settings.params.workers.heartbeat_interval_s
 
     async def _check_reachability(self) -> None:
-        """Let somebody else lead when no worker reaches this leader any more."""
+        """Resign, so that another member can lead, once no heartbeats reach this leader."""
         while True:
             due = monotonic_now() + _TERM_CHECK_S
             await asyncio.sleep(_TERM_CHECK_S)
             leader, leadership, last = self.leader, self.election.leadership, self._last_report
             now = monotonic_now()
             if leader is None or leadership is None or last is None or now - due > _STOOD_STILL_S:
-                # After a standstill of this node the workers' reports wait to be read.
+                # After a pause of this process, heartbeats that arrived meanwhile are still unread.
                 continue
             heard = sum(
                 m.last_contact_at is not None and not m.lease_expired
@@ -302,17 +309,18 @@
             if heard < _HEARD_BEFORE or not leadership.valid(now):
                 continue
             if now - last > self._silent_s:
-                await self.election.resign("no worker reports any more", _RESIGN_PAUSE_S)
+                await self.election.resign("no heartbeats arrive", _RESIGN_PAUSE_S)
             elif failure_detector.has_lost_all_heartbeats(now - last, heard, self._report_s) and (
                 await self._transfer.peer_receives_heartbeats(heard)
             ):
-                await self.election.resign("workers report to others only", _RESIGN_PAUSE_S)
+                await self.election.resign("heartbeats reach only other members", _RESIGN_PAUSE_S)
 
     async def hand_over(self, why: str) -> None:
-        """Give up leading in good order: what was begun is written, the rest is left recorded.
+        """Finish the work in flight, within a time limit, and resign leadership.
 
-        The next leader starts as soon as the lease's end is seen, instead of a lease later. A node
-        that does not lead has nothing to hand over.
+        Requests to the cloud are not waited for; they are recorded, and the next leader completes
+        them. Because the lease is released, another member can be elected at once instead of after
+        the lease has expired. Does nothing if this controller does not lead.
         """
         leader = self.leader
         if leader is None or self.election.leadership is None:
@@ -324,7 +332,7 @@
         await self.election.resign(why, _RESIGN_PAUSE_S)
 
     def _leader_in(self, leadership: Leadership) -> Leader | None:
-        """Return the leader of just this term, None if there is none."""
+        """Return this controller's leader if it runs the given term, else None."""
         leader = self.leader
         return leader if leader is not None and leader.runs_term(leadership) else None
 
@@ -344,9 +352,9 @@
 
     def _cancelled_elsewhere(self, job: str) -> None:
         if self.leader is not None:
-            self.leader.lifecycle.on_cancelled(job, "word of a member")
+            self.leader.lifecycle.on_cancelled(job, "acknowledged by another member")
 
-    # -- what is shown --------------------------------------------------------------------------
+    # -- status ----------------------------------------------------------------------------------
 
     def _counts(self, job_id: JobId) -> tuple[int, int] | None:
         leader = self.leader
@@ -356,7 +364,7 @@
         return (job.done_count, job.bound_count) if job is not None else (0, 0)
 
     def describe(self) -> dict[str, Any]:
-        """Return this controller's state, for operators."""
+        """Return the state of this controller for operators."""
         return describe_node(
             self._settings.host_name,
             self.election,
--- a/tealrill/errors.py
+++ b/tealrill/errors.py
@@ -1,5 +1,5 @@
-"""The base of all exceptions that this package raises."""
+"""The base class of the exceptions that this package raises."""
 
 
 class TealrillError(Exception):
-    """Something failed in a way that the program knows of and names."""
+    """An expected failure, described by its message."""
--- a/tealrill/http.py
+++ b/tealrill/http.py
@@ -1,8 +1,8 @@
 """An HTTP/1.1 client with persistent connections, over tornado's protocol implementation.
 
-tornado's simple client opens a connection for every request. With a share of a core and a limited
-number of sockets that costs more than the request itself, so idle connections are kept here and
-used again; the parsing and writing of messages stay tornado's.
+tornado's simple client opens a connection for every request, which costs more than the request
+itself when the process has only a share of a core and a limited number of sockets. This client
+keeps idle connections and reuses them; tornado still parses and writes the messages.
 """
 
 from __future__ import annotations
@@ -25,19 +25,19 @@
 
 
 class NoAnswerError(TealrillError):
-    """No answer came. `sent` is False only if the request certainly never left."""
+    """No response was received. `sent` is False only if no byte of the request was sent."""
 
     def __init__(self, why: str, sent: bool, refused: bool = False, silent: bool = False) -> None:
         super().__init__(why)
         self.sent = sent
         self.refused = refused
-        """The connection was refused at once."""
+        """The connection was refused."""
         self.silent = silent
-        """Nothing at all came within the time."""
+        """No complete response arrived within the timeout."""
 
 
 class Answer(httputil.HTTPMessageDelegate):
-    """Collects one response."""
+    """Collector of one response."""
 
     def __init__(self) -> None:
         self.status = 0
@@ -67,29 +67,30 @@
 
 
 def send_at_once(stream: iostream.IOStream) -> None:
-    """Disable Nagle's algorithm for as long as the connection stands.
+    """Disable Nagle's algorithm for the lifetime of the connection.
 
-    tornado sets that before each message and takes it back after it: two more system calls beside
-    the three or four that a report takes.
+    tornado disables it before each message and enables it afterwards. That adds two system calls
+    to the three or four that a heartbeat takes.
     """
     stream.set_nodelay(True)
     stream.set_nodelay = _as_it_is  # type: ignore[method-assign]
 
 
 def _as_it_is(value: bool) -> None:
-    """Leaves the stream's setting alone."""
+    """Ignore a change of the setting."""
 
 
 async def accepts(address: Address, timeout_s: float) -> bool | None:
-    """Return whether something at the address accepts or refuses connections; None if unknown.
+    """Return True if the host at the address answers a connection attempt, None if unknown.
 
-    False is silence for all of the time. A machine that has lost power or is cut off is silent; one
-    whose processes stand still connects all the same.
+    A refused connection counts as an answer. False means no answer within `timeout_s`: the machine
+    has lost power or is partitioned. If only its processes hang, its kernel still accepts
+    connections.
     """
     try:
         stream = iostream.IOStream(socket.socket())
     except OSError:
-        # No socket left: that is this controller's trouble and says nothing of the other.
+        # This process has no file descriptor left, which says nothing about the other host.
         return None
     loop = asyncio.get_running_loop()
     began = loop.time()
@@ -97,7 +98,7 @@
         async with asyncio.timeout(timeout_s):
             await stream.connect((address.host, address.port))
     except TimeoutError:
-        # Where this loop itself was late the answer may be waiting unread.
+        # If this event loop was delayed, the answer may have arrived and not been read yet.
         return None if loop.time() - began > timeout_s + _LATE_S else False
     except (OSError, iostream.StreamClosedError) as error:
         cause = getattr(error, "real_error", None) or error
@@ -109,7 +110,7 @@
 
 
 class Client:
-    """Requests to one address. At most `most` connections are kept idle."""
+    """HTTP client of one address that keeps at most `most` idle connections."""
 
     def __init__(self, address: Address, most: int = 4) -> None:
         self._address = address
@@ -124,9 +125,10 @@
         timeout_s: float = 2.0,
         check: Callable[[], None] | None = None,
     ) -> Answer:
-        """Send one request and return its response; raise `NoAnswerError` if none came.
+        """Send a request and return its response; raise `NoAnswerError` if none is received.
 
-        `check` is called once there is a connection and before any byte leaves; it may raise.
+        `check` is called when a connection is open and before the first byte is sent; what it
+        raises aborts the request.
         """
         sent = False
         stream: iostream.IOStream | None = None
@@ -196,5 +198,5 @@
 
 
 def peer_clients(settings: Settings, most: int = 1) -> dict[str, Client]:
-    """Return a client of each other member, by host name."""
+    """Return a client for each other member, by host name."""
     return {m.host_name: Client(parse_address(m.peer_addr), most) for m in settings.members}
--- a/tests/test_prober.py
+++ b/tests/test_prober.py
@@ -250,7 +250,7 @@
                 await asked.wait()
                 while elsewhere and not resigned:
                     await asyncio.sleep(0.01)
-            assert resigned[:1] == (["workers report to others only"] if elsewhere else [])
+            assert resigned[:1] == (["heartbeats reach only other members"] if elsewhere else [])
         finally:
             await world.stop()
 
