--- a/run.py
+++ b/run.py
@@ -1,8 +1,8 @@
-"""Starts tealrill from a checkout, with the libraries that the build put under target/deps.
+"""Start tealrill from a checkout, with the libraries that the build installed in target/deps.
 
-A process that starts on a share of a core feels it when sources are compiled anew, and there is no
-disk to keep what was compiled. So the build makes a compiled copy under target/app, which is used
-as long as it is the copy of these very sources.
+Compiling the sources at each start is slow on a share of a core, and there is no disk for a
+bytecode cache. So the build makes a compiled copy in target/app. It is used if its sources have the
+same paths, sizes and modification times as those of the checkout.
 """
 
 import sys
@@ -13,7 +13,7 @@
 
 
 def _sources(root: Path) -> set[tuple[str, int, int]]:
-    """Each source's name, size and time of change."""
+    """Return the path, size and modification time of each source file."""
     found = set()
     for path in (root / "tealrill").rglob("*.py"):
         status = path.stat()
--- a/tealrill/cli/__init__.py
+++ b/tealrill/cli/__init__.py
@@ -1,7 +1,7 @@
 """The command line.
 
-Groups of verbs are modules of their own and imported when they are called: the daemon is started
-from here too, and must not load the libraries of tools.
+Each group of commands is a module that is imported only when the group is invoked, because the
+daemon is started from here too and must not load the libraries of the tools.
 """
 
 from __future__ import annotations
@@ -27,11 +27,11 @@
 
 
 _GROUPS: Final = {"graph": "Task graphs: submit, watch, cancel, draw."}
-"""Modules of this package with a group of verbs of the same name."""
+"""Modules of this package and the help of the command group of the same name in each."""
 
 
 class _Groups(click.Group):
-    """Imports a group of verbs when it is asked for."""
+    """A group whose nested groups are imported on demand."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
         return sorted({*super().list_commands(ctx), *_GROUPS})
@@ -62,7 +62,7 @@
 @click.group(cls=_Groups)
 @click.version_option(__version__, prog_name="tealrill")
 def main() -> None:
-    """A cluster scheduler: the daemon and its operators' verbs."""
+    """A cluster scheduler: the daemon and commands for operators."""
 
 
 @main.command()
@@ -77,10 +77,10 @@
     "--features",
     "features_path",
     type=click.Path(path_type=Path),
-    help="What is switched on beyond the core (TOML); without it, nothing.",
+    help="Features that are enabled beyond the core (TOML); none without it.",
 )
 def serve(config: Path, features_path: Path | None) -> None:
-    """Run a controller node until it is killed."""
+    """Run a controller until it is stopped."""
     try:
         settings = load(config)
         switched = features.load(features_path) if features_path is not None else None
@@ -97,7 +97,7 @@
 @main.command()
 @click.option("--address", required=True, help="A node's cluster address, host:port.")
 def status(address: str) -> None:
-    """Show what a node knows of the service."""
+    """Show the state of a controller as JSON."""
     try:
         client = Client(parse_address(address))
         answer = asyncio.run(client.request("GET", "/admin/state", timeout_s=5.0))
--- a/tealrill/cli/draw.py
+++ b/tealrill/cli/draw.py
@@ -1,7 +1,7 @@
-"""Pictures of graphs: Graphviz DOT by pydot, SVG laid out by grandalf and written by svgwrite.
+"""Drawings of graphs: Graphviz DOT by pydot, SVG laid out by grandalf and written by svgwrite.
 
-Large graphs are drawn by groups: nodes of one name (up to its first hyphen) in one layer are one
-box with their number, since ten thousand boxes show nothing.
+In a large graph the nodes of a layer whose keys share the part before the first hyphen are drawn as
+one box with their number, since a drawing of ten thousand boxes is unreadable.
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Box:
-    """One node of the drawing."""
+    """A box of the drawing: a node or a group of nodes."""
 
     label: str
     tasks: int
@@ -49,14 +49,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Picture:
-    """Boxes, and the arrows between them with their kind."""
+    """Boxes and the arrows between them: from, to, kind of dependency."""
 
     boxes: list[Box]
     arrows: list[tuple[int, int, int]]
 
 
 def picture(shape: Shape, states: Sequence[str] | None = None, most: int = MOST_BOXES) -> Picture:
-    """What is drawn: each node, or groups of them when there are more than `most`."""
+    """Return the drawing of a graph, with its nodes grouped if there are more than `most`."""
     if shape.nodes <= most:
         group = list(range(shape.nodes))
         names = [f"{key}" for key in shape.keys]
@@ -92,7 +92,7 @@
 
 
 def dot(drawn: Picture, name: str) -> str:
-    """Graphviz DOT."""
+    """Return the drawing in Graphviz DOT."""
     graph = pydot.Dot(f'"{name}"', graph_type="digraph", rankdir="LR")
     graph.set_node_defaults(shape="box", style="filled", fillcolor="white")
     for number, box in enumerate(drawn.boxes):
@@ -108,7 +108,7 @@
 
 
 class _Size:
-    """What the layout asks of a box: its size; it sets the place of the middle."""
+    """View of a vertex for grandalf: its size, and its centre, which the layout sets."""
 
     def __init__(self, width: float) -> None:
         self.w = width
@@ -117,7 +117,7 @@
 
 
 def svg(drawn: Picture, name: str) -> str:
-    """SVG, in layers from top to bottom."""
+    """Return the drawing in SVG, with its layers from top to bottom."""
     vertices = [Vertex(box) for box in drawn.boxes]
     for vertex in vertices:
         vertex.view = _Size(_CHAR * len(_text(vertex.data)) + 16)
--- a/tealrill/cli/graph.py
+++ b/tealrill/cli/graph.py
@@ -1,4 +1,4 @@
-"""`tealrill graph ...`: graph files, from a check to a finished graph."""
+"""`tealrill graph ...`: commands that check, submit, watch, cancel and draw graphs."""
 
 from __future__ import annotations
 
@@ -28,11 +28,11 @@
     default=["127.0.0.1:8080"],
     show_default=True,
     envvar="TEALRILL_ADDRESS",
-    help="Where users connect, host:port; several times for several.",
+    help="A controller's client address, host:port; repeatable.",
 )
 _json = click.option("--json", "as_json", is_flag=True, help="JSON lines instead of text.")
 _patience = click.option(
-    "--retry-s", default=60.0, show_default=True, help="How long a request is tried again."
+    "--retry-s", default=60.0, show_default=True, help="How long a request is retried, in seconds."
 )
 
 
@@ -50,7 +50,7 @@
 
 
 def _line(message: dict[str, Any]) -> str:
-    """A graph's state in a line."""
+    """Return the state of a graph as one line."""
     parts = [str(message.get("id", "")), str(message.get("status", ""))]
     if "nodes" in message:
         parts.append(f"{message['nodes']} nodes")
@@ -95,8 +95,8 @@
 
 @graph.command()
 @click.argument("file", type=click.Path(path_type=Path))
-@click.option("--id", "graph_id", help="Instead of the file's: the same graph once more.")
-@click.option("--watch/--no-watch", "follow", default=False, help="Watch it to its end.")
+@click.option("--id", "graph_id", help="Replaces the file's id, to submit the graph once more.")
+@click.option("--watch/--no-watch", "follow", default=False, help="Watch the graph until it ends.")
 @_address
 @_patience
 @_json
@@ -108,7 +108,7 @@
     retry_s: float,
     as_json: bool,
 ) -> None:
-    """Submit the graph in FILE. Submitted again under the same id, it is the same graph."""
+    """Submit the graph in FILE. Repeating it with the same id does not create another graph."""
     try:
         content = load(file)
         if graph_id is not None:
@@ -125,9 +125,9 @@
 
 @graph.command()
 @click.argument("graph_id", metavar="ID")
-@click.option("--nodes", "with_nodes", is_flag=True, help="List its nodes too.")
+@click.option("--nodes", "with_nodes", is_flag=True, help="Also list its nodes.")
 @click.option("--state", type=click.Choice(STATES), help="Only nodes in this state.")
-@click.option("--most", default=100, show_default=True, help="At most so many nodes.")
+@click.option("--most", default=100, show_default=True, help="Maximum number of nodes.")
 @_address
 @_patience
 @_json
@@ -140,7 +140,7 @@
     retry_s: float,
     as_json: bool,
 ) -> None:
-    """Show a graph, and its nodes if asked to."""
+    """Show a graph and optionally its nodes."""
     try:
         with _client(addresses, retry_s) as client:
             _print(client.show_graph(graph_id), as_json)
@@ -160,7 +160,7 @@
 @_patience
 @_json
 def watch(graph_id: str, addresses: tuple[str, ...], retry_s: float, as_json: bool) -> None:
-    """Watch a graph to its end. Exit status 0 if it is done, 1 if it failed or was cancelled."""
+    """Watch a graph until it ends. Exit status 0 if it is done, 1 if it failed or was cancelled."""
     try:
         with _client(addresses, retry_s) as client:
             _follow(client, graph_id, as_json)
@@ -178,7 +178,7 @@
 
 
 def _follow(client: Client, graph_id: str, as_json: bool) -> None:
-    """A bar in a terminal, a line for every change elsewhere."""
+    """Show a progress bar on a terminal, else a line for each change, until the graph ends."""
     console = Console()
     last: dict[str, Any] = {}
     if as_json or not console.is_terminal:
@@ -212,7 +212,7 @@
 @_patience
 @_json
 def cancel(graph_id: str, addresses: tuple[str, ...], retry_s: float, as_json: bool) -> None:
-    """Cancel a graph: what runs is stopped, the rest never starts."""
+    """Cancel a graph: stop its running tasks, start no further ones."""
     try:
         with _client(addresses, retry_s) as client:
             _print(client.cancel_graph(graph_id), as_json)
@@ -224,7 +224,7 @@
 @click.argument("file", type=click.Path(path_type=Path))
 @click.option("--to", "target", type=click.Path(path_type=Path), help="A .dot or .svg file.")
 @click.option("--progress", is_flag=True, help="Colour nodes by their state in the service.")
-@click.option("--most", default=200, show_default=True, help="Group nodes above so many.")
+@click.option("--most", default=200, show_default=True, help="Group nodes above this number.")
 @_address
 @_patience
 def draw(
--- a/tealrill/features.py
+++ b/tealrill/features.py
@@ -1,7 +1,7 @@
-"""What is switched on, and its fixed bounds: `deploy/features.toml`, read once at the start.
+"""Optional features and their fixed limits: `deploy/features.toml`, read once at the start.
 
-Without the file all is off. What operators change while the service runs is not here: that goes
-through the administration API.
+Without the file all features are disabled. Operators change what may vary at run time through the
+administration API, not here.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class FeaturesError(TealrillError):
-    """The file can't be used; the text names the entry."""
+    """An unusable features file; the error message names the entry."""
 
 
 class GraphFeatures(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -25,22 +25,22 @@
 
     on: bool = False
     most_nodes: Annotated[int, Meta(ge=1, le=100_000)] = 10_000
-    """Nodes of one graph."""
+    """Maximum number of nodes of a graph."""
     most_edges: Annotated[int, Meta(ge=1, le=1_000_000)] = 100_000
-    """Edges of one graph."""
+    """Maximum number of edges of a graph."""
     open_s: Annotated[float, Meta(ge=60.0, le=86_400.0)] = 3600.0
-    """A graph that was begun and not sealed is removed after so many seconds."""
+    """Seconds after which a graph that has been created but not sealed is deleted."""
 
 
 class ProfileFeatures(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Processor time by cause, counted in the process (`tealrill/profiling.py`)."""
+    """Processor time by cause, measured within the process (`tealrill/profiling.py`)."""
 
     on: bool = False
     every_s: Annotated[float, Meta(ge=0.1, le=3600.0)] = 10.0
 
 
 class Features(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The whole file."""
+    """The contents of the features file."""
 
     version: Literal[1] = 1
     graphs: GraphFeatures = GraphFeatures()
@@ -48,7 +48,7 @@
 
 
 def parse(text: str) -> Features:
-    """Features from TOML; `FeaturesError` says in one line what is wrong with which entry."""
+    """Parse features from TOML; raise `FeaturesError` with a one-line message naming the entry."""
     try:
         return msgspec.convert(tomllib.loads(text), Features)
     except tomllib.TOMLDecodeError as error:
@@ -58,7 +58,7 @@
 
 
 def load(path: Path) -> Features:
-    """Reads the file; raises `FeaturesError`."""
+    """Read and validate a features file; raise `FeaturesError` if it is unusable."""
     try:
         text = path.read_text(encoding="utf-8")
     except OSError as error:
--- a/tealrill/process.py
+++ b/tealrill/process.py
@@ -1,4 +1,4 @@
-"""The daemon's process: logging, garbage collector, event loop and signals."""
+"""The controller's process: logging, garbage collector, event loop and signals."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 from tealrill.types import monotonic_now
 
 _COLLECT: Final = (10_000, 20, 10)
-"""New objects, and younger collections, before each generation is looked through."""
+"""Thresholds of `gc.set_threshold`: new objects, then collections of the younger generation."""
 
 
 def configure_logging() -> None:
-    """Log to standard error at the level that `LOG_LEVEL` names."""
+    """Log to standard error at the level in the environment variable `LOG_LEVEL`."""
     names = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
     level = names.get(os.environ.get("LOG_LEVEL", "info").lower(), logging.INFO)
     logging.basicConfig(level=level, format="%(levelname).1s %(name)s: %(message)s")
@@ -29,10 +29,10 @@
 
 
 def tune_garbage_collector() -> None:
-    """Look for garbage cycles more rarely, and not among what was there at the start.
+    """Make cyclic garbage collection less frequent and exclude the objects that exist so far.
 
-    Nearly everything here is freed by its last reference; the records that live long were gone
-    through again and again. What is found later takes at most a few MB meanwhile.
+    Reference counting frees nearly all objects, while each collection would traverse the many
+    long-lived records again. Cyclic garbage takes at most a few MB until it is collected.
     """
     gc.collect()
     gc.freeze()
@@ -40,9 +40,9 @@
 
 
 def new_event_loop() -> asyncio.AbstractEventLoop:
-    """Return libuv's event loop where there is one.
+    """Return a uvloop event loop if uvloop is installed, else asyncio's.
 
-    It is not built for every platform, and nothing needs it.
+    uvloop is not available on every platform, and the controller does not depend on it.
     """
     try:
         import uvloop
@@ -55,7 +55,7 @@
     """Run a controller until the process is killed."""
     tune_garbage_collector()
     if features.profile.on:
-        # The profiler charges the turns of the loop that is written in Python.
+        # The profiler instruments asyncio's event loop, which is written in Python.
         asyncio.run(_profiled(settings, features))
     else:
         with asyncio.Runner(loop_factory=new_event_loop) as runner:
@@ -63,9 +63,9 @@
 
 
 async def run_until_stopped(controller: Controller) -> None:
-    """Run until the controller fails or SIGTERM comes; then hand its duties over."""
+    """Run until the controller fails or SIGTERM arrives; on SIGTERM, hand leadership over."""
     stop_requested = asyncio.Event()
-    # Where signals can't be taken, the process is killed as before.
+    # On platforms without signal handlers in the event loop, SIGTERM kills the process.
     with contextlib.suppress(NotImplementedError, RuntimeError, ValueError, OSError):
         asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, stop_requested.set)
     running = asyncio.create_task(controller.run())
@@ -73,14 +73,14 @@
     await asyncio.wait({running, waiting}, return_when=asyncio.FIRST_COMPLETED)
     waiting.cancel()
     if not running.done():
-        await controller.hand_over("this node is told to stop")
+        await controller.hand_over("SIGTERM received")
         running.cancel()
     with contextlib.suppress(asyncio.CancelledError):
         await running
 
 
 async def _profiled(settings: Settings, features: Features) -> None:
-    """Run a controller with the profiler's log beside it."""
+    """Run a controller with the profiler enabled."""
     from tealrill.profiling import ProfileLog, Size
 
     watch = ProfileLog(settings.host_name, features.profile.every_s)
--- a/tealrill/profiling.py
+++ b/tealrill/profiling.py
@@ -1,11 +1,11 @@
-"""Where a node's processor time goes, by cause: counted inside the process, off unless asked for.
+"""Optional profiler of a controller's processor time by cause.
 
-Switched on by `[profile]` in the features file. Then, and only then, this module is imported: it
-times every turn of the event loop by what runs in it, and within turns the functions of `CAUSES`,
-each without the others that it calls. While off there is no wrapper, no timer and no branch.
+`[profile]` in the features file enables it; otherwise this module is not imported and adds no cost.
+It measures every callback of the event loop, by the coroutine or function that runs in it, and
+within the callbacks the functions of `CAUSES`, each without the time of other causes that it calls.
 
-Every `every_s` seconds the sums so far go into the log, one line of JSON behind `profile: `
-(`tools/profiles.py` reads logs). Times are the thread's processor time in seconds.
+Every `every_s` seconds the totals so far are logged as a line of JSON after `profile: `, which
+`tools/profiles.py` evaluates. Times are the thread's processor time in seconds.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 LINE: Final = "profile: "
 _MOST: Final = 60
-"""So many causes in a line; what is left out is a thousandth or so."""
+"""Number of causes in a line; the others make up about a thousandth of the time."""
 
 CAUSES: Final[dict[str, str]] = {
     "reports: decoding": "tealrill.api.http_frontend:_Request._handle_heartbeat",
@@ -59,11 +59,11 @@
     "jobs watched": "tealrill.leader.job_watch:JobWatch.job_changed",
     "the cloud's list": "tealrill.fleet.provisioning:Provisioner.apply_list",
 }
-"""Causes of cost and the functions that bear them, as module:name."""
+"""Names of causes and the functions whose time is charged to them, as module:name."""
 
 
 class Size(msgspec.Struct):
-    """What there was at one moment, on the leader."""
+    """Size of the leader's data at one moment."""
 
     at_s: float
     machines: int
@@ -74,36 +74,36 @@
 
 
 class Cost(msgspec.Struct):
-    """Calls and processor time of one cause."""
+    """Number of calls and processor time in seconds of one cause."""
 
     calls: int = 0
     cpu_s: float = 0.0
 
 
 class Profile(msgspec.Struct):
-    """What one process has counted since its start."""
+    """Costs that a process has measured since its start."""
 
     host: str
     pid: int
     began_s: float
     until_s: float
     costs: dict[str, Cost]
-    """The dearest causes."""
+    """The causes with the highest costs."""
     size: Size | None
-    """At this moment, if this node leads."""
+    """At the time of this profile; None if this controller does not lead."""
 
 
 class Profiler:
-    """Sums by cause. Of nested causes each is charged with its own part only."""
+    """Totals by cause. The time of a nested cause is not charged to the causes around it."""
 
     def __init__(self, clock: Callable[[], float] = time.thread_time) -> None:
         self.costs: dict[str, Cost] = {}
         self._clock = clock
         self._inner: list[float] = []
-        """Per cause that runs now, the time of the causes within it."""
+        """Stack of the running causes: for each, the time of the causes nested directly in it."""
 
     def call(self, cause: str, function: Callable[..., Any], *args: Any, **more: Any) -> Any:
-        """Calls the function and charges the cause."""
+        """Call the function, charge its processor time to the cause and return its result."""
         inner = self._inner
         inner.append(0.0)
         began = self._clock()
@@ -121,7 +121,7 @@
             cost.cpu_s += own
 
     def wrap(self, cause: str, where: str) -> None:
-        """Has every call of a function charged; `where` is module:name or module:class.name."""
+        """Charge each call of the function at `where`, module:name or module:class.name."""
         module, _, path = where.partition(":")
         owner: Any = importlib.import_module(module)
         *outer, name = path.split(".")
@@ -136,7 +136,7 @@
         setattr(owner, name, charged)
 
     def wrap_turns(self) -> None:
-        """Has every callback of the event loop charged to the coroutine or function that it is."""
+        """Charge every callback of the event loop to the coroutine or function that it runs."""
         run = events.Handle._run
 
         def charged(handle: events.Handle) -> None:
@@ -155,7 +155,7 @@
 
 
 class ProfileLog:
-    """Profiles a node for as long as it runs."""
+    """Periodic log of a controller's profile."""
 
     def __init__(self, host: str, every_s: float) -> None:
         self._profiler = Profiler()
@@ -164,19 +164,19 @@
         self._began = time.monotonic()
 
     def install(self) -> None:
-        """From here on everything is charged. Called before the loop starts, once a process."""
+        """Start profiling; call this once per process, before the controller is created."""
         for cause, where in CAUSES.items():
             self._profiler.wrap(cause, where)
         self._profiler.wrap_turns()
 
     async def run(self, size: Callable[[], Size | None]) -> None:
-        """Tells the sums every few seconds; the process may be killed at any time."""
+        """Log the totals periodically, since the process may be killed at any time."""
         while True:
             await asyncio.sleep(self._every_s)
             log.info("%s%s", LINE, msgspec.json.encode(self.profile(size())).decode())
 
     def profile(self, size: Size | None) -> Profile:
-        """The sums by now, as many as go into a line that no log cuts off."""
+        """Return the totals of the costliest causes, few enough that logs keep the line whole."""
         costs = sorted(self._profiler.costs.items(), key=lambda found: -found[1].cpu_s)
         return Profile(
             self._host,
--- a/tealrill/settings.py
+++ b/tealrill/settings.py
@@ -1,4 +1,4 @@
-"""The validated settings file; unknown fields are ignored."""
+"""The settings file and its validation; unknown fields are ignored."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class SettingsError(TealrillError):
-    """The settings are unusable; the message names the field."""
+    """Invalid settings; the error message names the field."""
 
 
 class Address(NamedTuple):
@@ -53,7 +53,7 @@
 
 
 class Team(msgspec.Struct, frozen=True):
-    """A team's guaranteed quota and its limit; 0 means none."""
+    """A team's guaranteed quota and its limit; 0 means no quota or no limit."""
 
     name: str
     cpus: NotNegative = 0.0
@@ -90,7 +90,7 @@
 
 
 class CloudLimits(msgspec.Struct, frozen=True):
-    """Limits of the cloud interface: requests per second and the lag of its lists."""
+    """Limits of the cloud API: requests per second and the delay of its machine lists."""
 
     rps: Positive
     list_lag_s: NotNegative
@@ -130,7 +130,7 @@
 
     @property
     def nodes(self) -> int:
-        """Return the number of controllers, this one included."""
+        """Number of controllers, including this one."""
         return len(self.members) + 1
 
 
@@ -151,7 +151,7 @@
 
 
 def parse(body: bytes) -> Settings:
-    """Parse settings from JSON; raise a `SettingsError` that names the field in one line."""
+    """Parse settings from JSON; raise `SettingsError` with a one-line message naming the field."""
     try:
         settings = msgspec.convert(orjson.loads(body), Settings)
     except msgspec.ValidationError as error:
@@ -163,7 +163,7 @@
 
 
 def load(path: Path) -> Settings:
-    """Read and check a settings file; raise `SettingsError` if it is unusable."""
+    """Read and validate a settings file; raise `SettingsError` if it is invalid."""
     try:
         body = path.read_bytes()
     except OSError as error:
--- a/tealrill/status.py
+++ b/tealrill/status.py
@@ -1,4 +1,4 @@
-"""What a controller shows its operators of itself and of the service."""
+"""The state of a controller, as `/admin/state` returns it to operators."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 @dataclass(slots=True)
 class HeartbeatCounts:
-    """Workers' heartbeats since the start of this process, by the response."""
+    """Number of heartbeats since the start of this process, by response."""
 
     renewed: int = 0
-    """By this node as the leader."""
+    """Lease renewed by this controller as the leader."""
     delegated: int = 0
-    """By this node in the leader's place."""
+    """Lease renewed by this controller on behalf of the leader."""
     redirected: int = 0
     refused: int = 0
 
@@ -31,7 +31,7 @@
     state_interruptions: int,
     leader: Leader | None,
 ) -> dict[str, Any]:
-    """Return the state of the controller on `host`, as `/admin/state` shows it."""
+    """Return the state of the controller on `host` as JSON-serializable values."""
     known_leader = election.known_leader
     shown: dict[str, Any] = {
         "node": host,
--- a/tealrill/types.py
+++ b/tealrill/types.py
@@ -1,6 +1,6 @@
-"""Small types for ids, versions and times, so that one cannot be passed for another.
+"""Distinct types for ids, versions and times.
 
-They are checked by mypy and cost nothing when the program runs.
+mypy rejects one passed in place of another; at run time they cost nothing.
 """
 
 from __future__ import annotations
@@ -12,51 +12,51 @@
 JobId = NewType("JobId", str)
 MachineId = NewType("MachineId", str)
 FencingToken = NewType("FencingToken", int)
-"""Shows a worker who may command it; the leader's term serves as the token."""
+"""The leader's term; workers reject commands with a lower token than the highest they know."""
 Attempt = NewType("Attempt", int)
 Incarnation = NewType("Incarnation", int)
 HeartbeatSequence = NewType("HeartbeatSequence", int)
 Revision = NewType("Revision", int)
 LeaseId = NewType("LeaseId", int)
 Monotonic = NewType("Monotonic", float)
-"""Seconds on this process's steady clock; means nothing to any other process."""
+"""Seconds on the monotonic clock of this process; not comparable between processes."""
 Wall = NewType("Wall", float)
-"""Seconds since 1970; differs between machines by the bound in the settings."""
+"""Seconds since 1970; clocks of different machines differ by up to the bound in the settings."""
 
 CLOCK_DRIFT: Final = 1.001
-"""The most by which one steady clock runs faster than another: each is up to 0.05% off."""
+"""Largest ratio of the rates of two monotonic clocks, each of which is up to 0.05% off."""
 ABSENT: Final = Revision(0)
-"""The revision that a transaction's guard uses for 'this key does not exist'."""
+"""The version in a transaction's guard that requires the absence of the key."""
 
 _JOB_ID: Final = re.compile(r"[a-z][a-z0-9]{0,31}-[0-9]{1,20}")
 _MACHINE_ID: Final = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,63}")
 
 
 class TaskId(NamedTuple):
-    """One task of a job, written ``wk-000412/3`` on the wire."""
+    """A task of a job, written ``wk-000412/3`` in messages."""
 
     job: JobId
-    index: int  # type: ignore[assignment]  # hides tuple.index, which nobody needs here
+    index: int  # type: ignore[assignment]  # overrides tuple.index, which is not used
 
     def __str__(self) -> str:
         return f"{self.job}/{self.index}"
 
 
 def parse_job_id(text: str) -> JobId | None:
-    """Return the job id in `text`, or None when it is malformed."""
+    """Return the job id in `text`, or None if it is malformed."""
     return JobId(text) if _JOB_ID.fullmatch(text) else None
 
 
 def parse_machine_id(text: str) -> MachineId | None:
-    """Return the machine id in `text`, or None when it is malformed.
+    """Return the machine id in `text`, or None if it is malformed.
 
-    Its length is bounded, so that a record of bindings always fits its value.
+    Its length is limited, so that a record of bindings fits the maximum value size.
     """
     return MachineId(text) if _MACHINE_ID.fullmatch(text) else None
 
 
 def parse_task_id(text: str) -> TaskId | None:
-    """Return the task id in `text`, or None when it is malformed."""
+    """Return the task id in `text`, or None if it is malformed."""
     job, slash, index = text.partition("/")
     if not slash or not index.isascii() or not index.isdigit() or len(index) > 9:
         return None
@@ -65,15 +65,15 @@
 
 
 def lower_bound_deadline(since: Monotonic, length_s: float, margin_s: float) -> Monotonic:
-    """Return the time before which an interval measured by another clock has not ended.
+    """Return a time before which `length_s` seconds have certainly not elapsed on another clock.
 
-    Two clocks that each run up to 0.05% off differ by at most 0.1%.
+    Two clocks that are each up to 0.05% off differ by at most 0.1%.
     """
     return Monotonic(since + length_s * 0.999 - margin_s)
 
 
 def monotonic_now() -> Monotonic:
-    """Return the time of this process's steady clock, in seconds."""
+    """Return the time of this process's monotonic clock, in seconds."""
     return Monotonic(time.monotonic())
 
 
--- a/tealrill/wire.py
+++ b/tealrill/wire.py
@@ -1,7 +1,8 @@
-"""Every name that goes over a wire, and the structs that the rest of the program works with.
+"""The protocol's messages, paths and constants, and the structs that represent messages.
 
-The protocol has words of its own (an incarnation is a `shift`, a token a `baton`); they stop here.
-Messages are read by orjson and checked by msgspec; unknown fields are ignored.
+The protocol's field names differ from the terms used in this package (the incarnation is `shift`,
+the fencing token `baton`); only this module translates between them. orjson parses messages and
+msgspec validates them. Unknown fields are ignored.
 """
 
 from __future__ import annotations
@@ -17,11 +18,11 @@
 T = TypeVar("T")
 
 MAX_BODY: Final = 64 * 1024
-"""Largest body of a request, and the longest line of a response."""
+"""Largest request body and longest line of a response, in bytes."""
 
 Amount = Annotated[float, Meta(ge=0.0, le=1e9)]
 Count = Annotated[int, Meta(ge=0)]
-"""Below 2^64: the JSON reader makes a float of anything larger, which is refused."""
+"""Below 2^64: the JSON parser returns larger numbers as floats, which fail the validation."""
 Name = Annotated[str, Meta(min_length=1, max_length=100)]
 
 Kind = Literal["sweep", "gang", "standing"]
@@ -64,7 +65,7 @@
 
 
 class MalformedMessageError(TealrillError):
-    """A message that is not what the protocol says; the text names the field."""
+    """A message violates the protocol; the error message names the field."""
 
 
 class JobSpec(
@@ -92,7 +93,7 @@
         "deadline_s": "dueS",
     },
 ):
-    """What a user submits."""
+    """A job as submitted by a user."""
 
     id: Name
     job_class: Name
@@ -117,17 +118,17 @@
 
     @property
     def rank(self) -> int:
-        """Urgency class; a higher one goes first."""
+        """Rank of the priority class; jobs of a higher rank go first."""
         return RANKS[self.priority]
 
     @property
     def saves(self) -> bool:
-        """Whether its tasks save progress that a later attempt goes on from."""
+        """Whether its tasks save checkpoints from which a later attempt resumes."""
         return self.checkpoint_s > 0
 
     @property
     def is_gang(self) -> bool:
-        """Whether its tasks run all at once or not at all."""
+        """Whether its tasks must all run at the same time."""
         return self.kind == GANG
 
     @property
@@ -148,7 +149,7 @@
         "saved": "stored",
     },
 ):
-    """One task in a worker's heartbeat."""
+    """The state of one task in a heartbeat."""
 
     task: str
     attempt: Count
@@ -173,7 +174,7 @@
         "tasks": "pieces",
     },
 ):
-    """A worker's report."""
+    """A worker's heartbeat."""
 
     machine: Name
     addr: Name
@@ -217,7 +218,7 @@
 
 
 class Catalogue(msgspec.Struct, frozen=True, kw_only=True, rename={"types": "builds"}):
-    """The machine types that the cloud lets out."""
+    """The machine types that the cloud offers."""
 
     types: list[MachineType]
 
@@ -242,20 +243,20 @@
 class MachineList(
     msgspec.Struct, frozen=True, kw_only=True, rename={"machines": "kilns", "more": "truncated"}
 ):
-    """The cloud's machines, or a page of them; `more` says that some are missing."""
+    """The cloud's machine list or a page of it; `more` is True if machines are missing."""
 
     machines: list[ListedMachine]
     more: bool = False
 
 
 class Rented(msgspec.Struct, frozen=True, kw_only=True, rename={"machines": "kilns"}):
-    """The names of the machines that a rent request brought."""
+    """The names of the machines that a rental request provided."""
 
     machines: list[Name]
 
 
 class Entry(msgspec.Struct, frozen=True, kw_only=True, rename={"key": "path", "version": "stamp"}):
-    """A key of the state service with its value."""
+    """A key of the state service with its value and version."""
 
     key: str
     value: Any
@@ -268,7 +269,7 @@
     kw_only=True,
     rename={"items": "entries", "more": "truncated", "revision": "epoch"},
 ):
-    """A page of keys with their values, as of a revision; `more` says that others follow."""
+    """A page of keys with their values as of a revision; `more` is True if further keys follow."""
 
     items: list[Entry]
     more: bool = False
@@ -278,7 +279,7 @@
 class KeyValue(
     msgspec.Struct, frozen=True, kw_only=True, rename={"version": "stamp", "lease": "hold"}
 ):
-    """The value of one key, the version that set it, and the lease it ends with."""
+    """The value of a key, the revision that set it, and the lease that it is deleted with."""
 
     value: Any
     version: int
@@ -286,13 +287,13 @@
 
 
 class RevisionOnly(msgspec.Struct, frozen=True, kw_only=True, rename={"revision": "epoch"}):
-    """The revision that a committed transaction made."""
+    """The revision of a committed transaction."""
 
     revision: int
 
 
 class Conflict(msgspec.Struct, frozen=True, kw_only=True, rename={"revision": "epoch"}):
-    """The keys whose guards did not hold; nothing was changed."""
+    """The keys whose guards failed, so that the transaction was not committed."""
 
     failed: list[str]
     revision: int = 0
@@ -307,7 +308,7 @@
 class WatchEvent(
     msgspec.Struct, frozen=True, kw_only=True, rename={"put": "set", "version": "stamp"}
 ):
-    """A change of one key: a value that was put, or a deletion."""
+    """A change of one key: a new value or a deletion."""
 
     put: str | None = None
     delete: str | None = None
@@ -318,14 +319,14 @@
 class WatchResult(
     msgspec.Struct, frozen=True, kw_only=True, rename={"revision": "epoch", "events": "log"}
 ):
-    """The changes that a watch saw, up to a revision."""
+    """The changes returned by a watch, up to a revision."""
 
     revision: int
     events: list[WatchEvent]
 
 
 def decode(body: bytes, kind: type[T]) -> T:
-    """Read a message; raises `MalformedMessageError`, which names the field that is wrong."""
+    """Decode a message; raise a `MalformedMessageError` that names the invalid field."""
     try:
         return msgspec.convert(orjson.loads(body), kind)
     except msgspec.ValidationError as error:
@@ -335,24 +336,24 @@
 
 
 def encode(message: Any) -> bytes:
-    """Return the JSON of plain values, or of a struct by its wire names."""
+    """Return the JSON encoding of built-in values or of a struct, with the protocol's names."""
     if isinstance(message, msgspec.Struct):
         message = msgspec.to_builtins(message)
     return orjson.dumps(message)
 
 
 def plain(message: msgspec.Struct) -> Any:
-    """Return the struct as plain values, by its wire names."""
+    """Return the struct as built-in values, with the protocol's names."""
     return msgspec.to_builtins(message)
 
 
 def job_status(job_id: str, status: str, done: int = 0, running: int = 0) -> dict[str, Any]:
-    """Return the body that shows a job, with the numbers of its done and running tasks."""
+    """Return the body of a job's status, with the numbers of its done and running tasks."""
     return {"id": job_id, "status": status, "done": done, "running": running}
 
 
 def accepted(job_id: str, status: str) -> dict[str, Any]:
-    """Return the body that answers a submission or a cancellation."""
+    """Return the body of the response to a submission or a cancellation."""
     return {"id": job_id, "status": status}
 
 
@@ -362,17 +363,17 @@
 
 
 def stop(task: str, attempt: int, grace_s: float) -> dict[str, Any]:
-    """Return the command to stop an attempt, which may save for `grace_s` seconds."""
+    """Return the command to stop an attempt, which has `grace_s` seconds to save a checkpoint."""
     return {"verb": STOP, "piece": task, "try": attempt, "windupS": grace_s}
 
 
 def forget(task: str, attempt: int) -> dict[str, Any]:
-    """Return the command to drop what a worker keeps of an ended attempt."""
+    """Return the command to delete a worker's record of an ended attempt."""
     return {"verb": FORGET, "piece": task, "try": attempt}
 
 
 def report_answer(token: int, commands: list[dict[str, Any]]) -> dict[str, Any]:
-    """Return the response to a heartbeat: the fencing token and commands."""
+    """Return the body of the response to a heartbeat: the fencing token and commands."""
     return {"baton": token, "orders": commands}
 
 
@@ -382,27 +383,27 @@
 
 
 def redirect(leader: str | None) -> dict[str, Any]:
-    """Return the body that names the leader's address, as far as it is known."""
+    """Return the body of a redirect to the leader's host; empty if that is unknown."""
     return {"foreman": leader} if leader is not None else {}
 
 
 def rent_request(name: str, type_name: str, zone: str, spot: bool, count: int) -> dict[str, Any]:
-    """Return the request for `count` machines; a repetition has the same name."""
+    """Return the request to rent `count` machines; `name` makes a repetition idempotent."""
     return {"hire": name, "build": type_name, "hall": zone, "loaners": spot, "howMany": count}
 
 
 def release_request(machines: list[str]) -> dict[str, Any]:
-    """Return the request to give machines back."""
+    """Return the request to release machines."""
     return {"kilns": machines}
 
 
 def guard(key: str, version: int) -> dict[str, Any]:
-    """Return the condition that a key stands in this version; 0 requires its absence."""
+    """Return the condition that a key has this version; version 0 requires its absence."""
     return {"path": key, "stamp": version}
 
 
 def put(key: str, value: Any, lease: int | None = None) -> dict[str, Any]:
-    """Return the change that sets a key, which ends with the lease if one is given."""
+    """Return the change that sets a key, which is deleted when the given lease ends."""
     change = {"set": key, "value": value}
     if lease is not None:
         change["hold"] = lease
