--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Shared by all tests: hypothesis repeats the same examples on every run; known failures."""
+"""Configuration of all tests: reproducible hypothesis examples and known failures."""
 
 import pytest
 from hypothesis import HealthCheck, settings
@@ -17,10 +17,10 @@
 
 
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
-    """Marks the listed tests as strictly expected to fail."""
+    """Mark the listed tests as strictly expected to fail."""
     try:
         entries = known_red.read()
-        # A run of chosen tests does not collect the others.
+        # A run of selected tests does not collect all listed ones.
         if config.args_source is not pytest.Config.ArgsSource.ARGS:
             known_red.check_names(entries, {item.nodeid for item in items})
     except known_red.KnownRedListError as error:
@@ -34,6 +34,6 @@
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
-    """Names the tests that failed as listed."""
+    """Print the tests that failed as listed."""
     for report in terminalreporter.stats.get("xfailed", []):
         terminalreporter.write_line(f"KNOWN RED {report.nodeid}: {report.wasxfail}")
--- a/tests/plain.py
+++ b/tests/plain.py
@@ -1,7 +1,7 @@
-"""The planner as plainly as it can be written: the model that the quick one is compared with.
+"""Reference implementation of the planner, with which tests compare the optimized one.
 
-Everything is worked out in full and at once, whether anything depends on it or not. What a pass
-decides is defined here; `tealrill/scheduler/` reaches the same with less work.
+It evaluates everything eagerly and in full. The decisions of a pass are defined here;
+`tealrill/scheduler/` must make the same decisions with less work.
 """
 
 from __future__ import annotations
@@ -37,11 +37,11 @@
     return Monotonic(max(task.started_at + run_s, now + min(5.0, 0.25 * (now - task.started_at))))
 
 
-# -- placing --------------------------------------------------------------------------------------
+# -- placement ------------------------------------------------------------------------------------
 
 
 class PlainPass(_Pass):
-    """A pass that reserves at once and looks at everything."""
+    """A pass that computes reservations eagerly and considers every machine."""
 
     def _has_room(self, machine: MachineView) -> bool:
         return True
@@ -153,7 +153,7 @@
     return best
 
 
-# -- renting --------------------------------------------------------------------------------------
+# -- rental ---------------------------------------------------------------------------------------
 
 
 class _Room:
--- a/tests/samples.py
+++ b/tests/samples.py
@@ -1,4 +1,4 @@
-"""Values that tests share."""
+"""Settings, messages and views shared by tests."""
 
 from __future__ import annotations
 
@@ -57,7 +57,7 @@
 
 
 def spec(**changes: Any) -> wire.JobSpec:
-    """A job, with wire fields replaced."""
+    """Return a job; `changes` replace fields under the protocol's names."""
     return wire.decode(orjson.dumps({**SUBMISSION, **changes}), wire.JobSpec)
 
 
@@ -66,9 +66,9 @@
     incarnation: int,
     sequence: int,
     token: int,
-    tasks: list[tuple[str, int, str, str | None]] = [],  # noqa: B006  (never changed)
+    tasks: list[tuple[str, int, str, str | None]] = [],  # noqa: B006  (not modified)
 ) -> wire.Heartbeat:
-    """A worker's report; tasks are (task, attempt, state, why)."""
+    """Return a heartbeat; tasks are (task, attempt, state, why)."""
     return wire.Heartbeat(
         machine=machine,
         addr="127.0.0.1:9000",
@@ -132,7 +132,7 @@
 def running_task(
     name: str, now: float = 10.0, ran_s: float = 5.0, end_at: float = 100.0, **changes: Any
 ) -> RunningTask:
-    """A task that at `now` has run for `ran_s` and is expected to end at `end_at`."""
+    """Return a task that has run for `ran_s` at `now` and is expected to end at `end_at`."""
     values: dict[str, Any] = {
         "task": TaskId(JobId(name), 0),
         "team": "blue",
@@ -152,7 +152,7 @@
 
 
 def recorded_at_once() -> tuple[IntentLog, Duty, Duty]:
-    """What a `Provisioner` needs beside the cloud: records that are committed as they are made."""
+    """Return the intent log of a `Provisioner`, which commits at once, and its two duties."""
 
     def join(joined: JoinedWrite) -> None:
         joined.applied(Revision(1))
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -1,6 +1,6 @@
-"""Stand-ins for the outside systems, written from the protocol, for tests on loopback.
+"""Fakes of the state service, the cloud and the workers, for tests on the loopback interface.
 
-They hold everything in memory, on one event loop with the node under test.
+They implement the protocol in memory and run on the event loop of the controller under test.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 _PAGE_BYTES = 512 * 1024
 _LOG_KEPT = 10_000
-"""Changes that watches can go back to."""
+"""Number of past changes that a watch can return."""
 
 
 class _Handler(web.RequestHandler):
@@ -34,7 +34,7 @@
 
 
 class Standin:
-    """A server on a free port of the loopback address."""
+    """Base class: an HTTP server on a free port of the loopback interface."""
 
     routes: tuple[tuple[str, type[_Handler]], ...] = ()
 
@@ -148,7 +148,7 @@
 
 
 class State(Standin):
-    """The state service. Leases never end by themselves here."""
+    """Fake state service, whose leases never expire."""
 
     routes = (
         (r"/kv/(.+)", _Key),
@@ -167,11 +167,11 @@
         self.leases = 0
         self.down = False
         self.lose_answers = 0
-        """So many of the next transactions are executed, but their answers are lost."""
+        """Number of the next transactions that are executed but whose responses are dropped."""
         self.commits = 0
         self.changes = 0
         self.crash_at: tuple[int, str] | None = None
-        """The transaction, counted from 1, before or after whose execution `crash` is called."""
+        """The transaction, counted from 1, and whether `crash` is called 'before' or 'after' it."""
         self.crash: Callable[[], None] = lambda: None
 
     def apply(self, changes: list[dict[str, Any]]) -> None:
@@ -229,7 +229,7 @@
 
 
 class Cloud(Standin):
-    """The cloud, with one kind of machine and at most `most` of it."""
+    """Fake cloud, which offers one machine type and rents out at most `most` machines."""
 
     routes = ((r"/catalog", _Catalogue), (r"/hosts/release", _Release), (r"/hosts", _Hosts))
 
@@ -238,7 +238,7 @@
         self.machines: dict[str, dict[str, Any]] = {}
         self.rented = 0
         self.most = 1000
-        """So many machines are rented in all."""
+        """Limit of the total number of machines rented."""
         self.hired: Callable[[str], None] = lambda _: None
         self.returned: Callable[[str], None] = lambda _: None
 
@@ -254,7 +254,7 @@
 
 
 class Worker(Standin):
-    """One machine's worker; tasks run until the test ends them."""
+    """Fake worker of one machine, whose tasks run until the test ends them."""
 
     routes = ((r"/orders", _Orders),)
 
@@ -289,7 +289,7 @@
 
 
 class JumpingLoop(asyncio.SelectorEventLoop):
-    """A loop whose time jumps to the next timer, so that nothing on it waits."""
+    """Event loop with virtual time, which jumps to the next timer instead of waiting for it."""
 
     def __init__(self) -> None:
         super().__init__()
--- a/tests/test_architecture_page.py
+++ b/tests/test_architecture_page.py
@@ -1,4 +1,4 @@
-"""The architecture page names files that there are."""
+"""The files and packages that the architecture page names."""
 
 from __future__ import annotations
 
--- a/tests/test_http_frontend.py
+++ b/tests/test_http_frontend.py
@@ -1,4 +1,4 @@
-"""The HTTP front end: heartbeats are answered directly, bodies and connections are bounded."""
+"""HTTP front end: direct responses to heartbeats, limits on buffered bodies and connections."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class _Slow(web.RequestHandler):
-    """Answers once it is let go."""
+    """A handler that responds only after the test allows it."""
 
     def initialize(self, world: Any) -> None:
         self.world = world
@@ -77,7 +77,7 @@
                 answer = await client.request("POST", wire.REPORT_PATH, body)
                 assert (answer.status, orjson.loads(answer.body)["baton"]) == (200, 4)
             assert world.reports == ["m-000001"] * 3
-            assert calls == [True, True]  # once for each end
+            assert calls == [True, True]  # once each on the client's and the server's side
 
     asyncio.run(scenario())
 
@@ -98,7 +98,7 @@
 
 
 def test_large_bodies_side_by_side_are_bounded() -> None:
-    """Held by hundreds of sockets at once, they would take more memory than the machine has."""
+    """Without a limit, bodies on hundreds of sockets could exceed the machine's memory."""
 
     async def scenario() -> None:
         async with _running() as world:
@@ -107,13 +107,13 @@
                 await asyncio.sleep(0.01)
             assert [r.result().status for r in requests if r.done()] == [503] * 3
             assert world.sizes == [60_000] * 3
-            # A worker's report is taken all the same.
+            # Heartbeats are still accepted, since their bodies are limited separately.
             body = orjson.dumps(Worker("m-000001").report())
             assert (await world.send(wire.REPORT_PATH, body)).status == 200
             world.go.set()
             answers = await asyncio.gather(*requests)
             assert sorted(a.status for a in answers) == [200] * 3 + [503] * 3
-            # Once they are answered, there is room again.
+            # The responses release the memory.
             assert (await world.send("/slow", b"x" * 60_000)).status == 200
 
     asyncio.run(scenario())
@@ -161,7 +161,7 @@
 
 
 def test_reports_one_by_one_take_no_turn_between(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Half of all turns of a large fleet's leader were for a next request that was not there."""
+    """A yield after every heartbeat made up half of all event loop iterations of a large leader."""
     yields: list[float] = []
     sleep = asyncio.sleep
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -1,4 +1,4 @@
-"""A whole node on loopback, against stand-ins for the state service, the cloud and the workers."""
+"""A complete controller on loopback, with fakes of the state service, the cloud and workers."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 class World:
-    """A node with everything around it."""
+    """A controller with fakes of the services it depends on."""
 
     def __init__(self, switched: features.Features | None = None) -> None:
         self.state = State()
@@ -63,7 +63,7 @@
                 await asyncio.sleep(0.01)
 
     async def stop(self) -> None:
-        """The process is gone: nothing of it goes on, its sockets are closed."""
+        """Stop the controller as if its process had been killed: no task runs on, sockets close."""
         self.task.cancel()
         with contextlib.suppress(asyncio.CancelledError):
             await self.task
@@ -83,7 +83,7 @@
         return answer.status, orjson.loads(answer.body)
 
     async def submit(self, **changes: Any) -> int:
-        """Submits until the node knows its machine types."""
+        """Submit a job until the controller knows the machine types; return the HTTP status."""
         while True:
             status, _ = await self.send("POST", "/v2/runs", {**SUBMISSION, **changes})
             if status != 503:
@@ -124,7 +124,7 @@
         async with running() as world:
             await test(world)
 
-    # On the loop that the daemon runs on.
+    # Use the event loop that the daemon uses.
     with asyncio.Runner(loop_factory=new_event_loop) as runner:
         runner.run(run())
 
@@ -142,7 +142,7 @@
         async with asyncio.timeout(_PATIENCE_S):
             while await world.status("wk-000412") != "done":
                 await asyncio.sleep(0.02)
-        # A job that is over stays known, and its repetition is no new job.
+        # The record of a completed job remains: submitting it again creates no new job.
         assert await world.submit(pieces=0) == 200
         assert (await world.send("POST", "/v2/runs/wk-000412/cancel"))[1]["status"] == "done"
 
@@ -167,7 +167,7 @@
     async def scenario(world: World) -> None:
         assert await world.submit(id="wk-1", pieces=1) == 201
         world.state.lose_answers = 1
-        # Executed without an answer: read back, and accepted.
+        # The transaction is executed but its response lost: the record is read back.
         assert await world.submit(id="wk-2", pieces=1) == 200
         world.state.lose_answers = 2
         worker = Worker("m-000001")
@@ -211,7 +211,7 @@
         assert (await submit({**SUBMISSION, "id": "wk-2", "vcpus": 9.0}))[0] == 422
         assert (await submit({**SUBMISSION, "id": "wk-2", "crew": "red", "shape": "standing",
                               "pieces": 17}))[0] == 422  # fmt: skip
-        # A known job is answered as known, however its repetition is spoilt.
+        # A repeated submission gets the known job's status even if its body is invalid.
         assert (await submit({"id": "wk-1"}))[0] == 200
         assert (await world.send("GET", "/v2/runs/wk-77"))[0] == 404
         assert (await world.send("POST", "/v2/runs/wk-77/cancel"))[0] == 404
@@ -223,8 +223,11 @@
 
 
 def test_every_route_between_members_is_wired() -> None:
-    """A handler was given an argument by another name. Each ping was answered 500, so all others
-    took the leader for lost, and no test spoke to these routes over HTTP."""
+    """Request every route between members over HTTP.
+
+    If the keyword arguments of a handler and of its route differ, each ping is answered 500, and
+    the other members find that the leader has failed.
+    """
 
     async def scenario(world: World) -> None:
         ask = world.operator.request
@@ -295,7 +298,7 @@
 
 
 def test_an_idle_leader_asks_little() -> None:
-    """Loops that run for nothing cost a small machine its share; a slow test only asks less."""
+    """Idle polling would use up a small processor share. A slow machine only polls less."""
 
     async def scenario(world: World) -> None:
         worker = Worker("m-000001")
@@ -311,7 +314,7 @@
 
 
 def test_a_leader_that_is_told_to_stop_leaves_nothing_half_done() -> None:
-    """Killed instead, it would leave its lease to run out, and its last bindings unwritten."""
+    """Without a handover the lease would have to expire, and the last bindings would be lost."""
 
     async def scenario(world: World) -> None:
         assert await world.submit(pieces=2) == 201
@@ -324,19 +327,20 @@
         end_lease = world.node._client.end_lease
 
         async def counted(lease: LeaseId) -> None:
-            # Only now: until the lease is given up, nobody else writes these records.
+            # Work in flight must be finished first: once the lease is released, another leader
+            # may write these records.
             assert not leader.busy
             ended.append(lease)
             await end_lease(lease)
 
         world.node._client.end_lease = counted  # type: ignore[method-assign]
-        await world.node.hand_over("the test says so")
+        await world.node.hand_over("test")
         assert len(ended) == 1 and world.node.election.leadership is None
-        assert leader.intent_log.full, "nothing new is asked for"
+        assert leader.intent_log.full, "a leader that hands over accepts no new intents"
         for job in leader.job_store.jobs.values():
             assert all(chunk.committed == chunk.version for chunk in job.chunks.values())
-        # One that does not lead has nothing to hand over.
-        await world.node.hand_over("once more")
+        # A controller that does not lead has nothing to hand over.
+        await world.node.hand_over("repeated")
         assert len(ended) == 1
 
     _in_a_world(scenario)
--- a/tests/test_profiling.py
+++ b/tests/test_profiling.py
@@ -1,4 +1,4 @@
-"""The profiler: whom it charges, what it tells, and that it is not there while it is off."""
+"""Profiler: attribution of costs, its log line, and no import of it while it is disabled."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 
 
 def test_every_cause_names_a_function_that_there_is() -> None:
-    """A function that moved would silently cost nothing."""
+    """A cause whose function has been moved or renamed would silently report no cost."""
     profiler = Profiler()
     for cause, where in CAUSES.items():
         module, _, path = where.partition(":")
@@ -82,7 +82,7 @@
         watch._profiler.call(f"turn: some coroutine of a long name, {number}", lambda: None)
     size = Size(1.0, 1200, 30, 5000, 20000, 30000)
     line = LINE + msgspec.json.encode(watch.profile(size)).decode()
-    assert len(line) < 8000  # logs cut lines that are longer
+    assert len(line) < 8000  # logs truncate longer lines
     later = LINE + msgspec.json.encode(watch.profile(None)).decode()
     day = profiles.read(f"   12.5 node-0 I {line}\nsomething else\n{later}\n")
     assert day.mean("machines") == 1200.0 and sum(c.calls for c in day.costs.values()) == 60
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -1,4 +1,4 @@
-"""Users' requests by way of another controller."""
+"""Relay of users' requests to another controller."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class _Local:
-    """This node's own attempt; None for one that never ends."""
+    """The local attempt; it never completes if the reply is None."""
 
     def __init__(self, reply: Reply | None) -> None:
         self._reply = reply
@@ -34,7 +34,7 @@
 
 
 class _Peer:
-    """Another controller; None for one that can't be reached."""
+    """Another controller; it is unreachable if the status is None."""
 
     def __init__(self, status: int | None) -> None:
         self.status = status
@@ -63,7 +63,7 @@
 
 def test_what_this_node_settles_is_not_asked_elsewhere(monkeypatch: pytest.MonkeyPatch) -> None:
     assert _submit(monkeypatch, _ACCEPTED, 201) == (201, 0)
-    # A budget that is used up is no reason to use another controller's.
+    # A request that exceeds this controller's rate limit must not use another one's.
     assert _submit(monkeypatch, _FULL, 201) == (503, 0)
 
 
@@ -83,7 +83,8 @@
 def test_in_an_outage_other_nodes_are_not_asked_for_every_request(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Each request in vain cost three nodes' processor time, 70,000 times in three minutes.
+    # Each failed relay costs processor time on three nodes, and an outage of three minutes had
+    # 70,000 of them.
     at = [100.0]
     monkeypatch.setattr(relay_module, "monotonic_now", lambda: at[0])
     parsed = settings.parse(orjson.dumps(SETTINGS))
@@ -97,7 +98,7 @@
     assert submitted(50) == {503} and other.asked == 2
     at[0] += 0.3
     assert submitted(50) == {503} and other.asked == 3
-    # It is found at once when another controller settles something again.
+    # One conclusive answer of another controller ends the restriction.
     at[0] += 0.3
     other.status = 201
     assert submitted(50) == {201} and other.asked == 53
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -1,4 +1,4 @@
-"""Starting from a checkout: the build's compiled copy is used only while it is a true copy."""
+"""run.py: the build's compiled copy is used only if its sources match those of the checkout."""
 
 from __future__ import annotations
 
