--- a/run.py
+++ b/run.py
@@ -9,20 +9,20 @@
 from pathlib import Path
 
 _ROOT = Path(__file__).resolve().parent
-_BUILT = _ROOT / "target" / "app"
+_COMPILED_ROOT = _ROOT / "target" / "app"
 
 
-def _sources(root: Path) -> set[tuple[str, int, int]]:
+def _source_files(root: Path) -> set[tuple[str, int, int]]:
     """Return the path, size and modification time of each source file."""
-    found = set()
+    files = set()
     for path in (root / "tealrill").rglob("*.py"):
         status = path.stat()
-        found.add((str(path.relative_to(root)), status.st_size, status.st_mtime_ns))
-    return found
+        files.add((str(path.relative_to(root)), status.st_size, status.st_mtime_ns))
+    return files
 
 
-_APP = _BUILT if _sources(_BUILT) == _sources(_ROOT) else _ROOT
-sys.path[:0] = [str(_APP), str(_ROOT / "target" / "deps")]
+_APP_ROOT = _COMPILED_ROOT if _source_files(_COMPILED_ROOT) == _source_files(_ROOT) else _ROOT
+sys.path[:0] = [str(_APP_ROOT), str(_ROOT / "target" / "deps")]
 
 from tealrill.cli import main  # noqa: E402  (the path must be set first)
 
--- a/tealrill/api/http_frontend.py
+++ b/tealrill/api/http_frontend.py
@@ -22,7 +22,7 @@
 from tornado.httpserver import _HTTPRequestContext
 
 from tealrill import wire
-from tealrill.http import send_at_once
+from tealrill.http import disable_nagle
 from tealrill.types import MachineId, Monotonic, monotonic_now, parse_machine_id
 
 log = logging.getLogger(__name__)
@@ -30,17 +30,17 @@
 HeartbeatReply = tuple[int, dict[str, Any]]
 HeartbeatHandler = Callable[[wire.Heartbeat, MachineId], HeartbeatReply]
 
-_IDLE_S: Final = 600.0
+_IDLE_TIMEOUT_S: Final = 600.0
 """Idle time after which a connection is closed; a machine that loses power leaves its connections
 open."""
-_MAX_RECEIVED: Final = 1024 * 1024
+_MAX_RECEIVED_BYTES: Final = 1024 * 1024
 """Size in bytes up to which a body above the protocol's limit is read to be answered in JSON."""
-_YIELD_EVERY: Final = 8
+_REQUESTS_PER_YIELD: Final = 8
 """Number of a connection's requests after which it always yields to other connections."""
-_MAX_CACHED_HEAD: Final = 256
-_MAX_CACHED_HEADS: Final = 1024
+_MAX_CACHED_HEADER_BYTES: Final = 256
+_MAX_CACHED_HEADERS: Final = 1024
 """Largest header block in bytes whose parsed form is cached, and the number of cached ones."""
-_READ_CHUNK: Final = 16 * 1024
+_READ_CHUNK_BYTES: Final = 16 * 1024
 """Largest number of bytes that a connection reads at once."""
 
 
@@ -63,7 +63,7 @@
         self._held_bytes -= size
 
 
-def answer(
+def write_response(
     connection: httputil.HTTPConnection, status: int, body: Any, retry_after_s: int | None = None
 ) -> None:
     """Write a complete JSON response."""
@@ -73,8 +73,8 @@
     )
     if retry_after_s is not None:
         headers["Retry-After"] = str(retry_after_s)
-    line = httputil.ResponseStartLine("", status, http.HTTPStatus(status).phrase)
-    connection.write_headers(line, headers, content)
+    status_line = httputil.ResponseStartLine("", status, http.HTTPStatus(status).phrase)
+    connection.write_headers(status_line, headers, content)
     connection.finish()
 
 
@@ -121,21 +121,21 @@
         tornado's idle timeout would need a timer per request.
         """
         for connection, request in list(self._requests.items()):
-            if not request.has_begun and now - request.since > _IDLE_S:
+            if not request.has_begun and now - request.created_at > _IDLE_TIMEOUT_S:
                 await connection.close()
 
 
 class Server(httpserver.HTTPServer):
     """HTTP server that notifies its delegate of closed connections, unlike tornado's."""
 
-    def __init__(self, front: HttpFrontend) -> None:
-        super().__init__(front, max_body_size=_MAX_RECEIVED, chunk_size=_READ_CHUNK)
-        self._front = front
+    def __init__(self, frontend: HttpFrontend) -> None:
+        super().__init__(frontend, max_body_size=_MAX_RECEIVED_BYTES, chunk_size=_READ_CHUNK_BYTES)
+        self._frontend = frontend
         self.conn_params.header_timeout = None
 
     def handle_stream(self, stream: iostream.IOStream, address: Any) -> None:
         """Serve an accepted connection."""
-        send_at_once(stream)
+        disable_nagle(stream)
         context = _HTTPRequestContext(stream, address, self.protocol, self.trusted_downstream)
         connection = _Connection(stream, self.conn_params, context)
         self._connections.add(connection)
@@ -144,7 +144,7 @@
     def on_close(self, server_conn: object) -> None:
         """Forward the end of a connection to the front end."""
         super().on_close(server_conn)
-        self._front.on_close(server_conn)
+        self._frontend.on_close(server_conn)
 
 
 class _Connection(HTTP1ServerConnection):
@@ -177,31 +177,33 @@
                 served += 1
                 # tornado has no public attribute for the number of bytes it has read ahead.
                 read_ahead = self.stream._read_buffer_size  # noqa: SLF001
-                if read_ahead or served % _YIELD_EVERY == 0:
+                if read_ahead or served % _REQUESTS_PER_YIELD == 0:
                     # Another request is buffered or may be waiting in the socket.
                     await asyncio.sleep(0)
         finally:
             delegate.on_close(self)
 
 
-_Head = tuple[str, httputil.HTTPHeaders]
+_ParsedHeaders = tuple[str, httputil.HTTPHeaders]
 
 
 class _Message(HTTP1Connection):
     """A message whose parsed header block is cached, since workers repeat theirs."""
 
-    _heads: ClassVar[dict[bytes, _Head]] = {}
+    _parsed_headers: ClassVar[dict[bytes, _ParsedHeaders]] = {}
 
-    def _parse_headers(self, data: bytes) -> _Head:
-        head = self._heads.get(data)
-        if head is None:
-            head = super()._parse_headers(data)
+    def _parse_headers(self, data: bytes) -> _ParsedHeaders:
+        parsed = self._parsed_headers.get(data)
+        if parsed is None:
+            parsed = super()._parse_headers(data)
             # Workers' header blocks are short; longer ones of other clients rarely recur.
-            if len(data) <= _MAX_CACHED_HEAD and "," not in head[1].get("Content-Length", ""):
-                if len(self._heads) >= _MAX_CACHED_HEADS:
-                    self._heads.clear()
-                self._heads[data] = head
-        return head
+            if len(data) <= _MAX_CACHED_HEADER_BYTES and "," not in parsed[1].get(
+                "Content-Length", ""
+            ):
+                if len(self._parsed_headers) >= _MAX_CACHED_HEADERS:
+                    self._parsed_headers.clear()
+                self._parsed_headers[data] = parsed
+        return parsed
 
 
 class _Rejection(NamedTuple):
@@ -216,16 +218,16 @@
     """A request whose body is buffered, then answered here or passed to the application."""
 
     def __init__(
-        self, front: HttpFrontend, server_conn: object, connection: httputil.HTTPConnection
+        self, frontend: HttpFrontend, server_conn: object, connection: httputil.HTTPConnection
     ) -> None:
-        self.since = monotonic_now()
+        self.created_at = monotonic_now()
         self.has_begun = False
-        self._front = front
+        self._frontend = frontend
         self._server_conn = server_conn
         self._connection = connection
         self._delegate: httputil.HTTPMessageDelegate | None = None
         """The application's delegate; None for a heartbeat."""
-        self._held = front.heartbeat_bodies
+        self._body_memory = frontend.heartbeat_bodies
         self._chunks: list[bytes] = []
         self._size = 0
         self._rejection: _Rejection | None = None
@@ -239,13 +241,15 @@
         self.has_begun = True
         assert isinstance(start_line, httputil.RequestStartLine)
         if (
-            self._front.handle_heartbeat is not None
+            self._frontend.handle_heartbeat is not None
             and start_line.path == wire.REPORT_PATH
             and start_line.method == "POST"
         ):
             return None
-        self._held = self._front.other_bodies
-        self._delegate = self._front.application.start_request(self._server_conn, self._connection)
+        self._body_memory = self._frontend.other_bodies
+        self._delegate = self._frontend.application.start_request(
+            self._server_conn, self._connection
+        )
         return self._delegate.headers_received(start_line, headers)
 
     def data_received(self, chunk: bytes) -> Awaitable[None] | None:
@@ -253,7 +257,7 @@
             return None
         if self._delegate is None and self._size + len(chunk) > wire.MAX_BODY:
             self._rejection = _Rejection(400, "the body is larger than 64 KiB")
-        elif not self._held.reserve(len(chunk)):
+        elif not self._body_memory.reserve(len(chunk)):
             # Not 400: without its id, a new job can't be told from one that is already accepted.
             self._rejection = _Rejection(503, "too much at once", retry_after_s=1)
         else:
@@ -264,7 +268,7 @@
         return None
 
     def release(self) -> None:
-        self._held.release(self._size)
+        self._body_memory.release(self._size)
         self._size = 0
         self._chunks.clear()
 
@@ -273,9 +277,9 @@
         self._chunks.clear()
         if self._rejection is not None:
             status, error, retry_after_s = self._rejection
-            answer(self._connection, status, {"error": error}, retry_after_s)
+            write_response(self._connection, status, {"error": error}, retry_after_s)
         elif self._delegate is None:
-            answer(self._connection, *self._handle_heartbeat(body))
+            write_response(self._connection, *self._handle_heartbeat(body))
         else:
             if body:
                 self._delegate.data_received(body)
@@ -286,7 +290,7 @@
             self._delegate.on_connection_close()
 
     def _handle_heartbeat(self, body: bytes) -> HeartbeatReply:
-        handle_heartbeat = self._front.handle_heartbeat
+        handle_heartbeat = self._frontend.handle_heartbeat
         assert handle_heartbeat is not None
         try:
             heartbeat = wire.decode(body, wire.Heartbeat)
--- a/tealrill/api/relay.py
+++ b/tealrill/api/relay.py
@@ -24,11 +24,11 @@
 log = logging.getLogger(__name__)
 
 PEER_PREFIX: Final = "/peer"
-_SLOW_S: Final = 0.1
+_SUBMISSION_RELAY_DELAY_S: Final = 0.1
 """Time after which a submission is also relayed; the state service usually takes 10 ms."""
-_SLOW_POLL_S: Final = 0.4
+_RELAY_DELAY_S: Final = 0.4
 _TIMEOUT_S: Final = 0.6
-_AGAIN_S: Final = 0.2
+_RETRY_INTERVAL_S: Final = 0.2
 """Interval between relayed requests while no other controller gives conclusive answers."""
 
 
@@ -52,66 +52,70 @@
         self._local = local
         self._failing = failing
         self._peers = list(peer_clients(settings, most=2).values())
-        self._in_vain = 0
+        self._consecutive_failures = 0
         """Number of consecutive relayed requests without a conclusive answer."""
-        self._in_vain_at = Monotonic(-math.inf)
+        self._last_failure_at = Monotonic(-math.inf)
 
     async def submit(self, body: bytes) -> Reply:
         """Submit the job described by the request body."""
-        there = (wire.JOBS_PATH, "POST", body)
-        return await self.either(self._local.submit(body), there, _SLOW_S)
+        remote_request = (wire.JOBS_PATH, "POST", body)
+        return await self.either(
+            self._local.submit(body), remote_request, _SUBMISSION_RELAY_DELAY_S
+        )
 
     async def status(self, text: str) -> Reply:
         """Return the status of the job with the id in `text`."""
-        there = (f"{wire.JOBS_PATH}/{text}", "GET", None)
-        return await self.either(self._local.status(text), there, _SLOW_POLL_S)
+        remote_request = (f"{wire.JOBS_PATH}/{text}", "GET", None)
+        return await self.either(self._local.status(text), remote_request, _RELAY_DELAY_S)
 
     async def cancel(self, text: str) -> Reply:
         """Cancel the job with the id in `text`."""
-        there = (f"{wire.JOBS_PATH}/{text}/{wire.CANCEL_PATH}", "POST", b"")
-        return await self.either(self._local.cancel(text), there, _SLOW_POLL_S)
+        remote_request = (f"{wire.JOBS_PATH}/{text}/{wire.CANCEL_PATH}", "POST", b"")
+        return await self.either(self._local.cancel(text), remote_request, _RELAY_DELAY_S)
 
     async def either(
         self,
         local: Coroutine[Any, Any, Reply],
-        there: tuple[str, str, bytes | None],
-        slow_s: float,
+        remote_request: tuple[str, str, bytes | None],
+        relay_delay_s: float,
         timeout_s: float = _TIMEOUT_S,
     ) -> Reply:
         """Return the first conclusive reply, or this controller's own if there is none.
 
-        `there` is the equivalent request to another controller: path, method and body. It is sent
-        if the state service is failing, if the local attempt is inconclusive, or once that has
-        taken `slow_s` seconds.
+        `remote_request` is the equivalent request to another controller: path, method and body. It
+        is sent if the state service is failing, if the local attempt is inconclusive, or once that
+        has taken `relay_delay_s` seconds.
         """
-        here = asyncio.create_task(local)
-        other: asyncio.Task[Reply | None] | None = None
+        local_task = asyncio.create_task(local)
+        relay_task: asyncio.Task[Reply | None] | None = None
         try:
-            await asyncio.wait({here}, timeout=0.0 if self._failing() else slow_s)
-            if (here.done() and not here.result().retry_on_other_node) or not self._worth_asking():
-                return await here
-            other = asyncio.create_task(self._ask(*there, timeout_s))
-            for first in asyncio.as_completed((here, other)):
-                reply = await first
+            await asyncio.wait({local_task}, timeout=0.0 if self._failing() else relay_delay_s)
+            if (
+                local_task.done() and not local_task.result().retry_on_other_node
+            ) or not self._should_relay():
+                return await local_task
+            relay_task = asyncio.create_task(self._request_peer(*remote_request, timeout_s))
+            for completed in asyncio.as_completed((local_task, relay_task)):
+                reply = await completed
                 if reply is not None and not reply.retry_on_other_node:
                     return reply
-            return await here
+            return await local_task
         finally:
-            here.cancel()
-            if other is not None:
-                other.cancel()
+            local_task.cancel()
+            if relay_task is not None:
+                relay_task.cancel()
 
-    def _worth_asking(self) -> bool:
+    def _should_relay(self) -> bool:
         """Return True if another controller may give a conclusive answer.
 
         In an outage of the state service none can, and only one request per interval is relayed.
         """
         if not self._peers:
             return False
-        some = self._in_vain < 2 * len(self._peers)
-        return some or monotonic_now() - self._in_vain_at >= _AGAIN_S
+        below_limit = self._consecutive_failures < 2 * len(self._peers)
+        return below_limit or monotonic_now() - self._last_failure_at >= _RETRY_INTERVAL_S
 
-    async def _ask(
+    async def _request_peer(
         self, path: str, method: str, body: bytes | None, timeout_s: float
     ) -> Reply | None:
         """Return another controller's reply, or None if that is inconclusive too."""
@@ -125,8 +129,8 @@
         if reply is None or reply.status >= 500:
             # Relay the next request to the next controller in turn.
             self._peers = [*self._peers[1:], peer]
-            self._in_vain += 1
-            self._in_vain_at = monotonic_now()
+            self._consecutive_failures += 1
+            self._last_failure_at = monotonic_now()
             return None
-        self._in_vain = 0
+        self._consecutive_failures = 0
         return reply
--- a/tealrill/cli/__init__.py
+++ b/tealrill/cli/__init__.py
@@ -30,7 +30,7 @@
 """Modules of this package and the help of the command group of the same name in each."""
 
 
-class _Groups(click.Group):
+class _LazyGroup(click.Group):
     """A group whose nested groups are imported on demand."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
@@ -46,20 +46,20 @@
                 raise
             _fail(f"{cmd_name} needs {error.name}: python3 -m pip install 'tealrill[tools]'")
             return None
-        found = getattr(module, cmd_name)
-        assert isinstance(found, click.Command)
-        return found
+        command = getattr(module, cmd_name)
+        assert isinstance(command, click.Command)
+        return command
 
     def format_commands(self, ctx: click.Context, formatter: click.HelpFormatter) -> None:
         rows = []
         for name in self.list_commands(ctx):
-            own = super().get_command(ctx, name)
-            rows.append((name, _GROUPS[name] if own is None else own.get_short_help_str()))
+            command = super().get_command(ctx, name)
+            rows.append((name, _GROUPS[name] if command is None else command.get_short_help_str()))
         with formatter.section("Commands"):
             formatter.write_dl(rows)
 
 
-@click.group(cls=_Groups)
+@click.group(cls=_LazyGroup)
 @click.version_option(__version__, prog_name="tealrill")
 def main() -> None:
     """A cluster scheduler: the daemon and commands for operators."""
@@ -83,7 +83,7 @@
     """Run a controller until it is stopped."""
     try:
         settings = load(config)
-        switched = features.load(features_path) if features_path is not None else None
+        enabled_features = features.load(features_path) if features_path is not None else None
     except SettingsError as error:
         _fail(f"settings: {error}")
         return
@@ -91,7 +91,7 @@
         _fail(f"features: {error}")
         return
     configure_logging()
-    serve_node(settings, switched or features.Features())
+    serve_node(settings, enabled_features or features.Features())
 
 
 @main.command()
--- a/tealrill/cli/draw.py
+++ b/tealrill/cli/draw.py
@@ -20,9 +20,9 @@
 from tealrill.graphs.model import EACH, FAILED, Shape
 from tealrill.graphs.model import ENDED as AFTER_EITHER
 
-MOST_BOXES: Final = 200
+MAX_BOXES: Final = 200
 _HEIGHT: Final = 28
-_CHAR: Final = 7.2
+_CHAR_WIDTH: Final = 7.2
 _GAP: Final = 24
 _COLOURS: Final = {
     "done": "#cfe8cf",
@@ -48,27 +48,29 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Picture:
+class Drawing:
     """Boxes and the arrows between them: from, to, kind of dependency."""
 
     boxes: list[Box]
     arrows: list[tuple[int, int, int]]
 
 
-def picture(shape: Shape, states: Sequence[str] | None = None, most: int = MOST_BOXES) -> Picture:
-    """Return the drawing of a graph, with its nodes grouped if there are more than `most`."""
-    if shape.nodes <= most:
+def make_drawing(
+    shape: Shape, states: Sequence[str] | None = None, max_boxes: int = MAX_BOXES
+) -> Drawing:
+    """Return the drawing of a graph, with its nodes grouped if there are more than `max_boxes`."""
+    if shape.nodes <= max_boxes:
         group = list(range(shape.nodes))
         names = [f"{key}" for key in shape.keys]
     else:
-        group, names = _grouped(shape)
+        group, names = _group_by_layer(shape)
     members: list[list[int]] = [[] for _ in names]
     for index, number in enumerate(group):
         members[number].append(index)
     boxes = []
     for name, inside in zip(names, members, strict=True):
-        found = {states[i] for i in inside} if states is not None else set()
-        colour = _COLOURS.get(next(iter(found)), "white") if len(found) == 1 else "white"
+        box_states = {states[i] for i in inside} if states is not None else set()
+        colour = _COLOURS.get(next(iter(box_states)), "white") if len(box_states) == 1 else "white"
         label = name if len(inside) == 1 else f"{name} ×{len(inside)}"
         boxes.append(Box(label, sum(shape.tasks[i] for i in inside), colour))
     arrows: dict[tuple[int, int, int], None] = {}
@@ -76,13 +78,15 @@
         for other, kind in shape.awaited(index):
             if group[other] != group[index]:
                 arrows[(group[other], group[index], kind)] = None
-    return Picture(boxes, list(arrows))
+    return Drawing(boxes, list(arrows))
 
 
-def _grouped(shape: Shape) -> tuple[list[int], list[str]]:
+def _group_by_layer(shape: Shape) -> tuple[list[int], list[str]]:
     layer = [0] * shape.nodes
     for index in shape.order:
-        layer[index] = 1 + max((layer[up] for up, _ in shape.awaited(index)), default=-1)
+        layer[index] = 1 + max(
+            (layer[predecessor] for predecessor, _ in shape.awaited(index)), default=-1
+        )
     numbers: dict[tuple[int, str], int] = {}
     group = []
     for index, key in enumerate(shape.keys):
@@ -91,23 +95,23 @@
     return group, [name for _, name in numbers]
 
 
-def dot(drawn: Picture, name: str) -> str:
+def dot(drawing: Drawing, name: str) -> str:
     """Return the drawing in Graphviz DOT."""
     graph = pydot.Dot(f'"{name}"', graph_type="digraph", rankdir="LR")
     graph.set_node_defaults(shape="box", style="filled", fillcolor="white")
-    for number, box in enumerate(drawn.boxes):
+    for number, box in enumerate(drawing.boxes):
         label = f'"{box.label}\\n{box.tasks} tasks"'
         graph.add_node(pydot.Node(f"n{number}", label=label, fillcolor=f'"{box.colour}"'))
-    for start, end, kind in drawn.arrows:
-        given: dict[str, Any] = {}
+    for start, end, kind in drawing.arrows:
+        attributes: dict[str, Any] = {}
         if kind in _STYLES:
             label, style = _STYLES[kind]
-            given = {"label": label, "style": style}
-        graph.add_edge(pydot.Edge(f"n{start}", f"n{end}", **given))
+            attributes = {"label": label, "style": style}
+        graph.add_edge(pydot.Edge(f"n{start}", f"n{end}", **attributes))
     return str(graph.to_string())
 
 
-class _Size:
+class _VertexView:
     """View of a vertex for grandalf: its size, and its centre, which the layout sets."""
 
     def __init__(self, width: float) -> None:
@@ -116,12 +120,12 @@
         self.xy = (0.0, 0.0)
 
 
-def svg(drawn: Picture, name: str) -> str:
+def svg(drawing: Drawing, name: str) -> str:
     """Return the drawing in SVG, with its layers from top to bottom."""
-    vertices = [Vertex(box) for box in drawn.boxes]
+    vertices = [Vertex(box) for box in drawing.boxes]
     for vertex in vertices:
-        vertex.view = _Size(_CHAR * len(_text(vertex.data)) + 16)
-    edges = [LayoutEdge(vertices[a], vertices[b]) for a, b, _ in drawn.arrows]
+        vertex.view = _VertexView(_CHAR_WIDTH * len(_box_text(vertex.data)) + 16)
+    edges = [LayoutEdge(vertices[a], vertices[b]) for a, b, _ in drawing.arrows]
     right, lowest = float(_GAP), 0.0
     for component in LayoutGraph(vertices, edges).C:
         layout = SugiyamaLayout(component)
@@ -140,7 +144,7 @@
     arrow = page.marker(insert=(8, 4), size=(8, 8), orient="auto")
     arrow.add(page.path("M0,0 L8,4 L0,8 z", fill="#444444"))
     page.defs.add(arrow)
-    for start, end, kind in drawn.arrows:
+    for start, end, kind in drawing.arrows:
         (x1, y1), (x2, y2) = vertices[start].view.xy, vertices[end].view.xy
         dash = {"failed": "6,3", "ended": "2,3"}.get(_STYLES.get(kind, ("", ""))[0], "none")
         width = 2.2 if kind == EACH else 1.0
@@ -166,7 +170,7 @@
         )
         page.add(
             page.text(
-                _text(vertex.data),
+                _box_text(vertex.data),
                 insert=(x, y + 4),
                 text_anchor="middle",
                 font_size=12,
@@ -176,5 +180,5 @@
     return str(page.tostring())
 
 
-def _text(box: Box) -> str:
+def _box_text(box: Box) -> str:
     return f"{box.label} ({box.tasks})" if box.tasks > 1 else box.label
--- a/tealrill/cli/graph.py
+++ b/tealrill/cli/graph.py
@@ -18,10 +18,10 @@
 from tealrill.graphs.tracker import STATES
 
 _POLL_S: Final = 2.0
-_OVER: Final = ("done", "failed", "aborted")
-_ENDS: Final = STATES[3:]
+_TERMINAL_STATUSES: Final = ("done", "failed", "aborted")
+_TERMINAL_NODE_STATES: Final = STATES[3:]
 
-_address = click.option(
+_address_option = click.option(
     "--address",
     "addresses",
     multiple=True,
@@ -30,8 +30,8 @@
     envvar="TEALRILL_ADDRESS",
     help="A controller's client address, host:port; repeatable.",
 )
-_json = click.option("--json", "as_json", is_flag=True, help="JSON lines instead of text.")
-_patience = click.option(
+_json_option = click.option("--json", "as_json", is_flag=True, help="JSON lines instead of text.")
+_retry_option = click.option(
     "--retry-s", default=60.0, show_default=True, help="How long a request is retried, in seconds."
 )
 
@@ -46,10 +46,10 @@
 
 
 def _print(message: dict[str, Any], as_json: bool) -> None:
-    click.echo(orjson.dumps(message).decode() if as_json else _line(message))
+    click.echo(orjson.dumps(message).decode() if as_json else _format_status(message))
 
 
-def _line(message: dict[str, Any]) -> str:
+def _format_status(message: dict[str, Any]) -> str:
     """Return the state of a graph as one line."""
     parts = [str(message.get("id", "")), str(message.get("status", ""))]
     if "nodes" in message:
@@ -97,9 +97,9 @@
 @click.argument("file", type=click.Path(path_type=Path))
 @click.option("--id", "graph_id", help="Replaces the file's id, to submit the graph once more.")
 @click.option("--watch/--no-watch", "follow", default=False, help="Watch the graph until it ends.")
-@_address
-@_patience
-@_json
+@_address_option
+@_retry_option
+@_json_option
 def submit(
     file: Path,
     graph_id: str | None,
@@ -118,7 +118,7 @@
         with _client(addresses, retry_s) as client:
             _print(client.submit_graph(content, nodes), as_json)
             if follow:
-                _follow(client, content["id"], as_json)
+                _watch_until_end(client, content["id"], as_json)
     except (GraphFileError, ClientError) as error:
         _fail(error)
 
@@ -128,9 +128,9 @@
 @click.option("--nodes", "with_nodes", is_flag=True, help="Also list its nodes.")
 @click.option("--state", type=click.Choice(STATES), help="Only nodes in this state.")
 @click.option("--most", default=100, show_default=True, help="Maximum number of nodes.")
-@_address
-@_patience
-@_json
+@_address_option
+@_retry_option
+@_json_option
 def show(
     graph_id: str,
     with_nodes: bool,
@@ -156,37 +156,37 @@
 
 @graph.command()
 @click.argument("graph_id", metavar="ID")
-@_address
-@_patience
-@_json
+@_address_option
+@_retry_option
+@_json_option
 def watch(graph_id: str, addresses: tuple[str, ...], retry_s: float, as_json: bool) -> None:
     """Watch a graph until it ends. Exit status 0 if it is done, 1 if it failed or was cancelled."""
     try:
         with _client(addresses, retry_s) as client:
-            _follow(client, graph_id, as_json)
+            _watch_until_end(client, graph_id, as_json)
     except ClientError as error:
         _fail(error)
 
 
-def _states(client: Client, graph_id: str) -> Iterator[dict[str, Any]]:
+def _poll_status(client: Client, graph_id: str) -> Iterator[dict[str, Any]]:
     while True:
-        shown = client.show_graph(graph_id)
-        yield shown
-        if shown["status"] in _OVER:
+        current = client.show_graph(graph_id)
+        yield current
+        if current["status"] in _TERMINAL_STATUSES:
             return
         time.sleep(_POLL_S)
 
 
-def _follow(client: Client, graph_id: str, as_json: bool) -> None:
+def _watch_until_end(client: Client, graph_id: str, as_json: bool) -> None:
     """Show a progress bar on a terminal, else a line for each change, until the graph ends."""
     console = Console()
     last: dict[str, Any] = {}
     if as_json or not console.is_terminal:
-        for shown in _states(client, graph_id):
-            if shown != last:
-                _print(shown, as_json)
+        for current in _poll_status(client, graph_id):
+            if current != last:
+                _print(current, as_json)
                 sys.stdout.flush()
-            last = shown
+            last = current
     else:
         columns = (
             TextColumn("{task.description}"),
@@ -197,20 +197,20 @@
         )
         with Progress(*columns, console=console) as bar:
             task = bar.add_task(graph_id, total=None, counts="")
-            for last in _states(client, graph_id):
+            for last in _poll_status(client, graph_id):
                 counts = last.get("counts") or {}
-                over = sum(counts.get(name, 0) for name in _ENDS)
+                ended = sum(counts.get(name, 0) for name in _TERMINAL_NODE_STATES)
                 text = "  ".join(f"{counts[n]} {n}" for n in STATES if counts.get(n))
-                bar.update(task, total=last.get("nodes"), completed=over, counts=text)
-        click.echo(_line(last))
+                bar.update(task, total=last.get("nodes"), completed=ended, counts=text)
+        click.echo(_format_status(last))
     sys.exit(0 if last.get("status") == "done" else 1)
 
 
 @graph.command()
 @click.argument("graph_id", metavar="ID")
-@_address
-@_patience
-@_json
+@_address_option
+@_retry_option
+@_json_option
 def cancel(graph_id: str, addresses: tuple[str, ...], retry_s: float, as_json: bool) -> None:
     """Cancel a graph: stop its running tasks, start no further ones."""
     try:
@@ -225,8 +225,8 @@
 @click.option("--to", "target", type=click.Path(path_type=Path), help="A .dot or .svg file.")
 @click.option("--progress", is_flag=True, help="Colour nodes by their state in the service.")
 @click.option("--most", default=200, show_default=True, help="Group nodes above this number.")
-@_address
-@_patience
+@_address_option
+@_retry_option
 def draw(
     file: Path,
     target: Path | None,
@@ -236,7 +236,7 @@
     retry_s: float,
 ) -> None:
     """Draw the graph in FILE as DOT (to standard output by default) or SVG."""
-    from tealrill.cli import draw as pictures
+    from tealrill.cli import draw as renderer
 
     try:
         content = load(file)
@@ -248,14 +248,14 @@
     except (GraphFileError, ClientError) as error:
         _fail(error)
         return
-    drawn = pictures.picture(shape, states, most)
+    drawing = renderer.make_drawing(shape, states, most)
     if target is None:
-        click.echo(pictures.dot(drawn, content["id"]))
+        click.echo(renderer.dot(drawing, content["id"]))
         return
     if target.suffix not in (".dot", ".svg"):
         _fail(f"{target}: neither .dot nor .svg")
-    make = pictures.svg if target.suffix == ".svg" else pictures.dot
+    make = renderer.svg if target.suffix == ".svg" else renderer.dot
     try:
-        target.write_text(make(drawn, content["id"]), encoding="utf-8")
+        target.write_text(make(drawing, content["id"]), encoding="utf-8")
     except OSError as error:
         _fail(f"{target}: {error.strerror}")
--- a/tealrill/daemon.py
+++ b/tealrill/daemon.py
@@ -43,17 +43,17 @@
 
 log = logging.getLogger(__name__)
 
-_HELD_PART: Final = 0.1
+_BODY_MEMORY_SHARE: Final = 0.1
 """Share of the memory quota for buffered request bodies, for heartbeats and others each."""
-_CLOSE_IDLE_S: Final = 30.0
-_HAND_OVER_S: Final = 1.0
+_IDLE_CHECK_INTERVAL_S: Final = 30.0
+_HANDOVER_TIMEOUT_S: Final = 1.0
 """Time limit for finishing work in flight before a handover; a third of the lease's TTL."""
-_HAND_OVER_LOOK_S: Final = 0.02
+_HANDOVER_POLL_INTERVAL_S: Final = 0.02
 _RESIGN_PAUSE_S: Final = 10.0
-_SILENT_REPORTS: Final = 4.0
-_TERM_CHECK_S: Final = 0.5
-_STOOD_STILL_S: Final = 1.0
-_HEARD_BEFORE: Final = 2
+_MAX_MISSED_HEARTBEATS: Final = 4.0
+_REACHABILITY_CHECK_INTERVAL_S: Final = 0.5
+_MAX_LOOP_DELAY_S: Final = 1.0
+_MIN_CONTACTED_MACHINES: Final = 2
 
 
 class Controller:
@@ -75,7 +75,7 @@
         self.leader: Leader | None = None
         self._catalogues = CatalogueCache(settings, self._cloud)
         self.admission = Admission(self._client, settings, lambda: self._catalogues.known)
-        self.admission.counts = self._counts
+        self.admission.counts = self._task_counts
         self._lease_extension = LeaseExtension(
             settings, self._client, self.election, self.admission.acknowledged
         )
@@ -95,16 +95,16 @@
             else CancellationKnowledge()
         )
         self._lease_extension.on_cancellations_known = self._on_cancellations_known
-        self._lease_extension.on_cancelled = self._cancelled_elsewhere
+        self._lease_extension.on_cancelled = self._on_cancelled_by_peer
         self._lease_extension.is_excluded = self._is_excluded
         self._lease_extension.on_extended_by_exclusion = self._on_lease_extended
-        self._last_report: Monotonic | None = None
-        self._report_counts = HeartbeatCounts()
+        self._last_heartbeat_at: Monotonic | None = None
+        self._heartbeat_counts = HeartbeatCounts()
         self._transfer = LeadershipTransfer(settings)
         self._lease_extension.heartbeat_count = lambda: self._transfer.recent_heartbeats(
             monotonic_now()
         )
-        self._fronts: list[HttpFrontend] = []
+        self._frontends: list[HttpFrontend] = []
         self.servers: list[Server] = []
         self._relay = Relay(self.admission, settings, lambda: self._client.failing)
         self.extensions = self._enabled_extensions()
@@ -114,11 +114,11 @@
 
     def _enabled_extensions(self) -> list[Extension]:
         """Create the enabled extensions; the modules of disabled ones are not imported."""
-        found: list[Extension] = []
+        extensions: list[Extension] = []
         if self._features.graphs.on:
             from tealrill.graphs.extension import graphs
 
-            found.append(
+            extensions.append(
                 graphs(
                     self._settings,
                     self._features.graphs,
@@ -128,31 +128,31 @@
                     self._relay,
                 )
             )
-        return found
+        return extensions
 
     # -- running --------------------------------------------------------------------------------
 
-    async def run(self, *more: Callable[[], Coroutine[Any, Any, None]]) -> None:
-        """Serve until cancelled, running the loops in `more` alongside the controller's own."""
+    async def run(self, *extra_loops: Callable[[], Coroutine[Any, Any, None]]) -> None:
+        """Serve until cancelled, with `extra_loops` next to the controller's own loops."""
         self._listen()
         async with asyncio.TaskGroup() as group:
             group.create_task(self.election.run())
             group.create_task(self._lease_extension.run())
             group.create_task(self._renewal_delegate.run())
             group.create_task(self._revocation.run())
-            group.create_task(self._terms())
+            group.create_task(self._run_terms())
             group.create_task(self._catalogues.run())
             group.create_task(self._check_reachability())
-            group.create_task(self._close_idle())
+            group.create_task(self._close_idle_connections())
             for extension in self.extensions:
                 for loop in extension.loops:
                     group.create_task(loop())
-            for loop in more:
+            for loop in extra_loops:
                 group.create_task(loop())
 
     def _listen(self) -> None:
         users: list[Any] = [
-            *_user_rules("", self._relay),
+            *_job_routes("", self._relay),
             (wire.HEALTH_PATH, HealthHandler, {"healthy": lambda: True}),
         ]
         operators: list[Any] = [
@@ -160,23 +160,23 @@
             (EXTENSION_PATH, LeaseExtensionHandler, {"extension": self._lease_extension}),
             (PING_PATH, PingHandler, {"extension": self._lease_extension}),
             (CATALOGUE_PATH, CatalogueHandler, {"known": lambda: self._catalogues.known}),
-            *_user_rules(PEER_PREFIX, self.admission),
+            *_job_routes(PEER_PREFIX, self.admission),
         ]
         for extension in self.extensions:
             users += extension.user_routes
             operators += extension.peer_routes
-        most_held = int(_HELD_PART * self._settings.params.quota.ram_mb * 1024 * 1024)
-        for rules, where, handle_heartbeat in (
+        max_held_bytes = int(_BODY_MEMORY_SHARE * self._settings.params.quota.ram_mb * 1024 * 1024)
+        for routes, listen_address, handle_heartbeat in (
             (users, self._settings.client_listen, self.handle_heartbeat),
             (operators, self._settings.cluster_listen, None),
         ):
             application = web.Application(
-                rules, default_handler_class=NotFound, log_function=no_access_log
+                routes, default_handler_class=NotFound, log_function=no_access_log
             )
-            front = HttpFrontend(application, most_held, handle_heartbeat)
-            self._fronts.append(front)
-            address = parse_address(where)
-            server = Server(front)
+            frontend = HttpFrontend(application, max_held_bytes, handle_heartbeat)
+            self._frontends.append(frontend)
+            address = parse_address(listen_address)
+            server = Server(frontend)
             server.listen(address.port, address.host)
             self.servers.append(server)
         log.info(
@@ -185,13 +185,13 @@
             self._settings.client_listen,
         )
 
-    async def _close_idle(self) -> None:
+    async def _close_idle_connections(self) -> None:
         while True:
-            await asyncio.sleep(_CLOSE_IDLE_S)
-            for front in self._fronts:
-                await front.close_idle(monotonic_now())
+            await asyncio.sleep(_IDLE_CHECK_INTERVAL_S)
+            for frontend in self._frontends:
+                await frontend.close_idle(monotonic_now())
 
-    async def _terms(self) -> None:
+    async def _run_terms(self) -> None:
         """Run a `Leader` for each term that this controller is elected for."""
         while True:
             await self._leader_changed.wait()
@@ -246,14 +246,14 @@
         as it is known, or 503 rejects the heartbeat.
         """
         now = monotonic_now()
-        self._last_report = now
+        self._last_heartbeat_at = now
         self._transfer.record_heartbeat(now)
         leadership = self.election.valid_leadership(now)
         if leadership is None or self.leader is None or not self.leader.may_renew_workers(now):
             term = self._renewal_delegate.renewal_token(report, machine_id, now)
             if term is not None:
                 # A delegated renewal: heartbeats of this worker don't reach the leader.
-                self._report_counts.delegated += 1
+                self._heartbeat_counts.delegated += 1
                 return 200, wire.report_answer(term, [])
             known = self.election.known_leader
             host = known.host if known is not None else None
@@ -261,13 +261,13 @@
                 # Name no leader. A worker that is redirected to an unreachable leader loses 4 s of
                 # its lease waiting for it; trying the next controller costs 1 s.
                 host = None
-            self._report_counts.redirected += 1
+            self._heartbeat_counts.redirected += 1
             return 421, wire.redirect(host)
         commands = self.leader.report(report, machine_id, now)
         if commands is None:
-            self._report_counts.refused += 1
+            self._heartbeat_counts.refused += 1
             return 503, {"error": "not taken"}
-        self._report_counts.renewed += 1
+        self._heartbeat_counts.renewed += 1
         return 200, wire.report_answer(leadership.term, commands)
 
     def _has_quorum_reach(self) -> bool:
@@ -276,8 +276,11 @@
         A partition of its zone cuts a leader in a zone without machines off from every machine. A
         leader with machines in its own zone still reaches those.
         """
-        last = self._last_report
-        if last is not None and monotonic_now() - last > self._silent_s:
+        last_heartbeat_at = self._last_heartbeat_at
+        if (
+            last_heartbeat_at is not None
+            and monotonic_now() - last_heartbeat_at > self._heartbeat_timeout_s
+        ):
             return False
         catalogue = self._catalogues.known
         return catalogue is not None and any(
@@ -285,37 +288,46 @@
         )
 
     @property
-    def _silent_s(self) -> float:
-        return max(4.0, _SILENT_REPORTS * self._report_s)
+    def _heartbeat_timeout_s(self) -> float:
+        return max(4.0, _MAX_MISSED_HEARTBEATS * self._heartbeat_interval_s)
 
     @property
-    def _report_s(self) -> float:
+    def _heartbeat_interval_s(self) -> float:
         return self._settings.params.workers.heartbeat_interval_s
 
     async def _check_reachability(self) -> None:
         """Resign, so that another member can lead, once no heartbeats reach this leader."""
         while True:
-            due = monotonic_now() + _TERM_CHECK_S
-            await asyncio.sleep(_TERM_CHECK_S)
-            leader, leadership, last = self.leader, self.election.leadership, self._last_report
+            expected_at = monotonic_now() + _REACHABILITY_CHECK_INTERVAL_S
+            await asyncio.sleep(_REACHABILITY_CHECK_INTERVAL_S)
+            leader, leadership, last_heartbeat_at = (
+                self.leader,
+                self.election.leadership,
+                self._last_heartbeat_at,
+            )
             now = monotonic_now()
-            if leader is None or leadership is None or last is None or now - due > _STOOD_STILL_S:
+            if (
+                leader is None
+                or leadership is None
+                or last_heartbeat_at is None
+                or now - expected_at > _MAX_LOOP_DELAY_S
+            ):
                 # After a pause of this process, heartbeats that arrived meanwhile are still unread.
                 continue
-            heard = sum(
+            contacted_machines = sum(
                 m.last_contact_at is not None and not m.lease_expired
                 for m in leader.fleet.machines.values()
             )
-            if heard < _HEARD_BEFORE or not leadership.valid(now):
+            if contacted_machines < _MIN_CONTACTED_MACHINES or not leadership.valid(now):
                 continue
-            if now - last > self._silent_s:
+            if now - last_heartbeat_at > self._heartbeat_timeout_s:
                 await self.election.resign("no heartbeats arrive", _RESIGN_PAUSE_S)
-            elif failure_detector.has_lost_all_heartbeats(now - last, heard, self._report_s) and (
-                await self._transfer.peer_receives_heartbeats(heard)
-            ):
+            elif failure_detector.has_lost_all_heartbeats(
+                now - last_heartbeat_at, contacted_machines, self._heartbeat_interval_s
+            ) and (await self._transfer.peer_receives_heartbeats(contacted_machines)):
                 await self.election.resign("heartbeats reach only other members", _RESIGN_PAUSE_S)
 
-    async def hand_over(self, why: str) -> None:
+    async def hand_over(self, reason: str) -> None:
         """Finish the work in flight, within a time limit, and resign leadership.
 
         Requests to the cloud are not waited for; they are recorded, and the next leader completes
@@ -326,10 +338,10 @@
         if leader is None or self.election.leadership is None:
             return
         leader.begin_handover()
-        until = monotonic_now() + _HAND_OVER_S
+        until = monotonic_now() + _HANDOVER_TIMEOUT_S
         while leader.busy and monotonic_now() < until and self.election.leadership is not None:
-            await asyncio.sleep(_HAND_OVER_LOOK_S)
-        await self.election.resign(why, _RESIGN_PAUSE_S)
+            await asyncio.sleep(_HANDOVER_POLL_INTERVAL_S)
+        await self.election.resign(reason, _RESIGN_PAUSE_S)
 
     def _leader_in(self, leadership: Leadership) -> Leader | None:
         """Return this controller's leader if it runs the given term, else None."""
@@ -350,13 +362,13 @@
         if leader is not None:
             leader.on_cancellations_known(at)
 
-    def _cancelled_elsewhere(self, job: str) -> None:
+    def _on_cancelled_by_peer(self, job: str) -> None:
         if self.leader is not None:
             self.leader.lifecycle.on_cancelled(job, "acknowledged by another member")
 
     # -- status ----------------------------------------------------------------------------------
 
-    def _counts(self, job_id: JobId) -> tuple[int, int] | None:
+    def _task_counts(self, job_id: JobId) -> tuple[int, int] | None:
         leader = self.leader
         if leader is None or not leader.fleet.loaded:
             return None
@@ -369,13 +381,13 @@
             self._settings.host_name,
             self.election,
             self._renewal_delegate,
-            self._report_counts,
+            self._heartbeat_counts,
             self._client.interruptions,
             self.leader,
         )
 
 
-def _user_rules(prefix: str, users: JobRequests) -> list[Any]:
+def _job_routes(prefix: str, users: JobRequests) -> list[Any]:
     jobs = prefix + wire.JOBS_PATH
     return [
         (jobs, JobsHandler, {"admission": users}),
--- a/tealrill/http.py
+++ b/tealrill/http.py
@@ -18,7 +18,7 @@
 from tealrill.errors import TealrillError
 from tealrill.settings import Address, Settings, parse_address
 
-_LATE_S: Final = 0.3
+_MAX_LOOP_DELAY_S: Final = 0.3
 _PARAMETERS: Final = HTTP1ConnectionParameters(
     max_header_size=16 * 1024, max_body_size=64 * 1024 * 1024
 )
@@ -27,8 +27,10 @@
 class NoAnswerError(TealrillError):
     """No response was received. `sent` is False only if no byte of the request was sent."""
 
-    def __init__(self, why: str, sent: bool, refused: bool = False, silent: bool = False) -> None:
-        super().__init__(why)
+    def __init__(
+        self, message: str, sent: bool, refused: bool = False, silent: bool = False
+    ) -> None:
+        super().__init__(message)
         self.sent = sent
         self.refused = refused
         """The connection was refused."""
@@ -43,7 +45,7 @@
         self.status = 0
         self.body = b""
         self.complete = False
-        self.keep = True
+        self.keep_alive = True
         self._chunks: list[bytes] = []
 
     def headers_received(
@@ -54,7 +56,7 @@
         """Record the status and whether the connection stays open."""
         assert isinstance(start_line, httputil.ResponseStartLine)
         self.status = start_line.code
-        self.keep = headers.get("Connection", "").lower() != "close"
+        self.keep_alive = headers.get("Connection", "").lower() != "close"
 
     def data_received(self, chunk: bytes) -> None:
         """Collect a part of the body."""
@@ -66,17 +68,17 @@
         self.complete = True
 
 
-def send_at_once(stream: iostream.IOStream) -> None:
+def disable_nagle(stream: iostream.IOStream) -> None:
     """Disable Nagle's algorithm for the lifetime of the connection.
 
     tornado disables it before each message and enables it afterwards. That adds two system calls
     to the three or four that a heartbeat takes.
     """
     stream.set_nodelay(True)
-    stream.set_nodelay = _as_it_is  # type: ignore[method-assign]
+    stream.set_nodelay = _ignore_nodelay  # type: ignore[method-assign]
 
 
-def _as_it_is(value: bool) -> None:
+def _ignore_nodelay(value: bool) -> None:
     """Ignore a change of the setting."""
 
 
@@ -93,13 +95,13 @@
         # This process has no file descriptor left, which says nothing about the other host.
         return None
     loop = asyncio.get_running_loop()
-    began = loop.time()
+    started_at = loop.time()
     try:
         async with asyncio.timeout(timeout_s):
             await stream.connect((address.host, address.port))
     except TimeoutError:
         # If this event loop was delayed, the answer may have arrived and not been read yet.
-        return None if loop.time() - began > timeout_s + _LATE_S else False
+        return None if loop.time() - started_at > timeout_s + _MAX_LOOP_DELAY_S else False
     except (OSError, iostream.StreamClosedError) as error:
         cause = getattr(error, "real_error", None) or error
         return True if isinstance(cause, ConnectionRefusedError) else None
@@ -134,10 +136,10 @@
         stream: iostream.IOStream | None = None
         try:
             async with asyncio.timeout(timeout_s):
-                stream = self._take_idle()
+                stream = self._pop_idle()
                 if stream is None:
                     stream = iostream.IOStream(socket.socket())
-                    send_at_once(stream)
+                    disable_nagle(stream)
                     await stream.connect((self._address.host, self._address.port))
                 if check is not None:
                     check()
@@ -152,7 +154,7 @@
         except BaseException:
             self._close(stream)
             raise
-        if answer.keep and len(self._idle) < self._most and not stream.closed():
+        if answer.keep_alive and len(self._idle) < self._most and not stream.closed():
             self._idle.append(stream)
         else:
             stream.close()
@@ -178,7 +180,7 @@
             raise iostream.StreamClosedError()
         return answer
 
-    def _take_idle(self) -> iostream.IOStream | None:
+    def _pop_idle(self) -> iostream.IOStream | None:
         while self._idle:
             stream = self._idle.pop()
             if not stream.closed():
--- a/tealrill/process.py
+++ b/tealrill/process.py
@@ -15,7 +15,7 @@
 from tealrill.settings import Settings
 from tealrill.types import monotonic_now
 
-_COLLECT: Final = (10_000, 20, 10)
+_GC_THRESHOLDS: Final = (10_000, 20, 10)
 """Thresholds of `gc.set_threshold`: new objects, then collections of the younger generation."""
 
 
@@ -36,7 +36,7 @@
     """
     gc.collect()
     gc.freeze()
-    gc.set_threshold(*_COLLECT)
+    gc.set_threshold(*_GC_THRESHOLDS)
 
 
 def new_event_loop() -> asyncio.AbstractEventLoop:
@@ -56,7 +56,7 @@
     tune_garbage_collector()
     if features.profile.on:
         # The profiler instruments asyncio's event loop, which is written in Python.
-        asyncio.run(_profiled(settings, features))
+        asyncio.run(_run_profiled(settings, features))
     else:
         with asyncio.Runner(loop_factory=new_event_loop) as runner:
             runner.run(run_until_stopped(Controller(settings, features)))
@@ -68,23 +68,23 @@
     # On platforms without signal handlers in the event loop, SIGTERM kills the process.
     with contextlib.suppress(NotImplementedError, RuntimeError, ValueError, OSError):
         asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, stop_requested.set)
-    running = asyncio.create_task(controller.run())
+    controller_task = asyncio.create_task(controller.run())
     waiting = asyncio.create_task(stop_requested.wait())
-    await asyncio.wait({running, waiting}, return_when=asyncio.FIRST_COMPLETED)
+    await asyncio.wait({controller_task, waiting}, return_when=asyncio.FIRST_COMPLETED)
     waiting.cancel()
-    if not running.done():
+    if not controller_task.done():
         await controller.hand_over("SIGTERM received")
-        running.cancel()
+        controller_task.cancel()
     with contextlib.suppress(asyncio.CancelledError):
-        await running
+        await controller_task
 
 
-async def _profiled(settings: Settings, features: Features) -> None:
+async def _run_profiled(settings: Settings, features: Features) -> None:
     """Run a controller with the profiler enabled."""
     from tealrill.profiling import ProfileLog, Size
 
-    watch = ProfileLog(settings.host_name, features.profile.every_s)
-    watch.install()
+    profile_log = ProfileLog(settings.host_name, features.profile.every_s)
+    profile_log.install()
     controller = Controller(settings, features)
 
     def size() -> Size | None:
@@ -102,4 +102,4 @@
             sum(len(m.bindings) for m in machines),
         )
 
-    await controller.run(lambda: watch.run(size))
+    await controller.run(lambda: profile_log.run(size))
--- a/tealrill/profiling.py
+++ b/tealrill/profiling.py
@@ -25,7 +25,7 @@
 log = logging.getLogger(__name__)
 
 LINE: Final = "profile: "
-_MOST: Final = 60
+_MAX_CAUSES: Final = 60
 """Number of causes in a line; the others make up about a thousandth of the time."""
 
 CAUSES: Final[dict[str, str]] = {
@@ -33,7 +33,7 @@
     "reports: taking in": "tealrill.fleet.heartbeats:HeartbeatProcessor._process",
     "reports: commands": "tealrill.fleet.commands:Commands.for_response",
     "reports: the rest": "tealrill.daemon:Controller.handle_heartbeat",
-    "answers written": "tealrill.api.http_frontend:answer",
+    "answers written": "tealrill.api.http_frontend:write_response",
     "passes: the rest": "tealrill.fleet.dispatch:SchedulingLoop.run",
     "passes: machines": "tealrill.fleet.snapshot:SnapshotBuilder._survey",
     "passes: a machine's view": "tealrill.fleet.snapshot:SnapshotBuilder._fresh",
@@ -99,59 +99,59 @@
     def __init__(self, clock: Callable[[], float] = time.thread_time) -> None:
         self.costs: dict[str, Cost] = {}
         self._clock = clock
-        self._inner: list[float] = []
+        self._nested_s: list[float] = []
         """Stack of the running causes: for each, the time of the causes nested directly in it."""
 
-    def call(self, cause: str, function: Callable[..., Any], *args: Any, **more: Any) -> Any:
+    def call(self, cause: str, function: Callable[..., Any], *args: Any, **kwargs: Any) -> Any:
         """Call the function, charge its processor time to the cause and return its result."""
-        inner = self._inner
-        inner.append(0.0)
-        began = self._clock()
+        nested_s = self._nested_s
+        nested_s.append(0.0)
+        started_at = self._clock()
         try:
-            return function(*args, **more)
+            return function(*args, **kwargs)
         finally:
-            took = self._clock() - began
-            own = took - inner.pop()
-            if inner:
-                inner[-1] += took
+            elapsed_s = self._clock() - started_at
+            own_s = elapsed_s - nested_s.pop()
+            if nested_s:
+                nested_s[-1] += elapsed_s
             cost = self.costs.get(cause)
             if cost is None:
                 cost = self.costs[cause] = Cost()
             cost.calls += 1
-            cost.cpu_s += own
+            cost.cpu_s += own_s
 
     def wrap(self, cause: str, where: str) -> None:
         """Charge each call of the function at `where`, module:name or module:class.name."""
         module, _, path = where.partition(":")
         owner: Any = importlib.import_module(module)
-        *outer, name = path.split(".")
-        for part in outer:
+        *owners, name = path.split(".")
+        for part in owners:
             owner = getattr(owner, part)
-        plain = getattr(owner, name)
+        function = getattr(owner, name)
 
-        @functools.wraps(plain)
-        def charged(*args: Any, **more: Any) -> Any:
-            return self.call(cause, plain, *args, **more)
+        @functools.wraps(function)
+        def charged(*args: Any, **kwargs: Any) -> Any:
+            return self.call(cause, function, *args, **kwargs)
 
         setattr(owner, name, charged)
 
-    def wrap_turns(self) -> None:
+    def wrap_callbacks(self) -> None:
         """Charge every callback of the event loop to the coroutine or function that it runs."""
         run = events.Handle._run
 
         def charged(handle: events.Handle) -> None:
-            self.call(_turn(handle._callback), run, handle)  # type: ignore[attr-defined]
+            self.call(_callback_cause(handle._callback), run, handle)  # type: ignore[attr-defined]
 
         events.Handle._run = charged  # type: ignore[method-assign, assignment]
 
 
-def _turn(callback: Any) -> str:
+def _callback_cause(callback: Any) -> str:
     owner = getattr(callback, "__self__", None)
     if isinstance(owner, asyncio.Task):
         coroutine: Any = owner.get_coro()
         return f"turn: {getattr(coroutine, '__qualname__', coroutine)}"
-    plain = getattr(callback, "func", callback)
-    return f"turn: {getattr(plain, '__qualname__', type(plain).__qualname__)}"
+    function = getattr(callback, "func", callback)
+    return f"turn: {getattr(function, '__qualname__', type(function).__qualname__)}"
 
 
 class ProfileLog:
@@ -161,13 +161,13 @@
         self._profiler = Profiler()
         self._host = host
         self._every_s = every_s
-        self._began = time.monotonic()
+        self._started_at = time.monotonic()
 
     def install(self) -> None:
         """Start profiling; call this once per process, before the controller is created."""
         for cause, where in CAUSES.items():
             self._profiler.wrap(cause, where)
-        self._profiler.wrap_turns()
+        self._profiler.wrap_callbacks()
 
     async def run(self, size: Callable[[], Size | None]) -> None:
         """Log the totals periodically, since the process may be killed at any time."""
@@ -181,8 +181,8 @@
         return Profile(
             self._host,
             os.getpid(),
-            self._began,
+            self._started_at,
             time.monotonic(),
-            {cause: Cost(cost.calls, round(cost.cpu_s, 6)) for cause, cost in costs[:_MOST]},
+            {cause: Cost(cost.calls, round(cost.cpu_s, 6)) for cause, cost in costs[:_MAX_CAUSES]},
             size,
         )
--- a/tealrill/settings.py
+++ b/tealrill/settings.py
@@ -135,15 +135,15 @@
 
 
 def _check_addresses(settings: Settings) -> None:
-    named = {
+    addresses = {
         "client_listen": settings.client_listen,
         "cluster_listen": settings.cluster_listen,
         "services.cloud": settings.services.cloud,
         "services.state": settings.services.state,
     }
     for member in settings.members:
-        named[f"members[{member.host_name}].peer_addr"] = member.peer_addr
-    for field, text in named.items():
+        addresses[f"members[{member.host_name}].peer_addr"] = member.peer_addr
+    for field, text in addresses.items():
         try:
             parse_address(text)
         except SettingsError as error:
--- a/tealrill/status.py
+++ b/tealrill/status.py
@@ -33,7 +33,7 @@
 ) -> dict[str, Any]:
     """Return the state of the controller on `host` as JSON-serializable values."""
     known_leader = election.known_leader
-    shown: dict[str, Any] = {
+    state: dict[str, Any] = {
         "node": host,
         "leader": known_leader.host if known_leader is not None else None,
         "term": known_leader.term if known_leader is not None else None,
@@ -42,22 +42,22 @@
     }
     leadership = election.leadership
     if leadership is not None:
-        shown["valid_s"] = round(leadership.valid_until - monotonic_now(), 1)
-        shown["held_by"] = "lease" if is_held_by_lease(leadership) else "promises"
+        state["valid_s"] = round(leadership.valid_until - monotonic_now(), 1)
+        state["held_by"] = "lease" if is_held_by_lease(leadership) else "promises"
     delegated = delegate.describe(monotonic_now())
     if delegated is not None:
-        shown["renews"] = delegated
+        state["renews"] = delegated
     if leader is not None:
         plan = leader.scheduling_loop.last_plan
-        shown["machines"] = len(leader.fleet.machines)
-        shown["jobs"] = len(leader.job_store.jobs)
-        shown["head"] = plan.reserved_job
-        shown["duties"] = leader.duties()
+        state["machines"] = len(leader.fleet.machines)
+        state["jobs"] = len(leader.job_store.jobs)
+        state["head"] = plan.reserved_job
+        state["duties"] = leader.duties()
         cancelled = leader.fleet.cancelled_tasks
-        shown["old_list_renewals"] = cancelled.old_list_renewals
-        shown["renewals_with_stops"] = cancelled.renewals_with_stops
-        shown["cancelled_bound"] = [asdict(row) for row in cancelled.rows(wall_now())]
-        shown["waiting"] = {job.id: left for job, left in plan.unplaced}
+        state["old_list_renewals"] = cancelled.old_list_renewals
+        state["renewals_with_stops"] = cancelled.renewals_with_stops
+        state["cancelled_bound"] = [asdict(row) for row in cancelled.rows(wall_now())]
+        state["waiting"] = {job.id: unplaced_tasks for job, unplaced_tasks in plan.unplaced}
         for extension in leader.parts:
-            shown.update(extension.describe())
-    return shown
+            state.update(extension.describe())
+    return state
--- a/tests/test_http_frontend.py
+++ b/tests/test_http_frontend.py
@@ -201,7 +201,7 @@
             assert len(parsed) == 1
             for size in range(1, 12):
                 assert (await client.request("POST", wire.REPORT_PATH, b"x" * size)).status == 400
-            assert len(http_frontend._Message._heads) <= 8
+            assert len(http_frontend._Message._parsed_headers) <= 8
             long = {"X-Long": "y" * 1000}
             reader, writer = await asyncio.open_connection(*world.address)
             for _ in range(2):
@@ -210,10 +210,10 @@
                 writer.write(head.encode() + b"\r\n\r\n" + body)
                 assert (await reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 200")
                 await reader.readexactly(len(orjson.dumps(wire.report_answer(4, []))))
-            assert all(len(head) <= 256 for head in http_frontend._Message._heads)
+            assert all(len(head) <= 256 for head in http_frontend._Message._parsed_headers)
             writer.close()
 
     monkeypatch.setattr(HTTP1Connection, "_parse_headers", counted)
-    monkeypatch.setattr(http_frontend, "_MAX_CACHED_HEADS", 8)
-    http_frontend._Message._heads.clear()
+    monkeypatch.setattr(http_frontend, "_MAX_CACHED_HEADERS", 8)
+    http_frontend._Message._parsed_headers.clear()
     asyncio.run(scenario())
--- a/tests/test_profiling.py
+++ b/tests/test_profiling.py
@@ -66,7 +66,7 @@
 @pytest.mark.usefixtures("plain_turns")
 def test_turns_are_charged_to_what_runs_in_them() -> None:
     profiler = Profiler()
-    profiler.wrap_turns()
+    profiler.wrap_callbacks()
 
     async def work() -> None:
         await asyncio.sleep(0)
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -53,7 +53,7 @@
 def _submit(
     monkeypatch: pytest.MonkeyPatch, local: Reply | None, peer: int | None, failing: bool = False
 ) -> tuple[int, int]:
-    monkeypatch.setattr("tealrill.api.relay._SLOW_S", 0.01)
+    monkeypatch.setattr("tealrill.api.relay._SUBMISSION_RELAY_DELAY_S", 0.01)
     parsed = settings.parse(orjson.dumps(SETTINGS))
     relay = Relay(cast(JobRequests, _Local(local)), parsed, lambda: failing)
     other = _Peer(peer)
