--- a/tests/plain.py
+++ b/tests/plain.py
@@ -40,7 +40,7 @@
 # -- placement ------------------------------------------------------------------------------------
 
 
-class PlainPass(_Pass):
+class ReferencePass(_Pass):
     """A pass that computes reservations eagerly and considers every machine."""
 
     def _has_room(self, machine: MachineView) -> bool:
@@ -60,32 +60,37 @@
         super()._reserve_for(job, left)
         machines = self._usable(job, self.view.machines)
         self._windows = reserve(job, machines, self.now, min(left, self.policy.max_reserved_tasks))
-        found = {
+        reservations = {
             m.id: Reservation(m.id, window.at, window.tasks) for m, window in self._windows.items()
         }
-        self.plan.reserve = lambda: found
+        self.plan.reserve = lambda: reservations
 
     def _preempt_for(self, reserved_job: JobView) -> None:
         team = self.view.teams.get(reserved_job.team)
         is_within_quota = team is not None and team.is_within_quota(reserved_job)
         soon = self.now + self.policy.min_preemption_gain_s
-        coming = sum(w.tasks for w in self.windows.values() if w.at <= soon)
+        upcoming = sum(w.tasks for w in self.windows.values() if w.at <= soon)
         wanted = (
-            min(self._tasks_within_limit(reserved_job), self.policy.max_reserved_tasks) - coming
+            min(self._tasks_within_limit(reserved_job), self.policy.max_reserved_tasks) - upcoming
         )
         backfilled = sum(t.backfilled for m in self.ready for t in m.running)
         budget = max(1, math.ceil(backfilled * self.policy.max_preempted_share))
-        taken: set[RunningTask] = set()
+        already_preempted: set[RunningTask] = set()
         machines = self._usable(reserved_job, self.ready)
         while wanted > 0:
             preempted = choose(
-                reserved_job, machines, self.view.teams, taken, is_within_quota, self.now
+                reserved_job,
+                machines,
+                self.view.teams,
+                already_preempted,
+                is_within_quota,
+                self.now,
             )
-            if preempted is None or len(taken) + len(preempted.tasks) > max(
+            if preempted is None or len(already_preempted) + len(preempted.tasks) > max(
                 budget, len(preempted.tasks)
             ):
                 return
-            taken.update(preempted.tasks)
+            already_preempted.update(preempted.tasks)
             for task in preempted.tasks:
                 grace_s = task.save_s if task.saves else 0.0
                 self.plan.stops.append(StopTask(task.task, reserved_job.id, grace_s))
@@ -95,20 +100,20 @@
 
 
 def plan(view: View, now: Monotonic, policy: Policy) -> Plan:
-    return PlainPass(view, now, policy).run()
+    return ReferencePass(view, now, policy).run()
 
 
 def reserve(
     job: JobView, machines: list[MachineView], now: Monotonic, limit: int
 ) -> dict[MachineView, Window]:
-    rooms = []
+    fits = []
     for number, machine in enumerate(machines):
         if not machine.allows(job) or job.tasks_allowed_in_zone(machine.zone) <= 0:
             continue
-        room = _earliest_fit(job, machine, now)
-        if room is not None:
-            rooms.append((room[0], number, machine, room[1:]))
-    return windows(job, rooms, min(limit, job.waiting))
+        fit = _earliest_fit(job, machine, now)
+        if fit is not None:
+            fits.append((fit[0], number, machine, fit[1:]))
+    return windows(job, fits, min(limit, job.waiting))
 
 
 def _earliest_fit(
@@ -133,7 +138,7 @@
     job: JobView,
     machines: list[MachineView],
     teams: dict[str, TeamView],
-    taken: set[RunningTask],
+    already_preempted: set[RunningTask],
     is_within_quota: bool,
     now: Monotonic,
 ) -> PreemptedTasks | None:
@@ -144,7 +149,7 @@
         candidates = [
             t
             for t in machine.running
-            if t not in taken and is_preemptible(t, job, teams, is_within_quota)
+            if t not in already_preempted and is_preemptible(t, job, teams, is_within_quota)
         ]
         candidates.sort(key=lambda task: task.ran_s(now))
         preempted = _preempted_tasks_on(machine, job, candidates, now)
@@ -156,7 +161,7 @@
 # -- rental ---------------------------------------------------------------------------------------
 
 
-class _Room:
+class _Capacity:
     def __init__(self, kind: Kind, free: list[tuple[Monotonic, float]]) -> None:
         self.kind = kind
         self.free = free
@@ -173,13 +178,15 @@
 
 
 def _allocate(
-    job: JobView, limit: int, rooms: list[_Room], sizes: dict[str, Offer], until: Monotonic
+    job: JobView, limit: int, capacities: list[_Capacity], sizes: dict[str, Offer], until: Monotonic
 ) -> int:
     left = limit
-    for room in rooms:
-        if left > 0 and job.may_use(*room.kind):
-            need = _cpu_share(job, sizes[room.kind[0]])
-            left -= room.allocate(need, max(1.0, job.estimate_s), left, until) if need > 0 else left
+    for capacity in capacities:
+        if left > 0 and job.may_use(*capacity.kind):
+            need = _cpu_share(job, sizes[capacity.kind[0]])
+            left -= (
+                capacity.allocate(need, max(1.0, job.estimate_s), left, until) if need > 0 else left
+            )
     return limit - left
 
 
@@ -210,13 +217,13 @@
     if not available:
         return []
     sizes = {offer.type: offer for offer in catalogue}
-    rooms = []
+    capacities = []
     counts: dict[tuple[str, str], int] = {}
     for machine in machines:
         if machine.type in sizes:
             free = [(max(now, machine.ready_at), max(0.0, machine.cpus))]
             free += [(end_at(t, now), t.cpus) for t in machine.running]
-            rooms.append(_Room((machine.type, machine.zone, machine.spot), free))
+            capacities.append(_Capacity((machine.type, machine.zone, machine.spot), free))
         where = (machine.type, machine.zone)
         counts[where] = counts.get(where, 0) + 1
     wanted: dict[Offer, int] = {}
@@ -230,21 +237,21 @@
         wait_s = min(o.boot_s for o in fitting)
         if not cheap and job in affordable:
             wait_s = max(wait_s, job.latest_start_s[0])
-        left = waiting - _allocate(job, waiting, rooms, sizes, Monotonic(now + wait_s))
+        left = waiting - _allocate(job, waiting, capacities, sizes, Monotonic(now + wait_s))
         if not cheap and job in affordable:
             continue
         while left > 0:
             offer = _choose(job, left, cheap or ready, counts)
             if offer is None:
                 break
-            room = _Room(offer.kind, [(Monotonic(now + offer.boot_s), offer.cpus)])
+            capacity = _Capacity(offer.kind, [(Monotonic(now + offer.boot_s), offer.cpus)])
             allocated = _allocate(
-                job, left, [room], sizes, Monotonic(now + max(wait_s, offer.boot_s))
+                job, left, [capacity], sizes, Monotonic(now + max(wait_s, offer.boot_s))
             )
             if allocated <= 0:
                 break
             left -= allocated
-            rooms.append(room)
+            capacities.append(capacity)
             wanted[offer] = wanted.get(offer, 0) + 1
             where = (offer.type, offer.zone)
             counts[where] = counts.get(where, 0) + 1
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -14,16 +14,16 @@
 from tornado import httpserver, netutil, web
 
 _PAGE_BYTES = 512 * 1024
-_LOG_KEPT = 10_000
+_MAX_LOG_ENTRIES = 10_000
 """Number of past changes that a watch can return."""
 
 
 class _Handler(web.RequestHandler):
-    def initialize(self, standin: Any) -> None:
-        self.standin = standin
+    def initialize(self, service: Any) -> None:
+        self.service = service
 
     def prepare(self) -> None:
-        self.standin.calls += 1
+        self.service.calls += 1
 
     def body(self) -> Any:
         return orjson.loads(self.request.body)
@@ -33,7 +33,7 @@
         self.finish(orjson.dumps(body))
 
 
-class Standin:
+class FakeService:
     """Base class: an HTTP server on a free port of the loopback interface."""
 
     routes: tuple[tuple[str, type[_Handler]], ...] = ()
@@ -42,7 +42,7 @@
         self.calls = 0
         sockets = netutil.bind_sockets(0, "127.0.0.1")
         self.port = sockets[0].getsockname()[1]
-        rules: list[Any] = [(path, handler, {"standin": self}) for path, handler in self.routes]
+        rules: list[Any] = [(path, handler, {"service": self}) for path, handler in self.routes]
         self._server = httpserver.HTTPServer(web.Application(rules, log_function=lambda _: None))
         self._server.add_sockets(sockets)
 
@@ -53,38 +53,38 @@
 
 class _Key(_Handler):
     def get(self, key: str) -> None:
-        if self.standin.down:
+        if self.service.down:
             return self.answer(503, {})
-        entry = self.standin.keys.get(key)
+        entry = self.service.keys.get(key)
         if entry is None:
-            return self.answer(404, {"epoch": self.standin.epoch})
+            return self.answer(404, {"epoch": self.service.epoch})
         return self.answer(200, {"value": entry[0], "stamp": entry[1]})
 
 
 class _Scan(_Handler):
     def get(self) -> None:
-        if self.standin.down:
+        if self.service.down:
             return self.answer(503, {})
         under, after = self.get_argument("under"), self.get_argument("from", "")
         most = min(int(self.get_argument("most", "1000")), 1000)
-        found = sorted(k for k in self.standin.keys if k.startswith(under) and k > after)
+        matching_keys = sorted(k for k in self.service.keys if k.startswith(under) and k > after)
         entries: list[Any] = []
         size = 0
-        for key in found[:most]:
-            value, mod_revision = self.standin.keys[key]
+        for key in matching_keys[:most]:
+            value, mod_revision = self.service.keys[key]
             entries.append({"path": key, "value": value, "stamp": mod_revision})
             size += len(orjson.dumps(entries[-1]))
             if size > _PAGE_BYTES:
                 break
-        truncated = len(entries) < len(found)
+        truncated = len(entries) < len(matching_keys)
         return self.answer(
-            200, {"entries": entries, "truncated": truncated, "epoch": self.standin.epoch}
+            200, {"entries": entries, "truncated": truncated, "epoch": self.service.epoch}
         )
 
 
 class _Commit(_Handler):
     def post(self) -> None:
-        state: State = self.standin
+        state: State = self.service
         if state.down:
             return self.answer(503, {})
         message = self.body()
@@ -112,27 +112,27 @@
         return self.answer(200, {"epoch": state.epoch})
 
 
-class _Holds(_Handler):
+class _Leases(_Handler):
     def post(self) -> None:
-        if self.standin.down:
+        if self.service.down:
             return self.answer(503, {})
-        self.standin.leases += 1
-        return self.answer(200, {"hold": self.standin.leases})
+        self.service.leases += 1
+        return self.answer(200, {"hold": self.service.leases})
 
 
-class _Extend(_Handler):
+class _ExtendLease(_Handler):
     def post(self, _: str) -> None:
-        return self.answer(503 if self.standin.down else 200, {})
+        return self.answer(503 if self.service.down else 200, {})
 
 
 class _Watch(_Handler):
     async def get(self) -> None:
         under, since = self.get_argument("under"), int(self.get_argument("from"))
-        state: State = self.standin
+        state: State = self.service
         deadline = asyncio.get_running_loop().time() + int(self.get_argument("holdMs")) / 1000
         while True:
             first = state.log[0][0] if state.log else 0
-            if len(state.log) >= _LOG_KEPT and since < first - 1:
+            if len(state.log) >= _MAX_LOG_ENTRIES and since < first - 1:
                 return self.answer(410, {})
             at = bisect.bisect_right(state.log, since, key=lambda entry: entry[0])
             events = [
@@ -147,15 +147,15 @@
             await asyncio.sleep(0.01)
 
 
-class State(Standin):
+class State(FakeService):
     """Fake state service, whose leases never expire."""
 
     routes = (
         (r"/kv/(.+)", _Key),
         (r"/kv", _Scan),
         (r"/commit", _Commit),
-        (r"/holds", _Holds),
-        (r"/holds/(\d+)/extend", _Extend),
+        (r"/holds", _Leases),
+        (r"/holds/(\d+)/extend", _ExtendLease),
         (r"/watch", _Watch),
     )
 
@@ -184,8 +184,8 @@
                 self.keys.pop(change["delete"], None)
                 self.log.append((self.epoch, change["delete"], None))
         self.changes += len(changes)
-        if len(self.log) > 2 * _LOG_KEPT:
-            del self.log[:-_LOG_KEPT]
+        if len(self.log) > 2 * _MAX_LOG_ENTRIES:
+            del self.log[:-_MAX_LOG_ENTRIES]
 
 
 class _Catalogue(_Handler):
@@ -198,40 +198,40 @@
         self.answer(200, {"builds": [build]})
 
 
-class _Hosts(_Handler):
+class _Machines(_Handler):
     def get(self) -> None:
-        self.answer(200, {"kilns": list(self.standin.machines.values()), "truncated": False})
+        self.answer(200, {"kilns": list(self.service.machines.values()), "truncated": False})
 
     def post(self) -> None:
         message = self.body()
         names = []
-        room = max(0, self.standin.most - self.standin.rented)
-        if room == 0:
+        available = max(0, self.service.most - self.service.rented)
+        if available == 0:
             return self.answer(503, {"error": "no capacity"})
-        for _ in range(min(message["howMany"], room)):
-            self.standin.rented += 1
-            name = f"m-{self.standin.rented:06d}"
-            self.standin.machines[name] = {
+        for _ in range(min(message["howMany"], available)):
+            self.service.rented += 1
+            name = f"m-{self.service.rented:06d}"
+            self.service.machines[name] = {
                 "id": name, "addr": "", "build": message["build"], "hall": message["hall"],
                 "loaners": message["loaners"], "status": "starting", "ageS": 0.0,
             }  # fmt: skip
             names.append(name)
-            self.standin.hired(name)
+            self.service.hired(name)
         return self.answer(200, {"kilns": names})
 
 
 class _Release(_Handler):
     def post(self) -> None:
         for name in self.body()["kilns"]:
-            self.standin.machines.pop(name, None)
-            self.standin.returned(name)
+            self.service.machines.pop(name, None)
+            self.service.returned(name)
         self.answer(200, {})
 
 
-class Cloud(Standin):
+class Cloud(FakeService):
     """Fake cloud, which offers one machine type and rents out at most `most` machines."""
 
-    routes = ((r"/catalog", _Catalogue), (r"/hosts/release", _Release), (r"/hosts", _Hosts))
+    routes = ((r"/catalog", _Catalogue), (r"/hosts/release", _Release), (r"/hosts", _Machines))
 
     def __init__(self) -> None:
         super().__init__()
@@ -243,9 +243,9 @@
         self.returned: Callable[[str], None] = lambda _: None
 
 
-class _Orders(_Handler):
+class _Commands(_Handler):
     def post(self) -> None:
-        worker: Worker = self.standin
+        worker: Worker = self.service
         message = self.body()
         refused = message["baton"] < worker.token or message["shift"] != 1
         if not refused:
@@ -253,10 +253,10 @@
         self.answer(409 if refused else 200, worker.report())
 
 
-class Worker(Standin):
+class Worker(FakeService):
     """Fake worker of one machine, whose tasks run until the test ends them."""
 
-    routes = ((r"/orders", _Orders),)
+    routes = ((r"/orders", _Commands),)
 
     def __init__(self, name: str, spot: bool = True) -> None:
         super().__init__()
@@ -274,14 +274,14 @@
             "warningS": None, "pieces": list(self.tasks.values()),
         }  # fmt: skip
 
-    def execute(self, orders: list[dict[str, Any]]) -> None:
-        for order in orders:
-            name, attempt = order["piece"], order["try"]
-            if order["verb"] == "run":
+    def execute(self, commands: list[dict[str, Any]]) -> None:
+        for command in commands:
+            name, attempt = command["piece"], command["try"]
+            if command["verb"] == "run":
                 self.tasks.setdefault(name, {"piece": name, "try": attempt, "status": "running"})
-            elif order["verb"] == "halt" and name in self.tasks:
+            elif command["verb"] == "halt" and name in self.tasks:
                 self.end(name, "stopped")
-            elif order["verb"] == "clear":
+            elif command["verb"] == "clear":
                 self.tasks.pop(name, None)
 
     def end(self, name: str, why: str) -> None:
--- a/tests/test_architecture_page.py
+++ b/tests/test_architecture_page.py
@@ -10,14 +10,14 @@
 
 _ROOT: Final = Path(__file__).parent.parent
 _PAGE: Final = (_ROOT / "docs" / "architecture.md").read_text()
-_NAMED: Final = sorted(set(re.findall(r"`((?:tealrill|tests|deploy|tools)/[\w./-]*)`", _PAGE)))
+_PATHS: Final = sorted(set(re.findall(r"`((?:tealrill|tests|deploy|tools)/[\w./-]*)`", _PAGE)))
 
 
-@pytest.mark.parametrize("name", _NAMED)
-def test_a_named_file_exists(name: str) -> None:
+@pytest.mark.parametrize("name", _PATHS)
+def test_named_file_exists(name: str) -> None:
     assert (_ROOT / name).exists()
 
 
-def test_every_package_is_named() -> None:
+def test_all_packages_are_named() -> None:
     packages = {path.parent.name for path in (_ROOT / "tealrill").glob("*/__init__.py")}
     assert [name for name in sorted(packages) if f"{name}/" not in _PAGE] == []
--- a/tests/test_http_frontend.py
+++ b/tests/test_http_frontend.py
@@ -19,37 +19,39 @@
 from tealrill.types import MachineId, Monotonic, monotonic_now
 from tests.standins import Worker
 
-_MOST = 200_000
+_MAX_HELD_BYTES = 200_000
 
 
-class _Slow(web.RequestHandler):
+class _BlockingHandler(web.RequestHandler):
     """A handler that responds only after the test allows it."""
 
-    def initialize(self, world: Any) -> None:
-        self.world = world
+    def initialize(self, harness: Any) -> None:
+        self.harness = harness
 
     async def post(self) -> None:
-        self.world.sizes.append(len(self.request.body))
-        await self.world.go.wait()
+        self.harness.body_sizes.append(len(self.request.body))
+        await self.harness.allow_responses.wait()
         self.finish({})
 
 
-class _World:
+class _FrontendHarness:
     def __init__(self) -> None:
-        self.sizes: list[int] = []
-        self.go = asyncio.Event()
-        self.reports: list[MachineId] = []
-        application = web.Application([(r"/slow", _Slow, {"world": self})])
-        self.front = http_frontend.HttpFrontend(application, _MOST, self._take_report)
+        self.body_sizes: list[int] = []
+        self.allow_responses = asyncio.Event()
+        self.heartbeats: list[MachineId] = []
+        application = web.Application([(r"/slow", _BlockingHandler, {"harness": self})])
+        self.frontend = http_frontend.HttpFrontend(
+            application, _MAX_HELD_BYTES, self._record_heartbeat
+        )
         sockets = netutil.bind_sockets(0, "127.0.0.1")
         self.address = Address("127.0.0.1", sockets[0].getsockname()[1])
-        self.server = http_frontend.Server(self.front)
+        self.server = http_frontend.Server(self.frontend)
         self.server.add_sockets(sockets)
 
-    def _take_report(
+    def _record_heartbeat(
         self, report: wire.Heartbeat, machine: MachineId
     ) -> http_frontend.HeartbeatReply:
-        self.reports.append(machine)
+        self.heartbeats.append(machine)
         return 200, wire.report_answer(4, [])
 
     def send(self, path: str, body: bytes) -> asyncio.Task[Answer]:
@@ -57,26 +59,26 @@
 
 
 @contextlib.asynccontextmanager
-async def _running() -> AsyncIterator[_World]:
-    world = _World()
-    yield world
-    world.go.set()
-    world.server.stop()
-    await world.server.close_all_connections()
+async def _running_frontend() -> AsyncIterator[_FrontendHarness]:
+    harness = _FrontendHarness()
+    yield harness
+    harness.allow_responses.set()
+    harness.server.stop()
+    await harness.server.close_all_connections()
 
 
-def test_a_report_is_answered_without_the_application(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_heartbeat_bypasses_application(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario() -> None:
-        async with _running() as world:
-            monkeypatch.setattr(world.front.application, "start_request", None)
+        async with _running_frontend() as harness:
+            monkeypatch.setattr(harness.frontend.application, "start_request", None)
             body = orjson.dumps(Worker("m-000001").report())
-            client = Client(world.address)
+            client = Client(harness.address)
             calls: list[bool] = []
             monkeypatch.setattr(iostream.IOStream, "set_nodelay", lambda _, on: calls.append(on))
             for _ in range(3):
                 answer = await client.request("POST", wire.REPORT_PATH, body)
                 assert (answer.status, orjson.loads(answer.body)["baton"]) == (200, 4)
-            assert world.reports == ["m-000001"] * 3
+            assert harness.heartbeats == ["m-000001"] * 3
             assert calls == [True, True]  # once each on the client's and the server's side
 
     asyncio.run(scenario())
@@ -86,52 +88,52 @@
     "body",
     [b"", b"{", b"[]", b'{"kiln": 7}', b" " * (wire.MAX_BODY + 1)],
 )
-def test_what_is_no_report_gets_400(body: bytes) -> None:
+def test_malformed_heartbeat_returns_400(body: bytes) -> None:
     async def scenario() -> None:
-        async with _running() as world:
-            answer = await world.send(wire.REPORT_PATH, body)
+        async with _running_frontend() as harness:
+            answer = await harness.send(wire.REPORT_PATH, body)
             assert answer.status == 400
             assert orjson.loads(answer.body)["error"]
-            assert not world.reports
+            assert not harness.heartbeats
 
     asyncio.run(scenario())
 
 
-def test_large_bodies_side_by_side_are_bounded() -> None:
+def test_concurrent_large_bodies_are_limited() -> None:
     """Without a limit, bodies on hundreds of sockets could exceed the machine's memory."""
 
     async def scenario() -> None:
-        async with _running() as world:
-            requests = [world.send("/slow", b"x" * 60_000) for _ in range(6)]
+        async with _running_frontend() as harness:
+            requests = [harness.send("/slow", b"x" * 60_000) for _ in range(6)]
             while sum(request.done() for request in requests) < 3:
                 await asyncio.sleep(0.01)
             assert [r.result().status for r in requests if r.done()] == [503] * 3
-            assert world.sizes == [60_000] * 3
+            assert harness.body_sizes == [60_000] * 3
             # Heartbeats are still accepted, since their bodies are limited separately.
             body = orjson.dumps(Worker("m-000001").report())
-            assert (await world.send(wire.REPORT_PATH, body)).status == 200
-            world.go.set()
+            assert (await harness.send(wire.REPORT_PATH, body)).status == 200
+            harness.allow_responses.set()
             answers = await asyncio.gather(*requests)
             assert sorted(a.status for a in answers) == [200] * 3 + [503] * 3
             # The responses release the memory.
-            assert (await world.send("/slow", b"x" * 60_000)).status == 200
+            assert (await harness.send("/slow", b"x" * 60_000)).status == 200
 
     asyncio.run(scenario())
 
 
-def test_a_connection_without_a_request_is_closed() -> None:
+def test_idle_connection_is_closed() -> None:
     async def scenario() -> None:
-        async with _running() as world:
-            reader, writer = await asyncio.open_connection(*world.address)
-            busy = world.send("/slow", b"{}")
-            while not world.sizes or not world.front.connections >= 2:
+        async with _running_frontend() as harness:
+            reader, writer = await asyncio.open_connection(*harness.address)
+            pending = harness.send("/slow", b"{}")
+            while not harness.body_sizes or not harness.frontend.connections >= 2:
                 await asyncio.sleep(0.01)
-            await world.front.close_idle(monotonic_now())
-            await world.front.close_idle(Monotonic(monotonic_now() + 1e4))
+            await harness.frontend.close_idle(monotonic_now())
+            await harness.frontend.close_idle(Monotonic(monotonic_now() + 1e4))
             assert await reader.read() == b""
             writer.close()
-            world.go.set()
-            assert (await busy).status == 200
+            harness.allow_responses.set()
+            assert (await pending).status == 200
 
     asyncio.run(scenario())
 
@@ -141,26 +143,26 @@
     return head.encode() + body
 
 
-def test_one_who_sends_many_in_one_go_does_not_keep_others_waiting() -> None:
+def test_pipelined_requests_do_not_starve_other_connections() -> None:
     async def scenario() -> None:
-        async with _running() as world:
+        async with _running_frontend() as harness:
             body = orjson.dumps(Worker("m-000001").report())
-            other = orjson.dumps(Worker("m-000002").report())
-            greedy = await asyncio.open_connection(*world.address)
-            patient = await asyncio.open_connection(*world.address)
-            greedy[1].write(_raw(wire.REPORT_PATH, body) * 400)
-            patient[1].write(_raw(wire.REPORT_PATH, other))
-            await patient[0].readuntil(b"\r\n\r\n")
-            assert world.reports.index(MachineId("m-000002")) < 400
-            while len(world.reports) < 401:
+            other_body = orjson.dumps(Worker("m-000002").report())
+            pipelining = await asyncio.open_connection(*harness.address)
+            single = await asyncio.open_connection(*harness.address)
+            pipelining[1].write(_raw(wire.REPORT_PATH, body) * 400)
+            single[1].write(_raw(wire.REPORT_PATH, other_body))
+            await single[0].readuntil(b"\r\n\r\n")
+            assert harness.heartbeats.index(MachineId("m-000002")) < 400
+            while len(harness.heartbeats) < 401:
                 await asyncio.sleep(0)
-            for _, writer in (greedy, patient):
+            for _, writer in (pipelining, single):
                 writer.close()
 
     asyncio.run(scenario())
 
 
-def test_reports_one_by_one_take_no_turn_between(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_sequential_heartbeats_skip_event_loop_yield(monkeypatch: pytest.MonkeyPatch) -> None:
     """A yield after every heartbeat made up half of all event loop iterations of a large leader."""
     yields: list[float] = []
     sleep = asyncio.sleep
@@ -171,10 +173,10 @@
         await sleep(delay)
 
     async def scenario() -> None:
-        async with _running() as world:
+        async with _running_frontend() as harness:
             monkeypatch.setattr(asyncio, "sleep", counted)
             body = orjson.dumps(Worker("m-000001").report())
-            client = Client(world.address)
+            client = Client(harness.address)
             for _ in range(16):
                 assert (await client.request("POST", wire.REPORT_PATH, body)).status == 200
 
@@ -182,7 +184,7 @@
     assert len(yields) == 2
 
 
-def test_heads_are_taken_apart_once_and_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_header_cache_avoids_parsing_and_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     parsed: list[bytes] = []
     parse = HTTP1Connection._parse_headers
 
@@ -192,9 +194,9 @@
         return parse(message, data)
 
     async def scenario() -> None:
-        async with _running() as world:
+        async with _running_frontend() as harness:
             body = orjson.dumps(Worker("m-000001").report())
-            client = Client(world.address)
+            client = Client(harness.address)
             for _ in range(5):
                 answer = await client.request("POST", wire.REPORT_PATH, body)
                 assert (answer.status, orjson.loads(answer.body)["baton"]) == (200, 4)
@@ -203,7 +205,7 @@
                 assert (await client.request("POST", wire.REPORT_PATH, b"x" * size)).status == 400
             assert len(http_frontend._Message._parsed_headers) <= 8
             long = {"X-Long": "y" * 1000}
-            reader, writer = await asyncio.open_connection(*world.address)
+            reader, writer = await asyncio.open_connection(*harness.address)
             for _ in range(2):
                 lines = "".join(f"{name}: {value}\r\n" for name, value in long.items())
                 head = f"POST {wire.REPORT_PATH} HTTP/1.1\r\n{lines}Content-Length: {len(body)}"
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -40,7 +40,7 @@
 class World:
     """A controller with fakes of the services it depends on."""
 
-    def __init__(self, switched: features.Features | None = None) -> None:
+    def __init__(self, enabled_features: features.Features | None = None) -> None:
         self.state = State()
         self.cloud = Cloud()
         values = copy.deepcopy(SETTINGS)
@@ -48,8 +48,8 @@
         values["client_listen"], values["cluster_listen"] = free_address(), free_address()
         values["services"] = {"cloud": self.cloud.address, "state": self.state.address}
         self.values = values
-        self.switched = switched
-        self.node = Controller(settings.parse(orjson.dumps(values)), switched)
+        self.enabled_features = enabled_features
+        self.node = Controller(settings.parse(orjson.dumps(values)), enabled_features)
         self.client = Client(settings.parse_address(values["client_listen"]))
         self.operator = Client(settings.parse_address(values["cluster_listen"]))
 
@@ -73,7 +73,7 @@
 
     async def restart(self) -> None:
         await self.stop()
-        self.node = Controller(settings.parse(orjson.dumps(self.values)), self.switched)
+        self.node = Controller(settings.parse(orjson.dumps(self.values)), self.enabled_features)
         self.start()
         await self.until_it_leads()
 
@@ -109,8 +109,8 @@
 
 
 @contextlib.asynccontextmanager
-async def running(switched: features.Features | None = None) -> AsyncIterator[World]:
-    world = World(switched)
+async def running(enabled_features: features.Features | None = None) -> AsyncIterator[World]:
+    world = World(enabled_features)
     world.start()
     try:
         await world.until_it_leads()
@@ -119,7 +119,7 @@
         await world.stop()
 
 
-def _in_a_world(test: Callable[[World], Coroutine[Any, Any, None]]) -> None:
+def _run_with_node(test: Callable[[World], Coroutine[Any, Any, None]]) -> None:
     async def run() -> None:
         async with running() as world:
             await test(world)
@@ -129,7 +129,7 @@
         runner.run(run())
 
 
-def test_a_job_runs_to_its_end() -> None:
+def test_job_runs_to_completion() -> None:
     async def scenario(world: World) -> None:
         assert await world.submit(pieces=2) == 201
         assert await world.submit(pieces=2) == 200
@@ -146,10 +146,10 @@
         assert await world.submit(pieces=0) == 200
         assert (await world.send("POST", "/v2/runs/wk-000412/cancel"))[1]["status"] == "done"
 
-    _in_a_world(scenario)
+    _run_with_node(scenario)
 
 
-def test_a_cancelled_job_is_stopped_and_stays_cancelled() -> None:
+def test_cancelled_job_is_stopped_and_stays_cancelled() -> None:
     async def scenario(world: World) -> None:
         assert await world.submit(pieces=1) == 201
         worker = Worker("m-000001")
@@ -160,10 +160,10 @@
         assert await world.status("wk-000412") == "aborted"
         assert await world.submit(pieces=1) == 200
 
-    _in_a_world(scenario)
+    _run_with_node(scenario)
 
 
-def test_a_lost_answer_of_the_state_service_loses_nothing() -> None:
+def test_lost_commit_response_loses_no_record() -> None:
     async def scenario(world: World) -> None:
         assert await world.submit(id="wk-1", pieces=1) == 201
         world.state.lose_answers = 1
@@ -175,10 +175,10 @@
         bound = [v for k, (v, _) in world.state.keys.items() if k.startswith("run/wk-2/")]
         assert bound[0]["tasks"][0][1] == "m-000001"
 
-    _in_a_world(scenario)
+    _run_with_node(scenario)
 
 
-def test_an_outage_is_told_at_once_and_ends() -> None:
+def test_state_service_outage_returns_503_until_recovery() -> None:
     async def scenario(world: World) -> None:
         assert await world.submit(id="wk-1") == 201
         world.state.down = True
@@ -189,10 +189,10 @@
         world.state.down = False
         assert await world.submit(id="wk-2") == 201
 
-    _in_a_world(scenario)
+    _run_with_node(scenario)
 
 
-def test_bad_input_gets_its_status_in_json() -> None:
+def test_invalid_requests_return_status_and_json_error() -> None:
     async def scenario(world: World) -> None:
         assert await world.submit(id="wk-1") == 201
 
@@ -219,10 +219,10 @@
         assert (await world.send("GET", "/v2/runs"))[0] == 405
         assert (await world.send("POST", "/agent/beat", {"kiln": "m-1"}))[0] == 400
 
-    _in_a_world(scenario)
+    _run_with_node(scenario)
 
 
-def test_every_route_between_members_is_wired() -> None:
+def test_peer_routes_respond() -> None:
     """Request every route between members over HTTP.
 
     If the keyword arguments of a handler and of its route differ, each ping is answered 500, and
@@ -245,14 +245,14 @@
         shown = await ask("GET", "/admin/state", None, _PATIENCE_S)
         assert orjson.loads(shown.body)["held_by"] == "lease"
 
-    _in_a_world(scenario)
+    _run_with_node(scenario)
 
 
 @pytest.mark.parametrize(
     ("content", "named"),
     [("{", "JSON"), ('{"host_name": 3}', "host_name"), (None, "No such file")],
 )
-def test_bad_settings_end_the_command_in_one_line(
+def test_invalid_settings_exit_with_one_line_error(
     tmp_path: Any, content: str | None, named: str
 ) -> None:
     path = tmp_path / "settings.json"
@@ -277,7 +277,7 @@
         (None, "No such file"),
     ],
 )
-def test_bad_features_end_the_command_in_one_line(
+def test_invalid_features_exit_with_one_line_error(
     tmp_path: Path, content: str | bytes | None, named: str
 ) -> None:
     config, path = tmp_path / "settings.json", tmp_path / "features.toml"
@@ -291,13 +291,13 @@
     assert len(result.output.strip().splitlines()) == 1
 
 
-def test_the_features_that_are_delivered_can_be_read() -> None:
+def test_deployed_features_file_is_valid() -> None:
     root = Path(__file__).resolve().parent.parent
     assert features.load(root / "deploy" / "features.toml").version == 1
     assert "--features deploy/features.toml" in (root / "deploy" / "service.toml").read_text()
 
 
-def test_an_idle_leader_asks_little() -> None:
+def test_idle_leader_request_rate_is_bounded() -> None:
     """Idle polling would use up a small processor share. A slow machine only polls less."""
 
     async def scenario(world: World) -> None:
@@ -310,10 +310,10 @@
         assert world.state.calls - state <= 2 + 4 * passed_s
         assert world.cloud.calls - cloud <= 2 + passed_s
 
-    _in_a_world(scenario)
+    _run_with_node(scenario)
 
 
-def test_a_leader_that_is_told_to_stop_leaves_nothing_half_done() -> None:
+def test_handover_finishes_work_before_releasing_lease() -> None:
     """Without a handover the lease would have to expire, and the last bindings would be lost."""
 
     async def scenario(world: World) -> None:
@@ -343,10 +343,10 @@
         await world.node.hand_over("repeated")
         assert len(ended) == 1
 
-    _in_a_world(scenario)
+    _run_with_node(scenario)
 
 
-def test_a_node_that_is_told_to_stop_ends() -> None:
+def test_sigterm_ends_controller_and_leadership() -> None:
     async def run() -> None:
         world = World()
         task = asyncio.create_task(run_until_stopped(world.node))
--- a/tests/test_profiling.py
+++ b/tests/test_profiling.py
@@ -18,20 +18,20 @@
 
 class _Clock:
     def __init__(self) -> None:
-        self.at = 0.0
+        self.now = 0.0
 
     def __call__(self) -> float:
-        return self.at
+        return self.now
 
 
-def test_nested_causes_are_charged_with_their_own_part() -> None:
+def test_nested_time_is_not_charged_to_outer_cause() -> None:
     clock = _Clock()
     profiler = Profiler(clock)
 
     def spend(seconds: float, then: Callable[[], None] = lambda: None) -> None:
-        clock.at += seconds
+        clock.now += seconds
         then()
-        clock.at += seconds
+        clock.now += seconds
 
     def inner() -> None:
         profiler.call("inner", spend, 0.5)
@@ -44,7 +44,7 @@
     assert costs == {"inner": (1, 1.0), "outer": (2, 6.0), "fails": (1, 0.0)}
 
 
-def test_every_cause_names_a_function_that_there_is() -> None:
+def test_causes_name_existing_functions() -> None:
     """A cause whose function has been moved or renamed would silently report no cost."""
     profiler = Profiler()
     for cause, where in CAUSES.items():
@@ -57,14 +57,14 @@
 
 
 @pytest.fixture
-def plain_turns() -> Iterator[None]:
+def restore_event_handle() -> Iterator[None]:
     run = events.Handle._run
     yield
     events.Handle._run = run  # type: ignore[method-assign]
 
 
-@pytest.mark.usefixtures("plain_turns")
-def test_turns_are_charged_to_what_runs_in_them() -> None:
+@pytest.mark.usefixtures("restore_event_handle")
+def test_callbacks_are_charged_to_their_coroutine() -> None:
     profiler = Profiler()
     profiler.wrap_callbacks()
 
@@ -76,26 +76,26 @@
     assert profiler.costs[cause].calls == 2
 
 
-def test_a_line_holds_what_the_tool_reads() -> None:
-    watch = ProfileLog("node-0", 1.0)
+def test_log_line_is_readable_by_profiles_tool() -> None:
+    profile_log = ProfileLog("node-0", 1.0)
     for number in range(200):
-        watch._profiler.call(f"turn: some coroutine of a long name, {number}", lambda: None)
+        profile_log._profiler.call(f"turn: some coroutine of a long name, {number}", lambda: None)
     size = Size(1.0, 1200, 30, 5000, 20000, 30000)
-    line = LINE + msgspec.json.encode(watch.profile(size)).decode()
+    line = LINE + msgspec.json.encode(profile_log.profile(size)).decode()
     assert len(line) < 8000  # logs truncate longer lines
-    later = LINE + msgspec.json.encode(watch.profile(None)).decode()
+    later = LINE + msgspec.json.encode(profile_log.profile(None)).decode()
     day = profiles.read(f"   12.5 node-0 I {line}\nsomething else\n{later}\n")
     assert day.mean("machines") == 1200.0 and sum(c.calls for c in day.costs.values()) == 60
     assert isinstance(msgspec.json.decode(line.removeprefix(LINE), type=Profile), Profile)
 
 
-def test_exponents() -> None:
+def test_exponent_of_power_law() -> None:
     sizes = [150.0, 300.0, 600.0, 1200.0]
     assert profiles.exponent(sizes, [3 * s**1.5 for s in sizes]) == pytest.approx(1.5)
     assert profiles.exponent(sizes, [0.0, 0.0, 0.0, 2.0]) is None
 
 
-def test_nothing_of_it_is_there_while_it_is_off() -> None:
+def test_profiler_is_not_imported_while_disabled() -> None:
     assert not features.Features().profile.on
     program = "import sys, tealrill.cli; sys.exit('tealrill.profiling' in sys.modules)"
     assert subprocess.run([sys.executable, "-c", program], check=False).returncode == 0
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -15,12 +15,12 @@
 from tealrill.state.admission import Reply
 from tests.samples import SETTINGS
 
-_REFUSED = Reply(503, {"error": "down"}, 1, retry_on_other_node=True)
-_FULL = Reply(503, {"error": "too many"}, 1)
+_UNAVAILABLE = Reply(503, {"error": "down"}, 1, retry_on_other_node=True)
+_RATE_LIMITED = Reply(503, {"error": "too many"}, 1)
 _ACCEPTED = Reply(201, {"id": "wk-1"})
 
 
-class _Local:
+class _LocalAttempt:
     """The local attempt; it never completes if the reply is None."""
 
     def __init__(self, reply: Reply | None) -> None:
@@ -38,10 +38,10 @@
 
     def __init__(self, status: int | None) -> None:
         self.status = status
-        self.asked = 0
+        self.request_count = 0
 
     async def request(self, method: str, path: str, body: bytes | None, timeout_s: float) -> Answer:
-        self.asked += 1
+        self.request_count += 1
         assert (method, path) == ("POST", "/peer/v2/runs")
         if self.status is None:
             raise NoAnswerError("refused", False)
@@ -55,50 +55,50 @@
 ) -> tuple[int, int]:
     monkeypatch.setattr("tealrill.api.relay._SUBMISSION_RELAY_DELAY_S", 0.01)
     parsed = settings.parse(orjson.dumps(SETTINGS))
-    relay = Relay(cast(JobRequests, _Local(local)), parsed, lambda: failing)
-    other = _Peer(peer)
-    relay._peers = [cast(Client, other)]
-    return asyncio.run(relay.submit(b"{}")).status, other.asked
+    relay = Relay(cast(JobRequests, _LocalAttempt(local)), parsed, lambda: failing)
+    peer_client = _Peer(peer)
+    relay._peers = [cast(Client, peer_client)]
+    return asyncio.run(relay.submit(b"{}")).status, peer_client.request_count
 
 
-def test_what_this_node_settles_is_not_asked_elsewhere(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_conclusive_local_reply_is_not_relayed(monkeypatch: pytest.MonkeyPatch) -> None:
     assert _submit(monkeypatch, _ACCEPTED, 201) == (201, 0)
     # A request that exceeds this controller's rate limit must not use another one's.
-    assert _submit(monkeypatch, _FULL, 201) == (503, 0)
+    assert _submit(monkeypatch, _RATE_LIMITED, 201) == (503, 0)
 
 
-def test_a_node_cut_off_from_the_records_answers_by_another(
+def test_inconclusive_local_attempt_is_relayed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    assert _submit(monkeypatch, _REFUSED, 201) == (201, 1)
-    assert _submit(monkeypatch, _REFUSED, 422, failing=True) == (422, 1)
+    assert _submit(monkeypatch, _UNAVAILABLE, 201) == (201, 1)
+    assert _submit(monkeypatch, _UNAVAILABLE, 422, failing=True) == (422, 1)
     assert _submit(monkeypatch, None, 200) == (200, 1)
 
 
-def test_an_outage_everywhere_is_answered_as_such(monkeypatch: pytest.MonkeyPatch) -> None:
-    assert _submit(monkeypatch, _REFUSED, 503) == (503, 1)
-    assert _submit(monkeypatch, _REFUSED, None) == (503, 1)
+def test_outage_on_all_controllers_returns_503(monkeypatch: pytest.MonkeyPatch) -> None:
+    assert _submit(monkeypatch, _UNAVAILABLE, 503) == (503, 1)
+    assert _submit(monkeypatch, _UNAVAILABLE, None) == (503, 1)
 
 
-def test_in_an_outage_other_nodes_are_not_asked_for_every_request(
+def test_relay_rate_is_limited_during_outage(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # Each failed relay costs processor time on three nodes, and an outage of three minutes had
     # 70,000 of them.
-    at = [100.0]
-    monkeypatch.setattr(relay_module, "monotonic_now", lambda: at[0])
+    now = [100.0]
+    monkeypatch.setattr(relay_module, "monotonic_now", lambda: now[0])
     parsed = settings.parse(orjson.dumps(SETTINGS))
-    relay = Relay(cast(JobRequests, _Local(_REFUSED)), parsed, lambda: True)
-    other = _Peer(503)
-    relay._peers = [cast(Client, other)]
+    relay = Relay(cast(JobRequests, _LocalAttempt(_UNAVAILABLE)), parsed, lambda: True)
+    peer_client = _Peer(503)
+    relay._peers = [cast(Client, peer_client)]
 
-    def submitted(count: int) -> set[int]:
+    def submit_repeatedly(count: int) -> set[int]:
         return {asyncio.run(relay.submit(b"{}")).status for _ in range(count)}
 
-    assert submitted(50) == {503} and other.asked == 2
-    at[0] += 0.3
-    assert submitted(50) == {503} and other.asked == 3
+    assert submit_repeatedly(50) == {503} and peer_client.request_count == 2
+    now[0] += 0.3
+    assert submit_repeatedly(50) == {503} and peer_client.request_count == 3
     # One conclusive answer of another controller ends the restriction.
-    at[0] += 0.3
-    other.status = 201
-    assert submitted(50) == {201} and other.asked == 53
+    now[0] += 0.3
+    peer_client.status = 201
+    assert submit_repeatedly(50) == {201} and peer_client.request_count == 53
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -14,7 +14,7 @@
 
 
 @pytest.mark.parametrize("edited", [False, True])
-def test_a_compiled_copy_of_other_sources_is_not_run(
+def test_compiled_copy_is_used_only_if_sources_match(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, edited: bool
 ) -> None:
     shutil.copy(_RUN, tmp_path)
