--- a/tealrill/daemon.py
+++ b/tealrill/daemon.py
@@ -151,11 +151,11 @@
                 group.create_task(loop())
 
     def _listen(self) -> None:
-        users: list[Any] = [
+        client_routes: list[Any] = [
             *_job_routes("", self._relay),
             (wire.HEALTH_PATH, HealthHandler, {"healthy": lambda: True}),
         ]
-        operators: list[Any] = [
+        cluster_routes: list[Any] = [
             (r"/admin/state", AdminStateHandler, {"node": self}),
             (EXTENSION_PATH, LeaseExtensionHandler, {"extension": self._lease_extension}),
             (PING_PATH, PingHandler, {"extension": self._lease_extension}),
@@ -163,12 +163,12 @@
             *_job_routes(PEER_PREFIX, self.admission),
         ]
         for extension in self.extensions:
-            users += extension.user_routes
-            operators += extension.peer_routes
+            client_routes += extension.user_routes
+            cluster_routes += extension.peer_routes
         max_held_bytes = int(_BODY_MEMORY_SHARE * self._settings.params.quota.ram_mb * 1024 * 1024)
         for routes, listen_address, handle_heartbeat in (
-            (users, self._settings.client_listen, self.handle_heartbeat),
-            (operators, self._settings.cluster_listen, None),
+            (client_routes, self._settings.client_listen, self.handle_heartbeat),
+            (cluster_routes, self._settings.cluster_listen, None),
         ):
             application = web.Application(
                 routes, default_handler_class=NotFound, log_function=no_access_log
@@ -211,23 +211,23 @@
                 self._catalogues.known,
             )
             self.leader = leader
-            term = asyncio.create_task(leader.run())
-            term.add_done_callback(lambda _: self._leader_changed.set())
-            while self.election.leadership is leadership and not term.done():
+            term_task = asyncio.create_task(leader.run())
+            term_task.add_done_callback(lambda _: self._leader_changed.set())
+            while self.election.leadership is leadership and not term_task.done():
                 await self._leader_changed.wait()
                 self._leader_changed.clear()
             self.leader = None
             self._cloud.set_leading(False)
-            await self._end_term(term)
+            await self._end_term(term_task)
             self._leader_changed.set()
 
-    async def _end_term(self, term: asyncio.Task[None]) -> None:
-        term.cancel()
-        # `await term` would raise CancelledError for the term's cancellation as well as for this
-        # coroutine's own. With one taken for the other, a controller that is stopped right after
-        # its leadership ended would never stop.
-        await asyncio.wait({term})
-        error = None if term.cancelled() else term.exception()
+    async def _end_term(self, term_task: asyncio.Task[None]) -> None:
+        term_task.cancel()
+        # `await term_task` would raise CancelledError for the task's cancellation as well as for
+        # this coroutine's own. With one taken for the other, a controller that is stopped right
+        # after its leadership ended would never stop.
+        await asyncio.wait({term_task})
+        error = None if term_task.cancelled() else term_task.exception()
         if error is not None:
             # The next leader, which may be this controller, restores its state from the records.
             log.error("term aborted by an unhandled error", exc_info=error)
@@ -236,34 +236,34 @@
     # -- workers --------------------------------------------------------------------------------
 
     def handle_heartbeat(
-        self, report: wire.Heartbeat, machine_id: MachineId
+        self, heartbeat: wire.Heartbeat, machine_id: MachineId
     ) -> tuple[int, dict[str, Any]]:
         """Process a worker's heartbeat; return the status and the body of the response.
 
         The status is 200, which renews the worker's lease, only if this controller leads with a
         valid lease and its knowledge of acknowledged cancellations is recent enough, or if the
-        leader has delegated renewals to it. Otherwise 421 redirects the worker to the leader as far
-        as it is known, or 503 rejects the heartbeat.
+        leader has delegated renewals to it. Otherwise it is 421, with the leader's address if that is
+        known and reachable, or 503 if the leader rejects the heartbeat.
         """
         now = monotonic_now()
         self._last_heartbeat_at = now
         self._transfer.record_heartbeat(now)
         leadership = self.election.valid_leadership(now)
         if leadership is None or self.leader is None or not self.leader.may_renew_workers(now):
-            term = self._renewal_delegate.renewal_token(report, machine_id, now)
-            if term is not None:
+            token = self._renewal_delegate.renewal_token(heartbeat, machine_id, now)
+            if token is not None:
                 # A delegated renewal: heartbeats of this worker don't reach the leader.
                 self._heartbeat_counts.delegated += 1
-                return 200, wire.report_answer(term, [])
-            known = self.election.known_leader
-            host = known.host if known is not None else None
+                return 200, wire.report_answer(token, [])
+            known_leader = self.election.known_leader
+            host = known_leader.host if known_leader is not None else None
             if host == self._settings.host_name or self._renewal_delegate.leader_unreachable:
                 # Name no leader. A worker that is redirected to an unreachable leader loses 4 s of
                 # its lease waiting for it; trying the next controller costs 1 s.
                 host = None
             self._heartbeat_counts.redirected += 1
             return 421, wire.redirect(host)
-        commands = self.leader.report(report, machine_id, now)
+        commands = self.leader.report(heartbeat, machine_id, now)
         if commands is None:
             self._heartbeat_counts.refused += 1
             return 503, {"error": "not taken"}
@@ -387,10 +387,10 @@
         )
 
 
-def _job_routes(prefix: str, users: JobRequests) -> list[Any]:
+def _job_routes(prefix: str, job_requests: JobRequests) -> list[Any]:
     jobs = prefix + wire.JOBS_PATH
     return [
-        (jobs, JobsHandler, {"admission": users}),
-        (jobs + r"/([^/]+)", JobHandler, {"admission": users}),
-        (jobs + r"/([^/]+)/" + wire.CANCEL_PATH, CancelHandler, {"admission": users}),
+        (jobs, JobsHandler, {"admission": job_requests}),
+        (jobs + r"/([^/]+)", JobHandler, {"admission": job_requests}),
+        (jobs + r"/([^/]+)/" + wire.CANCEL_PATH, CancelHandler, {"admission": job_requests}),
     ]
--- a/tealrill/process.py
+++ b/tealrill/process.py
@@ -69,9 +69,9 @@
     with contextlib.suppress(NotImplementedError, RuntimeError, ValueError, OSError):
         asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, stop_requested.set)
     controller_task = asyncio.create_task(controller.run())
-    waiting = asyncio.create_task(stop_requested.wait())
-    await asyncio.wait({controller_task, waiting}, return_when=asyncio.FIRST_COMPLETED)
-    waiting.cancel()
+    stop_task = asyncio.create_task(stop_requested.wait())
+    await asyncio.wait({controller_task, stop_task}, return_when=asyncio.FIRST_COMPLETED)
+    stop_task.cancel()
     if not controller_task.done():
         await controller.hand_over("SIGTERM received")
         controller_task.cancel()
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -340,7 +340,7 @@
         for job in leader.job_store.jobs.values():
             assert all(chunk.committed == chunk.version for chunk in job.chunks.values())
         # A controller that does not lead has nothing to hand over.
-        await world.node.hand_over("repeated")
+        await world.node.hand_over("second call")
         assert len(ended) == 1
 
     _run_with_node(scenario)
