--- a/tealrill/daemon.py
+++ b/tealrill/daemon.py
@@ -242,7 +242,7 @@
 
         The status is 200, which renews the worker's lease, only if this controller leads with a
         valid lease and its knowledge of acknowledged cancellations is recent enough, or if the
-        leader has delegated renewals to it. Otherwise it is 421, with the leader's address if that is
+        leader has delegated renewals to it. Otherwise it is 421, with the leader's host if that is
         known and reachable, or 503 if the leader rejects the heartbeat.
         """
         now = monotonic_now()
--- a/tealrill/profiling.py
+++ b/tealrill/profiling.py
@@ -120,9 +120,9 @@
             cost.calls += 1
             cost.cpu_s += own_s
 
-    def wrap(self, cause: str, where: str) -> None:
-        """Charge each call of the function at `where`, module:name or module:class.name."""
-        module, _, path = where.partition(":")
+    def wrap(self, cause: str, location: str) -> None:
+        """Charge each call of the function at `location`, module:name or module:class.name."""
+        module, _, path = location.partition(":")
         owner: Any = importlib.import_module(module)
         *owners, name = path.split(".")
         for part in owners:
@@ -165,8 +165,8 @@
 
     def install(self) -> None:
         """Start profiling; call this once per process, before the controller is created."""
-        for cause, where in CAUSES.items():
-            self._profiler.wrap(cause, where)
+        for cause, location in CAUSES.items():
+            self._profiler.wrap(cause, location)
         self._profiler.wrap_callbacks()
 
     async def run(self, size: Callable[[], Size | None]) -> None:
@@ -177,7 +177,7 @@
 
     def profile(self, size: Size | None) -> Profile:
         """Return the totals of the costliest causes, few enough that logs keep the line whole."""
-        costs = sorted(self._profiler.costs.items(), key=lambda found: -found[1].cpu_s)
+        costs = sorted(self._profiler.costs.items(), key=lambda item: -item[1].cpu_s)
         return Profile(
             self._host,
             os.getpid(),
