--- a/tealrill/api/http_frontend.py
+++ b/tealrill/api/http_frontend.py
@@ -242,7 +242,7 @@
         assert isinstance(start_line, httputil.RequestStartLine)
         if (
             self._frontend.handle_heartbeat is not None
-            and start_line.path == wire.REPORT_PATH
+            and start_line.path == wire.HEARTBEAT_PATH
             and start_line.method == "POST"
         ):
             return None
--- a/tealrill/api/relay.py
+++ b/tealrill/api/relay.py
@@ -51,7 +51,7 @@
     def __init__(self, local: JobRequests, settings: Settings, failing: Callable[[], bool]) -> None:
         self._local = local
         self._failing = failing
-        self._peers = list(peer_clients(settings, most=2).values())
+        self._peers = list(peer_clients(settings, max_idle=2).values())
         self._consecutive_failures = 0
         """Number of consecutive relayed requests without a conclusive answer."""
         self._last_failure_at = Monotonic(-math.inf)
@@ -59,21 +59,21 @@
     async def submit(self, body: bytes) -> Reply:
         """Submit the job described by the request body."""
         remote_request = (wire.JOBS_PATH, "POST", body)
-        return await self.either(
+        return await self.first_conclusive(
             self._local.submit(body), remote_request, _SUBMISSION_RELAY_DELAY_S
         )
 
     async def status(self, text: str) -> Reply:
         """Return the status of the job with the id in `text`."""
         remote_request = (f"{wire.JOBS_PATH}/{text}", "GET", None)
-        return await self.either(self._local.status(text), remote_request, _RELAY_DELAY_S)
+        return await self.first_conclusive(self._local.status(text), remote_request, _RELAY_DELAY_S)
 
     async def cancel(self, text: str) -> Reply:
         """Cancel the job with the id in `text`."""
         remote_request = (f"{wire.JOBS_PATH}/{text}/{wire.CANCEL_PATH}", "POST", b"")
-        return await self.either(self._local.cancel(text), remote_request, _RELAY_DELAY_S)
+        return await self.first_conclusive(self._local.cancel(text), remote_request, _RELAY_DELAY_S)
 
-    async def either(
+    async def first_conclusive(
         self,
         local: Coroutine[Any, Any, Reply],
         remote_request: tuple[str, str, bytes | None],
--- a/tealrill/change_log.py
+++ b/tealrill/change_log.py
@@ -25,6 +25,6 @@
             self._said = text
             self._log.log(level, "%s", text)
 
-    def forget(self) -> None:
+    def reset(self) -> None:
         """Log the next text even if it repeats the last one."""
         self._said = ""
--- a/tealrill/cli/draw.py
+++ b/tealrill/cli/draw.py
@@ -17,8 +17,8 @@
 from grandalf.graphs import Vertex
 from grandalf.layouts import SugiyamaLayout
 
-from tealrill.graphs.model import EACH, FAILED, Shape
-from tealrill.graphs.model import ENDED as AFTER_EITHER
+from tealrill.graphs.model import PER_TASK, ON_FAILED, Shape
+from tealrill.graphs.model import ON_ENDED as AFTER_EITHER
 
 MAX_BOXES: Final = 200
 _HEIGHT: Final = 28
@@ -32,8 +32,8 @@
     "released": "#cfe0f5",
 }
 _STYLES: Final = {
-    EACH: ("each", "bold"),
-    FAILED: ("failed", "dashed"),
+    PER_TASK: ("each", "bold"),
+    ON_FAILED: ("failed", "dashed"),
     AFTER_EITHER: ("ended", "dotted"),
 }
 
@@ -75,7 +75,7 @@
         boxes.append(Box(label, sum(shape.tasks[i] for i in inside), colour))
     arrows: dict[tuple[int, int, int], None] = {}
     for index in range(shape.nodes):
-        for other, kind in shape.awaited(index):
+        for other, kind in shape.dependencies(index):
             if group[other] != group[index]:
                 arrows[(group[other], group[index], kind)] = None
     return Drawing(boxes, list(arrows))
@@ -83,9 +83,9 @@
 
 def _group_by_layer(shape: Shape) -> tuple[list[int], list[str]]:
     layer = [0] * shape.nodes
-    for index in shape.order:
+    for index in shape.topological_order:
         layer[index] = 1 + max(
-            (layer[predecessor] for predecessor, _ in shape.awaited(index)), default=-1
+            (layer[predecessor] for predecessor, _ in shape.dependencies(index)), default=-1
         )
     numbers: dict[tuple[int, str], int] = {}
     group = []
@@ -147,7 +147,7 @@
     for start, end, kind in drawing.arrows:
         (x1, y1), (x2, y2) = vertices[start].view.xy, vertices[end].view.xy
         dash = {"failed": "6,3", "ended": "2,3"}.get(_STYLES.get(kind, ("", ""))[0], "none")
-        width = 2.2 if kind == EACH else 1.0
+        width = 2.2 if kind == PER_TASK else 1.0
         line = page.line(
             (x1, y1 + _HEIGHT / 2),
             (x2, y2 - _HEIGHT / 2),
--- a/tealrill/cli/graph.py
+++ b/tealrill/cli/graph.py
@@ -15,11 +15,11 @@
 
 from tealrill.client import Client, ClientError, Retry
 from tealrill.client.files import GraphFileError, check, load, schema
-from tealrill.graphs.tracker import STATES
+from tealrill.graphs.tracker import NODE_STATES
 
 _POLL_S: Final = 2.0
 _TERMINAL_STATUSES: Final = ("done", "failed", "aborted")
-_TERMINAL_NODE_STATES: Final = STATES[3:]
+_TERMINAL_NODE_STATES: Final = NODE_STATES[3:]
 
 _address_option = click.option(
     "--address",
@@ -56,7 +56,7 @@
         parts.append(f"{message['nodes']} nodes")
     counts = message.get("counts")
     if counts:
-        parts += [f"{counts[name]} {name}" for name in STATES if counts.get(name)]
+        parts += [f"{counts[name]} {name}" for name in NODE_STATES if counts.get(name)]
     if message.get("why"):
         parts.append(f"({message['why']})")
     return "  ".join(parts)
@@ -126,7 +126,7 @@
 @graph.command()
 @click.argument("graph_id", metavar="ID")
 @click.option("--nodes", "with_nodes", is_flag=True, help="Also list its nodes.")
-@click.option("--state", type=click.Choice(STATES), help="Only nodes in this state.")
+@click.option("--state", type=click.Choice(NODE_STATES), help="Only nodes in this state.")
 @click.option("--most", default=100, show_default=True, help="Maximum number of nodes.")
 @_address_option
 @_retry_option
@@ -200,7 +200,7 @@
             for last in _poll_status(client, graph_id):
                 counts = last.get("counts") or {}
                 ended = sum(counts.get(name, 0) for name in _TERMINAL_NODE_STATES)
-                text = "  ".join(f"{counts[n]} {n}" for n in STATES if counts.get(n))
+                text = "  ".join(f"{counts[n]} {n}" for n in NODE_STATES if counts.get(n))
                 bar.update(task, total=last.get("nodes"), completed=ended, counts=text)
         click.echo(_format_status(last))
     sys.exit(0 if last.get("status") == "done" else 1)
--- a/tealrill/daemon.py
+++ b/tealrill/daemon.py
@@ -73,8 +73,8 @@
         )
         self.election.has_quorum_reach = self._has_quorum_reach
         self.leader: Leader | None = None
-        self._catalogues = CatalogueCache(settings, self._cloud)
-        self.admission = Admission(self._client, settings, lambda: self._catalogues.known)
+        self._catalogue_cache = CatalogueCache(settings, self._cloud)
+        self.admission = Admission(self._client, settings, lambda: self._catalogue_cache.catalogue)
         self.admission.counts = self._task_counts
         self._lease_extension = LeaseExtension(
             settings, self._client, self.election, self.admission.acknowledged
@@ -109,8 +109,8 @@
         self._relay = Relay(self.admission, settings, lambda: self._client.failing)
         self.extensions = self._enabled_extensions()
         for extension in self.extensions:
-            if extension.names is not None:
-                self.admission.implicit_jobs = extension.names
+            if extension.implicit_jobs is not None:
+                self.admission.implicit_jobs = extension.implicit_jobs
 
     def _enabled_extensions(self) -> list[Extension]:
         """Create the enabled extensions; the modules of disabled ones are not imported."""
@@ -141,7 +141,7 @@
             group.create_task(self._renewal_delegate.run())
             group.create_task(self._revocation.run())
             group.create_task(self._run_terms())
-            group.create_task(self._catalogues.run())
+            group.create_task(self._catalogue_cache.run())
             group.create_task(self._check_reachability())
             group.create_task(self._close_idle_connections())
             for extension in self.extensions:
@@ -159,7 +159,7 @@
             (r"/admin/state", AdminStateHandler, {"node": self}),
             (EXTENSION_PATH, LeaseExtensionHandler, {"extension": self._lease_extension}),
             (PING_PATH, PingHandler, {"extension": self._lease_extension}),
-            (CATALOGUE_PATH, CatalogueHandler, {"known": lambda: self._catalogues.known}),
+            (CATALOGUE_PATH, CatalogueHandler, {"known": lambda: self._catalogue_cache.catalogue}),
             *_job_routes(PEER_PREFIX, self.admission),
         ]
         for extension in self.extensions:
@@ -207,8 +207,12 @@
                 self.election,
                 leadership,
                 self._estimates,
-                [extension.term for extension in self.extensions if extension.term is not None],
-                self._catalogues.known,
+                [
+                    extension.create_leader_extension
+                    for extension in self.extensions
+                    if extension.create_leader_extension is not None
+                ],
+                self._catalogue_cache.catalogue,
             )
             self.leader = leader
             term_task = asyncio.create_task(leader.run())
@@ -254,7 +258,7 @@
             if token is not None:
                 # A delegated renewal: heartbeats of this worker don't reach the leader.
                 self._heartbeat_counts.delegated += 1
-                return 200, wire.report_answer(token, [])
+                return 200, wire.heartbeat_response(token, [])
             known_leader = self.election.known_leader
             host = known_leader.host if known_leader is not None else None
             if host == self._settings.host_name or self._renewal_delegate.leader_unreachable:
@@ -263,12 +267,12 @@
                 host = None
             self._heartbeat_counts.redirected += 1
             return 421, wire.redirect(host)
-        commands = self.leader.report(heartbeat, machine_id, now)
+        commands = self.leader.handle_heartbeat(heartbeat, machine_id, now)
         if commands is None:
             self._heartbeat_counts.refused += 1
             return 503, {"error": "not taken"}
         self._heartbeat_counts.renewed += 1
-        return 200, wire.report_answer(leadership.term, commands)
+        return 200, wire.heartbeat_response(leadership.term, commands)
 
     def _has_quorum_reach(self) -> bool:
         """Return True if heartbeats still reach this controller and its zone offers machine types.
@@ -282,7 +286,7 @@
             and monotonic_now() - last_heartbeat_at > self._heartbeat_timeout_s
         ):
             return False
-        catalogue = self._catalogues.known
+        catalogue = self._catalogue_cache.catalogue
         return catalogue is not None and any(
             self._settings.zone in kind.zones for kind in catalogue.types
         )
--- a/tealrill/http.py
+++ b/tealrill/http.py
@@ -28,13 +28,13 @@
     """No response was received. `sent` is False only if no byte of the request was sent."""
 
     def __init__(
-        self, message: str, sent: bool, refused: bool = False, silent: bool = False
+        self, message: str, sent: bool, refused: bool = False, timed_out: bool = False
     ) -> None:
         super().__init__(message)
         self.sent = sent
         self.refused = refused
         """The connection was refused."""
-        self.silent = silent
+        self.timed_out = timed_out
         """No complete response arrived within the timeout."""
 
 
@@ -112,12 +112,12 @@
 
 
 class Client:
-    """HTTP client of one address that keeps at most `most` idle connections."""
+    """HTTP client of one address that keeps at most `max_idle` idle connections."""
 
-    def __init__(self, address: Address, most: int = 4) -> None:
+    def __init__(self, address: Address, max_idle: int = 4) -> None:
         self._address = address
         self._idle: list[iostream.IOStream] = []
-        self._most = most
+        self._max_idle = max_idle
 
     async def request(
         self,
@@ -149,12 +149,12 @@
             self._close(stream)
             cause = getattr(err, "real_error", None) or err
             refused = isinstance(cause, ConnectionRefusedError)
-            silent = isinstance(err, TimeoutError)
-            raise NoAnswerError(f"{type(err).__name__}: {err}", sent, refused, silent) from None
+            timed_out = isinstance(err, TimeoutError)
+            raise NoAnswerError(f"{type(err).__name__}: {err}", sent, refused, timed_out) from None
         except BaseException:
             self._close(stream)
             raise
-        if answer.keep_alive and len(self._idle) < self._most and not stream.closed():
+        if answer.keep_alive and len(self._idle) < self._max_idle and not stream.closed():
             self._idle.append(stream)
         else:
             stream.close()
@@ -199,6 +199,6 @@
         self._idle.clear()
 
 
-def peer_clients(settings: Settings, most: int = 1) -> dict[str, Client]:
+def peer_clients(settings: Settings, max_idle: int = 1) -> dict[str, Client]:
     """Return a client for each other member, by host name."""
-    return {m.host_name: Client(parse_address(m.peer_addr), most) for m in settings.members}
+    return {m.host_name: Client(parse_address(m.peer_addr), max_idle) for m in settings.members}
--- a/tealrill/profiling.py
+++ b/tealrill/profiling.py
@@ -30,14 +30,14 @@
 
 CAUSES: Final[dict[str, str]] = {
     "reports: decoding": "tealrill.api.http_frontend:_Request._handle_heartbeat",
-    "reports: taking in": "tealrill.fleet.heartbeats:HeartbeatProcessor._process",
+    "reports: taking in": "tealrill.fleet.heartbeats:HeartbeatProcessor._update_machine",
     "reports: commands": "tealrill.fleet.commands:Commands.for_response",
     "reports: the rest": "tealrill.daemon:Controller.handle_heartbeat",
     "answers written": "tealrill.api.http_frontend:write_response",
     "passes: the rest": "tealrill.fleet.dispatch:SchedulingLoop.run",
     "passes: machines": "tealrill.fleet.snapshot:SnapshotBuilder._survey",
-    "passes: a machine's view": "tealrill.fleet.snapshot:SnapshotBuilder._fresh",
-    "passes: a job's view": "tealrill.fleet.snapshot:SnapshotBuilder._job",
+    "passes: a machine's view": "tealrill.fleet.snapshot:SnapshotBuilder._build_view",
+    "passes: a job's view": "tealrill.fleet.snapshot:SnapshotBuilder._job_view",
     "passes: view": "tealrill.fleet.snapshot:SnapshotBuilder.view",
     "passes: order": "tealrill.scheduler.plan:order",
     "passes: affordable": "tealrill.scheduler.plan:affordable",
--- a/tealrill/status.py
+++ b/tealrill/status.py
@@ -58,6 +58,6 @@
         state["renewals_with_stops"] = cancelled.renewals_with_stops
         state["cancelled_bound"] = [asdict(row) for row in cancelled.rows(wall_now())]
         state["waiting"] = {job.id: unplaced_tasks for job, unplaced_tasks in plan.unplaced}
-        for extension in leader.parts:
+        for extension in leader.extensions:
             state.update(extension.describe())
     return state
--- a/tealrill/wire.py
+++ b/tealrill/wire.py
@@ -60,7 +60,7 @@
 JOBS_PATH: Final = "/v2/runs"
 CANCEL_PATH: Final = "cancel"
 HEALTH_PATH: Final = "/up"
-REPORT_PATH: Final = "/agent/beat"
+HEARTBEAT_PATH: Final = "/agent/beat"
 COMMANDS_PATH: Final = "/orders"
 
 
@@ -342,7 +342,7 @@
     return orjson.dumps(message)
 
 
-def plain(message: msgspec.Struct) -> Any:
+def to_builtins(message: msgspec.Struct) -> Any:
     """Return the struct as built-in values, with the protocol's names."""
     return msgspec.to_builtins(message)
 
@@ -357,22 +357,22 @@
     return {"id": job_id, "status": status}
 
 
-def start(task: str, attempt: int) -> dict[str, Any]:
+def start_command(task: str, attempt: int) -> dict[str, Any]:
     """Return the command to start an attempt of a task."""
     return {"verb": START, "piece": task, "try": attempt}
 
 
-def stop(task: str, attempt: int, grace_s: float) -> dict[str, Any]:
+def stop_command(task: str, attempt: int, grace_s: float) -> dict[str, Any]:
     """Return the command to stop an attempt, which has `grace_s` seconds to save a checkpoint."""
     return {"verb": STOP, "piece": task, "try": attempt, "windupS": grace_s}
 
 
-def forget(task: str, attempt: int) -> dict[str, Any]:
+def forget_command(task: str, attempt: int) -> dict[str, Any]:
     """Return the command to delete a worker's record of an ended attempt."""
     return {"verb": FORGET, "piece": task, "try": attempt}
 
 
-def report_answer(token: int, commands: list[dict[str, Any]]) -> dict[str, Any]:
+def heartbeat_response(token: int, commands: list[dict[str, Any]]) -> dict[str, Any]:
     """Return the body of the response to a heartbeat: the fencing token and commands."""
     return {"baton": token, "orders": commands}
 
--- a/tests/standins.py
+++ b/tests/fakes.py
@@ -84,7 +84,7 @@
 
 class _Commit(_Handler):
     def post(self) -> None:
-        state: State = self.service
+        state: FakeStateService = self.service
         if state.down:
             return self.answer(503, {})
         message = self.body()
@@ -105,8 +105,8 @@
             state.crash()
             self.detach().close()
             return None
-        if state.lose_answers > 0:
-            state.lose_answers -= 1
+        if state.responses_to_drop > 0:
+            state.responses_to_drop -= 1
             self.detach().close()
             return None
         return self.answer(200, {"epoch": state.epoch})
@@ -128,7 +128,7 @@
 class _Watch(_Handler):
     async def get(self) -> None:
         under, since = self.get_argument("under"), int(self.get_argument("from"))
-        state: State = self.service
+        state: FakeStateService = self.service
         deadline = asyncio.get_running_loop().time() + int(self.get_argument("holdMs")) / 1000
         while True:
             first = state.log[0][0] if state.log else 0
@@ -147,7 +147,7 @@
             await asyncio.sleep(0.01)
 
 
-class State(FakeService):
+class FakeStateService(FakeService):
     """Fake state service, whose leases never expire."""
 
     routes = (
@@ -166,7 +166,7 @@
         self.epoch = 0
         self.leases = 0
         self.down = False
-        self.lose_answers = 0
+        self.responses_to_drop = 0
         """Number of the next transactions that are executed but whose responses are dropped."""
         self.commits = 0
         self.changes = 0
@@ -205,7 +205,7 @@
     def post(self) -> None:
         message = self.body()
         names = []
-        available = max(0, self.service.most - self.service.rented)
+        available = max(0, self.service.max_rented - self.service.rented)
         if available == 0:
             return self.answer(503, {"error": "no capacity"})
         for _ in range(min(message["howMany"], available)):
@@ -216,7 +216,7 @@
                 "loaners": message["loaners"], "status": "starting", "ageS": 0.0,
             }  # fmt: skip
             names.append(name)
-            self.service.hired(name)
+            self.service.on_rented(name)
         return self.answer(200, {"kilns": names})
 
 
@@ -224,11 +224,11 @@
     def post(self) -> None:
         for name in self.body()["kilns"]:
             self.service.machines.pop(name, None)
-            self.service.returned(name)
+            self.service.on_released(name)
         self.answer(200, {})
 
 
-class Cloud(FakeService):
+class FakeCloud(FakeService):
     """Fake cloud, which offers one machine type and rents out at most `most` machines."""
 
     routes = ((r"/catalog", _Catalogue), (r"/hosts/release", _Release), (r"/hosts", _Machines))
@@ -237,15 +237,15 @@
         super().__init__()
         self.machines: dict[str, dict[str, Any]] = {}
         self.rented = 0
-        self.most = 1000
+        self.max_rented = 1000
         """Limit of the total number of machines rented."""
-        self.hired: Callable[[str], None] = lambda _: None
-        self.returned: Callable[[str], None] = lambda _: None
+        self.on_rented: Callable[[str], None] = lambda _: None
+        self.on_released: Callable[[str], None] = lambda _: None
 
 
 class _Commands(_Handler):
     def post(self) -> None:
-        worker: Worker = self.service
+        worker: FakeWorker = self.service
         message = self.body()
         refused = message["baton"] < worker.token or message["shift"] != 1
         if not refused:
@@ -253,7 +253,7 @@
         self.answer(409 if refused else 200, worker.report())
 
 
-class Worker(FakeService):
+class FakeWorker(FakeService):
     """Fake worker of one machine, whose tasks run until the test ends them."""
 
     routes = ((r"/orders", _Commands),)
@@ -288,13 +288,13 @@
         self.tasks[name].update(status="ended", cause=why)
 
 
-class JumpingLoop(asyncio.SelectorEventLoop):
+class VirtualTimeLoop(asyncio.SelectorEventLoop):
     """Event loop with virtual time, which jumps to the next timer instead of waiting for it."""
 
     def __init__(self) -> None:
         super().__init__()
         self.at = 0.0
-        self.turns = 0
+        self.callbacks_run = 0
 
     def time(self) -> float:
         return self.at
@@ -303,5 +303,5 @@
         scheduled = self._scheduled  # type: ignore[attr-defined]
         if not self._ready and scheduled:  # type: ignore[attr-defined]
             self.at = max(self.at, scheduled[0].when())
-        self.turns += len(self._ready)  # type: ignore[attr-defined]
+        self.callbacks_run += len(self._ready)  # type: ignore[attr-defined]
         super()._run_once()  # type: ignore[misc]
--- a/tests/plain.py
+++ b/tests/plain.py
@@ -11,7 +11,7 @@
 
 from tealrill.scheduler.capacity import Kind, Offer, Rental, _cpu_share
 from tealrill.scheduler.model import (
-    SLACK,
+    TOLERANCE,
     JobView,
     MachineView,
     Plan,
@@ -69,16 +69,17 @@
         team = self.view.teams.get(reserved_job.team)
         is_within_quota = team is not None and team.is_within_quota(reserved_job)
         soon = self.now + self.policy.min_preemption_gain_s
-        upcoming = sum(w.tasks for w in self.windows.values() if w.at <= soon)
+        upcoming_tasks = sum(w.tasks for w in self.windows.values() if w.at <= soon)
         wanted = (
-            min(self._tasks_within_limit(reserved_job), self.policy.max_reserved_tasks) - upcoming
+            min(self._tasks_within_limit(reserved_job), self.policy.max_reserved_tasks)
+            - upcoming_tasks
         )
         backfilled = sum(t.backfilled for m in self.ready for t in m.running)
         budget = max(1, math.ceil(backfilled * self.policy.max_preempted_share))
         already_preempted: set[RunningTask] = set()
         machines = self._usable(reserved_job, self.ready)
         while wanted > 0:
-            preempted = choose(
+            preempted = choose_preemption(
                 reserved_job,
                 machines,
                 self.view.teams,
@@ -126,15 +127,15 @@
     for end, _, task in sorted((end_at(t, now), n, t) for n, t in enumerate(machine.running)):
         cpus, gpus, memory = cpus + task.cpus, gpus + task.gpus, memory + task.memory_gb
         if (
-            cpus + SLACK >= job.cpus
-            and memory + SLACK >= job.memory_gb
-            and gpus + SLACK >= job.gpus
+            cpus + TOLERANCE >= job.cpus
+            and memory + TOLERANCE >= job.memory_gb
+            and gpus + TOLERANCE >= job.gpus
         ):
             return max(at, end), cpus, gpus, memory
     return None
 
 
-def choose(
+def choose_preemption(
     job: JobView,
     machines: list[MachineView],
     teams: dict[str, TeamView],
--- a/tests/samples.py
+++ b/tests/samples.py
@@ -151,11 +151,11 @@
     return RunningTask(**{**values, **changes})
 
 
-def recorded_at_once() -> tuple[IntentLog, Duty, Duty]:
+def provisioner_dependencies() -> tuple[IntentLog, Duty, Duty]:
     """Return the intent log of a `Provisioner`, which commits at once, and its two duties."""
 
     def join(joined: JoinedWrite) -> None:
-        joined.applied(Revision(1))
+        joined.on_committed(Revision(1))
 
     def duty(name: str) -> Duty:
         return Duty(name, FencingToken(1), Monotonic(0.0), lambda: True)
--- a/tests/test_http_frontend.py
+++ b/tests/test_http_frontend.py
@@ -17,7 +17,7 @@
 from tealrill.http import Answer, Client
 from tealrill.settings import Address
 from tealrill.types import MachineId, Monotonic, monotonic_now
-from tests.standins import Worker
+from tests.fakes import FakeWorker
 
 _MAX_HELD_BYTES = 200_000
 
@@ -52,7 +52,7 @@
         self, report: wire.Heartbeat, machine: MachineId
     ) -> http_frontend.HeartbeatReply:
         self.heartbeats.append(machine)
-        return 200, wire.report_answer(4, [])
+        return 200, wire.heartbeat_response(4, [])
 
     def send(self, path: str, body: bytes) -> asyncio.Task[Answer]:
         return asyncio.create_task(Client(self.address).request("POST", path, body, 20.0))
@@ -71,12 +71,12 @@
     async def scenario() -> None:
         async with _running_frontend() as harness:
             monkeypatch.setattr(harness.frontend.application, "start_request", None)
-            body = orjson.dumps(Worker("m-000001").report())
+            body = orjson.dumps(FakeWorker("m-000001").report())
             client = Client(harness.address)
             calls: list[bool] = []
             monkeypatch.setattr(iostream.IOStream, "set_nodelay", lambda _, on: calls.append(on))
             for _ in range(3):
-                answer = await client.request("POST", wire.REPORT_PATH, body)
+                answer = await client.request("POST", wire.HEARTBEAT_PATH, body)
                 assert (answer.status, orjson.loads(answer.body)["baton"]) == (200, 4)
             assert harness.heartbeats == ["m-000001"] * 3
             assert calls == [True, True]  # once each on the client's and the server's side
@@ -91,7 +91,7 @@
 def test_malformed_heartbeat_returns_400(body: bytes) -> None:
     async def scenario() -> None:
         async with _running_frontend() as harness:
-            answer = await harness.send(wire.REPORT_PATH, body)
+            answer = await harness.send(wire.HEARTBEAT_PATH, body)
             assert answer.status == 400
             assert orjson.loads(answer.body)["error"]
             assert not harness.heartbeats
@@ -110,8 +110,8 @@
             assert [r.result().status for r in requests if r.done()] == [503] * 3
             assert harness.body_sizes == [60_000] * 3
             # Heartbeats are still accepted, since their bodies are limited separately.
-            body = orjson.dumps(Worker("m-000001").report())
-            assert (await harness.send(wire.REPORT_PATH, body)).status == 200
+            body = orjson.dumps(FakeWorker("m-000001").report())
+            assert (await harness.send(wire.HEARTBEAT_PATH, body)).status == 200
             harness.allow_responses.set()
             answers = await asyncio.gather(*requests)
             assert sorted(a.status for a in answers) == [200] * 3 + [503] * 3
@@ -146,12 +146,12 @@
 def test_pipelined_requests_do_not_starve_other_connections() -> None:
     async def scenario() -> None:
         async with _running_frontend() as harness:
-            body = orjson.dumps(Worker("m-000001").report())
-            other_body = orjson.dumps(Worker("m-000002").report())
+            body = orjson.dumps(FakeWorker("m-000001").report())
+            other_body = orjson.dumps(FakeWorker("m-000002").report())
             pipelining = await asyncio.open_connection(*harness.address)
             single = await asyncio.open_connection(*harness.address)
-            pipelining[1].write(_raw(wire.REPORT_PATH, body) * 400)
-            single[1].write(_raw(wire.REPORT_PATH, other_body))
+            pipelining[1].write(_raw(wire.HEARTBEAT_PATH, body) * 400)
+            single[1].write(_raw(wire.HEARTBEAT_PATH, other_body))
             await single[0].readuntil(b"\r\n\r\n")
             assert harness.heartbeats.index(MachineId("m-000002")) < 400
             while len(harness.heartbeats) < 401:
@@ -175,10 +175,10 @@
     async def scenario() -> None:
         async with _running_frontend() as harness:
             monkeypatch.setattr(asyncio, "sleep", counted)
-            body = orjson.dumps(Worker("m-000001").report())
+            body = orjson.dumps(FakeWorker("m-000001").report())
             client = Client(harness.address)
             for _ in range(16):
-                assert (await client.request("POST", wire.REPORT_PATH, body)).status == 200
+                assert (await client.request("POST", wire.HEARTBEAT_PATH, body)).status == 200
 
     asyncio.run(scenario())
     assert len(yields) == 2
@@ -195,23 +195,25 @@
 
     async def scenario() -> None:
         async with _running_frontend() as harness:
-            body = orjson.dumps(Worker("m-000001").report())
+            body = orjson.dumps(FakeWorker("m-000001").report())
             client = Client(harness.address)
             for _ in range(5):
-                answer = await client.request("POST", wire.REPORT_PATH, body)
+                answer = await client.request("POST", wire.HEARTBEAT_PATH, body)
                 assert (answer.status, orjson.loads(answer.body)["baton"]) == (200, 4)
             assert len(parsed) == 1
             for size in range(1, 12):
-                assert (await client.request("POST", wire.REPORT_PATH, b"x" * size)).status == 400
+                assert (
+                    await client.request("POST", wire.HEARTBEAT_PATH, b"x" * size)
+                ).status == 400
             assert len(http_frontend._Message._parsed_headers) <= 8
             long = {"X-Long": "y" * 1000}
             reader, writer = await asyncio.open_connection(*harness.address)
             for _ in range(2):
                 lines = "".join(f"{name}: {value}\r\n" for name, value in long.items())
-                head = f"POST {wire.REPORT_PATH} HTTP/1.1\r\n{lines}Content-Length: {len(body)}"
+                head = f"POST {wire.HEARTBEAT_PATH} HTTP/1.1\r\n{lines}Content-Length: {len(body)}"
                 writer.write(head.encode() + b"\r\n\r\n" + body)
                 assert (await reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 200")
-                await reader.readexactly(len(orjson.dumps(wire.report_answer(4, []))))
+                await reader.readexactly(len(orjson.dumps(wire.heartbeat_response(4, []))))
             assert all(len(head) <= 256 for head in http_frontend._Message._parsed_headers)
             writer.close()
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -25,9 +25,9 @@
 from tealrill.process import new_event_loop, run_until_stopped
 from tealrill.types import LeaseId
 from tests.samples import SETTINGS, SUBMISSION
-from tests.standins import Cloud, State, Worker
+from tests.fakes import FakeCloud, FakeStateService, FakeWorker
 
-_PATIENCE_S = 30.0
+_TIMEOUT_S = 30.0
 
 
 def free_address() -> str:
@@ -37,12 +37,12 @@
     return f"127.0.0.1:{port}"
 
 
-class World:
+class NodeHarness:
     """A controller with fakes of the services it depends on."""
 
     def __init__(self, enabled_features: features.Features | None = None) -> None:
-        self.state = State()
-        self.cloud = Cloud()
+        self.state = FakeStateService()
+        self.cloud = FakeCloud()
         values = copy.deepcopy(SETTINGS)
         values["members"] = []
         values["client_listen"], values["cluster_listen"] = free_address(), free_address()
@@ -56,8 +56,8 @@
     def start(self) -> None:
         self.task = asyncio.create_task(self.node.run())
 
-    async def until_it_leads(self) -> None:
-        async with asyncio.timeout(_PATIENCE_S):
+    async def wait_until_leader(self) -> None:
+        async with asyncio.timeout(_TIMEOUT_S):
             while self.node.leader is None or not self.node.leader.fleet.loaded:
                 assert not self.task.done(), self.task.exception()
                 await asyncio.sleep(0.01)
@@ -75,11 +75,11 @@
         await self.stop()
         self.node = Controller(settings.parse(orjson.dumps(self.values)), self.enabled_features)
         self.start()
-        await self.until_it_leads()
+        await self.wait_until_leader()
 
     async def send(self, method: str, path: str, body: Any = None) -> tuple[int, Any]:
         raw = body if isinstance(body, bytes) or body is None else orjson.dumps(body)
-        answer: Answer = await self.client.request(method, path, raw, _PATIENCE_S)
+        answer: Answer = await self.client.request(method, path, raw, _TIMEOUT_S)
         return answer.status, orjson.loads(answer.body)
 
     async def submit(self, **changes: Any) -> int:
@@ -90,17 +90,17 @@
                 return status
             await asyncio.sleep(0.02)
 
-    async def beat(self, worker: Worker) -> int:
+    async def send_heartbeat(self, worker: FakeWorker) -> int:
         status, answer = await self.send("POST", "/agent/beat", worker.report())
         if status == 200:
             worker.token = answer["baton"]
             worker.execute(answer["orders"])
         return status
 
-    async def beat_until(self, worker: Worker, done: Callable[[], bool]) -> None:
-        async with asyncio.timeout(_PATIENCE_S):
+    async def send_heartbeats_until(self, worker: FakeWorker, done: Callable[[], bool]) -> None:
+        async with asyncio.timeout(_TIMEOUT_S):
             while not done():
-                await self.beat(worker)
+                await self.send_heartbeat(worker)
                 await asyncio.sleep(0.02)
 
     async def status(self, job: str) -> str:
@@ -109,20 +109,20 @@
 
 
 @contextlib.asynccontextmanager
-async def running(enabled_features: features.Features | None = None) -> AsyncIterator[World]:
-    world = World(enabled_features)
-    world.start()
+async def running(enabled_features: features.Features | None = None) -> AsyncIterator[NodeHarness]:
+    harness = NodeHarness(enabled_features)
+    harness.start()
     try:
-        await world.until_it_leads()
-        yield world
+        await harness.wait_until_leader()
+        yield harness
     finally:
-        await world.stop()
+        await harness.stop()
 
 
-def _run_with_node(test: Callable[[World], Coroutine[Any, Any, None]]) -> None:
+def _run_with_node(test: Callable[[NodeHarness], Coroutine[Any, Any, None]]) -> None:
     async def run() -> None:
-        async with running() as world:
-            await test(world)
+        async with running() as harness:
+            await test(harness)
 
     # Use the event loop that the daemon uses.
     with asyncio.Runner(loop_factory=new_event_loop) as runner:
@@ -130,74 +130,74 @@
 
 
 def test_job_runs_to_completion() -> None:
-    async def scenario(world: World) -> None:
-        assert await world.submit(pieces=2) == 201
-        assert await world.submit(pieces=2) == 200
-        worker = Worker("m-000001")
-        await world.beat_until(worker, lambda: len(worker.tasks) == 2)
-        assert await world.status("wk-000412") == "running"
+    async def scenario(harness: NodeHarness) -> None:
+        assert await harness.submit(pieces=2) == 201
+        assert await harness.submit(pieces=2) == 200
+        worker = FakeWorker("m-000001")
+        await harness.send_heartbeats_until(worker, lambda: len(worker.tasks) == 2)
+        assert await harness.status("wk-000412") == "running"
         for name in list(worker.tasks):
             worker.end(name, "done")
-        await world.beat_until(worker, lambda: not worker.tasks)
-        async with asyncio.timeout(_PATIENCE_S):
-            while await world.status("wk-000412") != "done":
+        await harness.send_heartbeats_until(worker, lambda: not worker.tasks)
+        async with asyncio.timeout(_TIMEOUT_S):
+            while await harness.status("wk-000412") != "done":
                 await asyncio.sleep(0.02)
         # The record of a completed job remains: submitting it again creates no new job.
-        assert await world.submit(pieces=0) == 200
-        assert (await world.send("POST", "/v2/runs/wk-000412/cancel"))[1]["status"] == "done"
+        assert await harness.submit(pieces=0) == 200
+        assert (await harness.send("POST", "/v2/runs/wk-000412/cancel"))[1]["status"] == "done"
 
     _run_with_node(scenario)
 
 
 def test_cancelled_job_is_stopped_and_stays_cancelled() -> None:
-    async def scenario(world: World) -> None:
-        assert await world.submit(pieces=1) == 201
-        worker = Worker("m-000001")
-        await world.beat_until(worker, lambda: len(worker.tasks) == 1)
-        status, answer = await world.send("POST", "/v2/runs/wk-000412/cancel")
+    async def scenario(harness: NodeHarness) -> None:
+        assert await harness.submit(pieces=1) == 201
+        worker = FakeWorker("m-000001")
+        await harness.send_heartbeats_until(worker, lambda: len(worker.tasks) == 1)
+        status, answer = await harness.send("POST", "/v2/runs/wk-000412/cancel")
         assert (status, answer["status"]) == (200, "aborted")
-        await world.beat_until(worker, lambda: not worker.tasks)
-        assert await world.status("wk-000412") == "aborted"
-        assert await world.submit(pieces=1) == 200
+        await harness.send_heartbeats_until(worker, lambda: not worker.tasks)
+        assert await harness.status("wk-000412") == "aborted"
+        assert await harness.submit(pieces=1) == 200
 
     _run_with_node(scenario)
 
 
 def test_lost_commit_response_loses_no_record() -> None:
-    async def scenario(world: World) -> None:
-        assert await world.submit(id="wk-1", pieces=1) == 201
-        world.state.lose_answers = 1
+    async def scenario(harness: NodeHarness) -> None:
+        assert await harness.submit(id="wk-1", pieces=1) == 201
+        harness.state.responses_to_drop = 1
         # The transaction is executed but its response lost: the record is read back.
-        assert await world.submit(id="wk-2", pieces=1) == 200
-        world.state.lose_answers = 2
-        worker = Worker("m-000001")
-        await world.beat_until(worker, lambda: "wk-2/0" in worker.tasks)
-        bound = [v for k, (v, _) in world.state.keys.items() if k.startswith("run/wk-2/")]
+        assert await harness.submit(id="wk-2", pieces=1) == 200
+        harness.state.responses_to_drop = 2
+        worker = FakeWorker("m-000001")
+        await harness.send_heartbeats_until(worker, lambda: "wk-2/0" in worker.tasks)
+        bound = [v for k, (v, _) in harness.state.keys.items() if k.startswith("run/wk-2/")]
         assert bound[0]["tasks"][0][1] == "m-000001"
 
     _run_with_node(scenario)
 
 
 def test_state_service_outage_returns_503_until_recovery() -> None:
-    async def scenario(world: World) -> None:
-        assert await world.submit(id="wk-1") == 201
-        world.state.down = True
-        status, _ = await world.send("POST", "/v2/runs", {**SUBMISSION, "id": "wk-2"})
+    async def scenario(harness: NodeHarness) -> None:
+        assert await harness.submit(id="wk-1") == 201
+        harness.state.down = True
+        status, _ = await harness.send("POST", "/v2/runs", {**SUBMISSION, "id": "wk-2"})
         assert status == 503
-        assert (await world.send("GET", "/v2/runs/wk-1"))[0] == 503
-        assert (await world.send("GET", "/up"))[0] == 200
-        world.state.down = False
-        assert await world.submit(id="wk-2") == 201
+        assert (await harness.send("GET", "/v2/runs/wk-1"))[0] == 503
+        assert (await harness.send("GET", "/up"))[0] == 200
+        harness.state.down = False
+        assert await harness.submit(id="wk-2") == 201
 
     _run_with_node(scenario)
 
 
 def test_invalid_requests_return_status_and_json_error() -> None:
-    async def scenario(world: World) -> None:
-        assert await world.submit(id="wk-1") == 201
+    async def scenario(harness: NodeHarness) -> None:
+        assert await harness.submit(id="wk-1") == 201
 
         async def submit(body: Any) -> tuple[int, str]:
-            status, answer = await world.send("POST", "/v2/runs", body)
+            status, answer = await harness.send("POST", "/v2/runs", body)
             return status, answer.get("error", "")
 
         assert (await submit(b"{"))[0] == 400
@@ -213,11 +213,11 @@
                               "pieces": 17}))[0] == 422  # fmt: skip
         # A repeated submission gets the known job's status even if its body is invalid.
         assert (await submit({"id": "wk-1"}))[0] == 200
-        assert (await world.send("GET", "/v2/runs/wk-77"))[0] == 404
-        assert (await world.send("POST", "/v2/runs/wk-77/cancel"))[0] == 404
-        assert (await world.send("GET", "/nowhere"))[0] == 404
-        assert (await world.send("GET", "/v2/runs"))[0] == 405
-        assert (await world.send("POST", "/agent/beat", {"kiln": "m-1"}))[0] == 400
+        assert (await harness.send("GET", "/v2/runs/wk-77"))[0] == 404
+        assert (await harness.send("POST", "/v2/runs/wk-77/cancel"))[0] == 404
+        assert (await harness.send("GET", "/nowhere"))[0] == 404
+        assert (await harness.send("GET", "/v2/runs"))[0] == 405
+        assert (await harness.send("POST", "/agent/beat", {"kiln": "m-1"}))[0] == 400
 
     _run_with_node(scenario)
 
@@ -229,20 +229,20 @@
     the other members find that the leader has failed.
     """
 
-    async def scenario(world: World) -> None:
-        ask = world.operator.request
-        ping = await ask("GET", PING_PATH, None, _PATIENCE_S)
+    async def scenario(harness: NodeHarness) -> None:
+        ask = harness.operator.request
+        ping = await ask("GET", PING_PATH, None, _TIMEOUT_S)
         assert ping.status == 200 and orjson.loads(ping.body)["leads"] is True
         body = wire.encode(ExtensionRequest(1))
-        extension = await ask("POST", EXTENSION_PATH, body, _PATIENCE_S)
+        extension = await ask("POST", EXTENSION_PATH, body, _TIMEOUT_S)
         answer = orjson.loads(extension.body)
         assert extension.status == 200 and answer["promised"] is False and answer["why"]
-        assert (await ask("POST", EXTENSION_PATH, b"{}", _PATIENCE_S)).status == 400
-        assert await world.submit() == 201
-        assert (await ask("GET", CATALOGUE_PATH, None, _PATIENCE_S)).status == 200
-        poll = await ask("GET", PEER_PREFIX + "/v2/runs/wk-000412", None, _PATIENCE_S)
+        assert (await ask("POST", EXTENSION_PATH, b"{}", _TIMEOUT_S)).status == 400
+        assert await harness.submit() == 201
+        assert (await ask("GET", CATALOGUE_PATH, None, _TIMEOUT_S)).status == 200
+        poll = await ask("GET", PEER_PREFIX + "/v2/runs/wk-000412", None, _TIMEOUT_S)
         assert poll.status == 200
-        shown = await ask("GET", "/admin/state", None, _PATIENCE_S)
+        shown = await ask("GET", "/admin/state", None, _TIMEOUT_S)
         assert orjson.loads(shown.body)["held_by"] == "lease"
 
     _run_with_node(scenario)
@@ -300,15 +300,15 @@
 def test_idle_leader_request_rate_is_bounded() -> None:
     """Idle polling would use up a small processor share. A slow machine only polls less."""
 
-    async def scenario(world: World) -> None:
-        worker = Worker("m-000001")
-        await world.beat_until(worker, lambda: worker.token > 0)
+    async def scenario(harness: NodeHarness) -> None:
+        worker = FakeWorker("m-000001")
+        await harness.send_heartbeats_until(worker, lambda: worker.token > 0)
         loop = asyncio.get_running_loop()
-        state, cloud, began = world.state.calls, world.cloud.calls, loop.time()
+        state, cloud, began = harness.state.calls, harness.cloud.calls, loop.time()
         await asyncio.sleep(3.0)
         passed_s = loop.time() - began
-        assert world.state.calls - state <= 2 + 4 * passed_s
-        assert world.cloud.calls - cloud <= 2 + passed_s
+        assert harness.state.calls - state <= 2 + 4 * passed_s
+        assert harness.cloud.calls - cloud <= 2 + passed_s
 
     _run_with_node(scenario)
 
@@ -316,15 +316,15 @@
 def test_handover_finishes_work_before_releasing_lease() -> None:
     """Without a handover the lease would have to expire, and the last bindings would be lost."""
 
-    async def scenario(world: World) -> None:
-        assert await world.submit(pieces=2) == 201
-        worker = Worker("m-000001")
-        await world.beat_until(worker, lambda: len(worker.tasks) == 2)
-        assert await world.submit(id="wk-000777", pieces=2) == 201
-        leader = world.node.leader
+    async def scenario(harness: NodeHarness) -> None:
+        assert await harness.submit(pieces=2) == 201
+        worker = FakeWorker("m-000001")
+        await harness.send_heartbeats_until(worker, lambda: len(worker.tasks) == 2)
+        assert await harness.submit(id="wk-000777", pieces=2) == 201
+        leader = harness.node.leader
         assert leader is not None
         ended: list[int] = []
-        end_lease = world.node._client.end_lease
+        end_lease = harness.node._client.end_lease
 
         async def counted(lease: LeaseId) -> None:
             # Work in flight must be finished first: once the lease is released, another leader
@@ -333,14 +333,14 @@
             ended.append(lease)
             await end_lease(lease)
 
-        world.node._client.end_lease = counted  # type: ignore[method-assign]
-        await world.node.hand_over("test")
-        assert len(ended) == 1 and world.node.election.leadership is None
+        harness.node._client.end_lease = counted  # type: ignore[method-assign]
+        await harness.node.hand_over("test")
+        assert len(ended) == 1 and harness.node.election.leadership is None
         assert leader.intent_log.full, "a leader that hands over accepts no new intents"
         for job in leader.job_store.jobs.values():
             assert all(chunk.committed == chunk.version for chunk in job.chunks.values())
         # A controller that does not lead has nothing to hand over.
-        await world.node.hand_over("second call")
+        await harness.node.hand_over("second call")
         assert len(ended) == 1
 
     _run_with_node(scenario)
@@ -348,15 +348,15 @@
 
 def test_sigterm_ends_controller_and_leadership() -> None:
     async def run() -> None:
-        world = World()
-        task = asyncio.create_task(run_until_stopped(world.node))
-        world.task = cast(Any, task)
-        await world.until_it_leads()
+        harness = NodeHarness()
+        task = asyncio.create_task(run_until_stopped(harness.node))
+        harness.task = cast(Any, task)
+        await harness.wait_until_leader()
         signal.raise_signal(signal.SIGTERM)
-        async with asyncio.timeout(_PATIENCE_S):
+        async with asyncio.timeout(_TIMEOUT_S):
             await task
-        assert world.node.election.leadership is None
-        for server in world.node.servers:
+        assert harness.node.election.leadership is None
+        for server in harness.node.servers:
             server.stop()
             await server.close_all_connections()
 
