--- a/tealrill/cli/draw.py
+++ b/tealrill/cli/draw.py
@@ -17,8 +17,8 @@
 from grandalf.graphs import Vertex
 from grandalf.layouts import SugiyamaLayout
 
-from tealrill.graphs.model import PER_TASK, ON_FAILED, Shape
 from tealrill.graphs.model import ON_ENDED as AFTER_EITHER
+from tealrill.graphs.model import ON_FAILED, PER_TASK, Shape
 
 MAX_BOXES: Final = 200
 _HEIGHT: Final = 28
--- a/tealrill/fleet/reconciliation.py
+++ b/tealrill/fleet/reconciliation.py
@@ -1,6 +1,6 @@
 """Reconciliation of the tasks that a heartbeat lists with the machine's bindings.
 
-Proof 1 of `tealrill.fleet.inventory`: an attempt that exited, or that is no longer listed.
+This is proof 1 of `tealrill.fleet.inventory`: an attempt has exited or is no longer listed.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 log = logging.getLogger(__name__)
 
-_IMAGES_KEPT: Final = 64
+_MAX_IMAGES: Final = 64
 
 
 class Reconciler:
@@ -32,45 +32,48 @@
     ) -> None:
         """Apply the list of a heartbeat with this term's token to the machine's bindings.
 
-        A `direct` one came in the answer to a direct command.
+        A `direct` heartbeat came in the reply to a direct command.
         """
-        unreconciled: list[tuple[TaskId, Attempt, wire.TaskStatus]] = []
+        exited_or_unbound: list[tuple[TaskId, Attempt, wire.TaskStatus]] = []
         bindings_by_name = machine.bindings_by_name
         for status in heartbeat.tasks:
             binding = bindings_by_name.get(status.task)
             if binding is None or binding.attempt != status.attempt:
-                binding = self._resolve(machine, status, unreconciled, now)
+                binding = self._find_binding(machine, status, exited_or_unbound, now)
                 if binding is None:
                     continue
             binding.last_listed_in = HeartbeatSequence(heartbeat.sequence)
             if status.state == wire.EXITED:
-                unreconciled.append((binding.task, binding.attempt, status))
+                exited_or_unbound.append((binding.task, binding.attempt, status))
             elif binding.start_confirmed and binding.state == status.state:
-                # Taken in before, with all that follows from it.
+                # This state has been applied before.
                 continue
-            self._progress(machine, binding, status, now, wall)
-        unbound_tasks = sum(status.state != wire.EXITED for _, _, status in unreconciled)
+            self._apply_status(machine, binding, status, now, wall)
+        unbound_tasks = sum(status.state != wire.EXITED for _, _, status in exited_or_unbound)
         if machine.unbound_tasks and not unbound_tasks:
             self._fleet.changed()
         machine.unbound_tasks = unbound_tasks
-        machine.unreconciled = unreconciled
+        machine.exited_or_unbound = exited_or_unbound
         for binding in [
             b for b in machine.bindings.values() if b.last_listed_in != heartbeat.sequence
         ]:
-            self._missing(machine, binding, heartbeat, now, direct)
+            self._apply_missing(machine, binding, heartbeat, now, direct)
         if machine.exited:
-            listed = {(task, attempt) for task, attempt, _ in unreconciled}
+            listed = {(task, attempt) for task, attempt, _ in exited_or_unbound}
             for key in [key for key in machine.exited if key not in listed]:
                 del machine.exited[key]
 
-    def _resolve(
+    def _find_binding(
         self,
         machine: Machine,
         status: wire.TaskStatus,
-        unreconciled: list[tuple[TaskId, Attempt, wire.TaskStatus]],
+        exited_or_unbound: list[tuple[TaskId, Attempt, wire.TaskStatus]],
         now: Monotonic,
     ) -> Binding | None:
-        """Return the binding of a task whose name needs parsing; note it if none covers it."""
+        """Return the binding of a listed attempt by its parsed name; None if there is none.
+
+        An attempt without a binding is added to `exited_or_unbound`; a malformed name is ignored.
+        """
         task = parse_task_id(status.task)
         if task is None:
             return None
@@ -78,12 +81,12 @@
         binding = machine.bindings.get(task)
         if binding is not None and binding.attempt == attempt:
             return binding
-        unreconciled.append((task, attempt, status))
+        exited_or_unbound.append((task, attempt, status))
         if status.state == wire.EXITED:
-            self._stray_exit(machine, task, attempt, status, now)
+            self._record_unbound_exit(machine, task, attempt, status, now)
         return None
 
-    def _progress(
+    def _apply_status(
         self,
         machine: Machine,
         binding: Binding,
@@ -91,26 +94,29 @@
         now: Monotonic,
         wall: Wall,
     ) -> None:
+        """Apply the listed status of an attempt to its binding."""
         binding.start_confirmed = True
         binding.state = status.state
         job = binding.chunk.job
         if status.state in (wire.RUNNING, wire.SAVING) and binding.running_since is None:
-            ago = max(0.0, wall - binding.bound_at) if binding.inherited else 0.0
-            machine.touch()
-            binding.running_since = Monotonic(now - ago)
-            self._has_image(machine, job.spec.image)
+            age_s = max(0.0, wall - binding.bound_at) if binding.inherited else 0.0
+            machine.invalidate_caches()
+            binding.running_since = Monotonic(now - age_s)
+            self._remember_image(machine, job.spec.image)
         if status.state == wire.EXITED:
-            self._exit(machine, binding, status, now)
+            self._apply_exit(machine, binding, status, now)
 
-    def _has_image(self, machine: Machine, image: str) -> None:
+    def _remember_image(self, machine: Machine, image: str) -> None:
+        """Record that the machine has an image; only the most recently used ones are kept."""
         machine.images.pop(image, None)
         machine.images[image] = None
-        while len(machine.images) > _IMAGES_KEPT:
+        while len(machine.images) > _MAX_IMAGES:
             del machine.images[next(iter(machine.images))]
 
-    def _exit(
+    def _apply_exit(
         self, machine: Machine, binding: Binding, status: wire.TaskStatus, now: Monotonic
     ) -> None:
+        """Record the outcome of an exited attempt and end its binding."""
         job = binding.chunk.job
         if status.why == wire.WHY_DONE and not job.spec.is_service:
             self._fleet.drain_faulty(
@@ -124,29 +130,33 @@
                 if started is not None:
                     self._fleet.finished(CompletedTask(job, now - started))
         elif status.why == wire.WHY_ERROR:
-            self._failed(machine, binding, now)
+            self._record_failure(machine, binding, now)
         elif status.why in wire.REFUSALS:
-            # The machine refused it: something there is not as it was thought to be.
-            log.info("machine %s refused %s: %s", machine.id, binding.task, status.why)
+            # The machine's real state differs from its record: placement there pauses for a moment.
+            log.info(
+                "start refused: machine=%s task=%s reason=%s", machine.id, binding.task, status.why
+            )
             machine.refused_until = Monotonic(now + 2.0)
         self._fleet.unbind(machine, binding, now, f"exited ({status.why})")
         key = (binding.task, binding.attempt)
         machine.exited[key] = Exit(binding.chunk, binding.chunk.version, binding)
         self._fleet.changed()
 
-    def _failed(self, machine: Machine, binding: Binding, now: Monotonic) -> None:
-        """Counts an error, against the job or the machine."""
+    def _record_failure(self, machine: Machine, binding: Binding, now: Monotonic) -> None:
+        """Record a failed attempt, which counts against the job or the machine."""
         job = binding.chunk.job
         ran_s = now - binding.running_since if binding.running_since is not None else 0.0
-        well = job.done_count > 0
-        log.info("task %s failed on %s after %.1f s", binding.task, machine.id, ran_s)
+        has_completed_tasks = job.done_count > 0
+        log.info("task failed: task=%s machine=%s ran_s=%.1f", binding.task, machine.id, ran_s)
         self._fleet.job_store.task_failed(job, binding.task.index)
         if not job.cancelled:
             self._fleet.drain_faulty(
-                self._fleet.failure_attribution.failed(job.id, machine.id, ran_s, well, now)
+                self._fleet.failure_attribution.failed(
+                    job.id, machine.id, ran_s, has_completed_tasks, now
+                )
             )
 
-    def _stray_exit(
+    def _record_unbound_exit(
         self,
         machine: Machine,
         task: TaskId,
@@ -154,7 +164,7 @@
         status: wire.TaskStatus,
         now: Monotonic,
     ) -> None:
-        """An exited attempt that no binding covers. That it is done is true all the same."""
+        """Record an exited attempt without a binding; if it completed the task, that counts."""
         if (task, attempt) in machine.exited:
             return
         job = self._fleet.job_store.jobs.get(task.job)
@@ -167,7 +177,7 @@
         else:
             machine.exited[(task, attempt)] = UNKNOWN_EXIT
 
-    def _missing(
+    def _apply_missing(
         self,
         machine: Machine,
         binding: Binding,
@@ -175,12 +185,13 @@
         now: Monotonic,
         direct: bool,
     ) -> None:
-        """A bound task that a report with this term's token does not list."""
+        """Handle a bound task that a heartbeat with this term's token does not list."""
         if binding.start_confirmed or binding.inherited:
             self._fleet.unbind(machine, binding, now, "no longer listed")
             self._fleet.changed()
         elif binding.direct_start_in_flight:
-            # A direct start may still arrive. Sent with the response as well, it becomes known.
+            # The direct start may still arrive, so the binding stays. The start is sent with a
+            # response as well, so that a later heartbeat lists the task.
             if binding.sent is not None and heartbeat.sequence > binding.sent and not direct:
                 binding.sent = None
         elif binding.sent is None:
@@ -188,9 +199,9 @@
                 self._fleet.unbind(machine, binding, now, "never sent")
                 self._fleet.changed()
         elif heartbeat.sequence > binding.sent and not direct:
-            # The answer to a direct command proves nothing here: it can be newer than the report
-            # whose response, with the start in it, is still on its way to the worker.
-            # The response that carried the start was lost, and workers drop late ones.
+            # The response with the start was lost: the worker has sent a later heartbeat, and
+            # workers ignore late responses. The reply to a direct command would not prove that: it
+            # can be newer than the heartbeat whose response is still on its way.
             if binding.stop is not None:
                 self._fleet.unbind(machine, binding, now, "its start was lost")
                 self._fleet.changed()
--- a/tealrill/leadership/election.py
+++ b/tealrill/leadership/election.py
@@ -1,9 +1,10 @@
-"""The election of the leader, and the renewal of its lease.
+"""Leader election and renewal of the leader's lease.
 
-The key `leader` is attached to a lease, the key `term` only ever grows, and both are set in one
-transaction. The term is the fencing token that workers see. A leader counts itself valid from the
-moment it *sent* its last successful renewal, shortened by the most that two steady clocks may
-differ; after that it says nothing to workers until it knows more.
+The key `leader` is attached to a lease, the value of the key `term` only increases, and one
+transaction sets both. The term is the fencing token that workers see. A leader considers its lease
+valid for the lease's TTL, counted from the moment it *sent* the last successful renewal and reduced
+by the largest drift between two steady clocks. After that it sends nothing to workers until a
+renewal succeeds.
 """
 
 from __future__ import annotations
@@ -49,232 +50,242 @@
 
 TERM_KEY: Final = "term"
 EXCLUSION_PREFIX: Final = "out/"
-"""Members that may not stand, because they were silent (`leadership/exclusion.py`)."""
-READMISSION_S: Final = 15.0
-"""For so long a member that was kept out sees that nobody leads before it lets itself in."""
+"""Prefix of the keys of members excluded from elections (`leadership/exclusion.py`)."""
+READMISSION_DELAY_S: Final = 15.0
+"""How long an excluded member must observe that there is no leader before it readmits itself."""
 LEASE_TTL_S: Final = 3.0
-_MARGIN_S: Final = 0.2
-_RENEW_S: Final = LEASE_TTL_S / 4
-_WATCH_S: Final = 2.0
+_LEASE_MARGIN_S: Final = 0.2
+_RENEW_INTERVAL_S: Final = LEASE_TTL_S / 4
+_WATCH_TIMEOUT_S: Final = 2.0
 _COMMIT_TIMEOUT_S: Final = 1.0
-"""The lease that an election is attached to lasts three times as long."""
+"""A third of the TTL of the lease that the leader's key is attached to."""
 _PAUSE_STEP_S: Final = 0.05
-_OTHERS_FIRST_S: Final = 0.5
-_OFTEN: Final = 2
-"""A host that would follow itself once more than so often, each time soon, lets others go first."""
-_SOON_S: Final = 30.0
-_YIELD_S: Final = 2.0
+_UNREACHED_CAMPAIGN_DELAY_S: Final = 0.5
+_MAX_QUICK_REELECTIONS: Final = 2
+"""After more quick re-elections in a row than this, a host lets other members campaign first."""
+_QUICK_REELECTION_S: Final = 30.0
+"""A re-election within this time of the host's previous one counts as quick."""
+_REELECTION_DELAY_S: Final = 2.0
 _UNREADABLE_S: Final = 1.0
-"""Between two readings of a record that this version can't read."""
+"""Pause before a record that this version can't decode is read again."""
 
 
 def exclusion_key(host: str) -> str:
-    """Return the key that keeps a member from standing."""
+    """Return the key whose existence excludes a member from elections."""
     return EXCLUSION_PREFIX + host
 
 
 @dataclass(frozen=True, slots=True)
 class KnownLeader:
-    """The leader as another member reads it from its key."""
+    """The leader as another member reads it from the leader's key."""
 
     host: str
     term: FencingToken
     mod_revision: Revision = ABSENT
-    """The version of its key."""
+    """Revision of the leader's key."""
 
 
 class _LeaderRecord(msgspec.Struct, frozen=True):
-    """As much of the leader's record as others need."""
+    """The fields of the leader's record that other members need."""
 
     host: str
     term: int
 
 
-class _Leaderless(NamedTuple):
-    """That nobody led was seen."""
+class _LeaderlessObservation(NamedTuple):
+    """The first observation that there is no leader."""
 
     mod_revision: Revision
-    """The version of the term's key at that time."""
+    """Revision of the term's key at that time."""
     since: Monotonic
 
 
 class _Candidacy(NamedTuple):
-    """A transaction that elects this node, if it is committed."""
+    """A transaction that elects this node if it is committed."""
 
     term: FencingToken
     guards: list[dict[str, Any]]
     changes: list[dict[str, Any]]
 
 
-async def _not_known() -> bool:
+async def _always_false() -> bool:
     return False
 
 
 def consecutive_reelections(holder: dict[str, Any], now: Wall) -> int:
-    """Return how often in a row the holder's host will have followed itself shortly after."""
-    elected, again = holder.get("at"), holder.get("again")
-    if not isinstance(elected, int | float) or not isinstance(again, int):
+    """Return the number of quick re-elections in a row if the holder's host is elected now."""
+    elected, reelections = holder.get("at"), holder.get("again")
+    if not isinstance(elected, int | float) or not isinstance(reelections, int):
         return 0
-    return again + 1 if abs(now - elected) <= _SOON_S else 0
+    return reelections + 1 if abs(now - elected) <= _QUICK_REELECTION_S else 0
 
 
 def _validity(sent: Monotonic) -> Monotonic:
-    """Return until when a lease that was renewed by a request sent then is valid."""
-    return lower_bound_deadline(sent, LEASE_TTL_S, _MARGIN_S)
+    """Return the moment until which a lease renewed by a request sent at `sent` is valid."""
+    return lower_bound_deadline(sent, LEASE_TTL_S, _LEASE_MARGIN_S)
 
 
 def is_held_by_lease(leadership: Leadership) -> bool:
-    """Whether the term is valid by its lease alone, and not longer by other members' promises."""
+    """Return True if the lease alone makes the term valid, without extension grants."""
     return leadership.valid_until <= _validity(leadership.renewed_at)
 
 
 class Election:
-    """Stands for election whenever there is no leader, and keeps what it has won."""
+    """Campaigns whenever there is no leader, and renews the lease once elected."""
 
     def __init__(
         self,
         client: StateClient,
         host: str,
         changed: Callable[[], None],
-        promised_s: float = 0.0,
+        previous_grants_s: float = 0.0,
     ) -> None:
-        """Stand for `host`; `changed` is called whenever its leadership begins or ends.
+        """Campaign for `host`; `changed` is called whenever its leadership begins or ends.
 
-        `promised_s` is for how long a former process of this host may have promised not to stand.
+        `previous_grants_s` is the longest time for which a previous process of this host may have
+        granted a lease extension.
         """
         self._client = client
         self._host = host
-        self._promised_until = monotonic_now()
-        # This process does not know what its former one promised (`lease_extension.py`).
-        self._restarted_until = Monotonic(monotonic_now() + promised_s)
-        self.no_peer_leads: Callable[[], Awaitable[bool]] = _not_known
-        """Whether every other member has just said that it does not lead."""
-        self.any_peer_answers: Callable[[], Awaitable[bool]] = _not_known
-        """Whether another member answers."""
-        self.revoking: FencingToken | None = None
-        """The term whose lease this node is ending: it gets no promise."""
+        self._own_grants_expire_at = monotonic_now()
+        # The grants of this host's previous process are unknown (`lease_extension.py`).
+        self._previous_grants_expire_at = Monotonic(monotonic_now() + previous_grants_s)
+        self.no_peer_leads: Callable[[], Awaitable[bool]] = _always_false
+        """Returns True if every other member answers that it does not lead."""
+        self.any_peer_answers: Callable[[], Awaitable[bool]] = _always_false
+        """Returns True if at least one other member answers."""
+        self.revoking_term: FencingToken | None = None
+        """The term whose lease this node is revoking; its leader is refused lease extensions."""
         self._unreadable = ChangeLog(log)
-        self._states = ChangeLog(log)
-        """Whom this node follows, or why it does not stand."""
-        self._standing: FencingToken | None = None
-        """The term of an election of this node that is in flight, or that brought no answer.
+        self._status_log = ChangeLog(log)
+        """Logs which leader this node follows, or why it does not campaign."""
+        self._campaign_term: FencingToken | None = None
+        """The term of a campaign whose transaction is in flight or has an unknown outcome.
 
-        It may take place at any later time.
+        The transaction may still be executed at any later time.
         """
         self._incarnation = secrets.token_hex(8)
         self._changed = changed
-        self._not_before = Monotonic(0.0)
-        self._may_stand_now = False
-        """A pause between two tries is to end."""
-        self._is_first = False
-        """Nobody else can be elected at present."""
-        self._leaderless: _Leaderless | None = None
-        """While this host may not stand: when nobody was first seen to lead."""
+        self._campaign_not_before = Monotonic(0.0)
+        self._is_pause_ended = False
+        """Set to end a pause between two campaigns early."""
+        self._others_excluded = False
+        """No other member can be elected at present."""
+        self._leaderless: _LeaderlessObservation | None = None
+        """While this host is excluded: when it first observed that there is no leader."""
         self.leadership: Leadership | None = None
         self.known_leader: KnownLeader | None = None
         self.has_quorum_reach: Callable[[], bool] = lambda: True
-        """Whether workers reach this node well; one that they don't reach lets others go first."""
+        """Returns True if workers reach this node; otherwise other members campaign first."""
 
     def valid_leadership(self, now: Monotonic) -> Leadership | None:
-        """Return the current term if this node may act on it at this very moment."""
+        """Return the current term if this node may act as its leader at `now`."""
         leadership = self.leadership
         return leadership if leadership is not None and leadership.valid(now) else None
 
     @property
-    def promised_until(self) -> Monotonic:
-        """Until when this node may be bound by promises, its former process's included."""
-        return max(self._promised_until, self._restarted_until)
+    def grants_expire_at(self) -> Monotonic:
+        """When all extension grants of this node expire, those of its previous process included."""
+        return max(self._own_grants_expire_at, self._previous_grants_expire_at)
 
     def grant_extension(self, term: FencingToken, until: Monotonic) -> str:
-        """Promise not to stand before `until`; return why that can't be promised, or nothing."""
+        """Promise the leader of `term` not to campaign before `until`.
+
+        Returns the reason of a refusal, or the empty string if the extension is granted.
+        """
         if self.leadership is not None and term > self.leadership.term:
-            # Whoever asks was elected later, so the key of this node's term has gone. While the
-            # state service refuses this node it can't see that, and its refusal to promise ended
-            # every task in the outage that followed.
-            self.step_down(f"term {term} asks for a promise")
+            # The requesting leader was elected later, so the key of this node's term no longer
+            # exists. This node can't see that while the state service refuses its requests. If it
+            # refused the grant, the new leader's lease would expire during an outage, and all
+            # tasks would end.
+            self.step_down(f"lease extension requested by later term {term}")
         if self.leadership is not None:
             return "leads itself"
         if self.known_leader is not None and self.known_leader.term > term:
             return f"knows of term {self.known_leader.term}"
-        if self.revoking is not None and self.revoking >= term:
-            return f"ends the lease of term {self.revoking}"
-        if self._standing is not None and self._standing > term:
-            # Its transaction may be executed late, after the leader's key has gone.
-            return f"stands for term {self._standing}"
-        self._promised_until = Monotonic(max(self._promised_until, until))
+        if self.revoking_term is not None and self.revoking_term >= term:
+            return f"ends the lease of term {self.revoking_term}"
+        if self._campaign_term is not None and self._campaign_term > term:
+            # That transaction may be executed late, after the leader's key was deleted.
+            return f"stands for term {self._campaign_term}"
+        self._own_grants_expire_at = Monotonic(max(self._own_grants_expire_at, until))
         return ""
 
     async def run(self) -> None:
-        """Follow the leader, stand when there is none, and keep what was won, for ever."""
+        """Follow the leader, campaign when there is none, and renew the lease once elected.
+
+        Does not return.
+        """
         while True:
             try:
                 if self.leadership is None:
                     await self._follow()
                 else:
-                    await self._hold(self.leadership)
+                    await self._renew_lease(self.leadership)
             except StateError as error:
-                log.debug("election: %s", error)
+                log.debug("election step failed: error=%s", error)
                 await self._pause(random.uniform(0.2, 0.5))
 
     async def _pause(self, longest_s: float) -> None:
-        """Wait before the next try, until `stand_first` at the latest."""
+        """Wait before the next campaign; `campaign_without_delay` ends the wait early."""
         for _ in range(math.ceil(longest_s / _PAUSE_STEP_S)):
-            if self._may_stand_now:
+            if self._is_pause_ended:
                 break
             await asyncio.sleep(_PAUSE_STEP_S)
-        self._may_stand_now = False
+        self._is_pause_ended = False
 
-    def stand_first(self) -> None:
-        """Stand at once, until somebody leads: the other members are excluded from elections."""
-        self._is_first = True
-        self._may_stand_now = True
+    def campaign_without_delay(self) -> None:
+        """Campaign without delay until there is a leader: all other members are excluded."""
+        self._others_excluded = True
+        self._is_pause_ended = True
 
-    def step_down(self, why: str) -> None:
-        """Forget a term that is certainly or possibly over."""
+    def step_down(self, reason: str) -> None:
+        """Stop leading a term that has ended or may have ended."""
         if self.leadership is not None:
-            log.info("term %d: no longer leader: %s", self.leadership.term, why)
+            log.info("no longer leader: term=%d reason=%s", self.leadership.term, reason)
             self.leadership = None
             self.known_leader = None
             self._client.set_leading(False)
             self._changed()
 
-    async def resign(self, why: str, pause_s: float) -> None:
-        """Hand leadership to somebody better placed, and don't stand for `pause_s` seconds."""
+    async def resign(self, reason: str, pause_s: float) -> None:
+        """Give up leadership, and don't campaign for `pause_s` seconds."""
         leadership = self.leadership
-        self._not_before = Monotonic(monotonic_now() + pause_s)
-        self.step_down(why)
+        self._campaign_not_before = Monotonic(monotonic_now() + pause_s)
+        self.step_down(reason)
         if leadership is not None:
             with contextlib.suppress(StateError):
                 await self._client.end_lease(leadership.lease)
 
-    async def _hold(self, leadership: Leadership) -> None:
+    async def _renew_lease(self, leadership: Leadership) -> None:
         """Renew the lease of this node's term once."""
         sent = monotonic_now()
         try:
             alive = await self._client.extend_lease(leadership.lease, timeout_s=0.6)
         except StateError as error:
-            log.debug("term %d: renewal failed: %s", leadership.term, error)
+            log.debug("lease renewal failed: term=%d error=%s", leadership.term, error)
             leadership.renewal_failed = True
             await asyncio.sleep(0.15)
             return
         if self.leadership is not leadership:
             return
         if not alive:
-            self.step_down("its lease ended")
+            self.step_down("lease expired or revoked")
             return
         was_valid = leadership.valid(monotonic_now())
-        # A lease that answers has never ended, so the key attached to it has stood all the time
-        # and nobody else can have led: a term that went silent in an outage may go on.
+        # A lease that can be renewed has never ended, so the leader's key has existed all the time
+        # and no other member can have been elected. A term that became invalid in an outage may
+        # therefore be resumed.
         leadership.valid_until = max(leadership.valid_until, _validity(sent))
         leadership.renewed_at = sent
         leadership.renewal_failed = False
         if not was_valid:
-            log.info("term %d: leadership valid again after an interruption", leadership.term)
+            log.info("leadership valid again after an interruption: term=%d", leadership.term)
             self._changed()
-        await asyncio.sleep(_RENEW_S)
+        await asyncio.sleep(_RENEW_INTERVAL_S)
 
     async def _follow(self) -> None:
-        """Watch the leader for a time, or stand if there is none."""
+        """Watch the leader's key for up to `_WATCH_TIMEOUT_S`; campaign if there is no leader."""
         entries, revision = await self._client.scan(LEADER_KEY)
         entry = next((e for e in entries if e.key == LEADER_KEY), None)
         if entry is None:
@@ -285,78 +296,85 @@
         if holder.get("host") == self._host:
             await self._replace_own_key(entry, holder)
             return
-        self._is_first = False
+        self._others_excluded = False
         self.known_leader = self._read_leader(entry)
         if self.known_leader is not None:
-            self._states.info(
+            self._status_log.info(
                 f"term {self.known_leader.term}: follows {self.known_leader.host}, "
                 f"whose key is at revision {self.known_leader.mod_revision}"
             )
-        await self._client.watch(LEADER_KEY, revision, _WATCH_S)
+        await self._client.watch(LEADER_KEY, revision, _WATCH_TIMEOUT_S)
 
     async def _replace_own_key(self, entry: wire.Entry, holder: dict[str, Any]) -> None:
-        """Stand in the place of this host's former process, or let others go first.
+        """Replace the leader's key of this host's previous process, or let others campaign first.
 
-        That process is gone, and with it whatever it might still have said.
+        That process has ended, so it can't act on the key any more.
         """
-        again = consecutive_reelections(holder, wall_now())
+        reelections = consecutive_reelections(holder, wall_now())
         if holder.get("incarnation") == self._incarnation:
-            await self._withdraw(entry)
-        elif again > _OFTEN and await self.any_peer_answers():
-            # It ends again and again, perhaps by leading. At once back each time, it would keep
-            # the lease from all others: one that ended every second was elected 12 times.
-            log.info("led %d terms in a row: other members stand first", again)
-            self._not_before = Monotonic(monotonic_now() + _YIELD_S)
-            await self._withdraw(entry)
+            await self._delete_own_key(entry)
+        elif reelections > _MAX_QUICK_REELECTIONS and await self.any_peer_answers():
+            # The process ends repeatedly, perhaps because it leads. Re-elected at once each time,
+            # it would keep all other members from leading: a process that ended every second was
+            # elected 12 times.
+            log.info("campaign delayed after repeated re-elections: terms_in_a_row=%d", reelections)
+            self._campaign_not_before = Monotonic(monotonic_now() + _REELECTION_DELAY_S)
+            await self._delete_own_key(entry)
         else:
-            await self._campaign(Revision(entry.version), again)
+            await self._campaign(Revision(entry.version), reelections)
 
     def _read_leader(self, entry: wire.Entry) -> KnownLeader | None:
-        """Read another member's record; None if this version can't.
+        """Decode another member's record; return None if this version can't.
 
-        Nobody is deposed by that: the key stands until its lease ends.
+        The leader's key is left alone in that case; it is deleted when its lease expires.
         """
         try:
             record = msgspec.convert(entry.value, _LeaderRecord)
         except msgspec.ValidationError as error:
-            self._unreadable.error(f"record {entry.key} at {entry.version}: {error}")
+            self._unreadable.error(
+                f"unreadable record: key={entry.key} revision={entry.version} error={error}"
+            )
             return None
         return KnownLeader(record.host, FencingToken(record.term), Revision(entry.version))
 
-    async def _withdraw(self, entry: wire.Entry) -> None:
-        """Remove a key of this host.
+    async def _delete_own_key(self, entry: wire.Entry) -> None:
+        """Delete the leader's key that this host has set.
 
-        It was set by this very process in a term that it no longer knows of, or by a former one.
+        It belongs to a term that this process has given up, or to a previous process.
         """
         await self._client.commit(
             [wire.guard(LEADER_KEY, entry.version)], [wire.delete(LEADER_KEY)]
         )
 
-    async def _campaign(self, mod_revision: Revision, again: int = 0) -> None:
-        """Stand for election once.
+    async def _campaign(self, mod_revision: Revision, reelections: int = 0) -> None:
+        """Campaign once.
 
-        `mod_revision` is the version of the key that this host's former process left, if it did,
-        and `again` how often in a row this host will have followed itself.
+        `mod_revision` is the revision of the leader's key that this host's previous process left
+        (`ABSENT` if there is none). `reelections` is the number of quick re-elections in a row,
+        this one included.
         """
         if not await self._wait_for_turn(mod_revision):
             return
         last = await self._client.get(TERM_KEY)
         if last is not None and type(last.value) is not int:
-            # A term of this node's making might be an earlier one.
-            self._unreadable.error(f"record {TERM_KEY} at {last.version}: not a term")
+            # Any term chosen without it might be lower than one already used.
+            self._unreadable.error(
+                f"unreadable record: key={TERM_KEY} revision={last.version} error=not an integer"
+            )
             await asyncio.sleep(_UNREADABLE_S)
             return
         sent = monotonic_now()
         lease = await self._client.create_lease(LEASE_TTL_S)
-        candidacy = self._candidacy(mod_revision, again, last, lease)
-        # A key that this host's former process left is no other leader's, and a service without a
-        # term has had no leader who could hold a promise.
-        bound = mod_revision == ABSENT and last is not None
-        # Looked at last of all: a promise may have been given while the rest was awaited.
-        if bound and (
-            not await self._free_of_former_promises() or monotonic_now() < self._promised_until
+        candidacy = self._candidacy(mod_revision, reelections, last, lease)
+        # No grant can be in force if the leader's key was left by this host's previous process (no
+        # other member leads), or if there has been no term yet (no leader has requested one).
+        grants_possible = mod_revision == ABSENT and last is not None
+        # Checked last: a lease extension may have been granted during the awaits above.
+        if grants_possible and (
+            not await self._previous_grants_expired()
+            or monotonic_now() < self._own_grants_expire_at
         ):
-            self._states.info("nobody leads; this node may be bound by a promise not to stand")
+            self._status_log.info("no leader; campaign delayed by a lease extension grant")
             await asyncio.sleep(0.05)
             return
         revision = await self._commit(candidacy)
@@ -365,34 +383,37 @@
                 await self._client.end_lease(lease)
             return
         now = monotonic_now()
-        self._won(
+        self._begin_term(
             Leadership(candidacy.term, revision, lease, now, _validity(sent), renewed_at=sent)
         )
 
     async def _wait_for_turn(self, mod_revision: Revision) -> bool:
-        """Let others stand first where they should; return whether to stand now."""
-        pause_s = self._not_before - monotonic_now()
+        """Let other members campaign first where they should; return True to campaign now."""
+        pause_s = self._campaign_not_before - monotonic_now()
         if mod_revision == ABSENT:
             pause_s = max(
-                pause_s, 0.0 if self._is_first or self.has_quorum_reach() else _OTHERS_FIRST_S
+                pause_s,
+                0.0
+                if self._others_excluded or self.has_quorum_reach()
+                else _UNREACHED_CAMPAIGN_DELAY_S,
             ) + random.uniform(0, 0.05)
         if pause_s > 0:
-            if pause_s > _OTHERS_FIRST_S + 0.1:
-                self._states.info("nobody leads; this node lets others stand first")
+            if pause_s > _UNREACHED_CAMPAIGN_DELAY_S + 0.1:
+                self._status_log.info("no leader; campaign delayed, other members go first")
             await asyncio.sleep(min(pause_s, 1.0))
         return pause_s <= 1.0
 
     def _candidacy(
-        self, mod_revision: Revision, again: int, last: wire.KeyValue | None, lease: LeaseId
+        self, mod_revision: Revision, reelections: int, last: wire.KeyValue | None, lease: LeaseId
     ) -> _Candidacy:
-        """Make the transaction that elects this node for the term after `last`."""
+        """Return the transaction that elects this node for the term after `last`."""
         term = FencingToken((last.value if last is not None else 0) + 1)
         value = {
             "host": self._host,
             "incarnation": self._incarnation,
             "term": term,
             "at": wall_now(),
-            "again": again,
+            "again": reelections,
             "revocable": True,
         }
         guards = [
@@ -405,28 +426,29 @@
 
     async def _commit(self, candidacy: _Candidacy) -> Revision | None:
         """Return the revision at which this node was elected, None if it was not."""
-        self._states.info(f"nobody leads; this node stands for term {candidacy.term}")
-        self._standing = candidacy.term
+        self._status_log.info(f"no leader; campaigning: term={candidacy.term}")
+        self._campaign_term = candidacy.term
         try:
             result = await self._client.commit(
                 candidacy.guards, candidacy.changes, timeout_s=_COMMIT_TIMEOUT_S
             )
-            self._standing = None
+            self._campaign_term = None
             if isinstance(result, GuardsFailed) and exclusion_key(self._host) in result.keys:
                 await self._readmit_itself()
         except (TransactionRejectedError, StateUnavailableError):
-            self._standing = None
+            self._campaign_term = None
             return None
         except OutcomeUnknownError:
             return await self._read_back(candidacy.term)
         return result.revision if isinstance(result, Committed) else None
 
     async def _readmit_itself(self) -> None:
-        """Readmit this host, excluded while it was silent, if it may be the only one left.
+        """Readmit this excluded host after `READMISSION_DELAY_S` without a leader.
 
-        A leader that excludes it may go on without its promise until `READMISSION_S` after its
-        lease has ended. Only an election changes the term's key: as it is the one that was read
-        before nobody was seen to lead, nobody has led since.
+        The leader that excluded it may rely on the exclusion, instead of on its extension grant,
+        until `READMISSION_DELAY_S` after the end of the leader's lease. Only an election changes
+        the term's key, so as long as that key has the revision of the first observation, no member
+        has led in between.
         """
         term = await self._client.get(TERM_KEY)
         leader = await self._client.get(LEADER_KEY)
@@ -435,12 +457,15 @@
         if leader is not None:
             self._leaderless = None
         elif self._leaderless is None or self._leaderless.mod_revision != mod_revision:
-            log.info("this member is excluded from elections: it was unreachable")
-            self._leaderless = _Leaderless(mod_revision, now)
-        elif now - self._leaderless.since >= READMISSION_S * CLOCK_DRIFT:
+            log.info("this member is excluded from elections, no leader seen")
+            self._leaderless = _LeaderlessObservation(mod_revision, now)
+        elif now - self._leaderless.since >= READMISSION_DELAY_S * CLOCK_DRIFT:
             entry = await self._client.get(exclusion_key(self._host))
             if entry is not None:
-                log.info("no leader seen for %.0f s", now - self._leaderless.since)
+                log.info(
+                    "this member readmits itself to elections: leaderless_s=%.0f",
+                    now - self._leaderless.since,
+                )
                 guards = [
                     wire.guard(LEADER_KEY, ABSENT),
                     wire.guard(TERM_KEY, mod_revision),
@@ -449,18 +474,18 @@
                 await self._client.commit(guards, [wire.delete(exclusion_key(self._host))])
         await self._pause(0.25)
 
-    async def _free_of_former_promises(self) -> bool:
-        """Whether what this host's former process may have promised binds nobody any more.
+    async def _previous_grants_expired(self) -> bool:
+        """Return True if no leader can rely on grants of this host's previous process any more.
 
-        Only a leader could go on by it. When all controllers crash together, their workers' leases
-        do not leave the time to wait for the promise's end.
+        That is so once they have expired, or if no member leads. The second condition matters when
+        all controllers crash together: the workers' leases are too short to wait for the expiry.
         """
-        if monotonic_now() < self._restarted_until and await self.no_peer_leads():
-            self._restarted_until = monotonic_now()
-        return monotonic_now() >= self._restarted_until
+        if monotonic_now() < self._previous_grants_expire_at and await self.no_peer_leads():
+            self._previous_grants_expire_at = monotonic_now()
+        return monotonic_now() >= self._previous_grants_expire_at
 
     async def _read_back(self, term: FencingToken) -> Revision | None:
-        """Return the revision of an election without an answer, None if it did not take place."""
+        """Return the revision of a campaign with an unknown outcome, None if it did not succeed."""
         entry = await self._client.get(LEADER_KEY)
         if (
             entry is not None
@@ -470,13 +495,11 @@
             return Revision(entry.version)
         return None
 
-    def _won(self, leadership: Leadership) -> None:
+    def _begin_term(self, leadership: Leadership) -> None:
         """Begin a term."""
-        log.info(
-            "term %d: elected, its key is at revision %d", leadership.term, leadership.mod_revision
-        )
-        self._states.forget()
-        self._is_first = False
+        log.info("elected: term=%d key_revision=%d", leadership.term, leadership.mod_revision)
+        self._status_log.reset()
+        self._others_excluded = False
         self.leadership = leadership
         self.known_leader = KnownLeader(self._host, leadership.term, leadership.mod_revision)
         self._client.set_leading(True)
--- a/tealrill/scheduler/capacity.py
+++ b/tealrill/scheduler/capacity.py
@@ -1,7 +1,7 @@
-"""Scale-out: the machines to rent. The paper has a fixed machine; this part is ours.
+"""Scale-out: decide which machines to rent. Not in the paper, whose set of machines is fixed.
 
-Unplaced tasks are allocated to machines that boot and to capacity that running tasks will release
-within about a boot time; for what is left over machines are rented, cheapest per task first.
+Unplaced tasks are first allocated to machines that are booting and to capacity that running tasks
+will release within about one boot time. For the rest machines are rented, cheapest per task first.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from typing import Final
 
-from tealrill.scheduler.free_capacity import FreeCapacity, coming_free
+from tealrill.scheduler.free_capacity import FreeCapacity, availability
 from tealrill.scheduler.model import JobView, Kind, MachineView, Policy
 from tealrill.scheduler.reservation import slots
 from tealrill.types import Monotonic
@@ -19,6 +19,7 @@
 __all__ = ["Kind", "Offer", "Rental", "rentals"]
 
 _PRICE_TOLERANCE: Final = 1.2
+"""Offers are about equally cheap up to this multiple of the lowest price per task."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,11 +42,11 @@
         return self.type, self.zone, self.spot
 
     def allows(self, job: JobView) -> bool:
-        """Return whether the job may run on such a machine."""
+        """Return True if the job may run on such a machine."""
         return job.may_use(self.type, self.zone, self.spot)
 
     def slots(self, job: JobView) -> int:
-        """Return how many tasks of the job one such machine takes."""
+        """Return the number of the job's tasks that fit on one such machine."""
         return slots(job, self.cpus, self.gpus, self.memory_gb)
 
 
@@ -64,58 +65,64 @@
         return self.type, self.zone, self.spot
 
 
-def _cpu_shares(job: JobView, kinds: Iterable[Kind], sizes: dict[str, Offer]) -> list[float | None]:
-    """Return a task's share of each kind of machine, in processors; None where not allowed.
+def _cpu_shares(
+    job: JobView, kinds: Iterable[Kind], offer_by_type: dict[str, Offer]
+) -> list[float | None]:
+    """Return a task's share of each kind of machine, in processors; None where it may not run.
 
-    Computed once per type: it is the same in every zone, spot or on-demand.
+    Computed once per type, because it is the same in every zone, spot or on-demand.
     """
-    of_type: dict[str, float] = {}
-    found: list[float | None] = []
+    share_by_type: dict[str, float] = {}
+    shares: list[float | None] = []
     for kind in kinds:
         if not job.may_use(*kind):
-            found.append(None)
+            shares.append(None)
             continue
-        if kind[0] not in of_type:
-            of_type[kind[0]] = _cpu_share(job, sizes[kind[0]])
-        found.append(of_type[kind[0]])
-    return found
+        if kind[0] not in share_by_type:
+            share_by_type[kind[0]] = _cpu_share(job, offer_by_type[kind[0]])
+        shares.append(share_by_type[kind[0]])
+    return shares
 
 
-def _cpu_share(job: JobView, size: Offer) -> float:
-    """Return a task's share of a machine, in processors; 0 if it takes none of it."""
+def _cpu_share(job: JobView, offer: Offer) -> float:
+    """Return a task's share of a machine, in processors; 0 if it needs nothing.
+
+    The share is that of the resource of which the task takes the largest part.
+    """
     share = 0.0
     for need, have in (
-        (job.cpus, size.cpus),
-        (job.memory_gb, size.memory_gb),
-        (job.gpus, size.gpus),
+        (job.cpus, offer.cpus),
+        (job.memory_gb, offer.memory_gb),
+        (job.gpus, offer.gpus),
     ):
         if need > 0:
             share = max(share, need / have if have > 0 else 2.0)
-    return share * max(size.cpus, 1e-6)
+    return share * max(offer.cpus, 1e-6)
 
 
 def _price(offer: Offer, slots: int, left: int) -> float:
-    """Return the price of one task on a machine that has `slots` of them.
+    """Return the price per task on a machine with room for `slots` of them.
 
-    A machine that the tasks fill only in part costs its full price, but others may use the rest
-    of it: half of the empty part is charged to these tasks.
+    A machine that the `left` tasks fill only in part costs its full price, but others may use the
+    rest of it: half of the empty part is charged to these tasks.
     """
     return offer.price / slots * (1 + 0.5 * max(0, slots - left) / slots)
 
 
 def _choose(
-    left: int, offers: list[tuple[Offer, int]], machines: dict[tuple[str, str], int]
+    left: int, offers: list[tuple[Offer, int]], machine_counts: dict[tuple[str, str], int]
 ) -> Offer | None:
-    """Choose the smallest of the cheapest machines per task; ties go to the zone with fewest.
+    """Return the smallest of the cheapest machines per task; None without offers.
 
-    Large machines that are about as cheap are left to tasks that fit nowhere else.
+    Large machines that are about as cheap are left to tasks that fit nowhere else. Among equal
+    types, the zone with the fewest machines is preferred.
     """
     prices = [_price(offer, slots, left) for offer, slots in offers]
     limit = _PRICE_TOLERANCE * min(prices, default=0.0)
-    near = [offer for (offer, _), price in zip(offers, prices, strict=True) if price <= limit]
+    cheapest = [offer for (offer, _), price in zip(offers, prices, strict=True) if price <= limit]
     return min(
-        near,
-        key=lambda o: (o.cpus, machines.get((o.type, o.zone), 0), o.type, o.zone),
+        cheapest,
+        key=lambda o: (o.cpus, machine_counts.get((o.type, o.zone), 0), o.type, o.zone),
         default=None,
     )
 
@@ -127,10 +134,10 @@
     job: JobView
     waiting: int
     wait_s: float
-    """Capacity that comes within so long serves it as well as a new machine."""
+    """Capacity that becomes free within this time, in seconds, is as good as a new machine."""
     offers: list[tuple[Offer, int]]
-    """What may be rented for it, and how many of its tasks one takes; they take their part of the
-    capacity in any case."""
+    """Offers that may be rented for the job, with the number of its tasks that fit on one machine.
+    A job without any is still allocated its part of the existing capacity."""
 
 
 def _demands(
@@ -142,36 +149,45 @@
 ) -> list[_Demand]:
     """Return the jobs to allocate, up to the last one for which anything may be rented.
 
-    Those behind it would take capacity from nobody. (With only expensive machines available,
-    hundreds of jobs that need none were allocated twice a second, for nothing.)
+    The jobs after that one can't change what is rented. (Without this limit, hundreds of such jobs
+    were allocated twice a second while only expensive machines were available.)
     """
     available_set = frozenset(available)
     offered = [(offer, offer in available_set) for offer in catalogue]
     demands: list[_Demand] = []
-    last = 0
+    end = 0
     for job, waiting in unplaced:
-        slots: dict[str, int] = {}
+        slots_by_type: dict[str, int] = {}
         fitting: list[tuple[Offer, bool, float]] = []
-        for offer, ready in offered:
+        for offer, is_available in offered:
             if offer.allows(job):
-                if offer.type not in slots:
-                    slots[offer.type] = offer.slots(job)
-                if slots[offer.type] > 0:
-                    fitting.append((offer, ready, _price(offer, slots[offer.type], waiting)))
+                if offer.type not in slots_by_type:
+                    slots_by_type[offer.type] = offer.slots(job)
+                if slots_by_type[offer.type] > 0:
+                    fitting.append(
+                        (offer, is_available, _price(offer, slots_by_type[offer.type], waiting))
+                    )
         if not fitting:
             continue
-        limit = policy.expensive_ratio * min(price for _, _, price in fitting)
-        cheap = [(o, slots[o.type]) for o, ready, price in fitting if ready and price <= limit]
+        price_limit = policy.expensive_ratio * min(price for _, _, price in fitting)
+        cheap = [
+            (o, slots_by_type[o.type])
+            for o, is_available, price in fitting
+            if is_available and price <= price_limit
+        ]
         wait_s = min(offer.boot_s for offer, _, _ in fitting)
-        offers = cheap or [(o, slots[o.type]) for o, ready, _ in fitting if ready]
+        offers = cheap or [
+            (o, slots_by_type[o.type]) for o, is_available, _ in fitting if is_available
+        ]
         if not cheap and job in affordable:
-            # Only expensive machines are available: capacity by the latest start will do.
+            # Only expensive machines are available, and the job doesn't need them to meet its
+            # deadline: any capacity that becomes free by its latest start is good enough.
             wait_s = max(wait_s, job.latest_start_s[0])
             offers = []
         demands.append(_Demand(job, waiting, wait_s, offers))
         if offers:
-            last = len(demands)
-    return demands[:last]
+            end = len(demands)
+    return demands[:end]
 
 
 def rentals(
@@ -183,42 +199,45 @@
     policy: Policy,
     affordable: Container[JobView] = (),
 ) -> list[Rental]:
-    """Return what to rent for the unplaced tasks; `machines` include those that boot.
+    """Return the machines to rent for the unplaced tasks; `machines` include those that boot.
 
-    Of the `catalogue`, only what is `available` was not refused a short while ago. Machines much
-    more expensive than the cheapest are rented only for jobs that are not `affordable` without.
+    `available` are the offers of the `catalogue` that the cloud has not refused recently. Machines
+    much more expensive than the cheapest are rented only for jobs that are not in `affordable`,
+    i.e. that the inexpensive machines don't finish by their deadline.
     """
     if not available or not unplaced:
-        # The fleet is as large as the cloud lets it be: what fits where makes no difference.
+        # Nothing can or needs to be rented, so the allocation would have no effect.
         return []
     demands = _demands(unplaced, catalogue, available, policy, affordable)
     if not demands:
         return []
-    sizes = {offer.type: offer for offer in catalogue}
-    known = [m for m in machines if m.type in sizes]
-    kinds = list({(m.type, m.zone, m.spot) for m in known} | {o.kind for o in catalogue})
-    all_shares = [_cpu_shares(demand.job, kinds, sizes) for demand in demands]
+    offer_by_type = {offer.type: offer for offer in catalogue}
+    known_machines = [m for m in machines if m.type in offer_by_type]
+    kinds = list({(m.type, m.zone, m.spot) for m in known_machines} | {o.kind for o in catalogue})
+    all_shares = [_cpu_shares(demand.job, kinds, offer_by_type) for demand in demands]
     boot_ends = {Monotonic(now + offer.boot_s) for offer in catalogue}
     free_capacity = FreeCapacity(kinds, all_shares, boot_ends)
-    for machine in known:
-        free_capacity.add((machine.type, machine.zone, machine.spot), coming_free(machine, now))
-    counts = Counter((machine.type, machine.zone) for machine in machines)
-    wanted: dict[Offer, int] = {}
+    for machine in known_machines:
+        free_capacity.add((machine.type, machine.zone, machine.spot), availability(machine, now))
+    machine_counts = Counter((machine.type, machine.zone) for machine in machines)
+    rental_counts: dict[Offer, int] = {}
     for demand, shares in zip(demands, all_shares, strict=True):
         job = demand.job
         left = demand.waiting - free_capacity.allocate(
             job, demand.waiting, shares, Monotonic(now + demand.wait_s)
         )
         while left > 0:
-            offer = _choose(left, demand.offers, counts)
+            offer = _choose(left, demand.offers, machine_counts)
             if offer is None:
                 break
-            number = free_capacity.add(offer.kind, [(Monotonic(now + offer.boot_s), offer.cpus)])
+            machine_number = free_capacity.add(
+                offer.kind, [(Monotonic(now + offer.boot_s), offer.cpus)]
+            )
             until = Monotonic(now + max(demand.wait_s, offer.boot_s))
-            allocated = free_capacity.allocate(job, left, shares, until, number)
+            allocated = free_capacity.allocate(job, left, shares, until, machine_number)
             if allocated <= 0:
                 break
             left -= allocated
-            wanted[offer] = wanted.get(offer, 0) + 1
-            counts[offer.type, offer.zone] += 1
-    return [Rental(o.type, o.zone, o.spot, count) for o, count in wanted.items()]
+            rental_counts[offer] = rental_counts.get(offer, 0) + 1
+            machine_counts[offer.type, offer.zone] += 1
+    return [Rental(o.type, o.zone, o.spot, count) for o, count in rental_counts.items()]
--- a/tealrill/scheduler/model.py
+++ b/tealrill/scheduler/model.py
@@ -10,30 +10,32 @@
 Kind = tuple[str, str, bool]
 """A kind of machine: type, zone, spot."""
 
-_OVERDUE_S = 5.0
-"""A task that outlived its estimate is expected to end within this or a part of its run time."""
-_OVERDUE_PART = 0.25
+_MAX_OVERDUE_S = 5.0
+"""A task that outlived its estimate is expected to end within this time, or within `_OVERDUE_SHARE`
+of its run time so far if that is shorter."""
+_OVERDUE_SHARE = 0.25
 
 
 def remaining_s(run_s: float, ran_s: float) -> float:
-    """Return the remaining run time, in seconds, of a task that has run for `ran_s`."""
-    return max(run_s - ran_s, min(_OVERDUE_S, _OVERDUE_PART * ran_s))
+    """Return the expected remaining run time, in seconds, of a task that has run for `ran_s`."""
+    return max(run_s - ran_s, min(_MAX_OVERDUE_S, _OVERDUE_SHARE * ran_s))
 
 
 @dataclass(slots=True, eq=False)
 class EstimateCorrection:
-    """Actual to estimated run time of a team's recent tasks; shared by all that run."""
+    """Ratio of actual to estimated run time of a team's recent tasks; shared by those that run."""
 
     ratio: float = 1.0
 
 
 @dataclass(slots=True, eq=False)
 class RunningTask:
-    """A task bound to a machine; kept from pass to pass, so nothing here depends on the time."""
+    """A task bound to a machine; kept from pass to pass, so no field depends on the time."""
 
     task: TaskId
     team: str
     rank: int
+    """Urgency class; a higher one goes first."""
     cpus: float
     gpus: float
     memory_gb: float
@@ -42,34 +44,37 @@
     started_at: Monotonic | None
     """When it began to run; None while it waits for its image."""
     owner_estimate_s: float
-    """Its owner's estimate."""
+    """Its owner's estimate of the run time."""
     correction: EstimateCorrection
+    """Factor on that estimate."""
     saves: bool
+    """It writes checkpoints, so a preemption with notice loses only the time to save."""
     save_s: float
+    """Seconds that it takes to save a checkpoint when it is stopped."""
 
     def ran_s(self, now: Monotonic) -> float:
         """Return the run time so far, in seconds; 0 before the task began."""
         return now - self.started_at if self.started_at is not None else 0.0
 
 
-def ends_at(tasks: Iterable[RunningTask], now: Monotonic) -> list[Monotonic]:
-    """Return when tasks are expected to end; those that are being stopped end at once.
+def expected_ends(tasks: Iterable[RunningTask], now: Monotonic) -> list[Monotonic]:
+    """Return when tasks are expected to end; for those that are being stopped, now.
 
-    Computed for every task of a full fleet in a pass, so one call serves a whole machine.
+    One call serves a whole machine, because every pass needs this for all tasks of a full fleet.
     """
-    found: list[Monotonic] = []
+    ends: list[Monotonic] = []
     for task in tasks:
         started_at = task.started_at
         if task.stopping:
-            found.append(now)
+            ends.append(now)
         elif started_at is None:
-            found.append(Monotonic(now + task.owner_estimate_s * task.correction.ratio))
+            ends.append(Monotonic(now + task.owner_estimate_s * task.correction.ratio))
         else:
-            overdue_s = _OVERDUE_PART * (now - started_at)
-            soonest = now + (overdue_s if overdue_s < _OVERDUE_S else _OVERDUE_S)
+            overdue_s = _OVERDUE_SHARE * (now - started_at)
+            earliest = now + (overdue_s if overdue_s < _MAX_OVERDUE_S else _MAX_OVERDUE_S)
             end = started_at + task.owner_estimate_s * task.correction.ratio
-            found.append(Monotonic(end if end > soonest else soonest))
-    return found
+            ends.append(Monotonic(end if end > earliest else earliest))
+    return ends
 
 
 @dataclass(slots=True, eq=False)
@@ -86,35 +91,35 @@
     size: float
     """Processors of the whole machine."""
     ready_at: Monotonic
-    """Now for a machine that takes tasks at once, later for one that boots."""
+    """Now for a machine that accepts tasks at once, later for one that boots."""
     fetch_gb_per_s: float
     images: set[str]
     is_expensive: bool
     """Its kind costs much more per processor than the cheapest."""
     running: Sequence[RunningTask]
     is_modified: bool = False
-    """The planner has changed the free capacity."""
+    """The planner has changed the free capacity, so the view can't be reused in the next pass."""
     backfilled: Sequence[RunningTask] = field(init=False)
-    """The running tasks that were backfilled: nothing else is preempted by urgency class."""
+    """The running tasks that were backfilled; only these are preempted because of their class."""
 
     def __post_init__(self) -> None:
         self.backfilled = [task for task in self.running if task.backfilled]
 
     def fits(self, job: JobView) -> bool:
-        """Return whether one task of the job fits into the free capacity."""
-        return self.has(job.cpus, job.gpus, job.memory_gb)
+        """Return True if one task of the job fits into the free capacity."""
+        return self.has_capacity(job.cpus, job.gpus, job.memory_gb)
 
-    def has(self, cpus: float, gpus: float, memory_gb: float) -> bool:
-        """Return whether so much is free."""
+    def has_capacity(self, cpus: float, gpus: float, memory_gb: float) -> bool:
+        """Return True if at least this capacity is free."""
         return (
-            self.cpus + SLACK >= cpus
-            and self.memory_gb + SLACK >= memory_gb
-            and self.gpus + SLACK >= gpus
+            self.cpus + TOLERANCE >= cpus
+            and self.memory_gb + TOLERANCE >= memory_gb
+            and self.gpus + TOLERANCE >= gpus
         )
 
     def allows(self, job: JobView) -> bool:
-        """Return whether the job may run here and does not avoid this machine."""
-        return job.may_use(self.type, self.zone, self.spot) and self.id not in job.avoids
+        """Return True if the job may run on this kind of machine and does not avoid this one."""
+        return job.may_use(self.type, self.zone, self.spot) and self.id not in job.avoided_machines
 
     def allocate_task(self, job: JobView) -> None:
         """Deduct one task of the job from the free capacity."""
@@ -125,15 +130,15 @@
         self.images.add(job.image)
 
     def release_task(self, task: RunningTask) -> None:
-        """Return the capacity of a task that is being stopped."""
+        """Add the capacity of a task that is being stopped to the free capacity."""
         self.is_modified = True
         self.cpus += task.cpus
         self.gpus += task.gpus
         self.memory_gb += task.memory_gb
 
 
-SLACK = 1e-6
-"""Tolerance of comparisons: capacities are sums of decimal numbers."""
+TOLERANCE = 1e-6
+"""Tolerance of comparisons, because capacities are sums of decimal numbers."""
 
 
 @dataclass(slots=True, eq=False)
@@ -143,36 +148,43 @@
     id: JobId
     team: str
     rank: int
+    """Urgency class; a higher one goes first."""
     cpus: float
     gpus: float
     memory_gb: float
     waiting: int
+    """Number of its tasks that are not bound and may be placed."""
     tasks: int
+    """Number of all its tasks."""
     waited_s: float
     latest_start_s: tuple[float, ...]
-    """Per deadline its class is judged by, the time left until its tasks must have started."""
+    """Per deadline that its class is judged by, the seconds left for its tasks to start."""
     estimate_s: float
+    """Expected run time of a task, in seconds."""
     image: str
     image_gb: float
     types: frozenset[str] | None
     zone: str | None
     one_zone: bool
+    """All its tasks must run in the same zone."""
     spread: bool
+    """No zone may have more than half of its tasks, rounded up."""
     spot: bool
     zone_counts: dict[str, int]
+    """Number of its bound tasks by zone."""
     gang: bool = False
-    """Gang scheduling: its tasks start only when all that wait fit."""
+    """Gang scheduling: its tasks start only if all that wait fit."""
     graph: str = ""
-    """The graph that it is a node of."""
+    """The graph that it is a node of; empty for a plain job."""
     tail_s: float = 0.0
-    """Estimated time of the longest path of nodes behind it."""
-    avoids: frozenset[MachineId] = frozenset()
-    """Machines on which it failed a short while ago."""
-    begun: bool = False
-    """Any of its tasks was ever given a machine."""
+    """Estimated run time, in seconds, of the longest path of nodes behind it."""
+    avoided_machines: frozenset[MachineId] = frozenset()
+    """Machines on which it failed recently."""
+    has_started: bool = False
+    """Any of its tasks was ever bound to a machine."""
 
     def may_use(self, type_name: str, zone: str, spot: bool) -> bool:
-        """Return whether the job allows a kind of machine."""
+        """Return True if the job may run on a kind of machine."""
         return (
             (self.spot or not spot)
             and (self.zone is None or self.zone == zone)
@@ -180,7 +192,7 @@
         )
 
     def tasks_allowed_in_zone(self, zone: str) -> int:
-        """Return how many more of its tasks may be bound in a zone now."""
+        """Return how many more of its tasks its zone rules allow in a zone now."""
         if self.one_zone and any(n for z, n in self.zone_counts.items() if z != zone):
             return 0
         if self.spread:
@@ -199,28 +211,31 @@
     cpus_max: float
     gpus_max: float
 
-    def room(self, job: JobView) -> int:
-        """Return how many tasks of the job the team's limit still allows."""
-        room = job.waiting
+    def tasks_within_limit(self, job: JobView) -> int:
+        """Return how many of the job's waiting tasks the team's limit still allows."""
+        count = job.waiting
         if self.cpus_max > 0 and job.cpus > 0:
-            room = min(room, int((self.cpus_max - self.cpus + SLACK) // job.cpus))
+            count = min(count, int((self.cpus_max - self.cpus + TOLERANCE) // job.cpus))
         if self.gpus_max > 0 and job.gpus > 0:
-            room = min(room, int((self.gpus_max - self.gpus + SLACK) // job.gpus))
-        return max(0, room)
+            count = min(count, int((self.gpus_max - self.gpus + TOLERANCE) // job.gpus))
+        return max(0, count)
 
     def is_within_quota(self, job: JobView) -> bool:
-        """Return whether one more task of the job is within the guaranteed quota."""
+        """Return True if one more task of the job is within the guaranteed quota."""
         if self.cpus_guaranteed <= 0 and self.gpus_guaranteed <= 0:
             return False
         return (
-            self.cpus + job.cpus <= self.cpus_guaranteed + SLACK
-            and self.gpus + job.gpus <= self.gpus_guaranteed + SLACK
+            self.cpus + job.cpus <= self.cpus_guaranteed + TOLERANCE
+            and self.gpus + job.gpus <= self.gpus_guaranteed + TOLERANCE
         )
 
     @property
-    def borrows(self) -> bool:
-        """Return whether the team uses more than its guaranteed quota."""
-        return self.cpus > self.cpus_guaranteed + SLACK or self.gpus > self.gpus_guaranteed + SLACK
+    def exceeds_quota(self) -> bool:
+        """True if the team uses more than its guaranteed quota."""
+        return (
+            self.cpus > self.cpus_guaranteed + TOLERANCE
+            or self.gpus > self.gpus_guaranteed + TOLERANCE
+        )
 
 
 @dataclass(slots=True)
@@ -232,16 +247,18 @@
     teams: dict[str, TeamView]
     expected: ExpectedWork | None = None
     rank_cpus: dict[int, float] = field(default_factory=dict)
-    """Processors that each urgency class uses."""
+    """Processors in use by each urgency class."""
     pending_machines: list[MachineView] = field(default_factory=list)
-    """Machines that were requested and not yet granted."""
+    """Machines that accept no tasks yet: requested and not granted, or silent and expected back
+    soon."""
 
 
 @dataclass(frozen=True, slots=True)
 class ExpectedWork:
-    """Work that may be submitted at any moment and is to start at once."""
+    """Work that may be submitted at any moment and must then start at once."""
 
     rank: int
+    """Urgency class of the work."""
     cpus: float
 
 
@@ -250,21 +267,22 @@
     """Parameters of the planner."""
 
     aging_s: float = 600.0
-    """Waiting this long raises a job by one urgency class."""
+    """Waiting time that raises a job by one urgency class."""
     min_preemption_gain_s: float = 1.5
-    """Nothing is preempted for a job whose reservation begins within this time anyway."""
+    """Nothing is preempted for tasks whose reservation begins within this time anyway."""
     max_preempted_share: float = 0.25
-    """At most this part of the backfilled tasks is preempted in one pass."""
+    """Largest share of the backfilled tasks that is preempted in one pass."""
     max_reserved_tasks: int = 16
-    """The maximum number of the reserved job's tasks that get a reservation."""
+    """Largest number of the reserved job's tasks that get a reservation."""
     expensive_ratio: float = 1.5
-    """A machine that costs this much more per task than the cheapest kind is expensive."""
-    cheap_share: float = 0.8
-    """The usable part of the inexpensive machines when jobs are kept off the expensive ones."""
-    any_room_s: float = 60.0
-    """A job that has waited so long may use expensive machines too."""
+    """A kind of machine is expensive if it costs more than this multiple of the cheapest kind."""
+    usable_inexpensive_share: float = 0.8
+    """Usable share of the inexpensive machines when deciding which jobs need no others; the rest is
+    lost to fragmentation."""
+    inexpensive_only_s: float = 60.0
+    """Waiting time after which a job may use expensive machines in any case."""
     starvation_guard_s: float = 120.0
-    """A job of which nothing has begun for so long is put before its peers."""
+    """Waiting time after which a job of which no task was ever bound is put before its peers."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -278,7 +296,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StopTask:
-    """A running task to be preempted for another job, with `grace_s` seconds to checkpoint."""
+    """A running task to be preempted for another job, with `grace_s` seconds to save its state."""
 
     task: TaskId
     for_job: JobId
@@ -306,7 +324,7 @@
     affordable: set[JobView] = field(default_factory=set)
     """Jobs that the inexpensive machines finish by their deadline."""
     reserve: Callable[[], dict[MachineId, Reservation]] = dict
-    """Computes the reservations; valid only while the view is as the pass left it."""
+    """Computes the reservations; valid only as long as the view is as the pass left it."""
     _reservations: dict[MachineId, Reservation] | None = None
 
     @property
@@ -317,9 +335,10 @@
         return self._reservations
 
     def release_view(self) -> None:
-        """Release the view after the pass; reservations not computed yet are empty.
+        """Release the view after the pass; reservations that were not computed before are empty.
 
-        A plan that can still reserve references its pass, and the pass its plan: in that cycle, old
-        views of the whole fleet waited for the garbage collector, 10 MB of them.
+        A plan that can still compute reservations references its pass, and the pass its plan.
+        Without this, old views of the whole fleet (10 MB) stay in that reference cycle until the
+        garbage collector runs.
         """
         self.reserve = dict
--- a/tealrill/scheduler/reservation.py
+++ b/tealrill/scheduler/reservation.py
@@ -1,6 +1,7 @@
 """Reservations: where and when the waiting tasks of the reserved job will fit.
 
-The paper's jobs are rigid; an array's tasks are independent, so each gets its own earliest time.
+The paper's jobs are rigid. The tasks of an array are independent, so each gets its own earliest
+time.
 """
 
 from __future__ import annotations
@@ -9,13 +10,13 @@
 import math
 from dataclasses import dataclass
 
-from tealrill.scheduler.model import SLACK, JobView, MachineView, ends_at
+from tealrill.scheduler.model import TOLERANCE, JobView, MachineView, expected_ends
 from tealrill.types import Monotonic
 
 
 @dataclass(slots=True)
 class Window:
-    """A reservation on one machine from `at` on, with its backfill window before it."""
+    """A reservation on one machine from `at` on; the time before it is the backfill window."""
 
     at: Monotonic
     tasks: int
@@ -25,7 +26,7 @@
     """Capacity left at `at` beside the reserved tasks."""
 
     def fits_beside(self, job: JobView) -> bool:
-        """Return whether a task can run past `at` without touching the reservation."""
+        """Return True if a task can run past `at` without using reserved capacity."""
         return (
             self.spare_cpus >= job.cpus
             and self.spare_gpus >= job.gpus
@@ -56,15 +57,15 @@
         return None
     if machine.fits(job):
         return at, cpus, gpus, memory
-    ends = [(end, n) for n, end in enumerate(ends_at(machine.running, now)) if end <= before]
+    ends = [(end, n) for n, end in enumerate(expected_ends(machine.running, now)) if end <= before]
     ends.sort()
     for end, number in ends:
         task = machine.running[number]
         cpus, gpus, memory = cpus + task.cpus, gpus + task.gpus, memory + task.memory_gb
         if (
-            cpus + SLACK >= job.cpus
-            and memory + SLACK >= job.memory_gb
-            and gpus + SLACK >= job.gpus
+            cpus + TOLERANCE >= job.cpus
+            and memory + TOLERANCE >= job.memory_gb
+            and gpus + TOLERANCE >= job.gpus
         ):
             return max(at, end), cpus, gpus, memory
     return None
@@ -79,7 +80,7 @@
     count = job.tasks
     for need, have in ((job.cpus, cpus), (job.gpus, gpus), (job.memory_gb, memory)):
         if need > 0:
-            count = min(count, int((have + SLACK) // need))
+            count = min(count, int((have + TOLERANCE) // need))
     return max(0, count)
 
 
@@ -88,16 +89,17 @@
 ) -> dict[MachineView, Window]:
     """Reserve the earliest capacity for up to `limit` of the job's waiting tasks.
 
-    Every machine found takes at least one task, so once there are as many machines as tasks, one
-    whose capacity comes later than all of them is not examined to its end. (Where every task's end
-    was computed and sorted, that was a fifth of a full fleet's pass.)
+    Every machine that fits takes at least one task. So once there are as many machines as tasks, a
+    machine whose capacity becomes free later than theirs is not examined further. (Computing and
+    sorting the ends of all tasks took a fifth of a pass over a full fleet.)
     """
     wanted = min(limit, job.waiting)
     if wanted <= 0:
         return {}
-    found: list[RankedFit] = []
-    latest: list[float] = []
-    """The earliest moments so far, as many as there are tasks, the last of them on top."""
+    fits: list[RankedFit] = []
+    latest_starts: list[float] = []
+    """A heap of the earliest moments so far, at most one per task, negated so that the latest is on
+    top."""
     before = Monotonic(math.inf)
     for number, machine in enumerate(machines):
         if not machine.allows(job) or job.tasks_allowed_in_zone(machine.zone) <= 0:
@@ -105,14 +107,14 @@
         fit = earliest_fit(job, machine, now, before)
         if fit is None:
             continue
-        found.append((fit[0], number, machine, fit[1:]))
-        if len(latest) < wanted:
-            heapq.heappush(latest, -fit[0])
+        fits.append((fit[0], number, machine, fit[1:]))
+        if len(latest_starts) < wanted:
+            heapq.heappush(latest_starts, -fit[0])
         else:
-            heapq.heappushpop(latest, -fit[0])
-        if len(latest) == wanted:
-            before = Monotonic(-latest[0])
-    return windows(job, found, wanted)
+            heapq.heappushpop(latest_starts, -fit[0])
+        if len(latest_starts) == wanted:
+            before = Monotonic(-latest_starts[0])
+    return windows(job, fits, wanted)
 
 
 def windows(
@@ -122,18 +124,18 @@
 ) -> dict[MachineView, Window]:
     """Return reservations on the earliest machines until `limit` tasks are covered."""
     fits.sort()
-    taken: dict[MachineView, Window] = {}
+    reserved: dict[MachineView, Window] = {}
     left = limit
     for at, _, machine, (cpus, gpus, memory) in fits:
         if left <= 0:
             break
         tasks = min(left, slots(job, cpus, gpus, memory))
         left -= tasks
-        taken[machine] = Window(
+        reserved[machine] = Window(
             at,
             tasks,
             cpus - tasks * job.cpus,
             gpus - tasks * job.gpus,
             memory - tasks * job.memory_gb,
         )
-    return taken
+    return reserved
--- a/tests/test_golden_records.py
+++ b/tests/test_golden_records.py
@@ -1,10 +1,10 @@
-"""Golden records: what is stored or on a wire is read as before, and written byte for byte.
+"""Golden records: stored records and messages are decoded as before and encoded byte for byte.
 
-`tests/data/golden_records.json` was written by the code of one moment and is only read here. Each
-sample names its kind, its JSON text and what reading it gives. A kind is a row of `KINDS`: how the
-text is read, how what was read is written again, and each field under a label of its own (the name
-on the wire). The code's names occur in these tables only. A sample with `again` is a variant that
-is read but written in a newer form, which `again` holds.
+`tests/data/golden_records.json` was written by an earlier version and is only read here. Each
+sample has its kind, its JSON text and the decoded fields. A kind is a row of `KINDS`: how the text
+is decoded, how the decoded value is encoded again, and the fields, each under its name on the wire.
+Identifiers of the code occur only in these tables. A sample with `again` is decoded, but encoded in
+a newer form, which `again` contains.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 from tealrill.graphs.admission import GraphAdmission
 from tealrill.graphs.leader_extension import GraphLeaderExtension
 from tealrill.graphs.model import Node, PartBody, SealBody, Submission
-from tealrill.graphs.records import GraphRecordError, Head
+from tealrill.graphs.records import GraphRecord, GraphRecordError
 from tealrill.leader import job_lifecycle, record_loader
 from tealrill.leadership import election, renewal_delegation
 from tealrill.leadership.election import Election
@@ -58,7 +58,7 @@
 SAMPLES: Final = Path(__file__).parent / "data" / "golden_records.json"
 _VALUE_KB: Final = 4.0
 _TASKS: Final = 6
-"""Of the job whose tasks the samples of `run/` hold."""
+"""Number of tasks of the job in the samples of `run/`."""
 
 Read = Callable[[bytes], Any]
 Write = Callable[[Any], Any]
@@ -66,20 +66,20 @@
 
 
 class Kind(NamedTuple):
-    """How one kind of record or message is read and written."""
+    """How one kind of record or message is decoded and encoded."""
 
     read: Read
     fields: Fields
     write: Write | None = None
     refusal: type[Exception] | None = None
-    """What reading raises for a record that this version does not know."""
+    """The exception that `read` raises for a form that this version does not know."""
 
 
-# -- what the writers need ------------------------------------------------------------------------
+# -- test doubles ---------------------------------------------------------------------------------
 
 
 class _Client:
-    """A state service that holds `kept`, and keeps every change that is committed to it."""
+    """A state service that contains `kept` and records every committed change."""
 
     unavailable = False
     first_seen = None
@@ -122,10 +122,10 @@
         return LeaseId(5)
 
     def set_leading(self, _: bool) -> None:
-        """Its share of the limits."""
+        """Rate limits do not apply here."""
 
     def put(self, key: str) -> Any:
-        """The value that was committed for a key."""
+        """Return the value that was last committed for a key."""
         return next(c["value"] for c in reversed(self.changes) if c.get("set") == key)
 
 
@@ -167,7 +167,7 @@
 
 
 def write_accepted_job(record: Any) -> Any:
-    """`job/ID` as the node that accepts the job writes it."""
+    """Return `job/ID` as written by the node that accepts the job."""
     client = _Client()
     time_is(record.at)
     asyncio.run(_admission(client).submit(wire.encode(record.spec)))
@@ -175,7 +175,7 @@
 
 
 def write_released_node(record: Any) -> Any:
-    """`job/NODE` as the leader writes it when it releases a graph's node."""
+    """Return `job/NODE` as written by the leader when it releases a node of a graph."""
     plain, node = record
     joined: list[JoinedWrite] = []
     time_is(plain.at)
@@ -186,23 +186,23 @@
         due_s=lambda *_: node.due_s,
         in_flight=0,
         progress=SimpleNamespace(
-            waits_each=lambda _: [int(name.rpartition("-")[2]) for name in node.each],
+            task_dependencies=lambda _: [int(name.rpartition("-")[2]) for name in node.each],
             shape=SimpleNamespace(retries=[node.retries]),
             tail_s=[node.tail_s],
         ),
     )
     term = SimpleNamespace(_term=SimpleNamespace(write_batcher=SimpleNamespace(join=joined.append)))
-    GraphLeaderExtension._join_release(cast(Any, term), cast(Any, live), 0)
+    GraphLeaderExtension._enqueue_release(cast(Any, term), cast(Any, live), 0)
     return joined[0].changes[0]["value"]
 
 
 def read_node_job(value: Any) -> Any:
-    """The plain job's part and the subsystem's part of `job/NODE`."""
+    """Decode `job/NODE`; return the fields of the job and those of the graph subsystem."""
     return msgspec.convert(value, job_lifecycle.JobRecord), records.read_node_job(value)
 
 
 def read_chunk(value: Any) -> Any:
-    """`run/ID/CHUNK` taken over into a new leader's book."""
+    """Load `run/ID/CHUNK` into the job store of a new leader."""
     job_store = JobStore(_VALUE_KB)
     job = job_store.add(_spec(), Wall(0.0), Revision(3))
     bindings = job_store.load(job, 0, value, Revision(9))
@@ -210,27 +210,27 @@
 
 
 def write_chunk(read: Any) -> Any:
-    """`run/ID/CHUNK` as the leader writes it."""
+    """Return `run/ID/CHUNK` as written by the leader."""
     job_store, job, _, _ = read
     return job_store.value(job.chunks[0])
 
 
 def read_over(value: Any) -> Any:
-    """`over/ID`: what users are told of it, how a graph takes it, and what is read for a leader."""
-    final = Admission._final(
+    """Decode `over/ID` for users' requests, for a graph and for a new leader."""
+    final = Admission._final_reply(
         cast(Any, None), JobId("wk-000412"), wire.KeyValue(value=value, version=3)
     )
     record = msgspec.convert(value, job_lifecycle.JobRecord) if "spec" in value else None
     return SimpleNamespace(
         told=final.body,
-        outcome=records.outcome_of(value),
+        outcome=records.node_outcome(value),
         spec=record.spec if record is not None else None,
         ended_at=record.ended_at if record is not None else None,
     )
 
 
 def write_end(read: Any) -> Any:
-    """`over/ID` as the leader writes it."""
+    """Return `over/ID` as written by the leader."""
     job_store = JobStore(_VALUE_KB)
     job = job_store.add(read.spec or _spec(), Wall(0.0), Revision(3))
     job.outcome = read.outcome
@@ -242,29 +242,31 @@
 
 
 def write_cancellation(read: Any) -> Any:
-    """`over/ID` as the node that cancels the job writes it."""
+    """Return `over/ID` as written by the node that cancels the job."""
     job = JobId(read.spec.id)
-    client = _Client({state_records.job_key(job): {"spec": wire.plain(read.spec), "at": 0.0}})
+    client = _Client({state_records.job_key(job): {"spec": wire.to_builtins(read.spec), "at": 0.0}})
     with mock.patch.object(admission, "wall_now", lambda: Wall(read.ended_at or 0.0)):
         asyncio.run(_admission(client).cancel(job))
     return client.put(state_records.ended_key(job))
 
 
 def write_burial(read: Any) -> Any:
-    """`over/NODE` as the leader writes it for a node whose graph is over."""
+    """Return `over/NODE` as written by the leader for a node whose graph has ended."""
     joined: list[JoinedWrite] = []
     job = JobId(read.spec.id)
     term = SimpleNamespace(
         _orphans={job: (Revision(3), read.spec)},
-        _burials=set(),
+        _ending_orphans=set(),
         _term=SimpleNamespace(write_batcher=SimpleNamespace(join=joined.append)),
     )
-    GraphLeaderExtension._bury(cast(Any, term), job)
+    GraphLeaderExtension._enqueue_orphan_end(cast(Any, term), job)
     return joined[0].changes[1]["value"]
 
 
 def _cancel_gated(index: int) -> _Client:
-    head = Head(v=records.VERSION, status="accepted", at=0.0, digest="", nodes=9, edges=0, parts=1)
+    head = GraphRecord(
+        v=records.VERSION, status="accepted", at=0.0, digest="", nodes=9, edges=0, parts=1
+    )
     client = _Client({records.graph_key("fam1"): msgspec.to_builtins(head)})
     graphs = _graph_intake(client, _admission(client))
     asyncio.run(graphs.cancel(model.node_id("fam1", index)))
@@ -272,20 +274,20 @@
 
 
 def write_gated_cancellation(_: Any) -> Any:
-    """`over/NODE` as the node that cancels a gated node writes it."""
+    """Return `over/NODE` as written by the controller that cancels a gated node."""
     return _cancel_gated(2).put(state_records.ended_key(model.node_id("fam1", 2)))
 
 
 def write_word(value: Any) -> Any:
-    """`job/GRAPH.word`."""
-    return _cancel_gated(value["cancelled"]).put(records.word_key("fam1"))
+    """Return `job/GRAPH.word` as written by the controller that cancels a gated node."""
+    return _cancel_gated(value["cancelled"]).put(records.cancelled_node_key("fam1"))
 
 
 # -- leadership -----------------------------------------------------------------------------------
 
 
 def read_leader(value: Any) -> Any:
-    """`leader` as other members read it, and how often its host has followed itself."""
+    """Decode `leader` for other members, with the host's number of consecutive re-elections."""
     member = SimpleNamespace(_unreadable=ChangeLog(logging.getLogger(__name__)))
     entry = wire.Entry(key=fencing.LEADER_KEY, value=value, version=7)
     known = Election._read_leader(cast(Any, member), entry)
@@ -296,7 +298,7 @@
 
 
 def write_leader(read: Any) -> Any:
-    """`leader` and `term` as the member that is elected writes them."""
+    """Return `leader` as written by the elected member; check `term`, which it writes as well."""
     value = read.value
     time_is(value.get("at", 0.0))
     secrets_are(value.get("incarnation", ""))
@@ -308,12 +310,12 @@
 
 
 def read_term(value: Any) -> Any:
-    """`term`; the election takes nothing but a whole number for one."""
+    """Decode `term`, an integer."""
     return FencingToken(value)
 
 
 def write_term(term: Any) -> Any:
-    """`term` as the member that is elected writes it."""
+    """Return `term` as written by the elected member."""
     client = _Client({fencing.LEADER_KEY: {}, election.TERM_KEY: term - 1})
     member = Election(cast(Any, client), "node-1", lambda: None)
     asyncio.run(member._campaign(Revision(3)))
@@ -321,7 +323,7 @@
 
 
 def read_delegation(value: Any) -> Any:
-    """`deputy/HOST`."""
+    """Decode `deputy/HOST`."""
     unreadable = ChangeLog(logging.getLogger(__name__))
     found = renewal_delegation._read_delegation("deputy/node-1", value, 3, unreadable)
     if found is None:
@@ -339,7 +341,7 @@
 
 
 def read_rent(value: Any) -> Any:
-    """`cloud/rent/NAME` as a new leader takes it over."""
+    """Load `cloud/rent/NAME` for a new leader."""
     found = _read_intents(intent_log._RENTAL_PREFIX + "r1", value).open_rentals
     if not found:
         raise ValueError("left alone")
@@ -347,22 +349,24 @@
 
 
 def write_rent(record: Any) -> Any:
-    """`cloud/rent/NAME` as the leader writes it, with the cloud's answer if there is one."""
+    """Return `cloud/rent/NAME` as written by the leader, with the cloud's answer if any."""
     joined: list[JoinedWrite] = []
 
     def join(change: JoinedWrite) -> None:
         joined.append(change)
-        change.applied(Revision(3))
+        change.on_committed(Revision(3))
 
     kept = IntentLog(join, FencingToken(3), _VALUE_KB, wall=lambda: Wall(record.at))
-    asyncio.run(kept.rent("r1", Rental(record.type, record.zone, record.spot, record.count)))
+    asyncio.run(
+        kept.record_rental("r1", Rental(record.type, record.zone, record.spot, record.count))
+    )
     if record.names is not None:
-        kept.granted("r1", record.names)
+        kept.record_grant("r1", record.names)
     return joined[-1].changes[0]["value"]
 
 
 def read_return(value: Any) -> Any:
-    """`cloud/return/TERM.N`: the machines as a new leader takes them over, and the record."""
+    """Load `cloud/return/TERM.N` for a new leader; return the machines and the record."""
     found = _read_intents(intent_log._RELEASE_PREFIX + "00000003.000001", value).open_releases
     if not found:
         raise ValueError("left alone")
@@ -370,12 +374,12 @@
 
 
 def write_return(read: Any) -> Any:
-    """`cloud/return/TERM.N` as the leader writes it."""
+    """Return `cloud/return/TERM.N` as written by the leader."""
     joined: list[JoinedWrite] = []
 
     def join(change: JoinedWrite) -> None:
         joined.append(change)
-        change.applied(Revision(3))
+        change.on_committed(Revision(3))
 
     kept = IntentLog(join, FencingToken(3), _VALUE_KB, wall=lambda: Wall(read[1].at))
     asyncio.run(kept.record_release(read[0]))
@@ -386,8 +390,8 @@
 
 
 def write_graph_end(over: Any) -> Any:
-    """`over/GRAPH`."""
-    head = Head(
+    """Return `over/GRAPH`."""
+    head = GraphRecord(
         v=records.VERSION,
         status="accepted",
         at=0.0,
@@ -396,42 +400,45 @@
         edges=over.edges,
         parts=over.parts,
     )
-    return records.end_of(head, over.status, over.at, over.why, over.counts)
+    return records.graph_end_value(head, over.status, over.at, over.why, over.counts)
 
 
 def read_part(value: Any) -> Any:
-    """`part/GRAPH/PPPPP.CC`, a part of one fragment, and the nodes in it."""
+    """Decode `part/GRAPH/PPPPP.CC`, a part with one fragment; return it with its nodes."""
     entry = wire.Entry(key=records.fragment_key("fam1", 0, 0), value=value, version=3)
-    packed = records.gather([entry])[0]
-    return packed, records.unpack(packed)
+    packed = records.assemble_parts([entry])[0]
+    return packed, records.unpack_part(packed)
 
 
 def write_part(read: Any) -> Any:
-    """`part/GRAPH/PPPPP.CC`. Its compressed bytes are also the zlib library's."""
-    (value,) = records.pack(read[1], 4096)
+    """Return `part/GRAPH/PPPPP.CC`; its compressed bytes also depend on the zlib library."""
+    (value,) = records.pack_part(read[1], 4096)
     return value
 
 
 def read_parts(value: Any) -> Any:
-    """The fragments of one part, and the nodes in it."""
+    """Decode the fragments of one part; return it with its nodes."""
     entries = [
         wire.Entry(key=records.fragment_key("fam1", 0, number), value=fragment, version=3)
         for number, fragment in enumerate(value)
     ]
-    packed = records.gather(entries)[0]
-    return packed, records.unpack(packed)
+    packed = records.assemble_parts(entries)[0]
+    return packed, records.unpack_part(packed)
 
 
 def write_parts(read: Any) -> Any:
-    """The values of a part's fragments; small values make several of them."""
-    return records.pack(read[1], 400)
+    """Return the values of a part's fragments; the size limit is low enough for several."""
+    return records.pack_part(read[1], 400)
 
 
 # -- answers to users -----------------------------------------------------------------------------
 
 
 def answer(what: str, kept: dict[str, Any], *given: Any) -> Any:
-    """Status, body and delay of the answer to a user, with `kept` in the state service."""
+    """Return status, body, retry delay and changes of a user's request.
+
+    The state service contains `kept`.
+    """
     client = _Client(kept)
     admission = _admission(client)
     graphs = admission.implicit_jobs = _graph_intake(client, admission)
@@ -606,7 +613,7 @@
 
 
 def _message(kind: type[Any], fields: Fields) -> Kind:
-    """A message that `wire` reads and writes."""
+    """Return the kind of a message that `wire` decodes and encodes."""
     return Kind(
         lambda text: wire.decode(text, kind), fields, lambda r: r, wire.MalformedMessageError
     )
@@ -615,7 +622,7 @@
 def _record(
     read: Callable[[Any], Any], fields: Fields, write: Write, refusal: type[Exception]
 ) -> Kind:
-    """A value in the state service."""
+    """Return the kind of a value in the state service."""
     return Kind(lambda text: read(orjson.loads(text)), fields, write, refusal)
 
 
@@ -656,7 +663,7 @@
     "deputy": _record(
         read_delegation,
         {"term": lambda r: r.term, "closed": lambda r: r.revoked, "beat": lambda r: r.beat},
-        wire.plain,
+        wire.to_builtins,
         ValueError,
     ),
     "out": _record(
@@ -667,7 +674,7 @@
             "ends_term": lambda r: r.ends_term,
             "mark": lambda r: r.mark,
         },
-        wire.plain,
+        wire.to_builtins,
         _INVALID,
     ),
     "rent": _record(
@@ -690,8 +697,8 @@
         write_return,
         ValueError,
     ),
-    "graph": _record(records.read_head, _HEAD, msgspec.to_builtins, GraphRecordError),
-    "graph over": _record(records.read_over, _GRAPH_OVER, write_graph_end, GraphRecordError),
+    "graph": _record(records.read_graph, _HEAD, msgspec.to_builtins, GraphRecordError),
+    "graph over": _record(records.read_graph_end, _GRAPH_OVER, write_graph_end, GraphRecordError),
     "part": _record(
         read_part,
         {
@@ -746,7 +753,7 @@
     "graph part": _message(PartBody, {"nodes": lambda r: _nodes(r.nodes)}),
     "graph seal": _message(SealBody, {"parts": lambda r: r.parts}),
     "graph counts": _message(dict[str, int], {"counts": lambda r: r}),
-    # Files, which are only read.
+    # Files, which are only decoded.
     "settings": Kind(settings.parse, _SETTINGS, refusal=settings.SettingsError),
     "features": Kind(
         lambda text: features.parse(text.decode()), _FEATURES, refusal=features.FeaturesError
@@ -756,10 +763,10 @@
 BUILDERS: Final[dict[str, Callable[..., Any]]] = {
     "job status": wire.job_status,
     "accepted": wire.accepted,
-    "start": wire.start,
-    "stop": wire.stop,
-    "forget": wire.forget,
-    "report answer": wire.report_answer,
+    "start": wire.start_command,
+    "stop": wire.stop_command,
+    "forget": wire.forget_command,
+    "report answer": wire.heartbeat_response,
     "direct commands": wire.direct_commands,
     "redirect": wire.redirect,
     "rent request": wire.rent_request,
@@ -771,7 +778,9 @@
     "lease request": wire.lease_request,
     "answer": answer,
     "graph refused": lambda *given: model.InvalidGraphError(*given).body(),
-    "graph accepted": lambda name, head: GraphAdmission._accepted(name, records.read_head(head)),
+    "graph accepted": lambda name, head: GraphAdmission._accepted_body(
+        name, records.read_graph(head)
+    ),
 }
 
 KEYS: Final[dict[str, Callable[..., Any]]] = {
@@ -793,12 +802,12 @@
     "rent": lambda name: intent_log._RENTAL_PREFIX + name,
     "return": lambda rest: intent_log._RELEASE_PREFIX + rest,
     "graph": records.graph_key,
-    "graph over": records.graph_over_key,
-    "word": records.word_key,
-    "word read": records.graph_of_word,
+    "graph over": records.graph_end_key,
+    "word": records.cancelled_node_key,
+    "word read": records.parse_cancelled_node_key,
     "parts": records.parts_prefix,
     "part": records.fragment_key,
-    "part read": lambda key: list(records.part_of_key(key)),
+    "part read": lambda key: list(records.parse_fragment_key(key)),
     "node": model.node_id,
     "node read": lambda name: list(model.parse_node_id(name) or ()),
 }
@@ -824,7 +833,7 @@
     "service": wire.SERVICE,
     "ranks": wire.RANKS,
     "paths": [
-        wire.JOBS_PATH, wire.CANCEL_PATH, wire.HEALTH_PATH, wire.REPORT_PATH, wire.COMMANDS_PATH
+        wire.JOBS_PATH, wire.CANCEL_PATH, wire.HEALTH_PATH, wire.HEARTBEAT_PATH, wire.COMMANDS_PATH
     ],
     "outcomes": [
         state_records.OUTCOME_DONE, state_records.OUTCOME_FAILED, state_records.OUTCOME_SKIPPED,
@@ -839,12 +848,12 @@
 
 
 def time_is(at: float) -> None:
-    """The time of day for what is written next."""
+    """Set the time of day for records written from now on."""
     _clock["time"] = at
 
 
 def secrets_are(text: str) -> None:
-    """The next secret that is made."""
+    """Set the value of secrets generated from now on."""
     _secret["hex"] = text
 
 
@@ -864,31 +873,31 @@
 
 
 def read_fields(kind: Kind, text: str) -> dict[str, Any]:
-    """What reading a sample gives, by the labels of its kind."""
+    """Decode a sample; return its fields by the labels of its kind."""
     found = kind.read(text.encode())
     return {label: field(found) for label, field in kind.fields.items()}
 
 
 def written_again(kind: Kind, text: str) -> str | None:
-    """A sample as it is written after it was read; None for what is never written."""
+    """Decode and encode a sample; None if its kind is never encoded."""
     if kind.write is None:
         return None
     return wire.encode(kind.write(kind.read(text.encode()))).decode()
 
 
 @pytest.mark.parametrize("sample", _samples("read"))
-def test_a_sample_is_read(sample: dict[str, Any]) -> None:
+def test_sample_is_decoded(sample: dict[str, Any]) -> None:
     assert read_fields(KINDS[sample["kind"]], sample["text"]) == sample["fields"]
 
 
 @pytest.mark.parametrize("sample", _samples("read"))
-def test_a_sample_is_written_byte_for_byte(sample: dict[str, Any]) -> None:
+def test_sample_is_encoded_byte_for_byte(sample: dict[str, Any]) -> None:
     expected = sample["again"] if "again" in sample else sample["text"]
     assert written_again(KINDS[sample["kind"]], sample["text"]) == expected
 
 
 @pytest.mark.parametrize("sample", _samples("refused"))
-def test_what_is_not_known_is_refused(sample: dict[str, Any]) -> None:
+def test_unknown_form_is_rejected(sample: dict[str, Any]) -> None:
     kind = KINDS[sample["kind"]]
     assert kind.refusal is not None
     with pytest.raises(kind.refusal):
@@ -896,32 +905,32 @@
 
 
 @pytest.mark.parametrize("sample", _samples("built"))
-def test_a_message_is_built_byte_for_byte(sample: dict[str, Any]) -> None:
+def test_message_is_built_byte_for_byte(sample: dict[str, Any]) -> None:
     built = BUILDERS[sample["kind"]](*sample["arguments"])
     assert wire.encode(built).decode() == sample["text"]
 
 
 @pytest.mark.parametrize("sample", _samples("keys"))
-def test_a_key_is_what_it_was(sample: dict[str, Any]) -> None:
+def test_key_is_unchanged(sample: dict[str, Any]) -> None:
     assert KEYS[sample["kind"]](*sample["arguments"]) == sample["key"]
 
 
 @pytest.mark.parametrize("sample", _samples("values"))
-def test_a_word_of_the_protocol_is_what_it_was(sample: dict[str, Any]) -> None:
+def test_protocol_value_is_unchanged(sample: dict[str, Any]) -> None:
     assert VALUES[sample["kind"]] == sample["value"]
 
 
 @pytest.mark.parametrize("sample", _samples("deployed"))
-def test_the_platform_starts_the_service_as_before(sample: dict[str, Any]) -> None:
+def test_service_manifest_is_unchanged(sample: dict[str, Any]) -> None:
     text = (ROOT / sample["file"]).read_text(encoding="utf-8")
     assert tomllib.loads(text) == sample["content"]
 
 
-def test_the_deployed_features_are_read() -> None:
+def test_deployed_features_file_is_valid() -> None:
     features.load(ROOT / "deploy" / "features.toml")
 
 
-def test_acknowledged_cancellations_go_with_a_promise() -> None:
+def test_extension_answer_contains_acknowledged_cancellations() -> None:
     known = AcknowledgedCancellations(lambda: Revision(2))
     known.add("wk-000412", Revision(7))
     answer = ExtensionAnswer(
@@ -932,7 +941,7 @@
 
 
 def _key_constants() -> Iterator[tuple[str, str]]:
-    """Constants that name a key, or the beginning of keys, in the state service."""
+    """Yield the constants that are a key, or a prefix of keys, in the state service."""
     for path in sorted((ROOT / "tealrill").rglob("*.py")):
         for node in ast.parse(path.read_text(encoding="utf-8")).body:
             if (
@@ -953,15 +962,13 @@
     assert {n: p for n, p in found.items() if not any(k.startswith(p) for k in keys)} == {}
 
 
-def test_every_row_has_a_sample() -> None:
+def test_every_kind_has_a_sample() -> None:
     for part, table in (("read", KINDS), ("built", BUILDERS), ("keys", KEYS), ("values", VALUES)):
         assert {sample.values[0]["kind"] for sample in _samples(part)} == set(table)
 
 
 @pytest.mark.parametrize("term", ["7", 7.0, {"term": 7}, True])
-def test_nobody_stands_after_a_term_that_is_not_known(
-    term: Any, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_no_campaign_after_an_unreadable_term(term: Any, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(election, "_UNREADABLE_S", 0.0)
     client = _Client({fencing.LEADER_KEY: {}, election.TERM_KEY: term})
     member = Election(cast(Any, client), "node-1", lambda: None)
--- a/tests/test_lease_revocation.py
+++ b/tests/test_lease_revocation.py
@@ -1,12 +1,13 @@
-"""Leaders that are lost while the state service flaps are replaced, and never two lead.
+"""Lease revocation replaces a leader that fails while the state service flaps.
 
-Incident: outages a second apart gave the lease of a frozen leader its full time again and again.
-For 45 s nobody could be elected and nothing new was started.
+Guards against two failures. Outages a second apart give a frozen leader's lease its full TTL again
+each time, so that no other member can be elected (45 s in an incident). And a revocation that is
+not careful enough leaves two valid leaders at the same moment.
 
-The worlds of `tests/test_exclusion.py` are played with the real `LeaseRevocation` beside elections,
-lease extensions and exclusions: the state service goes away often and renews all leases, a leader
-is not heard by the others though it holds its lease, requests to end a lease arrive late or without
-an answer. Each clause taken away leaves two valid leaders in some world.
+The simulation of `tests/test_exclusion.py` runs with the real `LeaseRevocation` beside elections,
+lease extensions and exclusions. The state service is interrupted often and renews all leases each
+time, a leader that holds its lease is unreachable for the other members, and requests to revoke a
+lease are executed late or have an unknown outcome.
 """
 
 from __future__ import annotations
@@ -28,36 +29,36 @@
 from tealrill.leadership import lease_revocation as revocation_module
 from tealrill.leadership.election import LEASE_TTL_S, KnownLeader, exclusion_key
 from tealrill.leadership.exclusion import Exclusions
-from tealrill.leadership.lease_revocation import LOST_S, LeaseRevocation
+from tealrill.leadership.lease_revocation import LEADER_FAILURE_S, LeaseRevocation
 from tealrill.state.client import OutcomeUnknownError, StateUnavailableError
 from tealrill.state.fencing import LEADER_KEY
 from tealrill.types import FencingToken, LeaseId, Monotonic, Revision
 from tests import test_exclusion as model
-from tests.test_exclusion import TwoLeaders, World, _Client, _Node, _play
+from tests.test_exclusion import Cluster, TwoLeaders, _Client, _Node, _simulate
 
 HOSTS = model._HOSTS
 
 
-class _Interrupted(_Client):
-    """The state service as it goes away again and again."""
+class _FlappingClient(_Client):
+    """The state service with frequent interruptions."""
 
     interruptions = 0
 
     async def end_lease(self, lease: LeaseId) -> None:
         self._reach()
-        world = cast(FlappingWorld, self.world)
-        fate = world.rng.random()
-        if fate < 0.3:
-            world.late_ends.append(lease)
+        cluster = cast(FlappingCluster, self.cluster)
+        draw = cluster.rng.random()
+        if draw < 0.3:
+            cluster.delayed_revocations.append(lease)
             raise OutcomeUnknownError("no answer")
-        world.end_lease(lease)
-        if fate < 0.4:
+        cluster.end_lease(lease)
+        if draw < 0.4:
             raise OutcomeUnknownError("no answer")
 
 
 class _Member(_Node):
-    def __init__(self, world: World, host: str) -> None:
-        super().__init__(world, host)
+    def __init__(self, cluster: Cluster, host: str) -> None:
+        super().__init__(cluster, host)
         self.leader_unreachable_since: Monotonic | None = None
         self.revocation = LeaseRevocation(
             self.settings,
@@ -70,301 +71,304 @@
         self.extension.lost_term = lambda: self.revocation.lost_term
 
     def _exclusions(self, leadership: Any) -> Exclusions:
-        found = super()._exclusions(leadership)
-        found._revoked = self._resign
-        return found
+        exclusions = super()._exclusions(leadership)
+        exclusions._on_lease_revoked = self._resign
+        return exclusions
 
     def _resign(self) -> None:
         self.resigning = asyncio.ensure_future(self.election.resign("revoked", 0.0))
 
-    async def step(self, what: str) -> None:
-        if what != "revoke":
-            return await super().step(what)
+    async def step(self, action: str) -> None:
+        if action != "revoke":
+            return await super().step(action)
         known_leader = self.election.known_leader
         if (
             known_leader is None
             or known_leader.host not in self.peers
             or self.election.leadership is not None
-            or frozenset((self.host, known_leader.host)) not in self.world.apart
+            or frozenset((self.host, known_leader.host)) not in self.cluster.partitioned
         ):
             self.leader_unreachable_since = None
         elif self.leader_unreachable_since is None:
             self.leader_unreachable_since = self.now()
         with contextlib.suppress(StateUnavailableError, OutcomeUnknownError):
-            await self.revocation.turn()
+            await self.revocation.step()
 
 
-class FlappingWorld(World):
-    """Three hosts; leases are given their full time while the state service flaps."""
+class FlappingCluster(Cluster):
+    """Three hosts; all leases get their full TTL again while the state service flaps."""
 
-    client_type = _Interrupted
+    client_type = _FlappingClient
     node_type = _Member
     steps = ("hold", "extend", "look", "revoke")
 
-    def __init__(self, seed: int, without: str = "") -> None:
-        self.late_ends: list[LeaseId] = []
+    def __init__(self, seed: int, removed_condition: str = "") -> None:
+        self.delayed_revocations: list[LeaseId] = []
         self.flapping = False
         self.succeeded: list[float] = []
-        super().__init__(seed, without)
+        super().__init__(seed, removed_condition)
 
     def end_lease(self, lease: LeaseId) -> None:
         if lease in self.store.leases:
-            self.store.leases[lease] = self.true
+            self.store.leases[lease] = self.true_now
             self.store.expire()
 
-    def _change(self) -> None:
+    def _inject_fault(self) -> None:
         leader = next((h for h, n in self.nodes.items() if n.election.leadership is not None), None)
         if leader is None or self.rng.random() < 0.4:
-            super()._change()
+            super()._inject_fault()
             self.flapping = self.rng.random() < 0.3
             return
-        # The others don't hear the leader; it may be lost, or just be cut off from them.
+        # The leader is unreachable for the others: it has failed, or is only partitioned from them.
         self.flapping = True
-        self.apart = {frozenset((leader, other)) for other in HOSTS if other != leader}
-        self.cut = {leader} if self.rng.random() < 0.5 else set()
+        self.partitioned = {frozenset((leader, other)) for other in HOSTS if other != leader}
+        self.state_unreachable = {leader} if self.rng.random() < 0.5 else set()
 
     def check(self) -> None:
         super().check()
         if self.flapping and self.rng.random() < 0.5:
             self.store.expire()
             for number in self.store.leases:
-                self.store.leases[number] = self.true + LEASE_TTL_S
+                self.store.leases[number] = self.true_now + LEASE_TTL_S
             for node in self.nodes.values():
-                cast(_Interrupted, node.client).interruptions += 1
-        if self.late_ends and self.rng.random() < 0.1:
-            self.end_lease(self.late_ends.pop(self.rng.randrange(len(self.late_ends))))
+                cast(_FlappingClient, node.client).interruptions += 1
+        if self.delayed_revocations and self.rng.random() < 0.1:
+            self.end_lease(
+                self.delayed_revocations.pop(self.rng.randrange(len(self.delayed_revocations)))
+            )
 
 
 @pytest.fixture(autouse=True)
-def _quick(monkeypatch: pytest.MonkeyPatch) -> None:
-    whole = asyncio.sleep
+def _no_sleeps(monkeypatch: pytest.MonkeyPatch) -> None:
+    original = asyncio.sleep
 
     async def sleep(_: float) -> None:
-        await whole(0)
+        await original(0)
 
-    quick = SimpleNamespace(sleep=sleep, gather=asyncio.gather, timeout=asyncio.timeout)
+    fast_asyncio = SimpleNamespace(sleep=sleep, gather=asyncio.gather, timeout=asyncio.timeout)
     for module in (election_module, extension_module, exclusion_module, revocation_module):
-        monkeypatch.setattr(module, "asyncio", quick)
+        monkeypatch.setattr(module, "asyncio", fast_asyncio)
 
 
-def play(seed: int, rounds: int = 14) -> FlappingWorld:
-    return cast(FlappingWorld, _play(seed, rounds=rounds, world_type=FlappingWorld))
+def simulate(seed: int, rounds: int = 14) -> FlappingCluster:
+    return cast(FlappingCluster, _simulate(seed, rounds=rounds, cluster_type=FlappingCluster))
 
 
 @given(st.integers(0, 2**32))
 @hypothesis_settings(max_examples=150, deadline=None)
-def _never_two(seed: int) -> None:
-    play(seed)
+def _check_at_most_one_leader(seed: int) -> None:
+    simulate(seed)
 
 
-def test_at_no_moment_two_leaders_though_leases_are_ended() -> None:
-    _never_two()
+def test_at_most_one_valid_leader_with_lease_revocation() -> None:
+    _check_at_most_one_leader()
 
 
-# -- clauses taken away ---------------------------------------------------------------------------
+# -- without one of the protocol's conditions -----------------------------------------------------
 
 
-def _no_wait(patch: pytest.MonkeyPatch) -> None:
-    """The former leader is taken to be invalid as soon as its lease has ended."""
+def _no_wait_for_invalidity(patch: pytest.MonkeyPatch) -> None:
+    """The failed leader counts as invalid as soon as its lease is revoked."""
     patch.setattr(revocation_module, "LEASE_TTL_S", 0.0)
 
 
-def _without_an_answer(patch: pytest.MonkeyPatch) -> None:
-    """A request to end the lease counts as carried out."""
+def _unknown_outcome_counts_as_executed(patch: pytest.MonkeyPatch) -> None:
+    """A request to revoke the lease counts as executed although its outcome is unknown."""
 
     async def end_lease(self: LeaseRevocation, attempt: Any) -> None:
         with contextlib.suppress(OutcomeUnknownError):
             await self._client.end_lease(attempt.lease)
-        attempt.may_stand_at = Monotonic(self._now() + LEASE_TTL_S * 1.001 + 0.2)
+        attempt.leader_invalid_at = Monotonic(self._now() + LEASE_TTL_S * 1.001 + 0.2)
 
-    patch.setattr(LeaseRevocation, "_end_lease", end_lease)
+    patch.setattr(LeaseRevocation, "_revoke_lease", end_lease)
 
 
-def _exclude_only(patch: pytest.MonkeyPatch, kept: Callable[[str, str], bool]) -> None:
-    """Of the exclusions that a member writes only some are, by the member's own and each key."""
-    whole = _Interrupted.commit
+def _exclude_only(patch: pytest.MonkeyPatch, is_kept: Callable[[str, str], bool]) -> None:
+    """Drop the exclusions for which `is_kept(own key, key)` is False from all transactions."""
+    original = _FlappingClient.commit
 
     async def commit(
         self: Any, guards: Any, changes: Any, tokens_acquired: bool = False, timeout_s: float = 2.0
     ) -> Any:
         if len(changes) > 1 and all(c.get("set", "").startswith("out/") for c in changes):
-            changes = [c for c in changes if kept(exclusion_key(self.host), c["set"])]
-        return await whole(self, guards, changes, tokens_acquired, timeout_s)
+            changes = [c for c in changes if is_kept(exclusion_key(self.host), c["set"])]
+        return await original(self, guards, changes, tokens_acquired, timeout_s)
 
-    patch.setattr(_Interrupted, "commit", commit)
+    patch.setattr(_FlappingClient, "commit", commit)
 
 
-def _others_may_stand(patch: pytest.MonkeyPatch) -> None:
-    """Only the member that ends the lease is excluded meanwhile."""
+def _others_not_excluded(patch: pytest.MonkeyPatch) -> None:
+    """Only the member that revokes the lease is excluded meanwhile."""
     _exclude_only(patch, lambda own, key: key == own)
 
 
-def _itself_may_stand(patch: pytest.MonkeyPatch) -> None:
-    """The member that ends the lease does not exclude itself."""
+def _revoker_not_excluded(patch: pytest.MonkeyPatch) -> None:
+    """The member that revokes the lease does not exclude itself."""
     _exclude_only(patch, lambda own, key: key != own)
 
 
 @pytest.mark.parametrize(
-    ("clause", "first"),
+    ("mutation", "first_seed"),
     [
-        (_no_wait, 0),
-        (_without_an_answer, 360),
-        (_others_may_stand, 190),
-        (_itself_may_stand, 0),
+        (_no_wait_for_invalidity, 0),
+        (_unknown_outcome_counts_as_executed, 360),
+        (_others_not_excluded, 190),
+        (_revoker_not_excluded, 0),
     ],
 )
-def test_each_clause_is_needed(
-    clause: Callable[[pytest.MonkeyPatch], None], first: int, monkeypatch: pytest.MonkeyPatch
+def test_removed_condition_allows_two_leaders(
+    mutation: Callable[[pytest.MonkeyPatch], None], first_seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Played from near a world that shows it: two of them show in one of some hundred."""
-    clause(monkeypatch)
+    """The first seed is near a failing one, since some violations need several hundred seeds."""
+    mutation(monkeypatch)
     with pytest.raises(TwoLeaders):
-        for seed in range(first, first + 100):
-            play(seed, rounds=20)
+        for seed in range(first_seed, first_seed + 100):
+            simulate(seed, rounds=20)
 
 
-# -- clauses that show in one world of many thousand ----------------------------------------------
+# -- conditions whose absence shows only in one of many thousand seeds ----------------------------
 
 
-class _Lost:
-    """host-0 leads and is not heard; host-1 has begun to end its lease."""
+class _FailedLeader:
+    """host-0 leads and is unreachable; host-1 revokes its lease."""
 
     def __init__(self) -> None:
-        self.world = FlappingWorld(0)
-        self.world.rng.random = lambda: 1.0  # type: ignore[method-assign]
-        self.store = self.world.store
-        self.store.leases[1] = self.world.true + LEASE_TTL_S
+        self.cluster = FlappingCluster(0)
+        self.cluster.rng.random = lambda: 1.0  # type: ignore[method-assign]
+        self.store = self.cluster.store
+        self.store.leases[1] = self.cluster.true_now + LEASE_TTL_S
         value = {"host": HOSTS[0], "term": 5, "revocable": True}
         self.store.keys[LEADER_KEY] = (value, 1, 1)
         self.store.keys["term"] = (5, 1, None)
-        self.world.apart = {frozenset((HOSTS[0], other)) for other in HOSTS[1:]}
+        self.cluster.partitioned = {frozenset((HOSTS[0], other)) for other in HOSTS[1:]}
         self.leader = KnownLeader(HOSTS[0], FencingToken(5), Revision(1))
         for host in HOSTS[1:]:
             election = self.member(host).election
             election.known_leader = self.leader
-            # These processes have run for long, and have promised nothing lately.
-            election._promised_until = election._restarted_until = Monotonic(0.0)
-        self.ender = self.member(HOSTS[1])
+            # These processes have run for long and have no lease extension grants in force.
+            election._own_grants_expire_at = election._previous_grants_expire_at = Monotonic(0.0)
+        self.revoker = self.member(HOSTS[1])
 
     def member(self, host: str) -> _Member:
-        return cast(_Member, self.world.nodes[host])
+        return cast(_Member, self.cluster.nodes[host])
 
-    async def lose(self) -> None:
-        """Not heard for long enough, while the state service went away often enough."""
+    async def fail_leader(self) -> None:
+        """Let time and interruptions pass until the unreachable leader counts as failed."""
         for _ in range(12):
             for host in HOSTS[1:]:
                 await self.member(host).step("revoke")
-                cast(_Interrupted, self.member(host).client).interruptions += 1
-            self.pass_s(LOST_S / 8)
+                cast(_FlappingClient, self.member(host).client).interruptions += 1
+            self.advance(LEADER_FAILURE_S / 8)
 
-    def pass_s(self, seconds: float) -> None:
-        self.world.true += seconds
+    def advance(self, seconds: float) -> None:
+        self.cluster.true_now += seconds
         for number in self.store.leases:
-            self.store.leases[number] = self.world.true + LEASE_TTL_S
+            self.store.leases[number] = self.cluster.true_now + LEASE_TTL_S
 
 
-def test_a_lost_leader_is_followed_within_seconds() -> None:
-    lost = _Lost()
+def test_failed_leader_is_replaced_within_seconds() -> None:
+    setup = _FailedLeader()
 
     async def scenario() -> None:
-        await lost.lose()
-        assert LEADER_KEY not in lost.store.keys
-        ended = lost.world.true
-        while lost.ender.election.leadership is None:
-            assert lost.world.true - ended < LEASE_TTL_S + 1.0
-            await lost.ender.step("revoke")
-            await lost.ender.step("hold")
-            lost.world.true += 0.25
-        assert lost.world.true - ended >= LEASE_TTL_S * 0.5
+        await setup.fail_leader()
+        assert LEADER_KEY not in setup.store.keys
+        ended = setup.cluster.true_now
+        while setup.revoker.election.leadership is None:
+            assert setup.cluster.true_now - ended < LEASE_TTL_S + 1.0
+            await setup.revoker.step("revoke")
+            await setup.revoker.step("hold")
+            setup.cluster.true_now += 0.25
+        assert setup.cluster.true_now - ended >= LEASE_TTL_S * 0.5
 
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(election_module, "monotonic_now", lambda: lost.ender.now())
+        patch.setattr(election_module, "monotonic_now", lambda: setup.revoker.now())
         asyncio.run(scenario())
     assert (
-        exclusion_key(HOSTS[1]) not in lost.store.keys
-        and exclusion_key(HOSTS[2]) in lost.store.keys
+        exclusion_key(HOSTS[1]) not in setup.store.keys
+        and exclusion_key(HOSTS[2]) in setup.store.keys
     )
 
 
-def test_a_leader_whose_lease_is_being_ended_gets_no_promise() -> None:
-    lost = _Lost()
-    asyncio.run(lost.lose())
-    assert "ends" in lost.ender.election.grant_extension(
-        FencingToken(5), Monotonic(lost.ender.now() + 4.0)
+def test_extension_is_refused_while_revoking_the_lease() -> None:
+    setup = _FailedLeader()
+    asyncio.run(setup.fail_leader())
+    assert "ends" in setup.revoker.election.grant_extension(
+        FencingToken(5), Monotonic(setup.revoker.now() + 4.0)
     )
-    # A later leader gets one.
-    assert not lost.ender.election.grant_extension(
-        FencingToken(6), Monotonic(lost.ender.now() + 4.0)
+    # The leader of a later term is granted an extension.
+    assert not setup.revoker.election.grant_extension(
+        FencingToken(6), Monotonic(setup.revoker.now() + 4.0)
     )
 
 
-def test_a_promise_given_before_is_kept() -> None:
-    lost = _Lost()
-    asyncio.run(lost.lose())
-    attempt = lost.ender.revocation._attempt
+def test_revoking_member_waits_for_its_own_grant() -> None:
+    setup = _FailedLeader()
+    asyncio.run(setup.fail_leader())
+    attempt = setup.revoker.revocation._attempt
     assert attempt is not None
-    until = Monotonic(attempt.may_stand_at + 2.0)
-    lost.ender.election._promised_until = until
-    lost.world.true += until - lost.ender.now() - 0.1
-    asyncio.run(lost.ender.step("revoke"))
-    assert exclusion_key(HOSTS[1]) in lost.store.keys
-    lost.world.true += 0.2
-    asyncio.run(lost.ender.step("revoke"))
-    assert exclusion_key(HOSTS[1]) not in lost.store.keys
-
-
-def test_an_exclusion_that_the_leader_wrote_anew_stays() -> None:
-    """By that one it may go on without this member's promise."""
-    lost = _Lost()
-    asyncio.run(lost.lose())
-    lost.store.epoch += 1
-    lost.store.keys[exclusion_key(HOSTS[1])] = ({"term": 5, "v": 1}, lost.store.epoch, None)
-    lost.world.true += LEASE_TTL_S * 2
-    asyncio.run(lost.ender.step("revoke"))
-    assert exclusion_key(HOSTS[1]) in lost.store.keys
-    assert lost.ender.revocation._attempt is None
-
-
-def test_a_member_that_is_excluded_already_ends_no_lease() -> None:
-    lost = _Lost()
+    until = Monotonic(attempt.leader_invalid_at + 2.0)
+    setup.revoker.election._own_grants_expire_at = until
+    setup.cluster.true_now += until - setup.revoker.now() - 0.1
+    asyncio.run(setup.revoker.step("revoke"))
+    assert exclusion_key(HOSTS[1]) in setup.store.keys
+    setup.cluster.true_now += 0.2
+    asyncio.run(setup.revoker.step("revoke"))
+    assert exclusion_key(HOSTS[1]) not in setup.store.keys
+
+
+def test_exclusion_rewritten_by_leader_is_kept() -> None:
+    """The leader may have extended its term relying on that exclusion."""
+    setup = _FailedLeader()
+    asyncio.run(setup.fail_leader())
+    setup.store.epoch += 1
+    setup.store.keys[exclusion_key(HOSTS[1])] = ({"term": 5, "v": 1}, setup.store.epoch, None)
+    setup.cluster.true_now += LEASE_TTL_S * 2
+    asyncio.run(setup.revoker.step("revoke"))
+    assert exclusion_key(HOSTS[1]) in setup.store.keys
+    assert setup.revoker.revocation._attempt is None
+
+
+def test_excluded_member_revokes_no_lease() -> None:
+    setup = _FailedLeader()
     for host in HOSTS[1:]:
-        lost.store.keys[exclusion_key(host)] = ({"term": 5, "v": 1}, 1, None)
-    asyncio.run(lost.lose())
-    assert LEADER_KEY in lost.store.keys
+        setup.store.keys[exclusion_key(host)] = ({"term": 5, "v": 1}, 1, None)
+    asyncio.run(setup.fail_leader())
+    assert LEADER_KEY in setup.store.keys
 
 
-@pytest.mark.parametrize("given_up", [True, False])
-def test_a_leader_steps_down_whose_lease_may_be_ended_at_any_time(given_up: bool) -> None:
-    """The request to end its lease is on its way, and its sender is gone; the leader is back.
+@pytest.mark.parametrize("is_being_revoked", [True, False])
+def test_leader_gives_up_on_exclusion_against_its_term(is_being_revoked: bool) -> None:
+    """The leader is reachable again while the request to revoke its lease is still in flight.
 
-    Whoever it let in would be elected at that end, while the leader still counts itself valid.
+    The sender of that request has ended. A member that the leader readmitted now could be elected
+    as soon as the lease is revoked, while the leader still considers itself valid.
     """
-    lost = _Lost()
+    setup = _FailedLeader()
     record = {"term": 5, "v": 1, "ends_term": 5, "mark": "a"}
-    lost.store.keys[exclusion_key(HOSTS[1])] = (record, 2, None)
-    lost.world.apart.clear()
-    told: list[str] = []
-    node = lost.member(HOSTS[0])
-    found = Exclusions(
+    setup.store.keys[exclusion_key(HOSTS[1])] = (record, 2, None)
+    setup.cluster.partitioned.clear()
+    calls: list[str] = []
+    node = setup.member(HOSTS[0])
+    exclusions = Exclusions(
         node.settings, node.client, FencingToken(5), Revision(1), lambda: True, node.now,
-        lambda: told.append("revoked"),
+        lambda: calls.append("revoked"),
     )  # fmt: skip
-    found._peers = node.peers
-    if not given_up:
+    exclusions._peers = node.peers
+    if not is_being_revoked:
         record["ends_term"] = 4
-    asyncio.run(found.turn())
-    assert bool(told) is given_up
-    assert (exclusion_key(HOSTS[1]) in lost.store.keys) is given_up
-    assert not (given_up and found.is_excluded(HOSTS[1]))
+    asyncio.run(exclusions.step())
+    assert bool(calls) is is_being_revoked
+    assert (exclusion_key(HOSTS[1]) in setup.store.keys) is is_being_revoked
+    assert not (is_being_revoked and exclusions.is_excluded(HOSTS[1]))
 
 
 @pytest.mark.parametrize("executed", ["at once", "late", "never"])
-def test_an_exclusion_without_an_answer_is_gone_on_with_or_forgotten(executed: str) -> None:
-    """The member went on refusing its promise to a leader that had come back, or could not go on
-    with what had been carried out after all."""
-    lost = _Lost()
+def test_exclusion_with_unknown_outcome_is_continued_or_abandoned(executed: str) -> None:
+    """Guards against a member that keeps refusing extensions to a leader that is reachable again,
+    and against one that can't continue a revocation whose first transaction was executed."""
+    setup = _FailedLeader()
     held: list[tuple[Any, Any]] = []
-    whole, reach = lost.store.execute, lost.ender.client
+    original, client = setup.store.execute, setup.revoker.client
 
     async def commit(
         guards: Any, changes: Any, tokens_acquired: bool = False, timeout_s: float = 2.0
@@ -372,73 +376,73 @@
         if not held:
             held.append((guards, changes))
             if executed == "at once":
-                whole(guards, changes)
-            cast(Any, reach).get = refused
+                original(guards, changes)
+            cast(Any, client).get = refused
             raise OutcomeUnknownError("no answer")
-        return await _Interrupted.commit(
-            cast(Any, reach), guards, changes, tokens_acquired, timeout_s
+        return await _FlappingClient.commit(
+            cast(Any, client), guards, changes, tokens_acquired, timeout_s
         )
 
-    get = reach.get
+    get = client.get
 
     async def refused(_: str) -> None:
         raise StateUnavailableError("status 503")
 
     async def scenario() -> None:
-        # Only this member's transaction is on its way.
-        lost.member(HOSTS[2]).revocation.turn = _nothing  # type: ignore[method-assign]
-        await lost.lose()
-        assert held and lost.ender.revocation._attempt is None
-        cast(Any, reach).get = get
+        # Only this member's transaction is in flight.
+        setup.member(HOSTS[2]).revocation.step = _nothing  # type: ignore[method-assign]
+        await setup.fail_leader()
+        assert held and setup.revoker.revocation._attempt is None
+        cast(Any, client).get = get
         if executed == "late":
-            whole(*held[0])
+            original(*held[0])
         if executed == "never":
-            lost.world.apart.clear()
+            setup.cluster.partitioned.clear()
         for _ in range(2):
-            await lost.ender.step("revoke")
+            await setup.revoker.step("revoke")
 
-    cast(Any, reach).commit = commit
+    cast(Any, client).commit = commit
     asyncio.run(scenario())
     if executed == "never":
-        assert LEADER_KEY in lost.store.keys
-        assert not lost.ender.election.grant_extension(
-            FencingToken(5), Monotonic(lost.ender.now() + 4.0)
+        assert LEADER_KEY in setup.store.keys
+        assert not setup.revoker.election.grant_extension(
+            FencingToken(5), Monotonic(setup.revoker.now() + 4.0)
         )
     else:
-        assert lost.ender.revocation._attempt is not None
-        assert 1 not in lost.store.leases or lost.store.leases[1] <= lost.world.true
+        assert setup.revoker.revocation._attempt is not None
+        assert 1 not in setup.store.leases or setup.store.leases[1] <= setup.cluster.true_now
 
 
 async def _nothing() -> None: ...
 
 
-# -- when a leader is lost ------------------------------------------------------------------------
+# -- when a leader counts as failed ---------------------------------------------------------------
 
 
-def test_one_outage_however_long_ends_no_lease() -> None:
-    lost = _Lost()
+def test_single_outage_revokes_no_lease() -> None:
+    setup = _FailedLeader()
 
     async def scenario() -> None:
         for number in range(40):
             for host in HOSTS[1:]:
-                await lost.member(host).step("revoke")
-                cast(_Interrupted, lost.member(host).client).interruptions = number > 3
-            lost.pass_s(LOST_S / 8)
+                await setup.member(host).step("revoke")
+                cast(_FlappingClient, setup.member(host).client).interruptions = number > 3
+            setup.advance(LEADER_FAILURE_S / 8)
 
     asyncio.run(scenario())
-    assert LEADER_KEY in lost.store.keys and exclusion_key(HOSTS[1]) not in lost.store.keys
+    assert LEADER_KEY in setup.store.keys and exclusion_key(HOSTS[1]) not in setup.store.keys
 
 
-def test_a_minority_that_does_not_hear_the_leader_ends_no_lease() -> None:
-    lost = _Lost()
-    lost.world.apart = {frozenset((HOSTS[0], HOSTS[1]))}
-    asyncio.run(lost.lose())
-    assert LEADER_KEY in lost.store.keys and exclusion_key(HOSTS[1]) not in lost.store.keys
+def test_lease_revocation_requires_majority() -> None:
+    setup = _FailedLeader()
+    setup.cluster.partitioned = {frozenset((HOSTS[0], HOSTS[1]))}
+    asyncio.run(setup.fail_leader())
+    assert LEADER_KEY in setup.store.keys and exclusion_key(HOSTS[1]) not in setup.store.keys
 
 
 @pytest.mark.parametrize("value", [None, [], {"host": HOSTS[0], "term": 5}, {"revocable": "yes"}])
-def test_the_lease_of_a_leader_that_does_not_know_of_this_is_left_alone(value: Any) -> None:
-    lost = _Lost()
-    lost.store.keys[LEADER_KEY] = (value, 1, 1)
-    asyncio.run(lost.lose())
-    assert LEADER_KEY in lost.store.keys and exclusion_key(HOSTS[1]) not in lost.store.keys
+def test_lease_of_leader_without_revocation_support_is_kept(value: Any) -> None:
+    setup = _FailedLeader()
+    setup.store.keys[LEADER_KEY] = (value, 1, 1)
+    asyncio.run(setup.fail_leader())
+    assert LEADER_KEY in setup.store.keys and exclusion_key(HOSTS[1]) not in setup.store.keys
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -24,8 +24,8 @@
 from tealrill.leadership.lease_extension import EXTENSION_PATH, PING_PATH, ExtensionRequest
 from tealrill.process import new_event_loop, run_until_stopped
 from tealrill.types import LeaseId
-from tests.samples import SETTINGS, SUBMISSION
 from tests.fakes import FakeCloud, FakeStateService, FakeWorker
+from tests.samples import SETTINGS, SUBMISSION
 
 _TIMEOUT_S = 30.0
 
--- a/tests/test_submissions.py
+++ b/tests/test_submissions.py
@@ -1,7 +1,7 @@
-"""Which jobs are taken: 400 for what is malformed, 422 for what can never run, and why.
+"""Validation of submissions: 400 for a malformed job, 422 for one that can never run.
 
-A valid job is drawn, one thing of it is spoiled, and the answer's status and the field that it
-names are held against the protocol. Nothing of this costs a change of the state service.
+A valid job is generated, one field of it is made invalid, and the status of the reply and the field
+that it names are compared with the protocol. A rejected job changes nothing in the state service.
 """
 
 from __future__ import annotations
@@ -40,16 +40,16 @@
     wire.Catalogue,
 )  # fmt: skip
 _LIMIT = 64.0
-"""Processors that team `red` may use; `blue` has no limit."""
+"""Processor limit of team `red`; `blue` has no limit."""
 _NULLABLE = ("builds", "hall", "dueS")
-"""The protocol: where a field may be null, it may also be omitted."""
+"""Fields that may be null; by the protocol they may also be omitted."""
 _AMOUNTS = ("vcpus", "gpus", "memoryGb", "sizeGb", "guessS", "snapshotS", "flushS")
 _TEXTS = ("lineup", "crew", "bundle")
 _FLAGS = ("samePlace", "scatter", "loaners")
 
 
 class _Client:
-    """As much of the state service as an acceptance needs."""
+    """The part of the state service client that a submission needs."""
 
     unavailable = False
     first_seen = Revision(1)
@@ -85,10 +85,10 @@
 
 @st.composite
 def _jobs(draw: st.DrawFn) -> dict[str, Any]:
-    """Jobs that can run: a task fits a machine, and the team's limit leaves room."""
+    """Generate jobs that can run: a task fits a machine type and the team's limit admits it."""
     shape = draw(st.sampled_from(["sweep", "standing"]))
     pieces = draw(st.integers(1, 8))
-    found = {
+    job = {
         **SUBMISSION,
         "shape": shape,
         "urgency": draw(st.sampled_from(["production", "urgent", "standard", "idle"])),
@@ -99,16 +99,16 @@
         "builds": draw(st.sampled_from([None, ["small"], ["small", "other"]])),
         "hall": draw(st.sampled_from([None, "north", "south"])),
         "dueS": draw(st.sampled_from([None, 0.0, 600])),
-        # Contradictions as they seem: an array's tasks may follow each other, and a service whose
-        # tasks can't all run at once is none of what the protocol calls impossible.
+        # These combinations only seem contradictory: the tasks of an array may run one after
+        # another, and the protocol does not reject a service whose tasks can't all run at once.
         "samePlace": draw(st.booleans()),
         "scatter": draw(st.booleans()),
         "loaners": draw(st.booleans()),
     }
     for name in _NULLABLE:
-        if found[name] is None and draw(st.booleans()):
-            del found[name]
-    return found
+        if job[name] is None and draw(st.booleans()):
+            del job[name]
+    return job
 
 
 _MALFORMED = st.one_of(
@@ -130,7 +130,7 @@
     st.tuples(st.just("id"), st.sampled_from([None, "", 7, "wk", "wk-", "a/b-1", "x" * 200])),
 )  # fmt: skip
 
-_IMPOSSIBLE = st.one_of(
+_UNSATISFIABLE = st.one_of(
     st.tuples(st.just("crew"), st.sampled_from(["nobody", "Red"])),
     st.tuples(st.just("builds"), st.sampled_from([[], ["other"], ["Small"]])),
     st.tuples(st.just("hall"), st.sampled_from(["elsewhere", "North"])),
@@ -142,7 +142,7 @@
 
 @given(_jobs())
 @hypothesis_settings(max_examples=150, deadline=None, derandomize=True)
-def test_what_can_run_is_taken(job: dict[str, Any]) -> None:
+def test_valid_job_is_accepted(job: dict[str, Any]) -> None:
     client = _Client()
     reply = _submit(orjson.dumps(job), client)
     assert (reply.status, client.committed) == (201, 1), reply.body
@@ -150,10 +150,10 @@
 
 @given(_jobs(), _MALFORMED)
 @hypothesis_settings(max_examples=300, deadline=None, derandomize=True)
-def test_what_is_malformed_is_refused_and_its_field_named(
-    job: dict[str, Any], spoiled: tuple[str, Any]
+def test_malformed_job_is_rejected_with_field_name(
+    job: dict[str, Any], invalid_change: tuple[str, Any]
 ) -> None:
-    field, value = spoiled
+    field, value = invalid_change
     changed = {**job, field: value}
     if value is ...:
         del changed[field]
@@ -163,12 +163,12 @@
     assert field in reply.body["error"], reply.body
 
 
-@given(_jobs(), _IMPOSSIBLE)
+@given(_jobs(), _UNSATISFIABLE)
 @hypothesis_settings(max_examples=200, deadline=None, derandomize=True)
-def test_what_can_never_run_is_refused_and_its_field_named(
-    job: dict[str, Any], spoiled: tuple[str, Any]
+def test_unsatisfiable_job_is_rejected_with_field_name(
+    job: dict[str, Any], invalid_change: tuple[str, Any]
 ) -> None:
-    field, value = spoiled
+    field, value = invalid_change
     client = _Client()
     reply = _submit(orjson.dumps({**job, "builds": None, "hall": None, field: value}), client)
     assert (reply.status, client.committed, reply.retry_after_s) == (422, 0, None)
@@ -184,9 +184,7 @@
         ({"hall": "north", "vcpus": 64.0}, "vcpus"),
     ],
 )
-def test_no_machine_type_is_both_allowed_and_large_enough(
-    changes: dict[str, Any], field: str
-) -> None:
+def test_job_without_matching_machine_type_is_rejected(changes: dict[str, Any], field: str) -> None:
     reply = _submit(orjson.dumps({**SUBMISSION, **changes}), _Client())
     assert reply.status == 422 and f"`$.{field}`" in reply.body["error"]
 
@@ -194,63 +192,67 @@
 @pytest.mark.parametrize(
     ("shape", "pieces", "vcpus", "status"),
     [
-        # An array runs if one of its tasks may; a service's run all at once.
+        # An array needs room for one of its tasks, a service for all of them at once.
         ("sweep", 1000, _LIMIT, 201),
         ("standing", 8, 8.0, 201),
         ("standing", 9, 8.0, 422),
         ("standing", 1000, 0.1, 422),
     ],
 )
-def test_a_teams_limit(shape: str, pieces: int, vcpus: float, status: int) -> None:
+def test_team_limit_applies_to_concurrent_tasks(
+    shape: str, pieces: int, vcpus: float, status: int
+) -> None:
     changes = {"crew": "red", "shape": shape, "pieces": pieces, "vcpus": vcpus}
     reply = _submit(orjson.dumps({**SUBMISSION, **changes}), _Client())
     assert reply.status == status
     assert status == 201 or "`$.vcpus`" in reply.body["error"]
 
 
-_SPOILED = st.one_of(_MALFORMED, _IMPOSSIBLE).filter(lambda spoiled: spoiled[0] != "id")
+_INVALID_CHANGES = st.one_of(_MALFORMED, _UNSATISFIABLE).filter(
+    lambda invalid_change: invalid_change[0] != "id"
+)
 
 
-@given(_SPOILED, st.sampled_from(["job", "over"]))
+@given(_INVALID_CHANGES, st.sampled_from(["job", "over"]))
 @hypothesis_settings(max_examples=150, deadline=None, derandomize=True)
-def test_a_known_job_is_answered_by_its_state_whatever_its_repetition_says(
-    spoiled: tuple[str, Any], where: str
+def test_invalid_resubmission_of_known_job_returns_its_status(
+    invalid_change: tuple[str, Any], prefix: str
 ) -> None:
-    field, value = spoiled
+    field, value = invalid_change
     changed = {**SUBMISSION, field: value}
     if value is ...:
         del changed[field]
-    kept = {"job": {"spec": SUBMISSION, "at": 1.0}, "over": {"status": wire.JOB_DONE, "tasks": 6}}
-    client = _Client(**{f"{where}/{SUBMISSION['id']}": kept[where]})
+    stored = {"job": {"spec": SUBMISSION, "at": 1.0}, "over": {"status": wire.JOB_DONE, "tasks": 6}}
+    client = _Client(**{f"{prefix}/{SUBMISSION['id']}": stored[prefix]})
     reply = _submit(orjson.dumps(changed), client)
-    said = {"job": wire.JOB_PENDING, "over": wire.JOB_DONE}[where]
-    assert (reply.status, reply.body["status"], client.committed) == (200, said, 0)
+    expected = {"job": wire.JOB_PENDING, "over": wire.JOB_DONE}[prefix]
+    assert (reply.status, reply.body["status"], client.committed) == (200, expected, 0)
 
 
 @pytest.mark.parametrize(
     "body",
     [b"", b"{", b"[]", b"7", b'{"vcpus": NaN}', b'{"vcpus": 1e999}', b"\xff", b"null", b'"wk-1"'],
 )
-def test_what_is_no_job_at_all(body: bytes) -> None:
+def test_non_object_body_is_rejected(body: bytes) -> None:
     assert _submit(body, _Client()).status == 400
 
 
-def test_before_the_machine_types_are_known_nothing_is_called_impossible() -> None:
+def test_unknown_catalogue_gives_503_except_for_malformed_job() -> None:
     reply = _submit(orjson.dumps({**SUBMISSION, "vcpus": 1e9}), _Client(), None)
     assert (reply.status, reply.retry_after_s) == (503, 1)
-    # What is malformed is so whatever there is.
+    # A malformed job is rejected without knowledge of the machine types.
     assert _submit(orjson.dumps({**SUBMISSION, "vcpus": -1}), _Client(), None).status == 400
 
 
-def test_while_a_jobs_state_can_not_be_told_its_repetition_is_not_called_malformed() -> None:
-    """Its owner's record is being moved: it was accepted, and the user is to come again."""
+def test_invalid_resubmission_during_owner_move_gives_503() -> None:
+    """While the owner's record is being moved, the accepted job's repetition gets a 503."""
     client = _Client(**{"job/lab1-0": {"spec": SUBMISSION, "at": 1.0, "owner": "lab1"}})
     reply = _submit(orjson.dumps({**SUBMISSION, "id": "lab1-0", "vcpus": -1}), client)
     assert (reply.status, reply.retry_after_s) == (503, 1)
 
 
-def test_a_record_without_what_may_be_null_is_read() -> None:
-    """The border's type is the record's: what a version wrote without them must still be read."""
+def test_record_without_nullable_fields_is_decoded() -> None:
+    """Requests and records share one type, so records without nullable fields must be readable."""
     record = {k: v for k, v in SUBMISSION.items() if k not in _NULLABLE}
     spec = wire.decode(orjson.dumps(record), wire.JobSpec)
     assert (spec.types, spec.zone, spec.deadline_s) == (None, None, None)
