--- a/tealrill/fleet/prober.py
+++ b/tealrill/fleet/prober.py
@@ -16,7 +16,7 @@
 
 from tealrill.fleet.inventory import Fleet
 from tealrill.fleet.machine import Machine
-from tealrill.http import accepts
+from tealrill.http import is_reachable
 from tealrill.scheduler import failure_detector
 from tealrill.scheduler.failure_detector import Diagnosis, Evidence, Suspicion
 from tealrill.settings import Address, SettingsError, parse_address
@@ -36,7 +36,7 @@
 """The number of concurrent probes that is allowed even when no sockets are spare."""
 
 Probe = Callable[[Address, float], Awaitable[bool | None]]
-"""A probe of an address within a timeout in seconds, with the result of `http.accepts`."""
+"""A probe of an address within a timeout in seconds, with the result of `http.is_reachable`."""
 
 
 class Prober:
@@ -55,8 +55,8 @@
         self._heartbeat_interval_s = heartbeat_interval_s
         self._spare = spare_sockets
         self._is_valid = valid
-        # A default argument would be bound before the simulation replaces `accepts`.
-        self._probe = probe or accepts
+        # A default argument would be bound before the simulation replaces `is_reachable`.
+        self._probe = probe or is_reachable
         self._now = now
         self._probed_at: dict[MachineId, Monotonic] = {}
         self._running_probes: dict[MachineId, asyncio.Task[None]] = {}
--- a/tealrill/http.py
+++ b/tealrill/http.py
@@ -82,7 +82,7 @@
     """Ignore a change of the setting."""
 
 
-async def accepts(address: Address, timeout_s: float) -> bool | None:
+async def is_reachable(address: Address, timeout_s: float) -> bool | None:
     """Return True if the host at the address answers a connection attempt, None if unknown.
 
     A refused connection counts as an answer. False means no answer within `timeout_s`: the machine
--- a/tealrill/simulation/cluster.py
+++ b/tealrill/simulation/cluster.py
@@ -160,7 +160,7 @@
             finally:
                 await cluster.network.wait_until_resumed(name)
 
-        async def accepts(address: Address, timeout_s: float) -> bool | None:
+        async def is_reachable(address: Address, timeout_s: float) -> bool | None:
             place = cluster.network.endpoint_of(address)
             if cluster.cloud.machines[place].terminated or cluster.network.partitioned(
                 PROCESS.get().name, place
@@ -171,6 +171,6 @@
 
         with (
             mock.patch.object(http.Client, "request", request),
-            mock.patch.object(prober, "accepts", accepts),
+            mock.patch.object(prober, "is_reachable", is_reachable),
         ):
             yield cluster
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -250,7 +250,7 @@
         refused = message["baton"] < worker.token or message["shift"] != 1
         if not refused:
             worker.execute(message["orders"])
-        self.answer(409 if refused else 200, worker.report())
+        self.answer(409 if refused else 200, worker.heartbeat())
 
 
 class FakeWorker(FakeService):
@@ -266,7 +266,7 @@
         self.sequence = 0
         self.tasks: dict[str, dict[str, Any]] = {}
 
-    def report(self) -> dict[str, Any]:
+    def heartbeat(self) -> dict[str, Any]:
         self.sequence += 1
         return {
             "kiln": self.name, "addr": self.address, "build": "big", "hall": "north",
--- a/tests/test_cost.py
+++ b/tests/test_cost.py
@@ -30,7 +30,7 @@
 )
 from tealrill.scheduler.plan import plan
 from tealrill.types import MachineId, Monotonic, Revision, Wall
-from tests import plain
+from tests import reference_planner
 from tests.samples import job_view, machine_view, report, running_task, spec
 from tests.test_dispatch import build_scheduling_loop
 
@@ -150,7 +150,10 @@
 
 def _compare(seed: int, machines: int, jobs: int) -> None:
     view, reference_view = _loaded_view(seed, machines, jobs), _loaded_view(seed, machines, jobs)
-    optimized, reference = plan(view, NOW, Policy()), plain.plan(reference_view, NOW, Policy())
+    optimized, reference = (
+        plan(view, NOW, Policy()),
+        reference_planner.plan(reference_view, NOW, Policy()),
+    )
     assert _decisions(optimized) == _decisions(reference)
     # Scale-out works on the capacity that the pass leaves.
     assert [(m.id, m.cpus, m.memory_gb) for m in view.machines] == [
@@ -162,7 +165,7 @@
     rented = rentals(
         optimized.unplaced, view.machines, offers, available, NOW, Policy(), optimized.affordable
     )
-    reference_rentals = plain.rentals(
+    reference_rentals = reference_planner.rentals(
         reference.unplaced,
         reference_view.machines,
         offers,
@@ -242,7 +245,7 @@
     view = _loaded_view(seed, 40, 3)
     for job in view.jobs:
         optimized = reservation.reserve(job, view.machines, NOW, limit)
-        reference = plain.reserve(job, view.machines, NOW, limit)
+        reference = reference_planner.reserve(job, view.machines, NOW, limit)
         assert list(optimized.items()) == list(reference.items())
 
 
--- a/tests/test_graphs_node.py
+++ b/tests/test_graphs_node.py
@@ -16,7 +16,7 @@
 from tealrill.http import Client, NoAnswerError
 from tests.fakes import FakeWorker
 from tests.samples import SUBMISSION
-from tests.test_node import _TIMEOUT_S, NodeHarness, free_address, running
+from tests.test_node import _TIMEOUT_S, NodeHarness, free_address, running_node
 
 ON = features.Features(graphs=features.GraphFeatures(on=True))
 DEFAULTS = {k: v for k, v in SUBMISSION.items() if k not in ("id", "dueS")} | {
@@ -28,7 +28,7 @@
 
 def run_with_controller(test: Callable[[NodeHarness], Coroutine[Any, Any, None]]) -> None:
     async def run() -> None:
-        async with running(ON) as harness:
+        async with running_node(ON) as harness:
             await test(harness)
 
     asyncio.run(run())
--- a/tests/test_http_frontend.py
+++ b/tests/test_http_frontend.py
@@ -49,7 +49,7 @@
         self.server.add_sockets(sockets)
 
     def _record_heartbeat(
-        self, report: wire.Heartbeat, machine: MachineId
+        self, heartbeat: wire.Heartbeat, machine: MachineId
     ) -> http_frontend.HeartbeatReply:
         self.heartbeats.append(machine)
         return 200, wire.heartbeat_response(4, [])
@@ -71,7 +71,7 @@
     async def scenario() -> None:
         async with _running_frontend() as harness:
             monkeypatch.setattr(harness.frontend.application, "start_request", None)
-            body = orjson.dumps(FakeWorker("m-000001").report())
+            body = orjson.dumps(FakeWorker("m-000001").heartbeat())
             client = Client(harness.address)
             calls: list[bool] = []
             monkeypatch.setattr(iostream.IOStream, "set_nodelay", lambda _, on: calls.append(on))
@@ -110,7 +110,7 @@
             assert [r.result().status for r in requests if r.done()] == [503] * 3
             assert harness.body_sizes == [60_000] * 3
             # Heartbeats are still accepted, since their bodies are limited separately.
-            body = orjson.dumps(FakeWorker("m-000001").report())
+            body = orjson.dumps(FakeWorker("m-000001").heartbeat())
             assert (await harness.send(wire.HEARTBEAT_PATH, body)).status == 200
             harness.allow_responses.set()
             answers = await asyncio.gather(*requests)
@@ -146,8 +146,8 @@
 def test_pipelined_requests_do_not_starve_other_connections() -> None:
     async def scenario() -> None:
         async with _running_frontend() as harness:
-            body = orjson.dumps(FakeWorker("m-000001").report())
-            other_body = orjson.dumps(FakeWorker("m-000002").report())
+            body = orjson.dumps(FakeWorker("m-000001").heartbeat())
+            other_body = orjson.dumps(FakeWorker("m-000002").heartbeat())
             pipelining = await asyncio.open_connection(*harness.address)
             single = await asyncio.open_connection(*harness.address)
             pipelining[1].write(_raw(wire.HEARTBEAT_PATH, body) * 400)
@@ -175,7 +175,7 @@
     async def scenario() -> None:
         async with _running_frontend() as harness:
             monkeypatch.setattr(asyncio, "sleep", counted)
-            body = orjson.dumps(FakeWorker("m-000001").report())
+            body = orjson.dumps(FakeWorker("m-000001").heartbeat())
             client = Client(harness.address)
             for _ in range(16):
                 assert (await client.request("POST", wire.HEARTBEAT_PATH, body)).status == 200
@@ -195,7 +195,7 @@
 
     async def scenario() -> None:
         async with _running_frontend() as harness:
-            body = orjson.dumps(FakeWorker("m-000001").report())
+            body = orjson.dumps(FakeWorker("m-000001").heartbeat())
             client = Client(harness.address)
             for _ in range(5):
                 answer = await client.request("POST", wire.HEARTBEAT_PATH, body)
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -91,7 +91,7 @@
             await asyncio.sleep(0.02)
 
     async def send_heartbeat(self, worker: FakeWorker) -> int:
-        status, answer = await self.send("POST", "/agent/beat", worker.report())
+        status, answer = await self.send("POST", "/agent/beat", worker.heartbeat())
         if status == 200:
             worker.token = answer["baton"]
             worker.execute(answer["orders"])
@@ -109,7 +109,9 @@
 
 
 @contextlib.asynccontextmanager
-async def running(enabled_features: features.Features | None = None) -> AsyncIterator[NodeHarness]:
+async def running_node(
+    enabled_features: features.Features | None = None,
+) -> AsyncIterator[NodeHarness]:
     harness = NodeHarness(enabled_features)
     harness.start()
     try:
@@ -121,7 +123,7 @@
 
 def _run_with_node(test: Callable[[NodeHarness], Coroutine[Any, Any, None]]) -> None:
     async def run() -> None:
-        async with running() as harness:
+        async with running_node() as harness:
             await test(harness)
 
     # Use the event loop that the daemon uses.
--- a/tests/test_prober.py
+++ b/tests/test_prober.py
@@ -20,7 +20,7 @@
 from tealrill.fleet.inventory import Fleet
 from tealrill.fleet.prober import Prober
 from tealrill.fleet.provisioning import Provisioner
-from tealrill.http import accepts
+from tealrill.http import is_reachable
 from tealrill.leadership.lease_extension import PING_PATH
 from tealrill.leadership.transfer import LeadershipTransfer
 from tealrill.scheduler.capacity import Rental
@@ -43,10 +43,10 @@
         (listening,) = netutil.bind_sockets(0, "127.0.0.1")
         port = listening.getsockname()[1]
         # The connection is never read from, as on a machine whose processes are suspended.
-        assert await accepts(Address("127.0.0.1", port), 5.0) is True
+        assert await is_reachable(Address("127.0.0.1", port), 5.0) is True
         listening.close()
         # A refused connection shows that the operating system runs, though nothing listens.
-        assert await accepts(Address("127.0.0.1", port), 5.0) is True
+        assert await is_reachable(Address("127.0.0.1", port), 5.0) is True
 
     asyncio.run(scenario())
 
@@ -62,9 +62,9 @@
 
     async def scenario() -> None:
         monkeypatch.setattr("tornado.iostream.IOStream.connect", never)
-        assert await accepts(Address("127.0.0.1", 9), 0.01) is False
+        assert await is_reachable(Address("127.0.0.1", 9), 0.01) is False
         monkeypatch.setattr(socket, "socket", none_left)
-        assert await accepts(Address("127.0.0.1", 9), 0.01) is None
+        assert await is_reachable(Address("127.0.0.1", 9), 0.01) is None
 
     asyncio.run(scenario())
 
--- a/tools/load.py
+++ b/tools/load.py
@@ -55,7 +55,7 @@
         await asyncio.sleep(self._luck.uniform(0, within_s))
         while True:
             self._changed.clear()
-            body = orjson.dumps(self.report())
+            body = orjson.dumps(self.heartbeat())
             try:
                 answer = await client.request("POST", wire.HEARTBEAT_PATH, body, 4.0)
             except NoAnswerError:
