--- a/tealrill/daemon.py
+++ b/tealrill/daemon.py
@@ -342,8 +342,8 @@
         if leader is None or self.election.leadership is None:
             return
         leader.begin_handover()
-        until = monotonic_now() + _HANDOVER_TIMEOUT_S
-        while leader.busy and monotonic_now() < until and self.election.leadership is not None:
+        deadline = monotonic_now() + _HANDOVER_TIMEOUT_S
+        while leader.busy and monotonic_now() < deadline and self.election.leadership is not None:
             await asyncio.sleep(_HANDOVER_POLL_INTERVAL_S)
         await self.election.resign(reason, _RESIGN_PAUSE_S)
 
--- a/tealrill/profiling.py
+++ b/tealrill/profiling.py
@@ -24,7 +24,7 @@
 
 log = logging.getLogger(__name__)
 
-LINE_PREFIX: Final = "profile: "
+LOG_MARKER: Final = "profile: "
 _MAX_CAUSES: Final = 60
 """Number of causes in a line; the others make up about a thousandth of the time."""
 
@@ -173,7 +173,7 @@
         """Log the totals periodically, since the process may be killed at any time."""
         while True:
             await asyncio.sleep(self._every_s)
-            log.info("%s%s", LINE_PREFIX, msgspec.json.encode(self.profile(size())).decode())
+            log.info("%s%s", LOG_MARKER, msgspec.json.encode(self.profile(size())).decode())
 
     def profile(self, size: Size | None) -> Profile:
         """Return the totals of the costliest causes, few enough that logs keep the line whole."""
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -66,11 +66,11 @@
         if self.service.down:
             return self.answer(503, {})
         under, after = self.get_argument("under"), self.get_argument("from", "")
-        most = min(int(self.get_argument("most", "1000")), 1000)
+        limit = min(int(self.get_argument("most", "1000")), 1000)
         matching_keys = sorted(k for k in self.service.keys if k.startswith(under) and k > after)
         entries: list[Any] = []
         size = 0
-        for key in matching_keys[:most]:
+        for key in matching_keys[:limit]:
             value, mod_revision = self.service.keys[key]
             entries.append({"path": key, "value": value, "stamp": mod_revision})
             size += len(orjson.dumps(entries[-1]))
@@ -229,7 +229,7 @@
 
 
 class FakeCloud(FakeService):
-    """Fake cloud, which offers one machine type and rents out at most `most` machines."""
+    """Fake cloud, which offers one machine type and rents out at most `max_rented` machines."""
 
     routes = ((r"/catalog", _Catalogue), (r"/hosts/release", _Release), (r"/hosts", _Machines))
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -232,20 +232,20 @@
     """
 
     async def scenario(harness: NodeHarness) -> None:
-        ask = harness.operator.request
-        ping = await ask("GET", PING_PATH, None, _TIMEOUT_S)
+        request = harness.operator.request
+        ping = await request("GET", PING_PATH, None, _TIMEOUT_S)
         assert ping.status == 200 and orjson.loads(ping.body)["leads"] is True
         body = wire.encode(ExtensionRequest(1))
-        extension = await ask("POST", EXTENSION_PATH, body, _TIMEOUT_S)
+        extension = await request("POST", EXTENSION_PATH, body, _TIMEOUT_S)
         answer = orjson.loads(extension.body)
         assert extension.status == 200 and answer["promised"] is False and answer["why"]
-        assert (await ask("POST", EXTENSION_PATH, b"{}", _TIMEOUT_S)).status == 400
+        assert (await request("POST", EXTENSION_PATH, b"{}", _TIMEOUT_S)).status == 400
         assert await harness.submit() == 201
-        assert (await ask("GET", CATALOGUE_PATH, None, _TIMEOUT_S)).status == 200
-        poll = await ask("GET", PEER_PREFIX + "/v2/runs/wk-000412", None, _TIMEOUT_S)
+        assert (await request("GET", CATALOGUE_PATH, None, _TIMEOUT_S)).status == 200
+        poll = await request("GET", PEER_PREFIX + "/v2/runs/wk-000412", None, _TIMEOUT_S)
         assert poll.status == 200
-        shown = await ask("GET", "/admin/state", None, _TIMEOUT_S)
-        assert orjson.loads(shown.body)["held_by"] == "lease"
+        state = await request("GET", "/admin/state", None, _TIMEOUT_S)
+        assert orjson.loads(state.body)["held_by"] == "lease"
 
     _run_with_node(scenario)
 
--- a/tests/test_profiling.py
+++ b/tests/test_profiling.py
@@ -12,7 +12,7 @@
 import pytest
 
 from tealrill import features, profiling
-from tealrill.profiling import CAUSES, LINE_PREFIX, Profile, ProfileLog, Profiler, Size
+from tealrill.profiling import CAUSES, LOG_MARKER, Profile, ProfileLog, Profiler, Size
 from tools import profiles
 
 
@@ -81,12 +81,12 @@
     for number in range(200):
         profile_log._profiler.call(f"turn: some coroutine of a long name, {number}", lambda: None)
     size = Size(1.0, 1200, 30, 5000, 20000, 30000)
-    line = LINE_PREFIX + msgspec.json.encode(profile_log.profile(size)).decode()
+    line = LOG_MARKER + msgspec.json.encode(profile_log.profile(size)).decode()
     assert len(line) < 8000  # logs truncate longer lines
-    later = LINE_PREFIX + msgspec.json.encode(profile_log.profile(None)).decode()
+    later = LOG_MARKER + msgspec.json.encode(profile_log.profile(None)).decode()
     day = profiles.read(f"   12.5 node-0 I {line}\nsomething else\n{later}\n")
     assert day.mean("machines") == 1200.0 and sum(c.calls for c in day.costs.values()) == 60
-    assert isinstance(msgspec.json.decode(line.removeprefix(LINE_PREFIX), type=Profile), Profile)
+    assert isinstance(msgspec.json.decode(line.removeprefix(LOG_MARKER), type=Profile), Profile)
 
 
 def test_exponent_of_power_law() -> None:
--- a/tools/profiles.py
+++ b/tools/profiles.py
@@ -21,7 +21,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from tealrill.profiling import LINE_PREFIX, Cost, Profile, Size
+from tealrill.profiling import LOG_MARKER, Cost, Profile, Size
 
 _LEAST: Final = 0.005
 """Causes below this part of the whole are not shown one by one."""
@@ -51,7 +51,7 @@
     last: dict[int, Profile] = {}
     day = Day()
     for line in text.splitlines():
-        _, found, body = line.partition(LINE_PREFIX)
+        _, found, body = line.partition(LOG_MARKER)
         if found:
             profile = msgspec.json.decode(body, type=Profile)
             last[profile.pid] = profile
