--- a/tealrill/client/files.py
+++ b/tealrill/client/files.py
@@ -1,8 +1,8 @@
-"""Graph files: a graph in TOML, checked against a JSON Schema made from the daemon's own structs.
+"""Graph files: graphs in TOML, validated by a JSON Schema derived from the daemon's structs.
 
-A file says what a submission says (docs/graphs.md), in the same words. The daemon ignores fields
-that it does not know, as its protocol demands; in a file a misspelt `after` would silently run a
-node too early, so here unknown fields are errors.
+A file has the fields of a submission (docs/graphs.md). The daemon ignores unknown fields, as its
+protocol requires. In a file they are errors: with a misspelt `after` a node would silently run too
+early.
 """
 
 from __future__ import annotations
@@ -28,10 +28,10 @@
     forbid_unknown_fields=True,
     kw_only=True,
 )
-"""Any of a job's fields, without its id."""
+"""A job's fields without its id, all optional."""
 
 _Key = Annotated[str, Meta(min_length=1, max_length=100)]
-_Retries = Annotated[int, Meta(ge=0, le=MAX_RETRIES)]
+_MaxRetries = Annotated[int, Meta(ge=0, le=MAX_RETRIES)]
 
 
 class EdgeFields(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
@@ -48,7 +48,7 @@
     key: _Key
     job: JobFields | UnsetType = UNSET  # type: ignore[valid-type]
     after: list[_Key | EdgeFields] = []
-    maxRetries: _Retries | UnsetType = UNSET
+    maxRetries: _MaxRetries | UnsetType = UNSET
 
 
 class GraphFields(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
@@ -59,79 +59,86 @@
     defaults: JobFields | UnsetType = UNSET  # type: ignore[valid-type]
     onFailure: Literal["finish", "stop"] = "finish"
     dueS: wire.Amount | UnsetType = UNSET
-    maxRetries: _Retries | UnsetType = UNSET
+    maxRetries: _MaxRetries | UnsetType = UNSET
 
 
 class GraphFileError(TealrillError):
-    """A graph file that can't be used; each line of the text names a place in it."""
+    """An invalid graph file; each line of the text begins with the location of an error in it."""
 
 
 def schema() -> dict[str, Any]:
-    """The JSON Schema of graph files (draft 2020-12)."""
-    found = msgspec.json.schema(GraphFields)
+    """Return the JSON Schema of graph files (draft 2020-12)."""
+    generated = msgspec.json.schema(GraphFields)
     return {
         "$schema": "https://json-schema.org/draft/2020-12/schema",
         "title": "A tealrill task graph",
-        **found,
+        **generated,
     }
 
 
 def load(path: Path) -> dict[str, Any]:
-    """A graph file as a submission; raises `GraphFileError`."""
+    """Read and check a graph file and return it as a submission; raises `GraphFileError`."""
     try:
         content = tomllib.loads(path.read_text(encoding="utf-8"))
     except OSError as error:
         raise GraphFileError(f"{path}: {error.strerror}") from None
     except (UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
-        raise GraphFileError(f"{path}: not TOML: {error}") from None
+        raise GraphFileError(f"{path}: invalid TOML: {error}") from None
     check(content)
     return content
 
 
-def check(content: dict[str, Any], most_errors: int = 10) -> Shape:
-    """What the daemon would find wrong, and what it would ignore; raises `GraphFileError`.
+def check(content: dict[str, Any], max_errors: int = 10) -> Shape:
+    """Check a graph and return its shape; raises `GraphFileError`.
 
-    Whether a job can ever run (teams, machine types) only the daemon knows.
+    Errors are what the daemon would reject and the unknown fields that it would ignore. Whether a
+    job can run at all depends on teams and machine types, which only the daemon knows.
     """
     validator = jsonschema.Draft202012Validator(schema())
     errors = sorted(validator.iter_errors(content), key=lambda e: list(map(str, e.absolute_path)))
     if errors:
-        lines = [f"{_place(error, content)}: {_reason(error)}" for error in errors[:most_errors]]
-        if len(errors) > most_errors:
-            lines.append(f"and {len(errors) - most_errors} more")
+        lines = [
+            f"{_location(error, content)}: {_best_message(error)}" for error in errors[:max_errors]
+        ]
+        if len(errors) > max_errors:
+            lines.append(f"and {len(errors) - max_errors} more")
         raise GraphFileError("\n".join(lines))
     nodes = [msgspec.convert(node, Node) for node in content["nodes"]]
     defaults = content.get("defaults", {})
-    needed = {f.encode_name for f in _JOB_FIELDS if f.required}
+    required = {f.encode_name for f in _JOB_FIELDS if f.required}
     for node in nodes:
-        missing = sorted(needed - defaults.keys() - node.job.keys())
+        missing = sorted(required - defaults.keys() - node.job.keys())
         if missing:
             raise GraphFileError(
-                f"node {node.key!r}: {', '.join(missing)} missing, in its job and in defaults"
+                f"node {node.key!r}: {', '.join(missing)} missing in its job and the defaults"
             )
     try:
         return resolve(defaults, content.get("maxRetries", 3), [nodes])
     except InvalidGraphError as error:
-        where = f"node {error.node!r}, {error.field}" if error.node is not None else error.field
-        raise GraphFileError(f"{where}: {error}") from None
+        location = f"node {error.node!r}, {error.field}" if error.node is not None else error.field
+        raise GraphFileError(f"{location}: {error}") from None
 
 
-def _reason(error: jsonschema.ValidationError) -> str:
-    """Of alternatives, what stands against the one that fits best."""
-    best = jsonschema.exceptions.best_match([error])
-    return str((best or error).message)
+def _best_message(error: jsonschema.ValidationError) -> str:
+    """Return the message of an error; of alternatives, that of the one which matches best."""
+    best_match = jsonschema.exceptions.best_match([error])
+    return str((best_match or error).message)
 
 
-def _place(error: jsonschema.ValidationError, content: dict[str, Any]) -> str:
-    """Where in the file, with the node's key instead of its number."""
+def _location(error: jsonschema.ValidationError, content: dict[str, Any]) -> str:
+    """Return the location of an error in the file, with a node's key instead of its index."""
     parts: list[str] = []
-    at: Any = content
-    for step in error.absolute_path:
-        at = at[step]
-        if isinstance(step, int) and isinstance(at, dict) and isinstance(at.get("key"), str):
-            parts[-1:] = [f"node {at['key']!r}"]
-        elif isinstance(step, int):
-            parts.append(f"[{step}]")
+    value: Any = content
+    for component in error.absolute_path:
+        value = value[component]
+        if (
+            isinstance(component, int)
+            and isinstance(value, dict)
+            and isinstance(value.get("key"), str)
+        ):
+            parts[-1:] = [f"node {value['key']!r}"]
+        elif isinstance(component, int):
+            parts.append(f"[{component}]")
         else:
-            parts.append(str(step))
+            parts.append(str(component))
     return ", ".join(parts) or "file"
