--- a/run.py
+++ b/run.py
@@ -1,28 +1,28 @@
-"""Starts tealrill from a checkout, with the libraries that the build put under target/deps.
+"""Start tealrill from a checkout, with the libraries that the build installed in target/deps.
 
-A process that starts on a share of a core feels it when sources are compiled anew, and there is no
-disk to keep what was compiled. So the build makes a compiled copy under target/app, which is used
-as long as it is the copy of these very sources.
+Compiling the sources at each start is slow on a share of a core, and there is no disk for a
+bytecode cache. So the build makes a compiled copy in target/app. It is used if its sources have the
+same paths, sizes and modification times as those of the checkout.
 """
 
 import sys
 from pathlib import Path
 
 _ROOT = Path(__file__).resolve().parent
-_BUILT = _ROOT / "target" / "app"
+_COMPILED_ROOT = _ROOT / "target" / "app"
 
 
-def _sources(root: Path) -> set[tuple[str, int, int]]:
-    """Each source's name, size and time of change."""
-    found = set()
+def _source_files(root: Path) -> set[tuple[str, int, int]]:
+    """Return the path, size and modification time of each source file."""
+    files = set()
     for path in (root / "tealrill").rglob("*.py"):
         status = path.stat()
-        found.add((str(path.relative_to(root)), status.st_size, status.st_mtime_ns))
-    return found
+        files.add((str(path.relative_to(root)), status.st_size, status.st_mtime_ns))
+    return files
 
 
-_APP = _BUILT if _sources(_BUILT) == _sources(_ROOT) else _ROOT
-sys.path[:0] = [str(_APP), str(_ROOT / "target" / "deps")]
+_APP_ROOT = _COMPILED_ROOT if _source_files(_COMPILED_ROOT) == _source_files(_ROOT) else _ROOT
+sys.path[:0] = [str(_APP_ROOT), str(_ROOT / "target" / "deps")]
 
 from tealrill.cli import main  # noqa: E402  (the path must be set first)
 
--- a/tealrill/daemon.py
+++ b/tealrill/daemon.py
@@ -1,4 +1,4 @@
-"""One controller: its servers, its election, and the leader's term when it has one."""
+"""A controller: its HTTP servers, leader election, and the leader while it is elected."""
 
 from __future__ import annotations
 
@@ -43,24 +43,24 @@
 
 log = logging.getLogger(__name__)
 
-_HELD_PART: Final = 0.1
-"""The part of the machine's memory that held bodies may take, reports and others each."""
-_CLOSE_IDLE_S: Final = 30.0
-_HAND_OVER_S: Final = 1.0
-"""What is under way is waited for so long; the lease is three times that."""
-_HAND_OVER_LOOK_S: Final = 0.02
+_BODY_MEMORY_SHARE: Final = 0.1
+"""Share of the memory quota for buffered request bodies, for heartbeats and others each."""
+_IDLE_CHECK_INTERVAL_S: Final = 30.0
+_HANDOVER_TIMEOUT_S: Final = 1.0
+"""Time limit for finishing work in flight before a handover; a third of the lease's TTL."""
+_HANDOVER_POLL_INTERVAL_S: Final = 0.02
 _RESIGN_PAUSE_S: Final = 10.0
-_SILENT_REPORTS: Final = 4.0
-_TERM_CHECK_S: Final = 0.5
-_STOOD_STILL_S: Final = 1.0
-_HEARD_BEFORE: Final = 2
+_MAX_MISSED_HEARTBEATS: Final = 4.0
+_REACHABILITY_CHECK_INTERVAL_S: Final = 0.5
+_MAX_LOOP_DELAY_S: Final = 1.0
+_MIN_CONTACTED_MACHINES: Final = 2
 
 
 class Controller:
     """One controller process."""
 
     def __init__(self, settings: Settings, features: Features | None = None) -> None:
-        """Wire the controller together; without `features` all extensions are off."""
+        """Assemble the controller; without `features` all extensions are disabled."""
         params = settings.params
         self._settings = settings
         self._features = features or Features()
@@ -75,7 +75,7 @@
         self.leader: Leader | None = None
         self._catalogue_cache = CatalogueCache(settings, self._cloud)
         self.admission = Admission(self._client, settings, lambda: self._catalogue_cache.catalogue)
-        self.admission.counts = self._counts
+        self.admission.counts = self._task_counts
         self._lease_extension = LeaseExtension(
             settings, self._client, self.election, self.admission.acknowledged
         )
@@ -95,16 +95,16 @@
             else CancellationKnowledge()
         )
         self._lease_extension.on_cancellations_known = self._on_cancellations_known
-        self._lease_extension.on_cancelled = self._cancelled_elsewhere
+        self._lease_extension.on_cancelled = self._on_cancelled_by_peer
         self._lease_extension.is_excluded = self._is_excluded
         self._lease_extension.on_extended_by_exclusion = self._on_lease_extended
-        self._last_report: Monotonic | None = None
-        self._report_counts = HeartbeatCounts()
+        self._last_heartbeat_at: Monotonic | None = None
+        self._heartbeat_counts = HeartbeatCounts()
         self._transfer = LeadershipTransfer(settings)
         self._lease_extension.heartbeat_count = lambda: self._transfer.recent_heartbeats(
             monotonic_now()
         )
-        self._fronts: list[HttpFrontend] = []
+        self._frontends: list[HttpFrontend] = []
         self.servers: list[Server] = []
         self._relay = Relay(self.admission, settings, lambda: self._client.failing)
         self.extensions = self._enabled_extensions()
@@ -113,12 +113,12 @@
                 self.admission.implicit_jobs = extension.implicit_jobs
 
     def _enabled_extensions(self) -> list[Extension]:
-        """Make the extensions that are switched on; what is off is not even imported."""
-        found: list[Extension] = []
+        """Create the enabled extensions; the modules of disabled ones are not imported."""
+        extensions: list[Extension] = []
         if self._features.graphs.on:
             from tealrill.graphs.extension import create_graphs_extension
 
-            found.append(
+            extensions.append(
                 create_graphs_extension(
                     self._settings,
                     self._features.graphs,
@@ -128,67 +128,71 @@
                     self._relay,
                 )
             )
-        return found
+        return extensions
 
     # -- running --------------------------------------------------------------------------------
 
-    async def run(self, *more: Callable[[], Coroutine[Any, Any, None]]) -> None:
-        """Serve until it is cancelled; `more` are loops that run beside the controller's own."""
+    async def run(self, *extra_loops: Callable[[], Coroutine[Any, Any, None]]) -> None:
+        """Serve until cancelled, with `extra_loops` next to the controller's own loops."""
         self._listen()
         async with asyncio.TaskGroup() as group:
             group.create_task(self.election.run())
             group.create_task(self._lease_extension.run())
             group.create_task(self._renewal_delegate.run())
             group.create_task(self._revocation.run())
-            group.create_task(self._terms())
+            group.create_task(self._run_terms())
             group.create_task(self._catalogue_cache.run())
             group.create_task(self._check_reachability())
-            group.create_task(self._close_idle())
+            group.create_task(self._close_idle_connections())
             for extension in self.extensions:
                 for loop in extension.loops:
                     group.create_task(loop())
-            for loop in more:
+            for loop in extra_loops:
                 group.create_task(loop())
 
     def _listen(self) -> None:
-        users: list[Any] = [
-            *_user_rules("", self._relay),
+        client_routes: list[Any] = [
+            *_job_routes("", self._relay),
             (wire.HEALTH_PATH, HealthHandler, {"healthy": lambda: True}),
         ]
-        operators: list[Any] = [
+        cluster_routes: list[Any] = [
             (r"/admin/state", AdminStateHandler, {"node": self}),
             (EXTENSION_PATH, LeaseExtensionHandler, {"extension": self._lease_extension}),
             (PING_PATH, PingHandler, {"extension": self._lease_extension}),
             (CATALOGUE_PATH, CatalogueHandler, {"known": lambda: self._catalogue_cache.catalogue}),
-            *_user_rules(PEER_PREFIX, self.admission),
+            *_job_routes(PEER_PREFIX, self.admission),
         ]
         for extension in self.extensions:
-            users += extension.user_routes
-            operators += extension.peer_routes
-        most_held = int(_HELD_PART * self._settings.params.quota.ram_mb * 1024 * 1024)
-        for rules, where, handle_heartbeat in (
-            (users, self._settings.client_listen, self.handle_heartbeat),
-            (operators, self._settings.cluster_listen, None),
+            client_routes += extension.user_routes
+            cluster_routes += extension.peer_routes
+        max_held_bytes = int(_BODY_MEMORY_SHARE * self._settings.params.quota.ram_mb * 1024 * 1024)
+        for routes, listen_address, handle_heartbeat in (
+            (client_routes, self._settings.client_listen, self.handle_heartbeat),
+            (cluster_routes, self._settings.cluster_listen, None),
         ):
             application = web.Application(
-                rules, default_handler_class=NotFound, log_function=no_access_log
+                routes, default_handler_class=NotFound, log_function=no_access_log
             )
-            front = HttpFrontend(application, most_held, handle_heartbeat)
-            self._fronts.append(front)
-            address = parse_address(where)
-            server = Server(front)
+            frontend = HttpFrontend(application, max_held_bytes, handle_heartbeat)
+            self._frontends.append(frontend)
+            address = parse_address(listen_address)
+            server = Server(frontend)
             server.listen(address.port, address.host)
             self.servers.append(server)
-        log.info("%s listens on %s", self._settings.host_name, self._settings.client_listen)
+        log.info(
+            "controller listening: host=%s address=%s",
+            self._settings.host_name,
+            self._settings.client_listen,
+        )
 
-    async def _close_idle(self) -> None:
+    async def _close_idle_connections(self) -> None:
         while True:
-            await asyncio.sleep(_CLOSE_IDLE_S)
-            for front in self._fronts:
-                await front.close_idle(monotonic_now())
+            await asyncio.sleep(_IDLE_CHECK_INTERVAL_S)
+            for frontend in self._frontends:
+                await frontend.close_idle(monotonic_now())
 
-    async def _terms(self) -> None:
-        """Run a `Leader` for as long as the election says so."""
+    async def _run_terms(self) -> None:
+        """Run a `Leader` for each term that this controller is elected for."""
         while True:
             await self._leader_changed.wait()
             self._leader_changed.clear()
@@ -211,70 +215,76 @@
                 self._catalogue_cache.catalogue,
             )
             self.leader = leader
-            term = asyncio.create_task(leader.run())
-            term.add_done_callback(lambda _: self._leader_changed.set())
-            while self.election.leadership is leadership and not term.done():
+            term_task = asyncio.create_task(leader.run())
+            term_task.add_done_callback(lambda _: self._leader_changed.set())
+            while self.election.leadership is leadership and not term_task.done():
                 await self._leader_changed.wait()
                 self._leader_changed.clear()
             self.leader = None
             self._cloud.set_leading(False)
-            await self._end_term(term)
+            await self._end_term(term_task)
             self._leader_changed.set()
 
-    async def _end_term(self, term: asyncio.Task[None]) -> None:
-        term.cancel()
-        # Awaited itself, its cancellation could not be told from that of this node: a node that was
-        # stopped right after its leadership ended went on for ever.
-        await asyncio.wait({term})
-        error = None if term.cancelled() else term.exception()
+    async def _end_term(self, term_task: asyncio.Task[None]) -> None:
+        term_task.cancel()
+        # `await term_task` would raise CancelledError for the task's cancellation as well as for
+        # this coroutine's own. With one taken for the other, a controller that is stopped right
+        # after its leadership ended would never stop.
+        await asyncio.wait({term_task})
+        error = None if term_task.cancelled() else term_task.exception()
         if error is not None:
-            # Another node, or this one in a new term, starts again from the records.
-            log.error("the term ended by an error", exc_info=error)
-            await self.election.resign("an error ended the term", 1.0)
+            # The next leader, which may be this controller, restores its state from the records.
+            log.error("term aborted by an unhandled error", exc_info=error)
+            await self.election.resign("unhandled error in the term", 1.0)
 
     # -- workers --------------------------------------------------------------------------------
 
     def handle_heartbeat(
-        self, report: wire.Heartbeat, machine_id: MachineId
+        self, heartbeat: wire.Heartbeat, machine_id: MachineId
     ) -> tuple[int, dict[str, Any]]:
         """Process a worker's heartbeat; return the status and the body of the response.
 
-        Only a leader that is valid at this moment, and that knows what users were told is
-        cancelled, responds with 200, or a node that renews in its place.
+        The status is 200, which renews the worker's lease, only if this controller leads with a
+        valid lease and its knowledge of acknowledged cancellations is recent enough, or if the
+        leader has delegated renewals to it. Otherwise it is 421, with the leader's host if that is
+        known and reachable, or 503 if the leader rejects the heartbeat.
         """
         now = monotonic_now()
-        self._last_report = now
+        self._last_heartbeat_at = now
         self._transfer.record_heartbeat(now)
         leadership = self.election.valid_leadership(now)
         if leadership is None or self.leader is None or not self.leader.may_renew_workers(now):
-            term = self._renewal_delegate.renewal_token(report, machine_id, now)
-            if term is not None:
-                # The leader can't hear this worker, and waits for it.
-                self._report_counts.delegated += 1
-                return 200, wire.heartbeat_response(term, [])
-            known = self.election.known_leader
-            host = known.host if known is not None else None
+            token = self._renewal_delegate.renewal_token(heartbeat, machine_id, now)
+            if token is not None:
+                # A delegated renewal: heartbeats of this worker don't reach the leader.
+                self._heartbeat_counts.delegated += 1
+                return 200, wire.heartbeat_response(token, [])
+            known_leader = self.election.known_leader
+            host = known_leader.host if known_leader is not None else None
             if host == self._settings.host_name or self._renewal_delegate.leader_unreachable:
-                # Sent to a leader that does not answer this node either, a worker loses 4 s of its
-                # lease there; asking the next node costs 1 s.
+                # Name no leader. A worker that is redirected to an unreachable leader loses 4 s of
+                # its lease waiting for it; trying the next controller costs 1 s.
                 host = None
-            self._report_counts.redirected += 1
+            self._heartbeat_counts.redirected += 1
             return 421, wire.redirect(host)
-        commands = self.leader.handle_heartbeat(report, machine_id, now)
+        commands = self.leader.handle_heartbeat(heartbeat, machine_id, now)
         if commands is None:
-            self._report_counts.refused += 1
+            self._heartbeat_counts.refused += 1
             return 503, {"error": "not taken"}
-        self._report_counts.renewed += 1
+        self._heartbeat_counts.renewed += 1
         return 200, wire.heartbeat_response(leadership.term, commands)
 
     def _has_quorum_reach(self) -> bool:
-        """Whether workers reach this node, and whether there can be workers in its own zone.
+        """Return True if heartbeats still reach this controller and its zone offers machine types.
 
-        A leader in a zone without machines is cut off from all of them in turn by every cut of its
-        zone; one that has machines beside it keeps at least those.
+        A partition of its zone cuts a leader in a zone without machines off from every machine. A
+        leader with machines in its own zone still reaches those.
         """
-        last = self._last_report
-        if last is not None and monotonic_now() - last > self._silent_s:
+        last_heartbeat_at = self._last_heartbeat_at
+        if (
+            last_heartbeat_at is not None
+            and monotonic_now() - last_heartbeat_at > self._heartbeat_timeout_s
+        ):
             return False
         catalogue = self._catalogue_cache.catalogue
         return catalogue is not None and any(
@@ -282,53 +292,63 @@
         )
 
     @property
-    def _silent_s(self) -> float:
-        return max(4.0, _SILENT_REPORTS * self._report_s)
+    def _heartbeat_timeout_s(self) -> float:
+        return max(4.0, _MAX_MISSED_HEARTBEATS * self._heartbeat_interval_s)
 
     @property
-    def _report_s(self) -> float:
+    def _heartbeat_interval_s(self) -> float:
         return self._settings.params.workers.heartbeat_interval_s
 
     async def _check_reachability(self) -> None:
-        """Let somebody else lead when no worker reaches this leader any more."""
+        """Resign, so that another member can lead, once no heartbeats reach this leader."""
         while True:
-            due = monotonic_now() + _TERM_CHECK_S
-            await asyncio.sleep(_TERM_CHECK_S)
-            leader, leadership, last = self.leader, self.election.leadership, self._last_report
+            expected_at = monotonic_now() + _REACHABILITY_CHECK_INTERVAL_S
+            await asyncio.sleep(_REACHABILITY_CHECK_INTERVAL_S)
+            leader, leadership, last_heartbeat_at = (
+                self.leader,
+                self.election.leadership,
+                self._last_heartbeat_at,
+            )
             now = monotonic_now()
-            if leader is None or leadership is None or last is None or now - due > _STOOD_STILL_S:
-                # After a standstill of this node the workers' reports wait to be read.
+            if (
+                leader is None
+                or leadership is None
+                or last_heartbeat_at is None
+                or now - expected_at > _MAX_LOOP_DELAY_S
+            ):
+                # After a pause of this process, heartbeats that arrived meanwhile are still unread.
                 continue
-            heard = sum(
+            contacted_machines = sum(
                 m.last_contact_at is not None and not m.lease_expired
                 for m in leader.fleet.machines.values()
             )
-            if heard < _HEARD_BEFORE or not leadership.valid(now):
+            if contacted_machines < _MIN_CONTACTED_MACHINES or not leadership.valid(now):
                 continue
-            if now - last > self._silent_s:
-                await self.election.resign("no worker reports any more", _RESIGN_PAUSE_S)
-            elif failure_detector.has_lost_all_heartbeats(now - last, heard, self._report_s) and (
-                await self._transfer.peer_receives_heartbeats(heard)
-            ):
-                await self.election.resign("workers report to others only", _RESIGN_PAUSE_S)
-
-    async def hand_over(self, why: str) -> None:
-        """Give up leading in good order: what was begun is written, the rest is left recorded.
-
-        The next leader starts as soon as the lease's end is seen, instead of a lease later. A node
-        that does not lead has nothing to hand over.
+            if now - last_heartbeat_at > self._heartbeat_timeout_s:
+                await self.election.resign("no heartbeats arrive", _RESIGN_PAUSE_S)
+            elif failure_detector.has_lost_all_heartbeats(
+                now - last_heartbeat_at, contacted_machines, self._heartbeat_interval_s
+            ) and (await self._transfer.peer_receives_heartbeats(contacted_machines)):
+                await self.election.resign("heartbeats reach only other members", _RESIGN_PAUSE_S)
+
+    async def hand_over(self, reason: str) -> None:
+        """Finish the work in flight, within a time limit, and resign leadership.
+
+        Requests to the cloud are not waited for; they are recorded, and the next leader completes
+        them. Because the lease is released, another member can be elected at once instead of after
+        the lease has expired. Does nothing if this controller does not lead.
         """
         leader = self.leader
         if leader is None or self.election.leadership is None:
             return
         leader.begin_handover()
-        until = monotonic_now() + _HAND_OVER_S
-        while leader.busy and monotonic_now() < until and self.election.leadership is not None:
-            await asyncio.sleep(_HAND_OVER_LOOK_S)
-        await self.election.resign(why, _RESIGN_PAUSE_S)
+        deadline = monotonic_now() + _HANDOVER_TIMEOUT_S
+        while leader.busy and monotonic_now() < deadline and self.election.leadership is not None:
+            await asyncio.sleep(_HANDOVER_POLL_INTERVAL_S)
+        await self.election.resign(reason, _RESIGN_PAUSE_S)
 
     def _leader_in(self, leadership: Leadership) -> Leader | None:
-        """Return the leader of just this term, None if there is none."""
+        """Return this controller's leader if it runs the given term, else None."""
         leader = self.leader
         return leader if leader is not None and leader.runs_term(leadership) else None
 
@@ -346,13 +366,13 @@
         if leader is not None:
             leader.on_cancellations_known(at)
 
-    def _cancelled_elsewhere(self, job: str) -> None:
+    def _on_cancelled_by_peer(self, job: str) -> None:
         if self.leader is not None:
-            self.leader.lifecycle.on_cancelled(job, "word of a member")
+            self.leader.lifecycle.on_cancelled(job, "acknowledged by another member")
 
-    # -- what is shown --------------------------------------------------------------------------
+    # -- status ----------------------------------------------------------------------------------
 
-    def _counts(self, job_id: JobId) -> tuple[int, int] | None:
+    def _task_counts(self, job_id: JobId) -> tuple[int, int] | None:
         leader = self.leader
         if leader is None or not leader.fleet.loaded:
             return None
@@ -360,21 +380,21 @@
         return (job.done_count, job.bound_count) if job is not None else (0, 0)
 
     def describe(self) -> dict[str, Any]:
-        """Return this controller's state, for operators."""
+        """Return the state of this controller for operators."""
         return describe_node(
             self._settings.host_name,
             self.election,
             self._renewal_delegate,
-            self._report_counts,
+            self._heartbeat_counts,
             self._client.interruptions,
             self.leader,
         )
 
 
-def _user_rules(prefix: str, users: JobRequests) -> list[Any]:
+def _job_routes(prefix: str, job_requests: JobRequests) -> list[Any]:
     jobs = prefix + wire.JOBS_PATH
     return [
-        (jobs, JobsHandler, {"admission": users}),
-        (jobs + r"/([^/]+)", JobHandler, {"admission": users}),
-        (jobs + r"/([^/]+)/" + wire.CANCEL_PATH, CancelHandler, {"admission": users}),
+        (jobs, JobsHandler, {"admission": job_requests}),
+        (jobs + r"/([^/]+)", JobHandler, {"admission": job_requests}),
+        (jobs + r"/([^/]+)/" + wire.CANCEL_PATH, CancelHandler, {"admission": job_requests}),
     ]
--- a/tealrill/http.py
+++ b/tealrill/http.py
@@ -1,8 +1,8 @@
 """An HTTP/1.1 client with persistent connections, over tornado's protocol implementation.
 
-tornado's simple client opens a connection for every request. With a share of a core and a limited
-number of sockets that costs more than the request itself, so idle connections are kept here and
-used again; the parsing and writing of messages stay tornado's.
+tornado's simple client opens a connection for every request, which costs more than the request
+itself when the process has only a share of a core and a limited number of sockets. This client
+keeps idle connections and reuses them; tornado still parses and writes the messages.
 """
 
 from __future__ import annotations
@@ -18,34 +18,34 @@
 from tealrill.errors import TealrillError
 from tealrill.settings import Address, Settings, parse_address
 
-_LATE_S: Final = 0.3
+_MAX_LOOP_DELAY_S: Final = 0.3
 _PARAMETERS: Final = HTTP1ConnectionParameters(
     max_header_size=16 * 1024, max_body_size=64 * 1024 * 1024
 )
 
 
 class NoAnswerError(TealrillError):
-    """No answer came. `sent` is False only if the request certainly never left."""
+    """No response was received. `sent` is False only if no byte of the request was sent."""
 
     def __init__(
-        self, why: str, sent: bool, refused: bool = False, timed_out: bool = False
+        self, message: str, sent: bool, refused: bool = False, timed_out: bool = False
     ) -> None:
-        super().__init__(why)
+        super().__init__(message)
         self.sent = sent
         self.refused = refused
-        """The connection was refused at once."""
+        """The connection was refused."""
         self.timed_out = timed_out
-        """Nothing at all came within the time."""
+        """No complete response arrived within the timeout."""
 
 
 class Answer(httputil.HTTPMessageDelegate):
-    """Collects one response."""
+    """Collector of one response."""
 
     def __init__(self) -> None:
         self.status = 0
         self.body = b""
         self.complete = False
-        self.keep = True
+        self.keep_alive = True
         self._chunks: list[bytes] = []
 
     def headers_received(
@@ -56,7 +56,7 @@
         """Record the status and whether the connection stays open."""
         assert isinstance(start_line, httputil.ResponseStartLine)
         self.status = start_line.code
-        self.keep = headers.get("Connection", "").lower() != "close"
+        self.keep_alive = headers.get("Connection", "").lower() != "close"
 
     def data_received(self, chunk: bytes) -> None:
         """Collect a part of the body."""
@@ -68,39 +68,40 @@
         self.complete = True
 
 
-def send_at_once(stream: iostream.IOStream) -> None:
-    """Disable Nagle's algorithm for as long as the connection stands.
+def disable_nagle(stream: iostream.IOStream) -> None:
+    """Disable Nagle's algorithm for the lifetime of the connection.
 
-    tornado sets that before each message and takes it back after it: two more system calls beside
-    the three or four that a report takes.
+    tornado disables it before each message and enables it afterwards. That adds two system calls
+    to the three or four that a heartbeat takes.
     """
     stream.set_nodelay(True)
-    stream.set_nodelay = _as_it_is  # type: ignore[method-assign]
+    stream.set_nodelay = _ignore_nodelay  # type: ignore[method-assign]
 
 
-def _as_it_is(value: bool) -> None:
-    """Leaves the stream's setting alone."""
+def _ignore_nodelay(value: bool) -> None:
+    """Ignore a change of the setting."""
 
 
-async def accepts(address: Address, timeout_s: float) -> bool | None:
-    """Return whether something at the address accepts or refuses connections; None if unknown.
+async def is_reachable(address: Address, timeout_s: float) -> bool | None:
+    """Return True if the host at the address answers a connection attempt, None if unknown.
 
-    False is silence for all of the time. A machine that has lost power or is cut off is silent; one
-    whose processes stand still connects all the same.
+    A refused connection counts as an answer. False means no answer within `timeout_s`: the machine
+    has lost power or is partitioned. If only its processes hang, its kernel still accepts
+    connections.
     """
     try:
         stream = iostream.IOStream(socket.socket())
     except OSError:
-        # No socket left: that is this controller's trouble and says nothing of the other.
+        # This process has no file descriptor left, which says nothing about the other host.
         return None
     loop = asyncio.get_running_loop()
-    began = loop.time()
+    started_at = loop.time()
     try:
         async with asyncio.timeout(timeout_s):
             await stream.connect((address.host, address.port))
     except TimeoutError:
-        # Where this loop itself was late the answer may be waiting unread.
-        return None if loop.time() - began > timeout_s + _LATE_S else False
+        # If this event loop was delayed, the answer may have arrived and not been read yet.
+        return None if loop.time() - started_at > timeout_s + _MAX_LOOP_DELAY_S else False
     except (OSError, iostream.StreamClosedError) as error:
         cause = getattr(error, "real_error", None) or error
         return True if isinstance(cause, ConnectionRefusedError) else None
@@ -111,7 +112,7 @@
 
 
 class Client:
-    """Requests to one address. At most `max_idle` connections are kept idle."""
+    """HTTP client of one address that keeps at most `max_idle` idle connections."""
 
     def __init__(self, address: Address, max_idle: int = 4) -> None:
         self._address = address
@@ -126,18 +127,19 @@
         timeout_s: float = 2.0,
         check: Callable[[], None] | None = None,
     ) -> Answer:
-        """Send one request and return its response; raise `NoAnswerError` if none came.
+        """Send a request and return its response; raise `NoAnswerError` if none is received.
 
-        `check` is called once there is a connection and before any byte leaves; it may raise.
+        `check` is called when a connection is open and before the first byte is sent; what it
+        raises aborts the request.
         """
         sent = False
         stream: iostream.IOStream | None = None
         try:
             async with asyncio.timeout(timeout_s):
-                stream = self._take_idle()
+                stream = self._pop_idle()
                 if stream is None:
                     stream = iostream.IOStream(socket.socket())
-                    send_at_once(stream)
+                    disable_nagle(stream)
                     await stream.connect((self._address.host, self._address.port))
                 if check is not None:
                     check()
@@ -152,7 +154,7 @@
         except BaseException:
             self._close(stream)
             raise
-        if answer.keep and len(self._idle) < self._max_idle and not stream.closed():
+        if answer.keep_alive and len(self._idle) < self._max_idle and not stream.closed():
             self._idle.append(stream)
         else:
             stream.close()
@@ -178,7 +180,7 @@
             raise iostream.StreamClosedError()
         return answer
 
-    def _take_idle(self) -> iostream.IOStream | None:
+    def _pop_idle(self) -> iostream.IOStream | None:
         while self._idle:
             stream = self._idle.pop()
             if not stream.closed():
@@ -198,5 +200,5 @@
 
 
 def peer_clients(settings: Settings, max_idle: int = 1) -> dict[str, Client]:
-    """Return a client of each other member, by host name."""
+    """Return a client for each other member, by host name."""
     return {m.host_name: Client(parse_address(m.peer_addr), max_idle) for m in settings.members}
--- a/tealrill/simulation/cluster.py
+++ b/tealrill/simulation/cluster.py
@@ -163,7 +163,7 @@
             finally:
                 await cluster.network.wait_until_resumed(name)
 
-        async def accepts(address: Address, timeout_s: float) -> bool | None:
+        async def is_reachable(address: Address, timeout_s: float) -> bool | None:
             endpoint = cluster.network.endpoint_of(address)
             if cluster.cloud.machines[endpoint].terminated or cluster.network.partitioned(
                 PROCESS.get().name, endpoint
@@ -174,6 +174,6 @@
 
         with (
             mock.patch.object(http.Client, "request", request),
-            mock.patch.object(prober, "accepts", accepts),
+            mock.patch.object(prober, "is_reachable", is_reachable),
         ):
             yield cluster
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -1,4 +1,4 @@
-"""A whole node on loopback, against stand-ins for the state service, the cloud and the workers."""
+"""A complete controller on loopback, with fakes of the state service, the cloud and workers."""
 
 from __future__ import annotations
 
@@ -38,9 +38,9 @@
 
 
 class NodeHarness:
-    """A node with everything around it."""
+    """A controller with fakes of the services it depends on."""
 
-    def __init__(self, switched: features.Features | None = None) -> None:
+    def __init__(self, enabled_features: features.Features | None = None) -> None:
         self.state = FakeStateService()
         self.cloud = FakeCloud()
         values = copy.deepcopy(SETTINGS)
@@ -48,8 +48,8 @@
         values["client_listen"], values["cluster_listen"] = free_address(), free_address()
         values["services"] = {"cloud": self.cloud.address, "state": self.state.address}
         self.values = values
-        self.switched = switched
-        self.node = Controller(settings.parse(orjson.dumps(values)), switched)
+        self.enabled_features = enabled_features
+        self.node = Controller(settings.parse(orjson.dumps(values)), enabled_features)
         self.client = Client(settings.parse_address(values["client_listen"]))
         self.operator = Client(settings.parse_address(values["cluster_listen"]))
 
@@ -63,7 +63,7 @@
                 await asyncio.sleep(0.01)
 
     async def stop(self) -> None:
-        """The process is gone: nothing of it goes on, its sockets are closed."""
+        """Stop the controller as if its process had been killed: no task runs on, sockets close."""
         self.task.cancel()
         with contextlib.suppress(asyncio.CancelledError):
             await self.task
@@ -73,7 +73,7 @@
 
     async def restart(self) -> None:
         await self.stop()
-        self.node = Controller(settings.parse(orjson.dumps(self.values)), self.switched)
+        self.node = Controller(settings.parse(orjson.dumps(self.values)), self.enabled_features)
         self.start()
         await self.wait_until_leader()
 
@@ -83,7 +83,7 @@
         return answer.status, orjson.loads(answer.body)
 
     async def submit(self, **changes: Any) -> int:
-        """Submits until the node knows its machine types."""
+        """Submit a job until the controller knows the machine types; return the HTTP status."""
         while True:
             status, _ = await self.send("POST", "/v2/runs", {**SUBMISSION, **changes})
             if status != 503:
@@ -91,7 +91,7 @@
             await asyncio.sleep(0.02)
 
     async def send_heartbeat(self, worker: FakeWorker) -> int:
-        status, answer = await self.send("POST", "/agent/beat", worker.report())
+        status, answer = await self.send("POST", "/agent/beat", worker.heartbeat())
         if status == 200:
             worker.token = answer["baton"]
             worker.execute(answer["orders"])
@@ -109,8 +109,10 @@
 
 
 @contextlib.asynccontextmanager
-async def running(switched: features.Features | None = None) -> AsyncIterator[NodeHarness]:
-    harness = NodeHarness(switched)
+async def running_node(
+    enabled_features: features.Features | None = None,
+) -> AsyncIterator[NodeHarness]:
+    harness = NodeHarness(enabled_features)
     harness.start()
     try:
         await harness.wait_until_leader()
@@ -119,17 +121,17 @@
         await harness.stop()
 
 
-def _in_a_world(test: Callable[[NodeHarness], Coroutine[Any, Any, None]]) -> None:
+def _run_with_node(test: Callable[[NodeHarness], Coroutine[Any, Any, None]]) -> None:
     async def run() -> None:
-        async with running() as harness:
+        async with running_node() as harness:
             await test(harness)
 
-    # On the loop that the daemon runs on.
+    # Use the event loop that the daemon uses.
     with asyncio.Runner(loop_factory=new_event_loop) as runner:
         runner.run(run())
 
 
-def test_a_job_runs_to_its_end() -> None:
+def test_job_runs_to_completion() -> None:
     async def scenario(harness: NodeHarness) -> None:
         assert await harness.submit(pieces=2) == 201
         assert await harness.submit(pieces=2) == 200
@@ -142,14 +144,14 @@
         async with asyncio.timeout(_TIMEOUT_S):
             while await harness.status("wk-000412") != "done":
                 await asyncio.sleep(0.02)
-        # A job that is over stays known, and its repetition is no new job.
+        # The record of a completed job remains: submitting it again creates no new job.
         assert await harness.submit(pieces=0) == 200
         assert (await harness.send("POST", "/v2/runs/wk-000412/cancel"))[1]["status"] == "done"
 
-    _in_a_world(scenario)
+    _run_with_node(scenario)
 
 
-def test_a_cancelled_job_is_stopped_and_stays_cancelled() -> None:
+def test_cancelled_job_is_stopped_and_stays_cancelled() -> None:
     async def scenario(harness: NodeHarness) -> None:
         assert await harness.submit(pieces=1) == 201
         worker = FakeWorker("m-000001")
@@ -160,14 +162,14 @@
         assert await harness.status("wk-000412") == "aborted"
         assert await harness.submit(pieces=1) == 200
 
-    _in_a_world(scenario)
+    _run_with_node(scenario)
 
 
-def test_a_lost_answer_of_the_state_service_loses_nothing() -> None:
+def test_lost_commit_response_loses_no_record() -> None:
     async def scenario(harness: NodeHarness) -> None:
         assert await harness.submit(id="wk-1", pieces=1) == 201
         harness.state.responses_to_drop = 1
-        # Executed without an answer: read back, and accepted.
+        # The transaction is executed but its response lost: the record is read back.
         assert await harness.submit(id="wk-2", pieces=1) == 200
         harness.state.responses_to_drop = 2
         worker = FakeWorker("m-000001")
@@ -175,10 +177,10 @@
         bound = [v for k, (v, _) in harness.state.keys.items() if k.startswith("run/wk-2/")]
         assert bound[0]["tasks"][0][1] == "m-000001"
 
-    _in_a_world(scenario)
+    _run_with_node(scenario)
 
 
-def test_an_outage_is_told_at_once_and_ends() -> None:
+def test_state_service_outage_returns_503_until_recovery() -> None:
     async def scenario(harness: NodeHarness) -> None:
         assert await harness.submit(id="wk-1") == 201
         harness.state.down = True
@@ -189,10 +191,10 @@
         harness.state.down = False
         assert await harness.submit(id="wk-2") == 201
 
-    _in_a_world(scenario)
+    _run_with_node(scenario)
 
 
-def test_bad_input_gets_its_status_in_json() -> None:
+def test_invalid_requests_return_status_and_json_error() -> None:
     async def scenario(harness: NodeHarness) -> None:
         assert await harness.submit(id="wk-1") == 201
 
@@ -211,7 +213,7 @@
         assert (await submit({**SUBMISSION, "id": "wk-2", "vcpus": 9.0}))[0] == 422
         assert (await submit({**SUBMISSION, "id": "wk-2", "crew": "red", "shape": "standing",
                               "pieces": 17}))[0] == 422  # fmt: skip
-        # A known job is answered as known, however its repetition is spoilt.
+        # A repeated submission gets the known job's status even if its body is invalid.
         assert (await submit({"id": "wk-1"}))[0] == 200
         assert (await harness.send("GET", "/v2/runs/wk-77"))[0] == 404
         assert (await harness.send("POST", "/v2/runs/wk-77/cancel"))[0] == 404
@@ -219,37 +221,40 @@
         assert (await harness.send("GET", "/v2/runs"))[0] == 405
         assert (await harness.send("POST", "/agent/beat", {"kiln": "m-1"}))[0] == 400
 
-    _in_a_world(scenario)
+    _run_with_node(scenario)
 
 
-def test_every_route_between_members_is_wired() -> None:
-    """A handler was given an argument by another name. Each ping was answered 500, so all others
-    took the leader for lost, and no test spoke to these routes over HTTP."""
+def test_peer_routes_respond() -> None:
+    """Request every route between members over HTTP.
+
+    If the keyword arguments of a handler and of its route differ, each ping is answered 500, and
+    the other members find that the leader has failed.
+    """
 
     async def scenario(harness: NodeHarness) -> None:
-        ask = harness.operator.request
-        ping = await ask("GET", PING_PATH, None, _TIMEOUT_S)
+        request = harness.operator.request
+        ping = await request("GET", PING_PATH, None, _TIMEOUT_S)
         assert ping.status == 200 and orjson.loads(ping.body)["leads"] is True
         body = wire.encode(ExtensionRequest(1))
-        extension = await ask("POST", EXTENSION_PATH, body, _TIMEOUT_S)
+        extension = await request("POST", EXTENSION_PATH, body, _TIMEOUT_S)
         answer = orjson.loads(extension.body)
         assert extension.status == 200 and answer["promised"] is False and answer["why"]
-        assert (await ask("POST", EXTENSION_PATH, b"{}", _TIMEOUT_S)).status == 400
+        assert (await request("POST", EXTENSION_PATH, b"{}", _TIMEOUT_S)).status == 400
         assert await harness.submit() == 201
-        assert (await ask("GET", CATALOGUE_PATH, None, _TIMEOUT_S)).status == 200
-        poll = await ask("GET", PEER_PREFIX + "/v2/runs/wk-000412", None, _TIMEOUT_S)
+        assert (await request("GET", CATALOGUE_PATH, None, _TIMEOUT_S)).status == 200
+        poll = await request("GET", PEER_PREFIX + "/v2/runs/wk-000412", None, _TIMEOUT_S)
         assert poll.status == 200
-        shown = await ask("GET", "/admin/state", None, _TIMEOUT_S)
-        assert orjson.loads(shown.body)["held_by"] == "lease"
+        state = await request("GET", "/admin/state", None, _TIMEOUT_S)
+        assert orjson.loads(state.body)["held_by"] == "lease"
 
-    _in_a_world(scenario)
+    _run_with_node(scenario)
 
 
 @pytest.mark.parametrize(
     ("content", "named"),
     [("{", "JSON"), ('{"host_name": 3}', "host_name"), (None, "No such file")],
 )
-def test_bad_settings_end_the_command_in_one_line(
+def test_invalid_settings_exit_with_one_line_error(
     tmp_path: Any, content: str | None, named: str
 ) -> None:
     path = tmp_path / "settings.json"
@@ -274,7 +279,7 @@
         (None, "No such file"),
     ],
 )
-def test_bad_features_end_the_command_in_one_line(
+def test_invalid_features_exit_with_one_line_error(
     tmp_path: Path, content: str | bytes | None, named: str
 ) -> None:
     config, path = tmp_path / "settings.json", tmp_path / "features.toml"
@@ -288,14 +293,14 @@
     assert len(result.output.strip().splitlines()) == 1
 
 
-def test_the_features_that_are_delivered_can_be_read() -> None:
+def test_deployed_features_file_is_valid() -> None:
     root = Path(__file__).resolve().parent.parent
     assert features.load(root / "deploy" / "features.toml").version == 1
     assert "--features deploy/features.toml" in (root / "deploy" / "service.toml").read_text()
 
 
-def test_an_idle_leader_asks_little() -> None:
-    """Loops that run for nothing cost a small machine its share; a slow test only asks less."""
+def test_idle_leader_request_rate_is_bounded() -> None:
+    """Idle polling would use up a small processor share. A slow machine only polls less."""
 
     async def scenario(harness: NodeHarness) -> None:
         worker = FakeWorker("m-000001")
@@ -307,11 +312,11 @@
         assert harness.state.calls - state <= 2 + 4 * passed_s
         assert harness.cloud.calls - cloud <= 2 + passed_s
 
-    _in_a_world(scenario)
+    _run_with_node(scenario)
 
 
-def test_a_leader_that_is_told_to_stop_leaves_nothing_half_done() -> None:
-    """Killed instead, it would leave its lease to run out, and its last bindings unwritten."""
+def test_handover_finishes_work_before_releasing_lease() -> None:
+    """Without a handover the lease would have to expire, and the last bindings would be lost."""
 
     async def scenario(harness: NodeHarness) -> None:
         assert await harness.submit(pieces=2) == 201
@@ -324,25 +329,26 @@
         end_lease = harness.node._client.end_lease
 
         async def counted(lease: LeaseId) -> None:
-            # Only now: until the lease is given up, nobody else writes these records.
+            # Work in flight must be finished first: once the lease is released, another leader
+            # may write these records.
             assert not leader.busy
             ended.append(lease)
             await end_lease(lease)
 
         harness.node._client.end_lease = counted  # type: ignore[method-assign]
-        await harness.node.hand_over("the test says so")
+        await harness.node.hand_over("test")
         assert len(ended) == 1 and harness.node.election.leadership is None
-        assert leader.intent_log.full, "nothing new is asked for"
+        assert leader.intent_log.full, "a leader that hands over accepts no new intents"
         for job in leader.job_store.jobs.values():
             assert all(chunk.committed == chunk.version for chunk in job.chunks.values())
-        # One that does not lead has nothing to hand over.
-        await harness.node.hand_over("once more")
+        # A controller that does not lead has nothing to hand over.
+        await harness.node.hand_over("second call")
         assert len(ended) == 1
 
-    _in_a_world(scenario)
+    _run_with_node(scenario)
 
 
-def test_a_node_that_is_told_to_stop_ends() -> None:
+def test_sigterm_ends_controller_and_leadership() -> None:
     async def run() -> None:
         harness = NodeHarness()
         task = asyncio.create_task(run_until_stopped(harness.node))
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -1,4 +1,4 @@
-"""Starting from a checkout: the build's compiled copy is used only while it is a true copy."""
+"""run.py: the build's compiled copy is used only if its sources match those of the checkout."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 @pytest.mark.parametrize("edited", [False, True])
-def test_a_compiled_copy_of_other_sources_is_not_run(
+def test_compiled_copy_is_used_only_if_sources_match(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, edited: bool
 ) -> None:
     shutil.copy(_RUN, tmp_path)
--- a/tools/profiles.py
+++ b/tools/profiles.py
@@ -21,7 +21,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from tealrill.profiling import LINE, Cost, Profile, Size
+from tealrill.profiling import LOG_MARKER, Cost, Profile, Size
 
 _MIN_SHARE: Final = 0.005
 """Causes with a smaller share of the processor time are not listed."""
@@ -54,7 +54,7 @@
     last_profiles: dict[int, Profile] = {}
     day = Day()
     for line in text.splitlines():
-        _, separator, body = line.partition(LINE)
+        _, separator, body = line.partition(LOG_MARKER)
         if separator:
             profile = msgspec.json.decode(body, type=Profile)
             last_profiles[profile.pid] = profile
