--- a/tealrill/cli/draw.py
+++ b/tealrill/cli/draw.py
@@ -17,8 +17,7 @@
 from grandalf.graphs import Vertex
 from grandalf.layouts import SugiyamaLayout
 
-from tealrill.graphs.model import ON_ENDED as AFTER_EITHER
-from tealrill.graphs.model import ON_FAILED, PER_TASK, Shape
+from tealrill.graphs.model import ON_ENDED, ON_FAILED, PER_TASK, Shape
 
 MAX_BOXES: Final = 200
 _HEIGHT: Final = 28
@@ -34,7 +33,7 @@
 _STYLES: Final = {
     PER_TASK: ("each", "bold"),
     ON_FAILED: ("failed", "dashed"),
-    AFTER_EITHER: ("ended", "dotted"),
+    ON_ENDED: ("ended", "dotted"),
 }
 
 
--- a/tealrill/fleet/provisioning.py
+++ b/tealrill/fleet/provisioning.py
@@ -408,7 +408,8 @@
         The capacity of a failed machine is available again and its replacement is needed, so the
         back-off ends. The release of an idle machine only shortens it: if each such release ended
         it, cheap kinds that the cloud refuses would be requested again and again before the
-        expensive kinds that it has (a busy and a calm day came out 0.02 and 0.03 lower).
+        expensive kinds that it has (this lowered the simulated scores of a busy and a calm day by
+        0.02 and 0.03).
         """
         if machine is None or not machine.type:
             return
