--- a/tealrill/cli/__init__.py
+++ b/tealrill/cli/__init__.py
@@ -1,7 +1,7 @@
 """The command line.
 
-Groups of verbs are modules of their own and imported when they are called: the daemon is started
-from here too, and must not load the libraries of tools.
+Each group of commands is a module that is imported only when the group is invoked, because the
+daemon is started from here too and must not load the libraries of the tools.
 """
 
 from __future__ import annotations
@@ -27,11 +27,11 @@
 
 
 _GROUPS: Final = {"graph": "Task graphs: submit, watch, cancel, draw."}
-"""Modules of this package with a group of verbs of the same name."""
+"""Modules of this package and the help of the command group of the same name in each."""
 
 
-class _Groups(click.Group):
-    """Imports a group of verbs when it is asked for."""
+class _LazyGroup(click.Group):
+    """A group whose nested groups are imported on demand."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
         return sorted({*super().list_commands(ctx), *_GROUPS})
@@ -46,23 +46,23 @@
                 raise
             _fail(f"{cmd_name} needs {error.name}: python3 -m pip install 'tealrill[tools]'")
             return None
-        found = getattr(module, cmd_name)
-        assert isinstance(found, click.Command)
-        return found
+        command = getattr(module, cmd_name)
+        assert isinstance(command, click.Command)
+        return command
 
     def format_commands(self, ctx: click.Context, formatter: click.HelpFormatter) -> None:
         rows = []
         for name in self.list_commands(ctx):
-            own = super().get_command(ctx, name)
-            rows.append((name, _GROUPS[name] if own is None else own.get_short_help_str()))
+            command = super().get_command(ctx, name)
+            rows.append((name, _GROUPS[name] if command is None else command.get_short_help_str()))
         with formatter.section("Commands"):
             formatter.write_dl(rows)
 
 
-@click.group(cls=_Groups)
+@click.group(cls=_LazyGroup)
 @click.version_option(__version__, prog_name="tealrill")
 def main() -> None:
-    """A cluster scheduler: the daemon and its operators' verbs."""
+    """A cluster scheduler: the daemon and commands for operators."""
 
 
 @main.command()
@@ -77,13 +77,13 @@
     "--features",
     "features_path",
     type=click.Path(path_type=Path),
-    help="What is switched on beyond the core (TOML); without it, nothing.",
+    help="Features that are enabled beyond the core (TOML); none without it.",
 )
 def serve(config: Path, features_path: Path | None) -> None:
-    """Run a controller node until it is killed."""
+    """Run a controller until it is stopped."""
     try:
         settings = load(config)
-        switched = features.load(features_path) if features_path is not None else None
+        enabled_features = features.load(features_path) if features_path is not None else None
     except SettingsError as error:
         _fail(f"settings: {error}")
         return
@@ -91,13 +91,13 @@
         _fail(f"features: {error}")
         return
     configure_logging()
-    serve_node(settings, switched or features.Features())
+    serve_node(settings, enabled_features or features.Features())
 
 
 @main.command()
 @click.option("--address", required=True, help="A node's cluster address, host:port.")
 def status(address: str) -> None:
-    """Show what a node knows of the service."""
+    """Show the state of a controller as JSON."""
     try:
         client = Client(parse_address(address))
         answer = asyncio.run(client.request("GET", "/admin/state", timeout_s=5.0))
--- a/tealrill/simulation/graph_users.py
+++ b/tealrill/simulation/graph_users.py
@@ -1,4 +1,4 @@
-"""Users of the simulation who submit small graphs of dependent jobs."""
+"""Simulated users who submit small graphs of dependent jobs."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from tealrill.graphs.admission import GraphAdmission
 from tealrill.graphs.model import node_id
-from tealrill.simulation.worker import Description
+from tealrill.simulation.worker import JobDescription
 
 if TYPE_CHECKING:
     from tealrill.simulation.cluster import SimulatedCluster
@@ -17,8 +17,8 @@
 _NODES: Final = ({"key": "a", "after": []}, {"key": "b", "after": ["a"]})
 _RUN_S: Final = 4.0
 _VCPUS: Final = 2.0
-_PAUSE_S: Final = (8.0, 20.0)
-"""Between two graphs, from and to."""
+_PAUSE_RANGE_S: Final = (8.0, 20.0)
+"""Shortest and longest pause between two graphs, in seconds."""
 _JOB: Final[dict[str, Any]] = {
     "lineup": "any", "shape": "sweep", "urgency": "urgent", "pieces": 1, "vcpus": _VCPUS,
     "gpus": 0.0, "memoryGb": 1.0, "bundle": "img", "sizeGb": 0.1, "builds": None, "hall": None,
@@ -28,17 +28,17 @@
 
 
 async def submit_graphs(cluster: SimulatedCluster, teams: tuple[str, ...], until_s: float) -> None:
-    """Submit a graph of two nodes every few seconds, each to a node drawn by chance."""
+    """Submit a graph of two nodes every 8 to 20 s, each to a random controller, until `until_s`."""
     number = 0
     while cluster.now() < until_s:
-        await asyncio.sleep(cluster.rng.uniform(*_PAUSE_S))
+        await asyncio.sleep(cluster.rng.uniform(*_PAUSE_RANGE_S))
         number += 1
         graph = f"graph{number}"
         job = {**_JOB, "crew": cluster.rng.choice(teams)}
         for index in range(len(_NODES)):
             name = node_id(graph, index)
-            cluster.descriptions[name] = Description(1, _RUN_S, _VCPUS)
-            cluster.add_foreign_job(name, {**job, "id": name})
+            cluster.descriptions[name] = JobDescription(1, _RUN_S, _VCPUS)
+            cluster.register_job(name, {**job, "id": name})
         await _submit(cluster, orjson.dumps({"id": graph, "defaults": job, "nodes": list(_NODES)}))
 
 
--- a/tealrill/simulation/network.py
+++ b/tealrill/simulation/network.py
@@ -26,20 +26,20 @@
 
 
 class Network:
-    """Carries requests between controllers, services and machines; the cluster has its faults."""
+    """Carries requests between controllers, services and machines, subject to the active faults."""
 
     def __init__(self, cluster: SimulatedCluster) -> None:
         self.cluster = cluster
 
     def endpoint_of(self, address: Address) -> str:
-        """Return the name of the service, controller or machine that listens there."""
+        """Return the name of the service, controller or machine that listens on the address."""
         if address.host == "10.2.0.1":
             return STATE
         if address.host == "10.2.0.2":
             return _CLOUD
         if address.host.startswith("10.0.0."):
             return f"host-{int(address.host.rpartition('.')[2]) - 1}"
-        return self.cluster.by_address[f"{address.host}:{address.port}"]
+        return self.cluster.machine_by_address[f"{address.host}:{address.port}"]
 
     def _zone_of(self, name: str) -> str | None:
         if name.startswith("m-"):
@@ -50,28 +50,28 @@
             else None
         )
 
-    def partitioned(self, one: str, other: str) -> bool:
-        """Return whether the link between two endpoints is cut."""
+    def partitioned(self, first: str, second: str) -> bool:
+        """Return True if no messages pass between the two endpoints."""
         if (
             self.cluster.active_faults.isolated_zones
             or self.cluster.active_faults.zones_partitioned
         ):
-            zones = self._zone_of(one), self._zone_of(other)
+            zones = self._zone_of(first), self._zone_of(second)
             if zones[0] != zones[1] and (
                 not self.cluster.active_faults.isolated_zones.isdisjoint(zones)
                 or (self.cluster.active_faults.zones_partitioned and None not in zones)
             ):
                 return True
-        pair = frozenset("workers" if name.startswith("m-") else name for name in (one, other))
-        return pair in self.cluster.active_faults.cut_links
+        link = frozenset("workers" if name.startswith("m-") else name for name in (first, second))
+        return link in self.cluster.active_faults.cut_links
 
     async def wait_until_resumed(self, name: str) -> None:
-        """Return once that controller's process is not paused."""
+        """Wait until the controller's process is not paused."""
         while name in self.cluster.active_faults.paused:
             await asyncio.sleep(0.05)
 
     async def delay(self) -> None:
-        """Wait for the latency of one way."""
+        """Wait for the one-way latency of a link."""
         await asyncio.sleep(
             self.cluster.rng.uniform(0.0003, 0.002)
             + self.cluster.rng.uniform(0.0, self.cluster.active_faults.link_delay_s)
@@ -86,22 +86,22 @@
         timeout_s: float,
         check: Callable[[], None] | None,
     ) -> Answer:
-        """Carry one request of a controller and its answer, as `http.Client.request` does.
+        """Carry one request of a controller and return the response, as `http.Client.request` does.
 
         Raises:
-            NoAnswerError: A partition, a host without a process, or no answer within `timeout_s`.
+            NoAnswerError: A partition, a host without a process, or no response within `timeout_s`.
         """
-        source, place = PROCESS.get().name, self.endpoint_of(address)
-        if place.startswith("m-"):
-            # Checked as they leave: what the controller learns later comes too late.
+        source, endpoint = PROCESS.get().name, self.endpoint_of(address)
+        if endpoint.startswith("m-"):
+            # Checked when sent: what the controller learns afterwards can't affect these commands.
             self.cluster.invariants.check_commands(
                 source, orjson.loads(body or b"{}").get("orders", [])
             )
-        self.cluster.digest.add(self.cluster.now(), source, place, method, path, body or b"")
+        self.cluster.digest.add(self.cluster.now(), source, endpoint, method, path, body or b"")
         await self.delay()
-        host = self.cluster.hosts.get(place)
-        if self.partitioned(source, place) or (
-            place in self.cluster.active_faults.inbound_partitioned and place.startswith("m-")
+        host = self.cluster.hosts.get(endpoint)
+        if self.partitioned(source, endpoint) or (
+            endpoint in self.cluster.active_faults.inbound_partitioned and endpoint.startswith("m-")
         ):
             await asyncio.sleep(timeout_s)
             raise NoAnswerError("TimeoutError", self.cluster.rng.random() < 0.5, timed_out=True)
@@ -109,69 +109,73 @@
             raise NoAnswerError("refused", False, refused=True)
         if check is not None:
             check()
-        answered: asyncio.Future[Reply] = self.cluster.loop.create_future()
-        work = self._deliver(answered, source, place, method, path, body)
-        self.cluster.spawn(work, host.context if host is not None else None)
+        reply_future: asyncio.Future[Reply] = self.cluster.loop.create_future()
+        coroutine = self._deliver(reply_future, source, endpoint, method, path, body)
+        self.cluster.spawn(coroutine, host.context if host is not None else None)
         try:
             async with asyncio.timeout(timeout_s):
-                status, value = await asyncio.shield(answered)
+                status, value = await asyncio.shield(reply_future)
                 await self.delay()
         except TimeoutError:
             raise NoAnswerError("TimeoutError", True, timed_out=True) from None
-        if self.partitioned(source, place):
+        if self.partitioned(source, endpoint):
             raise NoAnswerError("StreamClosedError", True)
         answer = Answer()
         answer.status, answer.body, answer.complete = status, orjson.dumps(value), True
-        self.cluster.digest.add(self.cluster.now(), place, source, status, answer.body)
+        self.cluster.digest.add(self.cluster.now(), endpoint, source, status, answer.body)
         return answer
 
     async def _deliver(
         self,
-        answered: asyncio.Future[Reply],
+        reply_future: asyncio.Future[Reply],
         source: str,
-        place: str,
+        endpoint: str,
         method: str,
         path: str,
         body: bytes | None,
     ) -> None:
-        held = place.startswith("m-") and self.cluster.active_faults.command_delay_s > 0
-        if held and self.cluster.rng.random() < 0.5:
+        delayed = endpoint.startswith("m-") and self.cluster.active_faults.command_delay_s > 0
+        if delayed and self.cluster.rng.random() < 0.5:
             if self.cluster.active_faults.cancel_in_flight:
                 self.cluster.users.cancel_started(body)
             await asyncio.sleep(
                 self.cluster.rng.uniform(0.0, self.cluster.active_faults.command_delay_s)
             )
         try:
-            if place == STATE:
+            if endpoint == STATE:
                 reply = await self.cluster.state(source, method, path, body)
-            elif place == _CLOUD:
+            elif endpoint == _CLOUD:
                 reply = await self.cluster.cloud(source, method, path, body)
-            elif place in self.cluster.hosts:
-                await self.wait_until_resumed(place)
-                reply = await self._peer(self.cluster.hosts[place], method, path, body)
+            elif endpoint in self.cluster.hosts:
+                await self.wait_until_resumed(endpoint)
+                reply = await self._call_peer(self.cluster.hosts[endpoint], method, path, body)
             else:
-                reply = await self._call_worker(source, place, method, path, body)
+                reply = await self._call_worker(source, endpoint, method, path, body)
         except NoReplyError:
             return
-        if held and self.cluster.rng.random() < 0.5:
+        if delayed and self.cluster.rng.random() < 0.5:
             await asyncio.sleep(
                 self.cluster.rng.uniform(0.0, self.cluster.active_faults.command_delay_s)
             )
-        if not answered.done():
-            answered.set_result(reply)
+        if not reply_future.done():
+            reply_future.set_result(reply)
 
     async def _call_worker(
-        self, source: str, place: str, method: str, path: str, body: bytes | None
+        self, source: str, endpoint: str, method: str, path: str, body: bytes | None
     ) -> Reply:
-        """Pass a request to a machine's worker, once the machine is not paused."""
-        worker = self.cluster.workers.get(place)
-        while worker is not None and worker.hung_at is not None:
+        """Pass a request to a machine's worker once the machine is not paused.
+
+        Raises:
+            NoReplyError: The machine is terminated or has not booted.
+        """
+        worker = self.cluster.workers.get(endpoint)
+        while worker is not None and worker.paused_at is not None:
             await asyncio.sleep(0.05)
         if worker is None or worker.machine.terminated:
             raise NoReplyError
         return await worker(source, method, path, body)
 
-    async def _peer(self, host: Host, method: str, path: str, body: bytes | None) -> Reply:
+    async def _call_peer(self, host: Host, method: str, path: str, body: bytes | None) -> Reply:
         node = host.node
         if node is None:
             raise NoReplyError
--- a/tests/test_day_digests.py
+++ b/tests/test_day_digests.py
@@ -1,8 +1,8 @@
-"""Refactoring leaves the traffic and the stored records of simulated days as they were.
+"""Refactoring must not change the traffic and the stored records of simulation runs.
 
-All recorded days are played by `python3 -m tealrill.simulation digest tests/data/day_digests.json`.
-A
-change of behaviour changes the digests; it records them anew with `--record` and says so.
+The first seed of each kind is run here; `python3 -m tealrill.simulation digest
+tests/data/day_digests.json` runs all of them. A change of behaviour changes the digests: record the
+new ones with `--record` and say so in the commit.
 """
 
 from __future__ import annotations
@@ -12,16 +12,16 @@
 
 import pytest
 
-from tealrill.simulation.day_digests import RecordedDay, digest_of, read_days
+from tealrill.simulation.day_digests import RecordedRun, digest_of, read_runs
 
-_RECORDED: Final = read_days(Path(__file__).parent / "data" / "day_digests.json")
-_PLAYED: Final = [day for day in _RECORDED if day.seed == 1]
+_RECORDED: Final = read_runs(Path(__file__).parent / "data" / "day_digests.json")
+_FIRST_SEED_RUNS: Final = [recorded for recorded in _RECORDED if recorded.seed == 1]
 
 
-@pytest.mark.parametrize("day", _PLAYED, ids=lambda day: day.name)
-def test_the_day_has_the_recorded_traffic(day: RecordedDay) -> None:
-    assert digest_of(day) == day.sha256
+@pytest.mark.parametrize("recorded", _FIRST_SEED_RUNS, ids=lambda recorded: recorded.name)
+def test_traffic_has_recorded_digest(recorded: RecordedRun) -> None:
+    assert digest_of(recorded) == recorded.sha256
 
 
-def test_other_seeds_have_other_traffic() -> None:
-    assert len({day.sha256 for day in _RECORDED}) == len(_RECORDED) == 40
+def test_recorded_digests_are_distinct() -> None:
+    assert len({recorded.sha256 for recorded in _RECORDED}) == len(_RECORDED) == 40
--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -1,9 +1,10 @@
-"""Where troubles of real machines meet: whole controllers in the lab, one meeting after the other.
+"""Fault combinations: simulated clusters of real controllers under scripted, overlapping faults.
 
-Each meeting of the operators' page that has no model of its own is brought about by a script over
-real nodes, and the rules are held against the world's own truth. `test_each_guard_is_needed` takes
-the guard away that a meeting is for and requires that the same script finds the rule broken.
-docs/notes/007-meetings.md has the table.
+The invariants are checked on the true state of the simulation.
+`test_disabled_guard_violates_invariant` disables the safeguard that a combination is meant to
+exercise and requires that the same scenario then violates the invariant.
+docs/notes/007-meetings.md lists the combinations; those that have a model of their own are tested
+elsewhere.
 """
 
 from __future__ import annotations
@@ -43,212 +44,214 @@
 from tests.test_bindings import place_on_contacted_machines
 
 Patch = pytest.MonkeyPatch
-Fault = Callable[[Patch], None]
+Mutation = Callable[[Patch], None]
 
-_LONG = ((1, 25.0), (2, 40.0), (3, 15.0))
+_LONG_JOBS = ((1, 25.0), (2, 40.0), (3, 15.0))
 
 
-# -- the meetings ---------------------------------------------------------------------------------
+# -- scenarios ------------------------------------------------------------------------------------
 
 
-def _end_leader(cluster: SimulatedCluster, back_s: float = 3.0) -> None:
+def _kill_leader(cluster: SimulatedCluster, restart_s: float = 3.0) -> None:
     host = cluster.leader()
     if host is not None:
-        cluster.end(host, back_s)
+        cluster.kill_controller(host, restart_s)
 
 
-async def _looked_at_closely(cluster: SimulatedCluster) -> None:
-    """All nodes are asked at once whenever something was told, while records move: jobs end, are
-    called off and are sent anew, and nodes are refused, cut off and begin."""
+async def _close_polling(cluster: SimulatedCluster) -> None:
+    """All controllers are polled whenever a job's status changes, while jobs end, are cancelled and
+    are submitted again, and controllers are refused, partitioned and restarted."""
     (
         cluster.active_faults.close_polling,
         cluster.active_faults.cancel_at_end_share,
         cluster.active_faults.invalid_requests,
-        cluster.state.slow_s,
+        cluster.state.request_delay_s,
     ) = True, 0.5, True, 0.05
     for number in range(8):
         await asyncio.sleep(3.0)
-        await cluster.users.cancel_now(2)
+        await cluster.users.cancel_jobs(2)
         host = cluster.rng.choice(list(cluster.hosts.values()))
-        pair = frozenset((host.name, "state"))
+        link = frozenset((host.name, "state"))
         if number % 4 == 0:
-            cluster.state.refused.add(host.name)
+            cluster.state.refused_sources.add(host.name)
         elif number % 4 == 1:
-            cluster.active_faults.cut_links.add(pair)
+            cluster.active_faults.cut_links.add(link)
         elif number % 4 == 2:
-            cluster.end(host, 0.3)
+            cluster.kill_controller(host, 0.3)
         else:
-            cluster.state.late = 0.7
+            cluster.state.late_share = 0.7
         await asyncio.sleep(2.5)
-        cluster.state.refused.discard(host.name)
-        cluster.active_faults.cut_links.discard(pair)
-        cluster.state.late = 0.0
+        cluster.state.refused_sources.discard(host.name)
+        cluster.active_faults.cut_links.discard(link)
+        cluster.state.late_share = 0.0
     (
         cluster.active_faults.close_polling,
         cluster.active_faults.cancel_at_end_share,
         cluster.active_faults.invalid_requests,
-        cluster.state.slow_s,
+        cluster.state.request_delay_s,
     ) = False, 0.0, False, 0.0
 
 
-async def _answers_lost(cluster: SimulatedCluster) -> None:
-    """Every second change is carried out and its writer does not know, while leaders end."""
-    cluster.state.lost, cluster.active_faults.close_polling = 0.5, True
+async def _lost_responses(cluster: SimulatedCluster) -> None:
+    """Half of the state service's responses to executed changes are lost; leaders are killed."""
+    cluster.state.lost_reply_share, cluster.active_faults.close_polling = 0.5, True
     for _ in range(4):
         await asyncio.sleep(8.0)
-        _end_leader(cluster, 0.3)
-    cluster.state.lost = 0.0
+        _kill_leader(cluster, 0.3)
+    cluster.state.lost_reply_share = 0.0
 
 
-async def _transactions_late(cluster: SimulatedCluster) -> None:
-    """The same with changes that are carried out seconds later, after newer ones."""
-    cluster.state.late = 0.5
+async def _late_transactions(cluster: SimulatedCluster) -> None:
+    """Half of the transactions are executed seconds later, after newer ones; leaders are killed."""
+    cluster.state.late_share = 0.5
     for _ in range(5):
         await asyncio.sleep(6.0)
-        _end_leader(cluster, 0.3)
-    cluster.state.late = 0.0
+        _kill_leader(cluster, 0.3)
+    cluster.state.late_share = 0.0
 
 
-async def _at_the_limit(cluster: SimulatedCluster) -> None:
-    """Each team uses what it may; jobs on machines that hang are called off, and leaders follow."""
+async def _teams_at_quota(cluster: SimulatedCluster) -> None:
+    """Teams reach their quota; jobs on paused machines are cancelled, then the leader is killed."""
     for _ in range(3):
         await asyncio.sleep(6.0)
-        await cluster.users.cancel_now(3, hang_s=0.8 * cluster.config.lease_s, within_s=0.1)
+        await cluster.users.cancel_jobs(3, pause_s=0.8 * cluster.config.lease_s, within_s=0.1)
         await asyncio.sleep(0.3)
-        _end_leader(cluster)
+        _kill_leader(cluster)
         await asyncio.sleep(8.0)
 
 
-async def _hands_change(cluster: SimulatedCluster) -> None:
-    """Jobs are called off before, in and after each change of the leader, planned or not."""
+async def _leader_changes(cluster: SimulatedCluster) -> None:
+    """Jobs are cancelled before, during and after a planned handover and the loss of a leader."""
     for planned in (True, False):
-        cluster.spawn(_called_off_again_and_again(cluster))
+        cluster.spawn(_cancel_repeatedly(cluster))
         await asyncio.sleep(1.0)
         host = cluster.leader()
         if planned and host is not None and host.node is not None:
             cluster.spawn(host.node.hand_over("a test"), host.context)
         else:
-            _end_leader(cluster)
+            _kill_leader(cluster)
         await asyncio.sleep(cluster.config.cancel_s + 6.0)
 
 
-async def _called_off_again_and_again(cluster: SimulatedCluster) -> None:
+async def _cancel_repeatedly(cluster: SimulatedCluster) -> None:
     for _ in range(50):
-        await cluster.users.cancel_now(1, within_s=0.02)
+        await cluster.users.cancel_jobs(1, within_s=0.02)
         await asyncio.sleep(0.1)
 
 
-async def _up_at_once(cluster: SimulatedCluster) -> None:
-    """New machines work before their rental is answered or written down, and leaders end."""
-    cluster.cloud.at_once, cluster.cloud.answers_s = True, 2.0
+async def _fast_boots(cluster: SimulatedCluster) -> None:
+    """New machines run tasks before their rental is answered or recorded; leaders are killed."""
+    cluster.cloud.fast_boot, cluster.cloud.rental_response_delay_s = True, 2.0
     for number in range(6):
-        for machine in cluster.cloud.alive()[:3]:
-            cluster.cloud.take(machine)
+        for machine in cluster.cloud.live_machines()[:3]:
+            cluster.cloud.terminate(machine)
         if number < 4:
-            cluster.state.late = 0.2
+            cluster.state.late_share = 0.2
             await asyncio.sleep(7.0)
-            _end_leader(cluster, 0.5)
-            cluster.state.late = 0.0
+            _kill_leader(cluster, 0.5)
+            cluster.state.late_share = 0.0
         else:
-            # What a leader takes for new machines the next one knows better.
+            # No leader change here: the next leader would know these machines and hide the error.
             await asyncio.sleep(10.0)
-    cluster.cloud.at_once, cluster.cloud.answers_s = False, 0.0
+    cluster.cloud.fast_boot, cluster.cloud.rental_response_delay_s = False, 0.0
 
 
-async def _kept_reports(cluster: SimulatedCluster) -> None:
-    """Copies of old reports reach every controller as each leader begins, and some later."""
+async def _replayed_heartbeats(cluster: SimulatedCluster) -> None:
+    """Old heartbeats are replayed to every controller at each election, and duplicated later."""
     cluster.active_faults.replay_share, cluster.active_faults.duplicate_share = 0.9, 0.9
     for _ in range(6):
         await asyncio.sleep(6.0)
-        _end_leader(cluster, 0.5)
+        _kill_leader(cluster, 0.5)
     cluster.active_faults.replay_share = cluster.active_faults.duplicate_share = 0.0
 
 
-async def _flood(cluster: SimulatedCluster) -> None:
-    """One-task jobs, four a second, a quarter called off; in its middle an outage and an end."""
+async def _many_small_jobs(cluster: SimulatedCluster) -> None:
+    """Four one-task jobs per second, a quarter cancelled; an outage, then the leader is killed."""
     await asyncio.sleep(10.0)
-    cluster.state.outage(True)
+    cluster.state.set_outage(True)
     await asyncio.sleep(8.0)
-    cluster.state.outage(False)
+    cluster.state.set_outage(False)
     await asyncio.sleep(6.0)
-    _end_leader(cluster)
+    _kill_leader(cluster)
     await asyncio.sleep(10.0)
 
 
-async def _more_than_room(cluster: SimulatedCluster) -> None:
-    """More work than room, urgent and not, over links that take up to half a second each way."""
+async def _overload(cluster: SimulatedCluster) -> None:
+    """More work than capacity, urgent and standard, over links with a delay of up to 0.5 s."""
     cluster.active_faults.link_delay_s = 0.5
     for _ in range(3):
         await asyncio.sleep(8.0)
-        await cluster.users.cancel_now(2)
-    _end_leader(cluster)
+        await cluster.users.cancel_jobs(2)
+    _kill_leader(cluster)
     await asyncio.sleep(8.0)
     cluster.active_faults.link_delay_s = 0.0
 
 
-async def _off_at_the_end(cluster: SimulatedCluster) -> None:
-    """Jobs are called off, asked about and sent again in the moment of their end."""
+async def _cancellations_at_completion(cluster: SimulatedCluster) -> None:
+    """Jobs are cancelled, polled and submitted again at the moment of their completion."""
     (
         cluster.active_faults.cancel_at_end_share,
         cluster.active_faults.close_polling,
         cluster.active_faults.invalid_requests,
     ) = 1.0, True, True
-    cluster.state.slow_s = 0.3
+    cluster.state.request_delay_s = 0.3
     await asyncio.sleep(40.0)
     (
         cluster.active_faults.cancel_at_end_share,
         cluster.active_faults.close_polling,
         cluster.active_faults.invalid_requests,
     ) = 0.0, False, False
-    cluster.state.slow_s = 0.0
+    cluster.state.request_delay_s = 0.0
 
 
-async def _refused_and_off(cluster: SimulatedCluster) -> None:
-    """Called off as the leader alone is refused; a second later an outage beyond `cancel_s`."""
+async def _cancellations_while_refused(cluster: SimulatedCluster) -> None:
+    """Jobs are cancelled while only the leader is refused; an outage beyond `cancel_s` follows."""
     await asyncio.sleep(4.0)
     await FaultInjector(cluster).cancel_while_refused()
 
 
-async def _mute(cluster: SimulatedCluster) -> None:
-    """Half of the machines reach no controller; what they do is called off, and leaders end."""
+async def _outbound_partition(cluster: SimulatedCluster) -> None:
+    """Half of the machines are partitioned outbound; jobs are cancelled and leaders killed."""
     names = sorted(cluster.workers)[::2]
     cluster.active_faults.outbound_partitioned.update(names)
     await asyncio.sleep(2.0)
-    await cluster.users.cancel_now(2)
-    # From when the leader must have noticed; they answer direct commands all the time.
+    await cluster.users.cancel_jobs(2)
+    # The leader must have missed their heartbeats by now, though they answer direct commands.
     await asyncio.sleep(4.0 * cluster.config.heartbeat_interval_s)
     cluster.active_faults.must_stay_idle.update(names)
     for _ in range(5):
-        await cluster.users.cancel_now(1)
+        await cluster.users.cancel_jobs(1)
         await asyncio.sleep(4.0)
     for _ in range(2):
-        _end_leader(cluster)
+        _kill_leader(cluster)
         await asyncio.sleep(5.0)
     cluster.active_faults.must_stay_idle.clear()
     cluster.active_faults.outbound_partitioned.clear()
     terminated = [name for name in names if cluster.cloud.machines[name].terminated]
     if terminated:
-        cluster.breach("returned", f"{terminated} were mute for a short spell")
+        cluster.record_violation(
+            "returned", f"{terminated} were terminated after a short outbound partition"
+        )
 
 
 async def _zones_lose_machines(cluster: SimulatedCluster) -> None:
-    """Jobs with a rule about zones lose machines; the next leader does not hear where the others
-    run."""
+    """Jobs with a zone constraint lose machines; the next leader receives neither the heartbeats of
+    the other zone nor the list of machines, so it can't tell where their other tasks run."""
     for number in range(4):
         await asyncio.sleep(5.0)
-        for machine in cluster.cloud.alive()[number % 2 :: 3]:
-            cluster.cloud.take(machine)
+        for machine in cluster.cloud.live_machines()[number % 2 :: 3]:
+            cluster.cloud.terminate(machine)
         cluster.active_faults.zones_partitioned = True
-        missing_from_lists = [frozenset((name, "cloud")) for name in cluster.hosts]
-        cluster.active_faults.cut_links.update(missing_from_lists)
-        _end_leader(cluster, 0.5)
+        cloud_links = [frozenset((name, "cloud")) for name in cluster.hosts]
+        cluster.active_faults.cut_links.update(cloud_links)
+        _kill_leader(cluster, 0.5)
         await asyncio.sleep(6.0)
         cluster.active_faults.zones_partitioned = False
-        cluster.active_faults.cut_links.difference_update(missing_from_lists)
+        cluster.active_faults.cut_links.difference_update(cloud_links)
 
 
-async def _zones_parted(cluster: SimulatedCluster) -> None:
-    """A zone with workers and controllers is kept apart for longer than the workers' lease."""
+async def _partitioned_zones(cluster: SimulatedCluster) -> None:
+    """Zones with workers and controllers are partitioned for longer than the workers' lease."""
     await asyncio.sleep(4.0)
     cluster.active_faults.zones_partitioned = True
     await asyncio.sleep(2.5 * cluster.config.lease_s)
@@ -259,48 +262,48 @@
     cluster.active_faults.isolated_zones.clear()
 
 
-async def _nobody_leads(cluster: SimulatedCluster) -> None:
-    """All controllers are away, for less and for longer than the workers' lease."""
-    for part in (0.5, 1.6):
+async def _no_controller(cluster: SimulatedCluster) -> None:
+    """All controllers are down, once for less and once for longer than the workers' lease."""
+    for lease_share in (0.5, 1.6):
         await asyncio.sleep(8.0)
         for host in cluster.hosts.values():
-            cluster.end(host, part * cluster.config.lease_s)
-        await asyncio.sleep(part * cluster.config.lease_s + 4.0)
+            cluster.kill_controller(host, lease_share * cluster.config.lease_s)
+        await asyncio.sleep(lease_share * cluster.config.lease_s + 4.0)
 
 
-async def _ten_leaders(cluster: SimulatedCluster) -> None:
-    """Leaders end before they have read the records; between them jobs are called off."""
+async def _short_terms(cluster: SimulatedCluster) -> None:
+    """Jobs are cancelled; then every leader is killed before it has loaded the records."""
     await asyncio.sleep(4.0)
-    cluster.state.scan_s = 2.0
-    _end_leader(cluster, 0.1)
-    await cluster.users.cancel_now(6)
+    cluster.state.scan_duration_s = 2.0
+    _kill_leader(cluster, 0.1)
+    await cluster.users.cancel_jobs(6)
     until = cluster.now() + cluster.config.cancel_s + 10.0
     while cluster.now() < until:
         await asyncio.sleep(0.05)
         host = cluster.leader()
         if host is not None:
             await asyncio.sleep(1.5)
-            cluster.end(host, 0.1)
-    cluster.state.scan_s = 0.0
+            cluster.kill_controller(host, 0.1)
+    cluster.state.scan_duration_s = 0.0
 
 
-async def _leader_apart(cluster: SimulatedCluster) -> None:
-    """It loses the state service and the controllers; workers and users still reach it."""
+async def _isolated_leader(cluster: SimulatedCluster) -> None:
+    """The leader is partitioned from the state service and the other controllers only."""
     await asyncio.sleep(4.0)
     host = cluster.leader()
     if host is None:
         return
-    pairs = [frozenset((host.name, other)) for other in ("state", *cluster.hosts)]
-    cluster.active_faults.cut_links.update(pairs)
+    links = [frozenset((host.name, other)) for other in ("state", *cluster.hosts)]
+    cluster.active_faults.cut_links.update(links)
     await asyncio.sleep(5.0)
-    await cluster.users.cancel_now(4)
+    await cluster.users.cancel_jobs(4)
     await asyncio.sleep(cluster.config.cancel_s + 4.0)
-    cluster.active_faults.cut_links.difference_update(pairs)
+    cluster.active_faults.cut_links.difference_update(links)
 
 
-async def _held(cluster: SimulatedCluster) -> None:
-    """Commands and answers are held for longer than `cancel_s`; jobs are called off while a start
-    of theirs is on its way."""
+async def _delayed_commands(cluster: SimulatedCluster) -> None:
+    """Commands and responses are delayed for longer than `cancel_s`; jobs are cancelled while one
+    of their start commands is in flight."""
     cluster.active_faults.command_delay_s, cluster.active_faults.cancel_in_flight = (
         2.0 * cluster.config.cancel_s,
         True,
@@ -310,25 +313,25 @@
     await asyncio.sleep(2.0 * cluster.config.cancel_s)
 
 
-async def _hung_for_long(cluster: SimulatedCluster) -> None:
-    """Jobs are called off as their machines begin to hang, for less and for more than a lease."""
+async def _paused_machines(cluster: SimulatedCluster) -> None:
+    """Jobs are cancelled as their machines are paused, for less and for longer than a lease."""
     config = cluster.config
-    for hang_s in (0.9 * config.lease_s, 1.4 * config.lease_s, config.cancel_s + 4.0):
+    for pause_s in (0.9 * config.lease_s, 1.4 * config.lease_s, config.cancel_s + 4.0):
         await asyncio.sleep(5.0)
-        await cluster.users.cancel_now(4, hang_s)
-        await asyncio.sleep(hang_s)
+        await cluster.users.cancel_jobs(4, pause_s)
+        await asyncio.sleep(pause_s)
 
 
-# -- guards, taken away ---------------------------------------------------------------------------
+# -- mutations: each disables one safeguard -------------------------------------------------------
 
 
-def _over_first(patch: Patch) -> None:
-    """A job's end is looked for before the job, which moves in between."""
+def _read_end_before_job(patch: Patch) -> None:
+    """The end record is read before the job record, although the job may end in between."""
 
     async def status(self: Admission, job_id: JobId) -> Reply:
-        over = self._ended_jobs.get(job_id) or await self._read_ended(job_id)
-        if over is not None:
-            return self._final_reply(job_id, over)
+        ended = self._ended_jobs.get(job_id) or await self._read_ended(job_id)
+        if ended is not None:
+            return self._final_reply(job_id, ended)
         if await self._client.get(job_key(job_id)) is None:
             return Reply(404, {"error": "no such job"})
         return Reply(200, wire.job_status(job_id, wire.JOB_PENDING))
@@ -336,143 +339,143 @@
     patch.setattr(Admission, "_status", status)
 
 
-def _remembers_for_a_moment(patch: Patch) -> None:
-    """What was read is told again for a quarter of a second."""
-    whole = Admission._status
-    kept: dict[tuple[int, JobId], tuple[Monotonic, Reply]] = {}
+def _cache_status(patch: Patch) -> None:
+    """A status is served from a cache for a quarter of a second."""
+    original = Admission._status
+    cache: dict[tuple[int, JobId], tuple[Monotonic, Reply]] = {}
 
     async def status(self: Admission, job_id: JobId) -> Reply:
-        at, reply = kept.get((id(self), job_id), (Monotonic(-1e9), None))
+        at, reply = cache.get((id(self), job_id), (Monotonic(-1e9), None))
         if reply is None or monotonic_now() - at > 0.25:
-            reply = await whole(self, job_id)
-            kept[(id(self), job_id)] = monotonic_now(), reply
+            reply = await original(self, job_id)
+            cache[(id(self), job_id)] = monotonic_now(), reply
         return reply
 
     patch.setattr(Admission, "_status", status)
 
 
-def _accepted_without_an_answer(patch: Patch) -> None:
-    """An acceptance of which nothing was heard is told as one."""
-    whole = Admission._commit_with_retries
+def _report_unknown_outcome_as_accepted(patch: Patch) -> None:
+    """A submission whose outcome is unknown is reported as accepted."""
+    original = Admission._commit_with_retries
 
-    async def commit(self: Admission, *given: Any) -> Any:
+    async def commit(self: Admission, *args: Any) -> Any:
         try:
-            return await whole(self, *given)
+            return await original(self, *args)
         except OutcomeUnknownError:
             return Committed(Revision(1))
 
     patch.setattr(Admission, "_commit_with_retries", commit)
 
 
-def _accepted_again(patch: Patch) -> None:
-    """An acceptance that does not require that the job is new."""
-    whole = Admission._commit_with_retries
+def _accept_without_guard(patch: Patch) -> None:
+    """A submission is accepted without the guard that the job is new."""
+    original = Admission._commit_with_retries
 
     async def commit(self: Admission, guards: list[Any], changes: list[Any]) -> Any:
-        return await whole(self, [], changes)
+        return await original(self, [], changes)
 
     patch.setattr(Admission, "_commit_with_retries", commit)
 
 
-def _silence_is_success(patch: Patch) -> None:
-    """A leader's transaction without an answer is taken for one that was carried out."""
-    whole = Fence.commit
+def _assume_unanswered_transactions_executed(patch: Patch) -> None:
+    """A leader takes a transaction without a response for an executed one."""
+    original = Fence.commit
 
-    async def commit(self: Fence, *given: Any, **named: Any) -> Any:
+    async def commit(self: Fence, *args: Any, **kwargs: Any) -> Any:
         try:
-            return await whole(self, *given, **named)
+            return await original(self, *args, **kwargs)
         except OutcomeUnknownError:
             return Committed(Revision(1))
 
     patch.setattr(Fence, "commit", commit)
 
 
-def _cancelled_are_leftovers(patch: Patch) -> None:
-    """A new leader takes the chunks of jobs that are over for leftovers."""
+def _skip_loading_ended_jobs(patch: Patch) -> None:
+    """A new leader loads no ended jobs, so it takes their chunks for orphaned ones."""
 
-    async def nothing(*_: object) -> None:
+    async def load_ended(*_: object) -> None:
         return
 
-    patch.setattr(RecordLoader, "_load_ended", nothing)
+    patch.setattr(RecordLoader, "_load_ended", load_ended)
 
 
-def _limits_forget(patch: Patch) -> None:
-    """What former leaders bound does not count against limits."""
-    whole = JobStore.load
+def _ignore_inherited_usage(patch: Patch) -> None:
+    """Bindings of former leaders don't count against quotas."""
+    original = JobStore.load
 
-    def load(self: JobStore, job: Job, *given: Any) -> Any:
+    def load(self: JobStore, job: Job, *args: Any) -> Any:
         cpus, gpus = dict(self.team_cpus), dict(self.team_gpus)
-        found = whole(self, job, *given)
+        result = original(self, job, *args)
         self.team_cpus, self.team_gpus = cpus, gpus
-        for binding in found:
-            # Its end takes away what was never counted.
+        for binding in result:
+            # The end of a binding subtracts its usage, though it was never added.
             self.team_cpus.setdefault(binding.chunk.job.spec.team, 0.0)
             self.team_gpus.setdefault(binding.chunk.job.spec.team, 0.0)
-        return found
+        return result
 
     patch.setattr(JobStore, "load", load)
 
 
-def _watch_begins_late(patch: Patch) -> None:
-    """The watch of jobs begins where the reading ended, and not where it began."""
-    whole = RecordLoader.load
+def _watch_from_later_revision(patch: Patch) -> None:
+    """The watch of jobs starts at a revision after the records were read."""
+    original = RecordLoader.load
 
     async def load(self: RecordLoader) -> CancellationKnowledge:
-        seen = await whole(self)
+        knowledge = await original(self)
         await asyncio.sleep(0.3)
         _, revision = await self._client.scan("job/")
-        return CancellationKnowledge(revision, seen.at)
+        return CancellationKnowledge(revision, knowledge.at)
 
     patch.setattr(RecordLoader, "load", load)
 
 
-def _rented_anew(patch: Patch) -> None:
-    """What a rental brings is new, though it may have reported and been given work."""
-    whole = Provisioner._add_rented_machine
+def _replace_rented_machine(patch: Patch) -> None:
+    """A rental's response replaces a machine that has already sent heartbeats and got tasks."""
+    original = Provisioner._add_rented_machine
 
-    def rented(self: Provisioner, name: str, *given: Any, **named: Any) -> None:
+    def add_rented_machine(self: Provisioner, name: str, *args: Any, **kwargs: Any) -> None:
         self._fleet.machines.pop(name, None)  # type: ignore[call-overload]
-        whole(self, name, *given, **named)
+        original(self, name, *args, **kwargs)
 
-    patch.setattr(Provisioner, "_add_rented_machine", rented)
+    patch.setattr(Provisioner, "_add_rented_machine", add_rented_machine)
 
 
-def _any_order(patch: Patch) -> None:
-    """Reports count whichever is the newer one."""
+def _accept_old_heartbeats(patch: Patch) -> None:
+    """Heartbeats are processed even if a newer one has arrived."""
     patch.setattr(HeartbeatProcessor, "_is_out_of_date", staticmethod(lambda *_: False))
 
 
-def _any_token(patch: Patch) -> None:
-    """Lists of reports sent before the term count."""
-    whole = HeartbeatProcessor.process
+def _accept_old_tokens(patch: Patch) -> None:
+    """Task lists of heartbeats that were sent before the term are used."""
+    original = HeartbeatProcessor.process
 
-    def process(self: HeartbeatProcessor, report: wire.Heartbeat, *given: Any) -> Any:
+    def process(self: HeartbeatProcessor, report: wire.Heartbeat, *args: Any) -> Any:
         values = {f: getattr(report, f) for f in report.__struct_fields__}
-        return whole(self, wire.Heartbeat(**{**values, "token": self._term}), *given)
+        return original(self, wire.Heartbeat(**{**values, "token": self._term}), *args)
 
     patch.setattr(HeartbeatProcessor, "process", process)
 
 
-def _end_unguarded(patch: Patch) -> None:
-    """A job is called done whether or not it was cancelled meanwhile."""
-    whole = TransactionBatch.add_end
+def _end_without_guards(patch: Patch) -> None:
+    """A job's end is written without the guards against a concurrent cancellation."""
+    original = TransactionBatch.add_end
 
-    def add_end(self: TransactionBatch, job: Job, *given: Any) -> bool:
-        found = whole(self, job, *given)
+    def add_end(self: TransactionBatch, job: Job, *args: Any) -> bool:
+        result = original(self, job, *args)
         self.guards.pop(job_key(job.id), None)
         self.guards.pop(f"over/{job.id}", None)
-        return found
+        return result
 
     patch.setattr(TransactionBatch, "add_end", add_end)
 
 
-def _acknowledges_nothing(patch: Patch) -> None:
-    """Promises don't carry what was told."""
+def _ignore_acknowledged_cancellations(patch: Patch) -> None:
+    """Lease extension grants don't list the acknowledged cancellations."""
     patch.setattr(AcknowledgedCancellations, "add", lambda *_: None)
 
 
-def _delegates_ignored(patch: Patch) -> None:
-    """A machine lapses whether or not another node may have renewed it."""
+def _ignore_delegations(patch: Patch) -> None:
+    """Leases expire although another controller may have renewed the worker."""
 
     async def check(self: LeaseExpiryLoop) -> None:
         self._fleet.leases.expire_leases(monotonic_now())
@@ -480,8 +483,8 @@
     patch.setattr(LeaseExpiryLoop, "_check", check)
 
 
-def _silence_from_nothing(patch: Patch) -> None:
-    """A new leader counts silence as if nobody had renewed workers before it."""
+def _ignore_former_renewals(patch: Patch) -> None:
+    """A new leader ignores that a former leader may have renewed a worker's lease."""
 
     def renewed_at(self: Leases, machine: Machine) -> Monotonic:
         return (
@@ -493,204 +496,248 @@
     patch.setattr(Leases, "_renewed_at", renewed_at)
 
 
-def _unread_renews(patch: Patch) -> None:
-    """A leader renews workers before it has read the records."""
-    whole = HeartbeatProcessor.process
+def _renew_before_loading(patch: Patch) -> None:
+    """A leader renews workers before it has loaded the records."""
+    original = HeartbeatProcessor.process
 
-    def process(self: HeartbeatProcessor, *given: Any) -> Any:
-        return whole(self, *given) if self._fleet.loaded else []
+    def process(self: HeartbeatProcessor, *args: Any) -> Any:
+        return original(self, *args) if self._fleet.loaded else []
 
     patch.setattr(HeartbeatProcessor, "process", process)
     patch.setattr(Leader, "may_renew_workers", lambda *_: True)
 
 
-def _for_ever(patch: Patch) -> None:
-    """A leader goes on though its lease has ended."""
+def _ignore_lease_expiry(patch: Patch) -> None:
+    """A leader continues after its lease has expired."""
     patch.setattr(Election, "valid_leadership", lambda self, now: self.leadership)
 
 
-def _out_for_ever(patch: Patch) -> None:
-    """A worker is renewed though a start of a cancelled job is on its way to it."""
+def _never_let_worker_lease_expire(patch: Patch) -> None:
+    """A worker is renewed although a start command of a cancelled job may still reach it."""
     patch.setattr(HeartbeatProcessor, "_must_let_lease_expire", lambda *_: False)
 
 
-def _no_stops(patch: Patch) -> None:
-    """A machine that was told once to stop a task is not told again."""
-    whole = Commands.stops
-    told: set[object] = set()
+def _send_stops_once(patch: Patch) -> None:
+    """Each stop command is sent only once."""
+    original = Commands.stops
+    sent: set[object] = set()
 
     def stops(self: Commands, machine: Machine, now: Monotonic) -> Any:
-        found = [c for c in whole(self, machine, now) if (c["piece"], c["try"]) not in told]
-        told.update((c["piece"], c["try"]) for c in found)
-        return found
+        result = [c for c in original(self, machine, now) if (c["piece"], c["try"]) not in sent]
+        sent.update((c["piece"], c["try"]) for c in result)
+        return result
 
     patch.setattr(Commands, "stops", stops)
 
 
 @dataclass(frozen=True)
-class Meeting:
+class FaultCombination:
     scenario: Scenario
     config: ClusterConfig = field(default_factory=lambda: ClusterConfig(machines=6))
-    faults: tuple[tuple[str, Fault], ...] = ()
+    mutations: tuple[tuple[str, Mutation], ...] = ()
     quiet_s: float = 30.0
     seed: int = 1
 
 
-_MEETINGS: dict[str, Meeting] = {
-    "close looks": Meeting(
-        _looked_at_closely,
-        ClusterConfig(machines=6, every_s=1.0, job_kinds=((1, 2.0), (2, 4.0), (1, 30.0))),
+_COMBINATIONS: dict[str, FaultCombination] = {
+    "close polling": FaultCombination(
+        _close_polling,
+        ClusterConfig(
+            machines=6, arrival_interval_s=1.0, job_kinds=((1, 2.0), (2, 4.0), (1, 30.0))
+        ),
         (
-            ("forgotten", _over_first),
-            ("went_back", _remembers_for_a_moment),
-            ("forgotten", _accepted_without_an_answer),
+            ("forgotten", _read_end_before_job),
+            ("went_back", _cache_status),
+            ("forgotten", _report_unknown_outcome_as_accepted),
         ),
         10.0,
     ),
-    "only answers are lost": Meeting(
-        _answers_lost, ClusterConfig(machines=6, every_s=1.5), (("went_back", _accepted_again),)
+    "lost responses": FaultCombination(
+        _lost_responses,
+        ClusterConfig(machines=6, arrival_interval_s=1.5),
+        (("went_back", _accept_without_guard),),
     ),
-    "transactions are late": Meeting(
-        _transactions_late,
+    "late transactions": FaultCombination(
+        _late_transactions,
         ClusterConfig(
-            machines=12, every_s=1.5, job_kinds=_LONG, limit_vcpus=99.0, cancelled_share=0.0
+            machines=12,
+            arrival_interval_s=1.5,
+            job_kinds=_LONG_JOBS,
+            limit_vcpus=99.0,
+            cancelled_share=0.0,
         ),
-        (("ran_twice", _silence_is_success),),
+        (("ran_twice", _assume_unanswered_transactions_executed),),
     ),
-    "teams at their limits": Meeting(
-        _at_the_limit,
+    "teams at their quota": FaultCombination(
+        _teams_at_quota,
         ClusterConfig(
-            machines=8, limit_vcpus=16.0, every_s=1.5, job_kinds=_LONG, cancelled_share=0.1
+            machines=8,
+            limit_vcpus=16.0,
+            arrival_interval_s=1.5,
+            job_kinds=_LONG_JOBS,
+            cancelled_share=0.1,
         ),
-        (("quota", _cancelled_are_leftovers), ("quota", _limits_forget)),
+        (("quota", _skip_loading_ended_jobs), ("quota", _ignore_inherited_usage)),
     ),
-    "hands change": Meeting(
-        _hands_change,
+    "leader changes": FaultCombination(
+        _leader_changes,
         ClusterConfig(
-            machines=12, every_s=0.4, job_kinds=((1, 90.0),), cancelled_share=0.0, limit_vcpus=99.0
+            machines=12,
+            arrival_interval_s=0.4,
+            job_kinds=((1, 90.0),),
+            cancelled_share=0.0,
+            limit_vcpus=99.0,
         ),
-        (("ran_cancelled", _watch_begins_late),),
+        (("ran_cancelled", _watch_from_later_revision),),
         5.0,
     ),
-    "machines up at once": Meeting(
-        _up_at_once, ClusterConfig(machines=16, every_s=1.5), (("left", _rented_anew),), 170.0
+    "fast machine boots": FaultCombination(
+        _fast_boots,
+        ClusterConfig(machines=16, arrival_interval_s=1.5),
+        (("left", _replace_rented_machine),),
+        170.0,
     ),
-    "reports kept for the next leader": Meeting(
-        _kept_reports,
-        ClusterConfig(machines=10, every_s=0.8, limit_vcpus=99.0),
-        (("ran_twice", _any_order), ("ran_twice", _any_token)),
+    "heartbeats replayed to the next leader": FaultCombination(
+        _replayed_heartbeats,
+        ClusterConfig(machines=10, arrival_interval_s=0.8, limit_vcpus=99.0),
+        (("ran_twice", _accept_old_heartbeats), ("ran_twice", _accept_old_tokens)),
     ),
-    "one-task jobs by the hundred": Meeting(
-        _flood,
-        ClusterConfig(machines=8, every_s=0.25, job_kinds=((1, 3.0),), cancelled_share=0.25),
+    "hundreds of one-task jobs": FaultCombination(
+        _many_small_jobs,
+        ClusterConfig(
+            machines=8, arrival_interval_s=0.25, job_kinds=((1, 3.0),), cancelled_share=0.25
+        ),
         (),
     ),
-    "more work than room": Meeting(
-        _more_than_room,
-        ClusterConfig(machines=4, every_s=0.5, job_kinds=_LONG, limit_vcpus=99.0),
+    "more work than capacity": FaultCombination(
+        _overload,
+        ClusterConfig(machines=4, arrival_interval_s=0.5, job_kinds=_LONG_JOBS, limit_vcpus=99.0),
         (),
     ),
-    "called off at the end": Meeting(
-        _off_at_the_end, ClusterConfig(machines=6, every_s=1.0), (("went_back", _end_unguarded),)
+    "cancelled at completion": FaultCombination(
+        _cancellations_at_completion,
+        ClusterConfig(machines=6, arrival_interval_s=1.0),
+        (("went_back", _end_without_guards),),
     ),
-    "refused as jobs are called off": Meeting(
-        _refused_and_off,
-        ClusterConfig(machines=6, every_s=1.5, job_kinds=((2, 90.0),), cancelled_share=0.0),
-        (("ran_cancelled", _acknowledges_nothing),),
+    "cancelled while the leader is refused": FaultCombination(
+        _cancellations_while_refused,
+        ClusterConfig(
+            machines=6, arrival_interval_s=1.5, job_kinds=((2, 90.0),), cancelled_share=0.0
+        ),
+        (("ran_cancelled", _ignore_acknowledged_cancellations),),
         10.0,
     ),
-    "mute machines": Meeting(
-        _mute,
-        ClusterConfig(machines=6, every_s=1.5, job_kinds=_LONG),
-        (("ran_twice", _silence_from_nothing), ("given_work", place_on_contacted_machines)),
+    "machines partitioned outbound": FaultCombination(
+        _outbound_partition,
+        ClusterConfig(machines=6, arrival_interval_s=1.5, job_kinds=_LONG_JOBS),
+        (("ran_twice", _ignore_former_renewals), ("given_work", place_on_contacted_machines)),
     ),
-    "zones lose machines": Meeting(
+    "zones lose machines": FaultCombination(
         _zones_lose_machines,
         ClusterConfig(
             machines=9,
-            every_s=1.5,
+            arrival_interval_s=1.5,
             job_kinds=((6, 20.0), (3, 30.0)),
             cancelled_share=0.0,
-            zoned=1.0,
+            zone_rule_share=1.0,
         ),
     ),
-    "zones apart": Meeting(
-        _zones_parted,
-        ClusterConfig(machines=6, every_s=1.5, job_kinds=_LONG),
-        (("ran_twice", _delegates_ignored),),
+    "partitioned zones": FaultCombination(
+        _partitioned_zones,
+        ClusterConfig(machines=6, arrival_interval_s=1.5, job_kinds=_LONG_JOBS),
+        (("ran_twice", _ignore_delegations),),
     ),
-    "no controller": Meeting(
-        _nobody_leads,
-        ClusterConfig(machines=6, every_s=1.5),
-        (("ran_twice", _silence_from_nothing),),
+    "no controller": FaultCombination(
+        _no_controller,
+        ClusterConfig(machines=6, arrival_interval_s=1.5),
+        (("ran_twice", _ignore_former_renewals),),
     ),
-    "ten leaders": Meeting(
-        _ten_leaders,
-        ClusterConfig(machines=6, every_s=1.5, job_kinds=((2, 90.0),), cancelled_share=0.0),
-        (("ran_cancelled", _unread_renews),),
+    "short terms": FaultCombination(
+        _short_terms,
+        ClusterConfig(
+            machines=6, arrival_interval_s=1.5, job_kinds=((2, 90.0),), cancelled_share=0.0
+        ),
+        (("ran_cancelled", _renew_before_loading),),
         10.0,
     ),
-    "a leader apart": Meeting(
-        _leader_apart,
-        # Room for the next leader to start again what the one before goes on with.
-        ClusterConfig(machines=18, every_s=1.0, job_kinds=((2, 90.0),), cancelled_share=0.0),
-        (("ran_twice", _for_ever),),
+    "isolated leader": FaultCombination(
+        _isolated_leader,
+        # Enough capacity for the next leader to start again what the former one still runs.
+        ClusterConfig(
+            machines=18, arrival_interval_s=1.0, job_kinds=((2, 90.0),), cancelled_share=0.0
+        ),
+        (("ran_twice", _ignore_lease_expiry),),
         10.0,
     ),
-    "commands are held": Meeting(
-        _held,
+    "delayed commands": FaultCombination(
+        _delayed_commands,
         ClusterConfig(
-            machines=8, every_s=0.7, job_kinds=((1, 20.0),), cancelled_share=0.0, limit_vcpus=99.0
+            machines=8,
+            arrival_interval_s=0.7,
+            job_kinds=((1, 20.0),),
+            cancelled_share=0.0,
+            limit_vcpus=99.0,
         ),
-        (("ran_cancelled", _out_for_ever),),
+        (("ran_cancelled", _never_let_worker_lease_expire),),
         5.0,
     ),
-    "machines hang": Meeting(
-        _hung_for_long,
-        ClusterConfig(machines=6, every_s=1.5, job_kinds=((2, 90.0),), cancelled_share=0.0),
-        (("ran_cancelled", _no_stops),),
+    "paused machines": FaultCombination(
+        _paused_machines,
+        ClusterConfig(
+            machines=6, arrival_interval_s=1.5, job_kinds=((2, 90.0),), cancelled_share=0.0
+        ),
+        (("ran_cancelled", _send_stops_once),),
         10.0,
     ),
 }
 
 
-def _play(meeting: Meeting, seed: int, until: str = "") -> SimulatedCluster:
-    return run_scenario(seed, meeting.config, 60.0, meeting.scenario, meeting.quiet_s, until)
+def _run(combination: FaultCombination, seed: int, until: str = "") -> SimulatedCluster:
+    return run_scenario(
+        seed, combination.config, 60.0, combination.scenario, combination.quiet_s, until
+    )
 
 
 @functools.cache
-def _sound(name: str) -> SimulatedCluster:
-    """The meeting with all guards, played once."""
-    return _play(_MEETINGS[name], _MEETINGS[name].seed)
+def _run_unmodified(name: str) -> SimulatedCluster:
+    """Return the finished simulation of a combination with all safeguards enabled."""
+    return _run(_COMBINATIONS[name], _COMBINATIONS[name].seed)
 
 
-@pytest.mark.parametrize("name", _MEETINGS)
-def test_no_rule_breaks(name: str) -> None:
-    cluster = _sound(name)
+@pytest.mark.parametrize("name", _COMBINATIONS)
+def test_no_invariant_is_violated(name: str) -> None:
+    cluster = _run_unmodified(name)
     assert not cluster.violations, [*cluster.events, *cluster.violations]
-    assert cluster.starts > 5
+    assert cluster.task_starts > 5
 
 
 @pytest.mark.parametrize(
-    ("name", "rule", "fault"),
-    [(name, rule, fault) for name, m in _MEETINGS.items() for rule, fault in m.faults],
+    ("name", "invariant", "mutation"),
+    [
+        (name, invariant, mutation)
+        for name, m in _COMBINATIONS.items()
+        for invariant, mutation in m.mutations
+    ],
 )
-def test_each_guard_is_needed(
-    name: str, rule: str, fault: Fault, monkeypatch: pytest.MonkeyPatch
+def test_disabled_guard_violates_invariant(
+    name: str, invariant: str, mutation: Mutation, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    fault(monkeypatch)
-    found: set[str] = set()
+    mutation(monkeypatch)
+    violated: set[str] = set()
     for seed in range(1, 7):
-        found |= _play(_MEETINGS[name], seed, rule).violated_invariants
-        if rule in found:
+        violated |= _run(_COMBINATIONS[name], seed, invariant).violated_invariants
+        if invariant in violated:
             return
-    raise AssertionError(f"{rule} is not among {found}")
+    raise AssertionError(f"invariant {invariant} not violated; violated: {violated}")
+
 
+def test_one_task_job_needs_at_most_five_changes_under_load() -> None:
+    """A job needs changes to accept it, bind it, end it (two records) and delete its chunk.
 
-def test_a_one_task_job_costs_five_changes_and_other_jobs_are_served() -> None:
-    """Accepted, bound, ended (two records), its chunk removed; called off it costs no more."""
-    cluster = _sound("one-task jobs by the hundred")
+    A cancelled job needs no more.
+    """
+    cluster = _run_unmodified("hundreds of one-task jobs")
     assert not cluster.violations and len(cluster.jobs) > 200
     assert len(cluster.state.log) <= 5 * len(cluster.jobs) + 150
-    open_ = [job for job in cluster.jobs.values() if job.accepted and not job.over]
+    open_ = [job for job in cluster.jobs.values() if job.accepted and not job.has_ended]
     assert len(open_) < 0.05 * len(cluster.jobs)
--- a/tests/test_graphs.py
+++ b/tests/test_graphs.py
@@ -1,4 +1,4 @@
-"""Shapes, records and progress of graphs, without a service."""
+"""Unit tests of graphs: resolved dependencies, records, progress and the leader's decisions."""
 
 from __future__ import annotations
 
@@ -56,10 +56,10 @@
     return resolve({}, 3, [nodes])
 
 
-# -- shapes ---------------------------------------------------------------------------------------
+# -- resolved dependencies ------------------------------------------------------------------------
 
 
-def test_ten_thousand_nodes_in_a_chain_side_by_side_or_all_awaited_by_one() -> None:
+def test_progress_of_ten_thousand_nodes_as_chain_parallel_and_fan_in() -> None:
     chain = _shape([_node(f"n{i}", *([f"n{i - 1}"] if i else [])) for i in range(10_000)])
     assert chain.tails()[0] == 9_999 and list(chain.topological_order) == list(range(10_000))
     wide = Progress(_shape([_node(f"n{i}") for i in range(10_000)]))
@@ -73,14 +73,14 @@
         assert fan_in.state[10_000] == 0
         fan_in.record_end(index, DONE)
     assert fan_in.next_ready() is not None
-    # A failure at the chain's head reaches its end without recursion.
+    # The failure of the first node skips the whole chain; recursion would overflow the stack.
     failing = Progress(chain)
     failing.evaluate_all()
     failing.record_end(0, FAILED)
-    assert failing.all_ended and failing.counted()["skipped"] == 9_999
+    assert failing.all_ended and failing.counts_by_state()["skipped"] == 9_999
 
 
-def test_a_cycle_is_shown_by_its_path_however_long() -> None:
+def test_cycle_error_names_its_path_in_bounded_length() -> None:
     nodes = [_node(f"n{i}", f"n{(i + 1) % 10_000}") for i in range(10_000)]
     with pytest.raises(InvalidGraphError, match=r"waits for itself: n.* -> .* -> n") as found:
         _shape([_node("apart"), *nodes])
@@ -104,56 +104,58 @@
 
 
 @given(_graphs(), st.randoms(use_true_random=False))
-def test_order_and_tails_are_those_of_the_graph(nodes: list[Node], luck: random.Random) -> None:
-    mixed = list(nodes)
-    luck.shuffle(mixed)
-    shape = _shape(mixed)
-    place = {index: at for at, index in enumerate(shape.topological_order)}
-    assert sorted(place) == list(range(len(nodes)))
+def test_shape_order_and_tails_match_the_edges(nodes: list[Node], rng: random.Random) -> None:
+    shuffled = list(nodes)
+    rng.shuffle(shuffled)
+    shape = _shape(shuffled)
+    position = {index: at for at, index in enumerate(shape.topological_order)}
+    assert sorted(position) == list(range(len(nodes)))
     tails = shape.tails()
     for index in range(shape.nodes):
         longest = 0.0
-        for follower, _ in shape.dependents(index):
-            assert place[index] < place[follower]
-            assert (index, _) in list(shape.dependencies(follower))
-            longest = max(longest, shape.estimate_s[follower] + tails[follower])
+        for dependent, _ in shape.dependents(index):
+            assert position[index] < position[dependent]
+            assert (index, _) in list(shape.dependencies(dependent))
+            longest = max(longest, shape.estimate_s[dependent] + tails[dependent])
         assert tails[index] == pytest.approx(longest, rel=1e-5)
 
 
 @given(_graphs(), st.randoms(use_true_random=False))
-def test_however_a_leader_hears_of_it_it_comes_to_the_same(
-    nodes: list[Node], luck: random.Random
+def test_progress_is_independent_of_order_and_repetition_of_ends(
+    nodes: list[Node], rng: random.Random
 ) -> None:
-    """Ends as they happen, or after a take-over in any order and twice: one and the same state."""
+    """Ends recorded as they happen give the same state as after a failover: unordered and twice."""
     shape = _shape(nodes)
-    first = Progress(shape)
-    first.evaluate_all()
+    original = Progress(shape)
+    original.evaluate_all()
     ends: list[tuple[int, int]] = []
     released: list[int] = []
-    while (index := first.next_ready()) is not None:
-        first.mark_released(index)
+    while (index := original.next_ready()) is not None:
+        original.mark_released(index)
         released.append(index)
-        if luck.random() < 0.8:
-            ends.append((index, luck.choice([DONE, DONE, FAILED])))
-            first.record_end(*ends[-1])
-    second = Progress(shape)
-    for index in luck.sample(released, len(released)):
-        second.mark_released(index)
-    for end in luck.sample(ends, len(ends)) + ends:
-        second.record_end(*end)
-    second.evaluate_all()
-    while (index := second.next_ready()) is not None:
-        second.mark_released(index)
-    assert bytes(first.state) == bytes(second.state)
-    assert first.counts == second.counts and first.all_ended == second.all_ended
-    assert first.counts[RELEASED] == len(released) - len(ends)
+        if rng.random() < 0.8:
+            ends.append((index, rng.choice([DONE, DONE, FAILED])))
+            original.record_end(*ends[-1])
+    replayed = Progress(shape)
+    for index in rng.sample(released, len(released)):
+        replayed.mark_released(index)
+    for end in rng.sample(ends, len(ends)) + ends:
+        replayed.record_end(*end)
+    replayed.evaluate_all()
+    while (index := replayed.next_ready()) is not None:
+        replayed.mark_released(index)
+    assert bytes(original.state) == bytes(replayed.state)
+    assert original.counts == replayed.counts and original.all_ended == replayed.all_ended
+    assert original.counts[RELEASED] == len(released) - len(ends)
 
 
 # -- records --------------------------------------------------------------------------------------
 
 
 @given(_graphs(), st.integers(400, 5000))
-def test_parts_come_back_as_they_were_written(nodes: list[Node], value_bytes: int) -> None:
+def test_parts_round_trip_and_missing_fragment_is_rejected(
+    nodes: list[Node], value_bytes: int
+) -> None:
     values = records.pack_part(nodes, value_bytes)
     assert all(len(wire.encode(value)) <= value_bytes for value in values)
     entries = [
@@ -169,18 +171,18 @@
 
 
 @given(st.binary(max_size=200))
-def test_what_is_no_part_is_called_so(content: bytes) -> None:
+def test_unpack_rejects_arbitrary_bytes(content: bytes) -> None:
     with pytest.raises(GraphRecordError):
-        records.unpack_part(records.Packed(1, "", content))
+        records.unpack_part(records.PackedPart(1, "", content))
 
 
-def test_a_bomb_is_not_unpacked() -> None:
+def test_unpack_rejects_decompression_bomb_in_bounded_memory() -> None:
     import zlib
 
     bomb = zlib.compress(b"[" + b" " * 200_000_000 + b"]")
     tracemalloc.start()
     with pytest.raises(GraphRecordError):
-        records.unpack_part(records.Packed(1, "", bomb))
+        records.unpack_part(records.PackedPart(1, "", bomb))
     peak = tracemalloc.get_traced_memory()[1]
     tracemalloc.stop()
     assert peak < 20_000_000
@@ -210,19 +212,19 @@
         counts=st.none() | st.dictionaries(_TEXT, st.integers(0, 9), max_size=2),
     ),
 )
-def test_heads_and_ends_come_back_and_later_versions_are_refused(
-    head: GraphRecord, over: GraphEnd
+def test_graph_records_round_trip_and_unknown_versions_are_rejected(
+    record: GraphRecord, end: GraphEnd
 ) -> None:
-    kept = orjson.loads(wire.encode(head))
-    assert records.read_graph(kept) == head
-    assert records.read_graph_end(orjson.loads(wire.encode(over))) == over
-    others: list[Any] = [{**kept, "v": 2}, {**kept, "status": "odd"}, [], None]
-    for other in others:
+    encoded = orjson.loads(wire.encode(record))
+    assert records.read_graph(encoded) == record
+    assert records.read_graph_end(orjson.loads(wire.encode(end))) == end
+    invalid: list[Any] = [{**encoded, "v": 2}, {**encoded, "status": "odd"}, [], None]
+    for value in invalid:
         with pytest.raises(GraphRecordError):
-            records.read_graph(other)
+            records.read_graph(value)
 
 
-def test_failures_are_counted_across_a_take_over() -> None:
+def test_task_failures_are_counted_across_failover() -> None:
     value: dict[str, Any] | None = None
     for _ in range(3):
         job_store = JobStore(8.0)
@@ -239,7 +241,7 @@
         job_store.task_failed(job, 0)
         job_store.release(binding, "", Monotonic(0.0))
         value = orjson.loads(orjson.dumps(job_store.value(job.chunks[0])))
-    # The third failure of one task is one too many, whoever led at the first.
+    # Two failures are allowed; the third one counts the earlier ones from the records.
     assert job.outcome == "failed" and job.id in job_store.ending_jobs and job.waiting == 0
 
 
@@ -247,7 +249,7 @@
 
 
 @given(st.lists(st.tuples(st.sampled_from(["", "g1", "g2"]), st.integers(0, 9)), max_size=12))
-def test_a_graph_gains_nothing_over_others_by_its_paths(jobs: list[tuple[str, int]]) -> None:
+def test_queue_orders_nodes_by_path_only_within_their_graph(jobs: list[tuple[str, int]]) -> None:
     views = [
         job_view(f"wk-{i}", graph=graph, tail_s=float(tail), waited_s=float(i % 3))
         for i, (graph, tail) in enumerate(jobs)
@@ -279,33 +281,33 @@
     return leader, cast(GraphLeaderExtension, leader.extensions[0])
 
 
-def _accepted(store: CheckedStore, nodes: list[Node], **head: Any) -> None:
-    """A graph as it is kept once it is accepted."""
-    kept = GraphRecord(v=1, status="accepted", at=wall_now(), digest="d", defaults=_DEFAULTS,
-                nodes=len(nodes), edges=1, parts=1, **head)  # fmt: skip
-    changes = [wire.put("job/fam1", wire.to_builtins(kept))]
+def _store_accepted_graph(store: CheckedStore, nodes: list[Node], **fields: Any) -> None:
+    """Write the records of an accepted graph."""
+    record = GraphRecord(v=1, status="accepted", at=wall_now(), digest="d", defaults=_DEFAULTS,
+                nodes=len(nodes), edges=1, parts=1, **fields)  # fmt: skip
+    changes = [wire.put("job/fam1", wire.to_builtins(record))]
     for number, value in enumerate(records.pack_part(nodes, 4096)):
         changes.append(wire.put(records.fragment_key("fam1", 0, number), value))
     store.execute([], changes)
 
 
-def test_machines_are_wished_for_before_the_nodes_that_need_them_are_free() -> None:
+def test_machines_are_rented_before_nodes_are_released() -> None:
     async def scenario() -> None:
         store = CheckedStore(random.Random(0))
         store.reliable = True
         large = {"vcpus": 8.0, "guessS": 90.0, "builds": ["big"]}
         nodes = [_node("a", vcpus=1.0, guessS=15.0)]
         nodes += [_node(f"b{i}", "a", **large) for i in range(3)]
-        _accepted(store, nodes)
-        leader, part = _leader(store)
+        _store_accepted_graph(store, nodes)
+        leader, extension = _leader(store)
         await leader.record_loader.load()
-        await part._load("fam1")
-        part._advance()
-        asked: list[Any] = []
+        await extension._load("fam1")
+        extension._enqueue_writes()
+        rentals: list[Any] = []
         leader.provisioner.set_catalogue(
             wire.decode(orjson.dumps({"builds": [_MACHINE_TYPE]}), wire.Catalogue)
         )
-        leader.provisioner.rent = lambda rental, now: asked.append(rental)  # type: ignore[method-assign]
+        leader.provisioner.rent = lambda rental, now: rentals.append(rental)  # type: ignore[method-assign]
         batch = leader.write_batcher._gather(monotonic_now())
         await leader.write_batcher._commit(batch)
         leader.lifecycle.add(
@@ -314,37 +316,38 @@
         leader.fleet.heartbeats.process(
             report("m-1", 1, 1, 1), MachineId("m-1"), monotonic_now(), wall_now()
         )
-        # The first node runs on the only machine and ends within a boot: what is behind it boots.
+        # The first node runs on the only machine and is expected to end within the boot time of a
+        # machine, so machines for its dependents are rented now.
         leader.scheduling_loop.run(monotonic_now(), wall_now())
-        asked.clear()
+        rentals.clear()
         leader.scheduling_loop.autoscaler._next_rental_at = Monotonic(0.0)
         leader.scheduling_loop.run(monotonic_now(), wall_now())
-        assert sum(rental.count for rental in asked) == 2
-        (wish,) = leader.lifecycle.upcoming_tasks(monotonic_now(), 20.0)
-        assert wish[1] == 3
+        assert sum(rental.count for rental in rentals) == 2
+        (demand,) = leader.lifecycle.upcoming_tasks(monotonic_now(), 20.0)
+        assert demand[1] == 3
         assert not leader.lifecycle.upcoming_tasks(monotonic_now(), 10.0)
 
     asyncio.run(scenario())
 
 
-def test_a_graph_of_a_later_version_is_held_and_harms_nobody_else() -> None:
+def test_graph_of_unknown_version_is_blocked_without_affecting_other_jobs() -> None:
     async def scenario() -> None:
         store = CheckedStore(random.Random(0))
         store.reliable = True
-        _accepted(store, [_node("a"), _node("b")])
+        _store_accepted_graph(store, [_node("a"), _node("b")])
         value = {"spec": {**wire.to_builtins(spec(id="fam1-00000", pieces=1))}, "at": 0.0}
         store.execute([], [
             wire.put("job/fam1-00000", {**value, "owner": "fam1"}),
             wire.put("job/fam1", {**store.keys["job/fam1"][0], "v": 2}),
             wire.put("job/wk-1", {"spec": wire.to_builtins(spec(id="wk-1")), "at": 0.0}),
         ])  # fmt: skip
-        leader, part = _leader(store)
+        leader, extension = _leader(store)
         await leader.record_loader.load()
-        part._advance()
+        extension._enqueue_writes()
         waiting = {job.id: job.waiting for job in leader.job_store.jobs.values()}
         assert waiting == {"fam1-00000": 0, "wk-1": 6}
         assert not leader.write_batcher.joined
-        # Cancelled by a node that can read it: what of it runs is stopped all the same.
+        # A member that can read the graph cancels it: this leader drops its jobs as well.
         store.execute([], [wire.delete("job/fam1")])
         leader.job_watch.job_changed(wire.WatchEvent(delete="job/fam1", version=store.epoch))
         assert "fam1-00000" not in leader.job_store.jobs and "wk-1" in leader.job_store.jobs
@@ -352,30 +355,34 @@
     asyncio.run(scenario())
 
 
-async def _settle_down(leader: Leader, part: GraphLeaderExtension, store: CheckedStore) -> None:
-    """Lets the leader write until it has nothing left to write."""
-    seen = store.epoch
+async def _process_until_idle(
+    leader: Leader, extension: GraphLeaderExtension, store: CheckedStore
+) -> None:
+    """Let the leader process and write until it has nothing left to write."""
+    processed_revision = store.epoch
     for _ in range(60):
-        for name in [n for n, (head, _) in part._drafts.items() if head.status == "expired"]:
-            await part._clear_up(name)
-        part._advance()
+        for name in [
+            n for n, (record, _) in extension._drafts.items() if record.status == "expired"
+        ]:
+            await extension._delete_expired(name)
+        extension._enqueue_writes()
         batch = leader.write_batcher._gather(Monotonic(monotonic_now() + 10.0))
         if batch.changes:
             await leader.write_batcher._commit(batch)
         for at, event in store.log:
-            if at > seen and (event.put or event.delete or "").startswith("job/"):
+            if at > processed_revision and (event.put or event.delete or "").startswith("job/"):
                 leader.job_watch.job_changed(event)
-        seen = store.epoch
+        processed_revision = store.epoch
 
 
-def test_a_graph_that_is_never_sealed_is_removed_whole_and_runs_nothing() -> None:
+def test_unsealed_graph_expires_and_its_records_are_deleted() -> None:
     async def scenario() -> None:
         store = CheckedStore(random.Random(0))
         store.reliable = True
-        head = GraphRecord(
+        record = GraphRecord(
             v=1, status="open", at=wall_now() - 3590.0, digest="d", defaults=_DEFAULTS
         )
-        store.execute([], [wire.put("job/fam1", wire.to_builtins(head))])
+        store.execute([], [wire.put("job/fam1", wire.to_builtins(record))])
         store.execute(
             [], [wire.put("job/wk-1", {"spec": wire.to_builtins(spec(id="wk-1")), "at": 0.0})]
         )
@@ -383,17 +390,17 @@
             for number, value in enumerate(records.pack_part([_node(f"n{part_number}")], 4096)):
                 key = records.fragment_key("fam1", part_number, number)
                 store.execute([], [wire.put(key, value)])
-        leader, part = _leader(store)
+        leader, extension = _leader(store)
         await leader.record_loader.load()
-        await _settle_down(leader, part, store)
+        await _process_until_idle(leader, extension, store)
         assert "job/fam1" in store.keys and len(store.keys) == 43
-        # Ten seconds later its time is up. A part that is on its way requires the open head.
+        # Ten seconds later the graph expires. A part in flight is guarded by the open record.
         open_stamp = store.keys["job/fam1"][1]
-        part._drafts["fam1"] = (
-            msgspec.structs.replace(head, at=head.at - 20.0),
+        extension._drafts["fam1"] = (
+            msgspec.structs.replace(record, at=record.at - 20.0),
             Revision(open_stamp),
         )
-        await _settle_down(leader, part, store)
+        await _process_until_idle(leader, extension, store)
         late = store.execute(
             [wire.guard("job/fam1", open_stamp)], [wire.put("part/fam1/00099.00", {})]
         )
@@ -403,8 +410,8 @@
     asyncio.run(scenario())
 
 
-def test_a_take_over_with_thousands_of_gated_nodes() -> None:
-    """Of 3,000 nodes in 30 families two thirds are over; the next leader releases the rest."""
+def test_failover_with_thousands_of_gated_nodes_releases_only_ready_ones() -> None:
+    """2,000 of 3,000 nodes in 30 groups are done; each new leader releases only the ready ones."""
 
     async def scenario() -> None:
         store = CheckedStore(random.Random(0))
@@ -415,22 +422,22 @@
             nodes.append(_node(first))
             nodes += [_node(f"{first}-{i}", first) for i in range(98)]
             nodes.append(_node(f"{first}-all", *[f"{first}-{i}" for i in range(98)]))
-        _accepted(store, nodes)
+        _store_accepted_graph(store, nodes)
         done = [wire.put(f"over/fam1-{i:05d}", {"status": "done", "tasks": 1}) for i in range(2000)]
         store.execute([], done)
         for _ in range(2):
-            leader, part = _leader(store)
+            leader, extension = _leader(store)
             await leader.record_loader.load()
-            await part._load("fam1")
-            counts = part.counts("fam1")
+            await extension._load("fam1")
+            counts = extension.counts("fam1")
             assert counts is not None and counts["done"] == 2000
             assert counts["ready"] + counts["released"] == 10
             batch_sizes = []
-            part._advance()
+            extension._enqueue_writes()
             while (batch := leader.write_batcher._gather(monotonic_now())).changes:
                 batch_sizes.append(len(batch.changes))
                 await leader.write_batcher._commit(batch)
-            # Before the first of them is heard of, the next leader takes over.
+            # The next leader takes over before the watch has reported a release.
             assert sum(batch_sizes) in (10, 0)
         released = [key for key in store.keys if key.startswith("job/fam1-")]
         assert len(released) == 10
@@ -438,16 +445,16 @@
     asyncio.run(scenario())
 
 
-def test_a_node_is_due_when_the_path_behind_it_still_fits() -> None:
+def test_node_deadline_leaves_time_for_the_path_behind_it() -> None:
     async def scenario() -> None:
         store = CheckedStore(random.Random(0))
         store.reliable = True
         nodes = [_node("a", guessS=10.0), _node("b", "a", guessS=30.0)]
-        _accepted(store, nodes, due_s=100.0)
-        leader, part = _leader(store)
+        _store_accepted_graph(store, nodes, due_s=100.0)
+        leader, extension = _leader(store)
         await leader.record_loader.load()
-        await part._load("fam1")
-        part._advance()
+        await extension._load("fam1")
+        extension._enqueue_writes()
         await leader.write_batcher._commit(leader.write_batcher._gather(monotonic_now()))
         record = store.keys["job/fam1-00000"][0]
         assert record["due_s"] == pytest.approx(70.0, abs=5.0) and record["tail_s"] == 30.0
