--- a/tests/test_prober.py
+++ b/tests/test_prober.py
@@ -225,8 +225,8 @@
     peer_receives: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scenario() -> None:
-        world = NodeHarness()
-        world.start()
+        harness = NodeHarness()
+        harness.start()
         peers_asked = asyncio.Event()
         resigned: list[str] = []
 
@@ -238,16 +238,16 @@
             resigned.append(why)
 
         try:
-            await world.wait_until_leader()
-            node: Controller = world.node
+            await harness.wait_until_leader()
+            node: Controller = harness.node
             monkeypatch.setattr(
                 node._transfer, "peer_receives_heartbeats", peer_receives_heartbeats
             )
             monkeypatch.setattr(node.election, "resign", resign)
             for n in range(3):
                 worker = FakeWorker(f"m-00000{n}")
-                await world.send_heartbeat(worker)
-                await world.send_heartbeat(worker)
+                await harness.send_heartbeat(worker)
+                await harness.send_heartbeat(worker)
             async with asyncio.timeout(30.0):
                 await peers_asked.wait()
                 while peer_receives and not resigned:
@@ -256,7 +256,7 @@
                 ["heartbeats reach only other members"] if peer_receives else []
             )
         finally:
-            await world.stop()
+            await harness.stop()
 
     asyncio.run(scenario())
 
