--- a/tests/samples.py
+++ b/tests/samples.py
@@ -61,7 +61,7 @@
     return wire.decode(orjson.dumps({**SUBMISSION, **changes}), wire.JobSpec)
 
 
-def report(
+def make_heartbeat(
     machine: str,
     incarnation: int,
     sequence: int,
--- a/tests/test_bindings.py
+++ b/tests/test_bindings.py
@@ -29,7 +29,7 @@
 from tealrill.state.bindings import Binding, Chunk
 from tealrill.state.job_store import JobStore
 from tealrill.types import FencingToken, MachineId, Monotonic, Revision, Wall
-from tests.samples import report, spec
+from tests.samples import make_heartbeat, spec
 
 LEASE_S = 8.0
 DELEGATION_S = 2.0
@@ -84,7 +84,7 @@
     def report(self) -> wire.Heartbeat:
         self.sequence += 1
         lines = [(name, attempt, state, why) for name, (attempt, state, why) in self.tasks.items()]
-        return report(self.id, self.incarnation, self.sequence, self.token, lines)
+        return make_heartbeat(self.id, self.incarnation, self.sequence, self.token, lines)
 
     def execute(self, commands: list[dict[str, Any]]) -> None:
         for command in commands:
@@ -689,14 +689,14 @@
     cluster = Cluster(0, fleet_class)
     worker = cluster.workers["m-1"]
     for sequence in (1, 2):
-        heartbeat = report("m-1", 1, sequence, cluster.term)
+        heartbeat = make_heartbeat("m-1", 1, sequence, cluster.term)
         cluster.fleet.heartbeats.process(
             heartbeat, MachineId("m-1"), Monotonic(cluster.now), Wall(0.0)
         )
     cluster.now += LEASE_S + DELEGATION_S + 2.0
     worker.expire_lease(cluster.now)
     worker.sequence, worker.token = 3, cluster.term
-    reply = report("m-1", worker.incarnation, worker.sequence, cluster.term)
+    reply = make_heartbeat("m-1", worker.incarnation, worker.sequence, cluster.term)
     cluster.fleet.heartbeats.handle_direct_reply(
         reply, MachineId("m-1"), Monotonic(cluster.now), Wall(0.0)
     )
@@ -723,22 +723,22 @@
     """
     cluster = Cluster(0, Fleet)
     for name in MACHINES:
-        heartbeat = report(name, 1, 1, cluster.term)
+        heartbeat = make_heartbeat(name, 1, 1, cluster.term)
         cluster.fleet.heartbeats.process(heartbeat, MachineId(name), Monotonic(100.0), Wall(0.0))
     cluster.bind()
     (binding,) = cluster.job.bindings()
     cluster.commit()
     machine = binding.machine
     commands = cluster.fleet.heartbeats.process(
-        report(machine, 1, 2, cluster.term), machine, Monotonic(100.0), Wall(0.0)
+        make_heartbeat(machine, 1, 2, cluster.term), machine, Monotonic(100.0), Wall(0.0)
     )
     assert commands == [wire.start_command("wk-000412/0", 1)]
     cluster.fleet.commands.stop(binding, "test", 0.0, Monotonic(100.0))
-    reply = report(machine, 1, 3, cluster.term)
+    reply = make_heartbeat(machine, 1, 3, cluster.term)
     cluster.fleet.heartbeats.handle_direct_reply(reply, machine, Monotonic(100.0), Wall(0.0))
     assert list(cluster.job.bindings()) == [binding]
     cluster.fleet.heartbeats.process(
-        report(machine, 1, 4, cluster.term), machine, Monotonic(100.0), Wall(0.0)
+        make_heartbeat(machine, 1, 4, cluster.term), machine, Monotonic(100.0), Wall(0.0)
     )
     assert list(cluster.job.bindings()) == []
 
@@ -754,7 +754,7 @@
     fleet.inherit([], Monotonic(0.0))
     assert (
         fleet.heartbeats.process(
-            report("m-1", 1, 1, 1), MachineId("m-1"), Monotonic(0.0), Wall(0.0)
+            make_heartbeat("m-1", 1, 1, 1), MachineId("m-1"), Monotonic(0.0), Wall(0.0)
         )
         == []
     )
--- a/tests/test_cancellation_deadlines.py
+++ b/tests/test_cancellation_deadlines.py
@@ -77,7 +77,7 @@
     Revision,
     Wall,
 )
-from tests.samples import SETTINGS, report, spec
+from tests.samples import SETTINGS, make_heartbeat, spec
 from tests.test_bindings import Worker
 
 _HOSTS = 3
@@ -457,7 +457,7 @@
     job = leader.job_store.add(spec(pieces=1), Wall(0.0), Revision(1))
     for sequence in (1, 2):
         fleet.heartbeats.process(
-            report(_MACHINE, 1, sequence, 1), _MACHINE, Monotonic(100.0), Wall(0.0)
+            make_heartbeat(_MACHINE, 1, sequence, 1), _MACHINE, Monotonic(100.0), Wall(0.0)
         )
     machine = fleet.machines[_MACHINE]
     binding = fleet.bind(job, machine, False, Wall(0.0), Monotonic(100.0))
@@ -470,7 +470,7 @@
 def _process_heartbeat(
     fleet: Fleet, sequence: int, at: float, *tasks: Any, incarnation: int = 1
 ) -> Any:
-    message = report(_MACHINE, incarnation, sequence, 1, list(tasks))
+    message = make_heartbeat(_MACHINE, incarnation, sequence, 1, list(tasks))
     return fleet.heartbeats.process(message, _MACHINE, Monotonic(at), Wall(0.0))
 
 
--- a/tests/test_change_log.py
+++ b/tests/test_change_log.py
@@ -20,7 +20,7 @@
 from tealrill.state.client import StateClient
 from tealrill.state.fencing import Leadership
 from tealrill.types import FencingToken, LeaseId, MachineId, Monotonic, Revision, monotonic_now
-from tests.samples import SETTINGS, report
+from tests.samples import SETTINGS, make_heartbeat
 from tests.test_renewal_delegation import Store
 
 PARSED = settings.parse(orjson.dumps(SETTINGS))
@@ -78,7 +78,7 @@
 def test_status_counts_heartbeats_by_answer_and_shows_validity() -> None:
     node = Controller(PARSED)
     node.election.known_leader = KnownLeader("node-1", FencingToken(3), Revision(7))
-    message: wire.Heartbeat = report("m-1", 1, 1, 3)
+    message: wire.Heartbeat = make_heartbeat("m-1", 1, 1, 3)
     for _ in range(3):
         assert node.handle_heartbeat(message, MachineId("m-1"))[0] == 421
     shown: dict[str, Any] = node.describe()
--- a/tests/test_cost.py
+++ b/tests/test_cost.py
@@ -31,7 +31,7 @@
 from tealrill.scheduler.plan import plan
 from tealrill.types import MachineId, Monotonic, Revision, Wall
 from tests import reference_planner
-from tests.samples import job_view, machine_view, report, running_task, spec
+from tests.samples import job_view, machine_view, make_heartbeat, running_task, spec
 from tests.test_dispatch import build_scheduling_loop
 
 NOW = Monotonic(1000.0)
@@ -407,7 +407,7 @@
             )
             for b in bound
         ]
-        message = report(name, 1, self.sequence, 1, lines)
+        message = make_heartbeat(name, 1, self.sequence, 1, lines)
         message = msgspec.structs.replace(message, type="huge")
         self.fleet.heartbeats.process(message, name, Monotonic(self.now), Wall(self.now))
 
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -37,7 +37,7 @@
     Wall,
     parse_task_id,
 )
-from tests.samples import SETTINGS, provisioner_dependencies, report, spec
+from tests.samples import SETTINGS, make_heartbeat, provisioner_dependencies, spec
 
 _MACHINE_TYPE = {
     "label": "big", "vcpus": 8, "gpus": 0, "memoryGb": 64, "localGb": 50, "fetchGbPerS": 1.0,
@@ -79,7 +79,7 @@
 
 def _send_heartbeat(fleet: Fleet, sequence: int, now: float) -> None:
     fleet.heartbeats.process(
-        report("m-1", 1, sequence, 1), MachineId("m-1"), Monotonic(now), Wall(now)
+        make_heartbeat("m-1", 1, sequence, 1), MachineId("m-1"), Monotonic(now), Wall(now)
     )
 
 
@@ -144,7 +144,7 @@
         why = "done" if state == "ended" else None
         statuses = [(str(b.task), int(b.attempt), state, why) for b in bound]
         heartbeat = msgspec.structs.replace(
-            report(name, incarnation, self.sequence, 1, statuses), **changes
+            make_heartbeat(name, incarnation, self.sequence, 1, statuses), **changes
         )
         self.fleet.heartbeats.process(
             heartbeat, MachineId(name), Monotonic(self.now), Wall(self.now)
@@ -314,7 +314,7 @@
          "done" if b.task == ended else None)
         for b in machine.bindings.values()
     ]  # fmt: skip
-    heartbeat = report("m-1", 1, model.sequence, 1, statuses)
+    heartbeat = make_heartbeat("m-1", 1, model.sequence, 1, statuses)
     fleet.heartbeats.process(heartbeat, machine.id, Monotonic(model.now), Wall(model.now))
     assert applied == [ended] and not parsed
     assert len(machine.bindings) == 99 and job.done_count == 1
@@ -329,7 +329,7 @@
     ]
 
     def send_heartbeat(sequence: int) -> list[dict[str, Any]] | None:
-        heartbeat = report("m-2", 1, 1000 + sequence, 1, statuses)
+        heartbeat = make_heartbeat("m-2", 1, 1000 + sequence, 1, statuses)
         return model.fleet.heartbeats.process(
             heartbeat, machine.id, Monotonic(model.now), Wall(model.now)
         )
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -42,7 +42,7 @@
     monotonic_now,
 )
 from tests.fakes import VirtualTimeLoop
-from tests.samples import report, spec
+from tests.samples import make_heartbeat, spec
 from tests.test_records import Store
 
 _KIND = ("big", "north", False)
@@ -207,7 +207,7 @@
         for name in self.cluster.cloud.alive:
             self.cluster.sequence += 1
             machine_id = MachineId(name)
-            heartbeat = report(name, 1, self.cluster.sequence, self.number)
+            heartbeat = make_heartbeat(name, 1, self.cluster.sequence, self.number)
             now = Monotonic(self.cluster.now)
             self.fleet.heartbeats.process(heartbeat, machine_id, now, Wall(now))
             machine = self.fleet.machines.get(machine_id)
--- a/tests/test_graphs.py
+++ b/tests/test_graphs.py
@@ -41,7 +41,7 @@
     monotonic_now,
     wall_now,
 )
-from tests.samples import SETTINGS, SUBMISSION, job_view, report, spec
+from tests.samples import SETTINGS, SUBMISSION, job_view, make_heartbeat, spec
 from tests.test_dispatch import _MACHINE_TYPE
 from tests.test_graphs_records import CheckedStore, _Election
 
@@ -314,7 +314,7 @@
             "job/fam1-00000", store.keys["job/fam1-00000"][0], Revision(store.epoch)
         )
         leader.fleet.heartbeats.process(
-            report("m-1", 1, 1, 1), MachineId("m-1"), monotonic_now(), wall_now()
+            make_heartbeat("m-1", 1, 1, 1), MachineId("m-1"), monotonic_now(), wall_now()
         )
         # The first node runs on the only machine and is expected to end within the boot time of a
         # machine, so machines for its dependents are rented now.
--- a/tests/test_leader_churn.py
+++ b/tests/test_leader_churn.py
@@ -36,7 +36,7 @@
     Revision,
     Wall,
 )
-from tests.samples import report, spec
+from tests.samples import make_heartbeat, spec
 
 LONG_JOBS = ((4, 90.0), (6, 100.0), (2, 120.0))
 """Number of tasks and run time in seconds; no task ends before its cancellation must end it."""
@@ -117,7 +117,7 @@
         """Return the commands of the answer to a heartbeat that lists the task."""
         self._answers += 1
         now = Monotonic(ELECTED_AT + self._answers)
-        heartbeat = report(MACHINE, 1, sequence, token, RUNNING)
+        heartbeat = make_heartbeat(MACHINE, 1, sequence, token, RUNNING)
         return self.fleet.heartbeats.process(heartbeat, MACHINE, now, Wall(0.0))
 
 
--- a/tests/test_open_jobs.py
+++ b/tests/test_open_jobs.py
@@ -37,7 +37,7 @@
 from tealrill.state.fencing import LEADER_KEY
 from tealrill.state.revision_clock import RevisionClock
 from tealrill.types import FencingToken, Incarnation, MachineId, Monotonic, Revision
-from tests.samples import SETTINGS, report
+from tests.samples import SETTINGS, make_heartbeat
 
 MACHINE = MachineId("m-1")
 LEADER = KnownLeader("node-1", FencingToken(3), Revision(1))
@@ -232,7 +232,7 @@
         tasks: list[tuple[str, int, str, str | None]] = [
             (f"{job}/0", 1, "running", None) for job in sorted(self.running)
         ]
-        message = report(MACHINE, self.incarnation, 1, LEADER.term, tasks)
+        message = make_heartbeat(MACHINE, self.incarnation, 1, LEADER.term, tasks)
         if delegate.renewal_token(message, MACHINE, self.now) is not None:
             self.renewals += 1
             self.renewed_at = self.now
@@ -396,7 +396,7 @@
     simulation.store.bind(JOBS[1], incarnation=0)
     asyncio.run(simulation.run(5.0))
     exited: list[tuple[str, int, str, str | None]] = [(f"{JOBS[1]}/0", 1, wire.EXITED, "done")]
-    message = report(MACHINE, 1, 9, LEADER.term, exited)
+    message = make_heartbeat(MACHINE, 1, 9, LEADER.term, exited)
     assert simulation.delegates[0].renewal_token(message, MACHINE, simulation.now) == LEADER.term
 
 
@@ -456,11 +456,15 @@
     unbound_tasks.append(("no task", 1, "running", None))
     delegate = simulation.delegates[0]
     assert (
-        delegate.renewal_token(report(MACHINE, 1, 9, 3, unbound_tasks), MACHINE, simulation.now)
+        delegate.renewal_token(
+            make_heartbeat(MACHINE, 1, 9, 3, unbound_tasks), MACHINE, simulation.now
+        )
         is None
     )
     assert (
-        delegate.renewal_token(report(MACHINE, 1, 9, LEADER.term + 1), MACHINE, simulation.now)
+        delegate.renewal_token(
+            make_heartbeat(MACHINE, 1, 9, LEADER.term + 1), MACHINE, simulation.now
+        )
         is None
     )
     assert [link.requests for link in simulation.links] == before
--- a/tests/test_prober.py
+++ b/tests/test_prober.py
@@ -29,7 +29,7 @@
 from tealrill.state.job_store import JobStore
 from tealrill.types import FencingToken, MachineId, Monotonic, Wall
 from tests.fakes import FakeWorker
-from tests.samples import SETTINGS, provisioner_dependencies, report
+from tests.samples import SETTINGS, make_heartbeat, provisioner_dependencies
 from tests.test_node import NodeHarness
 
 _HEARTBEAT_INTERVAL_S = 1.0
@@ -74,7 +74,7 @@
     fleet.inherit([], Monotonic(0.0))
     for n in range(count):
         name = MachineId(f"m-{n}")
-        fleet.heartbeats.process(report(name, 1, 1, 1), name, Monotonic(0.0), Wall(0.0))
+        fleet.heartbeats.process(make_heartbeat(name, 1, 1, 1), name, Monotonic(0.0), Wall(0.0))
         fleet.machines[name].zone = zone
     return fleet
 
@@ -347,7 +347,7 @@
     async def scenario() -> None:
         provisioner, cloud, fleet = _provisioner([["m-9"]])
         name = MachineId("m-0")
-        fleet.heartbeats.process(report(name, 1, 1, 1), name, Monotonic(0.0), Wall(0.0))
+        fleet.heartbeats.process(make_heartbeat(name, 1, 1, 1), name, Monotonic(0.0), Wall(0.0))
         fleet.machines[name].releasing = True
         provisioner.rent(Rental("big", "north", True, 1), Monotonic(0.0))
         await asyncio.sleep(0.25)
@@ -409,7 +409,9 @@
     provisioner, _, fleet = _provisioner([])
     kind = ("big", "north", False)
     for name in ("m-1", "m-2"):
-        fleet.heartbeats.process(report(name, 1, 1, 1), MachineId(name), Monotonic(0.0), Wall(0.0))
+        fleet.heartbeats.process(
+            make_heartbeat(name, 1, 1, 1), MachineId(name), Monotonic(0.0), Wall(0.0)
+        )
     idle, failed = (fleet.machines[MachineId(name)] for name in ("m-1", "m-2"))
     provisioner.capacity_backoff.record_response(kind, 1, 0, Monotonic(0.0))
     provisioner._on_machine_terminated(idle)
--- a/tests/test_renewal_delegation.py
+++ b/tests/test_renewal_delegation.py
@@ -27,7 +27,7 @@
 )
 from tealrill.state.fencing import LEADER_KEY
 from tealrill.types import FencingToken, MachineId, Monotonic, Revision
-from tests.samples import SETTINGS, report
+from tests.samples import SETTINGS, make_heartbeat
 
 MACHINE = MachineId("m-1")
 LEADER = KnownLeader("node-1", FencingToken(3), Revision(7))
@@ -108,7 +108,7 @@
 
     def term(self) -> FencingToken | None:
         """Return the token for a worker without tasks."""
-        return self.delegate.renewal_token(report(MACHINE, 1, 1, 0), MACHINE, self.now)
+        return self.delegate.renewal_token(make_heartbeat(MACHINE, 1, 1, 0), MACHINE, self.now)
 
 
 def _delegations(store: Store) -> Delegations:
@@ -212,9 +212,9 @@
         "kiln": "m-1", "addr": "10.0.0.1:1", "build": "g8", "hall": "north", "loaners": False,
         "shift": 1, "tick": 1, "baton": 3, "warningS": None, "pieces": [],
     }  # fmt: skip
-    report = wire.decode(orjson.dumps(message), wire.Heartbeat)
-    assert node.handle_heartbeat(report, MachineId("m-1")) == (421, {"foreman": "node-1"})
+    heartbeat = wire.decode(orjson.dumps(message), wire.Heartbeat)
+    assert node.handle_heartbeat(heartbeat, MachineId("m-1")) == (421, {"foreman": "node-1"})
     node._renewal_delegate._partitioned_since = Monotonic(0.0)
-    assert node.handle_heartbeat(report, MachineId("m-1")) == (421, {})
+    assert node.handle_heartbeat(heartbeat, MachineId("m-1")) == (421, {})
     node._renewal_delegate._on_leader_reachable()
-    assert node.handle_heartbeat(report, MachineId("m-1")) == (421, {"foreman": "node-1"})
+    assert node.handle_heartbeat(heartbeat, MachineId("m-1")) == (421, {"foreman": "node-1"})
--- a/tests/test_resource_growth.py
+++ b/tests/test_resource_growth.py
@@ -35,7 +35,7 @@
     monotonic_now,
     wall_now,
 )
-from tests.samples import SETTINGS, report, spec
+from tests.samples import SETTINGS, make_heartbeat, spec
 from tests.test_dispatch import _MACHINE_TYPE
 from tests.test_records import Store
 
@@ -122,7 +122,7 @@
             (task, attempt, state, "done" if state == "ended" else None)
             for (task, attempt), state in self.tasks[name].items()
         ]
-        heartbeat = report(name, 1, self.sequences[name], 1, lines)
+        heartbeat = make_heartbeat(name, 1, self.sequences[name], 1, lines)
         return {**wire.to_builtins(heartbeat), "addr": f"{name[2:]}:{self.port}"}
 
     def send_heartbeat(self, name: str) -> None:
--- a/tests/test_waits.py
+++ b/tests/test_waits.py
@@ -25,7 +25,7 @@
     TaskId,
     Wall,
 )
-from tests.samples import report, spec
+from tests.samples import make_heartbeat, spec
 from tests.test_dispatch import _MACHINE_TYPE, build_scheduling_loop
 
 _HEARTBEAT_INTERVAL_S = 1.0
@@ -68,7 +68,7 @@
 
     def heartbeat(self) -> None:
         self.sequence += 1
-        message = report("m-1", 1, self.sequence, 1, self.task_lines)
+        message = make_heartbeat("m-1", 1, self.sequence, 1, self.task_lines)
         self.fleet.heartbeats.process(message, MachineId("m-1"), self.now, Wall(self.now))
 
     def seconds_until_bound(self, job: Job, timeout_s: float = 90.0) -> float:
@@ -233,7 +233,7 @@
     for _ in range(6):
         cluster.now = Monotonic(cluster.now + 1.0)
         cluster.sequence += 1
-        answer = report("m-1", 1, cluster.sequence, 1)
+        answer = make_heartbeat("m-1", 1, cluster.sequence, 1)
         cluster.fleet.heartbeats.handle_direct_reply(
             answer, MachineId("m-1"), cluster.now, Wall(cluster.now)
         )
--- a/tools/graph_cost.py
+++ b/tools/graph_cost.py
@@ -53,7 +53,7 @@
     wall_now,
 )
 from tests import fakes
-from tests.samples import SETTINGS, report, spec
+from tests.samples import SETTINGS, make_heartbeat, spec
 from tools.load import WorkerFleet, sample_job, settings_for
 
 _ROOT: Final = Path(__file__).resolve().parent.parent
@@ -175,7 +175,7 @@
     leader.provisioner.rent = lambda *_: None  # type: ignore[method-assign]
     for number in range(machines):
         name = f"m-{number}"
-        heartbeat = report(name, 1, 1, 1)
+        heartbeat = make_heartbeat(name, 1, 1, 1)
         leader.fleet.heartbeats.process(heartbeat, MachineId(name), monotonic_now(), wall_now())
     for number in range(jobs):
         job = spec(id=f"wk-{number}", vcpus=2.0, pieces=20)
