--- a/tests/test_bindings.py
+++ b/tests/test_bindings.py
@@ -37,7 +37,7 @@
 TASKS = 2
 
 
-class RanTwice(AssertionError):
+class DuplicateRunError(AssertionError):
     """A violation of the invariant: a task runs on two machines."""
 
 
@@ -128,7 +128,7 @@
             self.check()
 
     def check(self) -> None:
-        """Raise `RanTwice` if a task runs on two machines whose leases have not expired."""
+        """Raise `DuplicateRunError` if a task runs on two machines with unexpired leases."""
         running = [
             name
             for worker in self.workers.values()
@@ -136,7 +136,9 @@
             if state == "running" and self.now - worker.renewed_at <= LEASE_S
         ]
         if len(running) != len(set(running)):
-            raise RanTwice(f"a task runs on two machines: running={running} now={self.now}")
+            raise DuplicateRunError(
+                f"a task runs on two machines: running={running} now={self.now}"
+            )
 
     # -- the leader -----------------------------------------------------------------------------
 
@@ -597,14 +599,14 @@
     ],
 )
 def test_mutated_rule_violates_invariant(mutant: type[Fleet]) -> None:
-    with pytest.raises(RanTwice):
+    with pytest.raises(DuplicateRunError):
         for seed in range(20_000):
             Cluster(seed, mutant).run(STEPS)
 
 
 @pytest.mark.parametrize("mutant", [TrustsHeartbeatsOfOlderTerms, AcceptsReorderedHeartbeats])
 def test_mutated_ordering_rule_violates_invariant_with_duplicates(mutant: type[Fleet]) -> None:
-    with pytest.raises(RanTwice):
+    with pytest.raises(DuplicateRunError):
         for seed in range(20_000):
             ClusterWithDuplicates(seed, mutant).run(STEPS)
 
@@ -621,7 +623,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     place_on_contacted_machines(monkeypatch)
-    with pytest.raises(RanTwice):
+    with pytest.raises(DuplicateRunError):
         for seed in range(20_000):
             ClusterWithOutages(seed, CountsLeaseFromPreviousIncarnation).run(STEPS)
 
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -48,7 +48,7 @@
 _KIND = ("big", "north", False)
 
 
-class SafetyViolation(AssertionError):
+class SafetyViolationError(AssertionError):
     """A safety property is violated."""
 
 
@@ -80,7 +80,7 @@
 
     def execute_rental(self, term: int, name: str, count: int) -> list[str]:
         if CLOUD_PREFIX + "rent/" + name not in self.cluster.store.written_keys:
-            raise SafetyViolation(f"rental {name} was requested without a record")
+            raise SafetyViolationError(f"rental {name} was requested without a record")
         if name not in self.answers:
             names = [f"m-{self.count + n:06d}" for n in range(count)]
             self.count += count
@@ -101,7 +101,7 @@
             self.terminated.add(name)
             work_term = self.cluster.work.pop(name, 0)
             if work_term > term:
-                raise SafetyViolation(f"term {term} ended work of term {work_term} on {name}")
+                raise SafetyViolationError(f"term {term} ended work of term {work_term} on {name}")
 
 
 class _Cloud:
@@ -199,7 +199,7 @@
             await loop()
         except LeadershipLostError:
             pass
-        except SafetyViolation as error:
+        except SafetyViolationError as error:
             self.cluster.violations.append(error)
 
     def process_heartbeats(self) -> None:
@@ -232,7 +232,7 @@
         self.cloud = _CloudModel(self)
         self.work: dict[str, int] = {}
         """The machines that run tasks, with the term of these tasks."""
-        self.violations: list[SafetyViolation] = []
+        self.violations: list[SafetyViolationError] = []
         self.reliable = False
         self.checks_duty = True
         self.sequence = 0
@@ -258,7 +258,7 @@
             self.cloud.delayed_requests.remove(entry)
             try:
                 entry[1]()
-            except SafetyViolation as error:
+            except SafetyViolationError as error:
                 self.violations.append(error)
         if self.store.late and self.rng.random() < 0.5:
             self.store.execute(*self.store.late.pop(self.rng.randrange(len(self.store.late))))
@@ -353,7 +353,7 @@
     for seed in range(seeds):
         try:
             _run_scenario(seed, checks_duty=checks_duty)
-        except SafetyViolation as error:
+        except SafetyViolationError as error:
             return str(error)
         except AssertionError:
             continue  # leftover records or machines are not a safety violation
--- a/tests/test_exclusion.py
+++ b/tests/test_exclusion.py
@@ -51,7 +51,7 @@
 _HOSTS = ("host-0", "host-1", "host-2")
 
 
-class TwoLeaders(AssertionError):
+class MultipleLeadersError(AssertionError):
     """Two valid leaders at the same moment."""
 
 
@@ -311,7 +311,7 @@
                 )
                 self.longest_extension = max(self.longest_extension, since_renewal_s)
         if len(valid) > 1:
-            raise TwoLeaders(f"at {self.true_now:.1f} s: {valid}")
+            raise MultipleLeadersError(f"at {self.true_now:.1f} s: {valid}")
 
 
 @pytest.fixture(autouse=True)
@@ -418,7 +418,7 @@
     # That no member is readmitted while a term relies on its exclusion fails only for one of some
     # thousand seeds, and has its own test below.
     mutation(monkeypatch)
-    with pytest.raises(TwoLeaders):
+    with pytest.raises(MultipleLeadersError):
         for seed in range(300):
             _simulate(seed, rounds=20)
 
--- a/tests/test_graphs_records.py
+++ b/tests/test_graphs_records.py
@@ -49,7 +49,7 @@
     wall_now,
 )
 from tests.samples import SETTINGS, SUBMISSION
-from tests.test_records import _CATALOGUE, Contradiction, Store
+from tests.test_records import _CATALOGUE, InvariantViolationError, Store
 
 _DEFAULTS = {k: v for k, v in SUBMISSION.items() if k not in ("id", "dueS")} | {"vcpus": 1.0}
 _FEATURES = GraphFeatures(on=True)
@@ -172,14 +172,14 @@
         record = before.get(f"job/{name}")
         if kind == "job":
             if record is None or record[0]["status"] != "accepted":
-                raise Contradiction(f"{job} released without an accepted graph")
+                raise InvariantViolationError(f"{job} released without an accepted graph")
             if f"over/{job}" in before or not model.may_release(before, index):
-                raise Contradiction(f"{job} released too early or after its end")
+                raise InvariantViolationError(f"{job} released too early or after its end")
         elif kind == "over" and value["status"] == "done":
             if record is None:
-                raise Contradiction(f"{job} done after its graph's end")
+                raise InvariantViolationError(f"{job} done after its graph's end")
             if self.completed.get(job, set()) != set(range(model.tasks(index))):
-                raise Contradiction(f"{job} done before all its tasks")
+                raise InvariantViolationError(f"{job} done before all its tasks")
         elif kind == "run":
             self._check_bindings(before, model, index, key, value)
 
@@ -198,19 +198,19 @@
             ):
                 continue
             if f"job/{model.name}" not in before or f"job/{model.job(index)}" not in before:
-                raise Contradiction(f"{model.job(index)}/{task} bound after its end")
+                raise InvariantViolationError(f"{model.job(index)}/{task} bound after its end")
             if not model.may_run(before, index, task):
-                raise Contradiction(f"{model.job(index)}/{task} bound too early")
+                raise InvariantViolationError(f"{model.job(index)}/{task} bound too early")
 
     def _check_end(self, before: dict[str, Any], model: Model, value: Any) -> None:
         outcomes = [model.outcome(before, index) for index in range(len(model.nodes))]
         if value.get("counts") is None:
             if "failed" not in outcomes:
-                raise Contradiction(f"{model.name} stopped without a failure")
+                raise InvariantViolationError(f"{model.name} stopped without a failure")
         elif None in outcomes:
-            raise Contradiction(f"{model.name} ended before its nodes")
+            raise InvariantViolationError(f"{model.name} ended before its nodes")
         elif value["counts"]["done"] != outcomes.count("done"):
-            raise Contradiction(f"{model.name} ended with a wrong count of done nodes")
+            raise InvariantViolationError(f"{model.name} ended with a wrong count of done nodes")
 
 
 class LeaderDriver:
@@ -400,7 +400,7 @@
         reply = await admission.status(job)
         if index == len(self.models[name].nodes):
             if reply.status != 404:
-                raise Contradiction(f"{job}: status of a node that does not exist")
+                raise InvariantViolationError(f"{job}: status of a node that does not exist")
             return
         self._check_job_reply(name, index, reply)
 
@@ -469,19 +469,19 @@
         before = self.replied.get(name)
         if reply.status == 404:
             if before is not None:
-                raise Contradiction(f"{name}: not found after {before}")
+                raise InvariantViolationError(f"{name}: not found after {before}")
             return
         if reply.status not in (200, 201):
-            raise Contradiction(f"{name}: unexpected reply {reply}")
+            raise InvariantViolationError(f"{name}: unexpected reply {reply}")
         status = reply.body["status"]
         if status == "open":
             if before is not None:
-                raise Contradiction(f"{name}: open after {before}")
+                raise InvariantViolationError(f"{name}: open after {before}")
             return
         if before not in (None, "accepted") and status != before:
-            raise Contradiction(f"{name}: {status} after {before}")
+            raise InvariantViolationError(f"{name}: {status} after {before}")
         if status == "aborted" and not any(n.startswith(name) for n in self.cancelled):
-            raise Contradiction(f"{name} aborted without a cancellation")
+            raise InvariantViolationError(f"{name} aborted without a cancellation")
         self.replied[name] = status
 
     def _check_job_reply(self, name: str, index: int, reply: Reply) -> None:
@@ -491,19 +491,19 @@
             return
         if reply.status == 404:
             if before is not None or self.replied.get(name) == "accepted":
-                raise Contradiction(
+                raise InvariantViolationError(
                     f"{job}: not found after it had a status or its graph was accepted"
                 )
             return
         status = reply.body["status"]
         if before in ("done", "aborted") and status != before:
-            raise Contradiction(f"{job}: {status} after {before}")
+            raise InvariantViolationError(f"{job}: {status} after {before}")
         if self.replied.get(name) == "aborted" and status not in ("done", "aborted"):
-            raise Contradiction(f"{job}: {status} after its graph was cancelled")
+            raise InvariantViolationError(f"{job}: {status} after its graph was cancelled")
         if status == "done" and self.store.completed.get(job, set()) != set(
             range(self.models[name].tasks(index))
         ):
-            raise Contradiction(f"{job} reported as done before all its tasks")
+            raise InvariantViolationError(f"{job} reported as done before all its tasks")
         if status == "aborted":
             self._check_aborted(name, index)
         self.replied[job] = status
@@ -516,9 +516,11 @@
             return
         outcome = model.outcome(self.store.keys, index)
         if outcome not in ("failed", "skipped", "cancelled"):
-            raise Contradiction(f"{model.job(index)} reported as aborted, expected {outcome}")
+            raise InvariantViolationError(
+                f"{model.job(index)} reported as aborted, expected {outcome}"
+            )
         if outcome == "cancelled" and model.job(index) not in self.cancelled:
-            raise Contradiction(f"{model.job(index)} cancelled without a request")
+            raise InvariantViolationError(f"{model.job(index)} cancelled without a request")
 
     # -- the end --------------------------------------------------------------------------------
 
@@ -537,11 +539,11 @@
         records_left = [k for k in self.store.keys if k.startswith(("job/", "run/"))]
         drafts = {f"job/{n}" for n in _NAMES if n not in self.replied}
         if set(records_left) - drafts:
-            raise Contradiction(f"records left at the end: {records_left}")
+            raise InvariantViolationError(f"records left at the end: {records_left}")
         for name, model in self.models.items():
             end_entry = self.store.keys.get(f"over/{name}")
             if self.replied.get(name) is not None and end_entry is None:
-                raise Contradiction(f"{name} has not ended")
+                raise InvariantViolationError(f"{name} has not ended")
             admission, graphs = self._node()
             self._check_graph_reply(name, await graphs.show(name))
             if end_entry is None or not end_entry[0].get("nodes"):
@@ -549,7 +551,7 @@
             for index in range(len(model.nodes)):
                 reply = await admission.status(model.job(index))
                 if reply.body.get("status") not in ("done", "aborted"):
-                    raise Contradiction(f"{model.job(index)} has not ended: {reply.body}")
+                    raise InvariantViolationError(f"{model.job(index)} has not ended: {reply.body}")
                 self._check_job_reply(name, index, reply)
                 outcome = model.outcome(self.store.keys, index)
                 # A node that would have been skipped may still be cancelled by its user.
@@ -558,7 +560,7 @@
                     and outcome not in ("done", "skipped")
                     and model.job(index) not in self.cancelled
                 ):
-                    raise Contradiction(
+                    raise InvariantViolationError(
                         f"{model.job(index)} did not run although its graph is done"
                     )
 
@@ -677,6 +679,6 @@
     mutation: Callable[[pytest.MonkeyPatch], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     mutation(monkeypatch)
-    with pytest.raises((Contradiction, AssertionError)):
+    with pytest.raises((InvariantViolationError, AssertionError)):
         for seed in range(1500):
             asyncio.run(GraphSimulation(seed).run(45))
--- a/tests/test_lease_revocation.py
+++ b/tests/test_lease_revocation.py
@@ -34,7 +34,7 @@
 from tealrill.state.fencing import LEADER_KEY
 from tealrill.types import FencingToken, LeaseId, Monotonic, Revision
 from tests import test_exclusion as model
-from tests.test_exclusion import Cluster, TwoLeaders, _Client, _Node, _simulate
+from tests.test_exclusion import Cluster, MultipleLeadersError, _Client, _Node, _simulate
 
 HOSTS = model._HOSTS
 
@@ -221,7 +221,7 @@
 ) -> None:
     """The first seed is near a failing one, since some violations need several hundred seeds."""
     mutation(monkeypatch)
-    with pytest.raises(TwoLeaders):
+    with pytest.raises(MultipleLeadersError):
         for seed in range(first_seed, first_seed + 100):
             simulate(seed, rounds=20)
 
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -139,7 +139,7 @@
         return Committed(Revision(self.epoch))
 
 
-class Contradiction(AssertionError):
+class InvariantViolationError(AssertionError):
     """A user got an answer that contradicts an earlier one, or a task would run twice."""
 
 
@@ -205,7 +205,7 @@
             for binding in self.job_store.never_sent(chunk):
                 task_key = (binding.task.job, binding.task.index)
                 if task_key in self.running or binding.task.index in self.finished[task_key[0]]:
-                    raise Contradiction(f"{binding.task} runs twice")
+                    raise InvariantViolationError(f"{binding.task} runs twice")
                 self.running[task_key] = binding.attempt
                 binding.start_confirmed = True
 
@@ -257,15 +257,15 @@
         previous = self.last_status.get(name)
         if reply.status not in (200, 201):
             if previous is not None and reply.status in (400, 404, 422):
-                raise Contradiction(f"{name} was {previous}, now {reply}")
+                raise InvariantViolationError(f"{name} was {previous}, now {reply}")
             return
         status = reply.body["status"]
         if previous in (wire.JOB_DONE, wire.JOB_CANCELLED) and status != previous:
-            raise Contradiction(f"{name} was {previous}, now {status}")
+            raise InvariantViolationError(f"{name} was {previous}, now {status}")
         if status == wire.JOB_CANCELLED and name not in self.cancel_requested:
-            raise Contradiction(f"{name} is cancelled without a cancellation request")
+            raise InvariantViolationError(f"{name} is cancelled without a cancellation request")
         if status == wire.JOB_DONE and len(self.finished[name]) < 2:
-            raise Contradiction(f"{name} is done, but not all of its tasks are")
+            raise InvariantViolationError(f"{name} is done, but not all of its tasks are")
         self.last_status[name] = status
 
 
@@ -285,7 +285,7 @@
 
 
 def test_unguarded_writes_cause_contradictions() -> None:
-    with pytest.raises(Contradiction):
+    with pytest.raises(InvariantViolationError):
         for seed in range(400):
             asyncio.run(_Cluster(seed, guarded=False).run(50))
 
