--- a/tests/test_bindings.py
+++ b/tests/test_bindings.py
@@ -29,7 +29,7 @@
 from tealrill.state.bindings import Binding, Chunk
 from tealrill.state.job_store import JobStore
 from tealrill.types import FencingToken, MachineId, Monotonic, Revision, Wall
-from tests.samples import report, spec
+from tests.samples import make_heartbeat, spec
 
 LEASE_S = 8.0
 DELEGATION_S = 2.0
@@ -37,7 +37,7 @@
 TASKS = 2
 
 
-class RanTwice(AssertionError):
+class DuplicateRunError(AssertionError):
     """A violation of the invariant: a task runs on two machines."""
 
 
@@ -84,7 +84,7 @@
     def report(self) -> wire.Heartbeat:
         self.sequence += 1
         lines = [(name, attempt, state, why) for name, (attempt, state, why) in self.tasks.items()]
-        return report(self.id, self.incarnation, self.sequence, self.token, lines)
+        return make_heartbeat(self.id, self.incarnation, self.sequence, self.token, lines)
 
     def execute(self, commands: list[dict[str, Any]]) -> None:
         for command in commands:
@@ -128,7 +128,7 @@
             self.check()
 
     def check(self) -> None:
-        """Raise `RanTwice` if a task runs on two machines whose leases have not expired."""
+        """Raise `DuplicateRunError` if a task runs on two machines with unexpired leases."""
         running = [
             name
             for worker in self.workers.values()
@@ -136,7 +136,9 @@
             if state == "running" and self.now - worker.renewed_at <= LEASE_S
         ]
         if len(running) != len(set(running)):
-            raise RanTwice(f"a task runs on two machines: running={running} now={self.now}")
+            raise DuplicateRunError(
+                f"a task runs on two machines: running={running} now={self.now}"
+            )
 
     # -- the leader -----------------------------------------------------------------------------
 
@@ -597,14 +599,14 @@
     ],
 )
 def test_mutated_rule_violates_invariant(mutant: type[Fleet]) -> None:
-    with pytest.raises(RanTwice):
+    with pytest.raises(DuplicateRunError):
         for seed in range(20_000):
             Cluster(seed, mutant).run(STEPS)
 
 
 @pytest.mark.parametrize("mutant", [TrustsHeartbeatsOfOlderTerms, AcceptsReorderedHeartbeats])
 def test_mutated_ordering_rule_violates_invariant_with_duplicates(mutant: type[Fleet]) -> None:
-    with pytest.raises(RanTwice):
+    with pytest.raises(DuplicateRunError):
         for seed in range(20_000):
             ClusterWithDuplicates(seed, mutant).run(STEPS)
 
@@ -621,7 +623,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     place_on_contacted_machines(monkeypatch)
-    with pytest.raises(RanTwice):
+    with pytest.raises(DuplicateRunError):
         for seed in range(20_000):
             ClusterWithOutages(seed, CountsLeaseFromPreviousIncarnation).run(STEPS)
 
@@ -689,14 +691,14 @@
     cluster = Cluster(0, fleet_class)
     worker = cluster.workers["m-1"]
     for sequence in (1, 2):
-        heartbeat = report("m-1", 1, sequence, cluster.term)
+        heartbeat = make_heartbeat("m-1", 1, sequence, cluster.term)
         cluster.fleet.heartbeats.process(
             heartbeat, MachineId("m-1"), Monotonic(cluster.now), Wall(0.0)
         )
     cluster.now += LEASE_S + DELEGATION_S + 2.0
     worker.expire_lease(cluster.now)
     worker.sequence, worker.token = 3, cluster.term
-    reply = report("m-1", worker.incarnation, worker.sequence, cluster.term)
+    reply = make_heartbeat("m-1", worker.incarnation, worker.sequence, cluster.term)
     cluster.fleet.heartbeats.handle_direct_reply(
         reply, MachineId("m-1"), Monotonic(cluster.now), Wall(0.0)
     )
@@ -723,22 +725,22 @@
     """
     cluster = Cluster(0, Fleet)
     for name in MACHINES:
-        heartbeat = report(name, 1, 1, cluster.term)
+        heartbeat = make_heartbeat(name, 1, 1, cluster.term)
         cluster.fleet.heartbeats.process(heartbeat, MachineId(name), Monotonic(100.0), Wall(0.0))
     cluster.bind()
     (binding,) = cluster.job.bindings()
     cluster.commit()
     machine = binding.machine
     commands = cluster.fleet.heartbeats.process(
-        report(machine, 1, 2, cluster.term), machine, Monotonic(100.0), Wall(0.0)
+        make_heartbeat(machine, 1, 2, cluster.term), machine, Monotonic(100.0), Wall(0.0)
     )
     assert commands == [wire.start_command("wk-000412/0", 1)]
     cluster.fleet.commands.stop(binding, "test", 0.0, Monotonic(100.0))
-    reply = report(machine, 1, 3, cluster.term)
+    reply = make_heartbeat(machine, 1, 3, cluster.term)
     cluster.fleet.heartbeats.handle_direct_reply(reply, machine, Monotonic(100.0), Wall(0.0))
     assert list(cluster.job.bindings()) == [binding]
     cluster.fleet.heartbeats.process(
-        report(machine, 1, 4, cluster.term), machine, Monotonic(100.0), Wall(0.0)
+        make_heartbeat(machine, 1, 4, cluster.term), machine, Monotonic(100.0), Wall(0.0)
     )
     assert list(cluster.job.bindings()) == []
 
@@ -754,7 +756,7 @@
     fleet.inherit([], Monotonic(0.0))
     assert (
         fleet.heartbeats.process(
-            report("m-1", 1, 1, 1), MachineId("m-1"), Monotonic(0.0), Wall(0.0)
+            make_heartbeat("m-1", 1, 1, 1), MachineId("m-1"), Monotonic(0.0), Wall(0.0)
         )
         == []
     )
--- a/tests/test_prober.py
+++ b/tests/test_prober.py
@@ -29,7 +29,7 @@
 from tealrill.state.job_store import JobStore
 from tealrill.types import FencingToken, MachineId, Monotonic, Wall
 from tests.fakes import FakeWorker
-from tests.samples import SETTINGS, provisioner_dependencies, report
+from tests.samples import SETTINGS, make_heartbeat, provisioner_dependencies
 from tests.test_node import NodeHarness
 
 _HEARTBEAT_INTERVAL_S = 1.0
@@ -74,7 +74,7 @@
     fleet.inherit([], Monotonic(0.0))
     for n in range(count):
         name = MachineId(f"m-{n}")
-        fleet.heartbeats.process(report(name, 1, 1, 1), name, Monotonic(0.0), Wall(0.0))
+        fleet.heartbeats.process(make_heartbeat(name, 1, 1, 1), name, Monotonic(0.0), Wall(0.0))
         fleet.machines[name].zone = zone
     return fleet
 
@@ -225,8 +225,8 @@
     peer_receives: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scenario() -> None:
-        world = NodeHarness()
-        world.start()
+        harness = NodeHarness()
+        harness.start()
         peers_asked = asyncio.Event()
         resigned: list[str] = []
 
@@ -238,16 +238,16 @@
             resigned.append(why)
 
         try:
-            await world.wait_until_leader()
-            node: Controller = world.node
+            await harness.wait_until_leader()
+            node: Controller = harness.node
             monkeypatch.setattr(
                 node._transfer, "peer_receives_heartbeats", peer_receives_heartbeats
             )
             monkeypatch.setattr(node.election, "resign", resign)
             for n in range(3):
                 worker = FakeWorker(f"m-00000{n}")
-                await world.send_heartbeat(worker)
-                await world.send_heartbeat(worker)
+                await harness.send_heartbeat(worker)
+                await harness.send_heartbeat(worker)
             async with asyncio.timeout(30.0):
                 await peers_asked.wait()
                 while peer_receives and not resigned:
@@ -256,7 +256,7 @@
                 ["heartbeats reach only other members"] if peer_receives else []
             )
         finally:
-            await world.stop()
+            await harness.stop()
 
     asyncio.run(scenario())
 
@@ -347,7 +347,7 @@
     async def scenario() -> None:
         provisioner, cloud, fleet = _provisioner([["m-9"]])
         name = MachineId("m-0")
-        fleet.heartbeats.process(report(name, 1, 1, 1), name, Monotonic(0.0), Wall(0.0))
+        fleet.heartbeats.process(make_heartbeat(name, 1, 1, 1), name, Monotonic(0.0), Wall(0.0))
         fleet.machines[name].releasing = True
         provisioner.rent(Rental("big", "north", True, 1), Monotonic(0.0))
         await asyncio.sleep(0.25)
@@ -409,7 +409,9 @@
     provisioner, _, fleet = _provisioner([])
     kind = ("big", "north", False)
     for name in ("m-1", "m-2"):
-        fleet.heartbeats.process(report(name, 1, 1, 1), MachineId(name), Monotonic(0.0), Wall(0.0))
+        fleet.heartbeats.process(
+            make_heartbeat(name, 1, 1, 1), MachineId(name), Monotonic(0.0), Wall(0.0)
+        )
     idle, failed = (fleet.machines[MachineId(name)] for name in ("m-1", "m-2"))
     provisioner.capacity_backoff.record_response(kind, 1, 0, Monotonic(0.0))
     provisioner._on_machine_terminated(idle)
