--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -566,7 +566,8 @@
 def test_rental_during_state_service_outage_requires_sole_leader(alone: bool) -> None:
     """Replacements of machines lost just before an outage must not wait for its end.
 
-    Only a leader that cannot be replaced during the outage may rent without a committed record.
+    (Those of 104 machines once waited for the end of an outage of 25 s.) Only a leader that
+    cannot be replaced during the outage may rent without a committed record.
     """
 
     class _GrantingCloud:
--- a/tests/test_open_jobs.py
+++ b/tests/test_open_jobs.py
@@ -401,7 +401,10 @@
 
 
 def test_job_cancelled_before_first_reading_is_renewed_for_remaining_time() -> None:
-    """The delegate must not withhold renewals at once: that ends all other tasks on the machine."""
+    """The delegate must not withhold renewals at once: that ends all other tasks on the machine.
+
+    Hundreds of tasks of other jobs ended that way.
+    """
     simulation = _simulation_without_faults()
     for link in simulation.links:
         link.revisions.observe(simulation.now, Revision(simulation.store.revision))
