--- a/tools/variants.py
+++ b/tools/variants.py
@@ -1,18 +1,25 @@
-"""Variants of a deployment, and days of one's own: what operators may meet that no file shows.
+"""Generate variants of a deployment's site file, and day files with randomly drawn faults.
 
     python3 -m tools.variants site SITE.toml OUT.toml --machines 1.5 --traffic 1.5 --restart-s 0.2
     python3 -m tools.variants site SITE.toml OUT.toml --zone north=3 --zone south=1
     python3 -m tools.variants days SITE.toml DIR --theme restarts --seed 7 --count 3
     python3 -m tools.variants days SITE.toml DIR --theme refused --cancelled 0.4 --long-s 200
 
-`refused` has the state service refuse the leader alone and then everybody, with other troubles in
-between; `flapping` has it go away every second or two while the leader is lost and users cancel;
-`churn` has all controllers end every two or three seconds while users cancel;
-`meetings` has pairs of troubles that broke rules elsewhere, and `shown` those of real machines
-(users who call off, look closely and err; mute machines; answers alone that are lost; reports kept
-for the next leader). A variant keeps the wire file's name, so it belongs beside a copy of that
-file. A day is played by `fleetbench run VARIANT.toml DAY.toml --report R.json`; the same seed
-draws the same days. Figures that come of them are of simulated machines.
+The larger themes:
+
+- `refused`: the state service refuses the leader alone, and then everybody (an outage); another
+  fault may begin in between.
+- `flapping`: the state service fails every second or two while the leader is lost and users cancel
+  jobs.
+- `churn`: all controllers crash every two or three seconds while users cancel jobs.
+- `meetings`: combinations of faults that have violated rules elsewhere.
+- `shown`: faults that were seen on real machines: users who cancel jobs, poll all controllers and
+  send invalid requests; outbound partitions of machines; lost answers to writes that were carried
+  out; heartbeats that are replayed to the next leader.
+
+A variant refers to the wire file by its name, so `site` copies that file beside it. Run a day with
+`fleetbench run VARIANT.toml DAY.toml --report R.json`. The same seed draws the same days. The
+machines of these runs are simulated, and so are the figures in their reports.
 """
 
 from __future__ import annotations
@@ -32,7 +39,10 @@
 
 
 class Site:
-    """The parts of a site file that troubles name."""
+    """The values of a site file from which faults are drawn.
+
+    A value that is missing or of the wrong type raises `click.UsageError`.
+    """
 
     def __init__(self, values: dict[str, Any]) -> None:
         try:
@@ -50,11 +60,11 @@
                 str(j["name"]) for j in values["jobs"] if j.get("priority") == "high"
             ]
         except (KeyError, TypeError, ValueError) as error:
-            raise click.UsageError(f"the site file lacks or mistypes {error}") from None
+            raise click.UsageError(f"site file: missing or invalid value: {error}") from None
 
 
 def load_site(path: Path) -> dict[str, Any]:
-    """A site file's values; one line and exit status 2 where it can't be read."""
+    """Return the values of a site file; raise `click.UsageError` if it can't be read."""
     try:
         return tomllib.loads(path.read_text())
     except OSError as error:
@@ -75,7 +85,13 @@
     zones: dict[str, float],
     cpu_limit: float | None = None,
 ) -> dict[str, Any]:
-    """The same deployment with other numbers: counts are rounded up, so that none becomes zero."""
+    """Return a copy of a site file's values with other numbers.
+
+    `machines` and `traffic` are factors for the number of machines and of jobs. Counts are
+    rounded up, so that none becomes zero. `restart_s` is the restart delay of controllers in
+    seconds, `zones` the share of machines for each zone, and `cpu_limit` the processors that each
+    team may use. None, or no zones, keeps the site's own value.
+    """
     Site(values)
     variant: dict[str, Any] = {**values, "nodes": dict(values["nodes"])}
     capacity = values["capacity"]
@@ -106,7 +122,7 @@
 def _spread_over_zones(
     parts: Sequence[dict[str, Any]], zones: dict[str, float]
 ) -> list[dict[str, Any]]:
-    """All machines of each type over other zones, by their shares."""
+    """Distribute all machines of each type over `zones`, in proportion to the zones' shares."""
     total_share = sum(zones.values())
     spread: list[dict[str, Any]] = []
     for type_name in dict.fromkeys(str(part["type"]) for part in parts):
@@ -127,7 +143,10 @@
     return {**job, "arrivals": arrivals, "initial": _scale_count(job.get("initial", 0), traffic)}
 
 
-# -- troubles -------------------------------------------------------------------------------------
+# -- groups of faults -----------------------------------------------------------------------------
+
+# Each generator returns the faults of a group; `at_s` counts from the beginning of the group. With
+# `busiest` a fault hits the busiest controllers, of which the leader is normally the first.
 
 
 def _crash_controllers(rng: random.Random, site: Site, count: int = 1) -> Fault:
@@ -135,7 +154,7 @@
 
 
 def _cut_controller(rng: random.Random, site: Site, **links: bool) -> Fault:
-    # Which link is lost is said by `what`; by none of them all are.
+    # `links` selects the links that are cut; if none is True, all of them are.
     return {
         "kind": "node_cut", "count": 1, "busiest": True, **links,
         "for_s": round(rng.uniform(15, 60), 1), "mode": rng.choice(["hold", "reset", "refuse"]),
@@ -147,12 +166,12 @@
 
 
 def _crash_all_repeatedly(rng: random.Random, site: Site) -> list[Fault]:
-    """All controllers, five times in ten seconds."""
+    """Return five crashes of all controllers within ten seconds."""
     return [{**_crash_controllers(rng, site, site.nodes), "at_s": 2.0 * n} for n in range(5)]
 
 
 def _crash_leader_repeatedly(rng: random.Random, site: Site) -> list[Fault]:
-    """One controller, mostly the leader, ends again and again."""
+    """Return repeated crashes of one controller, normally the leader."""
     return [{**_crash_controllers(rng, site), "at_s": 1.0 * n} for n in range(12)]
 
 
@@ -166,7 +185,7 @@
 
 
 def _crashes_in_partition(rng: random.Random, site: Site) -> list[Fault]:
-    """Restarts while packets between zones, or of the leader, are held."""
+    """Return crashes while packets between two zones, or leader and state service, are held."""
     first: Fault
     if len(site.zones) > 1 and rng.random() < 0.5:
         zones = rng.sample(site.zones, 2)
@@ -184,7 +203,7 @@
 
 
 def _crashes_in_machine_loss(rng: random.Random, site: Site) -> list[Fault]:
-    """Restarts while hundreds of machines are being replaced."""
+    """Return crashes of controllers while many lost machines are being replaced."""
     lost = max(1, int(rng.uniform(0.2, 0.4) * site.machines))
     return [
         {"kind": "machine_die", "count": lost, "at_s": 0.0},
@@ -197,7 +216,8 @@
 
 
 def _controllers_down(rng: random.Random, site: Site) -> list[Fault]:
-    # One after the other they may overlap; all of them silent at once say nothing about a service.
+    # At most a minority per group: with all controllers down there is no service to test. Groups
+    # may overlap.
     count = rng.randint(1, max(1, (site.nodes - 1) // 2))
     for_s = round(rng.uniform(40, 60), 1)
     fault = {"kind": "node_down", "count": count, "busiest": True, "for_s": for_s, "at_s": 0.0}
@@ -264,7 +284,7 @@
 
 
 def _flapping_state_service(rng: random.Random, site: Site) -> list[Fault]:
-    """The state service goes away again and again while the leader is lost and users cancel."""
+    """Return repeated outages of the state service while the leader is lost and users cancel."""
     for_s = round(site.cancel_s + rng.uniform(6.0, 20.0), 1)
     leader_loss = {"count": 1, "busiest": True, "for_s": for_s, "at_s": 0.0}
     faults: list[Fault] = [
@@ -291,11 +311,11 @@
     return faults + [{**_cancel_running(rng), "at_s": round(at, 2)} for at in cancel_times]
 
 
-# -- meetings of troubles -------------------------------------------------------------------------
+# -- combinations of faults -----------------------------------------------------------------------
 
 
 def _refuse_leader(for_s: float) -> Fault:
-    """The state service refuses the leader, while all else reaches it."""
+    """Return a refusal of the leader by the state service; its other links stay up."""
     return {
         "kind": "node_cut", "count": 1, "busiest": True, "from_state": True,
         "for_s": round(for_s, 1), "mode": "refuse", "at_s": 0.0,
@@ -303,10 +323,13 @@
 
 
 def _refusal_before_outage(rng: random.Random, site: Site) -> list[Fault]:
-    """The leader is refused, others confirm, then nobody is served for longer than a lease."""
+    """Return a refusal of the leader, and then an outage that lasts longer than a lease.
+
+    Between the two, other controllers still confirm requests of users.
+    """
     refused_alone_s = rng.choice([0.7, 1.5, 2.5, 4.0, 9.0, 20.0])
     outage_s = rng.choice([40.0, 90.0, 90.0, 180.0])
-    # It may be served again before the outage, in it, or only after it.
+    # The refusal ends before the outage, during it, or only after it.
     refused_s = rng.choice(
         [refused_alone_s * 0.9, refused_alone_s + outage_s / 2, refused_alone_s + outage_s + 5.0]
     )
@@ -365,7 +388,7 @@
 
 
 def _leader_partitioned(rng: random.Random, site: Site) -> list[Fault]:
-    """A leader loses state service and controllers; workers and users still reach it."""
+    """Return a partition of the leader from state service and peers, not from workers and users."""
     cut = {**_cut_controller(rng, site, from_state=True, from_peers=True), "at_s": 0.0}
     return [cut, *_maybe_extra_fault(rng, site)]
 
@@ -397,7 +420,7 @@
 
 
 def _crash_with_delayed_commands(rng: random.Random, site: Site) -> list[Fault]:
-    """Commands and answers held, and then a change of leader."""
+    """Return a delay of commands and their answers, and a crash of the leader meanwhile."""
     count = max(1, int(0.2 * site.machines))
     hang = {"kind": "machine_hang", "count": count, "for_s": rng.choice([3.0, 8.0, 14.0])}
     return [
@@ -415,7 +438,7 @@
 
 
 def _maybe_extra_fault(rng: random.Random, site: Site) -> list[Fault]:
-    """Mostly another trouble beside."""
+    """Return one additional fault, or none in 30 % of the cases."""
     if rng.random() < 0.3:
         return []
     number = rng.randint(0, len(_EXTRA_FAULTS))
@@ -423,18 +446,21 @@
     return [{**fault, "at_s": round(rng.uniform(0.0, 12.0), 1)}]
 
 
-# -- what real machines showed ---------------------------------------------------------------------
+# -- faults seen on real machines ------------------------------------------------------------------
 
 
 def _cancel_running(rng: random.Random, hang_s: float | None = None) -> Fault:
-    """Jobs that run and have long to go, called off within a fifth of a second."""
+    """Return the cancellation, within 0.2 s, of running jobs that are far from their end.
+
+    If `hang_s` is given, their machines hang for that many seconds.
+    """
     count = rng.choice([1, 8, 40])
     hang: Fault = {} if hang_s is None else {"hang_s": hang_s}
     return {"kind": "cancel_now", "count": count, **hang}
 
 
 def _draw_hang_s(rng: random.Random, site: Site) -> float:
-    """Well below, about, and above the workers' lease; longer than `cancel_s`."""
+    """Draw seconds well below, about or above a worker's lease, or longer than `cancel_s`."""
     lease_share = rng.choice([0.3, 0.95, 1.05, 1.5])
     return round(rng.choice([lease_share * site.lease_s, site.cancel_s + 5.0]), 2)
 
@@ -453,7 +479,7 @@
 
 
 def _lose_answers(rng: random.Random, site: Site) -> Fault:
-    """Carried out at once; only the writer does not know."""
+    """Return the loss of answers to writes that are carried out at once."""
     return {**_delay_writes(rng, site), "at_once": True}
 
 
@@ -466,13 +492,13 @@
 
 
 def _schedule(initial: Sequence[Fault], later: Sequence[tuple[float, Fault]]) -> list[Fault]:
-    """What is there from the beginning, and what follows it."""
+    """Return a group with the `initial` faults at 0 s and the `later` ones at their times."""
     initial_faults = [{**fault, "at_s": 0.0} for fault in initial]
     return [*initial_faults, *({**fault, "at_s": round(at_s, 2)} for at_s, fault in later)]
 
 
 def _faults_under_close_polling(rng: random.Random, site: Site) -> list[Fault]:
-    """Close looks while jobs end, are called off and are sent anew, and something breaks."""
+    """Return close polling while jobs end, are cancelled and resubmitted, and a component fails."""
     initial = [_poll_closely(rng), _cancel_at_end(rng), _send_invalid_requests(rng)]
     failure = rng.choice(
         [_state_outage(rng), _crash_controllers(rng, site, rng.randint(1, site.nodes))]
@@ -487,7 +513,7 @@
 
 
 def _cancel_on_hung_machines(rng: random.Random, site: Site) -> list[Fault]:
-    """Everybody wants more than there is; jobs on machines that hang are called off."""
+    """Return an overload, with cancellations of jobs on machines that hang, and a crash."""
     initial: list[Fault] = [
         {"kind": "job_burst", "class": name, "factor": 3.0, "for_s": 60.0} for name in site.classes
     ]
@@ -531,7 +557,7 @@
 
 
 def _crashes_with_instant_boots(rng: random.Random, site: Site) -> list[Fault]:
-    """New machines report before anybody could write down that they were rented."""
+    """Return machine losses whose replacements report before their rental can be recorded."""
     boots: Fault = {"kind": "boot_trouble", "fail": 0.0, "factor": 0.03, "for_s": 90.0}
     lost: Fault = {"kind": "machine_die", "count": max(1, int(0.25 * site.machines))}
     write_fault = rng.choice([_delay_writes, _lose_answers])(rng, site)
@@ -549,7 +575,7 @@
 
 
 def _cancel_while_refused(rng: random.Random, site: Site) -> list[Fault]:
-    """In the moment of the refusal; a second later nobody is served for longer than `cancel_s`."""
+    """Return cancellations as the leader is refused, 1 s before an outage beyond `cancel_s`."""
     outage: Fault = {
         "kind": "state_outage",
         "for_s": round(site.cancel_s + rng.uniform(5.0, 40.0), 1),
@@ -572,7 +598,7 @@
 
 
 def _zone_isolated(rng: random.Random, site: Site) -> list[Fault]:
-    """A zone with its workers and its controller, for longer than the workers' lease."""
+    """Return the isolation of a zone's workers and controllers for longer than a worker's lease."""
     for_s = round(site.lease_s * rng.choice([1.1, 2.0, 3.0]), 1)
     mode = rng.choice(["hold", "reset"])
     cut: Fault = {"kind": "zone_cut", "zone": rng.choice(site.zones), "for_s": for_s, "mode": mode}
@@ -593,7 +619,7 @@
 
 
 def _all_controllers_down(rng: random.Random, site: Site) -> list[Fault]:
-    """All controllers away for longer than the workers' lease."""
+    """Return the loss of all controllers for longer than a worker's lease."""
     down: Fault = {
         "kind": "node_down", "count": site.nodes, "busiest": True,
         "for_s": round(site.lease_s * rng.choice([1.1, 1.6]), 1),
@@ -603,11 +629,15 @@
 
 _CHURN_S: Final = 60.0
 _CANCEL_BEFORE_CRASHES: Final = (2, 5, 9)
-"""Jobs are cancelled right before these ends of all controllers, counted from 0."""
+"""Indices of the crashes of all controllers right before which jobs are cancelled."""
 
 
 def _controller_churn(rng: random.Random, site: Site) -> list[Fault]:
-    """All controllers end every few seconds while jobs are cancelled; mostly more beside it."""
+    """Return crashes of all controllers every few seconds, with cancellations of jobs.
+
+    In two of three cases commands and heartbeats are late as well, and in one of these the
+    state service flaps.
+    """
     every_s = rng.uniform(1.5, 3.0)
     crashes = [
         (every_s * n, _crash_controllers(rng, site, site.nodes))
@@ -691,11 +721,11 @@
 _FIRST_GROUP_S: Final = 100.0
 _LAST_GROUP_S: Final = 440.0
 _LAST_REFUSED_GROUP_S: Final = 300.0
-"""Some of it lasts for minutes, and the day is to end well after it."""
+"""Last begin of a group of `refused`, which lasts for minutes and must end well before the day."""
 
 
 def draw_faults(site: Site, theme: str, seed: int) -> list[Fault]:
-    """A day's troubles, one group after the other, some of them overlapping."""
+    """Return a day's faults in the order of time: groups of the theme, which may overlap."""
     rng = random.Random(f"{theme}/{seed}")
     generators = list(THEMES[theme])
     rng.shuffle(generators)
@@ -709,7 +739,7 @@
         faults += [{**fault, "at_s": round(at_s + float(fault["at_s"]), 2)} for fault in group]
         at_s += rng.uniform(30.0, 90.0)
         if theme == "refused":
-            # The state service is to be back before the next one.
+            # The state service must be available again before the next group.
             at_s += max(float(fault["at_s"]) + float(fault.get("for_s", 0.0)) for fault in group)
     return sorted(faults, key=lambda fault: float(fault["at_s"]))
 
@@ -721,10 +751,10 @@
     failing_classes: Sequence[str] = (),
     job_overrides: Sequence[dict[str, Any]] = (),
 ) -> str:
-    """Return a day's file.
+    """Return the text of a day file.
 
-    Of the classes in `broken` four in a hundred jobs are mistaken, and `jobs` says what else is
-    different of a class.
+    In the job classes of `failing_classes` 4 % of the jobs fail everywhere. `job_overrides` has
+    further settings of job classes that differ from the site file.
     """
     content: dict[str, Any] = {"name": name, "slot": "scale", "light": False, "seed": seed}
     jobs_by_class = {str(job["name"]): dict(job) for job in job_overrides}
@@ -741,7 +771,7 @@
 
 @click.group(help=__doc__)
 def main() -> None:
-    """Deployments and days of our own for the bench."""
+    """Generate site files and day files for the bench."""
     pass
 
 
@@ -787,7 +817,7 @@
     zones: dict[str, float],
     limit: float | None,
 ) -> None:
-    """Writes a variant, and the wire file that it names beside it."""
+    """Write a variant of a site file, and copy the wire file that it names beside it."""
     values = scale_site(load_site(site), machines, traffic, restart_s, seed, zones, limit)
     out.parent.mkdir(parents=True, exist_ok=True)
     wire = site.parent / str(values.get("wire", ""))
@@ -842,7 +872,7 @@
     tasks: int | None,
     rate: float | None,
 ) -> None:
-    """Draws days of one theme; each file's name has the theme and its seed."""
+    """Write days of one theme, one file a seed, named after the theme and the seed."""
     parsed_site = Site(load_site(site))
     overrides = [
         _job_overrides(name, parsed_site, cancelled, long_s, tasks, rate)
