--- a/tools/__init__.py
+++ b/tools/__init__.py
@@ -1,1 +1,1 @@
-"""Programs for development: loads, studies of cost, and days of our own for the bench."""
+"""Development tools: load generators, cost studies, and site and day files for the bench."""
--- a/tools/falls.py
+++ b/tools/falls.py
@@ -1,11 +1,12 @@
-"""What a fall of many machines costs: days that bring one, and what their reports show.
+"""Measure the recovery from mass failures: day files that contain one, and their evaluation.
 
-    python3 -m tools.falls days DIR              one file a kind of fall, alone and in pairs
-    python3 -m tools.falls table SITE NAME=REPORT.json ...  one row each, beside the least
-    python3 -m tools.falls plot OUT.png NAME=REPORT.json ... the fleet through each day
+    python3 -m tools.falls days DIR                           day files: single faults and pairs
+    python3 -m tools.falls table SITE NAME=REPORT.json ...    one row a report
+    python3 -m tools.falls plot OUT.png NAME=REPORT.json ...  the fleet over time, a line a report
 
-A report is what `fleetbench run SITE DAY --report REPORT.json --log info > REPORT.txt` writes; the
-log beside it, of the same name, says when the service knew. All figures are of simulated machines.
+Create a report with `fleetbench run SITE DAY --report REPORT.json --log info > REPORT.txt`. The log
+must stand beside the report under the same name: it has the time at which the failure was detected.
+All figures are of simulated machines.
 """
 
 from __future__ import annotations
@@ -30,7 +31,7 @@
 _AFTER_S: Final = 150.0
 _RECOVERED_SHARE: Final = 0.9
 _MAX_REPORT_PERIODS: Final = 1.25
-"""A worker reports at the latest after so many report periods."""
+"""Longest time between two heartbeats of a worker, in report periods."""
 
 _FAULTS: Final[dict[str, dict[str, Any]]] = {
     "deaths": {"kind": "machine_die", "count": 220},
@@ -56,7 +57,7 @@
 
 
 class Window(msgspec.Struct):
-    """The world at one moment."""
+    """The cluster at one moment."""
 
     at_s: float
     machines: int
@@ -68,14 +69,14 @@
 
 
 class Event(msgspec.Struct):
-    """Something that the day brought about."""
+    """An event of the day, such as an injected fault."""
 
     at_s: float
     what: str
 
 
 class Cost(msgspec.Struct):
-    """What the machines of a day cost."""
+    """Costs and losses of a day's machines."""
 
     price: float
     useful: float
@@ -86,14 +87,14 @@
 
 
 class Target(msgspec.Struct):
-    """One objective and how it was met."""
+    """The value of one objective, and whether it was met."""
 
     value: float
     met: bool
 
 
 class Requests(msgspec.Struct):
-    """Requests of users and their answers."""
+    """Request counts of one service."""
 
     requests: int
     refused: int = 0
@@ -102,7 +103,7 @@
 
 
 class Violations(msgspec.Struct):
-    """Rules of the protocol that were broken."""
+    """Number of violations of the protocol's rules."""
 
     total: int
 
@@ -121,7 +122,7 @@
 
 
 def read(path: Path) -> DayReport:
-    """Read a report of the bench."""
+    """Return the report of a day that the bench wrote."""
     return msgspec.json.decode(path.read_bytes(), type=DayReport)
 
 
@@ -129,7 +130,7 @@
 
 
 def day_files() -> Iterator[tuple[str, str]]:
-    """Name and file of every day: each kind alone, then the pairs."""
+    """Yield the name and text of each day file: the single faults, then the pairs."""
     for number, (name, fault) in enumerate(_FAULTS.items()):
         yield name, render_day(name, 301 + number, [{"at_s": _FAULT_AT_S, **fault}])
     for number, (first, second, after_s) in enumerate(_FAULT_PAIRS):
@@ -141,40 +142,46 @@
         yield name, render_day(name, 331 + number, faults)
 
 
-# -- one day --------------------------------------------------------------------------------------
+# -- evaluation of a day --------------------------------------------------------------------------
 
 
 @dataclass(frozen=True, slots=True)
 class Recovery:
-    """What a fall did, in seconds from its moment; None where it did not happen."""
+    """The recovery from a mass failure.
+
+    Times are in seconds since the failure, and None if the event did not occur.
+    """
 
     detected_s: float | None
-    """Five machines were judged or had lost their lease, or the leader gave way."""
+    """Enough machines were suspected or had lost their lease, or the leader stepped down."""
     lease_expired_s: float | None
-    """The last lapse: from then on all that was lost waits again."""
+    """Last lease expiry within 60 s; by then all lost tasks are queued again."""
     first_granted_s: float | None
-    """The first machine that the cloud granted."""
+    """The cloud granted the first machine."""
     lowest_cpu_share: float
-    """Processors in use at the worst moment, as a part of those before."""
+    """Smallest number of processors in use, relative to the mean before the failure."""
     recovered_s: float | None
-    """Nine tenths of the processors in use before are in use again."""
+    """The processors in use are back at `_RECOVERED_SHARE` of the mean before the failure.
+
+    0.0 if they never fell below it.
+    """
     granted: int
     requested: int
     cost_ratio: float
-    """The most that the fleet cost an hour, as a part of what it cost before."""
+    """Highest cost of the fleet an hour, relative to the mean before the failure."""
 
 
 _LINE: Final = re.compile(r"\s*([\d.]+) \S+ \w [\w.]+: (.*)")
 _SUSPECTED: Final = re.compile(r"machines suspected: count=\d+ suspicion=\w+ new=(\d+)")
 _DETECTED_MACHINES: Final = 5
-"""Single machines are lost at any time; a fall is known with so many."""
+"""Machines lost until a mass failure counts as detected; single ones are lost at any time."""
 _STEPS_DOWN: Final = "no longer leader: "
 _LEASE_EXPIRED: Final = "lease expired: machine="
 _RENTAL: Final = re.compile(r"rental \S+: (\d+) of (\d+) ")
 
 
 def measure_recovery(report: DayReport, log: str, at_s: float) -> Recovery:
-    """Follows one fall through a day."""
+    """Evaluate the report and the log of a day whose mass failure began at `at_s`."""
     detected_at = lease_expired_at = first_granted_at = None
     granted = requested = detected = 0
     for match in map(_LINE.match, log.splitlines()):
@@ -219,7 +226,10 @@
 
 
 def _newly_detected(text: str) -> int:
-    """How many machines a line of the log says are silent."""
+    """Return the number of machines that a log line newly reports as lost.
+
+    A leader that steps down counts as `_DETECTED_MACHINES`.
+    """
     if _STEPS_DOWN in text:
         return _DETECTED_MACHINES
     suspected = _SUSPECTED.match(text)
@@ -231,14 +241,15 @@
     before = [w for w in windows[:split] if w.at_s > at_s - _BEFORE_S]
     after = [w for w in windows[split:] if w.at_s <= at_s + _AFTER_S]
     if not before or not after:
-        raise click.ClickException(f"the report has nothing around {at_s:.0f} s")
+        raise click.ClickException(f"the report has no windows around {at_s:.0f} s")
     return before, after
 
 
 def min_recovery_s(site: dict[str, Any]) -> float:
-    """The least time until machines lost without a word are replaced, by the published figures.
+    """Return the least possible time, in seconds, to replace machines that fail without notice.
 
-    A worker is missed when its next report is due, and a machine boots for what the catalogue says.
+    It is the longest time until a missing heartbeat is due, plus the longest boot time of the
+    catalogue.
     """
     boot_times_s = [float(kind["boot_s"]) for kind in site["machine_types"]]
     return _MAX_REPORT_PERIODS * float(site["workers"]["report_s"]) + max(boot_times_s)
@@ -249,14 +260,14 @@
 
 @click.group(help=__doc__)
 def main() -> None:
-    """Days that bring falls of many machines, and what their reports show."""
+    """Write day files with mass failures, and evaluate their reports."""
     pass
 
 
 @main.command("days")
 @click.argument("where", type=click.Path(path_type=Path))
 def write_days(where: Path) -> None:
-    """Writes one file a day."""
+    """Write one file a day."""
     where.mkdir(parents=True, exist_ok=True)
     for name, text in day_files():
         (where / f"{name}.toml").write_text(text)
@@ -271,7 +282,7 @@
 @click.argument("site", type=click.Path(path_type=Path, exists=True))
 @click.argument("reports", nargs=-1, required=True)
 def table(site: Path, reports: tuple[str, ...]) -> None:
-    """A row a report."""
+    """Print one row a report, with the recovery time relative to the least possible."""
     minimum_s = min_recovery_s(tomllib.loads(site.read_text()))
     rows = Table(title=f"least possible until replaced: {minimum_s:.0f} s; simulated machines")
     for column in (
@@ -316,7 +327,7 @@
 @click.argument("out", type=click.Path(path_type=Path))
 @click.argument("reports", nargs=-1, required=True)
 def plot(out: Path, reports: tuple[str, ...]) -> None:
-    """Processors in use, machines booting and cost, one line a report."""
+    """Plot processors in use, booting machines and cost over time, one line a report."""
     from matplotlib import pyplot
 
     figure, axes = pyplot.subplots(3, 1, sharex=True, figsize=(9.0, 9.0))
--- a/tools/graph_cost.py
+++ b/tools/graph_cost.py
@@ -1,12 +1,12 @@
-"""What a large graph costs: the leader's memory and passes, and the service around it.
+"""Measure the cost of a large graph: memory and scheduling passes of the leader, and the service.
 
     python3 -m tools.graph_cost memory                 bytes a node in the leader
     python3 -m tools.graph_cost passes                 a pass with and without gated nodes
-    python3 -m tools.graph_cost service --nodes 10000  a daemon of its own, and users beside it
+    python3 -m tools.graph_cost service --nodes 10000  a daemon with one graph and other users
     python3 -m tools.graph_cost service --nodes 0      the same users without the graph
 
-`service` starts the daemon as a process and plays everything around it on loopback, as
-`tools/load.py` does.
+A gated node is one that waits for other nodes. `service` starts the daemon as a process and fakes
+its surroundings on the loopback address, as `tools/load.py` does.
 """
 
 from __future__ import annotations
@@ -58,12 +58,12 @@
 
 _ROOT: Final = Path(__file__).resolve().parent.parent
 _FAMILY_NODES: Final = 100
-"""Nodes of a family: one, 98 that wait for it, one that waits for them."""
+"""Nodes of a family: a root, 98 nodes that depend on it, and one that depends on these."""
 _MAX_LATENCY_MS: Final = 60_000
 
 
 def families(graph_id: str, nodes: int, **fields: Any) -> Graph:
-    """Families side by side, `nodes` nodes in all."""
+    """Return a graph of independent families, with `nodes` nodes in all."""
     graph = Graph(
         graph_id, team="red", job_class="long", cpus=1, memory_gb=0.1, image_gb=0.1, **fields
     )
@@ -116,7 +116,7 @@
 @main.command()
 @click.option("--nodes", default=10_000, show_default=True)
 def memory(nodes: int) -> None:
-    """Bytes that a leader keeps per gated and per finished node."""
+    """Print the bytes that a leader keeps for each gated and each finished node."""
     graph = families("fam1", nodes)
     gc.collect()
     tracemalloc.start()
@@ -149,7 +149,10 @@
 
 
 def _leader(nodes: int, machines: int, jobs: int, gated: bool) -> Leader:
-    """With the nodes that wait for nothing in the queue, as plain jobs or as those of a graph."""
+    """Return a leader with `machines` machines, and a queue of `jobs` jobs and the ready nodes.
+
+    If `gated`, the ready nodes belong to a graph of `nodes` nodes; otherwise they are plain jobs.
+    """
     leadership = Leadership(
         FencingToken(1), Revision(1), LeaseId(1), monotonic_now(), Monotonic(1e12)
     )
@@ -192,7 +195,7 @@
 
 
 def _pass_cpu_s(leader: Leader, count: int) -> float:
-    """Seconds of processor time a pass."""
+    """Return the processor time of a scheduling pass in seconds, the mean of `count` passes."""
     leader.scheduling_loop.run(monotonic_now(), wall_now())
     began_cpu_s = time.process_time()
     for _ in range(count):
@@ -205,7 +208,7 @@
 @click.option("--nodes", default=10_000, show_default=True, help="Gated nodes.")
 @click.option("--rounds", default=9, show_default=True)
 def passes(nodes: int, rounds: int) -> None:
-    """A pass with and without gated nodes, side by side, with the same jobs in the queue."""
+    """Compare scheduling passes with and without gated nodes, with the same jobs in the queue."""
 
     async def measure() -> None:
         released = nodes // _FAMILY_NODES
@@ -231,7 +234,7 @@
 
 
 class _Daemon:
-    """The daemon as a process."""
+    """The daemon in a process of its own."""
 
     def __init__(self, config: Path) -> None:
         self._config = config
@@ -272,7 +275,7 @@
 
 
 class _Users:
-    """Plain submissions and polls beside the graph, and how long their answers take."""
+    """Users who submit and poll plain jobs, and the latency of the responses to them."""
 
     def __init__(self, node: Address, rate: float, rng: random.Random) -> None:
         self._client = Client(node, max_idle=8)
@@ -382,7 +385,8 @@
         while (graph_view := await client.show_graph("fam1"))["status"] == "accepted":
             await asyncio.sleep(1.0)
         took_s = time.perf_counter() - began
-    # Estimates of 4 s, tasks of 3 to 5 s: three in a row, or all of them on the machines there are.
+    # Tasks take 3 to 5 s, 4 s on average. The bound is the path of three of them, or the work divided by the
+    # machines, which have 8 processors each.
     bound_s = max(12.0, 4.0 * nodes / (8 * machines))
     click.echo(
         f"{graph_view['status']} after {took_s:.1f} s, {took_s / bound_s:.2f} of the lower bound; "
@@ -399,7 +403,7 @@
 @click.option("--rate", default=2.0, show_default=True, help="Users' submissions a second.")
 @click.option("--for-s", default=60.0, show_default=True, help="How long without a graph.")
 def service(nodes: int, machines: int, writes: float, rate: float, for_s: float) -> None:
-    """A daemon of its own with one graph, and users beside it."""
+    """Measure a daemon with one graph, and the latency of other users' requests meanwhile."""
     asyncio.run(_serve(nodes, machines, writes, rate, for_s))
 
 
--- a/tools/graph_study.py
+++ b/tools/graph_study.py
@@ -1,10 +1,11 @@
-"""What ordering a graph's nodes by the path behind them is worth, with the planner alone.
+"""Compare two orders of a graph's nodes, in an event simulation of the planner alone.
 
-Generated graphs run on a fixed fleet, event by event, through the daemon's own `plan`; tasks take
-their estimate times a factor that the planner does not know. Each graph is run twice with the same
-luck: nodes in the order in which they became free, and by the longest estimated path behind them.
-Given is the finishing time over its lower bound, the larger of the critical path and work over
-capacity: 1.00 can't be beaten, and is often out of reach.
+Random graphs run on a fixed fleet through the daemon's own `plan`. Tasks take their estimate times
+a random factor that the planner does not know. Each graph is run twice with the same factors: nodes
+in the order in which they became ready, and by the longest estimated path behind them.
+
+The result is the makespan relative to its lower bound, the larger of the critical path and work
+divided by capacity: 1.00 is optimal, and often not reachable.
 
     python3 -m tools.graph_study --graphs 40
 """
@@ -27,7 +28,7 @@
 
 _CPUS: Final = 8.0
 _RUN_TIME_SIGMA: Final = 0.4
-"""Spread of a task's real time around its estimate (log-normal)."""
+"""Standard deviation of the logarithm of a task's run time over its estimate (log-normal)."""
 
 
 def _build_shape(predecessors: list[list[int]], estimates_s: list[float]) -> Shape:
@@ -47,7 +48,7 @@
 
 
 def chains(rng: random.Random) -> Shape:
-    """Chains of different lengths side by side."""
+    """Return a graph of independent chains of different lengths."""
     predecessors: list[list[int]] = []
     for _ in range(rng.randint(12, 30)):
         for place in range(rng.randint(1, 12)):
@@ -56,7 +57,7 @@
 
 
 def fan_outs(rng: random.Random) -> Shape:
-    """Families: one node, many behind it, one that waits for all of them."""
+    """Return a graph of families: a root, many nodes after it, and one that depends on them."""
     predecessors: list[list[int]] = []
     for _ in range(rng.randint(3, 8)):
         root = len(predecessors)
@@ -68,7 +69,7 @@
 
 
 def diamonds(rng: random.Random) -> Shape:
-    """Diamonds one behind the other, several strings of them."""
+    """Return a graph of several sequences of diamonds."""
     predecessors: list[list[int]] = []
     for _ in range(rng.randint(6, 14)):
         join: int | None = None
@@ -83,7 +84,7 @@
 
 
 def layered(rng: random.Random) -> Shape:
-    """Random layers; each node waits for a few of earlier layers."""
+    """Return a graph of random layers, whose nodes depend on a few of earlier layers."""
     predecessors: list[list[int]] = []
     for layer in range(rng.randint(4, 9)):
         earlier = len(predecessors)
@@ -115,7 +116,7 @@
 def makespan(
     shape: Shape, run_s: list[float], cpus: list[float], machines: int, by_path: bool
 ) -> float:
-    """When the last node has ended, on machines of `_CPUS` processors."""
+    """Return the time in seconds until all nodes have ended, on machines of `_CPUS` processors."""
     progress = Progress(shape)
     progress.evaluate_all()
     free_cpus = [_CPUS] * machines
@@ -154,7 +155,7 @@
 
 
 def makespan_ratios(kind: str, seed: int, machines: int) -> tuple[float, float]:
-    """Finishing time over the lower bound: in the order of becoming free, and by path."""
+    """Return the makespan over its lower bound: nodes in order of becoming ready, and by path."""
     rng = random.Random(seed)
     shape = KINDS[kind](rng)
     run_s = [t * rng.lognormvariate(0.0, _RUN_TIME_SIGMA) for t in shape.estimate_s]
@@ -170,7 +171,7 @@
 @click.option("--graphs", default=40, show_default=True, help="Graphs of each kind and fleet.")
 @click.option("--machines", default=(2, 4, 8), multiple=True, type=int, show_default=True)
 def main(graphs: int, machines: tuple[int, ...]) -> None:
-    """Prints medians and ninth deciles for each kind of graph and size of fleet."""
+    """Print medians and ninth deciles for each kind of graph and size of fleet."""
     click.echo("graphs    machines  first come  by path  ratio   9th decile: first come  by path")
     for kind in KINDS:
         for count in machines:
--- a/tools/load.py
+++ b/tools/load.py
@@ -1,7 +1,7 @@
-"""A load for profiling one node: stand-ins for the state service, the cloud, workers and users.
+"""Generate load for profiling one node: fake state service, cloud, workers and users.
 
-It runs beside the node, in a process of its own, so that a profiler on the node sees the node
-alone. Everything stays on the loopback address. README.md says how to use it.
+The load runs in a process of its own beside the node, so that a profiler attached to the node
+measures the node alone. All traffic stays on the loopback address. README.md describes its use.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 class _Worker(fakes.FakeWorker):
-    """A machine whose tasks end by themselves and that reports over a kept connection."""
+    """A worker that completes its tasks after a random time and keeps its connection open."""
 
     def __init__(self, name: str, rng: random.Random, task_s: tuple[float, float]) -> None:
         super().__init__(name)
@@ -50,7 +50,7 @@
             self._changed.set()
 
     async def run(self, node: Address, within_s: float = 10.0) -> None:
-        """Reports for ever, from a moment within `within_s` on."""
+        """Send heartbeats until cancelled; the first one within `within_s` seconds."""
         client = Client(node, max_idle=1)
         await asyncio.sleep(self._rng.uniform(0, within_s))
         while True:
@@ -78,7 +78,7 @@
 
 
 def settings_for(state: fakes.FakeStateService, cloud: fakes.FakeCloud) -> dict[str, Any]:
-    """Return the node's settings, with the stand-ins' addresses."""
+    """Return the node's settings, with the addresses of the fake services."""
     return {
         "host_name": "node-0",
         "zone": "north",
@@ -142,7 +142,7 @@
 
 
 class WorkerFleet:
-    """Workers of the machines that are rented."""
+    """The workers of the rented machines."""
 
     def __init__(
         self,
@@ -158,7 +158,7 @@
         self.workers: dict[str, tuple[_Worker, asyncio.Task[None]]] = {}
 
     def start(self, count: int, within_s: float) -> None:
-        """So many machines are up, and no more are to be had at a time."""
+        """Start `count` machines, and let the cloud rent out no more than that at a time."""
         for number in range(1, count + 1):
             worker = self.start_worker(f"m-{number:06d}", within_s)
             self._cloud.machines[worker.name] = {
@@ -169,25 +169,25 @@
         self._cloud.on_rented, self._cloud.on_released = self.on_rented, self.on_released
 
     def start_worker(self, name: str, within_s: float) -> _Worker:
-        """Begin a machine's worker, which sends its first heartbeat within `within_s` seconds."""
+        """Start a machine's worker, which sends its first heartbeat within `within_s` seconds."""
         worker = _Worker(name, self._rng, self._task_s)
         self.workers[name] = (worker, asyncio.create_task(worker.run(self._node, within_s)))
         return worker
 
     def on_rented(self, name: str) -> None:
-        """Begin the worker of a machine that was rented."""
+        """Start the worker of a machine that was rented."""
         self._cloud.machines[name]["status"] = "running"
         self.start_worker(name, _BOOT_S)
 
     def on_released(self, name: str) -> None:
-        """Another may be rented in its place."""
+        """Stop the worker of a released machine, and allow the rental of another one."""
         entry = self.workers.pop(name, None)
         if entry is not None:
             entry[1].cancel()
             self._cloud.max_rented += 1
 
     def running_tasks(self) -> int:
-        """The number of machines whose worker runs."""
+        """Return the number of tasks that run on all machines."""
         return sum(
             task["status"] == "running"
             for worker, _ in self.workers.values()
@@ -248,7 +248,7 @@
     task_s: tuple[float, float],
     settings: Path,
 ) -> None:
-    """Writes a settings file for the node, then loads it."""
+    """Write a settings file for the node, then generate load on the node."""
     asyncio.run(_run(machines, rate, first, settings, for_s, task_s))
 
 
--- a/tools/margins.py
+++ b/tools/margins.py
@@ -1,12 +1,12 @@
-"""How soon the tasks of cancelled jobs are gone, by the log of a day that was played.
+"""Measure how soon the tasks of cancelled jobs end, from the log of a simulated day.
 
     fleetbench run SITE.toml DAY.toml --log debug > DAY.log
     python3 -m tools.margins DAY.log --cancel-s 35.25
 
-Counted from the first confirmation by any controller to the moment at which the leader had proof
-that the job's last task was gone. Where that proof was a lapsed lease, a later session or a
-returned machine, the task itself was gone earlier, and the margin was larger. Figures that come of
-simulated machines are figures of simulated machines.
+The time counts from the first confirmation of the cancellation by any controller until the leader
+had proof that the job's last task had ended. Where that proof was an expired lease, a new agent
+incarnation or a released machine, the task ended earlier, and the actual margin is larger. All
+figures are of simulated machines.
 """
 
 from __future__ import annotations
@@ -30,7 +30,12 @@
 
 @dataclass
 class CancelledJob:
-    """One job: when its user could be told, who knew when, and when its tasks were gone."""
+    """A cancelled job. Times are in seconds of the log.
+
+    `confirmed_at` and `confirmed_by` are the first confirmation to its user, `leader_informed_at`
+    is when the leader learnt of the cancellation, and `ended_at` when its last task had ended.
+    `proofs` counts its tasks by the proof of their end.
+    """
 
     confirmed_at: float
     confirmed_by: str
@@ -41,7 +46,7 @@
 
 
 def read(lines: Iterable[str]) -> dict[str, CancelledJob]:
-    """Jobs that a controller has confirmed as cancelled, in the order of the confirmations."""
+    """Return the jobs that a controller confirmed as cancelled, in order of confirmation."""
     jobs: dict[str, CancelledJob] = {}
     for line in lines:
         fields = _LINE.match(line)
@@ -62,7 +67,11 @@
 
 
 def summarize(jobs: dict[str, CancelledJob], cancel_s: float, limit: int) -> str:
-    """The jobs of which tasks were on machines, those with the least margin first."""
+    """Return the text of the result, with the `limit` jobs that had the smallest margins.
+
+    The margin of a job is the part of `cancel_s` that was left when its last task had ended. Jobs
+    without tasks on machines have none.
+    """
     lines = [f"{len(jobs)} jobs were confirmed as cancelled"]
     margins_by_job = [
         (cancel_s - (job.ended_at - job.confirmed_at), name)
@@ -102,7 +111,7 @@
 @click.option("--cancel-s", required=True, type=click.FloatRange(min=0.0, min_open=True))
 @click.option("--most", default=5, type=click.IntRange(min=0), help="Jobs that are listed.")
 def main(logs: tuple[Path, ...], cancel_s: float, most: int) -> None:
-    """Print how soon the tasks of cancelled jobs were gone."""
+    """Print how soon the tasks of cancelled jobs ended."""
     for log in logs:
         try:
             with log.open(errors="replace") as lines:
--- a/tools/profiles.py
+++ b/tools/profiles.py
@@ -1,11 +1,11 @@
-"""Where the processor time of a day went, from the logs of nodes that ran with `[profile]` on.
+"""Summarize the processor time of nodes by cause, from logs written with `[profile]` on.
 
-    python3 -m tools.profiles table LOG...                one row a cause, the processes added up
+    python3 -m tools.profiles table LOG...                one row a cause, all processes together
     python3 -m tools.profiles growth NAME=LOG ...         cost a second by cause, and its exponent
     python3 -m tools.profiles plot OUT.png NAME=LOG ...   the same as lines over the machines
 
-A log is whatever holds the lines of `tealrill/profiling.py`: a node's standard error, or what
-`fleetbench run SITE DAY --log info` prints (simulated machines).
+A log is any text with the lines of `tealrill/profiling.py`: a node's standard error, or the output
+of `fleetbench run SITE DAY --log info` (simulated machines).
 """
 
 from __future__ import annotations
@@ -24,12 +24,12 @@
 from tealrill.profiling import LINE, Cost, Profile, Size
 
 _MIN_SHARE: Final = 0.005
-"""Causes below this part of the whole are not shown one by one."""
+"""Causes with a smaller share of the processor time are not listed."""
 
 
 @dataclass(slots=True)
 class Day:
-    """All processes of one log."""
+    """The profile of all processes of one log."""
 
     costs: dict[str, Cost] = field(default_factory=dict)
     sizes: list[Size] = field(default_factory=list)
@@ -37,17 +37,20 @@
 
     @property
     def cpu_s(self) -> float:
-        """The day's processor time in seconds."""
+        """Processor time of all causes, in seconds."""
         return sum(cost.cpu_s for cost in self.costs.values())
 
     def mean(self, name: str) -> float:
-        """The mean of one size over the day, as the leaders saw it."""
+        """Return the mean of a field of `Size`, as the leaders logged it; NaN without any."""
         values = [float(getattr(size, name)) for size in self.sizes]
         return sum(values) / len(values) if values else math.nan
 
 
 def read(text: str) -> Day:
-    """The last line of every process counts: each holds all that its process did."""
+    """Return the profile of a log; raise `click.ClickException` if it has none.
+
+    The counters are cumulative, so only the last line of each process counts.
+    """
     last_profiles: dict[int, Profile] = {}
     day = Day()
     for line in text.splitlines():
@@ -58,13 +61,14 @@
             if profile.size is not None:
                 day.sizes.append(profile.size)
     if not last_profiles:
-        raise click.ClickException("the log has no profile; was `[profile]` on?")
+        raise click.ClickException("the log has no profile lines; was `[profile]` on?")
     for profile in last_profiles.values():
         for cause, cost in profile.costs.items():
             total = day.costs.setdefault(cause, Cost())
             total.calls += cost.calls
             total.cpu_s += cost.cpu_s
-    # Clocks of two processes need not have begun together, not even on one host.
+    # The clocks of two processes may have different origins, even on one host, so only durations
+    # are comparable.
     host_durations_s: dict[str, float] = {}
     for profile in last_profiles.values():
         host_durations_s[profile.host] = (
@@ -75,7 +79,10 @@
 
 
 def exponent(sizes: Sequence[float], costs: Sequence[float]) -> float | None:
-    """The slope of cost over size on logarithmic axes, by least squares; None if it has none."""
+    """Return the exponent of the power law that fits the costs, by least squares.
+
+    None if fewer than two different sizes have a positive cost.
+    """
     points = [(math.log(s), math.log(c)) for s, c in zip(sizes, costs, strict=True) if s > 0 < c]
     if len({x for x, _ in points}) < 2:
         return None
@@ -86,7 +93,7 @@
 
 
 def _main_causes(days: Sequence[Day]) -> list[str]:
-    """Causes that matter on one of the days, the dearest first."""
+    """Return the causes above `_MIN_SHARE` on any of the days, the most expensive first."""
     causes = {cause for day in days for cause in day.costs}
     shares = {
         cause: max(d.costs[cause].cpu_s / d.cpu_s if cause in d.costs else 0.0 for d in days)
@@ -97,14 +104,14 @@
 
 @click.group(help=__doc__)
 def main() -> None:
-    """Tables and plots of processor time by cause."""
+    """Print tables and plots of processor time by cause."""
     pass
 
 
 @main.command()
 @click.argument("logs", nargs=-1, required=True, type=click.Path(path_type=Path, exists=True))
 def table(logs: tuple[Path, ...]) -> None:
-    """One row a cause, for each log."""
+    """Print a table for each log, one row a cause."""
     for path in logs:
         day = read(path.read_text(errors="replace"))
         rows = Table(
@@ -138,7 +145,7 @@
 @click.option("--over", default="machines", help="machines, running, waiting or waiting_jobs.")
 @click.argument("pairs", nargs=-1, required=True)
 def growth(over: str, pairs: tuple[str, ...]) -> None:
-    """Milliseconds of processor time a second by cause, and how they grow over a size."""
+    """Print the processor time by cause, in ms a second, and its growth over a size."""
     days = _read_days(pairs)
     sizes = [day.mean(over) for day in days.values()]
     rows = Table(title=f"milliseconds a second, and the exponent over {over}")
@@ -166,7 +173,7 @@
 @click.argument("out", type=click.Path(path_type=Path))
 @click.argument("pairs", nargs=-1, required=True)
 def plot(over: str, out: Path, pairs: tuple[str, ...]) -> None:
-    """The dearest causes as lines on logarithmic axes."""
+    """Plot the most expensive causes as lines on logarithmic axes."""
     from matplotlib import pyplot
 
     days = sorted(_read_days(pairs).values(), key=lambda day: day.mean(over))
--- a/tools/served.py
+++ b/tools/served.py
@@ -1,12 +1,12 @@
-"""How well each class of jobs and each team was served on days that were played.
+"""List how well the job classes and teams were served on simulated days.
 
     python3 -m tools.served ENTRY.json ...         entries of a journal, all days of each
     python3 -m tools.served --under 0.7 ENTRY.json ...   only days with less than that somewhere
 
-A row a day: the least share of a class or team that the bench counts as served, the least share in
-time of any class's deadline, and the processor time that the day took of what it may take. A day
-that was not played to its end, or broke a rule, is called that and has no shares. Figures are of
-simulated machines.
+Each row is a day: the smallest share of jobs of any class or team that the bench counts as served,
+the smallest share of any class within its deadline, and the processor time that the day took. A
+day that was not run to its end, violated a rule or took more than the allowed processor time has
+the reason in place of its shares. All figures are of simulated machines.
 """
 
 from __future__ import annotations
@@ -27,19 +27,19 @@
 
 
 class CpuSeconds(msgspec.Struct):
-    """Seconds in own code and in the kernel."""
+    """Processor time in seconds, in user mode and in the kernel."""
 
     world: list[float] = []
     processes: list[float] = []
 
 
 class DayResult(msgspec.Struct):
-    """The parts of a day in an entry that are used here."""
+    """The fields of a day in a journal entry that are used here."""
 
     name: str
     score: float | None = None
     served: list[tuple[str, float, float]] = []
-    """Class or team, its part of all jobs, and the part of those that was served."""
+    """Class or team, its share of all jobs, and the share of those that was served."""
     aims: list[tuple[str, float]] = []
     rules: dict[str, int] = {}
     fault: str | None = None
@@ -48,7 +48,7 @@
 
 
 class Entry(msgspec.Struct):
-    """One run."""
+    """A journal entry: one run of the bench."""
 
     id: str
     cmd: str
@@ -58,27 +58,27 @@
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """A day's least shares; None where it has none."""
+    """A day's smallest shares, with the class or team that had them; None without shares."""
 
     entry: str
     site: str
     day: str
     invalid_reason: str
-    """Why its shares say nothing; empty if they do."""
+    """Why the day's shares are not valid; empty if they are."""
     least_served: tuple[float, str] | None
     least_in_time: tuple[float, str] | None
     cpu_s: float
 
     @property
     def least_share(self) -> float:
-        """The least share of the row."""
+        """Smallest share of the row; raises `ValueError` if it has none."""
         return min(
             share[0] for share in (self.least_served, self.least_in_time) if share is not None
         )
 
 
 def read(path: Path) -> Entry:
-    """One entry; one line and exit status 2 where it can't be read."""
+    """Return a journal entry; raise `click.UsageError` if it can't be read."""
     try:
         return msgspec.json.decode(path.read_bytes(), type=Entry)
     except OSError as error:
@@ -88,7 +88,7 @@
 
 
 def rows(entry: Entry) -> Iterator[Row]:
-    """Yield one row a day of an entry."""
+    """Yield a row for each day of an entry."""
     for day in entry.days:
         cpu = day.spent or CpuSeconds()
         cpu_s = sum(cpu.world) + sum(cpu.processes)
