--- a/tools/falls.py
+++ b/tools/falls.py
@@ -5,7 +5,7 @@
     python3 -m tools.falls plot OUT.png NAME=REPORT.json ...  the fleet over time, a line a report
 
 Create a report with `fleetbench run SITE DAY --report REPORT.json --log info > REPORT.txt`. The log
-must stand beside the report under the same name: it has the time at which the failure was detected.
+must be beside the report under the same name: it has the time at which the failure was detected.
 All figures are of simulated machines.
 """
 
--- a/tools/graph_cost.py
+++ b/tools/graph_cost.py
@@ -86,7 +86,7 @@
 
 @click.group()
 def main() -> None:
-    """Costs of large graphs."""
+    """Measure the costs of large graphs."""
 
 
 # -- memory ---------------------------------------------------------------------------------------
@@ -385,8 +385,8 @@
         while (graph_view := await client.show_graph("fam1"))["status"] == "accepted":
             await asyncio.sleep(1.0)
         took_s = time.perf_counter() - began
-    # Tasks take 3 to 5 s, 4 s on average. The bound is the path of three of them, or the work divided by the
-    # machines, which have 8 processors each.
+    # Tasks take 3 to 5 s, 4 s on average. The bound is the path of three of them, or the work
+    # divided by the machines, which have 8 processors each.
     bound_s = max(12.0, 4.0 * nodes / (8 * machines))
     click.echo(
         f"{graph_view['status']} after {took_s:.1f} s, {took_s / bound_s:.2f} of the lower bound; "
--- a/tools/margins.py
+++ b/tools/margins.py
@@ -33,8 +33,8 @@
     """A cancelled job. Times are in seconds of the log.
 
     `confirmed_at` and `confirmed_by` are the first confirmation to its user, `leader_informed_at`
-    is when the leader learnt of the cancellation, and `ended_at` when its last task had ended.
-    `proofs` counts its tasks by the proof of their end.
+    is when the leader learnt of the cancellation, with `bound_tasks` tasks bound, and `ended_at`
+    when it had proof that the last one had ended. `proofs` counts the tasks by that proof.
     """
 
     confirmed_at: float
@@ -69,8 +69,8 @@
 def summarize(jobs: dict[str, CancelledJob], cancel_s: float, limit: int) -> str:
     """Return the text of the result, with the `limit` jobs that had the smallest margins.
 
-    The margin of a job is the part of `cancel_s` that was left when its last task had ended. Jobs
-    without tasks on machines have none.
+    The margin of a job is what was left of `cancel_s` when its last task had ended. Jobs that had no
+    tasks on machines have no margin.
     """
     lines = [f"{len(jobs)} jobs were confirmed as cancelled"]
     margins_by_job = [
--- a/tools/served.py
+++ b/tools/served.py
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """A day's smallest shares, with the class or team that had them; None without shares."""
+    """A day's smallest shares, each with its class or team; None without valid shares."""
 
     entry: str
     site: str
@@ -93,7 +93,7 @@
         cpu = day.spent or CpuSeconds()
         cpu_s = sum(cpu.world) + sum(cpu.processes)
         invalid_reason = _invalid_reason(day, cpu_s)
-        served = [(part, name) for name, _, part in day.served]
+        served = [(share, name) for name, _, share in day.served]
         deadlines = (_DEADLINE.match(text) for text, _ in day.aims)
         in_time = [(float(match[2]), match[1]) for match in deadlines if match is not None]
         yield Row(
