--- a/tealrill/client/graph.py
+++ b/tealrill/client/graph.py
@@ -1,9 +1,9 @@
-"""Draws a graph in Ray's words: functions with declared resources become nodes when called.
+"""Builds graphs with an API like Ray's: calling a function with declared resources adds a node.
 
-A function's call returns a reference; references among the arguments of another call become edges.
-The function's body runs at once, where the graph is drawn, and never on a machine: what it returns
-(if anything) replaces fields of the node's job, so that for instance the image can follow from the
-arguments. Plain arguments are part of the node's key and nothing else.
+The call returns a reference; references among the arguments of another call become edges. The
+function's body runs immediately, in the program that builds the graph, and never on a machine. The
+fields that it returns, if any, replace those of the node's job, so that for example the image can
+depend on the arguments. Strings and numbers among the arguments become part of the node's key.
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
 
 from tealrill import wire
 
-_WORDS: Final = {
+_WIRE_NAMES: Final = {
     field.name: field.encode_name
     for field in msgspec.structs.fields(wire.JobSpec)
     if field.name != "id"
 }
-"""The field's words for a job, and the protocol's."""
+"""A job's fields: their names in Python and in the protocol."""
 
 _DEFAULTS: Final[dict[str, Any]] = {
     "shape": "sweep",
@@ -37,13 +37,13 @@
     "snapshotS": 0.0,
     "flushS": 0.0,
 }
-_KEY: Final = re.compile(r"[^A-Za-z0-9._-]+")
-_MOST_KEY: Final = 90
+_NOT_IN_KEY: Final = re.compile(r"[^A-Za-z0-9._-]+")
+_MAX_GENERATED_KEY_LENGTH: Final = 90
 
 
 @dataclass(frozen=True, slots=True)
 class ObjectRef:
-    """Stands for a node of a graph: that it ended, not what it made."""
+    """A reference to a node of a graph. It expresses that the node has ended, not its result."""
 
     graph: str
     index: int
@@ -51,50 +51,52 @@
 
     @property
     def id(self) -> str:
-        """The node's job id."""
+        """Id of the node's job."""
         return f"{self.graph}-{self.index:05d}"
 
 
 @dataclass(frozen=True, slots=True)
 class Awaited:
-    """A reference, and what of it is waited for."""
+    """A dependency on a node: per task or as a whole, and the outcome that it requires."""
 
     ref: ObjectRef
     each: bool = False
     when: str = "done"
 
     def edge(self) -> str | dict[str, Any]:
-        """Return the reference as an edge in the words of the protocol."""
+        """Return the dependency as an edge of the protocol."""
         if not self.each and self.when == "done":
             return self.ref.key
         return {"node": self.ref.key, "each": self.each, "when": self.when}
 
 
 def each(ref: ObjectRef) -> Awaited:
-    """Task i of the node that is given this waits for task i of `ref` only."""
+    """Return a dependency per task: task i of the dependent node waits only for task i of `ref`."""
     return Awaited(ref, each=True)
 
 
 def failed(ref: ObjectRef) -> Awaited:
-    """The node that is given this runs if `ref` fails, and is skipped if it does not."""
+    """Return a dependency on failure: the node runs if `ref` fails and is skipped otherwise."""
     return Awaited(ref, when="failed")
 
 
 def ended(ref: ObjectRef) -> Awaited:
-    """The node that is given this runs once `ref` is over, however it ended."""
+    """Return a dependency on the end: the node runs once `ref` has ended, whatever the outcome."""
     return Awaited(ref, when="ended")
 
 
-def fields(declared: dict[str, Any]) -> dict[str, Any]:
-    """Fields in the protocol's words; raises TypeError for one that a job does not have."""
-    unknown = sorted(set(declared) - _WORDS.keys())
+def wire_fields(declared: dict[str, Any]) -> dict[str, Any]:
+    """Return job fields under their names in the protocol; raises TypeError for unknown ones."""
+    unknown = sorted(set(declared) - _WIRE_NAMES.keys())
     if unknown:
-        raise TypeError(f"a job has no {', '.join(unknown)}; it has {', '.join(sorted(_WORDS))}")
-    return {_WORDS[name]: value for name, value in declared.items()}
+        raise TypeError(
+            f"a job has no {', '.join(unknown)}; it has {', '.join(sorted(_WIRE_NAMES))}"
+        )
+    return {_WIRE_NAMES[name]: value for name, value in declared.items()}
 
 
 class Task:
-    """A function whose calls become nodes."""
+    """A function; each call of `remote` adds a node to its graph."""
 
     def __init__(
         self,
@@ -105,43 +107,43 @@
     ) -> None:
         self._graph = graph
         self._function = function
-        self._fields = fields(declared)
-        self._retries = retries
+        self._fields = wire_fields(declared)
+        self._max_retries = retries
         self.__name__ = function.__name__
         self.__doc__ = function.__doc__
 
     def options(self, *, max_retries: int | None = None, **declared: Any) -> Task:
-        """The same with other resources."""
-        found = Task(self._graph, self._function, {}, self._retries)
-        found._fields = {**self._fields, **fields(declared)}
+        """Return a copy of this task with the given fields replaced."""
+        task = Task(self._graph, self._function, {}, self._max_retries)
+        task._fields = {**self._fields, **wire_fields(declared)}
         if max_retries is not None:
-            found._retries = max_retries
-        return found
+            task._max_retries = max_retries
+        return task
 
     def remote(self, *arguments: Any, **named: Any) -> ObjectRef:
-        """Adds a node; it waits for every reference among the arguments, lists included."""
-        changed = self._function(*arguments, **named)
-        if changed is not None and not isinstance(changed, dict):
-            raise TypeError(f"{self.__name__} returns fields of its job or nothing")
-        given = [*arguments, *named.values()]
+        """Add a node that depends on all references in the arguments, also inside collections."""
+        overrides = self._function(*arguments, **named)
+        if overrides is not None and not isinstance(overrides, dict):
+            raise TypeError(f"{self.__name__} must return a dict of job fields or None")
+        inputs = [*arguments, *named.values()]
         return self._graph.add(
-            _label(self.__name__, given),
-            {**self._fields, **fields(changed or {})},
-            list(_awaited(given)),
-            self._retries,
+            _node_key(self.__name__, inputs),
+            {**self._fields, **wire_fields(overrides or {})},
+            list(_dependencies_in(inputs)),
+            self._max_retries,
         )
 
     def map(self, values: Iterable[Any]) -> list[ObjectRef]:
-        """A node for each value."""
+        """Add a node for each value and return their references."""
         return [self.remote(value) for value in values]
 
     def __call__(self, *_: Any, **__: Any) -> Any:
-        """Refuse: the function's body runs on a machine."""
-        raise TypeError(f"{self.__name__} runs as a task: use {self.__name__}.remote(...)")
+        """Raise TypeError: nodes are added by `remote`."""
+        raise TypeError(f"{self.__name__} is a task: call {self.__name__}.remote(...) instead")
 
 
 class Graph:
-    """A graph that is being drawn. The same calls in the same order draw the same graph."""
+    """A graph under construction. The same calls in the same order build the same graph."""
 
     def __init__(
         self,
@@ -152,11 +154,14 @@
         max_retries: int | None = None,
         **defaults: Any,
     ) -> None:
-        """`defaults` are fields of every node's job. `deadline_s` is for the whole graph."""
+        """Create an empty graph.
+
+        `defaults` are job fields for all nodes; `deadline_s` applies to the graph as a whole.
+        """
         self.id = id
         self._head: dict[str, Any] = {
             "id": id,
-            "defaults": {**_DEFAULTS, **fields(defaults)},
+            "defaults": {**_DEFAULTS, **wire_fields(defaults)},
             "onFailure": on_failure,
         }
         if deadline_s is not None:
@@ -169,12 +174,12 @@
     def remote(
         self, *, max_retries: int | None = None, **declared: Any
     ) -> Callable[[Callable[..., Any]], Task]:
-        """Makes a function's calls into nodes with these resources."""
+        """Return a decorator that makes a function a `Task` with these job fields."""
 
-        def make(function: Callable[..., Any]) -> Task:
+        def decorate(function: Callable[..., Any]) -> Task:
             return Task(self, function, declared, max_retries)
 
-        return make
+        return decorate
 
     def add(
         self,
@@ -183,25 +188,29 @@
         after: Iterable[Awaited] = (),
         retries: int | None = None,
     ) -> ObjectRef:
-        """Adds a node by hand; `job` in the protocol's words."""
-        number = 2
-        unique = key
-        while unique in self._refs:
-            unique, number = f"{key}.{number}", number + 1
+        """Add a node; `job` has the protocol's fields. A key in use gets a numeric suffix."""
+        suffix = 2
+        unique_key = key
+        while unique_key in self._refs:
+            unique_key, suffix = f"{key}.{suffix}", suffix + 1
         edges: dict[str, Awaited] = {}
-        for awaited in after:
-            if self._refs.get(awaited.ref.key) != awaited.ref:
-                raise ValueError(f"{awaited.ref.key!r} is no node of graph {self.id}")
-            if edges.setdefault(awaited.ref.key, awaited) != awaited:
-                raise ValueError(f"{unique} waits for {awaited.ref.key!r} in two ways")
-        node: dict[str, Any] = {"key": unique, "job": job}
+        for dependency in after:
+            if self._refs.get(dependency.ref.key) != dependency.ref:
+                raise ValueError(
+                    f"dependency {dependency.ref.key!r} is no node of graph {self.id!r}"
+                )
+            if edges.setdefault(dependency.ref.key, dependency) != dependency:
+                raise ValueError(
+                    f"node {unique_key!r} waits for {dependency.ref.key!r} in two ways"
+                )
+        node: dict[str, Any] = {"key": unique_key, "job": job}
         if edges:
-            node["after"] = [awaited.edge() for awaited in edges.values()]
+            node["after"] = [dependency.edge() for dependency in edges.values()]
         if retries is not None:
             node["maxRetries"] = retries
-        ref = ObjectRef(self.id, len(self._nodes), unique)
+        ref = ObjectRef(self.id, len(self._nodes), unique_key)
         self._nodes.append(node)
-        self._refs[unique] = ref
+        self._refs[unique_key] = ref
         return ref
 
     def __len__(self) -> int:
@@ -212,45 +221,48 @@
 
     @property
     def refs(self) -> list[ObjectRef]:
-        """References to all nodes, in the order in which they were added."""
+        """References to all nodes in the order of their addition."""
         return list(self._refs.values())
 
     @property
     def head(self) -> dict[str, Any]:
-        """What is submitted beside the nodes."""
+        """The fields of the submission apart from its nodes."""
         return self._head
 
     @property
     def nodes(self) -> list[dict[str, Any]]:
-        """The nodes in the words of the protocol."""
+        """The nodes in the fields of the protocol."""
         return self._nodes
 
     def message(self) -> dict[str, Any]:
-        """The whole graph as one submission."""
+        """Return the whole graph as one submission."""
         return {**self._head, "nodes": self._nodes}
 
 
-def _awaited(given: Iterable[Any]) -> Iterator[Awaited]:
-    for value in given:
+def _dependencies_in(inputs: Iterable[Any]) -> Iterator[Awaited]:
+    for value in inputs:
         if isinstance(value, Awaited):
             yield value
         elif isinstance(value, ObjectRef):
             yield Awaited(value)
         elif isinstance(value, (list, tuple, set, frozenset)):
-            yield from _awaited(value)
+            yield from _dependencies_in(value)
         elif isinstance(value, dict):
-            yield from _awaited(value.values())
+            yield from _dependencies_in(value.values())
+
 
+def _node_key(name: str, inputs: Iterable[Any]) -> str:
+    """Return a node key from the function's name and the call's arguments.
 
-def _label(name: str, given: Iterable[Any]) -> str:
-    """A key that says which call it was, as far as plain arguments say it."""
+    A reference contributes what its key has after the first hyphen, a collection nothing.
+    """
     parts = [name]
-    for value in given:
+    for value in inputs:
         if isinstance(value, (str, int, float)):
-            parts.append(_KEY.sub("_", str(value)))
+            parts.append(_NOT_IN_KEY.sub("_", str(value)))
         elif isinstance(value, (ObjectRef, Awaited)):
             ref = value.ref if isinstance(value, Awaited) else value
-            rest = ref.key.partition("-")[2]
-            if rest:
-                parts.append(rest)
-    return "-".join(parts)[:_MOST_KEY]
+            suffix = ref.key.partition("-")[2]
+            if suffix:
+                parts.append(suffix)
+    return "-".join(parts)[:_MAX_GENERATED_KEY_LENGTH]
--- a/tools/falls.py
+++ b/tools/falls.py
@@ -1,11 +1,12 @@
-"""What a fall of many machines costs: days that bring one, and what their reports show.
+"""Measure the recovery from mass failures: day files that contain one, and their evaluation.
 
-    python3 -m tools.falls days DIR              one file a kind of fall, alone and in pairs
-    python3 -m tools.falls table SITE NAME=REPORT.json ...  one row each, beside the least
-    python3 -m tools.falls plot OUT.png NAME=REPORT.json ... the fleet through each day
+    python3 -m tools.falls days DIR                           day files: single faults and pairs
+    python3 -m tools.falls table SITE NAME=REPORT.json ...    one row a report
+    python3 -m tools.falls plot OUT.png NAME=REPORT.json ...  the fleet over time, a line a report
 
-A report is what `fleetbench run SITE DAY --report REPORT.json --log info > REPORT.txt` writes; the
-log beside it, of the same name, says when the service knew. All figures are of simulated machines.
+Create a report with `fleetbench run SITE DAY --report REPORT.json --log info > REPORT.txt`. The log
+must be beside the report under the same name: it has the time at which the failure was detected.
+All figures are of simulated machines.
 """
 
 from __future__ import annotations
@@ -23,16 +24,16 @@
 from rich.console import Console
 from rich.table import Table
 
-from tools.variants import day
+from tools.variants import render_day
 
-_AT_S: Final = 200.0
+_FAULT_AT_S: Final = 200.0
 _BEFORE_S: Final = 30.0
 _AFTER_S: Final = 150.0
-_BACK: Final = 0.9
-_PERIODS: Final = 1.25
-"""A worker reports at the latest after so many report periods."""
+_RECOVERED_SHARE: Final = 0.9
+_MAX_REPORT_PERIODS: Final = 1.25
+"""Longest time between two heartbeats of a worker, in report periods."""
 
-_FALLS: Final[dict[str, dict[str, Any]]] = {
+_FAULTS: Final[dict[str, dict[str, Any]]] = {
     "deaths": {"kind": "machine_die", "count": 220},
     "deaths-50": {"kind": "machine_die", "count": 50},
     "hang-under": {"kind": "machine_hang", "count": 250, "for_s": 14.0},
@@ -47,7 +48,7 @@
     "frozen": {"kind": "node_freeze", "count": 1, "busiest": True, "for_s": 21.0},
     "restart-all": {"kind": "node_crash", "count": 9, "busiest": True},
 }  # fmt: skip
-_PAIRS: Final = (
+_FAULT_PAIRS: Final = (
     ("deaths", "restart-all", 3.0),
     ("deaths", "hang-past", 5.0),
     ("spot-silent", "frozen", 2.0),
@@ -56,7 +57,7 @@
 
 
 class Window(msgspec.Struct):
-    """The world at one moment."""
+    """The cluster at one moment."""
 
     at_s: float
     machines: int
@@ -68,14 +69,14 @@
 
 
 class Event(msgspec.Struct):
-    """Something that the day brought about."""
+    """An event of the day, such as an injected fault."""
 
     at_s: float
     what: str
 
 
 class Cost(msgspec.Struct):
-    """What the machines of a day cost."""
+    """Costs and losses of a day's machines."""
 
     price: float
     useful: float
@@ -86,14 +87,14 @@
 
 
 class Target(msgspec.Struct):
-    """One objective and how it was met."""
+    """The value of one objective, and whether it was met."""
 
     value: float
     met: bool
 
 
 class Requests(msgspec.Struct):
-    """Requests of users and their answers."""
+    """Request counts of one service."""
 
     requests: int
     refused: int = 0
@@ -101,8 +102,8 @@
     writes: int = 0
 
 
-class Rules(msgspec.Struct):
-    """Rules of the protocol that were broken."""
+class Violations(msgspec.Struct):
+    """Number of violations of the protocol's rules."""
 
     total: int
 
@@ -117,121 +118,141 @@
     targets: list[Target]
     state: Requests
     cloud: Requests
-    rules_broken: Rules
+    rules_broken: Violations
 
 
 def read(path: Path) -> DayReport:
-    """Read a report of the bench."""
+    """Return the report of a day that the bench wrote."""
     return msgspec.json.decode(path.read_bytes(), type=DayReport)
 
 
 # -- days -----------------------------------------------------------------------------------------
 
 
-def days() -> Iterator[tuple[str, str]]:
-    """Name and file of every day: each kind alone, then the pairs."""
-    for number, (name, fall) in enumerate(_FALLS.items()):
-        yield name, day(name, 301 + number, [{"at_s": _AT_S, **fall}])
-    for number, (first, second, after_s) in enumerate(_PAIRS):
+def day_files() -> Iterator[tuple[str, str]]:
+    """Yield the name and text of each day file: the single faults, then the pairs."""
+    for number, (name, fault) in enumerate(_FAULTS.items()):
+        yield name, render_day(name, 301 + number, [{"at_s": _FAULT_AT_S, **fault}])
+    for number, (first, second, after_s) in enumerate(_FAULT_PAIRS):
         name = f"{first}+{second}"
-        falls = [{"at_s": _AT_S, **_FALLS[first]}, {"at_s": _AT_S + after_s, **_FALLS[second]}]
-        yield name, day(name, 331 + number, falls)
+        faults = [
+            {"at_s": _FAULT_AT_S, **_FAULTS[first]},
+            {"at_s": _FAULT_AT_S + after_s, **_FAULTS[second]},
+        ]
+        yield name, render_day(name, 331 + number, faults)
 
 
-# -- one day --------------------------------------------------------------------------------------
+# -- evaluation of a day --------------------------------------------------------------------------
 
 
 @dataclass(frozen=True, slots=True)
-class Course:
-    """What a fall did, in seconds from its moment; None where it did not happen."""
+class Recovery:
+    """The recovery from a mass failure.
 
-    known_s: float | None
-    """Five machines were judged or had lost their lease, or the leader gave way."""
+    Times are in seconds since the failure, and None if the event did not occur.
+    """
+
+    detected_s: float | None
+    """Enough machines were suspected or had lost their lease, or the leader stepped down."""
     lease_expired_s: float | None
-    """The last lapse: from then on all that was lost waits again."""
-    asked_s: float | None
-    """The first machine that the cloud granted."""
-    lowest: float
-    """Processors in use at the worst moment, as a part of those before."""
-    back_s: float | None
-    """Nine tenths of the processors in use before are in use again."""
+    """Last lease expiry within 60 s; by then all lost tasks are queued again."""
+    first_granted_s: float | None
+    """The cloud granted the first machine."""
+    lowest_cpu_share: float
+    """Smallest number of processors in use, relative to the mean before the failure."""
+    recovered_s: float | None
+    """The processors in use are back at `_RECOVERED_SHARE` of the mean before the failure.
+
+    0.0 if they never fell below it.
+    """
     granted: int
-    asked: int
-    cost: float
-    """The most that the fleet cost an hour, as a part of what it cost before."""
+    requested: int
+    cost_ratio: float
+    """Highest cost of the fleet an hour, relative to the mean before the failure."""
 
 
 _LINE: Final = re.compile(r"\s*([\d.]+) \S+ \w [\w.]+: (.*)")
-_JUDGED: Final = re.compile(r"machines suspected: count=\d+ suspicion=\w+ new=(\d+)")
-_KNOWN: Final = 5
-"""Single machines are lost at any time; a fall is known with so many."""
-_GIVES_WAY: Final = "no longer leader: "
+_SUSPECTED: Final = re.compile(r"machines suspected: count=\d+ suspicion=\w+ new=(\d+)")
+_DETECTED_MACHINES: Final = 5
+"""Machines lost until a mass failure counts as detected; single ones are lost at any time."""
+_STEPS_DOWN: Final = "no longer leader: "
 _LEASE_EXPIRED: Final = "lease expired: machine="
 _RENTAL: Final = re.compile(r"rental \S+: (\d+) of (\d+) ")
 
 
-def course(report: DayReport, log: str, at_s: float) -> Course:
-    """Follows one fall through a day."""
-    known = lease_expired = granted_at = None
-    granted = asked = noticed = 0
+def measure_recovery(report: DayReport, log: str, at_s: float) -> Recovery:
+    """Evaluate the report and the log of a day whose mass failure began at `at_s`."""
+    detected_at = lease_expired_at = first_granted_at = None
+    granted = requested = detected = 0
     for match in map(_LINE.match, log.splitlines()):
         if match is None or not at_s <= float(match[1]) <= at_s + _AFTER_S:
             continue
-        after, text = float(match[1]) - at_s, match[2]
-        noticed += _noticed(text)
-        if known is None and noticed >= _KNOWN:
-            known = after
-        if text.startswith(_LEASE_EXPIRED) and after < 60.0:
-            lease_expired = after
+        after_s, text = float(match[1]) - at_s, match[2]
+        detected += _newly_detected(text)
+        if detected_at is None and detected >= _DETECTED_MACHINES:
+            detected_at = after_s
+        if text.startswith(_LEASE_EXPIRED) and after_s < 60.0:
+            lease_expired_at = after_s
         rental = _RENTAL.match(text)
         if rental is not None:
-            granted, asked = granted + int(rental[1]), asked + int(rental[2])
-            if granted_at is None and int(rental[1]):
-                granted_at = after
-    before, after_fall = _around(report.windows, at_s)
-    used = sum(w.cpus for w in before) / len(before)
-    spent = sum(w.cost_per_hour for w in before) / len(before)
-    lowest = min(after_fall, key=lambda w: w.cpus)
-    back = next(
-        (w.at_s for w in after_fall if w.at_s > lowest.at_s and w.cpus >= _BACK * used), None
+            granted, requested = granted + int(rental[1]), requested + int(rental[2])
+            if first_granted_at is None and int(rental[1]):
+                first_granted_at = after_s
+    windows_before, windows_after = _windows_around(report.windows, at_s)
+    cpus_before = sum(w.cpus for w in windows_before) / len(windows_before)
+    cost_before = sum(w.cost_per_hour for w in windows_before) / len(windows_before)
+    lowest = min(windows_after, key=lambda w: w.cpus)
+    recovered_at = next(
+        (
+            w.at_s
+            for w in windows_after
+            if w.at_s > lowest.at_s and w.cpus >= _RECOVERED_SHARE * cpus_before
+        ),
+        None,
     )
-    fell = lowest.cpus < _BACK * used
-    return Course(
-        known,
-        lease_expired,
-        granted_at,
-        lowest.cpus / used,
-        back - at_s if back is not None and fell else (0.0 if not fell else None),
+    dropped = lowest.cpus < _RECOVERED_SHARE * cpus_before
+    return Recovery(
+        detected_at,
+        lease_expired_at,
+        first_granted_at,
+        lowest.cpus / cpus_before,
+        recovered_at - at_s
+        if recovered_at is not None and dropped
+        else (0.0 if not dropped else None),
         granted,
-        asked,
-        max(w.cost_per_hour for w in after_fall) / spent,
+        requested,
+        max(w.cost_per_hour for w in windows_after) / cost_before,
     )
 
 
-def _noticed(text: str) -> int:
-    """How many machines a line of the log says are silent."""
-    if _GIVES_WAY in text:
-        return _KNOWN
-    judged = _JUDGED.match(text)
-    return int(judged[1]) if judged is not None else int(text.startswith(_LEASE_EXPIRED))
+def _newly_detected(text: str) -> int:
+    """Return the number of machines that a log line newly reports as lost.
+
+    A leader that steps down counts as `_DETECTED_MACHINES`.
+    """
+    if _STEPS_DOWN in text:
+        return _DETECTED_MACHINES
+    suspected = _SUSPECTED.match(text)
+    return int(suspected[1]) if suspected is not None else int(text.startswith(_LEASE_EXPIRED))
 
 
-def _around(windows: list[Window], at_s: float) -> tuple[list[Window], list[Window]]:
+def _windows_around(windows: list[Window], at_s: float) -> tuple[list[Window], list[Window]]:
     split = bisect_right(windows, at_s, key=lambda w: w.at_s)
     before = [w for w in windows[:split] if w.at_s > at_s - _BEFORE_S]
     after = [w for w in windows[split:] if w.at_s <= at_s + _AFTER_S]
     if not before or not after:
-        raise click.ClickException(f"the report has nothing around {at_s:.0f} s")
+        raise click.ClickException(f"the report has no windows around {at_s:.0f} s")
     return before, after
 
 
-def least_s(site: dict[str, Any]) -> float:
-    """The least time until machines lost without a word are replaced, by the published figures.
+def min_recovery_s(site: dict[str, Any]) -> float:
+    """Return the least possible time, in seconds, to replace machines that fail without notice.
 
-    A worker is missed when its next report is due, and a machine boots for what the catalogue says.
+    It is the longest time until a missing heartbeat is due, plus the longest boot time of the
+    catalogue.
     """
-    boots = [float(kind["boot_s"]) for kind in site["machine_types"]]
-    return _PERIODS * float(site["workers"]["report_s"]) + max(boots)
+    boot_times_s = [float(kind["boot_s"]) for kind in site["machine_types"]]
+    return _MAX_REPORT_PERIODS * float(site["workers"]["report_s"]) + max(boot_times_s)
 
 
 # -- commands -------------------------------------------------------------------------------------
@@ -239,20 +260,20 @@
 
 @click.group(help=__doc__)
 def main() -> None:
-    """Days that bring falls of many machines, and what their reports show."""
+    """Write day files with mass failures, and evaluate their reports."""
     pass
 
 
 @main.command("days")
 @click.argument("where", type=click.Path(path_type=Path))
 def write_days(where: Path) -> None:
-    """Writes one file a day."""
+    """Write one file a day."""
     where.mkdir(parents=True, exist_ok=True)
-    for name, text in days():
+    for name, text in day_files():
         (where / f"{name}.toml").write_text(text)
 
 
-def _named(pair: str) -> tuple[str, Path]:
+def _parse_named_path(pair: str) -> tuple[str, Path]:
     name, _, path = pair.partition("=")
     return name, Path(path or name)
 
@@ -261,28 +282,33 @@
 @click.argument("site", type=click.Path(path_type=Path, exists=True))
 @click.argument("reports", nargs=-1, required=True)
 def table(site: Path, reports: tuple[str, ...]) -> None:
-    """A row a report."""
-    least = least_s(tomllib.loads(site.read_text()))
-    shown = Table(title=f"least possible until replaced: {least:.0f} s; simulated machines")
+    """Print one row a report, with the recovery time relative to the least possible."""
+    minimum_s = min_recovery_s(tomllib.loads(site.read_text()))
+    rows = Table(title=f"least possible until replaced: {minimum_s:.0f} s; simulated machines")
     for column in (
         "day", "known", "lease expired", "first granted", "lowest", "back at 0.9", "of least",
         "granted",
         "asked", "cost", "killed by lease", "lost", "useful", "price", "aims", "rules",
     ):  # fmt: skip
-        shown.add_column(column, justify="left" if column == "day" else "right")
-    for name, path in map(_named, reports):
+        rows.add_column(column, justify="left" if column == "day" else "right")
+    for name, path in map(_parse_named_path, reports):
         report = read(path)
-        at_s = report.events[0].at_s if report.events else _AT_S
-        found = course(report, path.with_suffix(".txt").read_text(errors="replace"), at_s)
-        shown.add_row(
+        at_s = report.events[0].at_s if report.events else _FAULT_AT_S
+        recovery = measure_recovery(
+            report, path.with_suffix(".txt").read_text(errors="replace"), at_s
+        )
+        rows.add_row(
             name,
-            *map(_seconds, (found.known_s, found.lease_expired_s, found.asked_s)),
-            f"{found.lowest:.2f}",
-            _seconds(found.back_s),
-            f"{found.back_s / least:.2f}" if found.back_s is not None else "-",
-            str(found.granted),
-            str(found.asked),
-            f"{found.cost:.2f}",
+            *map(
+                _format_seconds,
+                (recovery.detected_s, recovery.lease_expired_s, recovery.first_granted_s),
+            ),
+            f"{recovery.lowest_cpu_share:.2f}",
+            _format_seconds(recovery.recovered_s),
+            f"{recovery.recovered_s / minimum_s:.2f}" if recovery.recovered_s is not None else "-",
+            str(recovery.granted),
+            str(recovery.requested),
+            f"{recovery.cost_ratio:.2f}",
             str(report.fleet.tasks_killed_by_lease),
             str(report.fleet.tasks_lost),
             f"{report.fleet.useful:.3f}",
@@ -290,10 +316,10 @@
             f"{sum(t.met for t in report.targets)}/{len(report.targets)}",
             str(report.rules_broken.total),
         )
-    Console(width=170).print(shown)
+    Console(width=170).print(rows)
 
 
-def _seconds(value: float | None) -> str:
+def _format_seconds(value: float | None) -> str:
     return "-" if value is None else f"{value:.0f} s"
 
 
@@ -301,18 +327,22 @@
 @click.argument("out", type=click.Path(path_type=Path))
 @click.argument("reports", nargs=-1, required=True)
 def plot(out: Path, reports: tuple[str, ...]) -> None:
-    """Processors in use, machines booting and cost, one line a report."""
+    """Plot processors in use, booting machines and cost over time, one line a report."""
     from matplotlib import pyplot
 
     figure, axes = pyplot.subplots(3, 1, sharex=True, figsize=(9.0, 9.0))
-    for name, path in map(_named, reports):
+    for name, path in map(_parse_named_path, reports):
         report = read(path)
-        at_s = report.events[0].at_s if report.events else _AT_S
-        near = [w for w in report.windows if -_BEFORE_S <= w.at_s - at_s <= _AFTER_S]
-        times = [w.at_s - at_s for w in near]
+        at_s = report.events[0].at_s if report.events else _FAULT_AT_S
+        windows = [w for w in report.windows if -_BEFORE_S <= w.at_s - at_s <= _AFTER_S]
+        times = [w.at_s - at_s for w in windows]
         for axis, values in zip(
             axes,
-            ([w.cpus for w in near], [w.booting for w in near], [w.cost_per_hour for w in near]),
+            (
+                [w.cpus for w in windows],
+                [w.booting for w in windows],
+                [w.cost_per_hour for w in windows],
+            ),
             strict=True,
         ):
             axis.plot(times, values, label=name)
